--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -13,6 +13,8 @@
 #[path = "../../src/bin/asterreel/fuzz.rs"]
 #[allow(dead_code)] // This crate's parsers are fed whole frames: `cuts` serves the other crates.
 mod fuzz;
+#[cfg(test)]
+mod golden_tests;
 pub mod lease;
 mod link;
 mod node;
--- a/control/src/node.rs
+++ b/control/src/node.rs
@@ -135,6 +135,18 @@
         self.place
     }
 
+    /// What is agreed, as far as it was applied here.
+    #[cfg(test)]
+    pub fn agreed(&self) -> &Agreed {
+        &self.agreed
+    }
+
+    /// The latest snapshot that was stored, encoded; empty where there is none.
+    #[cfg(test)]
+    pub fn latest_snapshot(&self) -> &[u8] {
+        self.raw.store().latest().get_data()
+    }
+
     pub fn tick(&mut self) {
         self.raw.tick();
     }
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -3,7 +3,11 @@
 //! they were decided. After every step no two gateways may act under one duty; at the end of a run, with the faults
 //! over, a holder must be there within a bound computed from the timing.
 
+mod golden;
+
+use asterreel::agreed;
 use asterreel::lease::{Action, Command, Duty, Event, Fence, Holder, Index, Leases, Timing, Token};
+use xxhash_rust::xxh3::Xxh3;
 
 const TIMING: Timing =
     Timing { lease_us: 3_000_000, renew_us: 1_000_000, drift_ppm: 1_000, margin_us: 50_000 };
@@ -56,6 +60,8 @@
     refused: u64,
     /// From the moment that a duty had no one acting to the next who did, microseconds of real time.
     gaps: Vec<u64>,
+    /// Of all entries of the log, and when each was committed.
+    log_digest: u64,
     /// Whether each duty had a holder at the end of the calm part.
     held_at_end: bool,
 }
@@ -189,9 +195,26 @@
         }
     }
     seen.held_at_end = idle_since.iter().all(Option::is_none);
+    seen.log_digest = log_digest(&log);
     seen
 }
 
+fn log_digest(log: &[(Command, u64)]) -> u64 {
+    let mut digest = Xxh3::new();
+    for (command, at) in log {
+        digest.update(&agreed::encode(&agreed::Command::Lease(*command)));
+        digest.update(&at.to_le_bytes());
+    }
+    digest.digest()
+}
+
+/// What gateways decide about leases, pinned: the log that each seed leads to, entry by entry.
+#[test]
+fn lease_logs_match_record() {
+    let line = |seed| format!("seed {seed}: {:016x}\n", play(run(seed)).log_digest);
+    golden::assert_matches("lease-logs.txt", &(101..=110).map(line).collect::<String>());
+}
+
 fn run(seed: u64) -> Run {
     Run {
         seed,
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -7,10 +7,14 @@
 //! the log does not give it; reports count each action once; at the end, with the faults over, a version that is offered
 //! is in force everywhere within a bound.
 
+mod golden;
+
+use asterreel::agreed;
 use asterreel::lease::{Holder, Index, Timing, Token};
 use asterreel::versions::{client, coordinator, Client, Command, Content, Coordinator, Formats, Outcome};
 use asterreel::versions::{Table, ToControl, ToGateway, Topic};
 use std::collections::{BTreeMap, BTreeSet};
+use xxhash_rust::xxh3::Xxh3;
 
 const TIMING: Timing =
     Timing { lease_us: 3_000_000, renew_us: 1_000_000, drift_ppm: 1_000, margin_us: 50_000 };
@@ -159,6 +163,8 @@
     elections: usize,
     /// From the offer that came in force in the calm to the moment when all acted on it.
     agreed_after: Option<u64>,
+    /// Of all entries of the log, and when each was committed.
+    log_digest: u64,
     /// By life of a gateway: what it did, what the audit has of it, and whether it lived to the end.
     counts: Vec<(Holder, u64, u64, bool)>,
 }
@@ -709,6 +715,15 @@
         self.offered.get(&newest).is_some_and(|at| *at >= since)
     }
 
+    fn log_digest(&self) -> u64 {
+        let mut digest = Xxh3::new();
+        for (command, at) in &self.log {
+            digest.update(&agreed::encode(&agreed::Command::Version(command.clone())));
+            digest.update(&at.to_le_bytes());
+        }
+        digest.digest()
+    }
+
     fn count(&mut self) {
         let audit = self.truth.audit();
         for (who, done) in &self.done {
@@ -751,6 +766,7 @@
         world.check();
     }
     world.count();
+    world.seen.log_digest = world.log_digest();
     world.seen
 }
 
@@ -784,6 +800,13 @@
     check(1..=20);
 }
 
+/// What control members and gateways decide, pinned: the log that each seed leads to, entry by entry.
+#[test]
+fn version_logs_match_record() {
+    let line = |seed| format!("seed {seed}: {:016x}\n", play(seed, SOUND).log_digest);
+    golden::assert_matches("version-logs.txt", &(101..=106).map(line).collect::<String>());
+}
+
 #[test]
 #[ignore = "long: 200 seeds"]
 fn the_same_over_two_hundred_seeds() {
