--- a/control/src/agreed/entry.rs
+++ b/control/src/agreed/entry.rs
@@ -13,7 +13,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BadEntry {
     /// Written by a newer build.
-    #[error("it has format {found}, this build reads up to {FORMAT}; start a build that understands it")]
+    #[error(
+        "it has format {found}, this build reads up to {FORMAT}; start a build that understands it"
+    )]
     Newer {
         /// The format it needs.
         found: u32,
@@ -135,16 +137,35 @@
         Command::Lease(command) => lease_body(command),
         Command::Version(command) => version_body(command),
     };
-    Entry { format: FORMAT, body: Some(body) }.encode_to_vec()
+    Entry {
+        format: FORMAT,
+        body: Some(body),
+    }
+    .encode_to_vec()
 }
 
 fn lease_body(command: &lease::Command) -> Body {
     let duty = command.duty().0.into();
     let who = Who::of(command.holder());
     match *command {
-        lease::Command::Claim { seen, at, .. } => Body::Claim(Lease { who, duty, number: seen.0, at }),
-        lease::Command::Renew { token, at, .. } => Body::Renew(Lease { who, duty, number: token.0, at }),
-        lease::Command::Release { token, .. } => Body::Release(Lease { who, duty, number: token.0, at: 0 }),
+        lease::Command::Claim { seen, at, .. } => Body::Claim(Lease {
+            who,
+            duty,
+            number: seen.0,
+            at,
+        }),
+        lease::Command::Renew { token, at, .. } => Body::Renew(Lease {
+            who,
+            duty,
+            number: token.0,
+            at,
+        }),
+        lease::Command::Release { token, .. } => Body::Release(Lease {
+            who,
+            duty,
+            number: token.0,
+            at: 0,
+        }),
     }
 }
 
@@ -152,12 +173,23 @@
     use versions::Command as V;
     match command {
         V::Lead { who } => Body::Lead(Who::of(*who)),
-        V::Join { who, formats } => {
-            Body::Join(Seat { oldest: formats.oldest, newest: formats.newest, ..seat(*who, Token(0)) })
-        }
+        V::Join { who, formats } => Body::Join(Seat {
+            oldest: formats.oldest,
+            newest: formats.newest,
+            ..seat(*who, Token(0))
+        }),
         V::Leave { who, token } => Body::Leave(seat(*who, *token)),
-        V::Expel { who, token, epoch } => Body::Expel(Seat { epoch: epoch.0, ..seat(*who, *token) }),
-        V::Offer { who, token, topic, seen, content } => Body::Offer(Change {
+        V::Expel { who, token, epoch } => Body::Expel(Seat {
+            epoch: epoch.0,
+            ..seat(*who, *token)
+        }),
+        V::Offer {
+            who,
+            token,
+            topic,
+            seen,
+            content,
+        } => Body::Offer(Change {
             who: Who::of(*who),
             token: token.0,
             topic: topic.number(),
@@ -171,7 +203,13 @@
             number: *number,
             by: by.iter().map(|(who, token)| seat(*who, *token)).collect(),
         }),
-        V::Refuse { who, token, topic, number, reason } => Body::Refuse(Change {
+        V::Refuse {
+            who,
+            token,
+            topic,
+            number,
+            reason,
+        } => Body::Refuse(Change {
             who: Who::of(*who),
             token: token.0,
             topic: topic.number(),
@@ -180,12 +218,22 @@
             content: Vec::new(),
             reason: reason.clone(),
         }),
-        V::Report { who, sequence, spans } => Body::Report(Report::of(*who, *sequence, spans)),
+        V::Report {
+            who,
+            sequence,
+            spans,
+        } => Body::Report(Report::of(*who, *sequence, spans)),
     }
 }
 
 fn seat(who: Holder, token: Token) -> Seat {
-    Seat { who: Who::of(who), token: token.0, epoch: 0, oldest: 0, newest: 0 }
+    Seat {
+        who: Who::of(who),
+        token: token.0,
+        epoch: 0,
+        oldest: 0,
+        newest: 0,
+    }
 }
 
 /// What an entry says.
@@ -195,10 +243,14 @@
     use versions::Command as V;
     let entry = Entry::decode(bytes).map_err(|fault| BadEntry::Damaged(fault.to_string()))?;
     if entry.format > FORMAT {
-        return Err(BadEntry::Newer { found: entry.format });
+        return Err(BadEntry::Newer {
+            found: entry.format,
+        });
     }
     if entry.format < FORMAT {
-        return Err(BadEntry::Older { found: entry.format });
+        return Err(BadEntry::Older {
+            found: entry.format,
+        });
     }
     Ok(match entry.body.ok_or(BadEntry::Unknown("kind"))? {
         Body::Claim(l) => Command::Lease(lease::Command::Claim {
@@ -221,23 +273,38 @@
         Body::Lead(who) => Command::Version(V::Lead { who: who.holder() }),
         Body::Join(s) => Command::Version(V::Join {
             who: s.who.holder(),
-            formats: Formats { oldest: s.oldest, newest: s.newest },
+            formats: Formats {
+                oldest: s.oldest,
+                newest: s.newest,
+            },
+        }),
+        Body::Leave(s) => Command::Version(V::Leave {
+            who: s.who.holder(),
+            token: Token(s.token),
+        }),
+        Body::Expel(s) => Command::Version(V::Expel {
+            who: s.who.holder(),
+            token: Token(s.token),
+            epoch: Index(s.epoch),
         }),
-        Body::Leave(s) => Command::Version(V::Leave { who: s.who.holder(), token: Token(s.token) }),
-        Body::Expel(s) => {
-            Command::Version(V::Expel { who: s.who.holder(), token: Token(s.token), epoch: Index(s.epoch) })
-        }
         Body::Offer(c) => Command::Version(V::Offer {
             who: c.who.holder(),
             token: Token(c.token),
             topic: topic(c.topic)?,
             seen: c.number,
-            content: Content { format: c.format, bytes: c.content },
+            content: Content {
+                format: c.format,
+                bytes: c.content,
+            },
         }),
         Body::Accept(a) => Command::Version(V::Accept {
             topic: topic(a.topic)?,
             number: a.number,
-            by: a.by.iter().map(|seat| (seat.who.holder(), Token(seat.token))).collect(),
+            by: a
+                .by
+                .iter()
+                .map(|seat| (seat.who.holder(), Token(seat.token)))
+                .collect(),
         }),
         Body::Refuse(c) => Command::Version(V::Refuse {
             who: c.who.holder(),
@@ -246,15 +313,19 @@
             number: c.number,
             reason: c.reason,
         }),
-        Body::Report(r) => {
-            Command::Version(V::Report { who: r.who.holder(), sequence: r.sequence, spans: r.spans()? })
-        }
+        Body::Report(r) => Command::Version(V::Report {
+            who: r.who.holder(),
+            sequence: r.sequence,
+            spans: r.spans()?,
+        }),
     })
 }
 
 fn duty(number: u32) -> Result<Duty, BadEntry> {
     let known = usize::try_from(number).is_ok_and(|place| place < lease::DUTIES.len());
-    known.then_some(Duty(number as u16)).ok_or(BadEntry::Unknown("duty"))
+    known
+        .then_some(Duty(number as u16))
+        .ok_or(BadEntry::Unknown("duty"))
 }
 
 #[cfg(test)]
--- a/control/src/agreed/entry/tests.rs
+++ b/control/src/agreed/entry/tests.rs
@@ -1,35 +1,101 @@
 use super::*;
 use crate::fuzz;
 
-const A: Holder = Holder { gateway: 3, life: 9 };
+const A: Holder = Holder {
+    gateway: 3,
+    life: 9,
+};
 const TOKEN: Token = Token(17);
 
 fn commands() -> Vec<Command> {
     use versions::Command as V;
     let (duty, topic) = (Duty(1), versions::Topic::Catalog);
-    let content = Content { format: 2, bytes: vec![7; 40] };
-    let span = versions::Span { topic, number: 5, from: 6, until: 7, count: 8 };
+    let content = Content {
+        format: 2,
+        bytes: vec![7; 40],
+    };
+    let span = versions::Span {
+        topic,
+        number: 5,
+        from: 6,
+        until: 7,
+        count: 8,
+    };
     let leases = [
-        lease::Command::Claim { duty, holder: A, seen: Index(4), at: 5 },
-        lease::Command::Renew { duty, holder: A, token: TOKEN, at: 5 },
-        lease::Command::Release { duty, holder: A, token: TOKEN },
+        lease::Command::Claim {
+            duty,
+            holder: A,
+            seen: Index(4),
+            at: 5,
+        },
+        lease::Command::Renew {
+            duty,
+            holder: A,
+            token: TOKEN,
+            at: 5,
+        },
+        lease::Command::Release {
+            duty,
+            holder: A,
+            token: TOKEN,
+        },
     ];
     let versions = [
         V::Lead { who: A },
-        V::Join { who: A, formats: Formats { oldest: 1, newest: 2 } },
-        V::Leave { who: A, token: TOKEN },
-        V::Expel { who: A, token: TOKEN, epoch: Index(12) },
-        V::Offer { who: A, token: TOKEN, topic, seen: 4, content },
+        V::Join {
+            who: A,
+            formats: Formats {
+                oldest: 1,
+                newest: 2,
+            },
+        },
+        V::Leave {
+            who: A,
+            token: TOKEN,
+        },
+        V::Expel {
+            who: A,
+            token: TOKEN,
+            epoch: Index(12),
+        },
+        V::Offer {
+            who: A,
+            token: TOKEN,
+            topic,
+            seen: 4,
+            content,
+        },
         V::Accept {
             topic,
             number: 20,
-            by: vec![(A, TOKEN), (Holder { gateway: 4, life: 1 }, Token(18))],
+            by: vec![
+                (A, TOKEN),
+                (
+                    Holder {
+                        gateway: 4,
+                        life: 1,
+                    },
+                    Token(18),
+                ),
+            ],
+        },
+        V::Refuse {
+            who: A,
+            token: TOKEN,
+            topic,
+            number: 20,
+            reason: "spoilt".into(),
+        },
+        V::Report {
+            who: A,
+            sequence: 2,
+            spans: vec![span, span],
         },
-        V::Refuse { who: A, token: TOKEN, topic, number: 20, reason: "spoilt".into() },
-        V::Report { who: A, sequence: 2, spans: vec![span, span] },
     ];
     let leases = leases.into_iter().map(Command::Lease);
-    leases.chain(versions.into_iter().map(Command::Version)).collect()
+    leases
+        .chain(versions.into_iter().map(Command::Version))
+        .collect()
 }
 
 #[test]
@@ -50,10 +116,21 @@
 #[test]
 fn an_entry_of_another_format_is_refused_whole_and_says_what_to_do() {
     let body = Some(Body::Lead(Who::of(A)));
-    let older = Entry { format: FORMAT - 1, body: body.clone() }.encode_to_vec();
+    let older = Entry {
+        format: FORMAT - 1,
+        body: body.clone(),
+    }
+    .encode_to_vec();
     let fault = decode(&older).expect_err("an older build's");
     assert_eq!(fault, BadEntry::Older { found: FORMAT - 1 });
-    assert!(fault.to_string().contains("remove the log's folder"), "{fault}");
-    let newer = Entry { format: FORMAT + 1, body }.encode_to_vec();
+    assert!(
+        fault.to_string().contains("remove the log's folder"),
+        "{fault}"
+    );
+    let newer = Entry {
+        format: FORMAT + 1,
+        body,
+    }
+    .encode_to_vec();
     assert_eq!(decode(&newer), Err(BadEntry::Newer { found: FORMAT + 1 }));
 }
--- a/control/src/agreed/mod.rs
+++ b/control/src/agreed/mod.rs
@@ -125,7 +125,10 @@
 impl Agreed {
     /// A control member in its life `me`, that knows nothing of the log yet.
     pub fn new(me: Holder, timing: Timing) -> Agreed {
-        Agreed { leases: Leases::new(me, timing), coordinator: Coordinator::new(me, timing) }
+        Agreed {
+            leases: Leases::new(me, timing),
+            coordinator: Coordinator::new(me, timing),
+        }
     }
 
     /// Who holds which duty.
@@ -140,7 +143,10 @@
 
     /// All that is agreed, encoded: a format, a checksum, and the state.
     pub fn snapshot(&self) -> Vec<u8> {
-        let state = State { leases: self.leases.table().clone(), versions: self.versions().clone() };
+        let state = State {
+            leases: self.leases.table().clone(),
+            versions: self.versions().clone(),
+        };
         // Maps with keys that are numbers and plain enums: nothing there that JSON can't write.
         let text = serde_json::to_vec(&state).unwrap_or_default();
         let mut bytes = FORMAT.to_le_bytes().to_vec();
@@ -151,16 +157,21 @@
 
     fn restore(&mut self, now: Micros, bytes: &[u8]) -> Result<(), Diverged> {
         let damaged = |why: &str| Diverged::SnapshotDamaged(why.to_owned());
-        let (format, rest) = bytes.split_first_chunk::<4>().ok_or_else(|| damaged("too short"))?;
+        let (format, rest) = bytes
+            .split_first_chunk::<4>()
+            .ok_or_else(|| damaged("too short"))?;
         let found = u32::from_le_bytes(*format);
         if found != FORMAT {
             return Err(Diverged::SnapshotFormat { found });
         }
-        let (sum, text) = rest.split_first_chunk::<8>().ok_or_else(|| damaged("too short"))?;
+        let (sum, text) = rest
+            .split_first_chunk::<8>()
+            .ok_or_else(|| damaged("too short"))?;
         if u64::from_le_bytes(*sum) != xxh3_64(text) {
             return Err(damaged("its checksum differs"));
         }
-        let state: State = serde_json::from_slice(text).map_err(|fault| damaged(&fault.to_string()))?;
+        let state: State =
+            serde_json::from_slice(text).map_err(|fault| damaged(&fault.to_string()))?;
         self.leases.restore(now, state.leases);
         self.coordinator.restore(now, state.versions);
         Ok(())
@@ -169,7 +180,12 @@
     /// Takes an event at `now` (microseconds on this member's monotonic clock) and says what to do.
     ///
     /// Errors: [`Diverged`], after which nothing more may be applied; the state stays as it was before the event.
-    pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) -> Result<(), Diverged> {
+    pub fn handle(
+        &mut self,
+        now: Micros,
+        event: Event,
+        out: &mut Vec<Action>,
+    ) -> Result<(), Diverged> {
         match event {
             Event::Committed([]) => Ok(()),
             Event::Committed(bytes) => self.commit(now, decode(bytes)?, out),
@@ -205,7 +221,12 @@
     }
 
     /// Applies an entry. Indices are counted by the tables themselves, so that none is ever missed.
-    fn commit(&mut self, now: Micros, command: Command, out: &mut Vec<Action>) -> Result<(), Diverged> {
+    fn commit(
+        &mut self,
+        now: Micros,
+        command: Command,
+        out: &mut Vec<Action>,
+    ) -> Result<(), Diverged> {
         match command {
             Command::Lease(command) => {
                 let index = Index(self.leases.table().applied().0 + 1);
@@ -219,7 +240,12 @@
         }
     }
 
-    fn lease(&mut self, now: Micros, event: lease::Event, out: &mut Vec<Action>) -> Result<(), Diverged> {
+    fn lease(
+        &mut self,
+        now: Micros,
+        event: lease::Event,
+        out: &mut Vec<Action>,
+    ) -> Result<(), Diverged> {
         let mut actions = Vec::new();
         self.leases.handle(now, event, &mut actions);
         for action in actions {
@@ -242,7 +268,9 @@
         let mut actions = Vec::new();
         self.coordinator.handle(now, event, &mut actions);
         out.extend(actions.into_iter().map(|action| match action {
-            coordinator::Action::Propose(command) => Action::Propose(encode(&Command::Version(command))),
+            coordinator::Action::Propose(command) => {
+                Action::Propose(encode(&Command::Version(command)))
+            }
             coordinator::Action::Confirm(round) => Action::Confirm(round),
             coordinator::Action::Send(who, message) => Action::Send(who, message),
             coordinator::Action::Broadcast(message) => Action::Broadcast(message),
--- a/control/src/clock.rs
+++ b/control/src/clock.rs
@@ -14,8 +14,13 @@
 impl Clock {
     /// A clock that starts from the system's time.
     pub fn start() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { base: unix.as_micros() as Micros, started: Instant::now() }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            base: unix.as_micros() as Micros,
+            started: Instant::now(),
+        }
     }
 
     /// Microseconds since the Unix epoch.
--- a/control/src/frame.rs
+++ b/control/src/frame.rs
@@ -78,7 +78,16 @@
     /// What a gateway says first that wants to be served.
     pub fn of_client(me: Holder, fleet: u64) -> Hello {
         let (oldest, newest, gateway) = (OLDEST, NEWEST, u64::from(me.gateway));
-        Hello { oldest, newest, fleet, gateway, id: 0, fresh: false, client: true, life: me.life }
+        Hello {
+            oldest,
+            newest,
+            fleet,
+            gateway,
+            id: 0,
+            fresh: false,
+            client: true,
+            life: me.life,
+        }
     }
 
     /// Whether its sender may be spoken to, as gateway `expected` where that is known.
@@ -97,9 +106,14 @@
 
     /// The gateway that sent it, in its present life; a number that no gateway can have is an error.
     pub fn holder(&self) -> Result<Holder, BadFrame> {
-        let gateway = u16::try_from(self.gateway).ok().filter(|gateway| *gateway > 0);
+        let gateway = u16::try_from(self.gateway)
+            .ok()
+            .filter(|gateway| *gateway > 0);
         let gateway = gateway.ok_or(BadFrame::Identity(self.gateway))?;
-        Ok(Holder { gateway: gateway.into(), life: self.life })
+        Ok(Holder {
+            gateway: gateway.into(),
+            life: self.life,
+        })
     }
 }
 
@@ -134,12 +148,17 @@
 }
 
 fn codec() -> LengthDelimitedCodec {
-    LengthDelimitedCodec::builder().max_frame_length(LONGEST).new_codec()
+    LengthDelimitedCodec::builder()
+        .max_frame_length(LONGEST)
+        .new_codec()
 }
 
 fn bytes_of(kind: Kind) -> Result<Bytes, BadFrame> {
     let mut bytes = BytesMut::new();
-    codec().encode(Bytes::from(Frame { kind: Some(kind) }.encode_to_vec()), &mut bytes)?;
+    codec().encode(
+        Bytes::from(Frame { kind: Some(kind) }.encode_to_vec()),
+        &mut bytes,
+    )?;
     Ok(bytes.freeze())
 }
 
@@ -148,7 +167,9 @@
 }
 
 pub fn raft(message: &eraftpb::Message) -> Result<Bytes, BadFrame> {
-    let bytes = message.write_to_bytes().map_err(|fault| BadFrame::Damaged(fault.to_string()))?;
+    let bytes = message
+        .write_to_bytes()
+        .map_err(|fault| BadFrame::Damaged(fault.to_string()))?;
     bytes_of(Kind::Raft(bytes))
 }
 
@@ -170,7 +191,12 @@
 
 impl<R: AsyncRead + Unpin> Frames<R> {
     pub fn new(from: R, traffic: Traffic) -> Frames<R> {
-        Frames { from, codec: codec(), bytes: BytesMut::new(), traffic }
+        Frames {
+            from,
+            codec: codec(),
+            bytes: BytesMut::new(),
+            traffic,
+        }
     }
 
     /// Counts all that is read from now on with other links.
@@ -200,10 +226,16 @@
         Kind::Hello(hello) => Ok(Payload::Hello(hello)),
         Kind::Raft(bytes) => {
             let message = eraftpb::Message::parse_from_bytes(&bytes);
-            message.map(|m| Payload::Raft(Box::new(m))).map_err(|fault| BadFrame::Damaged(fault.to_string()))
+            message
+                .map(|m| Payload::Raft(Box::new(m)))
+                .map_err(|fault| BadFrame::Damaged(fault.to_string()))
         }
-        Kind::ToControl(bytes) => ToControl::decode(&bytes).map(Payload::ToControl).map_err(damaged),
-        Kind::ToGateway(bytes) => ToGateway::decode(&bytes).map(Payload::ToGateway).map_err(damaged),
+        Kind::ToControl(bytes) => ToControl::decode(&bytes)
+            .map(Payload::ToControl)
+            .map_err(damaged),
+        Kind::ToGateway(bytes) => ToGateway::decode(&bytes)
+            .map(Payload::ToGateway)
+            .map_err(damaged),
     }
 }
 
--- a/control/src/frame/tests.rs
+++ b/control/src/frame/tests.rs
@@ -3,7 +3,10 @@
 use crate::lease::{Index, Token};
 use crate::versions::{Content, Formats, Topic};
 
-const ME: Holder = Holder { gateway: 2, life: 77 };
+const ME: Holder = Holder {
+    gateway: 2,
+    life: 77,
+};
 
 fn frames() -> (Vec<u8>, usize) {
     let first = Hello {
@@ -16,28 +19,70 @@
         client: false,
         life: 5,
     };
-    let mut message = eraftpb::Message { from: 2, to: 1, term: 7, ..Default::default() };
+    let mut message = eraftpb::Message {
+        from: 2,
+        to: 1,
+        term: 7,
+        ..Default::default()
+    };
     message.set_msg_type(eraftpb::MessageType::MsgHeartbeat);
-    let formats = Formats { oldest: 1, newest: 2 };
+    let formats = Formats {
+        oldest: 1,
+        newest: 2,
+    };
     let (token, seen) = (Some(Token(4)), Index(8));
-    let content = Content { format: 1, bytes: vec![1, 2, 3] };
+    let content = Content {
+        format: 1,
+        bytes: vec![1, 2, 3],
+    };
     let (topic, refused) = (Topic::Operator, Err("not good here".to_owned()));
     let all = [
         hello(&first),
         hello(&Hello::of_client(ME, 9)),
         raft(&message),
-        to_control(&ToControl::Heartbeat { who: ME, formats, token, sent: 1_000_000, seen }),
-        to_control(&ToControl::Offer { who: ME, token: Token(4), topic, seen: 3, content }),
-        to_control(&ToControl::Verdict { who: ME, token: Token(4), topic, number: 9, verdict: refused }),
-        to_gateway(&ToGateway::Kept { who: ME, token: Token(4), sent: 1, required: Index(3), seats: 7 }),
+        to_control(&ToControl::Heartbeat {
+            who: ME,
+            formats,
+            token,
+            sent: 1_000_000,
+            seen,
+        }),
+        to_control(&ToControl::Offer {
+            who: ME,
+            token: Token(4),
+            topic,
+            seen: 3,
+            content,
+        }),
+        to_control(&ToControl::Verdict {
+            who: ME,
+            token: Token(4),
+            topic,
+            number: 9,
+            verdict: refused,
+        }),
+        to_gateway(&ToGateway::Kept {
+            who: ME,
+            token: Token(4),
+            sent: 1,
+            required: Index(3),
+            seats: 7,
+        }),
         to_gateway(&ToGateway::Elsewhere { leader: Some(3) }),
     ];
     let count = all.len();
-    (all.into_iter().flat_map(|frame| frame.expect("short").to_vec()).collect(), count)
+    (
+        all.into_iter()
+            .flat_map(|frame| frame.expect("short").to_vec())
+            .collect(),
+        count,
+    )
 }
 
 fn read(bytes: &[u8]) -> (Vec<Payload>, Option<BadFrame>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .build()
+        .expect("a runtime");
     let mut frames = Frames::new(bytes, Traffic::default());
     let mut all = Vec::new();
     loop {
@@ -56,11 +101,17 @@
     assert!(fault.is_none() && all.len() == count, "{all:?}");
     for end in 0..bytes.len() {
         let (some, _) = read(&bytes[..end]);
-        assert!(some.len() < count && some[..] == all[..some.len()], "cut at {end}");
+        assert!(
+            some.len() < count && some[..] == all[..some.len()],
+            "cut at {end}"
+        );
     }
     fuzz::garbage(&bytes, |spoilt| drop(read(spoilt)));
     let long = [&(LONGEST as u32 + 1).to_be_bytes()[..], &[0; 64]].concat();
-    assert!(matches!(read(&long).1, Some(BadFrame::Io(_))), "a frame that is too long");
+    assert!(
+        matches!(read(&long).1, Some(BadFrame::Io(_))),
+        "a frame that is too long"
+    );
 }
 
 #[test]
@@ -81,32 +132,68 @@
 #[test]
 fn traffic_is_counted_on_both_sides() {
     let (bytes, count) = frames();
-    let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .build()
+        .expect("a runtime");
     let (sent, received) = (Traffic::default(), Traffic::default());
     let mut wire = Vec::new();
-    runtime.block_on(write(&mut wire, &bytes, &sent)).expect("written");
-    assert_eq!((sent.totals().frames_out, sent.totals().bytes_out), (1, bytes.len() as u64));
+    runtime
+        .block_on(write(&mut wire, &bytes, &sent))
+        .expect("written");
+    assert_eq!(
+        (sent.totals().frames_out, sent.totals().bytes_out),
+        (1, bytes.len() as u64)
+    );
     let mut frames = Frames::new(&wire[..], received.clone());
     (0..count).for_each(|_| drop(runtime.block_on(frames.next()).expect("a frame")));
     let expected = (count as u64, bytes.len() as u64);
-    assert_eq!((received.totals().frames_in, received.totals().bytes_in), expected);
+    assert_eq!(
+        (received.totals().frames_in, received.totals().bytes_in),
+        expected
+    );
 }
 
 #[test]
 fn a_hello_of_no_shared_format_of_another_fleet_or_gateway_is_turned_away() {
-    let good = Hello { gateway: 2, ..Hello::of_client(ME, 9) };
+    let good = Hello {
+        gateway: 2,
+        ..Hello::of_client(ME, 9)
+    };
     assert!(good.check(9, Some(2)).is_ok() && good.check(9, None).is_ok());
-    let next = Hello { newest: NEWEST + 1, ..good.clone() };
-    assert!(next.check(9, None).is_ok(), "the next version that still speaks this one's");
-    let newer = Hello { oldest: NEWEST + 1, newest: NEWEST + 2, ..good.clone() };
+    let next = Hello {
+        newest: NEWEST + 1,
+        ..good.clone()
+    };
+    assert!(
+        next.check(9, None).is_ok(),
+        "the next version that still speaks this one's"
+    );
+    let newer = Hello {
+        oldest: NEWEST + 1,
+        newest: NEWEST + 2,
+        ..good.clone()
+    };
     assert!(matches!(newer.check(9, None), Err(BadFrame::Format(..))));
-    let older = Hello { oldest: 1, newest: 1, ..good.clone() };
-    assert!(matches!(older.check(9, None), Err(BadFrame::Format(1, 1))), "all of them took part in the log");
+    let older = Hello {
+        oldest: 1,
+        newest: 1,
+        ..good.clone()
+    };
+    assert!(
+        matches!(older.check(9, None), Err(BadFrame::Format(1, 1))),
+        "all of them took part in the log"
+    );
     assert!(matches!(good.check(8, None), Err(BadFrame::Fleet)));
     assert!(matches!(good.check(9, Some(3)), Err(BadFrame::Identity(2))));
     assert_eq!(good.holder().ok(), Some(ME));
     for gateway in [0, 65_536] {
-        let none = Hello { gateway, ..good.clone() };
-        assert!(matches!(none.holder(), Err(BadFrame::Identity(_))), "no gateway has {gateway}");
+        let none = Hello {
+            gateway,
+            ..good.clone()
+        };
+        assert!(
+            matches!(none.holder(), Err(BadFrame::Identity(_))),
+            "no gateway has {gateway}"
+        );
     }
 }
--- a/control/src/golden_tests.rs
+++ b/control/src/golden_tests.rs
@@ -9,17 +9,24 @@
 use crate::lease::{self, Duty, Holder, Index, Timing, Token};
 use crate::node::Node;
 use crate::store::Store;
-use crate::versions::{self, Content, Formats, Refusal, Span, ToControl, ToGateway, Topic, TopicState};
+use crate::versions::{
+    self, Content, Formats, Refusal, Span, ToControl, ToGateway, Topic, TopicState,
+};
 use crate::Micros;
 use raft::eraftpb::{self, ConfState};
 use raft::{GetEntriesContext, Storage};
 use std::path::{Path, PathBuf};
 
-const GATEWAY: Holder = Holder { gateway: 300, life: 70_000 };
+const GATEWAY: Holder = Holder {
+    gateway: 300,
+    life: 70_000,
+};
 const TOKEN: Token = Token(17);
 
 fn file(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(name)
 }
 
 fn hex(bytes: &[u8]) -> String {
@@ -28,7 +35,9 @@
 
 fn bytes_of_hex(text: &str) -> Vec<u8> {
     let pairs = (0..text.len()).step_by(2).map(|at| &text[at..at + 2]);
-    pairs.map(|pair| u8::from_str_radix(pair, 16).expect("hex")).collect()
+    pairs
+        .map(|pair| u8::from_str_radix(pair, 16).expect("hex"))
+        .collect()
 }
 
 /// Compares the bytes of each value with its line of a file, and what is read from that line with the value.
@@ -40,8 +49,10 @@
     decode: impl Fn(&[u8]) -> T,
 ) {
     let record = std::fs::read_to_string(file(name)).unwrap_or_default();
-    let seen: String =
-        values.iter().map(|(name, value)| format!("{name} {}\n", hex(&encode(value)))).collect();
+    let seen: String = values
+        .iter()
+        .map(|(name, value)| format!("{name} {}\n", hex(&encode(value))))
+        .collect();
     if seen != record {
         let left = std::env::temp_dir().join(name);
         std::fs::write(&left, &seen).expect("written");
@@ -54,7 +65,10 @@
 }
 
 fn content() -> Content {
-    Content { format: 2, bytes: b"a digest of 32 bytes, as it were.".to_vec() }
+    Content {
+        format: 2,
+        bytes: b"a digest of 32 bytes, as it were.".to_vec(),
+    }
 }
 
 fn spans() -> Vec<Span> {
@@ -72,43 +86,161 @@
 fn log_entries_match_record() {
     use versions::Command as V;
     let (duty, topic, number) = (Duty(1), Topic::Catalog, 20);
-    let other = Holder { gateway: 4, life: 1 };
+    let other = Holder {
+        gateway: 4,
+        life: 1,
+    };
     let lease = |command| Command::Lease(command);
     let version = |command| Command::Version(command);
     let commands = vec![
-        ("claim", lease(lease::Command::Claim { duty, holder: GATEWAY, seen: Index(4), at: 5_000_000 })),
-        ("renew", lease(lease::Command::Renew { duty, holder: GATEWAY, token: TOKEN, at: 6_000_000 })),
-        ("release", lease(lease::Command::Release { duty: Duty(0), holder: GATEWAY, token: TOKEN })),
+        (
+            "claim",
+            lease(lease::Command::Claim {
+                duty,
+                holder: GATEWAY,
+                seen: Index(4),
+                at: 5_000_000,
+            }),
+        ),
+        (
+            "renew",
+            lease(lease::Command::Renew {
+                duty,
+                holder: GATEWAY,
+                token: TOKEN,
+                at: 6_000_000,
+            }),
+        ),
+        (
+            "release",
+            lease(lease::Command::Release {
+                duty: Duty(0),
+                holder: GATEWAY,
+                token: TOKEN,
+            }),
+        ),
         ("lead", version(V::Lead { who: GATEWAY })),
-        ("join", version(V::Join { who: GATEWAY, formats: Formats { oldest: 1, newest: 3 } })),
-        ("leave", version(V::Leave { who: GATEWAY, token: TOKEN })),
-        ("expel", version(V::Expel { who: GATEWAY, token: TOKEN, epoch: Index(12) })),
-        ("offer", version(V::Offer { who: GATEWAY, token: TOKEN, topic, seen: 4, content: content() })),
-        ("accept", version(V::Accept { topic, number, by: vec![(GATEWAY, TOKEN), (other, Token(18))] })),
+        (
+            "join",
+            version(V::Join {
+                who: GATEWAY,
+                formats: Formats {
+                    oldest: 1,
+                    newest: 3,
+                },
+            }),
+        ),
+        (
+            "leave",
+            version(V::Leave {
+                who: GATEWAY,
+                token: TOKEN,
+            }),
+        ),
+        (
+            "expel",
+            version(V::Expel {
+                who: GATEWAY,
+                token: TOKEN,
+                epoch: Index(12),
+            }),
+        ),
+        (
+            "offer",
+            version(V::Offer {
+                who: GATEWAY,
+                token: TOKEN,
+                topic,
+                seen: 4,
+                content: content(),
+            }),
+        ),
+        (
+            "accept",
+            version(V::Accept {
+                topic,
+                number,
+                by: vec![(GATEWAY, TOKEN), (other, Token(18))],
+            }),
+        ),
         (
             "refuse",
-            version(V::Refuse { who: GATEWAY, token: TOKEN, topic, number, reason: "not good".into() }),
+            version(V::Refuse {
+                who: GATEWAY,
+                token: TOKEN,
+                topic,
+                number,
+                reason: "not good".into(),
+            }),
+        ),
+        (
+            "report",
+            version(V::Report {
+                who: GATEWAY,
+                sequence: 2,
+                spans: spans(),
+            }),
         ),
-        ("report", version(V::Report { who: GATEWAY, sequence: 2, spans: spans() })),
     ];
-    assert_matches("entries.txt", commands, agreed::encode, |bytes| agreed::decode(bytes).expect("an entry"));
+    assert_matches("entries.txt", commands, agreed::encode, |bytes| {
+        agreed::decode(bytes).expect("an entry")
+    });
 }
 
 fn to_control() -> Vec<(&'static str, ToControl)> {
     let who = GATEWAY;
-    let formats = Formats { oldest: 1, newest: 2 };
-    let verdict =
-        |verdict| ToControl::Verdict { who, token: TOKEN, topic: Topic::Operator, number: 4, verdict };
+    let formats = Formats {
+        oldest: 1,
+        newest: 2,
+    };
+    let verdict = |verdict| ToControl::Verdict {
+        who,
+        token: TOKEN,
+        topic: Topic::Operator,
+        number: 4,
+        verdict,
+    };
     vec![
-        ("heartbeat, new", ToControl::Heartbeat { who, formats, token: None, sent: 1, seen: Index(0) }),
+        (
+            "heartbeat, new",
+            ToControl::Heartbeat {
+                who,
+                formats,
+                token: None,
+                sent: 1,
+                seen: Index(0),
+            },
+        ),
         (
             "heartbeat",
-            ToControl::Heartbeat { who, formats, token: Some(TOKEN), sent: 1 << 50, seen: Index(3) },
+            ToControl::Heartbeat {
+                who,
+                formats,
+                token: Some(TOKEN),
+                sent: 1 << 50,
+                seen: Index(3),
+            },
         ),
         ("accepts", verdict(Ok(()))),
         ("refuses", verdict(Err("not good".into()))),
-        ("offer", ToControl::Offer { who, token: TOKEN, topic: Topic::Program, seen: 4, content: content() }),
-        ("report", ToControl::Report { who, sequence: 2, spans: spans() }),
+        (
+            "offer",
+            ToControl::Offer {
+                who,
+                token: TOKEN,
+                topic: Topic::Program,
+                seen: 4,
+                content: content(),
+            },
+        ),
+        (
+            "report",
+            ToControl::Report {
+                who,
+                sequence: 2,
+                spans: spans(),
+            },
+        ),
         ("leave", ToControl::Leave { who, token: TOKEN }),
     ]
 }
@@ -117,14 +249,52 @@
     let who = GATEWAY;
     let refused = |why| ToGateway::Refused { who, why };
     let topics = vec![
-        TopicState { topic: Topic::Catalog, in_force: 4, before: 2, open: Some((9, content())) },
-        TopicState { topic: Topic::Placement, in_force: 7, before: 0, open: None },
+        TopicState {
+            topic: Topic::Catalog,
+            in_force: 4,
+            before: 2,
+            open: Some((9, content())),
+        },
+        TopicState {
+            topic: Topic::Placement,
+            in_force: 7,
+            before: 0,
+            open: None,
+        },
     ];
-    let dropped = ToGateway::Dropped { topic: Topic::Catalog, number: 4, by: who, reason: "not good".into() };
+    let dropped = ToGateway::Dropped {
+        topic: Topic::Catalog,
+        number: 4,
+        by: who,
+        reason: "not good".into(),
+    };
     vec![
-        ("kept", ToGateway::Kept { who, token: TOKEN, sent: 5, required: Index(9), seats: 410 }),
-        ("state", ToGateway::State { as_of: Index(9), since: Index(2), topics }),
-        ("state, nothing new", ToGateway::State { as_of: Index(9), since: Index(9), topics: Vec::new() }),
+        (
+            "kept",
+            ToGateway::Kept {
+                who,
+                token: TOKEN,
+                sent: 5,
+                required: Index(9),
+                seats: 410,
+            },
+        ),
+        (
+            "state",
+            ToGateway::State {
+                as_of: Index(9),
+                since: Index(2),
+                topics,
+            },
+        ),
+        (
+            "state, nothing new",
+            ToGateway::State {
+                as_of: Index(9),
+                since: Index(9),
+                topics: Vec::new(),
+            },
+        ),
         ("gone", ToGateway::Gone { who, token: TOKEN }),
         ("dropped", dropped),
         ("reported", ToGateway::Reported { who, sequence: 3 }),
@@ -172,12 +342,19 @@
     };
     raft.set_msg_type(eraftpb::MessageType::MsgAppend);
     let command = Command::Version(versions::Command::Lead { who: GATEWAY });
-    let entry =
-        eraftpb::Entry { index: 41, term: 7, data: agreed::encode(&command).into(), ..Default::default() };
+    let entry = eraftpb::Entry {
+        index: 41,
+        term: 7,
+        data: agreed::encode(&command).into(),
+        ..Default::default()
+    };
     raft.set_entries(vec![entry].into());
     let frames = vec![
         ("hello of a member", Payload::Hello(member)),
-        ("hello of a gateway", Payload::Hello(Hello::of_client(GATEWAY, 9))),
+        (
+            "hello of a gateway",
+            Payload::Hello(Hello::of_client(GATEWAY, 9)),
+        ),
         ("raft", Payload::Raft(Box::new(raft))),
         ("to control", Payload::ToControl(to_control().remove(1).1)),
         ("to a gateway", Payload::ToGateway(to_gateway().remove(0).1)),
@@ -191,7 +368,9 @@
         };
         frame.expect("short").to_vec()
     };
-    let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .build()
+        .expect("a runtime");
     let decode = |bytes: &[u8]| {
         let mut frames = frame::Frames::new(bytes, crate::traffic::Traffic::default());
         runtime.block_on(frames.next()).expect("a frame")
@@ -200,9 +379,26 @@
 }
 
 const RENEW: Micros = 1_000_000;
-const TIMING: Timing = Timing { lease_us: 3 * RENEW, renew_us: RENEW, drift_ppm: 1_000, margin_us: 50_000 };
-const MEMBER: Holder = Holder { gateway: 1, life: 9 };
-const SERVED: [Holder; 2] = [Holder { gateway: 7, life: 3 }, Holder { gateway: 300, life: 4 }];
+const TIMING: Timing = Timing {
+    lease_us: 3 * RENEW,
+    renew_us: RENEW,
+    drift_ppm: 1_000,
+    margin_us: 50_000,
+};
+const MEMBER: Holder = Holder {
+    gateway: 1,
+    life: 9,
+};
+const SERVED: [Holder; 2] = [
+    Holder {
+        gateway: 7,
+        life: 3,
+    },
+    Holder {
+        gateway: 300,
+        life: 4,
+    },
+];
 
 /// The only control member of its log, on a clock that the test sets.
 struct Member {
@@ -214,7 +410,10 @@
     fn open(folder: &Path) -> Member {
         let mut store = Store::open(folder, MEMBER.gateway.into()).expect("opened");
         if store.id().is_none() {
-            let alone = ConfState { voters: vec![1], ..Default::default() };
+            let alone = ConfState {
+                voters: vec![1],
+                ..Default::default()
+            };
             store.begin(1, &alone).expect("begun");
         }
         let node = Node::new(1, store, Agreed::new(MEMBER, TIMING), 20, 1).expect("a node");
@@ -225,12 +424,16 @@
 
     fn drive(&mut self) -> Vec<Action> {
         let mut out = Vec::new();
-        self.node.drive(self.now, &mut out, &mut |_| {}).expect("driven");
+        self.node
+            .drive(self.now, &mut out, &mut |_| {})
+            .expect("driven");
         out
     }
 
     fn event(&mut self, event: Event) {
-        self.node.event(self.now, event, &mut Vec::new()).expect("taken");
+        self.node
+            .event(self.now, event, &mut Vec::new())
+            .expect("taken");
         self.drive();
     }
 
@@ -239,14 +442,34 @@
     }
 
     fn token(&self, who: Holder) -> Token {
-        self.node.agreed().versions().seat(who).expect("a seat").token
+        self.node
+            .agreed()
+            .versions()
+            .seat(who)
+            .expect("a seat")
+            .token
     }
 
     fn heartbeat(&mut self, who: Holder) {
         let versions = self.node.agreed().versions();
-        let (token, seen) = (versions.seat(who).map(|seat| seat.token), versions.changed());
-        let (formats, sent) = (Formats { oldest: 1, newest: 2 }, self.now);
-        self.tell(ToControl::Heartbeat { who, formats, token, sent, seen });
+        let (token, seen) = (
+            versions.seat(who).map(|seat| seat.token),
+            versions.changed(),
+        );
+        let (formats, sent) = (
+            Formats {
+                oldest: 1,
+                newest: 2,
+            },
+            self.now,
+        );
+        self.tell(ToControl::Heartbeat {
+            who,
+            formats,
+            token,
+            sent,
+            seen,
+        });
     }
 
     /// Lets renewals pass, in which both gateways keep their seats.
@@ -262,13 +485,25 @@
 
     fn offer(&mut self, topic: Topic, seen: u64) -> u64 {
         let token = self.token(SERVED[0]);
-        self.tell(ToControl::Offer { who: SERVED[0], token, topic, seen, content: content() });
+        self.tell(ToControl::Offer {
+            who: SERVED[0],
+            token,
+            topic,
+            seen,
+            content: content(),
+        });
         self.node.agreed().versions().applied().0
     }
 
     fn accept(&mut self, who: Holder, topic: Topic, number: u64) {
         let token = self.token(who);
-        self.tell(ToControl::Verdict { who, token, topic, number, verdict: Ok(()) });
+        self.tell(ToControl::Verdict {
+            who,
+            token,
+            topic,
+            number,
+            verdict: Ok(()),
+        });
         self.pass(1);
     }
 
@@ -285,8 +520,14 @@
         SERVED.into_iter().for_each(|who| self.heartbeat(who));
         self.pass(2);
         let first = self.offer(Topic::Operator, 0);
-        SERVED.into_iter().for_each(|who| self.accept(who, Topic::Operator, first));
-        self.tell(ToControl::Report { who: SERVED[1], sequence: 1, spans: spans() });
+        SERVED
+            .into_iter()
+            .for_each(|who| self.accept(who, Topic::Operator, first));
+        self.tell(ToControl::Report {
+            who: SERVED[1],
+            sequence: 1,
+            spans: spans(),
+        });
         let second = self.offer(Topic::Operator, first);
         self.accept(SERVED[1], Topic::Operator, second);
     }
@@ -303,11 +544,17 @@
 fn replayed_entries(folder: &tempfile::TempDir) -> Vec<Option<Command>> {
     let store = Store::open(folder.path(), MEMBER.gateway.into()).expect("opened");
     let last = store.last_index().expect("read");
-    let entries = store.entries(1, last + 1, None, GetEntriesContext::empty(false)).expect("read");
+    let entries = store
+        .entries(1, last + 1, None, GetEntriesContext::empty(false))
+        .expect("read");
     let read = |data: &[u8]| agreed::decode(data).expect("an entry");
     entries
         .iter()
-        .map(|entry| Some(&entry.data[..]).filter(|data| !data.is_empty()).map(read))
+        .map(|entry| {
+            Some(&entry.data[..])
+                .filter(|data| !data.is_empty())
+                .map(read)
+        })
         .collect()
 }
 
@@ -319,11 +566,16 @@
     if !store.latest().is_empty() {
         apply(Event::Restored(store.latest().get_data()));
     }
-    let (first, last) = (store.first_index().expect("read"), store.last_index().expect("read"));
+    let (first, last) = (
+        store.first_index().expect("read"),
+        store.last_index().expect("read"),
+    );
     let all = GetEntriesContext::empty(false);
     let entries = store.entries(first, last + 1, None, all).expect("read");
     assert!(!entries.is_empty());
-    entries.iter().for_each(|entry| apply(Event::Committed(&entry.data)));
+    entries
+        .iter()
+        .for_each(|entry| apply(Event::Committed(&entry.data)));
     agreed
 }
 
@@ -331,7 +583,11 @@
 fn assert_held(agreed: &Agreed, tokens: [Token; 2]) {
     for duty in [Duty(0), Duty(1)] {
         let entry = agreed.leases().table().entry(duty);
-        assert_eq!((entry.holder, entry.token), (Some(MEMBER), Token(u64::from(duty.0) + 1)), "{duty:?}");
+        assert_eq!(
+            (entry.holder, entry.token),
+            (Some(MEMBER), Token(u64::from(duty.0) + 1)),
+            "{duty:?}"
+        );
     }
     let seats = agreed.versions().seats().map(|seat| (seat.who, seat.token));
     assert!(seats.eq(SERVED.into_iter().zip(tokens)));
@@ -343,10 +599,19 @@
 fn log_with_entries_matches_record() {
     let agreed = replayed(recorded("entries.redb").path());
     assert_held(&agreed, [Token(2), Token(3)]);
-    let standing = agreed.versions().topic(Topic::Operator).expect("it was offered");
+    let standing = agreed
+        .versions()
+        .topic(Topic::Operator)
+        .expect("it was offered");
     let open = standing.open.as_ref().expect("one is open");
-    assert_eq!((standing.number(), standing.before, open.by), (4, 0, SERVED[0]));
-    assert_eq!((open.version.number, &open.version.content), (8, &content()));
+    assert_eq!(
+        (standing.number(), standing.before, open.by),
+        (4, 0, SERVED[0])
+    );
+    assert_eq!(
+        (open.version.number, &open.version.content),
+        (8, &content())
+    );
     assert!(open.accepted.iter().eq([&300]));
     let snapshot = std::fs::read(file("entries-snapshot.bin")).expect("a record");
     assert_eq!(agreed.snapshot(), snapshot);
@@ -375,12 +640,20 @@
     let agreed = replayed(folder.path());
     // The version that one gateway did not judge came in force once that one had lost its seat.
     assert_held(&agreed, [Token(11), Token(3)]);
-    let standing = agreed.versions().topic(Topic::Operator).expect("it was offered");
-    assert_eq!((standing.number(), standing.before, &standing.open), (8, 4, &None));
+    let standing = agreed
+        .versions()
+        .topic(Topic::Operator)
+        .expect("it was offered");
+    assert_eq!(
+        (standing.number(), standing.before, &standing.open),
+        (8, 4, &None)
+    );
     let last = std::fs::read(file("last-snapshot.bin")).expect("a record");
     assert_eq!(agreed.snapshot(), last);
     assert_ne!(stored, last, "entries follow the snapshot");
     let mut restored = Agreed::new(MEMBER, TIMING);
-    restored.handle(1, Event::Restored(&stored), &mut Vec::new()).expect("restored");
+    restored
+        .handle(1, Event::Restored(&stored), &mut Vec::new())
+        .expect("restored");
     assert_eq!(restored.snapshot(), stored);
 }
--- a/control/src/lease/member.rs
+++ b/control/src/lease/member.rs
@@ -99,7 +99,12 @@
 impl Leases {
     /// A gateway in its life `me`, that knows nothing of the log yet.
     pub fn new(me: Holder, timing: Timing) -> Leases {
-        Leases { me, timing, table: Table::default(), duties: BTreeMap::new() }
+        Leases {
+            me,
+            timing,
+            table: Table::default(),
+            duties: BTreeMap::new(),
+        }
     }
 
     /// What the log says, as far as it was applied here.
@@ -110,7 +115,9 @@
     /// Takes over what others agreed on, in place of the entries. Each lease counts as learned just now.
     pub fn restore(&mut self, now: Micros, table: Table) {
         self.table = table;
-        self.duties.values_mut().for_each(|local| local.learned_at = Some(now));
+        self.duties
+            .values_mut()
+            .for_each(|local| local.learned_at = Some(now));
     }
 
     /// Who does a duty now.
@@ -122,8 +129,15 @@
         let entry = self.table.entry(duty);
         let wait = self.timing.wait_us();
         match entry.holder {
-            Some(holder) if local.learned_at.is_none_or(|at| now < at.saturating_add(wait)) => {
-                Status::Held { holder, token: entry.token }
+            Some(holder)
+                if local
+                    .learned_at
+                    .is_none_or(|at| now < at.saturating_add(wait)) =>
+            {
+                Status::Held {
+                    holder,
+                    token: entry.token,
+                }
             }
             _ => Status::Free,
         }
@@ -147,7 +161,9 @@
             Event::Unwant(duty) => self.give_back(duty, out),
             Event::Drain => {
                 let duties: Vec<Duty> = self.duties.keys().copied().collect();
-                duties.into_iter().for_each(|duty| self.give_back(duty, out));
+                duties
+                    .into_iter()
+                    .for_each(|duty| self.give_back(duty, out));
             }
             Event::Applied { index, command } => match self.table.apply(index, &command) {
                 Err(gap) => out.push(Action::Replay { from: gap.due }),
@@ -158,7 +174,9 @@
             },
             Event::Tick => {
                 let duties: Vec<Duty> = self.duties.keys().copied().collect();
-                duties.into_iter().for_each(|duty| self.step(duty, now, out));
+                duties
+                    .into_iter()
+                    .for_each(|duty| self.step(duty, now, out));
             }
         }
         if let Some(at) = self.next(now) {
@@ -172,7 +190,11 @@
         let me = self.me;
         let local = self.duties.entry(command.duty()).or_default();
         match outcome {
-            Outcome::Granted { duty, holder, token } => {
+            Outcome::Granted {
+                duty,
+                holder,
+                token,
+            } => {
                 local.learned_at = Some(now);
                 if holder != me {
                     if let Some((old, _)) = local.holding.take() {
@@ -183,7 +205,11 @@
                     local.hold(duty, token, at.saturating_add(lease), now, out);
                 }
             }
-            Outcome::Renewed { duty, holder, token } => {
+            Outcome::Renewed {
+                duty,
+                holder,
+                token,
+            } => {
                 local.learned_at = Some(now);
                 if let (true, Command::Renew { at, .. }) = (holder == me, *command) {
                     local.hold(duty, token, at.saturating_add(lease), now, out);
@@ -211,8 +237,12 @@
 
     /// Stops a lease that ran out, and asks for the duty where it is wanted and may be had.
     fn step(&mut self, duty: Duty, now: Micros, out: &mut Vec<Action>) {
-        let (entry, me, wait, renew) =
-            (self.table.entry(duty), self.me, self.timing.wait_us(), self.timing.renew_us);
+        let (entry, me, wait, renew) = (
+            self.table.entry(duty),
+            self.me,
+            self.timing.wait_us(),
+            self.timing.renew_us,
+        );
         let local = self.duties.entry(duty).or_default();
         if let Some((token, _)) = local.holding.filter(|&(_, until)| now >= until) {
             local.holding = None;
@@ -222,15 +252,32 @@
             // Known without having been applied here (a table from elsewhere): its lease counts from now.
             local.learned_at = Some(now);
         }
-        if !local.wanted || local.asked_at.is_some_and(|at| now < at.saturating_add(renew)) {
+        if !local.wanted
+            || local
+                .asked_at
+                .is_some_and(|at| now < at.saturating_add(renew))
+        {
             return;
         }
         let command = if entry.holder == Some(me) {
             // Ours by the log, whether or not it still runs here: a renewal counts from now.
-            Command::Renew { duty, holder: me, token: entry.token, at: now }
-        } else if entry.holder.is_none() || local.learned_at.is_some_and(|at| now >= at.saturating_add(wait))
+            Command::Renew {
+                duty,
+                holder: me,
+                token: entry.token,
+                at: now,
+            }
+        } else if entry.holder.is_none()
+            || local
+                .learned_at
+                .is_some_and(|at| now >= at.saturating_add(wait))
         {
-            Command::Claim { duty, holder: me, seen: entry.changed, at: now }
+            Command::Claim {
+                duty,
+                holder: me,
+                seen: entry.changed,
+                at: now,
+            }
         } else {
             return;
         };
@@ -247,7 +294,11 @@
             out.push(Action::Stop { duty, token });
         }
         if entry.holder == Some(self.me) {
-            let release = Command::Release { duty, holder: self.me, token: entry.token };
+            let release = Command::Release {
+                duty,
+                holder: self.me,
+                token: entry.token,
+            };
             out.push(Action::Propose(release));
         }
     }
@@ -256,11 +307,20 @@
     fn next(&self, now: Micros) -> Option<Micros> {
         let wait = self.timing.wait_us();
         let due = self.duties.iter().flat_map(|(&duty, local)| {
-            let held = self.table.entry(duty).holder.is_some_and(|holder| holder != self.me);
+            let held = self
+                .table
+                .entry(duty)
+                .holder
+                .is_some_and(|holder| holder != self.me);
             let until = local.holding.map(|(_, until)| until);
-            let again =
-                local.asked_at.filter(|_| local.wanted).map(|at| at.saturating_add(self.timing.renew_us));
-            let free = local.learned_at.filter(|_| local.wanted && held).map(|at| at.saturating_add(wait));
+            let again = local
+                .asked_at
+                .filter(|_| local.wanted)
+                .map(|at| at.saturating_add(self.timing.renew_us));
+            let free = local
+                .learned_at
+                .filter(|_| local.wanted && held)
+                .map(|at| at.saturating_add(wait));
             [until, again, free].into_iter().flatten()
         });
         due.filter(|&at| at > now).min()
@@ -269,7 +329,14 @@
 
 impl Local {
     /// Holds a lease until `until`, if that is still to come and later than what it held.
-    fn hold(&mut self, duty: Duty, token: Token, until: Micros, now: Micros, out: &mut Vec<Action>) {
+    fn hold(
+        &mut self,
+        duty: Duty,
+        token: Token,
+        until: Micros,
+        now: Micros,
+        out: &mut Vec<Action>,
+    ) {
         let later = match self.holding {
             Some((held, was)) if held == token => until > was,
             _ => true,
--- a/control/src/lease/member/tests.rs
+++ b/control/src/lease/member/tests.rs
@@ -1,15 +1,32 @@
 use super::*;
 
 const DUTY: Duty = Duty(0);
-const TIMING: Timing = Timing { lease_us: 3_000, renew_us: 1_000, drift_ppm: 0, margin_us: 100 };
+const TIMING: Timing = Timing {
+    lease_us: 3_000,
+    renew_us: 1_000,
+    drift_ppm: 0,
+    margin_us: 100,
+};
 
 fn gateway(number: u32) -> Leases {
-    Leases::new(Holder { gateway: number, life: 1 }, TIMING)
+    Leases::new(
+        Holder {
+            gateway: number,
+            life: 1,
+        },
+        TIMING,
+    )
 }
 
 fn proposed(out: &[Action]) -> Vec<Command> {
     out.iter()
-        .filter_map(|action| if let Action::Propose(c) = action { Some(*c) } else { None })
+        .filter_map(|action| {
+            if let Action::Propose(c) = action {
+                Some(*c)
+            } else {
+                None
+            }
+        })
         .collect()
 }
 
@@ -20,7 +37,14 @@
     for (offset, command) in commands.iter().enumerate() {
         let index = Index(first + 1 + offset as u64);
         for (leases, out) in all.iter_mut().zip(&mut outs) {
-            leases.handle(now, Event::Applied { index, command: *command }, out);
+            leases.handle(
+                now,
+                Event::Applied {
+                    index,
+                    command: *command,
+                },
+                out,
+            );
         }
     }
     outs
@@ -34,10 +58,20 @@
     all[1].handle(10, Event::Want(DUTY), &mut b);
     let claims = [proposed(&a)[0], proposed(&b)[0]];
     let outs = commit(&mut all, 20, &claims);
-    assert!(outs[0].contains(&Action::Act { duty: DUTY, token: Token(1), until: 3_000 }));
+    assert!(outs[0].contains(&Action::Act {
+        duty: DUTY,
+        token: Token(1),
+        until: 3_000
+    }));
     assert_eq!(
         all[1].status(DUTY, 20),
-        Status::Held { holder: Holder { gateway: 1, life: 1 }, token: Token(1) }
+        Status::Held {
+            holder: Holder {
+                gateway: 1,
+                life: 1
+            },
+            token: Token(1)
+        }
     );
     // The first falls silent; the second waits the lease and the margin from when it learned, then claims.
     let mut out = Vec::new();
@@ -47,14 +81,29 @@
     let claim = proposed(&out);
     assert_eq!(
         claim,
-        [Command::Claim { duty: DUTY, holder: Holder { gateway: 2, life: 1 }, seen: Index(1), at: 3_120 }]
+        [Command::Claim {
+            duty: DUTY,
+            holder: Holder {
+                gateway: 2,
+                life: 1
+            },
+            seen: Index(1),
+            at: 3_120
+        }]
     );
     // By then the first has stopped on its own clock.
     let mut out = Vec::new();
     all[0].handle(3_000, Event::Tick, &mut out);
-    assert!(out.contains(&Action::Stop { duty: DUTY, token: Token(1) }));
+    assert!(out.contains(&Action::Stop {
+        duty: DUTY,
+        token: Token(1)
+    }));
     let outs = commit(&mut all, 3_200, &claim);
-    assert!(outs[1].contains(&Action::Act { duty: DUTY, token: Token(3), until: 6_120 }));
+    assert!(outs[1].contains(&Action::Act {
+        duty: DUTY,
+        token: Token(3),
+        until: 6_120
+    }));
 }
 
 /// Two gateways that want the duty, the first holding it from 5 on.
@@ -74,7 +123,10 @@
         let mut out = Vec::new();
         all[0].handle(now, Event::Tick, &mut out);
         let renewal = proposed(&out);
-        assert!(matches!(renewal[..], [Command::Renew { at, .. }] if at == now), "{out:?}");
+        assert!(
+            matches!(renewal[..], [Command::Renew { at, .. }] if at == now),
+            "{out:?}"
+        );
         commit(&mut all, now + 50, &renewal);
         let mut other = Vec::new();
         all[1].handle(now + 60, Event::Tick, &mut other);
@@ -88,11 +140,28 @@
     let mut all = first_holds();
     let mut out = Vec::new();
     all[0].handle(500, Event::Drain, &mut out);
-    assert_eq!(out[0], Action::Stop { duty: DUTY, token: Token(1) });
+    assert_eq!(
+        out[0],
+        Action::Stop {
+            duty: DUTY,
+            token: Token(1)
+        }
+    );
     assert_eq!(all[0].acting(DUTY, 500), None);
     let outs = commit(&mut all, 510, &proposed(&out));
     let claim = proposed(&outs[1]);
-    assert!(matches!(claim[..], [Command::Claim { seen: Index(2), at: 510, .. }]), "{:?}", outs[1]);
+    assert!(
+        matches!(
+            claim[..],
+            [Command::Claim {
+                seen: Index(2),
+                at: 510,
+                ..
+            }]
+        ),
+        "{:?}",
+        outs[1]
+    );
     // The drained one does not ask again.
     let mut out = Vec::new();
     all[0].handle(5_000, Event::Tick, &mut out);
@@ -105,20 +174,55 @@
     let mut out = Vec::new();
     all[0].handle(0, Event::Want(DUTY), &mut out);
     let outs = commit(&mut all, 3_000, &proposed(&out));
-    assert!(!outs[0].iter().any(|action| matches!(action, Action::Act { .. })), "{:?}", outs[0]);
+    assert!(
+        !outs[0]
+            .iter()
+            .any(|action| matches!(action, Action::Act { .. })),
+        "{:?}",
+        outs[0]
+    );
     // The log says it is ours: a renewal asked for now gives a lease from now.
     let renewal = proposed(&outs[0]);
-    assert!(matches!(renewal[..], [Command::Renew { token: Token(1), at: 3_000, .. }]), "{renewal:?}");
+    assert!(
+        matches!(
+            renewal[..],
+            [Command::Renew {
+                token: Token(1),
+                at: 3_000,
+                ..
+            }]
+        ),
+        "{renewal:?}"
+    );
     let outs = commit(&mut all, 3_010, &renewal);
-    assert!(outs[0].contains(&Action::Act { duty: DUTY, token: Token(1), until: 6_000 }));
+    assert!(outs[0].contains(&Action::Act {
+        duty: DUTY,
+        token: Token(1),
+        until: 6_000
+    }));
 }
 
 #[test]
 fn a_missing_entry_asks_for_a_replay_and_changes_nothing() {
     let mut leases = gateway(1);
     let mut out = Vec::new();
-    let claim = Command::Claim { duty: DUTY, holder: Holder { gateway: 2, life: 1 }, seen: Index(0), at: 0 };
-    leases.handle(0, Event::Applied { index: Index(2), command: claim }, &mut out);
+    let claim = Command::Claim {
+        duty: DUTY,
+        holder: Holder {
+            gateway: 2,
+            life: 1,
+        },
+        seen: Index(0),
+        at: 0,
+    };
+    leases.handle(
+        0,
+        Event::Applied {
+            index: Index(2),
+            command: claim,
+        },
+        &mut out,
+    );
     assert_eq!(out, [Action::Replay { from: Index(1) }]);
     assert_eq!(leases.status(DUTY, 0), Status::Free);
 }
--- a/control/src/lease/mod.rs
+++ b/control/src/lease/mod.rs
@@ -33,7 +33,10 @@
 impl Duty {
     /// The duty of that name, if there is one.
     pub fn named(name: &str) -> Option<Duty> {
-        DUTIES.iter().position(|known| *known == name).map(|place| Duty(place as u16))
+        DUTIES
+            .iter()
+            .position(|known| *known == name)
+            .map(|place| Duty(place as u16))
     }
 
     /// Its name; `?` for one that this version does not know.
@@ -53,12 +56,16 @@
 }
 
 /// The place of an entry in the log, counted from 1; 0 is before the first.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Index(pub u64);
 
 /// A fencing token: the index of the entry that granted a lease. From one grant of a duty to the next it only grows,
 /// so whoever receives actions under a duty refuses one with a smaller token than it has seen.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Token(pub u64);
 
 /// What gateways write into the log about leases. Entries are applied in log order by every gateway alike; whether
@@ -103,7 +110,9 @@
     /// The duty that it is about.
     pub fn duty(&self) -> Duty {
         match *self {
-            Command::Claim { duty, .. } | Command::Renew { duty, .. } | Command::Release { duty, .. } => duty,
+            Command::Claim { duty, .. }
+            | Command::Renew { duty, .. }
+            | Command::Release { duty, .. } => duty,
         }
     }
 
@@ -149,13 +158,18 @@
         let drift = u128::from(self.drift_ppm.min(DRIFT_MOST_PPM));
         let (above, below) = (MILLION + drift, MILLION - drift);
         let wait = (u128::from(self.lease_us) * above).div_ceil(below);
-        Micros::try_from(wait).unwrap_or(Micros::MAX).saturating_add(self.margin_us)
+        Micros::try_from(wait)
+            .unwrap_or(Micros::MAX)
+            .saturating_add(self.margin_us)
     }
 
     /// Whether the values make sense together. A fault names the key, in the operator's words (milliseconds).
     pub fn check(&self) -> Result<(), (&'static str, String)> {
         if self.drift_ppm >= DRIFT_MOST_PPM {
-            let fault = format!("{} is not below {DRIFT_MOST_PPM}: such a clock is broken", self.drift_ppm);
+            let fault = format!(
+                "{} is not below {DRIFT_MOST_PPM}: such a clock is broken",
+                self.drift_ppm
+            );
             return Err(("drift_ppm", fault));
         }
         if self.renew_us == 0 {
--- a/control/src/lease/table.rs
+++ b/control/src/lease/table.rs
@@ -113,21 +113,37 @@
                     return refused(Refusal::Changed);
                 }
                 let token = Token(index.0);
-                *entry = Entry { holder: Some(holder), token, changed: index };
-                Ok(Outcome::Granted { duty, holder, token })
+                *entry = Entry {
+                    holder: Some(holder),
+                    token,
+                    changed: index,
+                };
+                Ok(Outcome::Granted {
+                    duty,
+                    holder,
+                    token,
+                })
             }
             Command::Renew { token, .. } => {
                 if entry.holder != Some(holder) || entry.token != token {
                     return refused(Refusal::Stale);
                 }
                 entry.changed = index;
-                Ok(Outcome::Renewed { duty, holder, token })
+                Ok(Outcome::Renewed {
+                    duty,
+                    holder,
+                    token,
+                })
             }
             Command::Release { token, .. } => {
                 if entry.holder != Some(holder) || entry.token != token {
                     return refused(Refusal::Stale);
                 }
-                *entry = Entry { holder: None, token, changed: index };
+                *entry = Entry {
+                    holder: None,
+                    token,
+                    changed: index,
+                };
                 Ok(Outcome::Released { duty, holder })
             }
         }
--- a/control/src/lease/table/tests.rs
+++ b/control/src/lease/table/tests.rs
@@ -1,11 +1,22 @@
 use super::*;
 
 const DUTY: Duty = Duty(0);
-const A: Holder = Holder { gateway: 1, life: 7 };
-const B: Holder = Holder { gateway: 2, life: 9 };
+const A: Holder = Holder {
+    gateway: 1,
+    life: 7,
+};
+const B: Holder = Holder {
+    gateway: 2,
+    life: 9,
+};
 
 fn claim(holder: Holder, seen: u64) -> Command {
-    Command::Claim { duty: DUTY, holder, seen: Index(seen), at: 0 }
+    Command::Claim {
+        duty: DUTY,
+        holder,
+        seen: Index(seen),
+        at: 0,
+    }
 }
 
 #[test]
@@ -13,23 +24,70 @@
     let mut table = Table::default();
     assert_eq!(
         table.apply(Index(1), &claim(A, 0)),
-        Ok(Outcome::Granted { duty: DUTY, holder: A, token: Token(1) })
+        Ok(Outcome::Granted {
+            duty: DUTY,
+            holder: A,
+            token: Token(1)
+        })
     );
     // B decided before it knew of A's grant.
     let late = table.apply(Index(2), &claim(B, 0));
-    assert_eq!(late, Ok(Outcome::Refused { duty: DUTY, holder: B, why: Refusal::Changed }));
-    let renew = Command::Renew { duty: DUTY, holder: A, token: Token(1), at: 5 };
-    assert!(matches!(table.apply(Index(3), &renew), Ok(Outcome::Renewed { .. })));
+    assert_eq!(
+        late,
+        Ok(Outcome::Refused {
+            duty: DUTY,
+            holder: B,
+            why: Refusal::Changed
+        })
+    );
+    let renew = Command::Renew {
+        duty: DUTY,
+        holder: A,
+        token: Token(1),
+        at: 5,
+    };
+    assert!(matches!(
+        table.apply(Index(3), &renew),
+        Ok(Outcome::Renewed { .. })
+    ));
     // B waited out the grant, but A renewed meanwhile.
     let waited = table.apply(Index(4), &claim(B, 1));
-    assert_eq!(waited, Ok(Outcome::Refused { duty: DUTY, holder: B, why: Refusal::Changed }));
+    assert_eq!(
+        waited,
+        Ok(Outcome::Refused {
+            duty: DUTY,
+            holder: B,
+            why: Refusal::Changed
+        })
+    );
     // Having seen the renewal and waited it out, B takes it with a larger token.
     let taken = table.apply(Index(5), &claim(B, 3));
-    assert_eq!(taken, Ok(Outcome::Granted { duty: DUTY, holder: B, token: Token(5) }));
+    assert_eq!(
+        taken,
+        Ok(Outcome::Granted {
+            duty: DUTY,
+            holder: B,
+            token: Token(5)
+        })
+    );
     // A's renewal of the old lease, written late, does nothing.
     let stale = table.apply(Index(6), &renew);
-    assert_eq!(stale, Ok(Outcome::Refused { duty: DUTY, holder: A, why: Refusal::Stale }));
-    assert_eq!(table.entry(DUTY), Entry { holder: Some(B), token: Token(5), changed: Index(5) });
+    assert_eq!(
+        stale,
+        Ok(Outcome::Refused {
+            duty: DUTY,
+            holder: A,
+            why: Refusal::Stale
+        })
+    );
+    assert_eq!(
+        table.entry(DUTY),
+        Entry {
+            holder: Some(B),
+            token: Token(5),
+            changed: Index(5)
+        }
+    );
 }
 
 #[test]
@@ -37,10 +95,27 @@
     let mut table = Table::default();
     table.apply(Index(1), &claim(A, 0)).unwrap();
     let reborn = Holder { life: 8, ..A };
-    let release = |holder| Command::Release { duty: DUTY, holder, token: Token(1) };
+    let release = |holder| Command::Release {
+        duty: DUTY,
+        holder,
+        token: Token(1),
+    };
     let refused = table.apply(Index(2), &release(reborn));
-    assert_eq!(refused, Ok(Outcome::Refused { duty: DUTY, holder: reborn, why: Refusal::Stale }));
-    assert_eq!(table.apply(Index(3), &release(A)), Ok(Outcome::Released { duty: DUTY, holder: A }));
+    assert_eq!(
+        refused,
+        Ok(Outcome::Refused {
+            duty: DUTY,
+            holder: reborn,
+            why: Refusal::Stale
+        })
+    );
+    assert_eq!(
+        table.apply(Index(3), &release(A)),
+        Ok(Outcome::Released {
+            duty: DUTY,
+            holder: A
+        })
+    );
     assert_eq!(table.entry(DUTY).holder, None);
     // The token stays, so that the next grant's is larger.
     assert_eq!(table.entry(DUTY).token, Token(1));
@@ -49,7 +124,13 @@
 #[test]
 fn entries_go_in_order_and_a_replay_changes_nothing() {
     let mut table = Table::default();
-    assert_eq!(table.apply(Index(2), &claim(A, 0)), Err(Gap { due: Index(1), came: Index(2) }));
+    assert_eq!(
+        table.apply(Index(2), &claim(A, 0)),
+        Err(Gap {
+            due: Index(1),
+            came: Index(2)
+        })
+    );
     assert_eq!(table, Table::default());
     table.apply(Index(1), &claim(A, 0)).unwrap();
     let before = table.clone();
--- a/control/src/link/accept.rs
+++ b/control/src/link/accept.rs
@@ -94,7 +94,9 @@
     let acceptor = Rc::new(acceptor);
     spawn_local(async move {
         for number in 0.. {
-            let Ok(permit) = handshakes.clone().acquire_owned().await else { return };
+            let Ok(permit) = handshakes.clone().acquire_owned().await else {
+                return;
+            };
             let (link, from) = loop {
                 match listener.accept().await {
                     Ok((link, from)) if acceptor.allows(from) => break (link, from),
@@ -129,7 +131,9 @@
 
 impl Acceptor {
     fn allows(&self, from: SocketAddr) -> bool {
-        self.allow.iter().any(|net| net.contains(&from.ip().to_canonical()))
+        self.allow
+            .iter()
+            .any(|net| net.contains(&from.ip().to_canonical()))
     }
 
     /// Exchanges hellos, and turns away who must not be spoken to.
@@ -137,17 +141,30 @@
         link.set_nodelay(true)?;
         let (read, mut link) = link.into_split();
         let mut frames = Frames::new(read, self.traffic.members.clone());
-        let received = timeout(HANDSHAKE_TIMEOUT, frames.next()).await.map_err(|_| BadFrame::Silent)??;
-        let Payload::Hello(hello) = received else { return Err(BadFrame::Unknown) };
+        let received = timeout(HANDSHAKE_TIMEOUT, frames.next())
+            .await
+            .map_err(|_| BadFrame::Silent)??;
+        let Payload::Hello(hello) = received else {
+            return Err(BadFrame::Unknown);
+        };
         let mine = self.own.hello();
         // Said even to one that is turned away: it can then tell its operator why.
         write(&mut link, &frame::hello(&mine)?, &self.traffic.members).await?;
         hello.check(mine.fleet, None)?;
-        Ok(Established { hello, frames, write: link })
+        Ok(Established {
+            hello,
+            frames,
+            write: link,
+        })
     }
 
     /// Reads a link to its end.
-    async fn read(&self, established: Established, number: u64, slots: &Slots) -> Result<(), BadFrame> {
+    async fn read(
+        &self,
+        established: Established,
+        number: u64,
+        slots: &Slots,
+    ) -> Result<(), BadFrame> {
         if established.hello.client {
             let Ok(_slot) = slots.gateways.clone().try_acquire_owned() else {
                 return Err(BadFrame::Full(MAX_GATEWAYS));
@@ -157,16 +174,25 @@
         if !self.voters.contains(&established.hello.gateway) {
             return Err(BadFrame::NoVoter(established.hello.gateway));
         }
-        let Ok(_slot) = slots.members.clone().try_acquire_owned() else { return Err(BadFrame::Closed) };
+        let Ok(_slot) = slots.members.clone().try_acquire_owned() else {
+            return Err(BadFrame::Closed);
+        };
         self.read_member(established).await
     }
 
     async fn read_member(&self, established: Established) -> Result<(), BadFrame> {
-        let Established { hello, mut frames, write: _keep } = established;
+        let Established {
+            hello,
+            mut frames,
+            write: _keep,
+        } = established;
         let (fleet, peer) = (hello.fleet, hello.gateway);
         let _ = self.events.send(LinkEvent::Hello(hello)).await;
         loop {
-            match timeout(MEMBER_SILENCE, frames.next()).await.map_err(|_| BadFrame::Silent)?? {
+            match timeout(MEMBER_SILENCE, frames.next())
+                .await
+                .map_err(|_| BadFrame::Silent)??
+            {
                 // A member speaks for itself alone.
                 Payload::Raft(message) if gateway_of(message.from) == peer => {
                     if self.events.send(LinkEvent::Raft(message)).await.is_err() {
@@ -190,12 +216,19 @@
     async fn serve(&self, established: Established, number: u64) -> Result<(), BadFrame> {
         let who = established.hello.holder()?;
         let (queue, queued) = mpsc::channel(GATEWAY_QUEUE);
-        let connected = LinkEvent::GatewayConnected(GatewayLink { who, link: number, queue });
+        let connected = LinkEvent::GatewayConnected(GatewayLink {
+            who,
+            link: number,
+            queue,
+        });
         if self.events.send(connected).await.is_err() {
             return Ok(());
         }
         let ended = self.serve_on(established, who, queued).await;
-        let _ = self.events.send(LinkEvent::GatewayDisconnected(who, number)).await;
+        let _ = self
+            .events
+            .send(LinkEvent::GatewayDisconnected(who, number))
+            .await;
         ended
     }
 
@@ -205,7 +238,11 @@
         who: Holder,
         mut queued: mpsc::Receiver<Bytes>,
     ) -> Result<(), BadFrame> {
-        let Established { mut frames, write: mut link, .. } = established;
+        let Established {
+            mut frames,
+            write: mut link,
+            ..
+        } = established;
         frames.count_with(self.traffic.gateways.clone());
         let mut silent_at = tokio::time::Instant::now() + self.silence;
         loop {
@@ -221,7 +258,12 @@
                 // A gateway speaks for itself alone, in the life that it greeted with.
                 Payload::ToControl(message) if message.who() == who => {
                     silent_at = tokio::time::Instant::now() + self.silence;
-                    if self.events.send(LinkEvent::GatewayMessage(message)).await.is_err() {
+                    if self
+                        .events
+                        .send(LinkEvent::GatewayMessage(message))
+                        .await
+                        .is_err()
+                    {
                         return Ok(());
                     }
                 }
--- a/control/src/link/gateway.rs
+++ b/control/src/link/gateway.rs
@@ -116,7 +116,12 @@
     fn new(mut search: Search) -> LinkTask {
         let mut rng = fastrand::Rng::with_seed(search.seed);
         rng.shuffle(&mut search.members);
-        let Timing { lease_us, renew_us, margin_us, .. } = search.timing;
+        let Timing {
+            lease_us,
+            renew_us,
+            margin_us,
+            ..
+        } = search.timing;
         let spare = Duration::from_micros(lease_us.saturating_sub(renew_us + margin_us));
         LinkTask {
             search,
@@ -141,7 +146,13 @@
             let end = match handshake(member, address, own, self.handshake_timeout, traffic).await {
                 Ok(established) => {
                     self.served = false;
-                    if self.search.events.send(LinkEvent::Up(self.number)).await.is_err() {
+                    if self
+                        .search
+                        .events
+                        .send(LinkEvent::Up(self.number))
+                        .await
+                        .is_err()
+                    {
                         return;
                     }
                     let end = self.exchange(established, &mut commands).await;
@@ -172,7 +183,11 @@
         established: Established,
         commands: &mut mpsc::Receiver<(u64, Command)>,
     ) -> End {
-        let Established { mut frames, write: mut link, .. } = established;
+        let Established {
+            mut frames,
+            write: mut link,
+            ..
+        } = established;
         loop {
             let message = tokio::select! {
                 command = commands.recv() => match command {
@@ -210,7 +225,10 @@
     /// The member that is connected leads: it has answered a heartbeat.
     fn renewed(&mut self) {
         if !std::mem::replace(&mut self.served, true) {
-            info!(member = self.search.members[self.current].0, "control: link up");
+            info!(
+                member = self.search.members[self.current].0,
+                "control: link up"
+            );
         }
         (self.failed, self.switched_at_once, self.renewed_at) = (0, false, Some(Instant::now()));
         self.logged.clear();
@@ -223,7 +241,12 @@
     /// Goes to the member that leads, or to the next; how long to wait before it is dialled. The first change to a member
     /// that is known to lead costs no wait; if that one knows no better, waits keep the two from sending it to and fro.
     fn switched(&mut self, leader: Option<u32>) -> Duration {
-        let place = |leader: u32| self.search.members.iter().position(|(id, _)| *id == u64::from(leader));
+        let place = |leader: u32| {
+            self.search
+                .members
+                .iter()
+                .position(|(id, _)| *id == u64::from(leader))
+        };
         match leader.and_then(place) {
             Some(place) if place != self.current => {
                 self.current = place;
@@ -244,7 +267,11 @@
     fn wait(&mut self) -> Duration {
         let lease = Duration::from_micros(self.search.timing.lease_us);
         let may_have_right = self.renewed_at.is_some_and(|at| at.elapsed() < lease);
-        let longest = if may_have_right { self.short_retry } else { RETRY_LONGEST };
+        let longest = if may_have_right {
+            self.short_retry
+        } else {
+            RETRY_LONGEST
+        };
         let wait = (RETRY_FIRST * (1 << self.failed.min(5))).min(longest);
         self.failed += 1;
         self.switched_at_once = false;
--- a/control/src/link/member.rs
+++ b/control/src/link/member.rs
@@ -32,7 +32,16 @@
         traffic: Traffic,
     ) -> Link {
         let (queue, queued) = mpsc::channel(QUEUE);
-        spawn_local(DialTask { peer, address, own, events, traffic }.run(queued));
+        spawn_local(
+            DialTask {
+                peer,
+                address,
+                own,
+                events,
+                traffic,
+            }
+            .run(queued),
+        );
         Link { queue }
     }
 
@@ -44,8 +53,14 @@
 
 /// Jittered waits that grow up to a limit, without end.
 fn backoff() -> impl Iterator<Item = Duration> {
-    let builder = backon::ExponentialBuilder::new().with_min_delay(RETRY_FIRST).with_max_delay(RETRY_LONGEST);
-    builder.with_factor(2.0).with_jitter().without_max_times().build()
+    let builder = backon::ExponentialBuilder::new()
+        .with_min_delay(RETRY_FIRST)
+        .with_max_delay(RETRY_LONGEST);
+    builder
+        .with_factor(2.0)
+        .with_jitter()
+        .without_max_times()
+        .build()
 }
 
 /// The task that keeps a link.
@@ -65,12 +80,15 @@
         let mut logged = String::new();
         loop {
             let own = self.own.hello();
-            let fault = match handshake(peer, address, &own, HANDSHAKE_TIMEOUT, &self.traffic).await {
+            let fault = match handshake(peer, address, &own, HANDSHAKE_TIMEOUT, &self.traffic).await
+            {
                 Ok(established) => {
                     info!(peer, "log: link up");
                     retries = backoff();
                     logged.clear();
-                    let _ = self.events.try_send(LinkEvent::Hello(established.hello.clone()));
+                    let _ = self
+                        .events
+                        .try_send(LinkEvent::Hello(established.hello.clone()));
                     // What waited for the old link is of no use any more.
                     while queue.try_recv().is_ok() {}
                     match self.send_on(established, &mut queue).await {
@@ -99,7 +117,11 @@
         established: Established,
         queue: &mut mpsc::Receiver<Payload>,
     ) -> Option<BadFrame> {
-        let Established { mut frames, write: mut link, .. } = established;
+        let Established {
+            mut frames,
+            write: mut link,
+            ..
+        } = established;
         loop {
             let payload = tokio::select! {
                 payload = queue.recv() => payload?,
@@ -114,9 +136,10 @@
                 },
             };
             let (bytes, snapshot) = match &payload {
-                Payload::Raft(message) => {
-                    (frame::raft(message), message.get_msg_type() == MessageType::MsgSnapshot)
-                }
+                Payload::Raft(message) => (
+                    frame::raft(message),
+                    message.get_msg_type() == MessageType::MsgSnapshot,
+                ),
                 Payload::Hello(hello) => (frame::hello(hello), false),
                 // Gateways are served on the links that they dial.
                 Payload::ToControl(_) | Payload::ToGateway(_) => continue,
@@ -126,7 +149,9 @@
                 Err(fault) => Err(fault),
             };
             if snapshot {
-                let _ = self.events.try_send(LinkEvent::SnapshotSent(self.peer, sent.is_ok()));
+                let _ = self
+                    .events
+                    .try_send(LinkEvent::SnapshotSent(self.peer, sent.is_ok()));
             }
             if let Err(fault) = sent {
                 return Some(fault);
--- a/control/src/link/mod.rs
+++ b/control/src/link/mod.rs
@@ -35,7 +35,10 @@
 impl SharedHello {
     /// What is said at present.
     pub fn hello(&self) -> Hello {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 
     /// Says this from now on; whether that is another than before.
@@ -68,14 +71,24 @@
         let (read, mut write) = link.into_split();
         let mut frames = Frames::new(read, traffic.clone());
         frame::write(&mut write, &frame::hello(own)?, traffic).await?;
-        let Payload::Hello(hello) = frames.next().await? else { return Err(BadFrame::Unknown) };
+        let Payload::Hello(hello) = frames.next().await? else {
+            return Err(BadFrame::Unknown);
+        };
         hello.check(own.fleet, Some(expected))?;
-        Ok(Established { frames, write, hello })
+        Ok(Established {
+            frames,
+            write,
+            hello,
+        })
     };
-    timeout(within, exchange).await.map_err(|_| BadFrame::Silent)?
+    timeout(within, exchange)
+        .await
+        .map_err(|_| BadFrame::Silent)?
 }
 
 /// Writes a frame whole, unless the other side takes too long to take it.
 async fn write(to: &mut OwnedWriteHalf, frame: &[u8], traffic: &Traffic) -> Result<(), BadFrame> {
-    timeout(WRITE_TIMEOUT, frame::write(to, frame, traffic)).await.map_err(|_| BadFrame::Silent)?
+    timeout(WRITE_TIMEOUT, frame::write(to, frame, traffic))
+        .await
+        .map_err(|_| BadFrame::Silent)?
 }
--- a/control/src/link/tests.rs
+++ b/control/src/link/tests.rs
@@ -18,12 +18,22 @@
 
 const FLEET: u64 = 9;
 const LONG: Duration = Duration::from_secs(20);
-const TIMING: Timing =
-    Timing { lease_us: 3_000_000, renew_us: 1_000_000, drift_ppm: 1_000, margin_us: 50_000 };
-const ME: Holder = Holder { gateway: 17, life: 3 };
+const TIMING: Timing = Timing {
+    lease_us: 3_000_000,
+    renew_us: 1_000_000,
+    drift_ppm: 1_000,
+    margin_us: 50_000,
+};
+const ME: Holder = Holder {
+    gateway: 17,
+    life: 3,
+};
 
 fn played(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     let bounded = async { timeout(LONG, test).await.expect("in time") };
     LocalSet::new().block_on(&runtime, bounded);
 }
@@ -40,11 +50,29 @@
     let address = listener.local_addr().expect("bound");
     let (events, received) = mpsc::channel(super::EVENT_QUEUE);
     let own = SharedHello::default();
-    own.set(Hello { client: false, gateway, ..Hello::of_client(ME, FLEET) });
+    own.set(Hello {
+        client: false,
+        gateway,
+        ..Hello::of_client(ME, FLEET)
+    });
     let allow = crate::settings::this_machine();
     let (voters, traffic) = ([1, 2, 3].into(), MemberTraffic::default());
-    accept::listen(listener, Acceptor { allow, voters, own, silence, events, traffic: traffic.clone() });
-    Member { address, events: received, traffic }
+    accept::listen(
+        listener,
+        Acceptor {
+            allow,
+            voters,
+            own,
+            silence,
+            events,
+            traffic: traffic.clone(),
+        },
+    );
+    Member {
+        address,
+        events: received,
+        traffic,
+    }
 }
 
 impl Member {
@@ -73,22 +101,38 @@
 
 /// A link by hand, on which both sides have said hello.
 async fn connect(address: SocketAddr, hello: &Hello) -> (Frames<OwnedReadHalf>, OwnedWriteHalf) {
-    let (read, mut write) = TcpStream::connect(address).await.expect("connected").into_split();
+    let (read, mut write) = TcpStream::connect(address)
+        .await
+        .expect("connected")
+        .into_split();
     let hello = frame::hello(hello).expect("short");
-    frame::write(&mut write, &hello, &Traffic::default()).await.expect("written");
+    frame::write(&mut write, &hello, &Traffic::default())
+        .await
+        .expect("written");
     let mut frames = Frames::new(read, Traffic::default());
     assert!(matches!(frames.next().await, Ok(Payload::Hello(_))));
     (frames, write)
 }
 
 fn heartbeat(who: Holder) -> ToControl {
-    let formats = Formats { oldest: 1, newest: 2 };
-    ToControl::Heartbeat { who, formats, token: None, sent: 1, seen: Index(0) }
+    let formats = Formats {
+        oldest: 1,
+        newest: 2,
+    };
+    ToControl::Heartbeat {
+        who,
+        formats,
+        token: None,
+        sent: 1,
+        seen: Index(0),
+    }
 }
 
 async fn say(write: &mut OwnedWriteHalf, message: &ToControl) {
     let frame = frame::to_control(message).expect("short");
-    frame::write(write, &frame, &Traffic::default()).await.expect("written");
+    frame::write(write, &frame, &Traffic::default())
+        .await
+        .expect("written");
 }
 
 #[test]
@@ -100,7 +144,11 @@
             member(3, LONG).await,
         ];
         let (events, mut received) = mpsc::channel(super::EVENT_QUEUE);
-        let places = members.iter().zip(1..).map(|(member, number)| (number, member.address)).collect();
+        let places = members
+            .iter()
+            .zip(1..)
+            .map(|(member, number)| (number, member.address))
+            .collect();
         let own = Hello::of_client(ME, FLEET);
         let search = Search {
             members: places,
@@ -117,19 +165,33 @@
             client = two.came() => (client, 2),
             client = three.came() => (client, 3),
         };
-        let Some(gateway::LinkEvent::Up(up)) = received.recv().await else { panic!("up first") };
+        let Some(gateway::LinkEvent::Up(up)) = received.recv().await else {
+            panic!("up first")
+        };
         // What is asked of a link that is gone is left undone.
         link.switch(up + 1, Some(asked));
         link.switch(up, Some(asked % 3 + 1));
         let leader = &mut members[asked as usize % 3];
         let client = leader.came().await;
         assert_eq!(client.who, ME);
-        assert!(matches!(received.recv().await, Some(gateway::LinkEvent::Down(gone)) if gone == up));
-        let Some(gateway::LinkEvent::Up(now)) = received.recv().await else { panic!("up again") };
+        assert!(
+            matches!(received.recv().await, Some(gateway::LinkEvent::Down(gone)) if gone == up)
+        );
+        let Some(gateway::LinkEvent::Up(now)) = received.recv().await else {
+            panic!("up again")
+        };
         link.send(now, heartbeat(ME));
         let said = leader.events.recv().await;
-        assert!(matches!(said, Some(accept::LinkEvent::GatewayMessage(message)) if message == heartbeat(ME)));
-        let kept = ToGateway::Kept { who: ME, token: Token(1), sent: 1, required: Index(0), seats: 1 };
+        assert!(
+            matches!(said, Some(accept::LinkEvent::GatewayMessage(message)) if message == heartbeat(ME))
+        );
+        let kept = ToGateway::Kept {
+            who: ME,
+            token: Token(1),
+            sent: 1,
+            required: Index(0),
+            seats: 1,
+        };
         assert!(client.send(frame::to_gateway(&kept).expect("short")));
         assert!(
             matches!(received.recv().await, Some(gateway::LinkEvent::Received(on, said)) if on == now && said == kept)
@@ -138,7 +200,10 @@
         drop(first);
         drop(client);
         leader.events.close();
-        let others = members.iter_mut().enumerate().filter(|(n, _)| *n != asked as usize % 3);
+        let others = members
+            .iter_mut()
+            .enumerate()
+            .filter(|(n, _)| *n != asked as usize % 3);
         let mut others: Vec<&mut Member> = others.map(|(_, member)| member).collect();
         let (one, two) = others.split_at_mut(1);
         tokio::select! {
@@ -157,18 +222,40 @@
             let (mut frames, mut write) = connect(member.address, &own).await;
             let served = member.came().await;
             say(&mut write, &heartbeat(other)).await;
-            assert_eq!(member.left().await, served.link, "for another gateway or life");
+            assert_eq!(
+                member.left().await,
+                served.link,
+                "for another gateway or life"
+            );
             assert!(frames.next().await.is_err());
         }
         let (mut frames, mut write) = connect(member.address, &own).await;
         let served = member.came().await;
-        let message = raft::eraftpb::Message { from: 17, to: 1, term: 7, ..Default::default() };
+        let message = raft::eraftpb::Message {
+            from: 17,
+            to: 1,
+            term: 7,
+            ..Default::default()
+        };
         let raft = frame::raft(&message).expect("short");
-        frame::write(&mut write, &raft, &Traffic::default()).await.expect("written");
-        assert_eq!(member.left().await, served.link, "a message of the consensus");
+        frame::write(&mut write, &raft, &Traffic::default())
+            .await
+            .expect("written");
+        assert_eq!(
+            member.left().await,
+            served.link,
+            "a message of the consensus"
+        );
         assert!(frames.next().await.is_err());
         // One that does not vote is no member, whatever it says.
-        let (mut frames, _write) = connect(member.address, &Hello { client: false, ..own }).await;
+        let (mut frames, _write) = connect(
+            member.address,
+            &Hello {
+                client: false,
+                ..own
+            },
+        )
+        .await;
         assert!(frames.next().await.is_err());
     });
 }
@@ -182,7 +269,10 @@
         assert!(matches!(fault, Err(BadFrame::Fleet)));
         let own = Hello::of_client(ME, FLEET);
         let fault = super::handshake(2, member.address, &own, LONG, &Traffic::default()).await;
-        assert!(matches!(fault, Err(BadFrame::Identity(1))), "another member than it was taken for");
+        assert!(
+            matches!(fault, Err(BadFrame::Identity(1))),
+            "another member than it was taken for"
+        );
     });
 }
 
@@ -204,9 +294,21 @@
         let mut member = member(1, LONG).await;
         let _link = connect(member.address, &Hello::of_client(ME, FLEET)).await;
         let client = member.came().await;
-        let content = Content { format: 1, bytes: vec![7; 60_000] };
-        let topic = TopicState { topic: Topic::Operator, in_force: 1, before: 0, open: Some((2, content)) };
-        let state = ToGateway::State { as_of: Index(2), since: Index(0), topics: vec![topic] };
+        let content = Content {
+            format: 1,
+            bytes: vec![7; 60_000],
+        };
+        let topic = TopicState {
+            topic: Topic::Operator,
+            in_force: 1,
+            before: 0,
+            open: Some((2, content)),
+        };
+        let state = ToGateway::State {
+            as_of: Index(2),
+            since: Index(0),
+            topics: vec![topic],
+        };
         let frame = frame::to_gateway(&state).expect("short");
         while client.send(frame.clone()) {
             tokio::task::yield_now().await;
@@ -224,26 +326,65 @@
         let (mut frames, mut write) = connect(member.address, &own).await;
         let client = member.came().await;
         say(&mut write, &heartbeat(ME)).await;
-        assert!(matches!(member.events.recv().await, Some(accept::LinkEvent::GatewayMessage(_))));
-        let kept = ToGateway::Kept { who: ME, token: Token(1), sent: 1, required: Index(0), seats: 1 };
+        assert!(matches!(
+            member.events.recv().await,
+            Some(accept::LinkEvent::GatewayMessage(_))
+        ));
+        let kept = ToGateway::Kept {
+            who: ME,
+            token: Token(1),
+            sent: 1,
+            required: Index(0),
+            seats: 1,
+        };
         let kept = frame::to_gateway(&kept).expect("short");
         assert!(client.send(kept.clone()));
         assert!(matches!(frames.next().await, Ok(Payload::ToGateway(_))));
         let said = frame::to_control(&heartbeat(ME)).expect("short").len() as u64;
         let (bytes_in, bytes_out) = (said, kept.len() as u64);
-        let expected = TrafficTotals { frames_in: 1, frames_out: 1, bytes_in, bytes_out };
+        let expected = TrafficTotals {
+            frames_in: 1,
+            frames_out: 1,
+            bytes_in,
+            bytes_out,
+        };
         assert_eq!(member.traffic.gateways.totals(), expected);
         // Who dials is known by its first frame alone.
         let hello = member.traffic.members.totals();
         assert_eq!((hello.frames_in, hello.frames_out), (1, 1));
 
-        let (_frames, mut write) = connect(member.address, &Hello { client: false, gateway: 2, ..own }).await;
-        assert!(matches!(member.events.recv().await, Some(accept::LinkEvent::Hello(_))));
-        let message = raft::eraftpb::Message { from: 2, to: 1, term: 7, ..Default::default() };
+        let (_frames, mut write) = connect(
+            member.address,
+            &Hello {
+                client: false,
+                gateway: 2,
+                ..own
+            },
+        )
+        .await;
+        assert!(matches!(
+            member.events.recv().await,
+            Some(accept::LinkEvent::Hello(_))
+        ));
+        let message = raft::eraftpb::Message {
+            from: 2,
+            to: 1,
+            term: 7,
+            ..Default::default()
+        };
         let raft = frame::raft(&message).expect("short");
-        frame::write(&mut write, &raft, &Traffic::default()).await.expect("written");
-        assert!(matches!(member.events.recv().await, Some(accept::LinkEvent::Raft(_))));
-        assert_eq!(member.traffic.members.totals().frames_in, hello.frames_in + 2, "a hello and a message");
+        frame::write(&mut write, &raft, &Traffic::default())
+            .await
+            .expect("written");
+        assert!(matches!(
+            member.events.recv().await,
+            Some(accept::LinkEvent::Raft(_))
+        ));
+        assert_eq!(
+            member.traffic.members.totals().frames_in,
+            hello.frames_in + 2,
+            "a hello and a message"
+        );
         assert_eq!(member.traffic.gateways.totals(), expected, "as before");
     });
 }
--- a/control/src/node.rs
+++ b/control/src/node.rs
@@ -5,8 +5,8 @@
 use crate::store::{Store, StoreError};
 use crate::Micros;
 use raft::eraftpb::{
-    ConfChange, ConfChangeSingle, ConfChangeType, ConfChangeV2, ConfState, Entry, EntryType, Message,
-    MessageType,
+    ConfChange, ConfChangeSingle, ConfChangeType, ConfChangeV2, ConfState, Entry, EntryType,
+    Message, MessageType,
 };
 use raft::{Config, RawNode, ReadOnlyOption, ReadState, SnapshotStatus, StateRole};
 use raft_proto::ConfChangeI;
@@ -108,7 +108,10 @@
         let data = store.latest().get_data().to_vec();
         let logger = slog::Logger::root(slog::Discard, slog::o!());
         let raw = RawNode::new(&config, store, &logger)?;
-        let place = Place { applied, ..Place::default() };
+        let place = Place {
+            applied,
+            ..Place::default()
+        };
         let (proposals, rounds, confirmed) = (Vec::new(), Vec::new(), Vec::new());
         let mut node = Node {
             raw,
@@ -121,7 +124,8 @@
             kept_from: applied,
         };
         if !data.is_empty() {
-            node.agreed.handle(now, Event::Restored(&data), &mut Vec::new())?;
+            node.agreed
+                .handle(now, Event::Restored(&data), &mut Vec::new())?;
         }
         Ok(node)
     }
@@ -155,7 +159,10 @@
     /// own node alone, so those that were passed on make no sense.
     pub fn step(&mut self, message: Message) {
         let kind = message.get_msg_type();
-        let passed_on = matches!(kind, MessageType::MsgReadIndex | MessageType::MsgReadIndexResp);
+        let passed_on = matches!(
+            kind,
+            MessageType::MsgReadIndex | MessageType::MsgReadIndexResp
+        );
         if message.to == self.raw.raft.id && !passed_on {
             let _ = self.raw.step(message);
         }
@@ -165,8 +172,18 @@
     pub fn hand_over(&mut self) {
         let own = self.raw.raft.id;
         let voters = self.members().voters;
-        let matched = |id: &u64| self.raw.raft.prs().get(*id).map_or(0, |progress| progress.matched);
-        if let Some(next) = voters.into_iter().filter(|id| *id != own).max_by_key(matched) {
+        let matched = |id: &u64| {
+            self.raw
+                .raft
+                .prs()
+                .get(*id)
+                .map_or(0, |progress| progress.matched)
+        };
+        if let Some(next) = voters
+            .into_iter()
+            .filter(|id| *id != own)
+            .max_by_key(matched)
+        {
             if self.place.leads {
                 self.raw.transfer_leader(next);
             }
@@ -190,11 +207,17 @@
             all.filter(move |id| gateway_of(*id) == gateway)
         };
         let single = |kind: ConfChangeType, id: u64| {
-            let mut change = ConfChangeSingle { node_id: id, ..Default::default() };
+            let mut change = ConfChangeSingle {
+                node_id: id,
+                ..Default::default()
+            };
             change.set_change_type(kind);
             change
         };
-        for (&gateway, &id) in known.iter().filter(|(gateway, _)| **gateway != gateway_of(self.raw.raft.id)) {
+        for (&gateway, &id) in known
+            .iter()
+            .filter(|(gateway, _)| **gateway != gateway_of(self.raw.raft.id))
+        {
             let mut changes: Vec<ConfChangeSingle> = Vec::new();
             if !of(gateway).any(|other| other == id) {
                 changes.extend(of(gateway).map(|old| single(ConfChangeType::RemoveNode, old)));
@@ -207,7 +230,10 @@
                 }
             }
             if !changes.is_empty() {
-                let change = ConfChangeV2 { changes: changes.into(), ..Default::default() };
+                let change = ConfChangeV2 {
+                    changes: changes.into(),
+                    ..Default::default()
+                };
                 let _ = self.raw.propose_conf_change(Vec::new(), change);
                 return;
             }
@@ -219,12 +245,21 @@
     }
 
     pub fn snapshot_sent(&mut self, peer: u64, whole: bool) {
-        let status = if whole { SnapshotStatus::Finish } else { SnapshotStatus::Failure };
+        let status = if whole {
+            SnapshotStatus::Finish
+        } else {
+            SnapshotStatus::Failure
+        };
         self.raw.report_snapshot(peer, status);
     }
 
     /// Feeds what is agreed with an event of this gateway's own.
-    pub fn event(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) -> Result<(), NodeError> {
+    pub fn event(
+        &mut self,
+        now: Micros,
+        event: Event,
+        out: &mut Vec<Action>,
+    ) -> Result<(), NodeError> {
         let mut actions = Vec::new();
         self.agreed.handle(now, event, &mut actions)?;
         for action in actions {
@@ -254,7 +289,10 @@
     fn note_confirmed(&mut self, states: Vec<ReadState>) {
         let rounds = states.into_iter().filter_map(|state| {
             let round = u64::from_le_bytes(state.request_ctx.try_into().ok()?);
-            Some(Confirmed { round, index: state.index })
+            Some(Confirmed {
+                round,
+                index: state.index,
+            })
         });
         self.confirmed.extend(rounds);
     }
@@ -262,10 +300,13 @@
     /// Tells what is agreed of confirmed rounds, each once all that was committed when it began is applied.
     fn tell_confirmed(&mut self, now: Micros, out: &mut Vec<Action>) -> Result<(), NodeError> {
         let applied = self.place.applied;
-        let (due, wait) = std::mem::take(&mut self.confirmed).into_iter().partition(|c| c.index <= applied);
+        let (due, wait) = std::mem::take(&mut self.confirmed)
+            .into_iter()
+            .partition(|c| c.index <= applied);
         self.confirmed = wait;
         let due: Vec<Confirmed> = due;
-        due.into_iter().try_for_each(|confirmed| self.event(now, Event::Confirmed(confirmed.round), out))
+        due.into_iter()
+            .try_for_each(|confirmed| self.event(now, Event::Confirmed(confirmed.round), out))
     }
 
     /// Tells what is agreed who leads, where that has changed.
@@ -278,7 +319,9 @@
     ) -> Result<(), NodeError> {
         if leader != self.place.leader {
             self.place.leader = leader;
-            let gateway = u32::try_from(gateway_of(leader)).ok().filter(|gateway| *gateway != 0);
+            let gateway = u32::try_from(gateway_of(leader))
+                .ok()
+                .filter(|gateway| *gateway != 0);
             self.event(now, Event::Leader(gateway), out)?;
         }
         if leads != self.place.leads {
@@ -302,14 +345,19 @@
             let mut ready = self.raw.ready();
             ready.take_messages().into_iter().for_each(&mut *send);
             let snapshot = Some(ready.snapshot().clone()).filter(|snapshot| !snapshot.is_empty());
-            self.raw.mut_store().write(snapshot.as_ref(), ready.entries(), ready.hs())?;
+            self.raw
+                .mut_store()
+                .write(snapshot.as_ref(), ready.entries(), ready.hs())?;
             if let Some(snapshot) = snapshot {
                 self.place.applied = snapshot.get_metadata().index;
                 (self.kept_from, self.kept_bytes) = (self.place.applied, 0);
                 self.event(now, Event::Restored(snapshot.get_data()), out)?;
             }
             self.apply(now, &ready.take_committed_entries(), out)?;
-            ready.take_persisted_messages().into_iter().for_each(&mut *send);
+            ready
+                .take_persisted_messages()
+                .into_iter()
+                .for_each(&mut *send);
             if let Some(soft) = ready.ss() {
                 let (leader, leads) = (soft.leader_id, soft.raft_state == StateRole::Leader);
                 self.note_leader(now, leader, leads, out)?;
@@ -329,7 +377,8 @@
             self.propose();
         }
         self.place.term = self.raw.raft.term;
-        let over = self.place.applied - self.kept_from >= ENTRIES_KEPT || self.kept_bytes >= BYTES_KEPT;
+        let over =
+            self.place.applied - self.kept_from >= ENTRIES_KEPT || self.kept_bytes >= BYTES_KEPT;
         if over {
             let data = self.agreed.snapshot();
             self.raw.mut_store().compact(self.place.applied, data)?;
@@ -338,7 +387,12 @@
         Ok(())
     }
 
-    fn apply(&mut self, now: Micros, entries: &[Entry], out: &mut Vec<Action>) -> Result<(), NodeError> {
+    fn apply(
+        &mut self,
+        now: Micros,
+        entries: &[Entry],
+        out: &mut Vec<Action>,
+    ) -> Result<(), NodeError> {
         for entry in entries {
             self.place.applied = entry.index;
             self.kept_bytes += entry.data.len();
--- a/control/src/service/gateway.rs
+++ b/control/src/service/gateway.rs
@@ -18,15 +18,22 @@
 use tracing::{info, warn};
 
 /// The formats of contents that this build understands.
-const FORMATS: Formats = Formats { oldest: 1, newest: FORMAT };
+const FORMATS: Formats = Formats {
+    oldest: 1,
+    newest: FORMAT,
+};
 /// The longest sleep of a gateway for which nothing is due.
 const LONGEST_SLEEP: Duration = Duration::from_secs(60);
 
 /// Where this process reaches its own listener.
 pub(super) fn loopback(listen: SocketAddr) -> SocketAddr {
     match listen.ip() {
-        IpAddr::V4(ip) if ip.is_unspecified() => SocketAddr::new(Ipv4Addr::LOCALHOST.into(), listen.port()),
-        IpAddr::V6(ip) if ip.is_unspecified() => SocketAddr::new(Ipv6Addr::LOCALHOST.into(), listen.port()),
+        IpAddr::V4(ip) if ip.is_unspecified() => {
+            SocketAddr::new(Ipv4Addr::LOCALHOST.into(), listen.port())
+        }
+        IpAddr::V6(ip) if ip.is_unspecified() => {
+            SocketAddr::new(Ipv6Addr::LOCALHOST.into(), listen.port())
+        }
         _ => listen,
     }
 }
@@ -34,8 +41,17 @@
 /// The control members, as this process reaches them.
 fn members(asked: &Lease) -> Vec<(u64, SocketAddr)> {
     let own = asked.listen.map(loopback);
-    let address = |id: u32, address| if id == asked.me { own.unwrap_or(address) } else { address };
-    asked.voters().map(|peer| (u64::from(peer.id), address(peer.id, peer.address))).collect()
+    let address = |id: u32, address| {
+        if id == asked.me {
+            own.unwrap_or(address)
+        } else {
+            address
+        }
+    };
+    asked
+        .voters()
+        .map(|peer| (u64::from(peer.id), address(peer.id, peer.address)))
+        .collect()
 }
 
 /// A gateway that wants a seat.
@@ -63,9 +79,24 @@
         let timing = asked.timing();
         let seed = u64::from(me.gateway) << 32 | u64::from(me.life);
         let own = Hello::of_client(me, digest(asked));
-        let link = Link::start(Search { members: members(asked), own, timing, seed, events, traffic });
+        let link = Link::start(Search {
+            members: members(asked),
+            own,
+            timing,
+            seed,
+            events,
+            traffic,
+        });
         let client = Client::new(me, timing, FORMATS, seed);
-        let mut gateway = Gateway { clock, me, client, link, up: None, wake: None, notices };
+        let mut gateway = Gateway {
+            clock,
+            me,
+            client,
+            link,
+            up: None,
+            wake: None,
+            notices,
+        };
         gateway.handle(Event::Serve);
         gateway
     }
@@ -76,7 +107,9 @@
 
     /// How long nothing is due.
     pub fn sleeps(&self, now: Micros) -> Duration {
-        let due = self.wake.map(|wake| Duration::from_micros(wake.saturating_sub(now)));
+        let due = self
+            .wake
+            .map(|wake| Duration::from_micros(wake.saturating_sub(now)));
         due.map_or(LONGEST_SLEEP, |due| due.min(LONGEST_SLEEP))
     }
 
@@ -119,17 +152,36 @@
             }
             Action::Wake(at) => self.wake = Some(at),
             Action::Act(right) => {
-                info!(at, gateway, token = right.token.0, until = right.until, "seat: acting");
+                info!(
+                    at,
+                    gateway,
+                    token = right.token.0,
+                    until = right.until,
+                    "seat: acting"
+                );
             }
             Action::Stop(why) => warn!(at, gateway, "seat: stopped: {why}"),
-            Action::Judge { topic, number, content } => {
+            Action::Judge {
+                topic,
+                number,
+                content,
+            } => {
                 let _ = self.notices.send(Notice::Judge(topic, number, content));
             }
-            Action::Enforce { topic, number, before } => {
+            Action::Enforce {
+                topic,
+                number,
+                before,
+            } => {
                 info!(at, gateway, ?topic, number, before, "version: in force");
                 let _ = self.notices.send(Notice::Enforce(topic, number));
             }
-            Action::Dropped { topic, number, by, reason } => {
+            Action::Dropped {
+                topic,
+                number,
+                by,
+                reason,
+            } => {
                 let by = by.gateway;
                 warn!(at, gateway, ?topic, number, by, reason, "version: refused");
             }
--- a/control/src/service/member.rs
+++ b/control/src/service/member.rs
@@ -39,7 +39,9 @@
 
 /// Ticks of the consensus, so that rights outlast the loss of a leader.
 pub(super) fn ticks(timing: &Timing) -> Interval {
-    let spare = timing.lease_us.saturating_sub(timing.renew_us + timing.margin_us);
+    let spare = timing
+        .lease_us
+        .saturating_sub(timing.renew_us + timing.margin_us);
     let election = (spare / ELECTION_PARTS).max(ELECTION_LEAST);
     let mut ticks = interval(Duration::from_micros(election / ELECTION_TICKS as u64));
     // A process that stood still has not lived through the ticks that it missed.
@@ -86,13 +88,22 @@
 fn try_send(gateway: &GatewayLink, frame: Bytes) -> bool {
     let sent = gateway.send(frame);
     if !sent {
-        warn!(gateway = gateway.who.gateway, "control: link closed: the gateway takes nothing in");
+        warn!(
+            gateway = gateway.who.gateway,
+            "control: link closed: the gateway takes nothing in"
+        );
     }
     sent
 }
 
 /// This member's part in the consensus, in its life `me`, on a store that has a number.
-fn node(id: u64, store: Store, me: Holder, asked: &Lease, now: Micros) -> Result<Box<Node>, NodeError> {
+fn node(
+    id: u64,
+    store: Store,
+    me: Holder,
+    asked: &Lease,
+    now: Micros,
+) -> Result<Box<Node>, NodeError> {
     let agreed = Agreed::new(me, asked.timing());
     Ok(Box::new(Node::new(id, store, agreed, ELECTION_TICKS, now)?))
 }
@@ -137,7 +148,8 @@
         // Its own gateway comes from here.
         let mut allow = self.asked.allow.clone();
         allow.push(IpNet::from(loopback(listen).ip()));
-        let silence = Duration::from_micros(SILENCE_WAITS * self.asked.timing().wait_us()).max(SILENCE_LEAST);
+        let silence =
+            Duration::from_micros(SILENCE_WAITS * self.asked.timing().wait_us()).max(SILENCE_LEAST);
         let acceptor = Acceptor {
             allow,
             voters: self.voters.clone(),
@@ -147,10 +159,20 @@
             traffic: self.traffic.clone(),
         };
         accept::listen(listener, acceptor);
-        for peer in self.asked.voters().filter(|peer| peer.id != self.me.gateway) {
-            let (own, events, traffic) =
-                (self.own_hello.clone(), events.clone(), self.traffic.members.clone());
-            self.links.insert(peer.id.into(), Link::dial(peer.id.into(), peer.address, own, events, traffic));
+        for peer in self
+            .asked
+            .voters()
+            .filter(|peer| peer.id != self.me.gateway)
+        {
+            let (own, events, traffic) = (
+                self.own_hello.clone(),
+                events.clone(),
+                self.traffic.members.clone(),
+            );
+            self.links.insert(
+                peer.id.into(),
+                Link::dial(peer.id.into(), peer.address, own, events, traffic),
+            );
         }
         self.request_duties()?;
         Ok(received)
@@ -168,26 +190,42 @@
         };
         let (oldest, newest, fleet) = (frame::OLDEST, frame::NEWEST, self.digest);
         let (gateway, life) = (self.me.gateway.into(), self.me.life);
-        Hello { oldest, newest, fleet, gateway, id, fresh, client: false, life }
+        Hello {
+            oldest,
+            newest,
+            fleet,
+            gateway,
+            id,
+            fresh,
+            client: false,
+            life,
+        }
     }
 
     /// Says hello again where what it says has changed.
     fn update_hello(&self) {
         let hello = self.hello();
         if self.own_hello.set(hello.clone()) {
-            self.links.values().for_each(|link| link.send(Payload::Hello(hello.clone())));
+            self.links
+                .values()
+                .for_each(|link| link.send(Payload::Hello(hello.clone())));
         }
     }
 
     /// Feeds what is agreed with an event, where there is a log.
     fn event(&mut self, event: Event) -> Result<(), PeerError> {
-        let Stage::Runs(node) = &mut self.stage else { return Ok(()) };
+        let Stage::Runs(node) = &mut self.stage else {
+            return Ok(());
+        };
         Ok(node.event(self.clock.now(), event, &mut self.out)?)
     }
 
     /// Says which duties this member wants.
     fn request_duties(&mut self) -> Result<(), PeerError> {
-        self.asked.duties().into_iter().try_for_each(|duty| self.event(Event::Want(duty)))
+        self.asked
+            .duties()
+            .into_iter()
+            .try_for_each(|duty| self.event(Event::Want(duty)))
     }
 
     /// Begins or learns the log, once it is clear whether there is one. A member that lost its log may have voted for what
@@ -199,15 +237,25 @@
         }
         let me = u64::from(self.me.gateway);
         let fresh = |id: &u64| *id == me || self.hellos.get(id).is_some_and(|hello| hello.fresh);
-        let (learn, begin) = (self.hellos.values().any(|hello| !hello.fresh), self.voters.iter().all(fresh));
+        let (learn, begin) = (
+            self.hellos.values().any(|hello| !hello.fresh),
+            self.voters.iter().all(fresh),
+        );
         if !(learn || begin) {
             return Ok(());
         }
         let Stage::Waits(mut store) = std::mem::replace(&mut self.stage, Stage::Starts) else {
             return Ok(());
         };
-        let id = if learn { node::another(me, self.me.life) } else { me };
-        let members = ConfState { voters: self.voters.iter().copied().collect(), ..Default::default() };
+        let id = if learn {
+            node::another(me, self.me.life)
+        } else {
+            me
+        };
+        let members = ConfState {
+            voters: self.voters.iter().copied().collect(),
+            ..Default::default()
+        };
         store.begin(id, &members)?;
         let now = self.clock.now();
         info!(at = now, gateway = me, id, learn, "log: begun");
@@ -245,7 +293,10 @@
             return;
         }
         self.logs_traffic_at = at + self.asked.timing().renew_us;
-        let (members, gateways) = (self.traffic.members.totals(), self.traffic.gateways.totals());
+        let (members, gateways) = (
+            self.traffic.members.totals(),
+            self.traffic.gateways.totals(),
+        );
         info!(
             at,
             gateway,
@@ -273,7 +324,9 @@
             (LinkEvent::Hello(hello), _) => drop(self.hellos.insert(hello.gateway, hello)),
             (LinkEvent::Raft(message), Stage::Runs(node)) => node.step(*message),
             (LinkEvent::PeerLost(peer), Stage::Runs(node)) => node.unreachable(peer),
-            (LinkEvent::SnapshotSent(peer, whole), Stage::Runs(node)) => node.snapshot_sent(peer, whole),
+            (LinkEvent::SnapshotSent(peer, whole), Stage::Runs(node)) => {
+                node.snapshot_sent(peer, whole)
+            }
             (LinkEvent::GatewayConnected(gateway), _) => {
                 let who = gateway.who;
                 // The newest link counts; dropped, the former one is closed.
@@ -281,11 +334,17 @@
                 self.event(Event::Connected(who))?;
             }
             (LinkEvent::GatewayDisconnected(who, link), _) => {
-                if self.gateways.get(&who).is_some_and(|gateway| gateway.link == link) {
+                if self
+                    .gateways
+                    .get(&who)
+                    .is_some_and(|gateway| gateway.link == link)
+                {
                     self.gateways.remove(&who);
                 }
             }
-            (LinkEvent::GatewayMessage(message), Stage::Runs(_)) => self.event(Event::Received(message))?,
+            (LinkEvent::GatewayMessage(message), Stage::Runs(_)) => {
+                self.event(Event::Received(message))?
+            }
             // No log here yet: another member may know who leads.
             (LinkEvent::GatewayMessage(message), _) => {
                 self.send(message.who(), &ToGateway::Elsewhere { leader: None })
@@ -317,7 +376,13 @@
             self.carry_out(action, place.leads);
         }
         if (place.leader, place.term) != (self.logged_place.leader, self.logged_place.term) {
-            info!(at = now, leader = place.leader, term = place.term, applied = place.applied, "log: leader");
+            info!(
+                at = now,
+                leader = place.leader,
+                term = place.term,
+                applied = place.applied,
+                "log: leader"
+            );
         }
         self.logged_place = place;
         self.update_hello();
@@ -326,7 +391,9 @@
 
     /// Sends a gateway something on its newest link; nothing where it has another life or no link.
     fn send(&mut self, who: Holder, message: &ToGateway) {
-        let Some(gateway) = self.gateways.get(&who) else { return };
+        let Some(gateway) = self.gateways.get(&who) else {
+            return;
+        };
         match frame::to_gateway(message) {
             Ok(frame) => {
                 if !try_send(gateway, frame) {
@@ -340,7 +407,9 @@
     /// Sends all gateways the same.
     fn broadcast(&mut self, message: &ToGateway) {
         match frame::to_gateway(message) {
-            Ok(frame) => self.gateways.retain(|_, gateway| try_send(gateway, frame.clone())),
+            Ok(frame) => self
+                .gateways
+                .retain(|_, gateway| try_send(gateway, frame.clone())),
             Err(fault) => warn!("control: not sent: {fault}"),
         }
     }
@@ -349,10 +418,23 @@
         let (at, gateway) = (self.clock.now(), self.me.gateway);
         match action {
             Action::Lease(lease::Action::Act { duty, token, until }) => {
-                info!(at, gateway, duty = duty.name(), token = token.0, until, "duty: acting");
+                info!(
+                    at,
+                    gateway,
+                    duty = duty.name(),
+                    token = token.0,
+                    until,
+                    "duty: acting"
+                );
             }
             Action::Lease(lease::Action::Stop { duty, token }) => {
-                info!(at, gateway, duty = duty.name(), token = token.0, "duty: stopped");
+                info!(
+                    at,
+                    gateway,
+                    duty = duty.name(),
+                    token = token.0,
+                    "duty: stopped"
+                );
             }
             Action::Send(who, message) => self.send(who, &message),
             Action::Broadcast(message) => self.broadcast(&message),
@@ -362,7 +444,17 @@
                     let (topic, number, count) = (span.topic, span.number, span.count);
                     let (from, until) = (span.from, span.until);
                     let (gateway, life) = (who.gateway, who.life);
-                    info!(at, gateway, life, ?topic, number, from, until, count, "audit");
+                    info!(
+                        at,
+                        gateway,
+                        life,
+                        ?topic,
+                        number,
+                        from,
+                        until,
+                        count,
+                        "audit"
+                    );
                 }
             }
             Action::Counted { .. } => {}
--- a/control/src/service/mod.rs
+++ b/control/src/service/mod.rs
@@ -106,7 +106,10 @@
 
     /// What is agreed, as it was a moment ago; the lock is held for a copy of a pointer alone.
     pub fn view(&self) -> Arc<View> {
-        self.view.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.view
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 
     /// What this process has sent and received as a gateway; a control member logs what it has as one.
@@ -137,9 +140,16 @@
     begin(asked, clock, false).map(|(handle, _)| handle)
 }
 
-fn begin(asked: &Lease, clock: Clock, seated: bool) -> Result<(Handle, Receiver<Notice>), PeerError> {
+fn begin(
+    asked: &Lease,
+    clock: Clock,
+    seated: bool,
+) -> Result<(Handle, Receiver<Notice>), PeerError> {
     // A number of its own for this life: what an earlier one asked for is not this one's.
-    let me = Holder { gateway: asked.me, life: fastrand::u32(1..) };
+    let me = Holder {
+        gateway: asked.me,
+        life: fastrand::u32(1..),
+    };
     let traffic = Traffic::default();
     let member = if asked.votes() {
         let listen = asked.listen.ok_or(PeerError::NoListener)?;
@@ -157,10 +167,22 @@
     let (requests, requested) = mpsc::unbounded_channel();
     let (notices, noticed) = std::sync::mpsc::channel();
     let view = Published::default();
-    let handle = Handle { requests, view: view.clone(), traffic: traffic.clone() };
-    let plan = Plan { asked: asked.clone(), clock, me, seated, traffic };
+    let handle = Handle {
+        requests,
+        view: view.clone(),
+        traffic: traffic.clone(),
+    };
+    let plan = Plan {
+        asked: asked.clone(),
+        clock,
+        me,
+        seated,
+        traffic,
+    };
     let run = move || {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build();
         let ended = runtime.map_err(PeerError::Thread).and_then(|runtime| {
             let local = tokio::task::LocalSet::new();
             local.block_on(&runtime, plan.run(member, notices, view.clone(), requested))
@@ -220,7 +242,13 @@
         view: Published,
         requested: mpsc::UnboundedReceiver<Request>,
     ) -> Result<(), PeerError> {
-        let Plan { asked, clock, me, seated, traffic } = self;
+        let Plan {
+            asked,
+            clock,
+            me,
+            seated,
+            traffic,
+        } = self;
         let (mut from_members, mut ticks) = (None, None);
         let member = match member {
             Some((mut member, listener)) => {
@@ -236,9 +264,21 @@
             from_control = Some(received);
             gateway = Some(Gateway::start(&asked, clock, me, notices, events, traffic));
         }
-        let parts = Parts { clock, member, gateway, view };
-        info!(at = clock.now(), gateway = me.gateway, life = me.life, "log: started");
-        parts.run(ticks, from_members, from_control, requested).await
+        let parts = Parts {
+            clock,
+            member,
+            gateway,
+            view,
+        };
+        info!(
+            at = clock.now(),
+            gateway = me.gateway,
+            life = me.life,
+            "log: started"
+        );
+        parts
+            .run(ticks, from_members, from_control, requested)
+            .await
     }
 }
 
@@ -261,8 +301,10 @@
         let mut requests_come = true;
         loop {
             self.settle()?;
-            let wake =
-                self.gateway.as_ref().map_or(Duration::MAX, |gateway| gateway.sleeps(self.clock.now()));
+            let wake = self
+                .gateway
+                .as_ref()
+                .map_or(Duration::MAX, |gateway| gateway.sleeps(self.clock.now()));
             tokio::select! {
                 () = tick(&mut ticks) => {
                     if let Some(member) = &mut self.member {
@@ -282,17 +324,25 @@
                 },
             }
             // Whatever else has come is taken along: one write to the disk serves all of it.
-            while let Some(event) = from_members.as_mut().and_then(|events| events.try_recv().ok()) {
+            while let Some(event) = from_members
+                .as_mut()
+                .and_then(|events| events.try_recv().ok())
+            {
                 self.on_member_event(event)?;
             }
-            while let Some(event) = from_control.as_mut().and_then(|events| events.try_recv().ok()) {
+            while let Some(event) = from_control
+                .as_mut()
+                .and_then(|events| events.try_recv().ok())
+            {
                 self.on_gateway_event(event);
             }
         }
     }
 
     fn on_member_event(&mut self, event: link::accept::LinkEvent) -> Result<(), PeerError> {
-        self.member.as_mut().map_or(Ok(()), |member| member.on_link_event(event))
+        self.member
+            .as_mut()
+            .map_or(Ok(()), |member| member.on_link_event(event))
     }
 
     fn on_gateway_event(&mut self, event: link::gateway::LinkEvent) {
@@ -305,8 +355,16 @@
         use versions::client::Event;
         let event = match request {
             Request::Offer(topic, content) => Event::Offer { topic, content },
-            Request::Judged(topic, number, verdict) => Event::Judged { topic, number, verdict },
-            Request::Acted(topic, number, count) => Event::Acted { topic, number, count },
+            Request::Judged(topic, number, verdict) => Event::Judged {
+                topic,
+                number,
+                verdict,
+            },
+            Request::Acted(topic, number, count) => Event::Acted {
+                topic,
+                number,
+                count,
+            },
             Request::Drain => Event::Drain,
         };
         if event == Event::Drain {
--- a/control/src/settings.rs
+++ b/control/src/settings.rs
@@ -109,7 +109,10 @@
 
     /// The duties, as the lease module numbers them.
     pub fn duties(&self) -> Vec<Duty> {
-        self.duties.iter().filter_map(|name| Duty::named(name)).collect()
+        self.duties
+            .iter()
+            .filter_map(|name| Duty::named(name))
+            .collect()
     }
 
     /// The control members.
@@ -139,11 +142,17 @@
     fn check_peers(&self) -> Result<(), KeyFault> {
         for (place, peer) in self.peers.iter().enumerate() {
             if !IDS.contains(&peer.id) {
-                return fault(format!("peers[{place}].id"), format!("{} is not within 1 to 65535", peer.id));
+                return fault(
+                    format!("peers[{place}].id"),
+                    format!("{} is not within 1 to 65535", peer.id),
+                );
             }
             let earlier = &self.peers[..place];
             if earlier.iter().any(|other| other.id == peer.id) {
-                return fault(format!("peers[{place}].id"), format!("{} is another peer's already", peer.id));
+                return fault(
+                    format!("peers[{place}].id"),
+                    format!("{} is another peer's already", peer.id),
+                );
             }
             if earlier.iter().any(|other| other.address == peer.address) {
                 return fault(
@@ -154,7 +163,8 @@
         }
         let voters = self.voters().count();
         if voters != 3 && voters != 5 {
-            let why = "a log needs 3 or 5, so that one or two may be lost and a majority still decides";
+            let why =
+                "a log needs 3 or 5, so that one or two may be lost and a majority still decides";
             return fault("peers", format!("has {voters} voters: {why}"));
         }
         Ok(())
@@ -167,18 +177,30 @@
         }
         if self.votes() {
             let me = self.me;
-            return fault("me", format!("{me} is the number of a peer that votes; a client needs its own"));
+            return fault(
+                "me",
+                format!("{me} is the number of a peer that votes; a client needs its own"),
+            );
         }
         if let Some(listen) = self.listen {
-            return fault("listen", format!("{listen} is used by control members only; a client has none"));
+            return fault(
+                "listen",
+                format!("{listen} is used by control members only; a client has none"),
+            );
         }
         if !self.store.as_os_str().is_empty() {
             let store = self.store.display();
-            return fault("store", format!("{store} is used by control members only; a client keeps no log"));
+            return fault(
+                "store",
+                format!("{store} is used by control members only; a client keeps no log"),
+            );
         }
         if !self.duties.is_empty() {
             let duties = self.duties.join(", ");
-            return fault("duties", format!("{duties}: held by control members only; a client holds none"));
+            return fault(
+                "duties",
+                format!("{duties}: held by control members only; a client holds none"),
+            );
         }
         Ok(())
     }
@@ -191,9 +213,17 @@
         };
         let port = own.address.port();
         match self.listen {
-            None => return fault("listen", format!("is missing; peers reach this gateway on port {port}")),
+            None => {
+                return fault(
+                    "listen",
+                    format!("is missing; peers reach this gateway on port {port}"),
+                )
+            }
             Some(listen) if listen.port() == 0 || listen.port() != port => {
-                return fault("listen", format!("{listen} is not on port {port}, where peers reach it"));
+                return fault(
+                    "listen",
+                    format!("{listen} is not on port {port}, where peers reach it"),
+                );
             }
             Some(_) => {}
         }
@@ -201,18 +231,30 @@
             return fault("allow", "names no network: no peer could connect".into());
         }
         if self.store.as_os_str().is_empty() {
-            return fault("store", "names no folder: the log would not survive a restart".into());
+            return fault(
+                "store",
+                "names no folder: the log would not survive a restart".into(),
+            );
         }
         if self.duties.is_empty() {
-            return fault("duties", "names none: there would be nothing to hold".into());
+            return fault(
+                "duties",
+                "names none: there would be nothing to hold".into(),
+            );
         }
         for (place, name) in self.duties.iter().enumerate() {
             if Duty::named(name).is_none() {
                 let known = lease::DUTIES.join(", ");
-                return fault(format!("duties[{place}]"), format!("{name:?} is not one of {known}"));
+                return fault(
+                    format!("duties[{place}]"),
+                    format!("{name:?} is not one of {known}"),
+                );
             }
             if self.duties[..place].contains(name) {
-                return fault(format!("duties[{place}]"), format!("{name:?} is named twice"));
+                return fault(
+                    format!("duties[{place}]"),
+                    format!("{name:?} is named twice"),
+                );
             }
         }
         Ok(())
@@ -222,7 +264,10 @@
     pub fn beside(&self, clients: SocketAddr) -> Result<(), KeyFault> {
         self.check()?;
         if self.listen == Some(clients) {
-            return fault("listen", format!("{clients} is where clients connect (listen)"));
+            return fault(
+                "listen",
+                format!("{clients} is where clients connect (listen)"),
+            );
         }
         Ok(())
     }
--- a/control/src/store.rs
+++ b/control/src/store.rs
@@ -19,9 +19,13 @@
 /// What is wrong with the log on disk.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    #[error("{path}: {fault}; look at the folder's rights and space, and that no other gateway uses it")]
+    #[error(
+        "{path}: {fault}; look at the folder's rights and space, and that no other gateway uses it"
+    )]
     Open { path: PathBuf, fault: String },
-    #[error("the log can't be written: {0}; look at the disk's space and health, then start again")]
+    #[error(
+        "the log can't be written: {0}; look at the disk's space and health, then start again"
+    )]
     Write(String),
     #[error("the log can't be read: {0}; remove its folder, so that this gateway learns it from its peers")]
     Read(String),
@@ -59,7 +63,9 @@
 }
 
 fn written(message: &impl protobuf::Message) -> Result<Vec<u8>, StoreError> {
-    let bytes = message.write_to_bytes().map_err(|fault| StoreError::Write(fault.to_string()))?;
+    let bytes = message
+        .write_to_bytes()
+        .map_err(|fault| StoreError::Write(fault.to_string()))?;
     Ok([&xxh3_64(&bytes).to_le_bytes()[..], &bytes].concat())
 }
 
@@ -70,12 +76,20 @@
 impl Store {
     /// Opens the log of gateway `me` in a folder; a new one is nobody's yet.
     pub fn open(folder: &Path, me: u64) -> Result<Store, StoreError> {
-        let open = |fault: String| StoreError::Open { path: folder.to_owned(), fault };
+        let open = |fault: String| StoreError::Open {
+            path: folder.to_owned(),
+            fault,
+        };
         std::fs::create_dir_all(folder).map_err(|fault| open(fault.to_string()))?;
         let mut builder = Database::builder();
         let disk = builder.set_cache_size(CACHE).create(folder.join(FILE));
         let disk = disk.map_err(|fault| open(fault.to_string()))?;
-        let mut store = Store { disk, memory: MemStorage::new(), snapshot: Snapshot::default(), id: None };
+        let mut store = Store {
+            disk,
+            memory: MemStorage::new(),
+            snapshot: Snapshot::default(),
+            id: None,
+        };
         store.mark(me)?;
         store.load()?;
         Ok(store)
@@ -92,8 +106,10 @@
         let transaction = self.disk.begin_write().map_err(redb::Error::from)?;
         {
             let mut meta = transaction.open_table(META).map_err(redb::Error::from)?;
-            meta.insert("id", &id.to_le_bytes()[..]).map_err(redb::Error::from)?;
-            meta.insert("members", &written(members)?[..]).map_err(redb::Error::from)?;
+            meta.insert("id", &id.to_le_bytes()[..])
+                .map_err(redb::Error::from)?;
+            meta.insert("members", &written(members)?[..])
+                .map_err(redb::Error::from)?;
         }
         transaction.commit().map_err(redb::Error::from)?;
         self.memory.initialize_with_conf_state(members.clone());
@@ -106,7 +122,8 @@
         let transaction = self.disk.begin_write().map_err(redb::Error::from)?;
         {
             let mut meta = transaction.open_table(META).map_err(redb::Error::from)?;
-            meta.insert("members", &written(members)?[..]).map_err(redb::Error::from)?;
+            meta.insert("members", &written(members)?[..])
+                .map_err(redb::Error::from)?;
         }
         transaction.commit().map_err(redb::Error::from)?;
         self.memory.wl().set_conf_state(members.clone());
@@ -120,10 +137,16 @@
             let mut meta = transaction.open_table(META).map_err(redb::Error::from)?;
             transaction.open_table(ENTRIES).map_err(redb::Error::from)?;
             for (key, mine) in [("format", FORMAT), ("gateway", me)] {
-                let found = meta.get(key).map_err(redb::Error::from)?.map(|value| value.value().to_vec());
+                let found = meta
+                    .get(key)
+                    .map_err(redb::Error::from)?
+                    .map(|value| value.value().to_vec());
                 let found = found.map(|bytes| bytes.try_into().map(u64::from_le_bytes));
                 match found {
-                    None => drop(meta.insert(key, &mine.to_le_bytes()[..]).map_err(redb::Error::from)?),
+                    None => drop(
+                        meta.insert(key, &mine.to_le_bytes()[..])
+                            .map_err(redb::Error::from)?,
+                    ),
                     Some(Ok(found)) if found == mine => {}
                     Some(Ok(found)) if key == "format" => return Err(StoreError::Format(found)),
                     Some(Ok(found)) => return Err(StoreError::Another(found)),
@@ -139,7 +162,10 @@
         let transaction = self.disk.begin_read().map_err(redb::Error::from)?;
         let meta = transaction.open_table(META).map_err(redb::Error::from)?;
         let get = |key: &str| -> Result<Option<Vec<u8>>, StoreError> {
-            Ok(meta.get(key).map_err(redb::Error::from)?.map(|value| value.value().to_vec()))
+            Ok(meta
+                .get(key)
+                .map_err(redb::Error::from)?
+                .map(|value| value.value().to_vec()))
         };
         let number = |bytes: Vec<u8>| {
             bytes
@@ -150,7 +176,10 @@
         self.id = get("id")?.map(number).transpose()?;
         if let Some(bytes) = get("snapshot")? {
             self.snapshot = read(&bytes)?;
-            self.memory.wl().apply_snapshot(self.snapshot.clone()).map_err(memory_fault)?;
+            self.memory
+                .wl()
+                .apply_snapshot(self.snapshot.clone())
+                .map_err(memory_fault)?;
         }
         if let Some(bytes) = get("members")? {
             self.memory.wl().set_conf_state(read(&bytes)?);
@@ -162,13 +191,22 @@
             let (index, bytes) = row.map_err(redb::Error::from)?;
             let entry: Entry = read(bytes.value())?;
             if entry.index != index.value() || entry.index != from + log.len() as u64 {
-                return Err(StoreError::Read(format!("entry {} is not where it belongs", index.value())));
+                return Err(StoreError::Read(format!(
+                    "entry {} is not where it belongs",
+                    index.value()
+                )));
             }
             log.push(entry);
         }
         let last = from + log.len() as u64 - 1;
-        if get("last")?.map(number).transpose()?.is_some_and(|told| told != last) {
-            return Err(StoreError::Read(format!("{last} is not the last entry that was written")));
+        if get("last")?
+            .map(number)
+            .transpose()?
+            .is_some_and(|told| told != last)
+        {
+            return Err(StoreError::Read(format!(
+                "{last} is not the last entry that was written"
+            )));
         }
         self.memory.wl().append(&log).map_err(memory_fault)?;
         if let Some(bytes) = get("hard")? {
@@ -204,29 +242,38 @@
             let mut meta = transaction.open_table(META).map_err(redb::Error::from)?;
             let mut log = transaction.open_table(ENTRIES).map_err(redb::Error::from)?;
             if let Some(snapshot) = snapshot {
-                meta.insert("snapshot", &written(snapshot)?[..]).map_err(redb::Error::from)?;
+                meta.insert("snapshot", &written(snapshot)?[..])
+                    .map_err(redb::Error::from)?;
                 let members = snapshot.get_metadata().get_conf_state();
-                meta.insert("members", &written(members)?[..]).map_err(redb::Error::from)?;
+                meta.insert("members", &written(members)?[..])
+                    .map_err(redb::Error::from)?;
                 log.retain(|_, _| false).map_err(redb::Error::from)?;
             }
             if let Some(first) = entries.first() {
                 // What a former leader wrote after here was never committed.
-                log.retain_in(first.index.., |_, _| false).map_err(redb::Error::from)?;
+                log.retain_in(first.index.., |_, _| false)
+                    .map_err(redb::Error::from)?;
             }
             for entry in entries {
-                log.insert(entry.index, &written(entry)?[..]).map_err(redb::Error::from)?;
+                log.insert(entry.index, &written(entry)?[..])
+                    .map_err(redb::Error::from)?;
             }
             let last = entries.last().map(|entry| entry.index);
             if let Some(last) = last.or(snapshot.map(|snapshot| snapshot.get_metadata().index)) {
-                meta.insert("last", &last.to_le_bytes()[..]).map_err(redb::Error::from)?;
+                meta.insert("last", &last.to_le_bytes()[..])
+                    .map_err(redb::Error::from)?;
             }
             if let Some(hard) = hard {
-                meta.insert("hard", &written(hard)?[..]).map_err(redb::Error::from)?;
+                meta.insert("hard", &written(hard)?[..])
+                    .map_err(redb::Error::from)?;
             }
         }
         transaction.commit().map_err(redb::Error::from)?;
         if let Some(snapshot) = snapshot {
-            self.memory.wl().apply_snapshot(snapshot.clone()).map_err(memory_fault)?;
+            self.memory
+                .wl()
+                .apply_snapshot(snapshot.clone())
+                .map_err(memory_fault)?;
             self.snapshot = snapshot.clone();
         }
         self.memory.wl().append(entries).map_err(memory_fault)?;
@@ -254,9 +301,12 @@
         {
             let mut meta = transaction.open_table(META).map_err(redb::Error::from)?;
             let mut log = transaction.open_table(ENTRIES).map_err(redb::Error::from)?;
-            meta.insert("snapshot", &written(&snapshot)?[..]).map_err(redb::Error::from)?;
-            meta.insert("hard", &written(&state.hard_state)?[..]).map_err(redb::Error::from)?;
-            log.retain_in(..=index, |_, _| false).map_err(redb::Error::from)?;
+            meta.insert("snapshot", &written(&snapshot)?[..])
+                .map_err(redb::Error::from)?;
+            meta.insert("hard", &written(&state.hard_state)?[..])
+                .map_err(redb::Error::from)?;
+            log.retain_in(..=index, |_, _| false)
+                .map_err(redb::Error::from)?;
         }
         transaction.commit().map_err(redb::Error::from)?;
         // The entry at the snapshot's end stays in memory: its term is asked for when the next ones are sent.
@@ -294,8 +344,12 @@
     }
 
     fn snapshot(&self, request_index: u64, _to: u64) -> raft::Result<Snapshot> {
-        if self.snapshot.get_metadata().index < request_index || self.snapshot.get_metadata().index == 0 {
-            return Err(raft::Error::Store(StorageError::SnapshotTemporarilyUnavailable));
+        if self.snapshot.get_metadata().index < request_index
+            || self.snapshot.get_metadata().index == 0
+        {
+            return Err(raft::Error::Store(
+                StorageError::SnapshotTemporarilyUnavailable,
+            ));
         }
         Ok(self.snapshot.clone())
     }
--- a/control/src/store/tests.rs
+++ b/control/src/store/tests.rs
@@ -1,15 +1,28 @@
 use super::*;
 
 fn members() -> ConfState {
-    ConfState { voters: vec![1, 2, 3], ..Default::default() }
+    ConfState {
+        voters: vec![1, 2, 3],
+        ..Default::default()
+    }
 }
 
 fn entry(index: u64, term: u64) -> Entry {
-    Entry { index, term, data: vec![index as u8; 8].into(), ..Default::default() }
+    Entry {
+        index,
+        term,
+        data: vec![index as u8; 8].into(),
+        ..Default::default()
+    }
 }
 
 fn hard(term: u64, commit: u64) -> HardState {
-    HardState { term, vote: 2, commit, ..Default::default() }
+    HardState {
+        term,
+        vote: 2,
+        commit,
+        ..Default::default()
+    }
 }
 
 fn opened(folder: &Path, me: u64) -> Store {
@@ -26,8 +39,13 @@
     if last < first {
         return Vec::new();
     }
-    let entries = store.entries(first, last + 1, None, GetEntriesContext::empty(false)).expect("there");
-    entries.iter().map(|entry| (entry.index, entry.term)).collect()
+    let entries = store
+        .entries(first, last + 1, None, GetEntriesContext::empty(false))
+        .expect("there");
+    entries
+        .iter()
+        .map(|entry| (entry.index, entry.term))
+        .collect()
 }
 
 #[test]
@@ -36,8 +54,12 @@
     {
         let mut store = opened(folder.path(), 1);
         let first: Vec<Entry> = (1..=5).map(|index| entry(index, 1)).collect();
-        store.write(None, &first, Some(&hard(1, 2))).expect("written");
-        store.write(None, &[entry(4, 2)], Some(&hard(2, 3))).expect("written");
+        store
+            .write(None, &first, Some(&hard(1, 2)))
+            .expect("written");
+        store
+            .write(None, &[entry(4, 2)], Some(&hard(2, 3)))
+            .expect("written");
     }
     let store = opened(folder.path(), 1);
     assert_eq!(store.id(), Some(1));
@@ -61,16 +83,24 @@
     let store = opened(folder.path(), 1);
     assert_eq!(log(&store), [(7, 1), (8, 1), (9, 1)]);
     let snapshot = store.snapshot(6, 2).expect("there");
-    assert_eq!((snapshot.get_data(), snapshot.get_metadata().index), (&b"agreed"[..], 6));
+    assert_eq!(
+        (snapshot.get_data(), snapshot.get_metadata().index),
+        (&b"agreed"[..], 6)
+    );
     assert_eq!(store.term(6).expect("kept"), 1);
 
     let behind = tempfile::tempdir().expect("a folder");
     let mut peer = opened(behind.path(), 2);
-    peer.write(None, &[entry(1, 1)], Some(&hard(1, 1))).expect("written");
-    peer.write(Some(&snapshot), &[], Some(&hard(1, 6))).expect("written");
+    peer.write(None, &[entry(1, 1)], Some(&hard(1, 1)))
+        .expect("written");
+    peer.write(Some(&snapshot), &[], Some(&hard(1, 6)))
+        .expect("written");
     drop(peer);
     let peer = opened(behind.path(), 2);
-    assert_eq!((peer.latest().get_data(), log(&peer).len()), (&b"agreed"[..], 0));
+    assert_eq!(
+        (peer.latest().get_data(), log(&peer).len()),
+        (&b"agreed"[..], 0)
+    );
 }
 
 /// Bytes of the file flipped or cut off: an error of a type, or what was written; never something else.
@@ -82,14 +112,20 @@
     let transaction = disk.begin_write().expect("begun");
     {
         let mut meta = transaction.open_table(META).expect("there");
-        meta.insert("format", &1_u64.to_le_bytes()[..]).expect("written");
+        meta.insert("format", &1_u64.to_le_bytes()[..])
+            .expect("written");
     }
     transaction.commit().expect("written");
     drop(disk);
     for _ in 0..2 {
         let fault = Store::open(folder.path(), 1).err().expect("refused");
         assert!(matches!(fault, StoreError::Format(1)), "{fault}");
-        assert!(fault.to_string().contains("remove the log's folder at all control members"), "{fault}");
+        assert!(
+            fault
+                .to_string()
+                .contains("remove the log's folder at all control members"),
+            "{fault}"
+        );
     }
 }
 
@@ -98,7 +134,9 @@
     let folder = tempfile::tempdir().expect("a folder");
     let mut store = opened(folder.path(), 1);
     let all: Vec<Entry> = (1..=20).map(|index| entry(index, 1)).collect();
-    store.write(None, &all, Some(&hard(1, 20))).expect("written");
+    store
+        .write(None, &all, Some(&hard(1, 20)))
+        .expect("written");
     let whole = log(&store);
     drop(store);
     let path = folder.path().join(FILE);
--- a/control/src/traffic.rs
+++ b/control/src/traffic.rs
@@ -34,7 +34,9 @@
 impl Traffic {
     /// Bytes were read from a link.
     pub(crate) fn read(&self, bytes: usize) {
-        self.counters.bytes_in.fetch_add(bytes as u64, Ordering::Relaxed);
+        self.counters
+            .bytes_in
+            .fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
     /// A frame was received whole.
@@ -45,13 +47,20 @@
     /// A frame of so many bytes was written whole.
     pub(crate) fn wrote(&self, bytes: usize) {
         self.counters.frames_out.fetch_add(1, Ordering::Relaxed);
-        self.counters.bytes_out.fetch_add(bytes as u64, Ordering::Relaxed);
+        self.counters
+            .bytes_out
+            .fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
     /// The sums so far.
     pub fn totals(&self) -> TrafficTotals {
         let get = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
-        let Counters { frames_in, frames_out, bytes_in, bytes_out } = &*self.counters;
+        let Counters {
+            frames_in,
+            frames_out,
+            bytes_in,
+            bytes_out,
+        } = &*self.counters;
         TrafficTotals {
             frames_in: get(frames_in),
             frames_out: get(frames_out),
--- a/control/src/versions/audit.rs
+++ b/control/src/versions/audit.rs
@@ -100,7 +100,10 @@
 
     /// The actions counted under a version.
     pub fn count(&self, topic: Topic, number: u64) -> u64 {
-        let of = self.rows.iter().filter(|row| (row.span.topic, row.span.number) == (topic, number));
+        let of = self
+            .rows
+            .iter()
+            .filter(|row| (row.span.topic, row.span.number) == (topic, number));
         of.map(|row| row.span.count).sum()
     }
 }
--- a/control/src/versions/audit/tests.rs
+++ b/control/src/versions/audit/tests.rs
@@ -1,19 +1,37 @@
 use super::*;
 
-const A: Holder = Holder { gateway: 1, life: 7 };
+const A: Holder = Holder {
+    gateway: 1,
+    life: 7,
+};
 
 fn span(number: u64, from: Micros, until: Micros, count: u64) -> Span {
-    Span { topic: Topic::Catalog, number, from, until, count }
+    Span {
+        topic: Topic::Catalog,
+        number,
+        from,
+        until,
+        count,
+    }
 }
 
 #[test]
 fn a_report_counts_once_whether_doubled_lost_or_out_of_order() {
     let mut audit = Audit::default();
-    assert!(!audit.report(A, 2, &[span(1, 5, 6, 1)]), "the first one is missing");
+    assert!(
+        !audit.report(A, 2, &[span(1, 5, 6, 1)]),
+        "the first one is missing"
+    );
     assert!(audit.report(A, 1, &[span(1, 10, 20, 3)]));
     assert!(!audit.report(A, 1, &[span(1, 10, 20, 3)]), "doubled");
     assert!(audit.report(A, 2, &[span(1, 21, 30, 4), span(2, 31, 31, 1)]));
-    assert_eq!((audit.count(Topic::Catalog, 1), audit.count(Topic::Catalog, 2)), (7, 1));
+    assert_eq!(
+        (
+            audit.count(Topic::Catalog, 1),
+            audit.count(Topic::Catalog, 2)
+        ),
+        (7, 1)
+    );
     assert_eq!(audit.rows()[0].span, span(1, 10, 30, 7));
     // Another life counts anew, and the former one's late report still counts once.
     let reborn = Holder { life: 9, ..A };
@@ -36,5 +54,12 @@
     assert_eq!(audit.rows()[ROWS - 1].span.number, 6_000, "the newest stay");
     assert_eq!(audit.reports[&1].len(), LIVES);
     let many = vec![span(1, 0, 1, 1); SPANS + 1];
-    assert!(!audit.report(Holder { gateway: 2, life: 0 }, 1, &many));
+    assert!(!audit.report(
+        Holder {
+            gateway: 2,
+            life: 0
+        },
+        1,
+        &many
+    ));
 }
--- a/control/src/versions/client.rs
+++ b/control/src/versions/client.rs
@@ -2,7 +2,8 @@
 
 use super::audit::SPANS;
 use super::{
-    Content, Formats, Holder, Index, Micros, Refusal, Span, ToControl, ToGateway, Token, Topic, TopicState,
+    Content, Formats, Holder, Index, Micros, Refusal, Span, ToControl, ToGateway, Token, Topic,
+    TopicState,
 };
 use crate::lease::Timing;
 use std::collections::BTreeMap;
@@ -253,7 +254,10 @@
 
     /// The versions in force, as far as this gateway was told.
     pub fn in_force(&self) -> impl Iterator<Item = (Topic, u64)> + '_ {
-        let known = self.topics.iter().map(|(topic, known)| (*topic, known.in_force));
+        let known = self
+            .topics
+            .iter()
+            .map(|(topic, known)| (*topic, known.in_force));
         known.filter(|(_, number)| *number > 0)
     }
 
@@ -273,9 +277,17 @@
             Event::Serve => self.wanted = true,
             Event::Connected => self.connect(now),
             Event::Received(message) => self.receive(now, message, out),
-            Event::Judged { topic, number, verdict } => self.decide(topic, number, verdict),
+            Event::Judged {
+                topic,
+                number,
+                verdict,
+            } => self.decide(topic, number, verdict),
             Event::Offer { topic, content } => self.offer(now, topic, content, out),
-            Event::Acted { topic, number, count } => self.count(now, topic, number, count),
+            Event::Acted {
+                topic,
+                number,
+                count,
+            } => self.count(now, topic, number, count),
             Event::Tick => {}
             Event::Drain => self.drain(out),
         }
@@ -288,7 +300,9 @@
         self.beat_at = now;
         self.connected = true;
         self.asked_at = None;
-        self.judged.values_mut().for_each(|judged| judged.told_at = None);
+        self.judged
+            .values_mut()
+            .for_each(|judged| judged.told_at = None);
         if let Some(report) = &mut self.report {
             report.told_at = None;
         }
@@ -302,7 +316,10 @@
         self.stop(Why::Drained, out);
         if let Some(token) = self.token {
             self.forget(token);
-            out.push(Action::Send(ToControl::Leave { who: self.me, token }));
+            out.push(Action::Send(ToControl::Leave {
+                who: self.me,
+                token,
+            }));
         }
     }
 
@@ -319,7 +336,10 @@
     }
 
     fn decide(&mut self, topic: Topic, number: u64, verdict: Result<(), String>) {
-        let judged = self.judged.get_mut(&topic).filter(|judged| judged.number == number);
+        let judged = self
+            .judged
+            .get_mut(&topic)
+            .filter(|judged| judged.number == number);
         if let Some(judged) = judged.filter(|judged| judged.verdict.is_none()) {
             judged.verdict = Some(verdict);
         }
@@ -330,14 +350,25 @@
             return out.push(Action::Refused(Refusal::Stale));
         }
         let follows = self.number(topic);
-        self.offered = Some(Offered { topic, follows, content, told_at: None });
+        self.offered = Some(Offered {
+            topic,
+            follows,
+            content,
+            told_at: None,
+        });
     }
 
     fn count(&mut self, now: Micros, topic: Topic, number: u64, count: u64) {
         let same = |span: &&mut Span| (span.topic, span.number) == (topic, number);
         match self.counted.iter_mut().find(same) {
             Some(span) => span.add(now, count),
-            None => self.counted.push(Span { topic, number, from: now, until: now, count }),
+            None => self.counted.push(Span {
+                topic,
+                number,
+                from: now,
+                until: now,
+                count,
+            }),
         }
     }
 
@@ -346,12 +377,22 @@
     fn receive(&mut self, now: Micros, message: ToGateway, out: &mut Vec<Action>) {
         self.asked_at = None;
         match message {
-            ToGateway::Kept { who, token, sent, required, seats } => {
+            ToGateway::Kept {
+                who,
+                token,
+                sent,
+                required,
+                seats,
+            } => {
                 if who == self.me && required <= self.seen {
                     self.keep(now, token, sent, seats, out);
                 }
             }
-            ToGateway::State { as_of, since, topics } => {
+            ToGateway::State {
+                as_of,
+                since,
+                topics,
+            } => {
                 if since <= self.seen && self.seen < as_of {
                     self.seen = as_of;
                     topics.into_iter().for_each(|state| self.learn(state, out));
@@ -367,11 +408,21 @@
                     self.refused(now, why, out);
                 }
             }
-            ToGateway::Dropped { topic, number, by, reason } => {
+            ToGateway::Dropped {
+                topic,
+                number,
+                by,
+                reason,
+            } => {
                 let known = self.topics.entry(topic).or_default();
                 if number > known.dropped {
                     known.dropped = number;
-                    out.push(Action::Dropped { topic, number, by, reason });
+                    out.push(Action::Dropped {
+                        topic,
+                        number,
+                        by,
+                        reason,
+                    });
                 }
             }
             ToGateway::Reported { who, sequence } => {
@@ -395,7 +446,9 @@
             self.seated_at = Some(now);
         }
         let until = sent.saturating_add(self.timing.lease_us);
-        let longer = self.right.is_none_or(|right| right.token != token || right.until < until);
+        let longer = self
+            .right
+            .is_none_or(|right| right.token != token || right.until < until);
         if until > now && longer {
             let right = Right { token, until };
             self.right = Some(right);
@@ -405,14 +458,24 @@
 
     /// How a topic stands now.
     fn learn(&mut self, state: TopicState, out: &mut Vec<Action>) {
-        let TopicState { topic, in_force: number, before, open } = state;
+        let TopicState {
+            topic,
+            in_force: number,
+            before,
+            open,
+        } = state;
         let known = self.topics.entry(topic).or_default();
         if known.in_force != number {
             known.in_force = number;
-            out.push(Action::Enforce { topic, number, before });
+            out.push(Action::Enforce {
+                topic,
+                number,
+                before,
+            });
         }
-        let settled =
-            |offered: &Offered| offered.topic == topic && (open.is_some() || offered.follows != number);
+        let settled = |offered: &Offered| {
+            offered.topic == topic && (open.is_some() || offered.follows != number)
+        };
         if self.offered.as_ref().is_some_and(settled) {
             self.offered = None;
         }
@@ -426,16 +489,34 @@
 
     /// Has a version judged, once.
     fn ask(&mut self, topic: Topic, number: u64, content: Content, out: &mut Vec<Action>) {
-        if self.judged.get(&topic).is_some_and(|judged| judged.number == number) {
+        if self
+            .judged
+            .get(&topic)
+            .is_some_and(|judged| judged.number == number)
+        {
             return;
         }
         let (needed, Formats { oldest, newest }) = (content.format, self.formats);
-        let verdict = (!self.formats.understand(needed))
-            .then(|| Err(format!("format {needed} is not understood, only {oldest} to {newest}")));
+        let verdict = (!self.formats.understand(needed)).then(|| {
+            Err(format!(
+                "format {needed} is not understood, only {oldest} to {newest}"
+            ))
+        });
         if verdict.is_none() {
-            out.push(Action::Judge { topic, number, content });
+            out.push(Action::Judge {
+                topic,
+                number,
+                content,
+            });
         }
-        self.judged.insert(topic, Judgement { number, verdict, told_at: None });
+        self.judged.insert(
+            topic,
+            Judgement {
+                number,
+                verdict,
+                told_at: None,
+            },
+        );
     }
 
     /// The seat is gone: it stops, and joins again after a wait that grows with every loss.
@@ -450,7 +531,11 @@
 
     fn rejoin_later(&mut self, now: Micros) {
         let steady = STEADY * self.timing.lease_us;
-        if self.seated_at.take().is_some_and(|at| now.saturating_sub(at) >= steady) {
+        if self
+            .seated_at
+            .take()
+            .is_some_and(|at| now.saturating_sub(at) >= steady)
+        {
             self.rejoin_wait = REJOIN_FIRST;
         }
         self.rejoin_at = now.saturating_add(self.rejoin_wait * self.timing.renew_us);
@@ -471,7 +556,9 @@
     /// Turns to another control member; where two point at each other, after a wait.
     fn redirect(&mut self, now: Micros, leader: Option<u32>, out: &mut Vec<Action>) {
         let pause = self.timing.renew_us / REDIRECTS;
-        let lately = self.redirected_at.is_some_and(|at| now < at.saturating_add(pause));
+        let lately = self
+            .redirected_at
+            .is_some_and(|at| now < at.saturating_add(pause));
         self.redirected_at = Some(now);
         out.push(Action::Redirect(leader.filter(|_| !lately)));
     }
@@ -501,14 +588,27 @@
         }
         let renew = self.timing.renew_us;
         // The last one should have been answered long since: the link or the leader is gone.
-        if self.asked_at.is_some_and(|at| now >= at.saturating_add(renew / 2)) {
+        if self
+            .asked_at
+            .is_some_and(|at| now >= at.saturating_add(renew / 2))
+        {
             self.asked_at = None;
             self.redirect(now, None, out);
         }
         let (who, formats, token, seen) = (self.me, self.formats, self.token, self.seen);
-        out.push(Action::Send(ToControl::Heartbeat { who, formats, token, sent: now, seen }));
+        out.push(Action::Send(ToControl::Heartbeat {
+            who,
+            formats,
+            token,
+            sent: now,
+            seen,
+        }));
         self.asked_at.get_or_insert(now);
-        let part = if std::mem::take(&mut self.connected) { EARLY_FIRST } else { EARLY };
+        let part = if std::mem::take(&mut self.connected) {
+            EARLY_FIRST
+        } else {
+            EARLY
+        };
         self.beat_at = now.saturating_add(renew - self.drawn(now) % (renew / part).max(1));
     }
 
@@ -521,11 +621,19 @@
     fn tell_verdicts(&mut self, now: Micros, token: Token, out: &mut Vec<Action>) {
         let (renew, who) = (self.timing.renew_us, self.me);
         for (topic, judged) in &mut self.judged {
-            let due = judged.told_at.is_none_or(|at| now >= at.saturating_add(renew));
+            let due = judged
+                .told_at
+                .is_none_or(|at| now >= at.saturating_add(renew));
             if let Some(verdict) = judged.verdict.clone().filter(|_| due) {
                 judged.told_at = Some(now);
                 let (topic, number) = (*topic, judged.number);
-                out.push(Action::Send(ToControl::Verdict { who, token, topic, number, verdict }));
+                out.push(Action::Send(ToControl::Verdict {
+                    who,
+                    token,
+                    topic,
+                    number,
+                    verdict,
+                }));
             }
         }
     }
@@ -533,11 +641,22 @@
     /// Offers a version, and again until it is known to be offered: the leader may have changed meanwhile.
     fn tell_offer(&mut self, now: Micros, token: Token, out: &mut Vec<Action>) {
         let (renew, who) = (self.timing.renew_us, self.me);
-        let Some(offered) = &mut self.offered else { return };
-        if offered.told_at.is_none_or(|at| now >= at.saturating_add(renew)) {
+        let Some(offered) = &mut self.offered else {
+            return;
+        };
+        if offered
+            .told_at
+            .is_none_or(|at| now >= at.saturating_add(renew))
+        {
             offered.told_at = Some(now);
             let (topic, seen, content) = (offered.topic, offered.follows, offered.content.clone());
-            out.push(Action::Send(ToControl::Offer { who, token, topic, seen, content }));
+            out.push(Action::Send(ToControl::Offer {
+                who,
+                token,
+                topic,
+                seen,
+                content,
+            }));
         }
     }
 
@@ -546,16 +665,31 @@
         let (renew, who) = (self.timing.renew_us, self.me);
         let due = now >= self.reported_at.saturating_add(REPORT_EVERY * renew);
         if self.report.is_none() && !self.counted.is_empty() && due {
-            let spans: Vec<Span> = self.counted.drain(..self.counted.len().min(SPANS)).collect();
+            let spans: Vec<Span> = self
+                .counted
+                .drain(..self.counted.len().min(SPANS))
+                .collect();
             self.sequence += 1;
-            self.report = Some(Reported { spans, told_at: None });
+            self.report = Some(Reported {
+                spans,
+                told_at: None,
+            });
             self.reported_at = now;
         }
-        let Some(report) = &mut self.report else { return };
-        if report.told_at.is_none_or(|at| now >= at.saturating_add(renew)) {
+        let Some(report) = &mut self.report else {
+            return;
+        };
+        if report
+            .told_at
+            .is_none_or(|at| now >= at.saturating_add(renew))
+        {
             report.told_at = Some(now);
             let (sequence, spans) = (self.sequence, report.spans.clone());
-            out.push(Action::Send(ToControl::Report { who, sequence, spans }));
+            out.push(Action::Send(ToControl::Report {
+                who,
+                sequence,
+                spans,
+            }));
         }
     }
 
@@ -563,13 +697,22 @@
     fn next(&self, now: Micros) -> Micros {
         let renew = self.timing.renew_us;
         let until = self.right.map(|right| right.until);
-        let joins = if self.token.is_some() { 0 } else { self.rejoin_at };
+        let joins = if self.token.is_some() {
+            0
+        } else {
+            self.rejoin_at
+        };
         let beat = Some(self.beat_at.max(joins)).filter(|_| self.wanted);
         let verdicts = self.judged.values().filter_map(|judged| judged.told_at);
         let offer = self.offered.as_ref().and_then(|offered| offered.told_at);
-        let again = verdicts.chain(offer).map(|at| at.saturating_add(renew)).min();
+        let again = verdicts
+            .chain(offer)
+            .map(|at| at.saturating_add(renew))
+            .min();
         let due = [until, beat, again].into_iter().flatten();
-        due.filter(|at| *at > now).min().unwrap_or(now.saturating_add(renew))
+        due.filter(|at| *at > now)
+            .min()
+            .unwrap_or(now.saturating_add(renew))
     }
 }
 
--- a/control/src/versions/client/tests.rs
+++ b/control/src/versions/client/tests.rs
@@ -1,11 +1,22 @@
 use super::*;
 
-const ME: Holder = Holder { gateway: 4, life: 2 };
+const ME: Holder = Holder {
+    gateway: 4,
+    life: 2,
+};
 const TOPIC: Topic = Topic::Catalog;
 const RENEW: Micros = 1_000_000;
 const LEASE: Micros = 3 * RENEW;
-const TIMING: Timing = Timing { lease_us: LEASE, renew_us: RENEW, drift_ppm: 1_000, margin_us: 50_000 };
-const FORMATS: Formats = Formats { oldest: 1, newest: 1 };
+const TIMING: Timing = Timing {
+    lease_us: LEASE,
+    renew_us: RENEW,
+    drift_ppm: 1_000,
+    margin_us: 50_000,
+};
+const FORMATS: Formats = Formats {
+    oldest: 1,
+    newest: 1,
+};
 const TOKEN: Token = Token(8);
 
 struct Gateway {
@@ -15,7 +26,10 @@
 
 impl Gateway {
     fn serving() -> Gateway {
-        let mut gateway = Gateway { client: Client::new(ME, TIMING, FORMATS, 1), now: 10 * RENEW };
+        let mut gateway = Gateway {
+            client: Client::new(ME, TIMING, FORMATS, 1),
+            now: 10 * RENEW,
+        };
         gateway.feed(Event::Serve);
         gateway.feed(Event::Connected);
         gateway
@@ -47,17 +61,48 @@
 
     fn kept(&mut self, token: Token, sent: Micros, required: u64) -> Vec<Action> {
         let required = Index(required);
-        self.hear(ToGateway::Kept { who: ME, token, sent, required, seats: 3 })
+        self.hear(ToGateway::Kept {
+            who: ME,
+            token,
+            sent,
+            required,
+            seats: 3,
+        })
     }
 
-    fn state(&mut self, as_of: u64, since: u64, in_force: u64, open: Option<(u64, u32)>) -> Vec<Action> {
-        let open = open.map(|(number, format)| (number, Content { format, bytes: Vec::new() }));
-        let topics = vec![TopicState { topic: TOPIC, in_force, before: 0, open }];
-        self.hear(ToGateway::State { as_of: Index(as_of), since: Index(since), topics })
+    fn state(
+        &mut self,
+        as_of: u64,
+        since: u64,
+        in_force: u64,
+        open: Option<(u64, u32)>,
+    ) -> Vec<Action> {
+        let open = open.map(|(number, format)| {
+            (
+                number,
+                Content {
+                    format,
+                    bytes: Vec::new(),
+                },
+            )
+        });
+        let topics = vec![TopicState {
+            topic: TOPIC,
+            in_force,
+            before: 0,
+            open,
+        }];
+        self.hear(ToGateway::State {
+            as_of: Index(as_of),
+            since: Index(since),
+            topics,
+        })
     }
 
     fn acts_on(&self) -> Option<u64> {
-        self.client.acting(TOPIC, self.now).map(|(number, _)| number)
+        self.client
+            .acting(TOPIC, self.now)
+            .map(|(number, _)| number)
     }
 }
 
@@ -73,10 +118,20 @@
     let sent = gateway.now;
     gateway.tick(RENEW / 2);
     let until = sent + LEASE;
-    assert_eq!(gateway.kept(TOKEN, sent, 1), [Action::Act(Right { token: TOKEN, until })]);
+    assert_eq!(
+        gateway.kept(TOKEN, sent, 1),
+        [Action::Act(Right {
+            token: TOKEN,
+            until
+        })]
+    );
     assert_eq!((gateway.acts_on(), gateway.client.seats()), (Some(1), 3));
     assert_eq!(gateway.kept(TOKEN, sent, 1), [], "doubled");
-    assert_eq!(gateway.kept(TOKEN, sent + LEASE, 1), [], "sent later than now: not its own");
+    assert_eq!(
+        gateway.kept(TOKEN, sent + LEASE, 1),
+        [],
+        "sent later than now: not its own"
+    );
     gateway.now = until - 1;
     assert_eq!(gateway.acts_on(), Some(1));
     gateway.now = until;
@@ -91,7 +146,10 @@
     gateway.state(3, 0, 2, None);
     assert_eq!(gateway.kept(TOKEN, gateway.now, 4), []);
     gateway.state(4, 3, 4, None);
-    assert!(matches!(gateway.kept(TOKEN, gateway.now, 4)[..], [Action::Act(_)]));
+    assert!(matches!(
+        gateway.kept(TOKEN, gateway.now, 4)[..],
+        [Action::Act(_)]
+    ));
     assert_eq!(gateway.acts_on(), Some(4));
 }
 
@@ -111,20 +169,45 @@
 fn a_verdict_is_said_again_while_the_version_is_open() {
     let mut gateway = Gateway::acting(1);
     let asked = gateway.state(2, 1, 1, Some((2, 1)));
-    assert!(matches!(asked[..], [Action::Judge { number: 2, .. }]), "{asked:?}");
-    let verdict =
-        Action::Send(ToControl::Verdict { who: ME, token: TOKEN, topic: TOPIC, number: 2, verdict: Ok(()) });
-    let judged = Event::Judged { topic: TOPIC, number: 2, verdict: Ok(()) };
+    assert!(
+        matches!(asked[..], [Action::Judge { number: 2, .. }]),
+        "{asked:?}"
+    );
+    let verdict = Action::Send(ToControl::Verdict {
+        who: ME,
+        token: TOKEN,
+        topic: TOPIC,
+        number: 2,
+        verdict: Ok(()),
+    });
+    let judged = Event::Judged {
+        topic: TOPIC,
+        number: 2,
+        verdict: Ok(()),
+    };
     assert_eq!(gateway.feed(judged), std::slice::from_ref(&verdict));
     assert!(gateway.tick(RENEW).contains(&verdict));
-    assert!(gateway.feed(Event::Connected).contains(&verdict), "to the next leader at once");
+    assert!(
+        gateway.feed(Event::Connected).contains(&verdict),
+        "to the next leader at once"
+    );
     let enforced = gateway.state(3, 2, 2, None);
-    assert!(matches!(enforced[..], [Action::Enforce { number: 2, .. }]), "{enforced:?}");
+    assert!(
+        matches!(enforced[..], [Action::Enforce { number: 2, .. }]),
+        "{enforced:?}"
+    );
     assert!(!gateway.tick(RENEW).contains(&verdict));
     // One whose format it does not understand it refuses by itself.
     let refused = gateway.state(5, 3, 2, Some((5, 2)));
     let says = |action: &Action| {
-        matches!(action, Action::Send(ToControl::Verdict { number: 5, verdict: Err(_), .. }))
+        matches!(
+            action,
+            Action::Send(ToControl::Verdict {
+                number: 5,
+                verdict: Err(_),
+                ..
+            })
+        )
     };
     assert!(matches!(&refused[..], [one] if says(one)), "{refused:?}");
 }
@@ -132,16 +215,30 @@
 #[test]
 fn silence_and_word_of_another_leader_redirect_it() {
     let mut gateway = Gateway::acting(1);
-    assert_eq!(gateway.hear(ToGateway::Elsewhere { leader: Some(2) }), [Action::Redirect(Some(2))]);
+    assert_eq!(
+        gateway.hear(ToGateway::Elsewhere { leader: Some(2) }),
+        [Action::Redirect(Some(2))]
+    );
     let lately = gateway.hear(ToGateway::Elsewhere { leader: Some(3) });
-    assert_eq!(lately, [Action::Redirect(None)], "two that point at each other");
+    assert_eq!(
+        lately,
+        [Action::Redirect(None)],
+        "two that point at each other"
+    );
     gateway.now += RENEW / 4;
     gateway.feed(Event::Connected);
     let silent = gateway.tick(RENEW);
-    assert!(silent.contains(&Action::Redirect(None)) && beats(&silent) == 1, "{silent:?}");
+    assert!(
+        silent.contains(&Action::Redirect(None)) && beats(&silent) == 1,
+        "{silent:?}"
+    );
     // One that is answered stays, whatever the answer says.
     gateway.feed(Event::Connected);
-    gateway.hear(ToGateway::State { as_of: Index(1), since: Index(1), topics: Vec::new() });
+    gateway.hear(ToGateway::State {
+        as_of: Index(1),
+        since: Index(1),
+        topics: Vec::new(),
+    });
     assert!(!gateway.tick(RENEW).contains(&Action::Redirect(None)));
 }
 
@@ -154,9 +251,20 @@
         client.beat_at
     };
     let phases: Vec<Micros> = (0..200).map(phase).collect();
-    assert!(phases.iter().all(|at| (RENEW + RENEW / 2..=2 * RENEW).contains(at)), "{phases:?}");
-    let early = phases.iter().filter(|at| **at < RENEW + 3 * RENEW / 4).count();
-    assert!((60..=140).contains(&early), "{early} of 200 in the first half");
+    assert!(
+        phases
+            .iter()
+            .all(|at| (RENEW + RENEW / 2..=2 * RENEW).contains(at)),
+        "{phases:?}"
+    );
+    let early = phases
+        .iter()
+        .filter(|at| **at < RENEW + 3 * RENEW / 4)
+        .count();
+    assert!(
+        (60..=140).contains(&early),
+        "{early} of 200 in the first half"
+    );
 }
 
 #[test]
@@ -165,9 +273,16 @@
     let mut waits = Vec::new();
     for token in [8, 9, 10, 11] {
         gateway.kept(Token(token), gateway.now, 1);
-        let gone = gateway.hear(ToGateway::Gone { who: ME, token: Token(token) });
+        let gone = gateway.hear(ToGateway::Gone {
+            who: ME,
+            token: Token(token),
+        });
         assert_eq!(gone, [Action::Stop(Why::Expelled)]);
-        assert_eq!(gateway.kept(Token(token), gateway.now, 1), [], "late word of the lost seat");
+        assert_eq!(
+            gateway.kept(Token(token), gateway.now, 1),
+            [],
+            "late word of the lost seat"
+        );
         let lost_at = gateway.now;
         while beats(&gateway.tick(RENEW / 4)) == 0 {}
         waits.push((gateway.now - lost_at) / RENEW);
@@ -175,7 +290,13 @@
     assert_eq!(waits, [1, 2, 4, 8]);
     let other = Holder { life: 3, ..ME };
     gateway.kept(Token(12), gateway.now, 1);
-    assert_eq!(gateway.hear(ToGateway::Gone { who: other, token: Token(12) }), []);
+    assert_eq!(
+        gateway.hear(ToGateway::Gone {
+            who: other,
+            token: Token(12)
+        }),
+        []
+    );
     assert_eq!(gateway.acts_on(), Some(1));
 }
 
@@ -184,18 +305,34 @@
     let mut gateway = Gateway::acting(1);
     let reports = |actions: Vec<Action>| -> Vec<(u64, u64)> {
         let report = |action| match action {
-            Action::Send(ToControl::Report { sequence, spans, .. }) => Some((sequence, spans[0].count)),
+            Action::Send(ToControl::Report {
+                sequence, spans, ..
+            }) => Some((sequence, spans[0].count)),
             _ => None,
         };
         actions.into_iter().filter_map(report).collect()
     };
-    let acted = |count| Event::Acted { topic: TOPIC, number: 1, count };
+    let acted = |count| Event::Acted {
+        topic: TOPIC,
+        number: 1,
+        count,
+    };
     assert_eq!(reports(gateway.feed(acted(3))), [(1, 3)]);
     assert_eq!(reports(gateway.feed(acted(4))), []);
-    assert_eq!(reports(gateway.tick(RENEW)), [(1, 3)], "again, and the same");
-    gateway.hear(ToGateway::Reported { who: ME, sequence: 7 });
+    assert_eq!(
+        reports(gateway.tick(RENEW)),
+        [(1, 3)],
+        "again, and the same"
+    );
+    gateway.hear(ToGateway::Reported {
+        who: ME,
+        sequence: 7,
+    });
     assert_eq!(reports(gateway.tick(RENEW)), [(1, 3)]);
-    gateway.hear(ToGateway::Reported { who: ME, sequence: 1 });
+    gateway.hear(ToGateway::Reported {
+        who: ME,
+        sequence: 1,
+    });
     assert_eq!(reports(gateway.tick(RENEW)), []);
     assert_eq!(reports(gateway.tick(REPORT_EVERY * RENEW)), [(2, 4)]);
 }
@@ -204,19 +341,32 @@
 fn an_offer_is_made_again_until_it_is_open_or_refused_once() {
     let mut gateway = Gateway::acting(1);
     let offers = |actions: &[Action]| {
-        let offer = |action: &&Action| matches!(action, Action::Send(ToControl::Offer { seen: 1, .. }));
+        let offer =
+            |action: &&Action| matches!(action, Action::Send(ToControl::Offer { seen: 1, .. }));
         actions.iter().filter(offer).count()
     };
-    let content = Content { format: 1, bytes: vec![1] };
-    let offer = Event::Offer { topic: TOPIC, content };
+    let content = Content {
+        format: 1,
+        bytes: vec![1],
+    };
+    let offer = Event::Offer {
+        topic: TOPIC,
+        content,
+    };
     assert_eq!(offers(&gateway.feed(offer.clone())), 1);
     assert_eq!(offers(&gateway.tick(RENEW)), 1);
     gateway.state(2, 1, 1, Some((2, 1)));
     assert_eq!(offers(&gateway.tick(RENEW)), 0);
     gateway.state(3, 2, 1, None);
     gateway.feed(offer);
-    let busy = ToGateway::Refused { who: ME, why: Refusal::Busy(7) };
-    assert_eq!(gateway.hear(busy.clone()), [Action::Refused(Refusal::Busy(7))]);
+    let busy = ToGateway::Refused {
+        who: ME,
+        why: Refusal::Busy(7),
+    };
+    assert_eq!(
+        gateway.hear(busy.clone()),
+        [Action::Refused(Refusal::Busy(7))]
+    );
     assert_eq!(gateway.hear(busy), [], "doubled");
     assert_eq!(offers(&gateway.tick(RENEW)), 0);
 }
@@ -224,9 +374,19 @@
 #[test]
 fn one_that_drains_stops_first_and_gives_its_seat_back() {
     let mut gateway = Gateway::acting(1);
-    let leave = Action::Send(ToControl::Leave { who: ME, token: TOKEN });
-    assert_eq!(gateway.feed(Event::Drain), [Action::Stop(Why::Drained), leave]);
-    assert_eq!(gateway.kept(TOKEN, gateway.now, 1), [], "an answer that was on its way");
+    let leave = Action::Send(ToControl::Leave {
+        who: ME,
+        token: TOKEN,
+    });
+    assert_eq!(
+        gateway.feed(Event::Drain),
+        [Action::Stop(Why::Drained), leave]
+    );
+    assert_eq!(
+        gateway.kept(TOKEN, gateway.now, 1),
+        [],
+        "an answer that was on its way"
+    );
     assert_eq!(beats(&gateway.tick(LEASE)), 0);
     assert_eq!(gateway.acts_on(), None);
 }
