--- a/control/src/versions/coordinator.rs
+++ b/control/src/versions/coordinator.rs
@@ -1,8 +1,8 @@
 //! A control member's part: who keeps its seat and who loses it, what gateways are told, what goes into the log.
 
 use super::{
-    Command, Content, Formats, Holder, Index, Micros, Outcome, Refusal, Seat, Span, Table, ToControl,
-    ToGateway, Token, Topic, TopicState,
+    Command, Content, Formats, Holder, Index, Micros, Outcome, Refusal, Seat, Span, Table,
+    ToControl, ToGateway, Token, Topic, TopicState,
 };
 use crate::lease::Timing;
 use std::collections::BTreeMap;
@@ -136,7 +136,9 @@
     /// An epoch that begins: what gateways were told before, and until when they may act, is not known, so that every
     /// seat counts as heard just now.
     fn begin(number: Index, now: Micros, table: &Table) -> Epoch {
-        let open = table.topics().filter(|(_, standing)| standing.open.is_some());
+        let open = table
+            .topics()
+            .filter(|(_, standing)| standing.open.is_some());
         Epoch {
             number,
             heard: table.seats().map(|seat| (seat.who.gateway, now)).collect(),
@@ -152,22 +154,34 @@
 
     /// Whether a gateway's acceptance of a version has come, whether or not the log has it yet.
     fn accepts(&self, table: &Table, topic: Topic, gateway: u32) -> bool {
-        let open = table.topic(topic).and_then(|standing| standing.open.as_ref());
+        let open = table
+            .topic(topic)
+            .and_then(|standing| standing.open.as_ref());
         let written = open.is_some_and(|open| open.accepted.contains(&gateway));
         let number = open.map(|open| open.version.number);
-        let gathered = self.gathered.get(&topic).filter(|gathered| Some(gathered.number) == number);
+        let gathered = self
+            .gathered
+            .get(&topic)
+            .filter(|gathered| Some(gathered.number) == number);
         written || gathered.is_some_and(|gathered| gathered.by.contains_key(&gateway))
     }
 
     /// Whether a seat holds up a version for longer than a right lasts.
     fn straggles(&self, table: &Table, gateway: u32, now: Micros, wait: Micros) -> bool {
-        let overdue = self.opened.iter().filter(|(_, at)| now >= at.saturating_add(wait));
-        overdue.into_iter().any(|(topic, _)| !self.accepts(table, *topic, gateway))
+        let overdue = self
+            .opened
+            .iter()
+            .filter(|(_, at)| now >= at.saturating_add(wait));
+        overdue
+            .into_iter()
+            .any(|(topic, _)| !self.accepts(table, *topic, gateway))
     }
 
     /// Whether all seats that are to stay accept a version.
     fn complete(&self, table: &Table, topic: Topic) -> bool {
-        let mut staying = table.seats().filter(|seat| !self.expelling.contains_key(&seat.who.gateway));
+        let mut staying = table
+            .seats()
+            .filter(|seat| !self.expelling.contains_key(&seat.who.gateway));
         staying.all(|seat| self.accepts(table, topic, seat.who.gateway))
     }
 }
@@ -256,7 +270,13 @@
 
     fn connect(&mut self, now: Micros, who: Holder) {
         if let Some(epoch) = &mut self.epoch {
-            epoch.links.insert(who.gateway, Link { heard_at: now, ..Link::default() });
+            epoch.links.insert(
+                who.gateway,
+                Link {
+                    heard_at: now,
+                    ..Link::default()
+                },
+            );
         }
     }
 
@@ -291,8 +311,12 @@
             self.epoch = mine.then(|| Epoch::begin(index, now, &self.table));
             return;
         }
-        if let (Outcome::Reported { who, .. }, Command::Report { spans, .. }) = (&outcome, command) {
-            out.push(Action::Counted { who: *who, spans: spans.clone() });
+        if let (Outcome::Reported { who, .. }, Command::Report { spans, .. }) = (&outcome, command)
+        {
+            out.push(Action::Counted {
+                who: *who,
+                spans: spans.clone(),
+            });
         }
         let Some(epoch) = &mut self.epoch else { return };
         match outcome {
@@ -311,9 +335,19 @@
                 epoch.opened.insert(topic, now);
             }
             Outcome::InForce { topic, .. } => epoch.close(topic),
-            Outcome::Dropped { topic, number, by, reason } => {
+            Outcome::Dropped {
+                topic,
+                number,
+                by,
+                reason,
+            } => {
                 epoch.close(topic);
-                out.push(Action::Broadcast(ToGateway::Dropped { topic, number, by, reason }));
+                out.push(Action::Broadcast(ToGateway::Dropped {
+                    topic,
+                    number,
+                    by,
+                    reason,
+                }));
             }
             Outcome::Reported { who, sequence } => {
                 out.push(Action::Send(who, ToGateway::Reported { who, sequence }));
@@ -330,20 +364,33 @@
     fn publish(&mut self, now: Micros, since: Index, out: &mut Vec<Action>) {
         let as_of = self.table.changed();
         let Some(epoch) = &mut self.epoch else { return };
-        epoch.links.values_mut().for_each(|link| link.told = Some((as_of, now)));
+        epoch
+            .links
+            .values_mut()
+            .for_each(|link| link.told = Some((as_of, now)));
         out.push(Action::Broadcast(self.state(since)));
     }
 
     /// How the topics stand that changed after an entry.
     fn state(&self, since: Index) -> ToGateway {
-        let changed = self.table.topics().filter(|(_, standing)| standing.changed > since);
+        let changed = self
+            .table
+            .topics()
+            .filter(|(_, standing)| standing.changed > since);
         let topics = changed.map(|(topic, standing)| TopicState {
             topic,
             in_force: standing.number(),
             before: standing.before,
-            open: standing.open.as_ref().map(|open| (open.version.number, open.version.content.clone())),
+            open: standing
+                .open
+                .as_ref()
+                .map(|open| (open.version.number, open.version.content.clone())),
         });
-        ToGateway::State { as_of: self.table.changed(), since, topics: topics.collect() }
+        ToGateway::State {
+            as_of: self.table.changed(),
+            since,
+            topics: topics.collect(),
+        }
     }
 
     // What gateways say.
@@ -354,30 +401,63 @@
             return;
         }
         match message {
-            ToControl::Heartbeat { who, formats, token, sent, seen } => {
+            ToControl::Heartbeat {
+                who,
+                formats,
+                token,
+                sent,
+                seen,
+            } => {
                 self.repair(now, who, seen, out);
                 self.note(now, who, token, sent);
                 if token.is_none() {
                     self.join(now, who, formats, out);
                 }
             }
-            ToControl::Verdict { who, token, topic, number, verdict } => {
-                let opened = self.table.topic(topic).is_some_and(|standing| standing.opened(number));
+            ToControl::Verdict {
+                who,
+                token,
+                topic,
+                number,
+                verdict,
+            } => {
+                let opened = self
+                    .table
+                    .topic(topic)
+                    .is_some_and(|standing| standing.opened(number));
                 let seated = self.table.seat(who).is_some_and(|seat| seat.token == token);
                 match verdict {
                     _ if !(opened && seated) => {}
                     Ok(()) => self.gather(now, who, token, topic, number),
                     Err(reason) => {
-                        let refuse = Command::Refuse { who, token, topic, number, reason };
+                        let refuse = Command::Refuse {
+                            who,
+                            token,
+                            topic,
+                            number,
+                            reason,
+                        };
                         out.push(Action::Propose(refuse));
                     }
                 }
             }
-            ToControl::Offer { who, token, topic, seen, content } => {
+            ToControl::Offer {
+                who,
+                token,
+                topic,
+                seen,
+                content,
+            } => {
                 self.offer(who, token, topic, seen, content, out);
             }
-            ToControl::Report { who, sequence, spans } => self.report(who, sequence, spans, out),
-            ToControl::Leave { who, token } => out.push(Action::Propose(Command::Leave { who, token })),
+            ToControl::Report {
+                who,
+                sequence,
+                spans,
+            } => self.report(who, sequence, spans, out),
+            ToControl::Leave { who, token } => {
+                out.push(Action::Propose(Command::Leave { who, token }))
+            }
         }
     }
 
@@ -409,17 +489,30 @@
         let Some(epoch) = &mut self.epoch else { return };
         let expelling = epoch.expelling.contains_key(&who.gateway);
         let grantable = !expelling && !epoch.straggles(&self.table, who.gateway, now, wait);
-        let seat = self.table.seat(who).filter(|seat| token.is_none_or(|token| token == seat.token));
+        let seat = self
+            .table
+            .seat(who)
+            .filter(|seat| token.is_none_or(|token| token == seat.token));
         if grantable && seat.is_some() {
             epoch.heard.insert(who.gateway, now);
         }
         let round = self.round + 1;
-        epoch.waiting.push(Waiting { who, token, sent, came_at: now, round, grantable });
+        epoch.waiting.push(Waiting {
+            who,
+            token,
+            sent,
+            came_at: now,
+            round,
+            grantable,
+        });
     }
 
     /// Asks for a seat on behalf of a gateway that has none, where the log would give one.
     fn join(&mut self, now: Micros, who: Holder, formats: Formats, out: &mut Vec<Action>) {
-        let (refused, soon) = (self.table.joinable(who, formats).err(), self.timing.renew_us / 2);
+        let (refused, soon) = (
+            self.table.joinable(who, formats).err(),
+            self.timing.renew_us / 2,
+        );
         let Some(epoch) = &mut self.epoch else { return };
         match refused {
             Some(why @ Refusal::Format { .. }) => {
@@ -429,7 +522,10 @@
             Some(_) => {}
             None => {
                 let link = epoch.links.entry(who.gateway).or_default();
-                if link.joined_at.is_none_or(|at| now >= at.saturating_add(soon)) {
+                if link
+                    .joined_at
+                    .is_none_or(|at| now >= at.saturating_add(soon))
+                {
                     link.joined_at = Some(now);
                     out.push(Action::Propose(Command::Join { who, formats }));
                 }
@@ -442,11 +538,22 @@
         let Some(epoch) = &mut self.epoch else { return };
         let gathered = epoch.gathered.entry(topic).or_default();
         if gathered.number != number {
-            *gathered = Gathered { number, by: BTreeMap::new() };
+            *gathered = Gathered {
+                number,
+                by: BTreeMap::new(),
+            };
         }
-        let former = gathered.by.get(&who.gateway).filter(|former| former.token == token);
+        let former = gathered
+            .by
+            .get(&who.gateway)
+            .filter(|former| former.token == token);
         if former.is_none() {
-            let accepted = Accepted { who, token, came_at: now, proposed_at: None };
+            let accepted = Accepted {
+                who,
+                token,
+                came_at: now,
+                proposed_at: None,
+            };
             gathered.by.insert(who.gateway, accepted);
         }
     }
@@ -461,7 +568,13 @@
         out: &mut Vec<Action>,
     ) {
         match self.table.offerable(who, token, topic, seen, &content) {
-            Ok(()) => out.push(Action::Propose(Command::Offer { who, token, topic, seen, content })),
+            Ok(()) => out.push(Action::Propose(Command::Offer {
+                who,
+                token,
+                topic,
+                seen,
+                content,
+            })),
             Err(why) => out.push(Action::Send(who, ToGateway::Refused { who, why })),
         }
     }
@@ -470,17 +583,26 @@
         if sequence <= self.table.audit().last(who) {
             out.push(Action::Send(who, ToGateway::Reported { who, sequence }));
         } else {
-            out.push(Action::Propose(Command::Report { who, sequence, spans }));
+            out.push(Action::Propose(Command::Report {
+                who,
+                sequence,
+                spans,
+            }));
         }
     }
 
     /// Answers the heartbeats that came before a round was asked for.
     fn confirmed(&mut self, round: u64, out: &mut Vec<Action>) {
-        let Some(epoch) = self.epoch.as_mut().filter(|_| round <= self.round) else { return };
+        let Some(epoch) = self.epoch.as_mut().filter(|_| round <= self.round) else {
+            return;
+        };
         if let Some(asked) = epoch.asked.as_mut().filter(|_| round == self.round) {
             asked.answered = true;
         }
-        let (covered, waiting) = epoch.waiting.drain(..).partition(|waiting| waiting.round <= round);
+        let (covered, waiting) = epoch
+            .waiting
+            .drain(..)
+            .partition(|waiting| waiting.round <= round);
         epoch.waiting = waiting;
         let covered: Vec<Waiting> = covered;
         let seats = u32::try_from(self.table.seats().count()).unwrap_or(u32::MAX);
@@ -490,7 +612,9 @@
     }
 
     fn answer(&self, heartbeat: &Waiting, seats: u32) -> ToGateway {
-        let Waiting { who, token, sent, .. } = *heartbeat;
+        let Waiting {
+            who, token, sent, ..
+        } = *heartbeat;
         let required = self.table.changed();
         let expelling = |epoch: &Epoch| epoch.expelling.contains_key(&who.gateway);
         let grantable = heartbeat.grantable && !self.epoch.as_ref().is_some_and(expelling);
@@ -498,9 +622,19 @@
             (Some(token), seat) if seat.is_none_or(|seat| seat.token != token) => {
                 ToGateway::Gone { who, token }
             }
-            (_, Some(seat)) if grantable => ToGateway::Kept { who, token: seat.token, sent, required, seats },
+            (_, Some(seat)) if grantable => ToGateway::Kept {
+                who,
+                token: seat.token,
+                sent,
+                required,
+                seats,
+            },
             // This member leads, that is all.
-            _ => ToGateway::State { as_of: required, since: required, topics: Vec::new() },
+            _ => ToGateway::State {
+                as_of: required,
+                since: required,
+                topics: Vec::new(),
+            },
         }
     }
 
@@ -517,7 +651,10 @@
     }
 
     fn propose_epoch(&mut self, now: Micros, out: &mut Vec<Action>) {
-        if self.led_at.is_none_or(|at| now >= at.saturating_add(self.timing.renew_us)) {
+        if self
+            .led_at
+            .is_none_or(|at| now >= at.saturating_add(self.timing.renew_us))
+        {
             self.led_at = Some(now);
             out.push(Action::Propose(Command::Lead { who: self.me }));
         }
@@ -530,8 +667,12 @@
         let topics: Vec<Topic> = epoch.gathered.keys().copied().collect();
         for topic in topics {
             let complete = epoch.complete(table, topic);
-            let open = table.topic(topic).and_then(|standing| standing.open.as_ref());
-            let Some(gathered) = epoch.gathered.get_mut(&topic) else { continue };
+            let open = table
+                .topic(topic)
+                .and_then(|standing| standing.open.as_ref());
+            let Some(gathered) = epoch.gathered.get_mut(&topic) else {
+                continue;
+            };
             let written = |gateway: u32| open.is_some_and(|open| open.accepted.contains(&gateway));
             let due = |accepted: &Accepted| match accepted.proposed_at {
                 Some(at) => now >= at.saturating_add(renew),
@@ -542,22 +683,34 @@
                 continue;
             }
             let again = |at: Micros| now >= at.saturating_add(renew);
-            let unwritten = gathered.by.values_mut().filter(|one| one.proposed_at.is_none_or(again));
+            let unwritten = gathered
+                .by
+                .values_mut()
+                .filter(|one| one.proposed_at.is_none_or(again));
             let by = unwritten.map(|accepted| {
                 accepted.proposed_at = Some(now);
                 (accepted.who, accepted.token)
             });
             let by = by.collect();
-            out.push(Action::Propose(Command::Accept { topic, number: gathered.number, by }));
+            out.push(Action::Propose(Command::Accept {
+                topic,
+                number: gathered.number,
+                by,
+            }));
         }
     }
 
     /// Takes away the seats of gateways whose right has certainly run out.
     fn look_at_seats(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let Timing { renew_us, lease_us, .. } = self.timing;
+        let Timing {
+            renew_us, lease_us, ..
+        } = self.timing;
         let wait = self.timing.wait_us();
         let Some(epoch) = &mut self.epoch else { return };
-        if epoch.looked_at.is_some_and(|at| now < at.saturating_add(renew_us / LOOKS)) {
+        if epoch
+            .looked_at
+            .is_some_and(|at| now < at.saturating_add(renew_us / LOOKS))
+        {
             return;
         }
         epoch.looked_at = Some(now);
@@ -567,21 +720,38 @@
             let again = proposed_at.is_none_or(|at| now >= at.saturating_add(renew_us));
             if now >= heard_at.saturating_add(wait) && again {
                 epoch.expelling.insert(who.gateway, now);
-                out.push(Action::Propose(Command::Expel { who, token, epoch: epoch.number }));
+                out.push(Action::Propose(Command::Expel {
+                    who,
+                    token,
+                    epoch: epoch.number,
+                }));
             }
         }
         // Their right would have run out before they heard of it.
-        epoch.waiting.retain(|waiting| now < waiting.came_at.saturating_add(lease_us));
-        epoch.links.retain(|_, link| now < link.heard_at.saturating_add(FORGET * lease_us));
+        epoch
+            .waiting
+            .retain(|waiting| now < waiting.came_at.saturating_add(lease_us));
+        epoch
+            .links
+            .retain(|_, link| now < link.heard_at.saturating_add(FORGET * lease_us));
     }
 
     /// Asks a quorum whether this member leads still: one question for all that wait.
     fn ask_for_confirmation(&mut self, now: Micros, out: &mut Vec<Action>) {
         let due = self.confirmation_due();
-        let Some(epoch) = self.epoch.as_mut().filter(|epoch| !epoch.waiting.is_empty()) else { return };
+        let Some(epoch) = self
+            .epoch
+            .as_mut()
+            .filter(|epoch| !epoch.waiting.is_empty())
+        else {
+            return;
+        };
         if due.is_none_or(|due| now >= due) {
             self.round += 1;
-            epoch.asked = Some(Round { at: now, answered: false });
+            epoch.asked = Some(Round {
+                at: now,
+                answered: false,
+            });
             out.push(Action::Confirm(self.round));
         }
     }
@@ -600,9 +770,16 @@
             return now.saturating_add(renew);
         }
         let tick = now.saturating_add((renew / TICKS).max(1));
-        let Some(epoch) = &self.epoch else { return tick };
-        let confirmation = self.confirmation_due().filter(|_| !epoch.waiting.is_empty());
-        let verdicts = epoch.gathered.values().flat_map(|gathered| gathered.by.values());
+        let Some(epoch) = &self.epoch else {
+            return tick;
+        };
+        let confirmation = self
+            .confirmation_due()
+            .filter(|_| !epoch.waiting.is_empty());
+        let verdicts = epoch
+            .gathered
+            .values()
+            .flat_map(|gathered| gathered.by.values());
         let write = verdicts.map(|accepted| accepted.came_at.saturating_add(renew / GATHERINGS));
         let due = confirmation.into_iter().chain(write);
         due.filter(|at| *at > now).min().unwrap_or(tick).min(tick)
--- a/control/src/versions/coordinator/tests.rs
+++ b/control/src/versions/coordinator/tests.rs
@@ -1,13 +1,27 @@
 use super::*;
 
-const ME: Holder = Holder { gateway: 1, life: 5 };
-const OTHER: Holder = Holder { gateway: 2, life: 5 };
+const ME: Holder = Holder {
+    gateway: 1,
+    life: 5,
+};
+const OTHER: Holder = Holder {
+    gateway: 2,
+    life: 5,
+};
 const TOPIC: Topic = Topic::Catalog;
 const RENEW: Micros = 1_000_000;
-const TIMING: Timing = Timing { lease_us: 3 * RENEW, renew_us: RENEW, drift_ppm: 1_000, margin_us: 50_000 };
+const TIMING: Timing = Timing {
+    lease_us: 3 * RENEW,
+    renew_us: RENEW,
+    drift_ppm: 1_000,
+    margin_us: 50_000,
+};
 
 fn gateway(number: u32) -> Holder {
-    Holder { gateway: number, life: 7 }
+    Holder {
+        gateway: number,
+        life: 7,
+    }
 }
 
 /// A coordinator whose log takes at once what it proposes.
@@ -21,12 +35,22 @@
     /// One that leads, with seats of these gateways.
     fn leading(gateways: std::ops::RangeInclusive<u32>) -> Member {
         let coordinator = Coordinator::new(ME, TIMING);
-        let mut member = Member { coordinator, now: 1, out: Vec::new() };
+        let mut member = Member {
+            coordinator,
+            now: 1,
+            out: Vec::new(),
+        };
         member.feed(Event::Leading(true));
         member.commit();
         for number in gateways {
-            let formats = Formats { oldest: 1, newest: 1 };
-            member.apply(Command::Join { who: gateway(number), formats });
+            let formats = Formats {
+                oldest: 1,
+                newest: 1,
+            };
+            member.apply(Command::Join {
+                who: gateway(number),
+                formats,
+            });
         }
         member.out.clear();
         member
@@ -56,8 +80,10 @@
     }
 
     fn proposed(&mut self) -> Vec<Command> {
-        let (proposed, rest): (Vec<Action>, Vec<Action>) =
-            self.out.drain(..).partition(|action| matches!(action, Action::Propose(_)));
+        let (proposed, rest): (Vec<Action>, Vec<Action>) = self
+            .out
+            .drain(..)
+            .partition(|action| matches!(action, Action::Propose(_)));
         self.out = rest;
         let command = |action| match action {
             Action::Propose(command) => Some(command),
@@ -67,7 +93,9 @@
     }
 
     fn commit(&mut self) {
-        self.proposed().into_iter().for_each(|command| self.apply(command));
+        self.proposed()
+            .into_iter()
+            .for_each(|command| self.apply(command));
     }
 
     /// The round that was asked for last since the last look.
@@ -77,7 +105,8 @@
             _ => None,
         });
         let last = rounds.next_back();
-        self.out.retain(|action| !matches!(action, Action::Confirm(_)));
+        self.out
+            .retain(|action| !matches!(action, Action::Confirm(_)));
         last
     }
 
@@ -90,15 +119,31 @@
     }
 
     fn token(&self, number: u32) -> Token {
-        self.coordinator.table().seat(gateway(number)).expect("a seat").token
+        self.coordinator
+            .table()
+            .seat(gateway(number))
+            .expect("a seat")
+            .token
     }
 
     fn beat(&mut self, number: u32) {
         let seat = self.coordinator.table().seat(gateway(number));
-        let (token, seen) = (seat.map(|seat| seat.token), self.coordinator.table().changed());
-        let formats = Formats { oldest: 1, newest: 1 };
+        let (token, seen) = (
+            seat.map(|seat| seat.token),
+            self.coordinator.table().changed(),
+        );
+        let formats = Formats {
+            oldest: 1,
+            newest: 1,
+        };
         let (who, sent) = (gateway(number), self.now);
-        self.feed(Event::Received(ToControl::Heartbeat { who, formats, token, sent, seen }));
+        self.feed(Event::Received(ToControl::Heartbeat {
+            who,
+            formats,
+            token,
+            sent,
+            seen,
+        }));
     }
 
     /// Has all heartbeats answered that wait, and forgets the answers.
@@ -116,15 +161,30 @@
     }
 
     fn offer(&mut self, number: u32) -> u64 {
-        let content = Content { format: 1, bytes: Vec::new() };
+        let content = Content {
+            format: 1,
+            bytes: Vec::new(),
+        };
         let (who, token) = (gateway(number), self.token(number));
-        self.apply(Command::Offer { who, token, topic: TOPIC, seen: 0, content });
+        self.apply(Command::Offer {
+            who,
+            token,
+            topic: TOPIC,
+            seen: 0,
+            content,
+        });
         self.coordinator.table().applied().0
     }
 
     fn accept(&mut self, number: u32, version: u64) {
         let (who, token) = (gateway(number), self.token(number));
-        let verdict = ToControl::Verdict { who, token, topic: TOPIC, number: version, verdict: Ok(()) };
+        let verdict = ToControl::Verdict {
+            who,
+            token,
+            topic: TOPIC,
+            number: version,
+            verdict: Ok(()),
+        };
         self.feed(Event::Received(verdict));
     }
 }
@@ -137,7 +197,11 @@
     member.beat(2);
     assert_eq!(member.asked(), None, "one round at a time");
     member.feed(Event::Confirmed(first + 7));
-    assert_eq!(member.kept(), Vec::<u32>::new(), "a round that nobody asked for");
+    assert_eq!(
+        member.kept(),
+        Vec::<u32>::new(),
+        "a round that nobody asked for"
+    );
     member.feed(Event::Confirmed(first));
     assert_eq!(member.kept(), [1]);
     member.tick(RENEW / ROUNDS);
@@ -177,10 +241,17 @@
     member.feed(Event::Leading(false));
     member.feed(Event::Leader(Some(2)));
     member.beat(1);
-    assert_eq!(member.sent(), [(1, ToGateway::Elsewhere { leader: Some(2) })]);
+    assert_eq!(
+        member.sent(),
+        [(1, ToGateway::Elsewhere { leader: Some(2) })]
+    );
     member.feed(Event::Leader(Some(ME.gateway)));
     member.beat(1);
-    assert_eq!(member.sent(), [(1, ToGateway::Elsewhere { leader: None })], "late word of itself");
+    assert_eq!(
+        member.sent(),
+        [(1, ToGateway::Elsewhere { leader: None })],
+        "late word of itself"
+    );
     member.feed(Event::Leading(true));
     member.beat(1);
     assert_eq!(member.proposed(), [Command::Lead { who: ME }]);
@@ -203,7 +274,11 @@
     assert_eq!(member.proposed(), [Command::Lead { who: ME }]);
     member.apply(Command::Lead { who: ME });
     member.feed(Event::Confirmed(round));
-    assert_eq!(member.kept(), Vec::<u32>::new(), "a round of the former epoch");
+    assert_eq!(
+        member.kept(),
+        Vec::<u32>::new(),
+        "a round of the former epoch"
+    );
     member.beat(1);
     let round = member.asked().expect("a round");
     member.feed(Event::Confirmed(round));
@@ -228,7 +303,10 @@
     };
     let waited = member.now - began;
     assert_eq!(expel, Command::Expel { who, token, epoch });
-    assert!((TIMING.wait_us()..TIMING.wait_us() + RENEW / 4).contains(&waited), "{waited}");
+    assert!(
+        (TIMING.wait_us()..TIMING.wait_us() + RENEW / 4).contains(&waited),
+        "{waited}"
+    );
     // From now on it is not kept, even if it comes back before the log has the entry; and it is asked for again.
     member.settle();
     member.beat(2);
@@ -248,7 +326,11 @@
     member.pass(5 * RENEW, &[1, 2]);
     member.out.clear();
     member.tick(60 * RENEW);
-    assert_eq!(member.proposed(), [], "they may have been heard, had it listened");
+    assert_eq!(
+        member.proposed(),
+        [],
+        "they may have been heard, had it listened"
+    );
     member.pass(10 * RENEW, &[1]);
     let expelled = member
         .proposed()
@@ -266,18 +348,36 @@
     assert_eq!(member.proposed(), []);
     member.tick(RENEW / GATHERINGS);
     let accepted = member.proposed();
-    assert!(matches!(&accepted[..], [Command::Accept { by, .. }] if by.len() == 2), "{accepted:?}");
+    assert!(
+        matches!(&accepted[..], [Command::Accept { by, .. }] if by.len() == 2),
+        "{accepted:?}"
+    );
     member.accept(2, version);
     assert_eq!(member.proposed(), [], "said again");
     // The proposal is lost: it is made again, with the last one, which decides.
     member.accept(3, version);
     let accepted = member.proposed();
-    assert!(matches!(&accepted[..], [Command::Accept { by, .. }] if by.len() == 1), "{accepted:?}");
+    assert!(
+        matches!(&accepted[..], [Command::Accept { by, .. }] if by.len() == 1),
+        "{accepted:?}"
+    );
     member.tick(RENEW);
     let accepted = member.proposed();
-    assert!(matches!(&accepted[..], [Command::Accept { by, .. }] if by.len() == 3), "{accepted:?}");
-    accepted.into_iter().for_each(|command| member.apply(command));
-    assert_eq!(member.coordinator.table().topic(TOPIC).map(|standing| standing.number()), Some(version));
+    assert!(
+        matches!(&accepted[..], [Command::Accept { by, .. }] if by.len() == 3),
+        "{accepted:?}"
+    );
+    accepted
+        .into_iter()
+        .for_each(|command| member.apply(command));
+    assert_eq!(
+        member
+            .coordinator
+            .table()
+            .topic(TOPIC)
+            .map(|standing| standing.number()),
+        Some(version)
+    );
 }
 
 #[test]
@@ -304,7 +404,10 @@
             _ => None,
         })
         .collect();
-    assert!(!expelled.is_empty() && expelled.iter().all(|who| *who == gateway(3)), "{expelled:?}");
+    assert!(
+        !expelled.is_empty() && expelled.iter().all(|who| *who == gateway(3)),
+        "{expelled:?}"
+    );
 }
 
 #[test]
@@ -314,12 +417,23 @@
     let published = |action: &Action| matches!(action, Action::Broadcast(ToGateway::State { .. }));
     assert!(member.out.iter().any(published));
     member.out.clear();
-    let formats = Formats { oldest: 1, newest: 1 };
+    let formats = Formats {
+        oldest: 1,
+        newest: 1,
+    };
     let (who, token) = (gateway(1), Some(member.token(1)));
-    let behind = ToControl::Heartbeat { who, formats, token, sent: member.now, seen: Index(0) };
+    let behind = ToControl::Heartbeat {
+        who,
+        formats,
+        token,
+        sent: member.now,
+        seen: Index(0),
+    };
     let states = |member: &mut Member| {
         let sent = member.sent();
-        sent.iter().filter(|(_, message)| matches!(message, ToGateway::State { .. })).count()
+        sent.iter()
+            .filter(|(_, message)| matches!(message, ToGateway::State { .. }))
+            .count()
     };
     member.feed(Event::Received(behind.clone()));
     assert_eq!(states(&mut member), 1);
--- a/control/src/versions/mod.rs
+++ b/control/src/versions/mod.rs
@@ -69,7 +69,12 @@
 
 impl Topic {
     /// All of them; their order is the same in every version of the program.
-    pub const ALL: [Topic; 4] = [Topic::Operator, Topic::Placement, Topic::Catalog, Topic::Program];
+    pub const ALL: [Topic; 4] = [
+        Topic::Operator,
+        Topic::Placement,
+        Topic::Catalog,
+        Topic::Program,
+    ];
 
     /// Its place in [`Topic::ALL`].
     pub fn number(self) -> u32 {
@@ -78,7 +83,10 @@
 
     /// The topic at a place, if there is one.
     pub fn numbered(number: u32) -> Option<Topic> {
-        usize::try_from(number).ok().and_then(|place| Topic::ALL.get(place)).copied()
+        usize::try_from(number)
+            .ok()
+            .and_then(|place| Topic::ALL.get(place))
+            .copied()
     }
 }
 
--- a/control/src/versions/table.rs
+++ b/control/src/versions/table.rs
@@ -1,7 +1,8 @@
 //! What the log says of versions and seats: applied entry by entry, alike at every control member.
 
 use super::{
-    reason_up_to_longest, Audit, Command, Content, Formats, Holder, Index, Token, Topic, LONGEST_CONTENT,
+    reason_up_to_longest, Audit, Command, Content, Formats, Holder, Index, Token, Topic,
+    LONGEST_CONTENT,
 };
 use crate::lease::Gap;
 use serde::{Deserialize, Serialize};
@@ -59,7 +60,9 @@
 
     /// Whether the version of this number is offered.
     pub fn opened(&self, number: u64) -> bool {
-        self.open.as_ref().is_some_and(|open| open.version.number == number)
+        self.open
+            .as_ref()
+            .is_some_and(|open| open.version.number == number)
     }
 }
 
@@ -180,7 +183,9 @@
 
     /// The topics that were ever offered.
     pub fn topics(&self) -> impl Iterator<Item = (Topic, &Standing)> {
-        self.topics.iter().map(|(topic, standing)| (*topic, standing))
+        self.topics
+            .iter()
+            .map(|(topic, standing)| (*topic, standing))
     }
 
     /// Who acted on which version.
@@ -200,13 +205,21 @@
 
     /// The entry that last changed how a topic stands; 0 before the first.
     pub fn changed(&self) -> Index {
-        self.topics.values().map(|standing| standing.changed).max().unwrap_or_default()
+        self.topics
+            .values()
+            .map(|standing| standing.changed)
+            .max()
+            .unwrap_or_default()
     }
 
     /// The version that a newcomer has to wait for: the seats that decide on it are those that there are.
     pub fn awaited(&self) -> Option<u64> {
-        let open = self.topics.values().find_map(|standing| standing.open.as_ref());
-        open.filter(|_| !self.seats.is_empty()).map(|open| open.version.number)
+        let open = self
+            .topics
+            .values()
+            .find_map(|standing| standing.open.as_ref());
+        open.filter(|_| !self.seats.is_empty())
+            .map(|open| open.version.number)
     }
 
     /// Whether a gateway may have a seat now, that it has none.
@@ -219,9 +232,14 @@
         if let Some(number) = self.awaited() {
             return Err(Refusal::Busy(number));
         }
-        let mut in_force = self.topics.values().filter_map(|standing| standing.in_force.as_ref());
+        let mut in_force = self
+            .topics
+            .values()
+            .filter_map(|standing| standing.in_force.as_ref());
         match in_force.find(|version| !formats.understand(version.content.format)) {
-            Some(version) => Err(Refusal::Format { needed: version.content.format }),
+            Some(version) => Err(Refusal::Format {
+                needed: version.content.format,
+            }),
             None => Ok(()),
         }
     }
@@ -254,13 +272,20 @@
 
     /// Whether a late action is to be refused: its seat is not the one that its gateway has now.
     pub fn refuses(&self, gateway: u32, token: Token) -> bool {
-        self.seats.get(&gateway).is_none_or(|seat| seat.token != token)
+        self.seats
+            .get(&gateway)
+            .is_none_or(|seat| seat.token != token)
     }
 
     /// Applies the entry at `index`, which must be the next one (or one applied before, which is left alone).
     ///
     /// Errors: [`Gap`] where entries in between were not applied; nothing changes then.
-    pub fn apply(&mut self, index: Index, command: &Command, out: &mut Vec<Outcome>) -> Result<(), Gap> {
+    pub fn apply(
+        &mut self,
+        index: Index,
+        command: &Command,
+        out: &mut Vec<Outcome>,
+    ) -> Result<(), Gap> {
         if index <= self.applied {
             return Ok(());
         }
@@ -295,18 +320,37 @@
                 self.vacate(seat);
                 Ok(Outcome::Expelled(seat))
             }
-            Command::Offer { who, token, topic, seen, content } => {
+            Command::Offer {
+                who,
+                token,
+                topic,
+                seen,
+                content,
+            } => {
                 self.offerable(*who, *token, *topic, *seen, content)?;
                 Ok(self.offer(index, *who, *topic, content))
             }
             Command::Accept { topic, number, by } => self.accept(*topic, *number, by),
-            Command::Refuse { who, token, topic, number, reason } => {
+            Command::Refuse {
+                who,
+                token,
+                topic,
+                number,
+                reason,
+            } => {
                 self.seated(*who, *token)?;
                 self.refuse(index, *who, *topic, *number, reason)
             }
-            Command::Report { who, sequence, spans } => {
+            Command::Report {
+                who,
+                sequence,
+                spans,
+            } => {
                 let counted = self.audit.report(*who, *sequence, spans);
-                let reported = Outcome::Reported { who: *who, sequence: *sequence };
+                let reported = Outcome::Reported {
+                    who: *who,
+                    sequence: *sequence,
+                };
                 counted.then_some(reported).ok_or(Refusal::Settled)
             }
         }
@@ -321,7 +365,10 @@
     fn vacate(&mut self, seat: Seat) {
         let gateway = seat.who.gateway;
         self.seats.remove(&gateway);
-        let open = self.topics.values_mut().filter_map(|standing| standing.open.as_mut());
+        let open = self
+            .topics
+            .values_mut()
+            .filter_map(|standing| standing.open.as_mut());
         open.for_each(|open| {
             open.accepted.remove(&gateway);
         });
@@ -329,27 +376,51 @@
 
     fn join(&mut self, index: Index, who: Holder, formats: Formats) -> Result<Outcome, Refusal> {
         self.joinable(who, formats)?;
-        let seat = Seat { who, token: Token(index.0), formats };
+        let seat = Seat {
+            who,
+            token: Token(index.0),
+            formats,
+        };
         self.seats.insert(who.gateway, seat);
         Ok(Outcome::Seated(seat))
     }
 
     fn offer(&mut self, index: Index, by: Holder, topic: Topic, content: &Content) -> Outcome {
-        let version = Version { number: index.0, content: content.clone() };
+        let version = Version {
+            number: index.0,
+            content: content.clone(),
+        };
         let standing = self.topics.entry(topic).or_default();
-        standing.open = Some(Open { version, by, accepted: BTreeSet::new() });
+        standing.open = Some(Open {
+            version,
+            by,
+            accepted: BTreeSet::new(),
+        });
         standing.changed = index;
-        Outcome::Offered { topic, number: index.0 }
+        Outcome::Offered {
+            topic,
+            number: index.0,
+        }
     }
 
     /// How a topic stands whose open version has this number.
     fn standing(&mut self, topic: Topic, number: u64) -> Result<&mut Standing, Refusal> {
-        let standing = self.topics.get_mut(&topic).filter(|standing| standing.opened(number));
+        let standing = self
+            .topics
+            .get_mut(&topic)
+            .filter(|standing| standing.opened(number));
         standing.ok_or(Refusal::Settled)
     }
 
-    fn accept(&mut self, topic: Topic, number: u64, by: &[(Holder, Token)]) -> Result<Outcome, Refusal> {
-        let seated = by.iter().filter(|(who, token)| self.seated(*who, *token).is_ok());
+    fn accept(
+        &mut self,
+        topic: Topic,
+        number: u64,
+        by: &[(Holder, Token)],
+    ) -> Result<Outcome, Refusal> {
+        let seated = by
+            .iter()
+            .filter(|(who, token)| self.seated(*who, *token).is_ok());
         let accepted: Vec<u32> = seated.map(|(who, _)| who.gateway).collect();
         if accepted.is_empty() {
             return Err(Refusal::Stale);
@@ -372,7 +443,12 @@
         standing.open = None;
         standing.changed = index;
         let reason = reason_up_to_longest(reason);
-        Ok(Outcome::Dropped { topic, number, by, reason })
+        Ok(Outcome::Dropped {
+            topic,
+            number,
+            by,
+            reason,
+        })
     }
 
     /// Puts in force what all who may act have accepted.
@@ -388,7 +464,11 @@
                 standing.before = before;
                 standing.in_force = Some(open.version);
                 standing.changed = index;
-                out.push(Outcome::InForce { topic: *topic, number, before });
+                out.push(Outcome::InForce {
+                    topic: *topic,
+                    number,
+                    before,
+                });
             }
         }
     }
--- a/control/src/versions/table/tests.rs
+++ b/control/src/versions/table/tests.rs
@@ -1,7 +1,10 @@
 use super::*;
 
 const TOPIC: Topic = Topic::Catalog;
-const FORMATS: Formats = Formats { oldest: 1, newest: 1 };
+const FORMATS: Formats = Formats {
+    oldest: 1,
+    newest: 1,
+};
 
 fn who(gateway: u32) -> Holder {
     Holder { gateway, life: 1 }
@@ -16,7 +19,9 @@
     fn apply(&mut self, command: Command) -> Vec<Outcome> {
         let mut out = Vec::new();
         let index = Index(self.table.applied().0 + 1);
-        self.table.apply(index, &command, &mut out).expect("the next entry");
+        self.table
+            .apply(index, &command, &mut out)
+            .expect("the next entry");
         out
     }
 
@@ -28,20 +33,39 @@
     }
 
     fn join(&mut self, gateway: u32) -> Token {
-        self.apply(Command::Join { who: who(gateway), formats: FORMATS });
+        self.apply(Command::Join {
+            who: who(gateway),
+            formats: FORMATS,
+        });
         self.table.seat(who(gateway)).expect("a seat").token
     }
 
     fn offer(&mut self, gateway: u32, token: Token) -> u64 {
         let seen = self.table.topic(TOPIC).map_or(0, Standing::number);
-        let content = Content { format: 1, bytes: Vec::new() };
-        self.apply(Command::Offer { who: who(gateway), token, topic: TOPIC, seen, content });
+        let content = Content {
+            format: 1,
+            bytes: Vec::new(),
+        };
+        self.apply(Command::Offer {
+            who: who(gateway),
+            token,
+            topic: TOPIC,
+            seen,
+            content,
+        });
         self.table.applied().0
     }
 
     fn accept(&mut self, number: u64, by: &[(u32, Token)]) -> Vec<Outcome> {
-        let by = by.iter().map(|(gateway, token)| (who(*gateway), *token)).collect();
-        self.apply(Command::Accept { topic: TOPIC, number, by })
+        let by = by
+            .iter()
+            .map(|(gateway, token)| (who(*gateway), *token))
+            .collect();
+        self.apply(Command::Accept {
+            topic: TOPIC,
+            number,
+            by,
+        })
     }
 }
 
@@ -50,15 +74,25 @@
     let mut log = Log::default();
     log.apply(Command::Lead { who: who(1) });
     let (first, token) = (log.table.epoch(), log.join(2));
-    let expel = |epoch| Command::Expel { who: who(2), token, epoch };
+    let expel = |epoch| Command::Expel {
+        who: who(2),
+        token,
+        epoch,
+    };
     log.apply(Command::Lead { who: who(3) });
     let second = log.table.epoch();
     assert!(second > first);
     assert_eq!(log.refused(expel(first)), Refusal::Epoch);
-    let other = Command::Expel { who: who(2), token: Token(token.0 + 1), epoch: second };
+    let other = Command::Expel {
+        who: who(2),
+        token: Token(token.0 + 1),
+        epoch: second,
+    };
     assert_eq!(log.refused(other), Refusal::Stale);
     assert_eq!(log.table.seats().count(), 1);
-    assert!(matches!(log.apply(expel(second))[..], [Outcome::Expelled(seat)] if seat.token == token));
+    assert!(
+        matches!(log.apply(expel(second))[..], [Outcome::Expelled(seat)] if seat.token == token)
+    );
     assert_eq!(log.table.seats().count(), 0);
     assert_eq!(log.refused(expel(second)), Refusal::Stale, "doubled");
 }
@@ -69,17 +103,46 @@
     let (one, two) = (log.join(1), log.join(2));
     let number = log.offer(1, one);
     assert_eq!(log.table.changed(), Index(number));
-    assert_eq!(log.accept(number, &[(2, Token(99))]), [Outcome::Refused(Refusal::Stale)]);
-    assert_eq!(log.accept(number, &[(1, one)]), [Outcome::Accepted { topic: TOPIC, number }]);
-    assert_eq!(log.accept(number + 1, &[(2, two)]), [Outcome::Refused(Refusal::Settled)]);
+    assert_eq!(
+        log.accept(number, &[(2, Token(99))]),
+        [Outcome::Refused(Refusal::Stale)]
+    );
+    assert_eq!(
+        log.accept(number, &[(1, one)]),
+        [Outcome::Accepted {
+            topic: TOPIC,
+            number
+        }]
+    );
+    assert_eq!(
+        log.accept(number + 1, &[(2, two)]),
+        [Outcome::Refused(Refusal::Settled)]
+    );
     let done = log.accept(number, &[(1, one), (2, two)]);
-    assert_eq!(done[1], Outcome::InForce { topic: TOPIC, number, before: 0 });
+    assert_eq!(
+        done[1],
+        Outcome::InForce {
+            topic: TOPIC,
+            number,
+            before: 0
+        }
+    );
     assert_eq!(log.table.changed(), log.table.applied());
     // The seat that holds up the next one goes, and the others' acceptances decide.
     let next = log.offer(2, two);
     log.accept(next, &[(1, one)]);
-    let left = log.apply(Command::Leave { who: who(2), token: two });
-    assert_eq!(left[1], Outcome::InForce { topic: TOPIC, number: next, before: number });
+    let left = log.apply(Command::Leave {
+        who: who(2),
+        token: two,
+    });
+    assert_eq!(
+        left[1],
+        Outcome::InForce {
+            topic: TOPIC,
+            number: next,
+            before: number
+        }
+    );
 }
 
 #[test]
@@ -87,11 +150,21 @@
     let mut log = Log::default();
     let (one, two) = (log.join(1), log.join(2));
     let number = log.offer(1, one);
-    let refuse =
-        |token| Command::Refuse { who: who(2), token, topic: TOPIC, number, reason: "spoilt".into() };
+    let refuse = |token| Command::Refuse {
+        who: who(2),
+        token,
+        topic: TOPIC,
+        number,
+        reason: "spoilt".into(),
+    };
     assert_eq!(log.refused(refuse(one)), Refusal::Stale);
     let by = who(2);
-    let dropped = Outcome::Dropped { topic: TOPIC, number, by, reason: "spoilt".into() };
+    let dropped = Outcome::Dropped {
+        topic: TOPIC,
+        number,
+        by,
+        reason: "spoilt".into(),
+    };
     assert_eq!(log.apply(refuse(two)), [dropped]);
     assert_eq!(log.table.changed(), log.table.applied());
     assert_eq!(log.refused(refuse(two)), Refusal::Settled);
@@ -103,16 +176,38 @@
     let mut log = Log::default();
     let one = log.join(1);
     let number = log.offer(1, one);
-    let join = Command::Join { who: who(2), formats: FORMATS };
+    let join = Command::Join {
+        who: who(2),
+        formats: FORMATS,
+    };
     assert_eq!(log.refused(join.clone()), Refusal::Busy(number));
-    log.apply(Command::Leave { who: who(1), token: one });
+    log.apply(Command::Leave {
+        who: who(1),
+        token: one,
+    });
     let two = log.join(2);
-    let third = Command::Join { who: who(3), formats: FORMATS };
+    let third = Command::Join {
+        who: who(3),
+        formats: FORMATS,
+    };
     assert_eq!(log.refused(third.clone()), Refusal::Busy(number));
     let done = log.accept(number, &[(2, two)]);
-    assert_eq!(done[1], Outcome::InForce { topic: TOPIC, number, before: 0 });
+    assert_eq!(
+        done[1],
+        Outcome::InForce {
+            topic: TOPIC,
+            number,
+            before: 0
+        }
+    );
     assert!(matches!(log.apply(third)[..], [Outcome::Seated(_)]));
     assert_eq!(log.refused(join), Refusal::Occupied);
-    let old = Command::Join { who: who(4), formats: Formats { oldest: 2, newest: 3 } };
+    let old = Command::Join {
+        who: who(4),
+        formats: Formats {
+            oldest: 2,
+            newest: 3,
+        },
+    };
     assert_eq!(log.refused(old), Refusal::Format { needed: 1 });
 }
--- a/control/src/versions/wire.rs
+++ b/control/src/versions/wire.rs
@@ -18,7 +18,13 @@
     /// Its bytes.
     pub fn encode(&self) -> Vec<u8> {
         let body = match self {
-            ToControl::Heartbeat { who, formats, token, sent, seen } => FromGateway::Heartbeat(Heartbeat {
+            ToControl::Heartbeat {
+                who,
+                formats,
+                token,
+                sent,
+                seen,
+            } => FromGateway::Heartbeat(Heartbeat {
                 who: Who::of(*who),
                 oldest: formats.oldest,
                 newest: formats.newest,
@@ -26,14 +32,26 @@
                 sent: *sent,
                 seen: seen.0,
             }),
-            ToControl::Verdict { who, token, topic, number, verdict } => FromGateway::Verdict(Verdict {
+            ToControl::Verdict {
+                who,
+                token,
+                topic,
+                number,
+                verdict,
+            } => FromGateway::Verdict(Verdict {
                 who: Who::of(*who),
                 token: token.0,
                 topic: topic.number(),
                 number: *number,
                 refused: verdict.as_ref().err().cloned(),
             }),
-            ToControl::Offer { who, token, topic, seen, content } => FromGateway::Offer(Offer {
+            ToControl::Offer {
+                who,
+                token,
+                topic,
+                seen,
+                content,
+            } => FromGateway::Offer(Offer {
                 who: Who::of(*who),
                 token: token.0,
                 topic: topic.number(),
@@ -41,9 +59,11 @@
                 format: content.format,
                 content: content.bytes.clone(),
             }),
-            ToControl::Report { who, sequence, spans } => {
-                FromGateway::Report(Report::of(*who, *sequence, spans))
-            }
+            ToControl::Report {
+                who,
+                sequence,
+                spans,
+            } => FromGateway::Report(Report::of(*who, *sequence, spans)),
             ToControl::Leave { who, token } => FromGateway::Leave(Seat::of(*who, *token)),
         };
         ControlMessage { body: Some(body) }.encode_to_vec()
@@ -57,7 +77,10 @@
         Ok(match message.body.ok_or(BadEntry::Unknown("kind"))? {
             FromGateway::Heartbeat(heartbeat) => ToControl::Heartbeat {
                 who: heartbeat.who.holder(),
-                formats: Formats { oldest: heartbeat.oldest, newest: heartbeat.newest },
+                formats: Formats {
+                    oldest: heartbeat.oldest,
+                    newest: heartbeat.newest,
+                },
                 token: heartbeat.token.map(Token),
                 sent: heartbeat.sent,
                 seen: Index(heartbeat.seen),
@@ -67,7 +90,9 @@
                 token: Token(verdict.token),
                 topic: topic(verdict.topic)?,
                 number: verdict.number,
-                verdict: verdict.refused.map_or(Ok(()), |reason| Err(reason_up_to_longest(&reason))),
+                verdict: verdict
+                    .refused
+                    .map_or(Ok(()), |reason| Err(reason_up_to_longest(&reason))),
             },
             FromGateway::Offer(offer) => ToControl::Offer {
                 who: offer.who.holder(),
@@ -81,7 +106,10 @@
                 sequence: report.sequence,
                 spans: report.spans()?,
             },
-            FromGateway::Leave(seat) => ToControl::Leave { who: seat.who.holder(), token: Token(seat.token) },
+            FromGateway::Leave(seat) => ToControl::Leave {
+                who: seat.who.holder(),
+                token: Token(seat.token),
+            },
         })
     }
 }
@@ -90,30 +118,48 @@
     /// Its bytes.
     pub fn encode(&self) -> Vec<u8> {
         let body = match self {
-            ToGateway::Kept { who, token, sent, required, seats } => FromControl::Kept(Kept {
+            ToGateway::Kept {
+                who,
+                token,
+                sent,
+                required,
+                seats,
+            } => FromControl::Kept(Kept {
                 who: Who::of(*who),
                 token: token.0,
                 sent: *sent,
                 required: required.0,
                 seats: *seats,
             }),
-            ToGateway::State { as_of, since, topics } => FromControl::State(State {
+            ToGateway::State {
+                as_of,
+                since,
+                topics,
+            } => FromControl::State(State {
                 as_of: as_of.0,
                 since: since.0,
                 topics: topics.iter().map(Standing::of).collect(),
             }),
             ToGateway::Gone { who, token } => FromControl::Gone(Seat::of(*who, *token)),
             ToGateway::Refused { who, why } => FromControl::Refused(Refused::of(*who, *why)),
-            ToGateway::Dropped { topic, number, by, reason } => FromControl::Dropped(Dropped {
+            ToGateway::Dropped {
+                topic,
+                number,
+                by,
+                reason,
+            } => FromControl::Dropped(Dropped {
                 topic: topic.number(),
                 number: *number,
                 by: Who::of(*by),
                 reason: reason.clone(),
             }),
-            ToGateway::Reported { who, sequence } => {
-                FromControl::Reported(Reported { who: Who::of(*who), sequence: *sequence })
+            ToGateway::Reported { who, sequence } => FromControl::Reported(Reported {
+                who: Who::of(*who),
+                sequence: *sequence,
+            }),
+            ToGateway::Elsewhere { leader } => {
+                FromControl::Elsewhere(Elsewhere { leader: *leader })
             }
-            ToGateway::Elsewhere { leader } => FromControl::Elsewhere(Elsewhere { leader: *leader }),
         };
         GatewayMessage { body: Some(body) }.encode_to_vec()
     }
@@ -142,20 +188,27 @@
                     topics: topics.collect::<Result<_, BadEntry>>()?,
                 }
             }
-            FromControl::Gone(seat) => ToGateway::Gone { who: seat.who.holder(), token: Token(seat.token) },
-            FromControl::Refused(refused) => {
-                ToGateway::Refused { who: refused.who.holder(), why: refused.refusal()? }
-            }
+            FromControl::Gone(seat) => ToGateway::Gone {
+                who: seat.who.holder(),
+                token: Token(seat.token),
+            },
+            FromControl::Refused(refused) => ToGateway::Refused {
+                who: refused.who.holder(),
+                why: refused.refusal()?,
+            },
             FromControl::Dropped(dropped) => ToGateway::Dropped {
                 topic: topic(dropped.topic)?,
                 number: dropped.number,
                 by: dropped.by.holder(),
                 reason: reason_up_to_longest(&dropped.reason),
             },
-            FromControl::Reported(reported) => {
-                ToGateway::Reported { who: reported.who.holder(), sequence: reported.sequence }
-            }
-            FromControl::Elsewhere(elsewhere) => ToGateway::Elsewhere { leader: elsewhere.leader },
+            FromControl::Reported(reported) => ToGateway::Reported {
+                who: reported.who.holder(),
+                sequence: reported.sequence,
+            },
+            FromControl::Elsewhere(elsewhere) => ToGateway::Elsewhere {
+                leader: elsewhere.leader,
+            },
         })
     }
 }
@@ -191,12 +244,18 @@
 impl Who {
     /// How it is written.
     pub(crate) fn of(holder: Holder) -> Who {
-        Who { gateway: holder.gateway, life: holder.life }
+        Who {
+            gateway: holder.gateway,
+            life: holder.life,
+        }
     }
 
     /// What it says.
     pub(crate) fn holder(&self) -> Holder {
-        Holder { gateway: self.gateway, life: self.life }
+        Holder {
+            gateway: self.gateway,
+            life: self.life,
+        }
     }
 }
 
@@ -235,7 +294,11 @@
             until: span.until,
             count: span.count,
         };
-        Report { who: Who::of(who), sequence, spans: spans.iter().map(acted).collect() }
+        Report {
+            who: Who::of(who),
+            sequence,
+            spans: spans.iter().map(acted).collect(),
+        }
     }
 
     /// What it says was done.
@@ -333,7 +396,10 @@
 
 impl Seat {
     fn of(who: Holder, token: Token) -> Seat {
-        Seat { who: Who::of(who), token: token.0 }
+        Seat {
+            who: Who::of(who),
+            token: token.0,
+        }
     }
 }
 
@@ -456,7 +522,11 @@
             Refusal::TooLong => (7, 0),
             Refusal::Settled => (8, 0),
         };
-        Refused { who: Who::of(who), why, number }
+        Refused {
+            who: Who::of(who),
+            why,
+            number,
+        }
     }
 
     fn refusal(&self) -> Result<Refusal, BadEntry> {
--- a/control/src/versions/wire/tests.rs
+++ b/control/src/versions/wire/tests.rs
@@ -2,23 +2,68 @@
 use crate::fuzz;
 use crate::versions::LONGEST_REASON;
 
-const A: Holder = Holder { gateway: 3, life: 9 };
+const A: Holder = Holder {
+    gateway: 3,
+    life: 9,
+};
 const TOKEN: Token = Token(17);
 
 fn to_control() -> Vec<ToControl> {
-    let content = Content { format: 2, bytes: vec![7; 40] };
-    let span = Span { topic: Topic::Catalog, number: 5, from: 6, until: 7, count: 8 };
-    let formats = Formats { oldest: 1, newest: 2 };
-    let judge =
-        |verdict| ToControl::Verdict { who: A, token: TOKEN, topic: Topic::Operator, number: 4, verdict };
+    let content = Content {
+        format: 2,
+        bytes: vec![7; 40],
+    };
+    let span = Span {
+        topic: Topic::Catalog,
+        number: 5,
+        from: 6,
+        until: 7,
+        count: 8,
+    };
+    let formats = Formats {
+        oldest: 1,
+        newest: 2,
+    };
+    let judge = |verdict| ToControl::Verdict {
+        who: A,
+        token: TOKEN,
+        topic: Topic::Operator,
+        number: 4,
+        verdict,
+    };
     vec![
-        ToControl::Heartbeat { who: A, formats, token: None, sent: 1, seen: Index(0) },
-        ToControl::Heartbeat { who: A, formats, token: Some(TOKEN), sent: u64::MAX, seen: Index(3) },
+        ToControl::Heartbeat {
+            who: A,
+            formats,
+            token: None,
+            sent: 1,
+            seen: Index(0),
+        },
+        ToControl::Heartbeat {
+            who: A,
+            formats,
+            token: Some(TOKEN),
+            sent: u64::MAX,
+            seen: Index(3),
+        },
         judge(Ok(())),
         judge(Err("spoilt".into())),
-        ToControl::Offer { who: A, token: TOKEN, topic: Topic::Program, seen: 4, content },
-        ToControl::Report { who: A, sequence: 2, spans: vec![span, span] },
-        ToControl::Leave { who: A, token: TOKEN },
+        ToControl::Offer {
+            who: A,
+            token: TOKEN,
+            topic: Topic::Program,
+            seen: 4,
+            content,
+        },
+        ToControl::Report {
+            who: A,
+            sequence: 2,
+            spans: vec![span, span],
+        },
+        ToControl::Leave {
+            who: A,
+            token: TOKEN,
+        },
     ]
 }
 
@@ -33,18 +78,56 @@
         Refusal::TooLong,
         Refusal::Settled,
     ];
-    let content = Content { format: 1, bytes: vec![1; 30] };
+    let content = Content {
+        format: 1,
+        bytes: vec![1; 30],
+    };
     let topics = vec![
-        TopicState { topic: Topic::Catalog, in_force: 4, before: 2, open: Some((9, content)) },
-        TopicState { topic: Topic::Operator, in_force: 0, before: 0, open: None },
+        TopicState {
+            topic: Topic::Catalog,
+            in_force: 4,
+            before: 2,
+            open: Some((9, content)),
+        },
+        TopicState {
+            topic: Topic::Operator,
+            in_force: 0,
+            before: 0,
+            open: None,
+        },
     ];
     let mut all = vec![
-        ToGateway::Kept { who: A, token: TOKEN, sent: 5, required: Index(9), seats: 410 },
-        ToGateway::State { as_of: Index(9), since: Index(2), topics },
-        ToGateway::State { as_of: Index(9), since: Index(9), topics: Vec::new() },
-        ToGateway::Gone { who: A, token: TOKEN },
-        ToGateway::Dropped { topic: Topic::Catalog, number: 4, by: A, reason: "spoilt".into() },
-        ToGateway::Reported { who: A, sequence: 3 },
+        ToGateway::Kept {
+            who: A,
+            token: TOKEN,
+            sent: 5,
+            required: Index(9),
+            seats: 410,
+        },
+        ToGateway::State {
+            as_of: Index(9),
+            since: Index(2),
+            topics,
+        },
+        ToGateway::State {
+            as_of: Index(9),
+            since: Index(9),
+            topics: Vec::new(),
+        },
+        ToGateway::Gone {
+            who: A,
+            token: TOKEN,
+        },
+        ToGateway::Dropped {
+            topic: Topic::Catalog,
+            number: 4,
+            by: A,
+            reason: "spoilt".into(),
+        },
+        ToGateway::Reported {
+            who: A,
+            sequence: 3,
+        },
         ToGateway::Elsewhere { leader: None },
         ToGateway::Elsewhere { leader: Some(2) },
     ];
@@ -64,7 +147,9 @@
         }
     };
     (0..bytes.len()).for_each(|end| again(&bytes[..end]));
-    fuzz::cuts(bytes, |ends| ends.iter().for_each(|end| again(&bytes[..*end])));
+    fuzz::cuts(bytes, |ends| {
+        ends.iter().for_each(|end| again(&bytes[..*end]))
+    });
     fuzz::garbage(bytes, again);
 }
 
@@ -84,26 +169,72 @@
 
 #[test]
 fn what_is_longer_than_any_build_writes_is_refused_and_a_long_reason_is_cut() {
-    let content = Content { format: 1, bytes: vec![0; LONGEST_CONTENT + 1] };
-    let offer = ToControl::Offer { who: A, token: TOKEN, topic: Topic::Catalog, seen: 0, content };
-    assert_eq!(ToControl::decode(&offer.encode()), Err(BadEntry::TooLong("content")));
-    let span = Span { topic: Topic::Catalog, number: 5, from: 6, until: 7, count: 8 };
-    let report = ToControl::Report { who: A, sequence: 1, spans: vec![span; SPANS + 1] };
-    assert_eq!(ToControl::decode(&report.encode()), Err(BadEntry::TooLong("list of spans")));
-    let state = TopicState { topic: Topic::Catalog, in_force: 1, before: 0, open: None };
+    let content = Content {
+        format: 1,
+        bytes: vec![0; LONGEST_CONTENT + 1],
+    };
+    let offer = ToControl::Offer {
+        who: A,
+        token: TOKEN,
+        topic: Topic::Catalog,
+        seen: 0,
+        content,
+    };
+    assert_eq!(
+        ToControl::decode(&offer.encode()),
+        Err(BadEntry::TooLong("content"))
+    );
+    let span = Span {
+        topic: Topic::Catalog,
+        number: 5,
+        from: 6,
+        until: 7,
+        count: 8,
+    };
+    let report = ToControl::Report {
+        who: A,
+        sequence: 1,
+        spans: vec![span; SPANS + 1],
+    };
+    assert_eq!(
+        ToControl::decode(&report.encode()),
+        Err(BadEntry::TooLong("list of spans"))
+    );
+    let state = TopicState {
+        topic: Topic::Catalog,
+        in_force: 1,
+        before: 0,
+        open: None,
+    };
     let topics = vec![state; Topic::ALL.len() + 1];
-    let state = ToGateway::State { as_of: Index(2), since: Index(1), topics };
-    assert_eq!(ToGateway::decode(&state.encode()), Err(BadEntry::TooLong("list of topics")));
-    assert_eq!(ToGateway::decode(&vec![0; LONGEST + 1]), Err(BadEntry::TooLong("length")));
+    let state = ToGateway::State {
+        as_of: Index(2),
+        since: Index(1),
+        topics,
+    };
+    assert_eq!(
+        ToGateway::decode(&state.encode()),
+        Err(BadEntry::TooLong("list of topics"))
+    );
+    assert_eq!(
+        ToGateway::decode(&vec![0; LONGEST + 1]),
+        Err(BadEntry::TooLong("length"))
+    );
     // Cut at a whole character.
     let reason = format!("a{}", "ü".repeat(LONGEST_REASON));
-    assert_eq!(reason_up_to_longest(&reason), format!("a{}", "ü".repeat(LONGEST_REASON / 2 - 1)));
+    assert_eq!(
+        reason_up_to_longest(&reason),
+        format!("a{}", "ü".repeat(LONGEST_REASON / 2 - 1))
+    );
     assert_eq!(reason_up_to_longest("short"), "short");
 }
 
 #[test]
 fn the_open_versions_of_all_topics_fit_into_one_message() {
-    let content = Content { format: u32::MAX, bytes: vec![255; LONGEST_CONTENT] };
+    let content = Content {
+        format: u32::MAX,
+        bytes: vec![255; LONGEST_CONTENT],
+    };
     let state = |topic| TopicState {
         topic,
         in_force: u64::MAX,
@@ -111,6 +242,10 @@
         open: Some((u64::MAX, content.clone())),
     };
     let topics = Topic::ALL.map(state).to_vec();
-    let state = ToGateway::State { as_of: Index(u64::MAX), since: Index(u64::MAX), topics };
+    let state = ToGateway::State {
+        as_of: Index(u64::MAX),
+        since: Index(u64::MAX),
+        topics,
+    };
     assert_eq!(ToGateway::decode(&state.encode()), Ok(state));
 }
--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -8,7 +8,9 @@
 const CONFIG: &str = include_str!("config.json");
 
 fn main() -> std::io::Result<()> {
-    let from = CONFIG.find("{\"revision\"").expect("the example has a list");
+    let from = CONFIG
+        .find("{\"revision\"")
+        .expect("the example has a list");
     let to = CONFIG.find("]},").expect("the list ends");
     let list = CONFIG[from..to + 2].replace('\n', " ");
     for (address, role) in [
--- a/rig/src/balancer.rs
+++ b/rig/src/balancer.rs
@@ -37,7 +37,13 @@
 impl Default for Pace {
     fn default() -> Pace {
         let ms = Duration::from_millis;
-        Pace { interval: ms(100), fall: 2, rise: 1, timeout: ms(200), slow_start: ms(0) }
+        Pace {
+            interval: ms(100),
+            fall: 2,
+            rise: 1,
+            timeout: ms(200),
+            slow_start: ms(0),
+        }
     }
 }
 
@@ -118,11 +124,18 @@
     }
 
     fn found(&self, gateway: usize, found: io::Result<Found>) {
-        let found = found.unwrap_or(Found { word: "no-answer".into(), weight: 0, at_once: false });
+        let found = found.unwrap_or(Found {
+            word: "no-answer".into(),
+            weight: 0,
+            at_once: false,
+        });
         let mut servers = lock(&self.servers);
         let server = &mut servers[gateway];
-        (server.bad, server.good) =
-            if found.weight == 0 { (server.bad + 1, 0) } else { (0, server.good + 1) };
+        (server.bad, server.good) = if found.weight == 0 {
+            (server.bad + 1, 0)
+        } else {
+            (0, server.good + 1)
+        };
         let counts = match found.weight {
             0 => found.at_once || server.bad >= self.pace.fall,
             _ => server.weight > 0 || server.good >= self.pace.rise,
@@ -133,7 +146,12 @@
             }
             (server.weight, server.word) = (found.weight, found.word.clone());
             drop(servers);
-            lock(&self.changes).push(Change { at: now(), gateway, word: found.word, weight: found.weight });
+            lock(&self.changes).push(Change {
+                at: now(),
+                gateway,
+                word: found.word,
+                weight: found.weight,
+            });
         }
     }
 
@@ -153,10 +171,17 @@
             } else {
                 ((f64::from(server.weight) * grown * 100.0) as i64).max(1)
             };
-            server.credit = if weight == 0 { 0 } else { server.credit + weight };
+            server.credit = if weight == 0 {
+                0
+            } else {
+                server.credit + weight
+            };
             total += weight;
         }
-        let open = servers.iter_mut().enumerate().filter(|(_, server)| server.weight > 0);
+        let open = servers
+            .iter_mut()
+            .enumerate()
+            .filter(|(_, server)| server.weight > 0);
         let (number, server) = open.max_by_key(|(_, server)| server.credit)?;
         server.credit -= total;
         Some(number)
@@ -185,7 +210,11 @@
         match self {
             Check::Connect(address) => {
                 TcpStream::connect_timeout(address, timeout)?;
-                Ok(Found { word: "up".into(), weight: 100, at_once: false })
+                Ok(Found {
+                    word: "up".into(),
+                    weight: 100,
+                    at_once: false,
+                })
             }
             Check::Agent(address, text) => {
                 let line = exchange(*address, text.as_bytes(), timeout)?;
@@ -196,11 +225,26 @@
                 let answer = exchange(*address, call.as_bytes(), timeout)?;
                 let head = answer.split("\r\n\r\n").next().unwrap_or_default();
                 let good = head.starts_with("HTTP/1.1 200");
-                let find = |name: &str| head.lines().find_map(|line| line.strip_prefix(name)).map(str::trim);
-                let weight = find("x-asterreel-weight:").and_then(|text| text.parse().ok()).unwrap_or(100);
+                let find = |name: &str| {
+                    head.lines()
+                        .find_map(|line| line.strip_prefix(name))
+                        .map(str::trim)
+                };
+                let weight = find("x-asterreel-weight:")
+                    .and_then(|text| text.parse().ok())
+                    .unwrap_or(100);
                 let at_once = find("x-envoy-immediate-health-check-fail:").is_some();
-                let word = answer.split("\r\n\r\n").nth(1).unwrap_or_default().trim().to_owned();
-                Ok(Found { word, weight: if good { weight } else { 0 }, at_once })
+                let word = answer
+                    .split("\r\n\r\n")
+                    .nth(1)
+                    .unwrap_or_default()
+                    .trim()
+                    .to_owned();
+                Ok(Found {
+                    word,
+                    weight: if good { weight } else { 0 },
+                    at_once,
+                })
             }
         }
     }
@@ -214,14 +258,23 @@
         match word {
             "drain" | "maint" | "down" | "fail" | "stopped" => out = Some(word),
             word => {
-                if let Some(percent) = word.strip_suffix('%').and_then(|number| number.parse().ok()) {
+                if let Some(percent) = word
+                    .strip_suffix('%')
+                    .and_then(|number| number.parse().ok())
+                {
                     weight = percent;
                 }
             }
         }
     }
-    let word = out.map_or("up".to_owned(), |word| format!("{word} {remark}").trim().to_owned());
-    Found { word, weight: if out.is_some() { 0 } else { weight }, at_once: true }
+    let word = out.map_or("up".to_owned(), |word| {
+        format!("{word} {remark}").trim().to_owned()
+    });
+    Found {
+        word,
+        weight: if out.is_some() { 0 } else { weight },
+        at_once: true,
+    }
 }
 
 fn exchange(address: SocketAddr, bytes: &[u8], timeout: Duration) -> io::Result<String> {
--- a/rig/src/balancer/tests.rs
+++ b/rig/src/balancer/tests.rs
@@ -24,7 +24,14 @@
     assert_eq!((balancer.now(0).1, balancer.now(1).1), (0, 50));
     balancer.found(1, Err(io::ErrorKind::TimedOut.into()));
     assert_eq!(balancer.now(1), ("no-answer".into(), 0));
-    assert_eq!(agent("ready up 75% maxconn:9"), Found { word: "up".into(), weight: 75, at_once: true });
+    assert_eq!(
+        agent("ready up 75% maxconn:9"),
+        Found {
+            word: "up".into(),
+            weight: 75,
+            at_once: true
+        }
+    );
     assert_eq!(agent("down #hung\n").word, "down hung");
     assert_eq!(balancer.changes().len(), 2);
 }
--- a/rig/src/capacity/accept.rs
+++ b/rig/src/capacity/accept.rs
@@ -27,7 +27,10 @@
         let (used, more) = stage::cpu_us(&gateway, || stage::sessions(plan.client, COUNTED))?;
         let held = stage::held(&open) + stage::held(&more);
         if (held as u64) < size + COUNTED {
-            table.aside(size, format!("the gateway closed connections: it keeps {held}"));
+            table.aside(
+                size,
+                format!("the gateway closed connections: it keeps {held}"),
+            );
         }
         Ok(vec![used / COUNTED as f64, held as f64])
     })?;
--- a/rig/src/capacity/busy.rs
+++ b/rig/src/capacity/busy.rs
@@ -48,7 +48,11 @@
 ];
 
 pub(super) fn play(setting: &Setting, whereabouts: Whereabouts) -> anyhow::Result<()> {
-    let name = if whereabouts == Whereabouts::AtDatabases { "busy" } else { "waiting" };
+    let name = if whereabouts == Whereabouts::AtDatabases {
+        "busy"
+    } else {
+        "waiting"
+    };
     let mut table = Table::new(name, "requests in hand", &QUANTITIES);
     table.measure(setting, whereabouts.sizes(), |table, size, seed| {
         let neighbours = Neighbours::start(whereabouts.databases(), HELD)?;
--- a/rig/src/capacity/databases.rs
+++ b/rig/src/capacity/databases.rs
@@ -43,7 +43,11 @@
 ];
 
 pub(super) fn play(setting: &Setting, traffic: Traffic) -> anyhow::Result<()> {
-    let name = if traffic == Traffic::Whole { "databases" } else { "pairs" };
+    let name = if traffic == Traffic::Whole {
+        "databases"
+    } else {
+        "pairs"
+    };
     let mut table = Table::new(name, "gateways", &QUANTITIES);
     table.measure(setting, &GATEWAYS, |table, gateways, seed| {
         let neighbours = Neighbours::start(DATABASES, TAKES)?;
@@ -74,7 +78,9 @@
             open += neighbours.count().open;
         }
         let until = neighbours.count();
-        let records = load.join().map_err(|_| anyhow::anyhow!("the load panicked"))?;
+        let records = load
+            .join()
+            .map_err(|_| anyhow::anyhow!("the load panicked"))?;
         balancer.stop();
         let share = load::served(&records) as f64 / records.len().max(1) as f64;
         if gateways <= SMALL {
@@ -83,7 +89,8 @@
         if share < 0.99 {
             table.aside(gateways, format!("{share:.3} served in time"));
         }
-        let a_second = |of: fn(&Count) -> u64| (of(&until) - of(&from)) as f64 / COUNTED.as_secs_f64();
+        let a_second =
+            |of: fn(&Count) -> u64| (of(&until) - of(&from)) as f64 / COUNTED.as_secs_f64();
         let each = DATABASES as f64;
         Ok(vec![
             open as f64 / f64::from(LOOKS) / each,
--- a/rig/src/capacity/front.rs
+++ b/rig/src/capacity/front.rs
@@ -39,7 +39,8 @@
                     thread::sleep(every.mul_f64(random.f64()));
                     while !ending.load(Ordering::Acquire) {
                         let began = Instant::now();
-                        answered.fetch_add(u64::from(check.run(PATIENCE).is_ok()), Ordering::Relaxed);
+                        answered
+                            .fetch_add(u64::from(check.run(PATIENCE).is_ok()), Ordering::Relaxed);
                         thread::sleep(every.saturating_sub(began.elapsed()));
                     }
                 });
--- a/rig/src/capacity/neighbours.rs
+++ b/rig/src/capacity/neighbours.rs
@@ -80,22 +80,40 @@
     /// Starts so many databases, each of which takes so long over a statement, and none over a probe.
     pub fn start(databases: usize, takes: Duration) -> io::Result<Neighbours> {
         let counters = Arc::new(Counters::default());
-        let doors: Vec<TcpListener> =
-            (0..databases).map(|_| TcpListener::bind("127.0.0.1:0")).collect::<Result<_, _>>()?;
-        let places: Vec<SocketAddr> = doors.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?;
+        let doors: Vec<TcpListener> = (0..databases)
+            .map(|_| TcpListener::bind("127.0.0.1:0"))
+            .collect::<Result<_, _>>()?;
+        let places: Vec<SocketAddr> = doors
+            .iter()
+            .map(TcpListener::local_addr)
+            .collect::<Result<_, _>>()?;
         let door = TcpListener::bind("127.0.0.1:0")?;
         let discovery = door.local_addr()?;
         let line = format!("{}\n", list(&places));
         for (number, door) in doors.into_iter().enumerate() {
             let counters = counters.clone();
-            let role = if number % GROUP == 0 { Role::Primary } else { Role::Replica };
+            let role = if number % GROUP == 0 {
+                Role::Primary
+            } else {
+                Role::Replica
+            };
             small(move || {
-                accept(&door, &counters, move |client, counters| serve(client, counters, role, takes))
+                accept(&door, &counters, move |client, counters| {
+                    serve(client, counters, role, takes)
+                })
             })?;
         }
         let serving = counters.clone();
-        small(move || accept(&door, &serving, move |client, counters| watch(client, counters, &line)))?;
-        Ok(Neighbours { counters, databases: places, discovery })
+        small(move || {
+            accept(&door, &serving, move |client, counters| {
+                watch(client, counters, &line)
+            })
+        })?;
+        Ok(Neighbours {
+            counters,
+            databases: places,
+            discovery,
+        })
     }
 
     /// Where discovery is.
@@ -132,7 +150,11 @@
 impl Drop for Neighbours {
     fn drop(&mut self) {
         self.counters.ending.store(true, Ordering::Release);
-        let held = self.counters.held.lock().unwrap_or_else(PoisonError::into_inner);
+        let held = self
+            .counters
+            .held
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         self.counters.released.notify_all();
         drop(held);
         // Whoever accepts learns of the end by one more connection.
@@ -143,7 +165,10 @@
 }
 
 fn small(work: impl FnOnce() + Send + 'static) -> io::Result<()> {
-    thread::Builder::new().stack_size(STACK).spawn(work).map(drop)
+    thread::Builder::new()
+        .stack_size(STACK)
+        .spawn(work)
+        .map(drop)
 }
 
 fn accept(
@@ -191,7 +216,9 @@
     let mut watch = Watch::begin(client)?;
     let _open = Open::count(&counters.watches);
     watch.tell(line)?;
-    counters.list_bytes.fetch_add(line.len() as u64, Ordering::Relaxed);
+    counters
+        .list_bytes
+        .fetch_add(line.len() as u64, Ordering::Relaxed);
     while !counters.ending.load(Ordering::Acquire) {
         thread::sleep(HEARTBEAT);
         watch.tell("\n")?;
--- a/rig/src/capacity/resting.rs
+++ b/rig/src/capacity/resting.rs
@@ -36,7 +36,10 @@
         for session in &mut sessions {
             // One that the gateway has closed is counted below.
             let id = format!("{:016x}", random.u64(..));
-            let _ = load::ask(session, &load::statement(&id, false, random.u64(..groups), false));
+            let _ = load::ask(
+                session,
+                &load::statement(&id, false, random.u64(..groups), false),
+            );
         }
         thread::sleep(stage::REST);
         let idle = stage::idle_us_per_s(&gateway)?;
@@ -44,9 +47,18 @@
         let descriptors = process::descriptors(gateway.id())?;
         let held = stage::held(&sessions);
         if (held as u64) < size {
-            table.aside(size, format!("the gateway closed connections: it keeps {held}"));
+            table.aside(
+                size,
+                format!("the gateway closed connections: it keeps {held}"),
+            );
         }
-        Ok(vec![after as f64, before as f64, descriptors as f64, idle, held as f64])
+        Ok(vec![
+            after as f64,
+            before as f64,
+            descriptors as f64,
+            idle,
+            held as f64,
+        ])
     })?;
     table.write(setting, plan::CONNECTIONS_EACH)
 }
--- a/rig/src/capacity/stage.rs
+++ b/rig/src/capacity/stage.rs
@@ -34,9 +34,17 @@
     fleet: usize,
     sockets: usize,
 ) -> anyhow::Result<Plan> {
-    let mut plan = Plan::with_list(neighbours.discovery(), neighbours.list(), setting.program.clone())?;
+    let mut plan = Plan::with_list(
+        neighbours.discovery(),
+        neighbours.list(),
+        setting.program.clone(),
+    )?;
     plan.settings["FleetSize"] = json!(fleet);
-    Ok(Plan { health: false, sockets, ..plan })
+    Ok(Plan {
+        health: false,
+        sockets,
+        ..plan
+    })
 }
 
 /// Adds a class of reads that wait very long, so that requests stay in hand while they are counted.
@@ -47,7 +55,10 @@
         &mut settings["Profiles"],
         json!({"DeadlineUs": deadline, "Effect": "free", "LateWorth": 0.2, "Name": "patient", "SloUs": deadline, "Worth": 1.0}),
     );
-    push(&mut settings["FamilyInfo"]["Consistency"], json!("eventual"));
+    push(
+        &mut settings["FamilyInfo"]["Consistency"],
+        json!("eventual"),
+    );
     push(&mut settings["FamilyInfo"]["StalenessBoundUs"], json!(0));
     settings
 }
@@ -63,8 +74,14 @@
 /// A balancer that knows these gateways to be up and asks no more of them than a connection every 5 s.
 pub fn balancer(clients: &[SocketAddr]) -> anyhow::Result<Arc<Balancer>> {
     let checks = clients.iter().map(|place| Check::Connect(*place)).collect();
-    let balancer =
-        Balancer::start(checks, Pace { interval: Duration::from_secs(5), rise: 1, ..Pace::default() });
+    let balancer = Balancer::start(
+        checks,
+        Pace {
+            interval: Duration::from_secs(5),
+            rise: 1,
+            ..Pace::default()
+        },
+    );
     let until = Instant::now() + STARTS;
     while (0..clients.len()).any(|number| balancer.now(number).1 == 0) {
         anyhow::ensure!(Instant::now() < until, "a gateway never came up");
@@ -75,13 +92,17 @@
 
 /// Opens so many sessions, one after another; the gateway may refuse some.
 pub fn sessions(at: SocketAddr, count: u64) -> Vec<TcpStream> {
-    (0..count).filter_map(|_| load::connect(at, "web").ok()).collect()
+    (0..count)
+        .filter_map(|_| load::connect(at, "web").ok())
+        .collect()
 }
 
 /// Sessions that the gateway has not closed.
 pub fn held(sessions: &[TcpStream]) -> usize {
     let open = |session: &&TcpStream| {
-        let quiet = session.set_nonblocking(true).and_then(|()| session.peek(&mut [0]));
+        let quiet = session
+            .set_nonblocking(true)
+            .and_then(|()| session.peek(&mut [0]));
         !matches!(quiet, Ok(0))
             && !matches!(&quiet, Err(error) if error.kind() != std::io::ErrorKind::WouldBlock)
     };
@@ -91,7 +112,9 @@
 /// Sessions that are open and to which nothing was written that is still unread.
 pub fn unanswered(sessions: &[TcpStream]) -> usize {
     let waits = |session: &&TcpStream| {
-        let quiet = session.set_nonblocking(true).and_then(|()| session.peek(&mut [0]));
+        let quiet = session
+            .set_nonblocking(true)
+            .and_then(|()| session.peek(&mut [0]));
         matches!(quiet, Err(error) if error.kind() == std::io::ErrorKind::WouldBlock)
     };
     sessions.iter().filter(waits).count()
@@ -130,12 +153,21 @@
     pub fn warm(gateway: &Gateway, client: SocketAddr, shape: Shape) -> anyhow::Result<Load<'_>> {
         let balancer = balancer(&[client])?;
         load::play(shape, &balancer, &[client]);
-        Ok(Load { gateway, client, balancer, shape })
+        Ok(Load {
+            gateway,
+            client,
+            balancer,
+            shape,
+        })
     }
 
     /// Plays the same load for this time, on a schedule of its own, and counts it.
     pub fn count(self, span: Duration) -> anyhow::Result<Counted> {
-        let shape = Shape { span, seed: self.shape.seed + COUNTED_SEED, ..self.shape };
+        let shape = Shape {
+            span,
+            seed: self.shape.seed + COUNTED_SEED,
+            ..self.shape
+        };
         let play = || load::play(shape, &self.balancer, &[self.client]);
         let (cpu_us, records) = cpu_us(self.gateway, play)?;
         self.balancer.stop();
--- a/rig/src/capacity/statements.rs
+++ b/rig/src/capacity/statements.rs
@@ -39,15 +39,28 @@
             ..Shape::default()
         };
         let counted = stage::Load::warm(&gateway, plan.client, shape)?.count(COUNTED)?;
-        let ended = counted.records.iter().map(|record| record.due + record.took).max().unwrap_or(0);
+        let ended = counted
+            .records
+            .iter()
+            .map(|record| record.due + record.took)
+            .max()
+            .unwrap_or(0);
         let begun = counted.records.first().map_or(0, |record| record.due);
         let took = (ended.saturating_sub(begun) as f64 / 1e6).max(COUNTED.as_secs_f64());
         let (used, served) = (counted.cpu_us, counted.served());
         let share = served / counted.asked();
         if share < CARRIED {
-            table.aside(rate, format!("carried {:.0} a second in time", served / took));
+            table.aside(
+                rate,
+                format!("carried {:.0} a second in time", served / took),
+            );
         }
-        Ok(vec![used / 1e3 / took, used / counted.asked(), share, served / took])
+        Ok(vec![
+            used / 1e3 / took,
+            used / counted.asked(),
+            share,
+            served / took,
+        ])
     })?;
     table.write(setting, plan::STATEMENTS_EACH)
 }
--- a/rig/src/capacity/table.rs
+++ b/rig/src/capacity/table.rs
@@ -20,7 +20,10 @@
 
 /// One that only explains its point.
 pub const fn told(name: &'static str) -> Quantity {
-    Quantity { name, fitted: false }
+    Quantity {
+        name,
+        fitted: false,
+    }
 }
 
 /// The points of an experiment.
@@ -44,13 +47,23 @@
         _ => values[middle],
     };
     let ends = (values.first(), values.last());
-    (median, *ends.0.unwrap_or(&f64::NAN), *ends.1.unwrap_or(&f64::NAN))
+    (
+        median,
+        *ends.0.unwrap_or(&f64::NAN),
+        *ends.1.unwrap_or(&f64::NAN),
+    )
 }
 
 impl Table {
     /// An experiment's table: what its sizes are, and what is measured.
     pub fn new(name: &'static str, size: &'static str, quantities: &'static [Quantity]) -> Table {
-        Table { name, size, quantities, runs: BTreeMap::new(), aside: BTreeMap::new() }
+        Table {
+            name,
+            size,
+            quantities,
+            runs: BTreeMap::new(),
+            aside: BTreeMap::new(),
+        }
     }
 
     /// Measures all sizes in turn, as often as the setting says.
@@ -82,9 +95,17 @@
     }
 
     fn medians(&self, quantity: usize) -> Vec<(f64, f64)> {
-        let whole = self.runs.iter().filter(|(size, _)| !self.aside.contains_key(size));
+        let whole = self
+            .runs
+            .iter()
+            .filter(|(size, _)| !self.aside.contains_key(size));
         whole
-            .map(|(size, runs)| (*size as f64, spread(runs.iter().map(|run| run[quantity]).collect()).0))
+            .map(|(size, runs)| {
+                (
+                    *size as f64,
+                    spread(runs.iter().map(|run| run[quantity]).collect()).0,
+                )
+            })
             .collect()
     }
 
@@ -92,14 +113,25 @@
     pub fn write(&self, setting: &Setting, planned: f64) -> anyhow::Result<()> {
         let file = |ending: &str| setting.out.join(format!("capacity-{}{ending}", self.name));
         let mut table = csv::Writer::from_path(file(".csv"))?;
-        table.write_record([self.size, "quantity", "median", "least", "most", "runs", "remark"])?;
+        table.write_record([
+            self.size, "quantity", "median", "least", "most", "runs", "remark",
+        ])?;
         for (size, runs) in &self.runs {
             for (number, quantity) in self.quantities.iter().enumerate() {
                 let (median, least, most) = spread(runs.iter().map(|run| run[number]).collect());
-                let [median, least, most] = [median, least, most].map(|value| format!("{value:.2}"));
+                let [median, least, most] =
+                    [median, least, most].map(|value| format!("{value:.2}"));
                 let remark = self.aside.get(size).map_or("", String::as_str);
                 let (size, count) = (size.to_string(), runs.len().to_string());
-                table.write_record([&size, quantity.name, &median, &least, &most, &count, remark])?;
+                table.write_record([
+                    &size,
+                    quantity.name,
+                    &median,
+                    &least,
+                    &most,
+                    &count,
+                    remark,
+                ])?;
             }
         }
         table.flush()?;
@@ -133,18 +165,32 @@
             "there",
             "error there",
         ])?;
-        let digits = |value: f64| if value.is_finite() { format!("{value:.4e}") } else { String::new() };
-        for (number, quantity) in self.quantities.iter().enumerate().filter(|(_, quantity)| quantity.fitted) {
+        let digits = |value: f64| {
+            if value.is_finite() {
+                format!("{value:.4e}")
+            } else {
+                String::new()
+            }
+        };
+        for (number, quantity) in self
+            .quantities
+            .iter()
+            .enumerate()
+            .filter(|(_, quantity)| quantity.fitted)
+        {
             let points = self.medians(number);
             let Some(fit) = Fit::of(&points) else {
                 println!("{}: nothing can be fitted", quantity.name);
                 continue;
             };
             let (line, there) = (fit.line, fit.at(planned));
-            let bent = fit
-                .parabola
-                .map_or([f64::NAN; 4], |bent| [bent.constant, bent.linear, bent.square, bent.residual]);
-            let (from, to) = (points.first().map_or(0.0, |p| p.0), points.last().map_or(0.0, |p| p.0));
+            let bent = fit.parabola.map_or([f64::NAN; 4], |bent| {
+                [bent.constant, bent.linear, bent.square, bent.residual]
+            });
+            let (from, to) = (
+                points.first().map_or(0.0, |p| p.0),
+                points.last().map_or(0.0, |p| p.0),
+            );
             let mut row = vec![
                 quantity.name.to_owned(),
                 from.to_string(),
@@ -171,7 +217,10 @@
                 let beyond = if planned > to { ", extrapolated" } else { "" };
                 format!("at {planned}: {value:.2} +- {error:.2}{beyond}")
             });
-            println!("fit {} [{from} to {to}]: {}: {by}; {there}", quantity.name, fit.shape);
+            println!(
+                "fit {} [{from} to {to}]: {}: {by}; {there}",
+                quantity.name, fit.shape
+            );
         }
         fits.flush()?;
         Ok(())
--- a/rig/src/chart.rs
+++ b/rig/src/chart.rs
@@ -19,15 +19,26 @@
         .x_label_area_size(40)
         .y_label_area_size(56)
         .build_cartesian_2d(0.0..right * 1.02, 0.0..top * 1.05)?;
-    chart.configure_mesh().x_desc(axes.0).y_desc(axes.1).draw()?;
+    chart
+        .configure_mesh()
+        .x_desc(axes.0)
+        .y_desc(axes.1)
+        .draw()?;
     for (number, (name, points)) in lines.iter().enumerate() {
         let color = Palette99::pick(number).to_rgba();
         chart
-            .draw_series(LineSeries::new(points.iter().copied(), color.stroke_width(2)))?
+            .draw_series(LineSeries::new(
+                points.iter().copied(),
+                color.stroke_width(2),
+            ))?
             .label(name)
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], color.stroke_width(2)));
     }
-    let label = chart.configure_series_labels().background_style(WHITE.mix(0.8)).border_style(BLACK).draw();
+    let label = chart
+        .configure_series_labels()
+        .background_style(WHITE.mix(0.8))
+        .border_style(BLACK)
+        .draw();
     label?;
     root.present()?;
     Ok(())
@@ -36,5 +47,8 @@
 /// The value below which this share of the sorted values lies.
 pub fn quantile(sorted: &[u64], share: f64) -> u64 {
     let last = sorted.len().saturating_sub(1);
-    sorted.get((last as f64 * share).round() as usize).copied().unwrap_or(0)
+    sorted
+        .get((last as f64 * share).round() as usize)
+        .copied()
+        .unwrap_or(0)
 }
--- a/rig/src/cluster/faults.rs
+++ b/rig/src/cluster/faults.rs
@@ -41,15 +41,26 @@
 /// Plays a run of so long from a seed, with so many gateways that are control members or listed by them, and a few more
 /// that they only serve.
 pub fn play(program: PathBuf, seed: u64, gateways: usize, span: Duration) -> io::Result<Found> {
-    let voters = if gateways >= VOTERS { VOTERS } else { FEWER_VOTERS };
+    let voters = if gateways >= VOTERS {
+        VOTERS
+    } else {
+        FEWER_VOTERS
+    };
     let mut roles = vec![Role::Voter; voters];
     roles.resize(gateways, Role::Listed);
     roles.resize(gateways + SERVED, Role::Client);
     let cluster = Cluster::start_as(program, roles, (LEASE_MS, RENEW_MS), "")?;
     let random = fastrand::Rng::with_seed(seed);
-    let mut run = Run { cluster, random, wiped_at: None, found: Found::default() };
+    let mut run = Run {
+        cluster,
+        random,
+        wiped_at: None,
+        found: Found::default(),
+    };
     if run.cluster.agree(WELL)?.is_none() {
-        run.found.violations.push("no version came in force without any fault".into());
+        run.found
+            .violations
+            .push("no version came in force without any fault".into());
         return Ok(run.found);
     }
     let until = Instant::now() + span;
@@ -78,7 +89,10 @@
 
     fn make_a_fault(&mut self) -> io::Result<()> {
         let gateways = self.gateways();
-        let (one, other) = (self.random.usize(0..gateways), self.random.usize(0..gateways));
+        let (one, other) = (
+            self.random.usize(0..gateways),
+            self.random.usize(0..gateways),
+        );
         self.found.faults += 1;
         match self.random.u8(0..17) {
             0 => self.cluster.way(one, other).cut(true),
@@ -90,8 +104,12 @@
             3 => self.cluster.way(one, other).mangle(self.random.u64(2..9)),
             4 => self.cluster.signal(one, Signal::SIGSTOP),
             5 => self.cluster.kill(one),
-            6 if self.wiped_at.is_none_or(|at| at.elapsed() > BETWEEN_WIPES) => self.lose_a_disk(one)?,
-            7 | 8 => self.cluster.offer(one, self.random.bool().then_some(other))?,
+            6 if self.wiped_at.is_none_or(|at| at.elapsed() > BETWEEN_WIPES) => {
+                self.lose_a_disk(one)?
+            }
+            7 | 8 => self
+                .cluster
+                .offer(one, self.random.bool().then_some(other))?,
             9 => self.cluster.spoil(one)?,
             10..=13 => self.make_a_fault_at_the_leader(one),
             _ => self.end_all_faults()?,
@@ -107,7 +125,9 @@
     }
 
     fn make_a_fault_at_the_leader(&mut self, one: usize) {
-        let Some(leader) = self.cluster.leader() else { return };
+        let Some(leader) = self.cluster.leader() else {
+            return;
+        };
         match self.random.u8(0..4) {
             0 => self.cluster.kill(leader),
             1 => self.cluster.signal(leader, Signal::SIGSTOP),
@@ -122,7 +142,9 @@
         let votes = |gateway: &usize| *gateway != leader && self.cluster.roles[*gateway].votes();
         let others: Vec<usize> = (0..self.gateways()).filter(votes).collect();
         let apart: Vec<usize> = others.into_iter().filter(|_| self.random.bool()).collect();
-        apart.into_iter().for_each(|other| self.cluster.part_two(leader, other));
+        apart
+            .into_iter()
+            .for_each(|other| self.cluster.part_two(leader, other));
     }
 
     fn end_all_faults(&mut self) -> io::Result<()> {
@@ -139,8 +161,10 @@
             Some(after) => self.found.well_after = after,
             None => {
                 let numbers = self.cluster.in_force();
-                let said: Vec<String> =
-                    self.behind().map(|gateway| self.cluster.last_words(gateway)).collect();
+                let said: Vec<String> = self
+                    .behind()
+                    .map(|gateway| self.cluster.last_words(gateway))
+                    .collect();
                 let said = said.join("\n");
                 self.found.violations.push(format!(
                     "{WELL:?} after the last fault not all act on one new version: {numbers:?}\n{said}"
@@ -163,8 +187,12 @@
 
     fn check_history(&mut self) {
         let history = self.cluster.history();
-        let in_force = history.iter().filter(|line| line.fields["message"] == "version: in force");
-        let numbers: BTreeSet<u64> = in_force.filter_map(|line| line.fields["number"].as_u64()).collect();
+        let in_force = history
+            .iter()
+            .filter(|line| line.fields["message"] == "version: in force");
+        let numbers: BTreeSet<u64> = in_force
+            .filter_map(|line| line.fields["number"].as_u64())
+            .collect();
         self.found.versions = numbers.len();
         self.found.lines = history.len();
         self.found.violations.extend(panics(&history));
@@ -174,11 +202,25 @@
 
 /// Lines of panics, each with the next one of the same gateway, which says why.
 fn panics(history: &[Line]) -> Vec<String> {
-    let panicked = |line: &Line| line.fields.as_str().is_some_and(|text| text.contains("panicked"));
-    let lines = history.iter().enumerate().filter(|(_, line)| panicked(line));
+    let panicked = |line: &Line| {
+        line.fields
+            .as_str()
+            .is_some_and(|text| text.contains("panicked"))
+    };
+    let lines = history
+        .iter()
+        .enumerate()
+        .filter(|(_, line)| panicked(line));
     let said = lines.map(|(place, line)| {
-        let next = history[place + 1..].iter().find(|next| next.gateway == line.gateway);
-        format!("gateway {}: {} {:?}", line.gateway, line.fields, next.map(|line| &line.fields))
+        let next = history[place + 1..]
+            .iter()
+            .find(|next| next.gateway == line.gateway);
+        format!(
+            "gateway {}: {} {:?}",
+            line.gateway,
+            line.fields,
+            next.map(|line| &line.fields)
+        )
     });
     said.collect()
 }
--- a/rig/src/cluster/history.rs
+++ b/rig/src/cluster/history.rs
@@ -51,7 +51,12 @@
             let open = all.iter_mut().rev().find(|span| span.gateway == gateway);
             match open.filter(|span| span.token == token && span.until >= at) {
                 Some(span) => span.until = span.until.max(until),
-                None => all.push(Span { gateway, token, from: at, until }),
+                None => all.push(Span {
+                    gateway,
+                    token,
+                    from: at,
+                    until,
+                }),
             }
         } else if message(line).starts_with(stopped) {
             if let Some(span) = all.iter_mut().rev().find(|span| span.gateway == gateway) {
@@ -66,19 +71,26 @@
 /// All that must never be and was, in words; empty where nothing was.
 pub fn violations(lines: &[Line]) -> Vec<String> {
     let mut found = Vec::new();
-    let duties: BTreeSet<&str> = lines.iter().filter_map(|line| line.fields["duty"].as_str()).collect();
+    let duties: BTreeSet<&str> = lines
+        .iter()
+        .filter_map(|line| line.fields["duty"].as_str())
+        .collect();
     for duty in duties {
         let own = |line: &Line| line.fields["duty"].as_str() == Some(duty);
         let mut held = spans(lines.iter(), "duty: acting", "duty: stopped", own);
         held.sort_by_key(|span| span.from);
-        for (one, other) in
-            held.iter().enumerate().flat_map(|(n, one)| held[n + 1..].iter().map(move |o| (one, o)))
+        for (one, other) in held
+            .iter()
+            .enumerate()
+            .flat_map(|(n, one)| held[n + 1..].iter().map(move |o| (one, o)))
         {
             if other.from < one.until && one.gateway != other.gateway {
                 found.push(format!("{duty}: {one:?} and {other:?} act at once"));
             }
             if other.gateway != one.gateway && other.token <= one.token {
-                found.push(format!("{duty}: {other:?} came after {one:?} with a token that is not newer"));
+                found.push(format!(
+                    "{duty}: {other:?} came after {one:?} with a token that is not newer"
+                ));
             }
         }
     }
@@ -92,7 +104,10 @@
     let mut before: BTreeMap<(String, u64), u64> = BTreeMap::new();
     // By topic and gateway, from when it acted on which version.
     let mut steps: BTreeMap<String, BTreeMap<u64, Vec<(u64, u64)>>> = BTreeMap::new();
-    for line in lines.iter().filter(|line| message(line) == "version: in force") {
+    for line in lines
+        .iter()
+        .filter(|line| message(line) == "version: in force")
+    {
         let topic = line.fields["topic"].as_str().unwrap_or("").to_owned();
         let (version, former) = (number(line, "number"), number(line, "before"));
         if *before.entry((topic.clone(), version)).or_insert(former) != former {
@@ -101,22 +116,37 @@
                 line.gateway
             ));
         }
-        let of = steps.entry(topic).or_default().entry(line.gateway).or_default();
+        let of = steps
+            .entry(topic)
+            .or_default()
+            .entry(line.gateway)
+            .or_default();
         of.push((number(line, "at"), version));
     }
     let seats = spans(lines.iter(), "seat: acting", "seat: stopped", |_| true);
     for (topic, gateways) in &steps {
         let moments = gateways.values().flatten().map(|(at, _)| *at);
         for at in moments.chain(seats.iter().map(|seat| seat.from)) {
-            let acted =
-                seats.iter().filter(|seat| (seat.from..seat.until).contains(&at)).filter_map(|seat| {
+            let acted = seats
+                .iter()
+                .filter(|seat| (seat.from..seat.until).contains(&at))
+                .filter_map(|seat| {
                     let steps = gateways.get(&seat.gateway)?;
-                    steps.iter().rev().find(|(from, _)| *from <= at).map(|(_, version)| *version)
+                    steps
+                        .iter()
+                        .rev()
+                        .find(|(from, _)| *from <= at)
+                        .map(|(_, version)| *version)
                 });
             let acted: BTreeSet<u64> = acted.collect();
-            let Some(&newest) = acted.last() else { continue };
+            let Some(&newest) = acted.last() else {
+                continue;
+            };
             let former = before.get(&(topic.clone(), newest)).copied().unwrap_or(0);
-            if acted.iter().any(|version| *version != newest && *version != former) {
+            if acted
+                .iter()
+                .any(|version| *version != newest && *version != former)
+            {
                 found.push(format!(
                     "{topic}: at {at} versions {acted:?} are acted on, and {former} was before {newest}"
                 ));
--- a/rig/src/cluster/history/tests.rs
+++ b/rig/src/cluster/history/tests.rs
@@ -6,13 +6,15 @@
 }
 
 fn duty(gateway: u64, at: u64, token: u64, until: u64) -> Line {
-    let fields =
-        json!({"message": "duty: acting", "duty": "probes", "at": at, "token": token, "until": until});
+    let fields = json!({"message": "duty: acting", "duty": "probes", "at": at, "token": token, "until": until});
     line(gateway, fields)
 }
 
 fn seat(gateway: u64, at: u64, until: u64) -> Line {
-    line(gateway, json!({"message": "seat: acting", "at": at, "token": 1, "until": until}))
+    line(
+        gateway,
+        json!({"message": "seat: acting", "at": at, "token": 1, "until": until}),
+    )
 }
 
 fn force(gateway: u64, at: u64, number: u64, before: u64) -> Line {
@@ -27,8 +29,14 @@
     assert!(violations(&[duty(1, 10, 1, 40), duty(2, 39, 5, 90)])[0].contains("at once"));
     assert!(violations(&[duty(1, 10, 5, 40), duty(2, 41, 5, 90)])[0].contains("not newer"));
     // It stopped earlier than it had to.
-    let stopped = line(1, json!({"message": "duty: stopped", "duty": "probes", "at": 30}));
-    assert_eq!(violations(&[duty(1, 10, 1, 60), stopped, duty(2, 31, 5, 90)]), Vec::<String>::new());
+    let stopped = line(
+        1,
+        json!({"message": "duty: stopped", "duty": "probes", "at": 30}),
+    );
+    assert_eq!(
+        violations(&[duty(1, 10, 1, 60), stopped, duty(2, 31, 5, 90)]),
+        Vec::<String>::new()
+    );
 }
 
 #[test]
@@ -57,7 +65,10 @@
         force(2, 30, 3, 0),
     ];
     let rest = [force(1, 10, 3, 0), force(1, 20, 7, 3), force(1, 26, 9, 7)];
-    assert_eq!(violations(&[&reborn[..], &rest[..]].concat()), Vec::<String>::new());
+    assert_eq!(
+        violations(&[&reborn[..], &rest[..]].concat()),
+        Vec::<String>::new()
+    );
     // One whose right has run out acts on nothing.
     let lapsed = [
         seat(1, 0, 100),
--- a/rig/src/cluster/mod.rs
+++ b/rig/src/cluster/mod.rs
@@ -83,8 +83,19 @@
     }
 
     /// The same, with more in each operator's file.
-    pub fn start_with(program: PathBuf, gateways: usize, voters: usize, extra: &str) -> io::Result<Cluster> {
-        let role = |gateway| if gateway < voters { Role::Voter } else { Role::Listed };
+    pub fn start_with(
+        program: PathBuf,
+        gateways: usize,
+        voters: usize,
+        extra: &str,
+    ) -> io::Result<Cluster> {
+        let role = |gateway| {
+            if gateway < voters {
+                Role::Voter
+            } else {
+                Role::Listed
+            }
+        };
         let roles = (0..gateways).map(role).collect();
         Cluster::start_as(program, roles, (LEASE_MS, RENEW_MS), extra)
     }
@@ -97,11 +108,17 @@
         extra: &str,
     ) -> io::Result<Cluster> {
         let gateways = roles.len();
-        let shape = Shape { groups: 1, members: 2, gateways, ..Shape::default() };
+        let shape = Shape {
+            groups: 1,
+            members: 2,
+            gateways,
+            ..Shape::default()
+        };
         let databases = Fleet::start(shape)?;
         let places = free(gateways)?;
-        let ways: Vec<Vec<Arc<Way>>> =
-            (0..gateways).map(|_| (0..gateways).map(|_| Arc::default()).collect()).collect();
+        let ways: Vec<Vec<Arc<Way>>> = (0..gateways)
+            .map(|_| (0..gateways).map(|_| Arc::default()).collect())
+            .collect();
         let link = |from: usize, to: usize| match from == to {
             true => Ok(places[to]),
             false => proxy::link(places[to], ways[from][to].clone(), ways[to][from].clone()),
@@ -110,8 +127,16 @@
         let seen = seen.collect::<io::Result<Vec<Vec<SocketAddr>>>>()?;
         let plans = (0..gateways).map(|gateway| {
             let plan = Plan::beside(&databases, gateway, program.clone())?;
-            let part = if roles[gateway] == Role::Member { Part::Member } else { Part::Gateway };
-            Ok(Plan { health: false, part, ..plan })
+            let part = if roles[gateway] == Role::Member {
+                Part::Member
+            } else {
+                Part::Gateway
+            };
+            Ok(Plan {
+                health: false,
+                part,
+                ..plan
+            })
         });
         let plans = plans.collect::<io::Result<Vec<Plan>>>()?;
         let mut cluster = Cluster {
@@ -140,8 +165,9 @@
     /// The operator's file of a gateway; editions differ in a network that may connect.
     fn file(&self, gateway: usize, edition: u64) -> String {
         let role = self.roles[gateway];
-        let known =
-            |to: &usize| self.roles[*to].votes() || (self.roles[*to] == Role::Listed && role != Role::Client);
+        let known = |to: &usize| {
+            self.roles[*to].votes() || (self.roles[*to] == Role::Listed && role != Role::Client)
+        };
         let peers: Vec<String> = (0..self.seen.len())
             .filter(known)
             .map(|to| {
@@ -178,7 +204,10 @@
     pub fn revive(&mut self, gateway: usize) -> io::Result<()> {
         if self.gateways[gateway].is_none() {
             let operator = self.file(gateway, self.edition);
-            let plan = Plan { operator, ..self.plans[gateway].clone() };
+            let plan = Plan {
+                operator,
+                ..self.plans[gateway].clone()
+            };
             let started = Gateway::start(&plan)?;
             // Before that a signal would end it, as it would any program.
             let up = started.logged(0, WELL, |line| line["message"] == "log: started");
@@ -190,10 +219,14 @@
 
     /// Gateways that ended by themselves, and how.
     pub fn ended(&mut self) -> Vec<String> {
-        let running =
-            self.gateways.iter_mut().enumerate().filter_map(|(n, gateway)| Some((n, gateway.as_mut()?)));
-        let ended =
-            running.filter_map(|(n, gateway)| Some(format!("gateway {} ended: {}", n + 1, gateway.ended()?)));
+        let running = self
+            .gateways
+            .iter_mut()
+            .enumerate()
+            .filter_map(|(n, gateway)| Some((n, gateway.as_mut()?)));
+        let ended = running.filter_map(|(n, gateway)| {
+            Some(format!("gateway {} ended: {}", n + 1, gateway.ended()?))
+        });
         ended.collect()
     }
 
@@ -211,7 +244,10 @@
             sleep(Duration::from_millis(20));
             self.past.extend(lines(gateway, &dead));
             let fields = serde_json::json!({"message": history::KILLED, "at": crate::now()});
-            self.past.push(Line { gateway: gateway as u64 + 1, fields });
+            self.past.push(Line {
+                gateway: gateway as u64 + 1,
+                fields,
+            });
         }
     }
 
@@ -219,14 +255,22 @@
     pub fn wipe(&mut self, gateway: usize) -> io::Result<()> {
         self.kill(gateway);
         match std::fs::remove_dir_all(self.store(gateway)) {
-            Err(fault) if fault.kind() == io::ErrorKind::NotFound && !self.roles[gateway].votes() => Ok(()),
+            Err(fault)
+                if fault.kind() == io::ErrorKind::NotFound && !self.roles[gateway].votes() =>
+            {
+                Ok(())
+            }
             removed => removed,
         }
     }
 
     /// The control member that leads, by the newest term that a running one has logged.
     pub fn leader(&self) -> Option<usize> {
-        let told = self.gateways.iter().flatten().flat_map(|gateway| leaders(gateway.log()));
+        let told = self
+            .gateways
+            .iter()
+            .flatten()
+            .flat_map(|gateway| leaders(gateway.log()));
         let newest = told.filter(|(_, gateway)| *gateway != 0).max();
         newest.map(|(_, gateway)| gateway as usize - 1)
     }
@@ -234,7 +278,9 @@
     /// Asks a process to end in order, and says whether it did in time.
     pub fn end(&mut self, gateway: usize, within: Duration) -> io::Result<bool> {
         self.signal(gateway, Signal::SIGTERM);
-        let ended = self.gateways[gateway].as_mut().map_or(Ok(true), |running| running.wait(within));
+        let ended = self.gateways[gateway]
+            .as_mut()
+            .map_or(Ok(true), |running| running.wait(within));
         match &ended {
             Ok(_) => self.bury(gateway),
             Err(_) => self.kill(gateway),
@@ -244,7 +290,9 @@
 
     /// Processes that have a seat.
     fn seated(&self) -> Vec<usize> {
-        (0..self.roles.len()).filter(|gateway| self.roles[*gateway].seated()).collect()
+        (0..self.roles.len())
+            .filter(|gateway| self.roles[*gateway].seated())
+            .collect()
     }
 
     /// Sends a running gateway a signal.
@@ -299,14 +347,23 @@
     /// Spoils one gateway's operator's file.
     pub fn spoil(&self, gateway: usize) -> io::Result<()> {
         let bad = "lease(me = 'none')\n";
-        self.gateways[gateway].as_ref().map_or(Ok(()), |running| running.rewrite(bad))
+        self.gateways[gateway]
+            .as_ref()
+            .map_or(Ok(()), |running| running.rewrite(bad))
     }
 
     /// What a running gateway logged last.
     fn last_words(&self, gateway: usize) -> String {
-        let log = self.gateways[gateway].as_ref().map(Gateway::log).unwrap_or_default();
-        let last =
-            log.iter().rev().take(LAST_WORDS).rev().map(|line| format!("{} {}", gateway + 1, line.fields));
+        let log = self.gateways[gateway]
+            .as_ref()
+            .map(Gateway::log)
+            .unwrap_or_default();
+        let last = log
+            .iter()
+            .rev()
+            .take(LAST_WORDS)
+            .rev()
+            .map(|line| format!("{} {}", gateway + 1, line.fields));
         last.collect::<Vec<String>>().join("\n")
     }
 
@@ -317,8 +374,11 @@
 
     /// All lines so far.
     pub fn history(&self) -> Vec<Line> {
-        let running =
-            self.gateways.iter().enumerate().filter_map(|(n, gateway)| Some((n, gateway.as_ref()?)));
+        let running = self
+            .gateways
+            .iter()
+            .enumerate()
+            .filter_map(|(n, gateway)| Some((n, gateway.as_ref()?)));
         let mut all = self.past.clone();
         all.extend(running.flat_map(|(n, gateway)| lines(n, gateway)));
         all.sort_by_key(|line| line.fields["at"].as_u64().unwrap_or(0));
@@ -337,15 +397,23 @@
 
     /// The newest version of the operator's file in force at each process, in its present life; 0 where there is none.
     pub fn in_force(&self) -> Vec<u64> {
-        self.standings().iter().map(|standing| standing.in_force).collect()
+        self.standings()
+            .iter()
+            .map(|standing| standing.in_force)
+            .collect()
     }
 
     /// The newest version that was ever in force at any gateway, in any of its lives: one that has just started again puts
     /// what was in force before in force once more.
     fn newest(&self) -> u64 {
         let history = self.history();
-        let in_force = history.iter().filter(|line| line.fields["message"] == "version: in force");
-        in_force.filter_map(|line| line.fields["number"].as_u64()).max().unwrap_or(0)
+        let in_force = history
+            .iter()
+            .filter(|line| line.fields["message"] == "version: in force");
+        in_force
+            .filter_map(|line| line.fields["number"].as_u64())
+            .max()
+            .unwrap_or(0)
     }
 
     /// Waits until this holds; how long it took, or nothing.
@@ -381,9 +449,15 @@
                 let there = seated.iter().filter(|gateway| **gateway != gone);
                 let there: Vec<Standing> = there.map(|gateway| all[*gateway]).collect();
                 let number = there[0].in_force;
-                number > newest && there.iter().all(|one| one.in_force == number && one.acts(now))
+                number > newest
+                    && there
+                        .iter()
+                        .all(|one| one.in_force == number && one.acts(now))
             };
-            if self.wait(Duration::from_millis(1_500), everywhere).is_some() {
+            if self
+                .wait(Duration::from_millis(1_500), everywhere)
+                .is_some()
+            {
                 return Ok(Some(began.elapsed()));
             }
         }
@@ -393,5 +467,9 @@
 
 fn lines(gateway: usize, running: &Gateway) -> Vec<Line> {
     let log = running.log().into_iter();
-    log.map(|line| Line { gateway: gateway as u64 + 1, fields: line.fields }).collect()
+    log.map(|line| Line {
+        gateway: gateway as u64 + 1,
+        fields: line.fields,
+    })
+    .collect()
 }
--- a/rig/src/cluster/storm.rs
+++ b/rig/src/cluster/storm.rs
@@ -36,7 +36,12 @@
     let mut client = TcpStream::connect(address)?;
     client.set_read_timeout(Some(PATIENCE))?;
     let words = b"user\0web\0database\0orders\0\0";
-    let opening = [&(words.len() as u32 + 8).to_be_bytes()[..], &[0, 3, 0, 0], words].concat();
+    let opening = [
+        &(words.len() as u32 + 8).to_be_bytes()[..],
+        &[0, 3, 0, 0],
+        words,
+    ]
+    .concat();
     client.write_all(&opening)?;
     let mut tag = [0];
     client.read_exact(&mut tag)?;
@@ -44,23 +49,38 @@
     if tag[0] != b'E' {
         return Ok(Answer::Admitted);
     }
-    let detail = body.split(|byte| *byte == 0).find(|field| field.first() == Some(&b'D'));
+    let detail = body
+        .split(|byte| *byte == 0)
+        .find(|field| field.first() == Some(&b'D'));
     let text = detail.and_then(|field| std::str::from_utf8(&field[1..]).ok());
-    let wait = text.and_then(|text| text.parse().ok()).map(Duration::from_millis);
+    let wait = text
+        .and_then(|text| text.parse().ok())
+        .map(Duration::from_millis);
     Ok(Answer::Refused(wait))
 }
 
 /// Has so many clients come to a gateway at once, and again when they are told, until all are in or time is up.
 pub fn play(address: SocketAddr, clients: usize, within: Duration) -> Storm {
     let until = Instant::now() + within;
-    let all: Vec<_> = (0..clients).map(|_| spawn(move || one_client(address, until))).collect();
+    let all: Vec<_> = (0..clients)
+        .map(|_| spawn(move || one_client(address, until)))
+        .collect();
     let all = all.into_iter().filter_map(|client| client.join().ok());
-    all.fold(Storm { told: true, ..Storm::default() }, Storm::with)
+    all.fold(
+        Storm {
+            told: true,
+            ..Storm::default()
+        },
+        Storm::with,
+    )
 }
 
 /// One of them, until it is in or time is up.
 fn one_client(address: SocketAddr, until: Instant) -> Storm {
-    let mut met = Storm { told: true, ..Storm::default() };
+    let mut met = Storm {
+        told: true,
+        ..Storm::default()
+    };
     while Instant::now() < until {
         match knock(address) {
             Ok(Answer::Admitted) => {
--- a/rig/src/database.rs
+++ b/rig/src/database.rs
@@ -53,7 +53,11 @@
 
 /// The end of an answer: what the database says of itself, and that it is ready.
 pub fn note(role: Role, position_ms: u64) -> Vec<u8> {
-    let name = if role == Role::Primary { "writer" } else { "reader" };
+    let name = if role == Role::Primary {
+        "writer"
+    } else {
+        "reader"
+    };
     [
         message(b'S', format!("server_role\0{name}\0").as_bytes()),
         message(b'S', format!("commit_clock\0{position_ms}\0").as_bytes()),
@@ -65,7 +69,11 @@
 /// A load report, as the answer to `SHOW usage`.
 pub fn report(role: Role, position_ms: u64, util: f64) -> Vec<u8> {
     let primary = u8::from(role == Role::Primary);
-    row(format!("x0={:.3},x1={primary},util={util:.2}", position_ms as f64 / 1e3).as_bytes())
+    row(format!(
+        "x0={:.3},x1={primary},util={util:.2}",
+        position_ms as f64 / 1e3
+    )
+    .as_bytes())
 }
 
 /// An error with a code.
@@ -132,7 +140,8 @@
 
     /// Sends a chunk.
     pub fn tell(&mut self, text: &str) -> io::Result<()> {
-        self.0.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
+        self.0
+            .write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
     }
 }
 
--- a/rig/src/fit.rs
+++ b/rig/src/fit.rs
@@ -81,19 +81,30 @@
 impl Fit {
     /// Fits points of (size, value); nothing for fewer than two sizes, or values that are no numbers.
     pub fn of(points: &[(f64, f64)]) -> Option<Fit> {
-        if points.iter().any(|(size, value)| !size.is_finite() || !value.is_finite()) {
+        if points
+            .iter()
+            .any(|(size, value)| !size.is_finite() || !value.is_finite())
+        {
             return None;
         }
         let line = Line::through(points)?;
         let mut sizes: Vec<f64> = points.iter().map(|point| point.0).collect();
         sizes.sort_by(f64::total_cmp);
         sizes.dedup();
-        let parabola = if sizes.len() >= 3 { Parabola::through(points) } else { None };
+        let parabola = if sizes.len() >= 3 {
+            Parabola::through(points)
+        } else {
+            None
+        };
         let shape = match parabola {
             Some(parabola) if sizes.len() >= FEWEST_SIZES => judge(points, &line, &parabola),
             _ => Shape::Unknown,
         };
-        Some(Fit { shape, line, parabola })
+        Some(Fit {
+            shape,
+            line,
+            parabola,
+        })
     }
 
     /// The value at a size by the curve that was chosen, and its standard error; nothing where none was.
@@ -115,10 +126,13 @@
     let furthest = points.iter().map(|point| point.0.abs()).fold(0.0, f64::max);
     let describes = |residual: f64| residual <= WIDEST * largest;
     let freedom = (count - 3) as f64;
-    let (squares_line, squares_bent) =
-        (line.residual.powi(2) * (freedom + 1.0), parabola.residual.powi(2) * freedom);
+    let (squares_line, squares_bent) = (
+        line.residual.powi(2) * (freedom + 1.0),
+        parabola.residual.powi(2) * freedom,
+    );
     // Points that lie on a parabola but for rounding leave nothing to divide by.
-    let gained = (squares_line - squares_bent) / (squares_bent / freedom).max((1e-9 * largest).powi(2));
+    let gained =
+        (squares_line - squares_bent) / (squares_bent / freedom).max((1e-9 * largest).powi(2));
     let bends = gained > F_99[(count - 4).min(F_99.len() - 1)]
         && (parabola.square * furthest.powi(2)).abs() > SLIGHTEST_BEND * largest;
     match bends {
@@ -137,13 +151,32 @@
         if points.len() < 2 || spread <= 0.0 {
             return None;
         }
-        let slope = points.iter().map(|point| (point.0 - mean) * (point.1 - level)).sum::<f64>() / spread;
+        let slope = points
+            .iter()
+            .map(|point| (point.0 - mean) * (point.1 - level))
+            .sum::<f64>()
+            / spread;
         let intercept = level - slope * mean;
-        let squares: f64 = points.iter().map(|point| (point.1 - intercept - slope * point.0).powi(2)).sum();
+        let squares: f64 = points
+            .iter()
+            .map(|point| (point.1 - intercept - slope * point.0).powi(2))
+            .sum();
         // A line through two points has no error that could be known.
-        let residual = if points.len() > 2 { (squares / (count - 2.0)).sqrt() } else { f64::NAN };
+        let residual = if points.len() > 2 {
+            (squares / (count - 2.0)).sqrt()
+        } else {
+            f64::NAN
+        };
         let slope_error = residual / spread.sqrt();
-        Some(Line { intercept, slope, slope_error, residual, count, mean, spread })
+        Some(Line {
+            intercept,
+            slope,
+            slope_error,
+            residual,
+            count,
+            mean,
+            spread,
+        })
     }
 
     /// The value at a size.
@@ -196,7 +229,10 @@
             residual: f64::NAN,
         };
         if points.len() > 3 {
-            let squares: f64 = points.iter().map(|point| (point.1 - parabola.at(point.0)).powi(2)).sum();
+            let squares: f64 = points
+                .iter()
+                .map(|point| (point.1 - parabola.at(point.0)).powi(2))
+                .sum();
             parabola.residual = (squares / (points.len() - 3) as f64).sqrt();
         }
         Some(parabola)
--- a/rig/src/fleet.rs
+++ b/rig/src/fleet.rs
@@ -93,16 +93,23 @@
     /// Starts the databases, the first of each group primary, and discovery.
     pub fn start(shape: Shape) -> std::io::Result<Arc<Fleet>> {
         let bind = |count: usize| -> std::io::Result<Vec<TcpListener>> {
-            (0..count).map(|_| TcpListener::bind("127.0.0.1:0")).collect()
+            (0..count)
+                .map(|_| TcpListener::bind("127.0.0.1:0"))
+                .collect()
         };
-        let doors: Vec<Vec<TcpListener>> =
-            (0..shape.gateways).map(|_| bind(shape.groups * shape.members)).collect::<Result<_, _>>()?;
+        let doors: Vec<Vec<TcpListener>> = (0..shape.gateways)
+            .map(|_| bind(shape.groups * shape.members))
+            .collect::<Result<_, _>>()?;
         let lists = bind(shape.gateways)?;
         let places = |doors: &Vec<TcpListener>| doors.iter().map(TcpListener::local_addr).collect();
         let addresses: Vec<Vec<SocketAddr>> = doors.iter().map(places).collect::<Result<_, _>>()?;
         let discoveries: Vec<SocketAddr> = places(&lists)?;
         let member = |number: usize| Member {
-            role: if number % shape.members == 0 { Role::Primary } else { Role::Replica },
+            role: if number % shape.members == 0 {
+                Role::Primary
+            } else {
+                Role::Replica
+            },
             alive: true,
             phase: "ready",
             lag_ms: 10,
@@ -113,8 +120,19 @@
             cut: HashSet::new(),
         };
         let members = (0..shape.groups * shape.members).map(member).collect();
-        let state = Mutex::new(State { members, revision: 1, taken: Vec::new(), deaths: Vec::new() });
-        let fleet = Arc::new(Fleet { shape, state, changed: Condvar::new(), addresses, discoveries });
+        let state = Mutex::new(State {
+            members,
+            revision: 1,
+            taken: Vec::new(),
+            deaths: Vec::new(),
+        });
+        let fleet = Arc::new(Fleet {
+            shape,
+            state,
+            changed: Condvar::new(),
+            addresses,
+            discoveries,
+        });
         for (gateway, doors) in doors.into_iter().enumerate() {
             for (number, door) in doors.into_iter().enumerate() {
                 let fleet = fleet.clone();
@@ -166,7 +184,11 @@
         let mut told = 0;
         loop {
             let revision = self.lock().revision;
-            let line = if revision == told { "\n".to_owned() } else { format!("{}\n", self.list(gateway)) };
+            let line = if revision == told {
+                "\n".to_owned()
+            } else {
+                format!("{}\n", self.list(gateway))
+            };
             told = revision;
             watch.tell(&line)?;
             let state = self.lock();
@@ -190,7 +212,8 @@
             let fleet = self.clone();
             thread::spawn(move || {
                 let ended = client.try_clone();
-                let _ = database::session(client, |statement| fleet.reply(gateway, number, statement));
+                let _ =
+                    database::session(client, |statement| fleet.reply(gateway, number, statement));
                 // The copy that is kept to cut it must not keep it open.
                 let _ = ended.map(|stream| stream.shutdown(Shutdown::Both));
             });
@@ -210,7 +233,11 @@
         if !member.alive || member.cut.contains(&gateway) {
             return Reply::Last(Vec::new());
         }
-        let lag = if member.role == Role::Primary { 0 } else { member.lag_ms };
+        let lag = if member.role == Role::Primary {
+            0
+        } else {
+            member.lag_ms
+        };
         let note = |role| database::note(role, now() / 1000 - lag);
         if statement == b"SHOW usage" {
             let util = member.busy as f64 / self.shape.cores as f64;
@@ -219,7 +246,11 @@
         }
         if write && member.role == Role::Replica {
             return Reply::Answer(
-                [database::error("25006", "this is a replica"), note(member.role)].concat(),
+                [
+                    database::error("25006", "this is a replica"),
+                    note(member.role),
+                ]
+                .concat(),
             );
         }
         if member.phase != "ready" || member.waiting >= self.shape.queue {
@@ -227,15 +258,26 @@
         }
         member.waiting += 1;
         while state.members[number].busy >= self.shape.cores && state.members[number].alive {
-            state = self.changed.wait(state).unwrap_or_else(PoisonError::into_inner);
+            state = self
+                .changed
+                .wait(state)
+                .unwrap_or_else(PoisonError::into_inner);
         }
         let member = &mut state.members[number];
         member.waiting -= 1;
         member.busy += 1;
         let age = (now() / 1000).saturating_sub(member.started_ms);
         let cold = member.started_ms > 0 && age < COLD_MS;
-        let warmth = if cold { COLD_SHARE + (1.0 - COLD_SHARE) * age as f64 / COLD_MS as f64 } else { 1.0 };
-        let work = if write { self.shape.write_ms } else { self.shape.read_ms };
+        let warmth = if cold {
+            COLD_SHARE + (1.0 - COLD_SHARE) * age as f64 / COLD_MS as f64
+        } else {
+            1.0
+        };
+        let work = if write {
+            self.shape.write_ms
+        } else {
+            self.shape.read_ms
+        };
         drop(state);
         thread::sleep(Duration::from_micros((work as f64 * 1e3 / warmth) as u64));
         let mut state = self.lock();
@@ -247,7 +289,11 @@
         }
         let role = member.role;
         if write {
-            let taken = Taken { id: comment(statement, "id"), at: now(), member: number };
+            let taken = Taken {
+                id: comment(statement, "id"),
+                at: now(),
+                member: number,
+            };
             state.taken.push(taken);
         }
         Reply::Answer([database::row(b"rig"), note(role)].concat())
@@ -276,7 +322,11 @@
     pub fn elect(&self, number: Option<usize>) {
         let mut state = self.lock();
         for (other, member) in state.members.iter_mut().enumerate() {
-            member.role = if Some(other) == number { Role::Primary } else { Role::Replica };
+            member.role = if Some(other) == number {
+                Role::Primary
+            } else {
+                Role::Replica
+            };
         }
     }
 
@@ -309,7 +359,10 @@
         let due = now().saturating_sub(after.as_micros() as u64);
         let dead: Vec<usize> = {
             let state = self.lock();
-            let dead = state.deaths.iter().filter(|(number, at)| *at <= due && !state.members[*number].alive);
+            let dead = state
+                .deaths
+                .iter()
+                .filter(|(number, at)| *at <= due && !state.members[*number].alive);
             dead.map(|(number, _)| *number).collect()
         };
         for number in &dead {
@@ -330,8 +383,10 @@
 fn comment(statement: &[u8], name: &str) -> String {
     let text = String::from_utf8_lossy(statement);
     let comment = text.rsplit_once("/*").map_or("", |(_, comment)| comment);
-    let mut pairs =
-        comment.trim_end_matches(['*', '/', ' ']).split(',').filter_map(|pair| pair.split_once('='));
+    let mut pairs = comment
+        .trim_end_matches(['*', '/', ' '])
+        .split(',')
+        .filter_map(|pair| pair.split_once('='));
     pairs
         .find(|(key, _)| key.trim() == name)
         .map_or(String::new(), |(_, value)| value.trim().to_owned())
--- a/rig/src/gateway.rs
+++ b/rig/src/gateway.rs
@@ -92,9 +92,15 @@
 pub fn free(count: usize) -> io::Result<Vec<SocketAddr>> {
     static CALLS: AtomicU8 = AtomicU8::new(0);
     let [.., high, low] = std::process::id().to_be_bytes();
-    let host = Ipv4Addr::new(127, 128 + CALLS.fetch_add(1, Ordering::Relaxed) % 100, high, low);
-    let held: Vec<TcpListener> =
-        (0..count).map(|_| TcpListener::bind((host, 0))).collect::<Result<_, _>>()?;
+    let host = Ipv4Addr::new(
+        127,
+        128 + CALLS.fetch_add(1, Ordering::Relaxed) % 100,
+        high,
+        low,
+    );
+    let held: Vec<TcpListener> = (0..count)
+        .map(|_| TcpListener::bind((host, 0)))
+        .collect::<Result<_, _>>()?;
     held.iter().map(TcpListener::local_addr).collect()
 }
 
@@ -124,7 +130,9 @@
 
 /// Who leads, as a control member logged it: the term, and the gateway's number, 0 where nobody does.
 pub fn leaders(log: Vec<Line>) -> impl Iterator<Item = (u64, u32)> {
-    let said = log.into_iter().filter(|line| line.fields["message"] == "log: leader");
+    let said = log
+        .into_iter()
+        .filter(|line| line.fields["message"] == "log: leader");
     said.filter_map(|line| {
         let leader = line.fields["leader"].as_u64()? & GATEWAY_BITS;
         Some((line.fields["term"].as_u64()?, leader as u32))
@@ -171,7 +179,10 @@
             // No script of its own: one just written can't always be run while other threads start processes.
             Some(text) => {
                 let mut shell = Command::new("/bin/sh");
-                shell.arg("-c").arg(format!("{text}; exec \"$0\" \"$@\"")).arg(&plan.program);
+                shell
+                    .arg("-c")
+                    .arg(format!("{text}; exec \"$0\" \"$@\""))
+                    .arg(&plan.program);
                 shell
             }
             None => Command::new(&plan.program),
@@ -180,8 +191,13 @@
             Part::Gateway => "run",
             Part::Member => "control",
         };
-        command.env("RELAY_CONFIG", &path).env_remove("RELAY_LISTEN").env_remove("RELAY_DISCOVERY");
-        command.env("RELAY_LOG", "info").args([part, "--log-format", "json"]);
+        command
+            .env("RELAY_CONFIG", &path)
+            .env_remove("RELAY_LISTEN")
+            .env_remove("RELAY_DISCOVERY");
+        command
+            .env("RELAY_LOG", "info")
+            .args([part, "--log-format", "json"]);
         let mut text = plan.operator.clone();
         if plan.health {
             text += &format!(
@@ -195,7 +211,10 @@
             std::fs::write(&operator, text)?;
             command.arg("--operator").arg(&operator);
         }
-        let mut child = command.stderr(Stdio::piped()).stdin(Stdio::null()).spawn()?;
+        let mut child = command
+            .stderr(Stdio::piped())
+            .stdin(Stdio::null())
+            .spawn()?;
         let log = Arc::new(Mutex::new(Vec::new()));
         if let Some(stderr) = child.stderr.take() {
             let log = log.clone();
@@ -203,7 +222,10 @@
                 for line in BufReader::new(stderr).lines().map_while(Result::ok) {
                     let fields = serde_json::from_str(&line).unwrap_or(Value::String(line));
                     let mut log = log.lock().unwrap_or_else(PoisonError::into_inner);
-                    log.push(Line { at: crate::now(), fields });
+                    log.push(Line {
+                        at: crate::now(),
+                        fields,
+                    });
                 }
             });
         }
@@ -222,12 +244,25 @@
 
     /// What it has logged so far.
     pub fn log(&self) -> Vec<Line> {
-        self.log.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.log
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 
     /// Waits until a line satisfies this, from the given line on.
-    pub fn logged(&self, from: usize, within: Duration, wanted: impl Fn(&Value) -> bool) -> Option<Line> {
-        bounded::until(within, || self.log().into_iter().skip(from).find(|line| wanted(&line.fields)))
+    pub fn logged(
+        &self,
+        from: usize,
+        within: Duration,
+        wanted: impl Fn(&Value) -> bool,
+    ) -> Option<Line> {
+        bounded::until(within, || {
+            self.log()
+                .into_iter()
+                .skip(from)
+                .find(|line| wanted(&line.fields))
+        })
     }
 
     /// Sends it a signal.
@@ -247,17 +282,24 @@
 
     /// CPU time it has used, microseconds.
     pub fn cpu_us(&self) -> io::Result<u64> {
-        let stat = std::fs::read_to_string(Path::new("/proc").join(self.id().to_string()).join("stat"))?;
+        let stat =
+            std::fs::read_to_string(Path::new("/proc").join(self.id().to_string()).join("stat"))?;
         let rest = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
-        let field =
-            |number: usize| rest.split_whitespace().nth(number).and_then(|text| text.parse::<u64>().ok());
+        let field = |number: usize| {
+            rest.split_whitespace()
+                .nth(number)
+                .and_then(|text| text.parse::<u64>().ok())
+        };
         // utime and stime, in hundredths of a second (proc(5)).
         Ok((field(11).unwrap_or(0) + field(12).unwrap_or(0)) * 10_000)
     }
 
     /// Descriptors it holds, and its resident memory in KiB.
     pub fn holds(&self) -> io::Result<(usize, u64)> {
-        Ok((process::descriptors(self.id())?, process::resident_kib(self.id())?))
+        Ok((
+            process::descriptors(self.id())?,
+            process::resident_kib(self.id())?,
+        ))
     }
 
     /// Stops the thread that runs requests, and nothing else, until the guard is dropped: the port still accepts and
--- a/rig/src/health/changes.rs
+++ b/rig/src/health/changes.rs
@@ -31,19 +31,28 @@
 impl Lane {
     fn play(&self, rounds: u32) -> anyhow::Result<Delays> {
         let scopes = [("gateway", "\n"), ("group", "group 0\n")];
-        let checks = scopes.iter().map(|(_, text)| Check::Agent(self.plan.agent, (*text).into())).collect();
+        let checks = scopes
+            .iter()
+            .map(|(_, text)| Check::Agent(self.plan.agent, (*text).into()))
+            .collect();
         let balancer = Balancer::start(checks, Pace::default());
         let mut delays = Delays::new();
-        let mut note =
-            |kind, from: usize, cause: u64, wanted: &dyn Fn(&Change) -> bool| -> anyhow::Result<()> {
-                for (server, (scope, _)) in scopes.iter().enumerate() {
-                    let change = recorded(&balancer, server, from, wanted);
-                    let change =
-                        change.with_context(|| format!("{kind} of the {scope} was never recorded"))?;
-                    delays.entry((kind, scope)).or_default().push(change.at.saturating_sub(cause));
-                }
-                Ok(())
-            };
+        let mut note = |kind,
+                        from: usize,
+                        cause: u64,
+                        wanted: &dyn Fn(&Change) -> bool|
+         -> anyhow::Result<()> {
+            for (server, (scope, _)) in scopes.iter().enumerate() {
+                let change = recorded(&balancer, server, from, wanted);
+                let change =
+                    change.with_context(|| format!("{kind} of the {scope} was never recorded"))?;
+                delays
+                    .entry((kind, scope))
+                    .or_default()
+                    .push(change.at.saturating_sub(cause));
+            }
+            Ok(())
+        };
         // Lanes must not meet the balancer's checks all at the same point of its interval.
         let mut random = fastrand::Rng::with_seed(self.seed);
         let mut somewhen = || thread::sleep(Duration::from_micros(random.u64(0..200_000)));
@@ -53,9 +62,13 @@
             let from = balancer.changes().len();
             let mut gateway = Gateway::start(&self.plan)?;
             let told = |state: &'static str| {
-                move |fields: &serde_json::Value| fields["scope"] == "gateway" && fields["state"] == state
+                move |fields: &serde_json::Value| {
+                    fields["scope"] == "gateway" && fields["state"] == state
+                }
             };
-            let up = gateway.logged(0, PATIENCE, told("Up")).context("it never came up")?;
+            let up = gateway
+                .logged(0, PATIENCE, told("Up"))
+                .context("it never came up")?;
             note("up", from, up.at, &|change| change.weight == 100)?;
 
             self.together.wait();
@@ -64,9 +77,12 @@
                 self.fleet.elect(None);
             }
             let lost = gateway.logged(line, PATIENCE, |fields| fields["message"] == "Unmarked");
-            note("no primary", from, lost.context("the loss was not seen")?.at, &|change| {
-                change.weight < 100
-            })?;
+            note(
+                "no primary",
+                from,
+                lost.context("the loss was not seen")?.at,
+                &|change| change.weight < 100,
+            )?;
 
             self.together.wait();
             let (from, line) = (balancer.changes().len(), gateway.log().len());
@@ -74,18 +90,27 @@
                 self.fleet.elect(Some(0));
             }
             let found = gateway.logged(line, PATIENCE, |fields| fields["message"] == "Active");
-            note("primary again", from, found.context("the primary was not seen")?.at, &|change| {
-                change.weight == 100
-            })?;
+            note(
+                "primary again",
+                from,
+                found.context("the primary was not seen")?.at,
+                &|change| change.weight == 100,
+            )?;
 
             self.together.wait();
             somewhen();
             let from = balancer.changes().len();
             let frozen = gateway.freeze().context("the worker can't be stopped")?;
-            note("hung", from, now(), &|change| change.word.starts_with("down hung"))?;
+            note("hung", from, now(), &|change| {
+                change.word.starts_with("down hung")
+            })?;
             drop(frozen);
-            let moving =
-                recorded(&balancer, 0, balancer.changes().len().saturating_sub(1), |c| c.weight == 100);
+            let moving = recorded(
+                &balancer,
+                0,
+                balancer.changes().len().saturating_sub(1),
+                |c| c.weight == 100,
+            );
             moving.context("it never moved again")?;
 
             self.together.wait();
@@ -93,7 +118,9 @@
             let from = balancer.changes().len();
             let cause = now();
             gateway.signal(Signal::SIGTERM)?;
-            note("draining", from, cause, &|change| change.word.starts_with("drain"))?;
+            note("draining", from, cause, &|change| {
+                change.word.starts_with("drain")
+            })?;
             // With nothing owed it is gone as soon as it closes its connections.
             ensure!(gateway.wait(PATIENCE)?, "it ended badly");
             note("stopped", from, now(), &|change| {
@@ -107,7 +134,10 @@
 
 /// Measures how soon a balancer records each kind of change, over all lanes at once.
 pub fn play(setting: &Setting, rounds: u32) -> anyhow::Result<()> {
-    let fleet = Fleet::start(fleet::Shape { gateways: LANES, ..fleet::Shape::default() })?;
+    let fleet = Fleet::start(fleet::Shape {
+        gateways: LANES,
+        ..fleet::Shape::default()
+    })?;
     let together = Arc::new(Barrier::new(LANES));
     // Weights move at once, so that the balancer's hearing is measured and not their slow rise.
     let knobs =
@@ -138,7 +168,14 @@
         }
     }
     let mut table = csv::Writer::from_path(setting.out.join("health-changes.csv"))?;
-    table.write_record(["change", "scope", "count", "median ms", "95% ms", "worst ms"])?;
+    table.write_record([
+        "change",
+        "scope",
+        "count",
+        "median ms",
+        "95% ms",
+        "worst ms",
+    ])?;
     let (mut lines, mut worst_of_all) = (Vec::new(), 0);
     for ((kind, scope), delays) in &mut all {
         delays.sort_unstable();
@@ -160,7 +197,10 @@
         );
         worst_of_all = worst_of_all.max(quantile(delays, 1.0));
         let of = delays.len() as f64;
-        let points = delays.iter().enumerate().map(|(at, delay)| (*delay as f64 / 1e3, (at + 1) as f64 / of));
+        let points = delays
+            .iter()
+            .enumerate()
+            .map(|(at, delay)| (*delay as f64 / 1e3, (at + 1) as f64 / of));
         if *scope == "gateway" {
             lines.push(((*kind).to_owned(), points.collect()));
         }
--- a/rig/src/health/cost.rs
+++ b/rig/src/health/cost.rs
@@ -52,16 +52,24 @@
                         while !ending.load(Ordering::Acquire) {
                             let began = Instant::now();
                             let _ = check.run(Duration::from_secs(1));
-                            thread::sleep(Duration::from_millis(50).saturating_sub(began.elapsed()));
+                            thread::sleep(
+                                Duration::from_millis(50).saturating_sub(began.elapsed()),
+                            );
                         }
                     })
                 })
                 .collect();
             let balancer = Balancer::start(
                 vec![Check::Connect(plan.client)],
-                Pace { interval: Duration::from_secs(5), ..Pace::default() },
+                Pace {
+                    interval: Duration::from_secs(5),
+                    ..Pace::default()
+                },
+            );
+            ensure!(
+                recorded(&balancer, 0, 0, |change| change.weight == 100).is_some(),
+                "never up"
             );
-            ensure!(recorded(&balancer, 0, 0, |change| change.weight == 100).is_some(), "never up");
             let before = gateway.cpu_us()?;
             let records = load::play(shape, &balancer, &[plan.client]);
             let used = gateway.cpu_us()? - before;
@@ -71,7 +79,12 @@
             for checker in checkers {
                 let _ = checker.join();
             }
-            runs.push((used as f64 / records.len() as f64, records.len(), resident, descriptors));
+            runs.push((
+                used as f64 / records.len() as f64,
+                records.len(),
+                resident,
+                descriptors,
+            ));
         }
         runs.sort_by(|one, other| one.0.total_cmp(&other.0));
         let (cpu, requests, resident, descriptors) = runs[1];
--- a/rig/src/health/mod.rs
+++ b/rig/src/health/mod.rs
@@ -62,7 +62,11 @@
     extra: &str,
 ) -> anyhow::Result<Plan> {
     let plan = Plan::beside(fleet, gateway, setting.program.clone())?;
-    Ok(Plan { health, extra: extra.into(), ..plan })
+    Ok(Plan {
+        health,
+        extra: extra.into(),
+        ..plan
+    })
 }
 
 /// The first change of a server from an index on that satisfies this.
@@ -75,7 +79,10 @@
     let until = Instant::now() + PATIENCE;
     while Instant::now() < until {
         let changes = balancer.changes();
-        let found = changes.iter().skip(from).find(|change| change.gateway == server && wanted(change));
+        let found = changes
+            .iter()
+            .skip(from)
+            .find(|change| change.gateway == server && wanted(change));
         if let Some(change) = found {
             return Some(change.clone());
         }
--- a/rig/src/health/outage.rs
+++ b/rig/src/health/outage.rs
@@ -25,8 +25,16 @@
         ..load::Shape::default()
     };
     for (name, title, fault) in [
-        ("health-cut", "One of three gateways is cut off from the primary, 5 s to 15 s", Trouble::Cut),
-        ("health-outage", "The primary dies at 5 s, the next is elected at 9 s", Trouble::Outage),
+        (
+            "health-cut",
+            "One of three gateways is cut off from the primary, 5 s to 15 s",
+            Trouble::Cut,
+        ),
+        (
+            "health-outage",
+            "The primary dies at 5 s, the next is elected at 9 s",
+            Trouble::Outage,
+        ),
         (
             "health-overload",
             "One of three gateways stands still 0.7 s of each second, 5 s to 15 s",
--- a/rig/src/health/rolling.rs
+++ b/rig/src/health/rolling.rs
@@ -41,7 +41,10 @@
                 drains.push((number, told, now()));
                 let until = Instant::now() + PATIENCE;
                 while balancer.now(number).1 < 100 {
-                    ensure!(Instant::now() < until, "gateway {number} never came up again");
+                    ensure!(
+                        Instant::now() < until,
+                        "gateway {number} never came up again"
+                    );
                     thread::sleep(Duration::from_millis(10));
                 }
                 thread::sleep(Duration::from_secs(1));
--- a/rig/src/health/under_load.rs
+++ b/rig/src/health/under_load.rs
@@ -39,10 +39,15 @@
     shape: load::Shape,
     faults: impl FnOnce(&Fleet, &mut [Gateway], &[Plan], &Balancer) -> anyhow::Result<()>,
 ) -> anyhow::Result<Played> {
-    let fleet = Fleet::start(fleet::Shape { members: 4, gateways: 3, ..fleet::Shape::default() })?;
+    let fleet = Fleet::start(fleet::Shape {
+        members: 4,
+        gateways: 3,
+        ..fleet::Shape::default()
+    })?;
     let health = front == Front::Agent;
-    let plans: Vec<Plan> =
-        (0..3).map(|number| plan(setting, &fleet, number, health, "")).collect::<anyhow::Result<_>>()?;
+    let plans: Vec<Plan> = (0..3)
+        .map(|number| plan(setting, &fleet, number, health, ""))
+        .collect::<anyhow::Result<_>>()?;
     let mut gateways: Vec<Gateway> = plans.iter().map(Gateway::start).collect::<Result<_, _>>()?;
     let check = |plan: &Plan| match health {
         true => Check::Agent(plan.agent, "\n".into()),
@@ -50,12 +55,20 @@
     };
     let pace = match front {
         // What balancers do unless told otherwise.
-        Front::SlowConnect => Pace { interval: Duration::from_secs(2), fall: 3, rise: 2, ..Pace::default() },
+        Front::SlowConnect => Pace {
+            interval: Duration::from_secs(2),
+            fall: 3,
+            rise: 2,
+            ..Pace::default()
+        },
         Front::Connect | Front::Agent => Pace::default(),
     };
     let balancer = Balancer::start(plans.iter().map(check).collect(), pace);
     for number in 0..3 {
-        ensure!(recorded(&balancer, number, 0, |change| change.weight == 100).is_some(), "it never came up");
+        ensure!(
+            recorded(&balancer, number, 0, |change| change.weight == 100).is_some(),
+            "it never came up"
+        );
     }
     // Without health, a gateway is in as soon as its port opens: give its members the time that health would wait for.
     thread::sleep(Duration::from_secs(1));
@@ -66,9 +79,17 @@
     let records = load.join().expect("the load panicked");
     balancer.stop();
     let mut counts: HashMap<String, usize> = HashMap::new();
-    fleet.taken().into_iter().for_each(|taken| *counts.entry(taken.id).or_default() += 1);
-    let served = |record: &&Record| record.write && matches!(record.fate, Fate::Served | Fate::Late);
-    let unknown = records.iter().filter(served).filter(|record| !counts.contains_key(&record.id)).count();
+    fleet
+        .taken()
+        .into_iter()
+        .for_each(|taken| *counts.entry(taken.id).or_default() += 1);
+    let served =
+        |record: &&Record| record.write && matches!(record.fate, Fate::Served | Fate::Late);
+    let unknown = records
+        .iter()
+        .filter(served)
+        .filter(|record| !counts.contains_key(&record.id))
+        .count();
     Ok(Played {
         records,
         begun,
@@ -79,21 +100,35 @@
 
 impl Played {
     fn count(&self, fate: Fate) -> String {
-        self.records.iter().filter(|record| record.fate == fate).count().to_string()
+        self.records
+            .iter()
+            .filter(|record| record.fate == fate)
+            .count()
+            .to_string()
     }
 
     /// Goodput by second.
     pub fn by_second(&self) -> Vec<(f64, f64)> {
         let mut seconds: BTreeMap<u64, Vec<&Record>> = BTreeMap::new();
         for record in &self.records {
-            seconds.entry(record.due.saturating_sub(self.begun) / 1_000_000).or_default().push(record);
+            seconds
+                .entry(record.due.saturating_sub(self.begun) / 1_000_000)
+                .or_default()
+                .push(record);
         }
-        seconds.iter().map(|(at, records)| (*at as f64, goodput(records.iter().copied()))).collect()
+        seconds
+            .iter()
+            .map(|(at, records)| (*at as f64, goodput(records.iter().copied())))
+            .collect()
     }
 
     /// Its row of the table, with how many were sent late after a drain's word.
     pub fn row(&self, arm: &str, late_sends: usize) -> Vec<String> {
-        let worst = self.by_second().iter().map(|point| point.1).fold(1.0, f64::min);
+        let worst = self
+            .by_second()
+            .iter()
+            .map(|point| point.1)
+            .fold(1.0, f64::min);
         let mut row = vec![arm.to_owned(), self.records.len().to_string()];
         row.push(format!("{:.4}", goodput(self.records.iter())));
         row.push(format!("{worst:.3}"));
@@ -137,10 +172,18 @@
     table.write_record(COLUMNS)?;
     for row in rows {
         table.write_record(row)?;
-        let cells: Vec<String> =
-            COLUMNS.iter().zip(row).map(|(name, cell)| format!("{name} {cell}")).collect();
+        let cells: Vec<String> = COLUMNS
+            .iter()
+            .zip(row)
+            .map(|(name, cell)| format!("{name} {cell}"))
+            .collect();
         println!("{}", cells.join(", "));
     }
     table.flush()?;
-    chart::lines(&setting.out.join(format!("{name}.svg")), title, ("s", "share of worth served"), lines)
+    chart::lines(
+        &setting.out.join(format!("{name}.svg")),
+        title,
+        ("s", "share of worth served"),
+        lines,
+    )
 }
--- a/rig/src/lib.rs
+++ b/rig/src/lib.rs
@@ -23,6 +23,8 @@
 
 /// Unix time in microseconds, the clock of all records.
 pub fn now() -> u64 {
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let unix = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     unix.as_micros() as u64
 }
--- a/rig/src/load.rs
+++ b/rig/src/load.rs
@@ -86,7 +86,10 @@
 
 /// How many requests were served in time.
 pub fn served(records: &[Record]) -> usize {
-    records.iter().filter(|record| record.fate == Fate::Served).count()
+    records
+        .iter()
+        .filter(|record| record.fate == Fate::Served)
+        .count()
 }
 
 impl Record {
@@ -135,8 +138,10 @@
             thread::spawn(move || client(&due, &balancer, &gateways, shape, number))
         })
         .collect();
-    let mut records: Vec<Record> =
-        clients.into_iter().flat_map(|client| client.join().unwrap_or_default()).collect();
+    let mut records: Vec<Record> = clients
+        .into_iter()
+        .flat_map(|client| client.join().unwrap_or_default())
+        .collect();
     records.sort_by_key(|record| record.due);
     records
 }
@@ -154,20 +159,42 @@
     let mut open: Vec<Option<TcpStream>> = gateways.iter().map(|_| None).collect();
     let mut records = Vec::new();
     loop {
-        let next = due[tenant].lock().unwrap_or_else(PoisonError::into_inner).pop_front();
-        let Some((at, write, id)) = next else { return records };
+        let next = due[tenant]
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .pop_front();
+        let Some((at, write, id)) = next else {
+            return records;
+        };
         thread::sleep(Duration::from_micros(at.saturating_sub(now())));
         let cluster = id % shape.clusters.max(1);
         let poison = shape.poison == Some(tenant) && !write;
-        let who = if shape.tenants > 0 { format!("tenant-{tenant}") } else { "web".to_owned() };
+        let who = if shape.tenants > 0 {
+            format!("tenant-{tenant}")
+        } else {
+            "web".to_owned()
+        };
         let id = format!("{id:016x}");
         let statement = statement(&id, write, cluster, poison);
         let sent = now();
         let (gateway, fate) = request(&mut open, balancer, gateways, &who, &statement);
         let took = now().saturating_sub(at);
         let aim = if write { 1_000_000 } else { 300_000 };
-        let fate = if fate == Fate::Served && took > aim { Fate::Late } else { fate };
-        records.push(Record { id, due: at, sent, gateway, write, tenant, fate, took });
+        let fate = if fate == Fate::Served && took > aim {
+            Fate::Late
+        } else {
+            fate
+        };
+        records.push(Record {
+            id,
+            due: at,
+            sent,
+            gateway,
+            write,
+            tenant,
+            fate,
+            took,
+        });
     }
 }
 
@@ -180,12 +207,16 @@
     statement: &str,
 ) -> (Option<usize>, Fate) {
     for again in [false, true] {
-        let Some(gateway) = balancer.pick() else { return (None, Fate::NoGateway) };
+        let Some(gateway) = balancer.pick() else {
+            return (None, Fate::NoGateway);
+        };
         // The second time on a connection of its own: another that was kept may be closing as well.
         let kept = open[gateway].take().filter(|_| !again);
         let used_before = kept.is_some();
         let stream = kept.map_or_else(|| connect(gateways[gateway], who), Ok);
-        let Ok(mut stream) = stream else { return (Some(gateway), Fate::NoGateway) };
+        let Ok(mut stream) = stream else {
+            return (Some(gateway), Fate::NoGateway);
+        };
         match ask(&mut stream, statement) {
             Ok((fate, keep)) => {
                 open[gateway] = keep.then_some(stream);
@@ -234,14 +265,17 @@
     let mut first = true;
     loop {
         let mut tag = [0];
-        stream.read_exact(&mut tag).map_err(|error| first && error.kind() != io::ErrorKind::WouldBlock)?;
+        stream
+            .read_exact(&mut tag)
+            .map_err(|error| first && error.kind() != io::ErrorKind::WouldBlock)?;
         first = false;
         let body = database::read_body(stream).map_err(|_| false)?;
         match tag[0] {
             b'C' => fate = Fate::Served,
             b'E' => {
-                let refused =
-                    body.split(|byte| *byte == 0).any(|field| matches!(field, b"C53300" | b"C57P03"));
+                let refused = body
+                    .split(|byte| *byte == 0)
+                    .any(|field| matches!(field, b"C53300" | b"C57P03"));
                 fate = if refused { Fate::Refused } else { Fate::Failed };
                 if body.starts_with(b"SFATAL") {
                     return Ok((fate, false));
--- a/rig/src/main.rs
+++ b/rig/src/main.rs
@@ -50,10 +50,21 @@
     fn play(self) -> anyhow::Result<()> {
         let Common { seed, program, out } = self.common;
         std::fs::create_dir_all(&out)?;
-        let setting = capacity::Setting { seed, program, out, repeats: self.repeats };
+        let setting = capacity::Setting {
+            seed,
+            program,
+            out,
+            repeats: self.repeats,
+        };
         let all = capacity::Experiment::value_variants();
-        let chosen = if self.only.is_empty() { all } else { &self.only };
-        chosen.iter().try_for_each(|experiment| experiment.play(&setting))
+        let chosen = if self.only.is_empty() {
+            all
+        } else {
+            &self.only
+        };
+        chosen
+            .iter()
+            .try_for_each(|experiment| experiment.play(&setting))
     }
 }
 
@@ -104,8 +115,9 @@
             };
             let runs: Vec<_> = some.iter().map(|seed| (*seed, run(*seed))).collect();
             for (seed, run) in runs {
-                let found =
-                    run.join().map_err(|_| anyhow::anyhow!("seed {seed}: the run itself failed"))??;
+                let found = run
+                    .join()
+                    .map_err(|_| anyhow::anyhow!("seed {seed}: the run itself failed"))??;
                 println!(
                     "seed {seed}: {} faults, {} versions, {} lines, well after {} ms, {} violations",
                     found.faults,
@@ -114,7 +126,10 @@
                     found.well_after.as_millis(),
                     found.violations.len()
                 );
-                found.violations.iter().for_each(|violation| println!("  {violation}"));
+                found
+                    .violations
+                    .iter()
+                    .for_each(|violation| println!("  {violation}"));
                 (faults, versions) = (faults + found.faults, versions + found.versions);
                 took.push(found.well_after.as_millis() as u64);
                 if !found.violations.is_empty() {
@@ -123,7 +138,10 @@
             }
         }
         took.sort_unstable();
-        let (median, worst) = (chart::quantile(&took, 0.5), took.last().copied().unwrap_or(0));
+        let (median, worst) = (
+            chart::quantile(&took, 0.5),
+            took.last().copied().unwrap_or(0),
+        );
         println!(
             "{} runs: {faults} faults, {versions} versions; well after {median} ms, worst {worst} ms",
             took.len()
@@ -133,7 +151,11 @@
             format!("asterreel-rig cluster --seed {seed} --gateways {gateways} --seconds {seconds}")
         };
         let again: Vec<String> = bad.iter().map(again).collect();
-        anyhow::ensure!(bad.is_empty(), "violations; to play them again:\n{}", again.join("\n"));
+        anyhow::ensure!(
+            bad.is_empty(),
+            "violations; to play them again:\n{}",
+            again.join("\n")
+        );
         Ok(())
     }
 }
@@ -153,15 +175,25 @@
 
 fn main() -> anyhow::Result<()> {
     let (common, health) = match Cli::parse().command {
-        Command::Health(Health { experiment, common, rounds }) => (common, Some((experiment, rounds))),
+        Command::Health(Health {
+            experiment,
+            common,
+            rounds,
+        }) => (common, Some((experiment, rounds))),
         Command::Cells(common) => (common, None),
         Command::Cluster(cluster) => return cluster.play(),
         Command::Capacity(capacity) => return capacity.play(),
         Command::Scale(scale) => return scale.play(),
-        Command::ScaleHollow => return scale::hollow::serve(std::io::stdin().lock(), std::io::stdout()),
+        Command::ScaleHollow => {
+            return scale::hollow::serve(std::io::stdin().lock(), std::io::stdout())
+        }
     };
     std::fs::create_dir_all(&common.out)?;
-    let setting = health::Setting { seed: common.seed, program: common.program, out: common.out };
+    let setting = health::Setting {
+        seed: common.seed,
+        program: common.program,
+        out: common.out,
+    };
     match health {
         Some((experiment, rounds)) => experiment.play(&setting, rounds),
         None => cells::blast(&setting),
--- a/rig/src/process.rs
+++ b/rig/src/process.rs
@@ -29,7 +29,9 @@
 fn number_after(text: &str, key: &str) -> io::Result<u64> {
     let value = text.lines().find_map(|line| line.strip_prefix(key));
     let value = value.map(|value| value.trim().trim_end_matches(" kB"));
-    value.and_then(|value| value.parse().ok()).ok_or_else(|| no_number(key))
+    value
+        .and_then(|value| value.parse().ok())
+        .ok_or_else(|| no_number(key))
 }
 
 /// Reads what a process holds.
@@ -51,12 +53,18 @@
 
 /// Resident memory of a process, KiB.
 pub fn resident_kib(process: u32) -> io::Result<u64> {
-    number_after(&std::fs::read_to_string(folder(process).join("status"))?, "VmRSS:")
+    number_after(
+        &std::fs::read_to_string(folder(process).join("status"))?,
+        "VmRSS:",
+    )
 }
 
 /// Memory that a process has touched and that no file backs, KiB: what a limit on memory counts and nobody can take back.
 pub fn anonymous_kib(process: u32) -> io::Result<u64> {
-    number_after(&std::fs::read_to_string(folder(process).join("status"))?, "RssAnon:")
+    number_after(
+        &std::fs::read_to_string(folder(process).join("status"))?,
+        "RssAnon:",
+    )
 }
 
 /// Descriptors that a process holds.
@@ -71,7 +79,8 @@
         let entry = entry?;
         let number = entry.file_name().to_string_lossy().parse();
         // A thread may have ended since the folder was listed.
-        if let (Ok(number), Ok(name)) = (number, std::fs::read_to_string(entry.path().join("comm"))) {
+        if let (Ok(number), Ok(name)) = (number, std::fs::read_to_string(entry.path().join("comm")))
+        {
             all.push((number, name.trim().to_owned()));
         }
     }
--- a/rig/src/scale/clients.rs
+++ b/rig/src/scale/clients.rs
@@ -36,13 +36,20 @@
         let (until, counting) = (over.clone(), counts.clone());
         let run = move || play(&gateways, rate, seed, &until, &counting);
         let thread = (rate > 0.0).then(|| thread::spawn(run));
-        Clients { over, counts, thread }
+        Clients {
+            over,
+            counts,
+            thread,
+        }
     }
 
     /// Requests that were asked for, and those of them that were served in time.
     pub(super) fn served(&self) -> (u64, u64) {
         let Counts { asked, served } = &*self.counts;
-        (asked.load(Ordering::Relaxed), served.load(Ordering::Relaxed))
+        (
+            asked.load(Ordering::Relaxed),
+            served.load(Ordering::Relaxed),
+        )
     }
 }
 
@@ -57,17 +64,35 @@
 
 /// Plays the load in pieces until it is over.
 fn play(gateways: &[SocketAddr], rate: f64, seed: u64, over: &AtomicBool, counts: &Counts) {
-    let checks = gateways.iter().map(|gateway| Check::Connect(*gateway)).collect();
-    let balancer = Balancer::start(checks, Pace { interval: CHECK_EVERY, ..Pace::default() });
+    let checks = gateways
+        .iter()
+        .map(|gateway| Check::Connect(*gateway))
+        .collect();
+    let balancer = Balancer::start(
+        checks,
+        Pace {
+            interval: CHECK_EVERY,
+            ..Pace::default()
+        },
+    );
     for piece in 0.. {
         if over.load(Ordering::Relaxed) {
             break;
         }
-        let shape =
-            load::Shape { rate, span: PIECE, clients: CLIENTS, seed: seed + piece, ..Default::default() };
+        let shape = load::Shape {
+            rate,
+            span: PIECE,
+            clients: CLIENTS,
+            seed: seed + piece,
+            ..Default::default()
+        };
         let records = load::play(shape, &balancer, gateways);
-        counts.served.fetch_add(load::served(&records) as u64, Ordering::Relaxed);
-        counts.asked.fetch_add(records.len() as u64, Ordering::Relaxed);
+        counts
+            .served
+            .fetch_add(load::served(&records) as u64, Ordering::Relaxed);
+        counts
+            .asked
+            .fetch_add(records.len() as u64, Ordering::Relaxed);
     }
     balancer.stop();
 }
--- a/rig/src/scale/cut.rs
+++ b/rig/src/scale/cut.rs
@@ -30,8 +30,13 @@
             listener.set_nonblocking(true)?;
             Ok((listener, to))
         };
-        let listeners = forwards.into_iter().map(listen).collect::<io::Result<Vec<_>>>()?;
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+        let listeners = forwards
+            .into_iter()
+            .map(listen)
+            .collect::<io::Result<Vec<_>>>()?;
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
         let run = move || {
             runtime.block_on(async move {
                 let serve = |(listener, to)| tokio::spawn(serve(listener, to, watched.clone()));
@@ -85,7 +90,11 @@
     }
 }
 
-async fn carry(mut client: TcpStream, to: SocketAddr, mut is_cut: watch::Receiver<bool>) -> io::Result<()> {
+async fn carry(
+    mut client: TcpStream,
+    to: SocketAddr,
+    mut is_cut: watch::Receiver<bool>,
+) -> io::Result<()> {
     // A new connection waits for the way, as its first packet would.
     let mut ahead = Vec::new();
     if !healed(&mut client, &mut ahead, &mut is_cut).await? {
--- a/rig/src/scale/fleet.rs
+++ b/rig/src/scale/fleet.rs
@@ -83,17 +83,32 @@
 impl Fleet {
     /// Starts it: the voters, their databases and clients, and the hollow gateways.
     pub fn start(size: Size) -> anyhow::Result<Fleet> {
-        ensure!(size.gateways > VOTERS + 10, "{} gateways: too few for the schedule", size.gateways);
+        ensure!(
+            size.gateways > VOTERS + 10,
+            "{} gateways: too few for the schedule",
+            size.gateways
+        );
         let available_kib = process::available_kib()?;
         let folder = tempfile::tempdir()?;
-        let shape = fleet::Shape { members: 2, gateways: VOTERS as usize, ..fleet::Shape::default() };
+        let shape = fleet::Shape {
+            members: 2,
+            gateways: VOTERS as usize,
+            ..fleet::Shape::default()
+        };
         let databases = fleet::Fleet::start(shape)?;
         let mut plans = BTreeMap::new();
         for voter in 1..=VOTERS {
             let plan = Plan::beside(&databases, voter as usize - 1, size.program.clone())?;
             // Links of the control plane come on top of those of clients and databases.
             let sockets = plan.sockets + 4 * size.gateways as usize;
-            plans.insert(voter, Plan { health: false, sockets, ..plan });
+            plans.insert(
+                voter,
+                Plan {
+                    health: false,
+                    sockets,
+                    ..plan
+                },
+            );
         }
         let Placement { leases, groups } = layout::place(size.gateways, size.seed, folder.path())?;
         let served = plans.values().map(|plan| plan.client).collect();
@@ -113,16 +128,26 @@
         for group in &mut fleet.groups {
             group.start(&fleet.size.host)?;
         }
-        fleet.groups.iter_mut().try_for_each(|group| group.receive().map(drop))?;
+        fleet
+            .groups
+            .iter_mut()
+            .try_for_each(|group| group.receive().map(drop))?;
         Ok(fleet)
     }
 
     fn start_voter(&mut self, voter: u32) -> anyhow::Result<()> {
         let operator = operator_file(&self.leases[&voter], self.edition);
-        let started = Gateway::start(&Plan { operator, ..self.plans[&voter].clone() })?;
+        let started = Gateway::start(&Plan {
+            operator,
+            ..self.plans[&voter].clone()
+        })?;
         // Before that a signal would end it, as it would any program.
         let up = started.logged(0, START, |line| line["message"] == "log: started");
-        ensure!(up.is_some(), "gateway {voter} did not start: {:?}", started.log().last());
+        ensure!(
+            up.is_some(),
+            "gateway {voter} did not start: {:?}",
+            started.log().last()
+        );
         self.voters.insert(voter, started);
         Ok(())
     }
@@ -140,8 +165,15 @@
     /// Sends an order to all groups that answer, and takes their answers.
     fn ask(&mut self, order: &Order, of: impl Fn(Part) -> bool) -> anyhow::Result<Vec<Answer>> {
         let asked = |group: &&mut Group| group.answers() && of(group.part());
-        self.groups.iter_mut().filter(asked).try_for_each(|group| group.send(order))?;
-        self.groups.iter_mut().filter(asked).map(Group::receive).collect()
+        self.groups
+            .iter_mut()
+            .filter(asked)
+            .try_for_each(|group| group.send(order))?;
+        self.groups
+            .iter_mut()
+            .filter(asked)
+            .map(Group::receive)
+            .collect()
     }
 
     /// How all gateways stand that run and answer, but those of parts that are left out.
@@ -154,7 +186,11 @@
                 _ => Vec::new(),
             })
             .collect();
-        all.extend(self.voters.iter().map(|(number, voter)| Standing::logged(*number, &voter.log())));
+        all.extend(
+            self.voters
+                .iter()
+                .map(|(number, voter)| Standing::logged(*number, &voter.log())),
+        );
         Ok(all)
     }
 
@@ -171,17 +207,31 @@
             let threads = process::threads(voter.id())?;
             let name = control_thread(*number);
             let thread = threads.iter().find(|(_, other)| *other == name);
-            let cpu_ns = thread.map_or(Ok(0), |(thread, _)| process::thread_cpu_ns(voter.id(), *thread))?;
+            let cpu_ns = thread.map_or(Ok(0), |(thread, _)| {
+                process::thread_cpu_ns(voter.id(), *thread)
+            })?;
             let process = process::usage(voter.id())?;
             let traffic = MemberTotals::logged(&voter.log());
-            voters.insert(*number, Voter { at: now(), cpu_ns, process, traffic });
+            voters.insert(
+                *number,
+                Voter {
+                    at: now(),
+                    cpu_ns,
+                    process,
+                    traffic,
+                },
+            );
         }
         Ok(Sample { hollow, voters })
     }
 
     /// The voter that leads the log, by what the voters logged last; 0 is none.
     pub fn leader(&self) -> u32 {
-        let newest = self.voters.values().flat_map(|voter| leaders(voter.log())).max();
+        let newest = self
+            .voters
+            .values()
+            .flat_map(|voter| leaders(voter.log()))
+            .max();
         newest.map_or(0, |(_, leader)| leader)
     }
 
@@ -189,7 +239,12 @@
     pub fn check_memory(&self) -> anyhow::Result<()> {
         let taken = self.available_kib.saturating_sub(process::available_kib()?);
         let most = self.size.memory_kib;
-        ensure!(taken <= most, "the fleet took {} MiB, of {} MiB that it may", taken / 1024, most / 1024);
+        ensure!(
+            taken <= most,
+            "the fleet took {} MiB, of {} MiB that it may",
+            taken / 1024,
+            most / 1024
+        );
         Ok(())
     }
 
@@ -214,18 +269,32 @@
 
     /// Waits until all gateways act, but those of parts left out, and offers editions until a new one is in force at each of
     /// them; how long that took. On a busy machine a real gateway may refuse one, as it can't read its file in time.
-    pub fn agree(&mut self, within: Duration, without: &[Part]) -> anyhow::Result<Option<Duration>> {
+    pub fn agree(
+        &mut self,
+        within: Duration,
+        without: &[Part],
+    ) -> anyhow::Result<Option<Duration>> {
         let began = Instant::now();
         if !self.wait(within, without, Standing::acts_now)?.0 {
             return Ok(None);
         }
-        let newest = self.look(&[])?.iter().map(|one| one.in_force).max().unwrap_or(0);
+        let newest = self
+            .look(&[])?
+            .iter()
+            .map(|one| one.in_force)
+            .max()
+            .unwrap_or(0);
         while began.elapsed() < within {
             // Who offers may just have lost its seat: each in turn.
             self.offer(self.edition as u32 % VOTERS + 1)?;
             let left = within.saturating_sub(began.elapsed()).min(AGAIN);
-            let (done, all) = self.wait(left, without, |one| one.acts_now() && one.in_force > newest)?;
-            if done && all.windows(2).all(|pair| pair[0].in_force == pair[1].in_force) {
+            let (done, all) =
+                self.wait(left, without, |one| one.acts_now() && one.in_force > newest)?;
+            if done
+                && all
+                    .windows(2)
+                    .all(|pair| pair[0].in_force == pair[1].in_force)
+            {
                 return Ok(Some(began.elapsed()));
             }
         }
@@ -236,7 +305,10 @@
     pub fn kill_leader(&mut self) -> anyhow::Result<u32> {
         let leader = self.leader();
         // Dropped, its process is killed.
-        ensure!(self.voters.remove(&leader).is_some(), "no voter that runs leads the log");
+        ensure!(
+            self.voters.remove(&leader).is_some(),
+            "no voter that runs leads the log"
+        );
         Ok(leader)
     }
 
@@ -252,7 +324,11 @@
 
     /// Watches until every gateway that runs holds a right that it asked for after `fallen_at`, or time is up. Says at which
     /// look each was first seen with one, Unix microseconds, of those that were seen with a right at every look.
-    pub fn renewed_without_a_gap(&mut self, fallen_at: u64, within: Duration) -> anyhow::Result<Vec<u64>> {
+    pub fn renewed_without_a_gap(
+        &mut self,
+        fallen_at: u64,
+        within: Duration,
+    ) -> anyhow::Result<Vec<u64>> {
         let until = Instant::now() + within;
         let mut renewed_at = BTreeMap::new();
         let mut lapsed = BTreeSet::new();
@@ -281,7 +357,9 @@
             voter.rewrite(&operator_file(&self.leases[number], self.edition))?;
         }
         let at = now();
-        let Some(voter) = self.voters.get(&by) else { bail!("gateway {by} does not run") };
+        let Some(voter) = self.voters.get(&by) else {
+            bail!("gateway {by} does not run")
+        };
         voter.signal(Signal::SIGHUP)?;
         Ok(at)
     }
@@ -297,11 +375,14 @@
 
     /// Cuts a third off, or heals that.
     pub fn cut(&mut self, is_cut: bool) -> anyhow::Result<()> {
-        self.ask(&Order::Cut(is_cut), |part| part == Part::Third).map(drop)
+        self.ask(&Order::Cut(is_cut), |part| part == Part::Third)
+            .map(drop)
     }
 
     fn of(&mut self, part: Part) -> impl Iterator<Item = &mut Group> {
-        self.groups.iter_mut().filter(move |group| group.part() == part)
+        self.groups
+            .iter_mut()
+            .filter(move |group| group.part() == part)
     }
 
     /// Kills all gateways of a part at once.
@@ -313,7 +394,8 @@
     pub fn revive(&mut self, part: Part) -> anyhow::Result<()> {
         let host = self.size.host.clone();
         self.of(part).try_for_each(|group| group.start(&host))?;
-        self.of(part).try_for_each(|group| group.receive().map(drop))
+        self.of(part)
+            .try_for_each(|group| group.receive().map(drop))
     }
 
     /// Has a part's processes stand still, or go on.
--- a/rig/src/scale/group.rs
+++ b/rig/src/scale/group.rs
@@ -58,7 +58,12 @@
 impl Group {
     /// A group that does not run yet.
     pub fn new(part: Part, leases: Vec<Lease>, forwards: Vec<Forward>) -> Group {
-        Group { part, leases, forwards, running: None }
+        Group {
+            part,
+            leases,
+            forwards,
+            running: None,
+        }
     }
 
     /// What it is there for.
@@ -73,7 +78,9 @@
 
     /// Whether its gateways run and answer.
     pub fn answers(&self) -> bool {
-        self.running.as_ref().is_some_and(|running| !running.stands_still)
+        self.running
+            .as_ref()
+            .is_some_and(|running| !running.stands_still)
     }
 
     /// Starts its process; [`Group::send`] then asks it to begin.
@@ -87,7 +94,11 @@
                     .arg("scale-hollow")
                     .stdin(OwnedFd::from(theirs.try_clone()?))
                     .stdout(OwnedFd::from(theirs));
-                Some(command.spawn().with_context(|| program.display().to_string())?)
+                Some(
+                    command
+                        .spawn()
+                        .with_context(|| program.display().to_string())?,
+                )
             }
             Host::Here => {
                 let orders = BufReader::new(theirs.try_clone()?);
@@ -97,8 +108,16 @@
         };
         let orders = ours.try_clone()?;
         let answers = BufReader::new(ours);
-        self.running = Some(Running { orders, answers, child, stands_still: false });
-        self.send(&Order::Begin { leases: self.leases.clone(), forwards: self.forwards.clone() })
+        self.running = Some(Running {
+            orders,
+            answers,
+            child,
+            stands_still: false,
+        });
+        self.send(&Order::Begin {
+            leases: self.leases.clone(),
+            forwards: self.forwards.clone(),
+        })
     }
 
     /// Sends an order; [`Group::receive`] takes its answer.
@@ -112,7 +131,10 @@
     pub fn receive(&mut self) -> anyhow::Result<Answer> {
         let running = self.running.as_mut().context("it does not run")?;
         let mut line = String::new();
-        running.answers.read_line(&mut line).context("a process of hollow gateways does not answer")?;
+        running
+            .answers
+            .read_line(&mut line)
+            .context("a process of hollow gateways does not answer")?;
         match serde_json::from_str(&line).context("a process of hollow gateways ended by itself")? {
             Answer::Failed(why) => bail!("a process of hollow gateways: {why}"),
             answer => Ok(answer),
@@ -132,7 +154,11 @@
     pub fn stand_still(&mut self, still: bool) -> anyhow::Result<()> {
         if let Some(running) = &mut self.running {
             if let Some(child) = &running.child {
-                let signal = if still { Signal::SIGSTOP } else { Signal::SIGCONT };
+                let signal = if still {
+                    Signal::SIGSTOP
+                } else {
+                    Signal::SIGCONT
+                };
                 kill(Pid::from_raw(child.id() as i32), signal)?;
                 running.stands_still = still;
             }
--- a/rig/src/scale/hollow.rs
+++ b/rig/src/scale/hollow.rs
@@ -112,7 +112,12 @@
 /// Carries out orders until there are no more.
 pub fn serve(orders: impl BufRead, mut answers: impl Write) -> anyhow::Result<()> {
     let empty = process::usage(std::process::id())?;
-    let mut hollows = Hollows { clock: Clock::start(), gateways: BTreeMap::new(), empty, cut: None };
+    let mut hollows = Hollows {
+        clock: Clock::start(),
+        gateways: BTreeMap::new(),
+        empty,
+        cut: None,
+    };
     for line in orders.lines() {
         let answer = serde_json::from_str(&line?).map_err(anyhow::Error::from);
         let answer = answer.and_then(|order| hollows.carry_out(order));
@@ -127,16 +132,29 @@
     fn carry_out(&mut self, order: Order) -> anyhow::Result<Answer> {
         match order {
             Order::Begin { leases, forwards } => {
-                self.cut = (!forwards.is_empty()).then(|| Cut::start(forwards)).transpose()?;
+                self.cut = (!forwards.is_empty())
+                    .then(|| Cut::start(forwards))
+                    .transpose()?;
                 leases.iter().try_for_each(|lease| self.start(lease))?;
                 Ok(Answer::Done)
             }
-            Order::Look => Ok(Answer::Standing(self.gateways.iter().map(|one| self.look(one)).collect())),
+            Order::Look => Ok(Answer::Standing(
+                self.gateways.iter().map(|one| self.look(one)).collect(),
+            )),
             Order::Measure => {
                 self.find_threads()?;
-                let gateways = self.gateways.iter().map(used).collect::<anyhow::Result<_>>()?;
+                let gateways = self
+                    .gateways
+                    .iter()
+                    .map(used)
+                    .collect::<anyhow::Result<_>>()?;
                 let process = process::usage(std::process::id())?;
-                Ok(Answer::Used(Used { at: self.clock.now(), gateways, process, empty: self.empty }))
+                Ok(Answer::Used(Used {
+                    at: self.clock.now(),
+                    gateways,
+                    process,
+                    empty: self.empty,
+                }))
             }
             Order::Offer(by) => {
                 for gateway in by.iter().filter_map(|gateway| self.gateways.get(gateway)) {
@@ -148,7 +166,9 @@
                 Ok(Answer::Done)
             }
             Order::Drain => {
-                self.gateways.values().for_each(|gateway| gateway.handle.request(Request::Drain));
+                self.gateways
+                    .values()
+                    .for_each(|gateway| gateway.handle.request(Request::Drain));
                 Ok(Answer::Done)
             }
             Order::Cut(is_cut) => {
@@ -165,8 +185,18 @@
         let (handle, known) = (Arc::new(handle), Arc::<Mutex<Known>>::default());
         let (asked, learned, clock) = (handle.clone(), known.clone(), self.clock);
         let take = move || take_notices(&notices, &asked, &learned, clock);
-        thread::Builder::new().name("notices".into()).stack_size(NOTICES_STACK).spawn(take)?;
-        self.gateways.insert(lease.me, Gateway { handle, known, thread: 0 });
+        thread::Builder::new()
+            .name("notices".into())
+            .stack_size(NOTICES_STACK)
+            .spawn(take)?;
+        self.gateways.insert(
+            lease.me,
+            Gateway {
+                handle,
+                known,
+                thread: 0,
+            },
+        );
         Ok(())
     }
 
@@ -175,8 +205,10 @@
         if self.gateways.values().all(|gateway| gateway.thread != 0) {
             return Ok(());
         }
-        let threads: BTreeMap<String, u32> =
-            process::threads(std::process::id())?.into_iter().map(|(thread, name)| (name, thread)).collect();
+        let threads: BTreeMap<String, u32> = process::threads(std::process::id())?
+            .into_iter()
+            .map(|(thread, name)| (name, thread))
+            .collect();
         for (number, gateway) in &mut self.gateways {
             gateway.thread = threads.get(&control_thread(*number)).copied().unwrap_or(0);
         }
@@ -185,8 +217,17 @@
 
     fn look(&self, (number, gateway): (&u32, &Gateway)) -> Standing {
         let known = lock(&gateway.known);
-        let until = gateway.handle.view().right(self.clock.now()).map_or(0, |right| right.until);
-        Standing { gateway: *number, in_force: known.in_force, since: known.since, until }
+        let until = gateway
+            .handle
+            .view()
+            .right(self.clock.now())
+            .map_or(0, |right| right.until);
+        Standing {
+            gateway: *number,
+            in_force: known.in_force,
+            since: known.since,
+            until,
+        }
     }
 }
 
--- a/rig/src/scale/layout.rs
+++ b/rig/src/scale/layout.rs
@@ -29,15 +29,27 @@
 /// control member listens at its own and keeps its log in a folder.
 fn lease(me: u32, voters: u32, store: &Path, reached: impl Fn(u32) -> SocketAddr) -> Lease {
     let votes = me <= voters;
-    let peer = |id| Peer { id, address: reached(id), voter: true };
+    let peer = |id| Peer {
+        id,
+        address: reached(id),
+        voter: true,
+    };
     Lease {
         me,
         peers: (1..=voters).map(peer).collect(),
         client: !votes,
         listen: votes.then(|| reached(me)),
         allow: this_machine(),
-        store: if votes { store.to_owned() } else { Default::default() },
-        duties: if votes { DUTIES.map(str::to_owned).to_vec() } else { Vec::new() },
+        store: if votes {
+            store.to_owned()
+        } else {
+            Default::default()
+        },
+        duties: if votes {
+            DUTIES.map(str::to_owned).to_vec()
+        } else {
+            Vec::new()
+        },
         lease_ms: LEASE_MS,
         renew_ms: RENEW_MS,
         drift_ppm: DRIFT_PPM,
@@ -48,11 +60,19 @@
 /// A control member's settings as a call of the operator's file. Editions differ in a network that may connect, and in
 /// nothing that gateways greet each other with.
 pub fn operator_file(lease: &Lease, edition: u64) -> String {
-    let peers =
-        lease.peers.iter().map(|peer| format!("peer(id = {}, address = '{}')", peer.id, peer.address));
+    let peers = lease
+        .peers
+        .iter()
+        .map(|peer| format!("peer(id = {}, address = '{}')", peer.id, peer.address));
     let peers = peers.collect::<Vec<String>>().join(",\n    ");
-    let duties: Vec<String> = lease.duties.iter().map(|duty| format!("'{duty}'")).collect();
-    let listen = lease.listen.map_or(String::new(), |listen| format!("listen = '{listen}', "));
+    let duties: Vec<String> = lease
+        .duties
+        .iter()
+        .map(|duty| format!("'{duty}'"))
+        .collect();
+    let listen = lease
+        .listen
+        .map_or(String::new(), |listen| format!("listen = '{listen}', "));
     format!(
         "lease(me = {}, {listen}store = '{}', duties = [{}],\n  lease_ms = {}, renew_ms = {},\n  \
          allow = ['127.0.0.0/8', '10.{}.{}.0/24'],\n  peers = [\n    {peers}])\n",
@@ -99,13 +119,25 @@
         for some in members.chunks(TOGETHER) {
             let mut forwards: Vec<Forward> = Vec::new();
             if part == Part::Third {
-                forwards = free(VOTERS as usize)?.into_iter().zip(listens.clone()).collect();
+                forwards = free(VOTERS as usize)?
+                    .into_iter()
+                    .zip(listens.clone())
+                    .collect();
             }
-            let reached = |to: u32| forwards.get(to as usize - 1).map_or(listen(to), |(way_out, _)| *way_out);
-            let leases = some.iter().map(|me| lease(*me, VOTERS, &store(*me), reached)).collect();
+            let reached = |to: u32| {
+                forwards
+                    .get(to as usize - 1)
+                    .map_or(listen(to), |(way_out, _)| *way_out)
+            };
+            let leases = some
+                .iter()
+                .map(|me| lease(*me, VOTERS, &store(*me), reached))
+                .collect();
             groups.push(Group::new(part, leases, forwards));
         }
     }
-    let leases = (1..=VOTERS).map(|me| (me, lease(me, VOTERS, &store(me), listen))).collect();
+    let leases = (1..=VOTERS)
+        .map(|me| (me, lease(me, VOTERS, &store(me), listen)))
+        .collect();
     Ok(Placement { leases, groups })
 }
--- a/rig/src/scale/schedule.rs
+++ b/rig/src/scale/schedule.rs
@@ -58,7 +58,12 @@
 
 impl Default for Pace {
     fn default() -> Pace {
-        Pace { rest: REST, window: WINDOW, cut: Duration::ZERO, until: Duration::from_secs(600) }
+        Pace {
+            rest: REST,
+            window: WINDOW,
+            cut: Duration::ZERO,
+            until: Duration::from_secs(600),
+        }
     }
 }
 
@@ -87,7 +92,14 @@
     let (began, gateways, seed) = (Instant::now(), size.gateways, size.seed);
     let fleet = Fleet::start(size)?;
     let random = fastrand::Rng::with_seed(seed);
-    let mut play = Play { fleet, gateways, random, pace, found: Measured::default(), counted: (0, 0) };
+    let mut play = Play {
+        fleet,
+        gateways,
+        random,
+        pace,
+        found: Measured::default(),
+        counted: (0, 0),
+    };
     let agreed = play.begin();
     let played = agreed.and_then(|agreed| {
         // A fleet that does not come to agree is measured at rest, which it has not, and then left.
@@ -98,7 +110,10 @@
             }
             play.event(*event)?;
         }
-        anyhow::ensure!(agreed, "not all gateways acted on one version within {PATIENCE:?}");
+        anyhow::ensure!(
+            agreed,
+            "not all gateways acted on one version within {PATIENCE:?}"
+        );
         Ok(())
     });
     if let Err(fault) = played {
@@ -117,7 +132,15 @@
         let all = self.fleet.look(&[])?;
         // Where all act on a version, its instants are known; else only who acts at the end.
         let acts = all.iter().filter(|one| one.acts_now());
-        let reached = acts.map(|one| if agreed.is_some() { one.since } else { crate::now() }).collect();
+        let reached = acts
+            .map(|one| {
+                if agreed.is_some() {
+                    one.since
+                } else {
+                    crate::now()
+                }
+            })
+            .collect();
         self.told(table::START, began, reached, all.len());
         Ok(agreed.is_some())
     }
@@ -168,12 +191,30 @@
     }
 
     fn newest(&mut self) -> anyhow::Result<u64> {
-        Ok(self.fleet.look(&[])?.iter().map(|one| one.in_force).max().unwrap_or(0))
+        Ok(self
+            .fleet
+            .look(&[])?
+            .iter()
+            .map(|one| one.in_force)
+            .max()
+            .unwrap_or(0))
     }
 
-    fn in_force(&mut self, event: &str, at: u64, newest: u64, without: &[Part]) -> anyhow::Result<()> {
-        let (_, all) = self.fleet.wait(PATIENCE, without, |one| one.in_force > newest)?;
-        let reached = all.iter().filter(|one| one.in_force > newest).map(|one| one.since).collect();
+    fn in_force(
+        &mut self,
+        event: &str,
+        at: u64,
+        newest: u64,
+        without: &[Part],
+    ) -> anyhow::Result<()> {
+        let (_, all) = self
+            .fleet
+            .wait(PATIENCE, without, |one| one.in_force > newest)?;
+        let reached = all
+            .iter()
+            .filter(|one| one.in_force > newest)
+            .map(|one| one.since)
+            .collect();
         self.told(event, at, reached, all.len());
         Ok(())
     }
@@ -187,7 +228,12 @@
         let acting = self.fleet.look(&[])?;
         let acts = acting.iter().filter(|one| one.acts_now()).count();
         // When all acted is seen from outside: the instant of the last look.
-        self.told(&format!("{event}: all act"), began, vec![all_act; acts], acting.len());
+        self.told(
+            &format!("{event}: all act"),
+            began,
+            vec![all_act; acts],
+            acting.len(),
+        );
         let at = self.fleet.offer(1)?;
         self.in_force(&format!("{event}: a change after"), at, newest, &[])
     }
@@ -196,9 +242,12 @@
         match event {
             Event::Rest => self.during("at rest", |_| Ok(())),
             Event::Change => self.during("a change", |play| play.change("a change", &[])),
-            Event::Dead => {
-                self.killed("four dead under a change", "four dead under a change", Part::Dead, "four back")
-            }
+            Event::Dead => self.killed(
+                "four dead under a change",
+                "four dead under a change",
+                Part::Dead,
+                "four back",
+            ),
             Event::Cut => self.third_cut_off(),
             Event::Stopped => self.one_stopped(),
             Event::Ten => self.ten_at_once(),
@@ -272,7 +321,12 @@
         let all = self.fleet.look(&[])?;
         let acts = all.iter().filter(|one| one.acts_now()).count();
         let reached = vec![crate::now(); acts];
-        self.told("all restarted, one process after another", began, reached, all.len());
+        self.told(
+            "all restarted, one process after another",
+            began,
+            reached,
+            all.len(),
+        );
         Ok(())
     }
 
@@ -287,7 +341,12 @@
             let offered_at = play.offer()?;
             let renewed = play.fleet.renewed_without_a_gap(at, PATIENCE)?;
             let running = play.fleet.gateways() - 1;
-            play.told("the leader dead: rights renewed without a gap", at, renewed, running);
+            play.told(
+                "the leader dead: rights renewed without a gap",
+                at,
+                renewed,
+                running,
+            );
             play.in_force("the leader dead under a change", offered_at, newest, &[])
         })?;
         self.fleet.revive_voter(fallen)?;
--- a/rig/src/scale/slopes.rs
+++ b/rig/src/scale/slopes.rs
@@ -59,17 +59,28 @@
 ///
 /// Tables that can't be read or written.
 pub fn write(loads: &Path, changes: &Path, slopes: &Path, event: &str) -> anyhow::Result<()> {
-    let mut rows = csv::Reader::from_path(loads)?.into_deserialize().collect::<Result<Vec<Load>, _>>()?;
-    let started = csv::Reader::from_path(changes)?.into_deserialize().collect::<Result<Vec<Change>, _>>()?;
+    let mut rows = csv::Reader::from_path(loads)?
+        .into_deserialize()
+        .collect::<Result<Vec<Load>, _>>()?;
+    let started = csv::Reader::from_path(changes)?
+        .into_deserialize()
+        .collect::<Result<Vec<Change>, _>>()?;
     let agreed = |row: &&Change| row.event == START && row.reached == row.awaited;
-    let agreed: Vec<u32> = started.iter().filter(agreed).map(|row| row.gateways).collect();
+    let agreed: Vec<u32> = started
+        .iter()
+        .filter(agreed)
+        .map(|row| row.gateways)
+        .collect();
     rows.retain(|row| agreed.contains(&row.gateways) && row.event == event);
     if rows.is_empty() {
         return Ok(());
     }
     let mut out = csv::Writer::from_path(slopes)?;
     for (role, of) in ROLES {
-        let of_role: Vec<&Load> = rows.iter().filter(|row| row.role == role && row.of == of).collect();
+        let of_role: Vec<&Load> = rows
+            .iter()
+            .filter(|row| row.role == role && row.of == of)
+            .collect();
         for figure in FIGURES {
             if let Some(slope) = slope(&of_role, figure) {
                 out.serialize(slope)?;
@@ -81,7 +92,9 @@
 
 /// The slope of a figure through the rows of one role; nothing for fewer than two sizes that have it.
 fn slope(rows: &[&Load], (figure, value): Figure) -> Option<Slope> {
-    let points = rows.iter().filter_map(|row| Some((f64::from(row.gateways), value(row)?)));
+    let points = rows
+        .iter()
+        .filter_map(|row| Some((f64::from(row.gateways), value(row)?)));
     let points: Vec<(f64, f64)> = points.collect();
     let fit = Fit::of(&points)?;
     let first = rows.first()?;
@@ -104,7 +117,10 @@
 fn explained(points: &[(f64, f64)], fit: &Fit) -> f64 {
     let mean = points.iter().map(|point| point.1).sum::<f64>() / points.len() as f64;
     let all: f64 = points.iter().map(|point| (point.1 - mean).powi(2)).sum();
-    let left: f64 = points.iter().map(|point| (point.1 - fit.line.at(point.0)).powi(2)).sum();
+    let left: f64 = points
+        .iter()
+        .map(|point| (point.1 - fit.line.at(point.0)).powi(2))
+        .sum();
     if all > 0.0 {
         1.0 - left / all
     } else {
