--- a/rig/src/scale/table.rs
+++ b/rig/src/scale/table.rs
@@ -92,7 +92,8 @@
     /// For people who watch.
     pub fn line(&self) -> String {
         let (event, role, of, cpu) = (&self.event, &self.role, &self.of, self.cpu_percent);
-        let messages = [self.messages_in_s, self.messages_out_s].map(|rate| rate.unwrap_or(f64::NAN));
+        let messages =
+            [self.messages_in_s, self.messages_out_s].map(|rate| rate.unwrap_or(f64::NAN));
         format!("  {event}: {role}, {of}: {cpu:.2}% of a core, {messages:.0?} messages a second in and out")
     }
 }
@@ -174,10 +175,15 @@
     let seconds = (after.at - before.at) as f64 / SECOND_US;
     let logged = before.traffic.zip(after.traffic);
     // One that was started anew meanwhile counts from nothing.
-    let logged = logged.filter(|(was, is)| is.at > was.at && is.members.frames_out >= was.members.frames_out);
+    let logged = logged
+        .filter(|(was, is)| is.at > was.at && is.members.frames_out >= was.members.frames_out);
     let rates = |of: fn(&MemberTotals) -> &TrafficTotals| {
         let (was, is) = logged.as_ref()?;
-        Some(TrafficRates::between(of(was), of(is), (is.at - was.at) as f64 / SECOND_US))
+        Some(TrafficRates::between(
+            of(was),
+            of(is),
+            (is.at - was.at) as f64 / SECOND_US,
+        ))
     };
     Rates {
         cpu: after.cpu_ns.saturating_sub(before.cpu_ns) as f64 / 1e7 / seconds,
@@ -191,22 +197,44 @@
 }
 
 /// The rows of an event between two samples, by role.
-pub fn loads(gateways: u32, event: &str, leader: u32, before: &Sample, after: &Sample) -> Vec<Load> {
+pub fn loads(
+    gateways: u32,
+    event: &str,
+    leader: u32,
+    before: &Sample,
+    after: &Sample,
+) -> Vec<Load> {
     // A process that was started anew meanwhile counts from nothing: it is left out.
     let same = |was: &Used, is: &Used| {
-        let all = |used: &Used| used.gateways.iter().map(|work| work.gateway).collect::<Vec<u32>>();
+        let all = |used: &Used| {
+            used.gateways
+                .iter()
+                .map(|work| work.gateway)
+                .collect::<Vec<u32>>()
+        };
         let grown = |(was, is): (&Work, &Work)| {
             is.cpu_ns >= was.cpu_ns && is.traffic.frames_in >= was.traffic.frames_in
         };
         all(was) == all(is) && was.gateways.iter().zip(&is.gateways).all(grown)
     };
-    let pairs =
-        after.hollow.iter().filter_map(|is| Some((before.hollow.iter().find(|was| same(was, is))?, is)));
+    let pairs = after
+        .hollow
+        .iter()
+        .filter_map(|is| Some((before.hollow.iter().find(|was| same(was, is))?, is)));
     let hollows: Vec<Rates> = pairs.flat_map(|(was, is)| hollow(was, is)).collect();
-    let both = after.voters.iter().filter_map(|(number, is)| Some((*number, before.voters.get(number)?, is)));
-    let voters: BTreeMap<u32, Rates> = both.map(|(number, was, is)| (number, voter(was, is))).collect();
+    let both = after
+        .voters
+        .iter()
+        .filter_map(|(number, is)| Some((*number, before.voters.get(number)?, is)));
+    let voters: BTreeMap<u32, Rates> = both
+        .map(|(number, was, is)| (number, voter(was, is)))
+        .collect();
     let leads = voters.get(&leader).copied();
-    let follow: Vec<Rates> = voters.iter().filter(|(n, _)| **n != leader).map(|(_, one)| *one).collect();
+    let follow: Vec<Rates> = voters
+        .iter()
+        .filter(|(n, _)| **n != leader)
+        .map(|(_, one)| *one)
+        .collect();
     let seconds = match (before.voters.values().next(), after.voters.values().next()) {
         (Some(before), Some(after)) => (after.at - before.at) as f64 / SECOND_US,
         _ => 0.0,
@@ -216,12 +244,16 @@
         ("follower", follow),
         ("gateway", hollows),
     ];
-    roles.into_iter().flat_map(|(role, all)| rows(gateways, event, seconds, role, &all)).collect()
+    roles
+        .into_iter()
+        .flat_map(|(role, all)| rows(gateways, event, seconds, role, &all))
+        .collect()
 }
 
 fn rows(gateways: u32, event: &str, seconds: f64, role: &str, all: &[Rates]) -> Vec<Load> {
     let of = |value: fn(&Rates) -> f64| middle_and_worst(all.iter().map(value).collect());
-    let known = |side: fn(&Rates) -> Option<TrafficRates>| all.iter().filter_map(side).collect::<Vec<_>>();
+    let known =
+        |side: fn(&Rates) -> Option<TrafficRates>| all.iter().filter_map(side).collect::<Vec<_>>();
     let (traffic, member_traffic) = (known(|one| one.traffic), known(|one| one.member_traffic));
     let rate = |of: &[TrafficRates], value: fn(&TrafficRates) -> f64| {
         (!of.is_empty()).then(|| middle_and_worst(of.iter().map(value).collect()))
@@ -229,8 +261,14 @@
     let (cpu, memory, disk) = (of(|one| one.cpu), of(|one| one.memory), of(|one| one.disk));
     let (descriptors, connections) = (of(|one| one.descriptors), of(|one| one.connections));
     let directions = |of: &[TrafficRates]| {
-        let frames = [rate(of, |one| one.frames_in), rate(of, |one| one.frames_out)];
-        (frames, [rate(of, |one| one.bytes_in), rate(of, |one| one.bytes_out)])
+        let frames = [
+            rate(of, |one| one.frames_in),
+            rate(of, |one| one.frames_out),
+        ];
+        (
+            frames,
+            [rate(of, |one| one.bytes_in), rate(of, |one| one.bytes_out)],
+        )
     };
     let ([messages_in, messages_out], [bytes_in, bytes_out]) = directions(&traffic);
     let (member_messages, member_bytes) = directions(&member_traffic);
@@ -258,12 +296,22 @@
         }
     };
     // There is one leader.
-    let names = if role == "leader" { &["median"][..] } else { &["median", "worst"][..] };
+    let names = if role == "leader" {
+        &["median"][..]
+    } else {
+        &["median", "worst"][..]
+    };
     names.iter().copied().enumerate().map(row).collect()
 }
 
 /// The row of an event that reached gateways at these times, of so many.
-pub fn change(gateways: u32, event: &str, began: u64, mut reached: Vec<u64>, awaited: usize) -> Change {
+pub fn change(
+    gateways: u32,
+    event: &str,
+    began: u64,
+    mut reached: Vec<u64>,
+    awaited: usize,
+) -> Change {
     reached.sort_unstable();
     let after = |at: Option<&u64>| at.map(|at| at.saturating_sub(began) as f64 / 1e3);
     Change {
@@ -285,8 +333,8 @@
     played: &[u32],
     rows: &[Row],
 ) -> anyhow::Result<()> {
-    let kept =
-        csv::Reader::from_path(path).map(|reader| reader.into_deserialize().collect::<Result<Vec<Row>, _>>());
+    let kept = csv::Reader::from_path(path)
+        .map(|reader| reader.into_deserialize().collect::<Result<Vec<Row>, _>>());
     let kept = kept.ok().transpose()?.unwrap_or_default();
     let kept = kept.iter().filter(|row| !played.contains(&row.gateways()));
     let mut all: Vec<&Row> = kept.chain(rows).collect();
@@ -298,14 +346,18 @@
 
 /// Draws the processor time of each role during an event by size, from a table that has it.
 pub fn draw(table: &Path, chart: &Path, event: &str) -> anyhow::Result<()> {
-    let mut rows = csv::Reader::from_path(table)?.into_deserialize().collect::<Result<Vec<Load>, _>>()?;
+    let mut rows = csv::Reader::from_path(table)?
+        .into_deserialize()
+        .collect::<Result<Vec<Load>, _>>()?;
     rows.retain(|row| row.event == event);
     if rows.is_empty() {
         return Ok(());
     }
     let line = |role: &str, of: &str| -> chart::Line {
         let of_role = rows.iter().filter(|row| row.role == role && row.of == of);
-        let points = of_role.map(|row| (f64::from(row.gateways), row.cpu_percent)).collect();
+        let points = of_role
+            .map(|row| (f64::from(row.gateways), row.cpu_percent))
+            .collect();
         (format!("{role}, {of}"), points)
     };
     let lines = ROLES.map(|(role, of)| line(role, of));
--- a/rig/src/scale/traffic.rs
+++ b/rig/src/scale/traffic.rs
@@ -29,9 +29,18 @@
 impl MemberTotals {
     /// What a control member logged last of its traffic.
     pub fn logged(log: &[Line]) -> Option<MemberTotals> {
-        let last = log.iter().rfind(|line| line.fields["message"] == "control: traffic")?;
-        let (members, gateways) = (totals(&last.fields, "members")?, totals(&last.fields, "gateways")?);
-        Some(MemberTotals { at: last.fields["at"].as_u64()?, members, gateways })
+        let last = log
+            .iter()
+            .rfind(|line| line.fields["message"] == "control: traffic")?;
+        let (members, gateways) = (
+            totals(&last.fields, "members")?,
+            totals(&last.fields, "gateways")?,
+        );
+        Some(MemberTotals {
+            at: last.fields["at"].as_u64()?,
+            members,
+            gateways,
+        })
     }
 }
 
--- a/rig/src/sizes.rs
+++ b/rig/src/sizes.rs
@@ -53,9 +53,17 @@
         if self.no_play {
             return self.conclude();
         }
-        let events = if self.events.is_empty() { Event::value_variants() } else { &self.events };
+        let events = if self.events.is_empty() {
+            Event::value_variants()
+        } else {
+            &self.events
+        };
         let minutes = |count: u64| Duration::from_secs(60 * count);
-        let pace = Pace { cut: minutes(self.cut_minutes), until: minutes(self.minutes), ..Pace::default() };
+        let pace = Pace {
+            cut: minutes(self.cut_minutes),
+            until: minutes(self.minutes),
+            ..Pace::default()
+        };
         for &gateways in &self.gateways {
             let size = Size {
                 program: self.program.clone(),
@@ -80,7 +88,12 @@
     /// Writes what follows from the tables of all sizes.
     fn conclude(&self) -> anyhow::Result<()> {
         let loads = self.file("loads.csv");
-        slopes::write(&loads, &self.file("changes.csv"), &self.file("slopes.csv"), AT_REST)?;
+        slopes::write(
+            &loads,
+            &self.file("changes.csv"),
+            &self.file("slopes.csv"),
+            AT_REST,
+        )?;
         table::draw(&loads, &self.file("rest.svg"), AT_REST)
     }
 
--- a/rig/src/standing.rs
+++ b/rig/src/standing.rs
@@ -19,11 +19,16 @@
 impl Standing {
     /// How a real gateway stands, by what it has logged in its present life.
     pub fn logged(gateway: u32, log: &[Line]) -> Standing {
-        let mut found = Standing { gateway, ..Standing::default() };
+        let mut found = Standing {
+            gateway,
+            ..Standing::default()
+        };
         for Line { fields, .. } in log {
             let number = |key: &str| fields[key].as_u64().unwrap_or(0);
             match fields["message"].as_str().unwrap_or("") {
-                "version: in force" => (found.in_force, found.since) = (number("number"), number("at")),
+                "version: in force" => {
+                    (found.in_force, found.since) = (number("number"), number("at"))
+                }
                 "seat: acting" => found.until = number("until"),
                 message if message.starts_with("seat: stopped") => found.until = 0,
                 _ => {}
--- a/rig/tests/bounded.rs
+++ b/rig/tests/bounded.rs
@@ -29,13 +29,19 @@
     assert_eq!(missing.kind(), ErrorKind::TimedOut);
     let client = TcpStream::connect(listener.local_addr().expect("bound")).expect("connected");
     let accepted = bounded::accept(&listener, LONG).expect("it comes");
-    assert_eq!(accepted.peer_addr().expect("open"), client.local_addr().expect("open"));
+    assert_eq!(
+        accepted.peer_addr().expect("open"),
+        client.local_addr().expect("open")
+    );
 }
 
 #[test]
 fn a_process_that_ends_says_how_and_one_that_goes_on_is_an_error() {
     let mut ends = Command::new("false").spawn().expect("started");
-    assert_eq!(bounded::exit(&mut ends, LONG).expect("it ends").code(), Some(1));
+    assert_eq!(
+        bounded::exit(&mut ends, LONG).expect("it ends").code(),
+        Some(1)
+    );
     let mut goes_on = Command::new("sleep").arg("60").spawn().expect("started");
     let error = bounded::exit(&mut goes_on, SHORT).expect_err("it goes on");
     goes_on.kill().expect("it still ran");
--- a/rig/tests/cut.rs
+++ b/rig/tests/cut.rs
@@ -55,11 +55,18 @@
         // Both ends of each connection are this process's. One that is not accepted yet when its client gives up would say
         // nothing of what the way holds for it.
         let expected = before + 2 * clients.len();
-        assert_eq!(await_descriptors(expected), expected, "each of them is taken in");
+        assert_eq!(
+            await_descriptors(expected),
+            expected,
+            "each of them is taken in"
+        );
     }
     drop(clients);
     let held = await_descriptors(before);
-    assert_eq!(held, before, "descriptors after {GIVEN_UP} clients gave up, and before they came");
+    assert_eq!(
+        held, before,
+        "descriptors after {GIVEN_UP} clients gave up, and before they came"
+    );
 
     let mut waiting = said(near);
     cut.set(false);
--- a/rig/tests/fit.rs
+++ b/rig/tests/fit.rs
@@ -25,7 +25,10 @@
     assert!((fit.line.slope - 12.5).abs() < 1e-9, "{fit:?}");
     assert!((fit.line.intercept - 1_000.0).abs() < 1e-6, "{fit:?}");
     let (value, error) = fit.at(8_300.0).expect("a line can be carried on");
-    assert!((value - 104_750.0).abs() < 1e-5 && error < 1e-5, "{value} {error}");
+    assert!(
+        (value - 104_750.0).abs() < 1e-5 && error < 1e-5,
+        "{value} {error}"
+    );
 }
 
 #[test]
@@ -41,8 +44,9 @@
 
 #[test]
 fn noise_makes_no_parabola_of_a_line() {
-    let wrong =
-        (0..500).filter(|seed| fit(&noisy(0.04, *seed, |size| 1_000.0 + 12.5 * size)).shape != Shape::Linear);
+    let wrong = (0..500).filter(|seed| {
+        fit(&noisy(0.04, *seed, |size| 1_000.0 + 12.5 * size)).shape != Shape::Linear
+    });
     // The test errs once in a hundred by its own choice; noise that grows with the value a little oftener.
     let wrong = wrong.count();
     assert!(wrong <= 15, "{wrong} of 500");
@@ -51,7 +55,9 @@
 #[test]
 fn noise_hides_no_parabola() {
     let of = |size: f64| 40.0 + 0.5 * size + 0.002 * size * size;
-    let missed = (0..500).filter(|seed| fit(&noisy(0.04, *seed, of)).shape != Shape::Quadratic).count();
+    let missed = (0..500)
+        .filter(|seed| fit(&noisy(0.04, *seed, of)).shape != Shape::Quadratic)
+        .count();
     assert!(missed <= 15, "{missed} of 500");
 }
 
@@ -114,7 +120,10 @@
     }
     assert!(Fit::of(&[]).is_none());
     assert!(Fit::of(&[(1.0, 2.0)]).is_none());
-    assert!(Fit::of(&[(1.0, 2.0), (1.0, 3.0)]).is_none(), "one size has no slope");
+    assert!(
+        Fit::of(&[(1.0, 2.0), (1.0, 3.0)]).is_none(),
+        "one size has no slope"
+    );
 }
 
 #[test]
--- a/rig/tests/member_traffic.rs
+++ b/rig/tests/member_traffic.rs
@@ -27,9 +27,15 @@
         line(json!({"message": "seat: acting"})),
     ];
     let last = MemberTotals::logged(&log).expect("it is there");
-    assert_eq!((last.at, last.members.frames_in, last.gateways.bytes_out), (2_000_001, 5, 400));
+    assert_eq!(
+        (last.at, last.members.frames_in, last.gateways.bytes_out),
+        (2_000_001, 5, 400)
+    );
     let mut cut = traffic(3, 9);
-    cut.fields.as_object_mut().expect("an object").remove("gateways.bytes_in");
+    cut.fields
+        .as_object_mut()
+        .expect("an object")
+        .remove("gateways.bytes_in");
     assert_eq!(MemberTotals::logged(&[traffic(1, 1), cut]), None);
 }
 
@@ -38,6 +44,11 @@
     let [before, after] = [(0, 10), (4_000_000, 18)]
         .map(|(at, count)| MemberTotals::logged(&[traffic(at, count)]).expect("it is there"));
     let rates = TrafficRates::between(&before.members, &after.members, 4.0);
-    let expected = TrafficRates { frames_in: 2.0, frames_out: 4.0, bytes_in: 60.0, bytes_out: 80.0 };
+    let expected = TrafficRates {
+        frames_in: 2.0,
+        frames_out: 4.0,
+        bytes_in: 60.0,
+        bytes_out: 80.0,
+    };
     assert_eq!(rates, expected);
 }
--- a/rig/tests/slopes.rs
+++ b/rig/tests/slopes.rs
@@ -26,7 +26,13 @@
 /// How many of a fleet's gateways came to act at its start.
 fn started(gateways: u32, reached: usize) -> Change {
     let (event, awaited) = (START.to_owned(), gateways as usize);
-    Change { gateways, event, awaited, reached, ..Change::default() }
+    Change {
+        gateways,
+        event,
+        awaited,
+        reached,
+        ..Change::default()
+    }
 }
 
 /// The slopes of these tables: of each figure, its shape, what each gateway adds, and what none would have.
@@ -35,16 +41,28 @@
     let file = |name: &str| folder.path().join(name);
     table::write(&file("loads.csv"), &SIZES, loads).expect("written");
     table::write(&file("changes.csv"), &SIZES, changes).expect("written");
-    slopes::write(&file("loads.csv"), &file("changes.csv"), &file("slopes.csv"), AT_REST).expect("fitted");
+    slopes::write(
+        &file("loads.csv"),
+        &file("changes.csv"),
+        &file("slopes.csv"),
+        AT_REST,
+    )
+    .expect("fitted");
     read(&file("slopes.csv"))
 }
 
 fn read(path: &Path) -> BTreeMap<String, (String, f64, f64)> {
     let mut table = csv::Reader::from_path(path).expect("a table");
-    let rows = table.deserialize::<BTreeMap<String, String>>().map(|row| row.expect("a row"));
+    let rows = table
+        .deserialize::<BTreeMap<String, String>>()
+        .map(|row| row.expect("a row"));
     let number = |text: &str| text.parse::<f64>().expect("a number");
     let of = |row: BTreeMap<String, String>| {
-        let found = (row["shape"].clone(), number(&row["per_gateway"]), number(&row["at_zero"]));
+        let found = (
+            row["shape"].clone(),
+            number(&row["per_gateway"]),
+            number(&row["at_zero"]),
+        );
         (row["figure"].clone(), found)
     };
     rows.map(of).collect()
@@ -84,6 +102,12 @@
     table::write(&path, &[50], &[load(50, 1.0)]).expect("written");
     let mut table = csv::Reader::from_path(&path).expect("a table");
     let rows: Vec<Load> = table.deserialize().collect::<Result<_, _>>().expect("read");
-    assert_eq!(rows.iter().map(|row| row.gateways).collect::<Vec<_>>(), [25, 50]);
-    assert_eq!((rows[0].messages_in_s, rows[0].member_messages_in_s), (Some(21.3), None));
+    assert_eq!(
+        rows.iter().map(|row| row.gateways).collect::<Vec<_>>(),
+        [25, 50]
+    );
+    assert_eq!(
+        (rows[0].messages_in_s, rows[0].member_messages_in_s),
+        (Some(21.3), None)
+    );
 }
--- a/rig/tests/standing.rs
+++ b/rig/tests/standing.rs
@@ -7,7 +7,13 @@
 const LEASE_US: u64 = 30;
 
 fn logged(lines: &[Value]) -> Standing {
-    let lines: Vec<Line> = lines.iter().map(|fields| Line { at: 0, fields: fields.clone() }).collect();
+    let lines: Vec<Line> = lines
+        .iter()
+        .map(|fields| Line {
+            at: 0,
+            fields: fields.clone(),
+        })
+        .collect();
     Standing::logged(4, &lines)
 }
 
@@ -22,14 +28,35 @@
 #[test]
 fn a_version_that_is_known_without_a_seat_is_not_acted_on() {
     let told = logged(&[json!("no JSON"), in_force(5, 3)]);
-    assert_eq!(told, Standing { gateway: 4, in_force: 3, since: 5, until: 0 });
+    assert_eq!(
+        told,
+        Standing {
+            gateway: 4,
+            in_force: 3,
+            since: 5,
+            until: 0
+        }
+    );
     assert!(!told.acts(6));
 }
 
 #[test]
 fn a_right_counts_from_its_heartbeat_and_ends_by_time_or_by_word() {
-    let seated = logged(&[in_force(5, 3), acting(8, 37), acting(20, 49), in_force(21, 7)]);
-    assert_eq!(seated, Standing { gateway: 4, in_force: 7, since: 21, until: 49 });
+    let seated = logged(&[
+        in_force(5, 3),
+        acting(8, 37),
+        acting(20, 49),
+        in_force(21, 7),
+    ]);
+    assert_eq!(
+        seated,
+        Standing {
+            gateway: 4,
+            in_force: 7,
+            since: 21,
+            until: 49
+        }
+    );
     assert!(seated.acts(48) && !seated.acts(49));
     assert_eq!(seated.asked_at(LEASE_US), 19);
     let stopped = json!({"message": "seat: stopped: it drains", "at": 22});
--- a/src/bin/asterreel-adapter/wire.rs
+++ b/src/bin/asterreel-adapter/wire.rs
@@ -244,11 +244,16 @@
             }
             Input::Retire(_) => {
                 let known = self.instances.remove(name);
-                return known.map(|_| ()).ok_or(format!("RETIRE: unknown instance {name}"));
+                return known
+                    .map(|_| ())
+                    .ok_or(format!("RETIRE: unknown instance {name}"));
             }
             _ => {}
         }
-        let instance = self.instances.get_mut(name).ok_or(format!("unknown instance {name}"))?;
+        let instance = self
+            .instances
+            .get_mut(name)
+            .ok_or(format!("unknown instance {name}"))?;
         let Some(event) = instance.translate(event, &self.tables)? else {
             return Ok(());
         };
@@ -261,7 +266,10 @@
         let zero = new.setup.family_info.position_zero_us;
         let report = new.setup.report.names.clone();
         let zones = new.setup.zones.clone();
-        let settings = new.setup.settings().map_err(|fault| format!("NEW_INSTANCE: {fault}"))?;
+        let settings = new
+            .setup
+            .settings()
+            .map_err(|fault| format!("NEW_INSTANCE: {fault}"))?;
         let router = Router::new(settings, new.entropy, now).map_err(|fault| fault.to_string())?;
         Ok(Instance {
             router,
@@ -314,11 +322,16 @@
             Action::Send(request, member, timeout_us) => {
                 sent = Some(request);
                 let names = job(request).zip(store(member));
-                names.map(|(job, store)| Output::Route { job, timeout_us, store })
-            }
-            Action::Cancel(request, attempt) => {
-                job(request).map(|job| Output::Withdraw { job, round_no: attempt.0 })
+                names.map(|(job, store)| Output::Route {
+                    job,
+                    timeout_us,
+                    store,
+                })
             }
+            Action::Cancel(request, attempt) => job(request).map(|job| Output::Withdraw {
+                job,
+                round_no: attempt.0,
+            }),
             Action::Refuse(request, come_back_us) => {
                 finished = Some(request);
                 job(request).map(|job| Output::TurnAway { job, come_back_us })
@@ -329,9 +342,13 @@
             }
             Action::Probe(member) => store(member).map(|store| Output::Test { store }),
             Action::Watch => Some(Output::Track { active: true }),
-            Action::WakeAfter(after) => Some(Output::Sleep { from_now_us: after, cookie: 0 }),
-            Action::Remark(member, remark) => store(member)
-                .map(|store| Output::NoteDown { text: format!("{store}: {remark:?}").to_lowercase() }),
+            Action::WakeAfter(after) => Some(Output::Sleep {
+                from_now_us: after,
+                cookie: 0,
+            }),
+            Action::Remark(member, remark) => store(member).map(|store| Output::NoteDown {
+                text: format!("{store}: {remark:?}").to_lowercase(),
+            }),
         };
         if let Some(output) = output {
             append(written, &output)?;
@@ -382,7 +399,10 @@
             }
             Input::Due(_) => Some(Event::Wake),
             Input::View(view) => Some(self.view(&view, tables)?),
-            Input::Datagram(_) | Input::NewInstance(_) | Input::DefineList(_) | Input::Retire(_) => None,
+            Input::Datagram(_)
+            | Input::NewInstance(_)
+            | Input::DefineList(_)
+            | Input::Retire(_) => None,
         })
     }
 
@@ -390,7 +410,11 @@
         let request = RequestId(self.next_id);
         self.next_id += 1;
         self.ids.insert(accept.job.clone(), request);
-        let job = Job { name: accept.job, attempts_out: 0, finished: false };
+        let job = Job {
+            name: accept.job,
+            attempts_out: 0,
+            finished: false,
+        };
         self.jobs.insert(request, job);
         Arrival {
             request,
@@ -424,7 +448,11 @@
             latency: reply.latency_us,
             note: self.note(reply.stamp),
             report,
-            standing: if reply.last { Standing::Finished } else { Standing::Owed },
+            standing: if reply.last {
+                Standing::Finished
+            } else {
+                Standing::Owed
+            },
         })))
     }
 
@@ -456,7 +484,11 @@
         note
     }
 
-    fn view(&mut self, view: &View, tables: &HashMap<u32, Arc<Vec<Item>>>) -> Result<Event, String> {
+    fn view(
+        &mut self,
+        view: &View,
+        tables: &HashMap<u32, Arc<Vec<Item>>>,
+    ) -> Result<Event, String> {
         let kind = match view.how.as_str() {
             "incr" => ListKind::Changes,
             "total" => ListKind::Full,
@@ -468,14 +500,18 @@
             self.called_at = None;
         }
         let number = view.table.unwrap_or(0);
-        let items = tables.get(&number).ok_or(format!("VIEW: unknown table {number}"))?;
-        let entries: Result<Vec<Entry>, String> = items.iter().map(|item| self.entry(item)).collect();
+        let items = tables
+            .get(&number)
+            .ok_or(format!("VIEW: unknown table {number}"))?;
+        let entries: Result<Vec<Entry>, String> =
+            items.iter().map(|item| self.entry(item)).collect();
         Ok(Event::Listed(kind, entries?.into()))
     }
 
     fn entry(&mut self, item: &Item) -> Result<Entry, String> {
         let member = self.member(&item.store);
-        item.entry(member, &self.zones).map_err(|fault| format!("DEFINE_LIST: {fault}"))
+        item.entry(member, &self.zones)
+            .map_err(|fault| format!("DEFINE_LIST: {fault}"))
     }
 
     fn member(&mut self, store: &str) -> MemberId {
--- a/src/bin/asterreel-operator/main.rs
+++ b/src/bin/asterreel-operator/main.rs
@@ -48,18 +48,32 @@
         );
         return ExitCode::from(2);
     };
-    let within = within.and_then(|text| text.to_str().and_then(|text| text.parse().ok())).unwrap_or(5_000);
+    let within = within
+        .and_then(|text| text.to_str().and_then(|text| text.parse().ok()))
+        .unwrap_or(5_000);
     let deadline = Instant::now() + Duration::from_millis(within);
     let path = PathBuf::from(path);
     let file = path.display().to_string();
-    let bad = |fault: String| BadFile { file: file.clone(), at: None, key: None, fault };
+    let bad = |fault: String| BadFile {
+        file: file.clone(),
+        at: None,
+        key: None,
+        fault,
+    };
     // The main thread's stack is the system's to choose.
-    let thread = std::thread::Builder::new().stack_size(STACK).spawn(move || evaluate(&path, deadline));
+    let thread = std::thread::Builder::new()
+        .stack_size(STACK)
+        .spawn(move || evaluate(&path, deadline));
     let result = match thread {
-        Ok(thread) => thread.join().unwrap_or_else(|_| Err(bad("the evaluation broke off".into()))),
+        Ok(thread) => thread
+            .join()
+            .unwrap_or_else(|_| Err(bad("the evaluation broke off".into()))),
         Err(error) => Err(bad(error.to_string())),
     };
-    let reply = Reply { version: env!("CARGO_PKG_VERSION").into(), result };
+    let reply = Reply {
+        version: env!("CARGO_PKG_VERSION").into(),
+        result,
+    };
     let text = serde_json::to_string(&reply).unwrap_or_default();
     match writeln!(std::io::stdout(), "{text}") {
         Ok(()) if reply.result.is_ok() => ExitCode::SUCCESS,
@@ -83,7 +97,10 @@
 }
 
 fn evaluate(path: &Path, deadline: Instant) -> Result<Evaluated, BadFile> {
-    let folder = path.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    let folder = path
+        .parent()
+        .filter(|folder| !folder.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
     let loader = Loader {
         globals: globals(),
         folder: folder.to_owned(),
@@ -96,19 +113,28 @@
         return Err(fault);
     }
     result?;
-    let mut evaluated = Evaluated { file: path.display().to_string(), ..Evaluated::default() };
+    let mut evaluated = Evaluated {
+        file: path.display().to_string(),
+        ..Evaluated::default()
+    };
     if let Some((health, place)) = collected.health {
-        health.check().map_err(|(key, fault)| place.bad(&asterreel::operator::qualified(&key), &fault))?;
+        health
+            .check()
+            .map_err(|(key, fault)| place.bad(&asterreel::operator::qualified(&key), &fault))?;
         evaluated.operator.health = Some(health);
         evaluated.health_at = Some(place);
     }
     if let Some((mut cells, place)) = collected.cells {
-        cells.rules().map_err(|(key, fault)| place.bad(&format!("cells.{key}"), &fault))?;
+        cells
+            .rules()
+            .map_err(|(key, fault)| place.bad(&format!("cells.{key}"), &fault))?;
         cells.placement = folder.join(&cells.placement);
         evaluated.operator.cells = Some(cells);
     }
     if let Some((mut lease, place)) = collected.lease {
-        lease.check().map_err(|(key, fault)| place.bad(&format!("lease.{key}"), &fault))?;
+        lease
+            .check()
+            .map_err(|(key, fault)| place.bad(&format!("lease.{key}"), &fault))?;
         if !lease.client {
             lease.store = folder.join(&lease.store);
         }
@@ -116,7 +142,9 @@
         evaluated.lease_at = Some(place);
     }
     if let Some((knobs, place)) = collected.readmission {
-        knobs.check().map_err(|(key, fault)| place.bad(&format!("readmission.{key}"), &fault))?;
+        knobs
+            .check()
+            .map_err(|(key, fault)| place.bad(&format!("readmission.{key}"), &fault))?;
         evaluated.operator.readmission = Some(knobs);
     }
     Ok(evaluated)
@@ -148,7 +176,12 @@
 
 impl Loader {
     fn run(&self, path: &Path, name: String) -> Result<FrozenModule, BadFile> {
-        let bad = |fault: String| BadFile { file: name.clone(), at: None, key: None, fault };
+        let bad = |fault: String| BadFile {
+            file: name.clone(),
+            at: None,
+            key: None,
+            fault,
+        };
         let unreadable = |error: std::io::Error| bad(format!("cannot be read: {error}"));
         let real = path.canonicalize().map_err(unreadable)?;
         {
@@ -168,7 +201,10 @@
         let text = std::fs::read_to_string(path).map_err(unreadable)?;
         if let Some(line) = too_deep(&text) {
             let fault = format!("brackets and operators go deeper than {DEEPEST}");
-            return Err(BadFile { at: Some((line, 1)), ..bad(fault) });
+            return Err(BadFile {
+                at: Some((line, 1)),
+                ..bad(fault)
+            });
         }
         let from = |error: starlark::Error| described(&name, &error);
         let ast = AstModule::parse(&name, text, &Dialect::Standard).map_err(from)?;
@@ -185,7 +221,9 @@
                 evaluator.set_loader(self);
                 evaluator.eval_module(ast, &self.globals)?;
             }
-            module.freeze().map_err(|error| starlark::Error::new_other(anyhow::anyhow!("{error:?}")))
+            module
+                .freeze()
+                .map_err(|error| starlark::Error::new_other(anyhow::anyhow!("{error:?}")))
         });
         self.under_way.borrow_mut().pop();
         module.map_err(from)
@@ -208,9 +246,18 @@
                 line += 1;
                 level = if open.is_empty() { 0 } else { level };
             }
-            b'#' => used = rest.iter().position(|byte| *byte == b'\n').unwrap_or(rest.len()),
+            b'#' => {
+                used = rest
+                    .iter()
+                    .position(|byte| *byte == b'\n')
+                    .unwrap_or(rest.len())
+            }
             quote @ (b'"' | b'\'') => {
-                let end: &[u8] = if rest.starts_with(&[quote; 3]) { &[quote; 3] } else { &[quote] };
+                let end: &[u8] = if rest.starts_with(&[quote; 3]) {
+                    &[quote; 3]
+                } else {
+                    &[quote]
+                };
                 used = end.len();
                 while used < rest.len() && !rest[used..].starts_with(end) {
                     line += usize::from(rest[used] == b'\n');
@@ -224,13 +271,18 @@
             }
             b')' | b']' | b'}' => level = open.pop().map_or(0, |level| level + 1),
             b',' => level = open.last().map_or(0, |level| level + 1),
-            b'+' | b'-' | b'*' | b'/' | b'%' | b'|' | b'&' | b'^' | b'~' | b'.' | b'<' | b'>' | b'='
-            | b'!' => level += 1,
+            b'+' | b'-' | b'*' | b'/' | b'%' | b'|' | b'&' | b'^' | b'~' | b'.' | b'<' | b'>'
+            | b'=' | b'!' => level += 1,
             byte if byte.is_ascii_alphabetic() || byte == b'_' => {
                 let word = |byte: &u8| byte.is_ascii_alphanumeric() || *byte == b'_';
-                used = rest.iter().position(|byte| !word(byte)).unwrap_or(rest.len());
+                used = rest
+                    .iter()
+                    .position(|byte| !word(byte))
+                    .unwrap_or(rest.len());
                 match &rest[..used] {
-                    b"not" | b"and" | b"or" | b"in" | b"if" | b"else" | b"for" | b"lambda" => level += 1,
+                    b"not" | b"and" | b"or" | b"in" | b"if" | b"else" | b"for" | b"lambda" => {
+                        level += 1
+                    }
                     b"elif" => elifs += 1,
                     _ => {}
                 }
@@ -250,7 +302,9 @@
     let fault = error.without_diagnostic().to_string();
     let fault = fault.lines().next().unwrap_or("error").to_owned();
     BadFile {
-        file: place.as_ref().map_or_else(|| name.to_owned(), |place| place.file.clone()),
+        file: place
+            .as_ref()
+            .map_or_else(|| name.to_owned(), |place| place.file.clone()),
         at: place.map(|place| (place.line, place.column)),
         key: None,
         fault,
@@ -259,24 +313,34 @@
 
 impl FileLoader for Loader {
     fn load(&self, path: &str) -> starlark::Result<FrozenModule> {
-        let refuse = |why: &str| starlark::Error::new_other(anyhow::anyhow!("load({path:?}): {why}"));
-        let plain = Path::new(path).components().all(|part| matches!(part, Component::Normal(_)));
+        let refuse =
+            |why: &str| starlark::Error::new_other(anyhow::anyhow!("load({path:?}): {why}"));
+        let plain = Path::new(path)
+            .components()
+            .all(|part| matches!(part, Component::Normal(_)));
         if !plain || path.is_empty() {
-            return Err(refuse("only files below the folder of the operator's file are loaded"));
+            return Err(refuse(
+                "only files below the folder of the operator's file are loaded",
+            ));
         }
         let full = self.folder.join(path);
         // A link may lead out of the folder.
-        let inside = |real: &Path| self.folder.canonicalize().is_ok_and(|folder| real.starts_with(folder));
+        let inside = |real: &Path| {
+            self.folder
+                .canonicalize()
+                .is_ok_and(|folder| real.starts_with(folder))
+        };
         match full.canonicalize() {
             Ok(real) if !inside(&real) => return Err(refuse("it leads out of the folder")),
             Ok(_) => {}
             Err(error) => return Err(refuse(&error.to_string())),
         }
-        self.run(&full, full.display().to_string()).map_err(|fault| {
-            let text = fault.to_string();
-            note(fault);
-            starlark::Error::new_other(anyhow::anyhow!("{text}"))
-        })
+        self.run(&full, full.display().to_string())
+            .map_err(|fault| {
+                let text = fault.to_string();
+                note(fault);
+                starlark::Error::new_other(anyhow::anyhow!("{text}"))
+            })
     }
 }
 
@@ -292,10 +356,21 @@
     arguments: &DictRef,
     evaluator: &Evaluator,
 ) -> anyhow::Result<(T, Map<String, Json>, Place)> {
-    let place = evaluator.call_stack_top_location().map(|span| place_of(&span));
-    let place = place.unwrap_or(Place { file: "?".into(), text: String::new(), line: 0, column: 0 });
+    let place = evaluator
+        .call_stack_top_location()
+        .map(|span| place_of(&span));
+    let place = place.unwrap_or(Place {
+        file: "?".into(),
+        text: String::new(),
+        line: 0,
+        column: 0,
+    });
     let fail = |key: &str, fault: &str| {
-        let key = if key.is_empty() || key == "." { what.to_owned() } else { format!("{what}.{key}") };
+        let key = if key.is_empty() || key == "." {
+            what.to_owned()
+        } else {
+            format!("{what}.{key}")
+        };
         let fault = place.bad(&key, fault);
         let text = fault.to_string();
         note(fault);
@@ -304,7 +379,9 @@
     let mut map = Map::new();
     for (name, value) in arguments.iter() {
         let name = name.unpack_str().unwrap_or("?");
-        let value = value.to_json_value().map_err(|_| fail(name, "is not plain data"))?;
+        let value = value
+            .to_json_value()
+            .map_err(|_| fail(name, "is not plain data"))?;
         // What is left out and what is None are the same.
         if !value.is_null() {
             map.insert(name.to_owned(), value);
@@ -312,8 +389,12 @@
     }
     let typed = serde_path_to_error::deserialize(Json::Object(map.clone())).map_err(|error| {
         let (path, fault) = (error.path().to_string(), error.inner().to_string());
-        let unknown = fault.strip_prefix("unknown field `").and_then(|rest| rest.split('`').next());
-        let missing = fault.strip_prefix("missing field `").and_then(|rest| rest.split('`').next());
+        let unknown = fault
+            .strip_prefix("unknown field `")
+            .and_then(|rest| rest.split('`').next());
+        let missing = fault
+            .strip_prefix("missing field `")
+            .and_then(|rest| rest.split('`').next());
         let key = unknown.or(missing).unwrap_or(&path);
         fail(key, &fault)
     })?;
@@ -332,11 +413,19 @@
 }
 
 /// Keeps what is set once; set twice, it is a fault that names both places.
-fn once<T>(what: &str, value: T, place: Place, slot: impl Fn(&mut Collected) -> &mut Option<(T, Place)>) {
+fn once<T>(
+    what: &str,
+    value: T,
+    place: Place,
+    slot: impl Fn(&mut Collected) -> &mut Option<(T, Place)>,
+) {
     COLLECTED.with_borrow_mut(|collected| match slot(collected) {
         empty @ None => *empty = Some((value, place)),
         Some((_, first)) => {
-            let fault = place.bad(what, &format!("is set already, at {}:{}", first.file, first.line));
+            let fault = place.bad(
+                what,
+                &format!("is set already, at {}:{}", first.file, first.line),
+            );
             collected.fault.get_or_insert(fault);
         }
     });
@@ -434,7 +523,9 @@
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<Value<'v>> {
         let (knobs, _, place) = checked::<readmission::Knobs>("readmission", &arguments, eval)?;
-        once("readmission", knobs, place, |collected| &mut collected.readmission);
+        once("readmission", knobs, place, |collected| {
+            &mut collected.readmission
+        });
         Ok(Value::new_none())
     }
 
--- a/src/bin/asterreel/attempt.rs
+++ b/src/bin/asterreel/attempt.rs
@@ -25,13 +25,22 @@
 
 impl Stop {
     pub fn at(at: Micros) -> Stop {
-        Stop { at, called_off: AtomicBool::new(false), waker: Mutex::new(None) }
+        Stop {
+            at,
+            called_off: AtomicBool::new(false),
+            waker: Mutex::new(None),
+        }
     }
 
     /// Calls the attempt off, wherever it is.
     pub fn call_off(&self) {
         self.called_off.store(true, Ordering::Release);
-        if let Some(waker) = self.waker.lock().unwrap_or_else(PoisonError::into_inner).as_ref() {
+        if let Some(waker) = self
+            .waker
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .as_ref()
+        {
             waker.wakeup();
         }
     }
@@ -73,21 +82,34 @@
     if let Err(error) = stream.write_all(query, go_on) {
         let stopped = error.kind() == std::io::ErrorKind::TimedOut;
         let written = false;
-        return Err(if stopped { Broken::Stopped { written } } else { Broken::Connection { written } });
+        return Err(if stopped {
+            Broken::Stopped { written }
+        } else {
+            Broken::Connection { written }
+        });
     }
     let (mut note_until, mut reads) = (Micros::MAX, 0);
     loop {
-        while let Some(message) = pg::message(stream.buffer.data()).map_err(|_| Broken::Malformed)? {
+        while let Some(message) =
+            pg::message(stream.buffer.data()).map_err(|_| Broken::Malformed)?
+        {
             let bytes = stream.buffer.data();
             let whole = &bytes[..message.body.end];
-            answer.take(message.tag, whole, &bytes[message.body.clone()]).map_err(|_| Broken::Malformed)?;
+            answer
+                .take(message.tag, whole, &bytes[message.body.clone()])
+                .map_err(|_| Broken::Malformed)?;
             stream.buffer.consume(message.body.end);
             if answer.ready {
                 return Ok(());
             }
         }
         // Noise may claim a length whose end would be waited for in vain.
-        if stream.buffer.data().first().is_some_and(|tag| !pg::ANSWERS.contains(tag)) {
+        if stream
+            .buffer
+            .data()
+            .first()
+            .is_some_and(|tag| !pg::ANSWERS.contains(tag))
+        {
             return Err(Broken::Malformed);
         }
         match stream.read_now() {
@@ -129,7 +151,11 @@
 
 impl End {
     fn without_note(outcome: Outcome) -> End {
-        End { outcome, note: Note::default(), rows: Vec::new() }
+        End {
+            outcome,
+            note: Note::default(),
+            rows: Vec::new(),
+        }
     }
 }
 
@@ -141,7 +167,10 @@
     stop: &Stop,
     may_write: impl Fn() -> bool,
 ) -> End {
-    let mut connection = match pool.take(address).map_or_else(|| pool.open(address, stop.at), Ok) {
+    let mut connection = match pool
+        .take(address)
+        .map_or_else(|| pool.open(address, stop.at), Ok)
+    {
         Ok(connection) => connection,
         Err(fault) => return End::without_note(unconnected(fault, pool.clock.now() >= stop.at)),
     };
@@ -153,10 +182,20 @@
     let left = stop.at.saturating_sub(pool.clock.now());
     let query = statement.forward((left / 1000).max(1));
     let mut answer = Answer::default();
-    let end = exchange(&mut connection.stream, &query, &mut answer, stop, pool.clock);
+    let end = exchange(
+        &mut connection.stream,
+        &query,
+        &mut answer,
+        stop,
+        pool.clock,
+    );
     finish(pool, address, connection, end, &answer);
     let outcome = outcome(end, answer.verdict.as_ref(), stop.is_called_off());
-    End { outcome, note: answer.note, rows: answer.rows }
+    End {
+        outcome,
+        note: answer.note,
+        rows: answer.rows,
+    }
 }
 
 /// Keeps a connection whose answer is complete; abandoning any other attempt closes its connection.
--- a/src/bin/asterreel/attempt/tests.rs
+++ b/src/bin/asterreel/attempt/tests.rs
@@ -29,7 +29,11 @@
         (Ok(()), None, false, Outcome::Error),
     ];
     for (end, verdict, called_off, wanted) in cases {
-        assert_eq!(outcome(end, verdict.as_ref(), called_off), wanted, "{end:?} {verdict:?}");
+        assert_eq!(
+            outcome(end, verdict.as_ref(), called_off),
+            wanted,
+            "{end:?} {verdict:?}"
+        );
     }
 }
 
@@ -38,5 +42,8 @@
     assert_eq!(unconnected(NoConnection::TurnedAway, false), Outcome::Full);
     assert_eq!(unconnected(NoConnection::NoRoom, false), Outcome::Moot);
     assert_eq!(unconnected(NoConnection::Failed, true), Outcome::Moot);
-    assert_eq!(unconnected(NoConnection::Failed, false), Outcome::ConnectFailed);
+    assert_eq!(
+        unconnected(NoConnection::Failed, false),
+        Outcome::ConnectFailed
+    );
 }
--- a/src/bin/asterreel/cells.rs
+++ b/src/bin/asterreel/cells.rs
@@ -29,34 +29,49 @@
         let shown = path.display().to_string();
         // The lease counts from before the look: what is read may have been old when it came.
         let until = clock.now() + settings.lease_ms * 1000;
-        let bytes = std::fs::read(&path).map_err(|error| bad("placement", format!("{shown}: {error}")))?;
+        let bytes =
+            std::fs::read(&path).map_err(|error| bad("placement", format!("{shown}: {error}")))?;
         let placement = record::decode(&bytes, Epoch::default());
         let placement = placement.map_err(|error| bad("placement", format!("{shown}: {error}")))?;
         let lease = settings.lease_ms * 1000;
         let by_statement = rules.who.by_statement();
         let gate = Gate::new(rules, placement, until);
         let gate = Arc::new(Mutex::new(gate));
-        let cells = Cells { gate, clock, by_statement };
+        let cells = Cells {
+            gate,
+            clock,
+            by_statement,
+        };
         let (watched, every) = (cells.clone(), Duration::from_millis(settings.reread_ms));
-        std::thread::Builder::new().name("placement".into()).spawn(move || {
-            let (mut last, mut fault) = (bytes, String::new());
-            loop {
-                std::thread::sleep(every);
-                let until = clock.now() + lease;
-                let now = watched.look(&path, &mut last, until);
-                if let Err(error) = &now {
-                    // Once, however often it is looked at.
-                    if *error != fault {
-                        warn!("cells.placement: {}: {error}; the one in force stays", path.display());
+        std::thread::Builder::new()
+            .name("placement".into())
+            .spawn(move || {
+                let (mut last, mut fault) = (bytes, String::new());
+                loop {
+                    std::thread::sleep(every);
+                    let until = clock.now() + lease;
+                    let now = watched.look(&path, &mut last, until);
+                    if let Err(error) = &now {
+                        // Once, however often it is looked at.
+                        if *error != fault {
+                            warn!(
+                                "cells.placement: {}: {error}; the one in force stays",
+                                path.display()
+                            );
+                        }
                     }
+                    fault = now.err().unwrap_or_default();
                 }
-                fault = now.err().unwrap_or_default();
-            }
-        })?;
+            })?;
         Ok(cells)
     }
 
-    fn look(&self, path: &std::path::Path, last: &mut Vec<u8>, until: Micros) -> Result<(), String> {
+    fn look(
+        &self,
+        path: &std::path::Path,
+        last: &mut Vec<u8>,
+        until: Micros,
+    ) -> Result<(), String> {
         let bytes = std::fs::read(path).map_err(|error| error.to_string())?;
         if bytes == *last {
             self.gate(|gate| gate.renewed(until));
@@ -87,7 +102,10 @@
     ) -> Result<Placed, Refusal> {
         let now = self.clock.now();
         let admitted = self.gate(|gate| gate.admit(now, caller, what, statement, write))?;
-        Ok(Placed { cells: self.clone(), admitted })
+        Ok(Placed {
+            cells: self.clone(),
+            admitted,
+        })
     }
 }
 
@@ -101,7 +119,8 @@
     /// Whether an attempt may go out.
     pub fn attempt(&self, effect: Effect, ran: bool, victims: usize) -> Verdict {
         let now = self.cells.clock.now();
-        self.cells.gate(|gate| gate.attempt(now, &self.admitted, effect, ran, victims))
+        self.cells
+            .gate(|gate| gate.attempt(now, &self.admitted, effect, ran, victims))
     }
 
     /// An attempt has ended. Only a connection that broke under it speaks of a death; silence may be load.
@@ -112,7 +131,8 @@
             _ => return,
         };
         let now = self.cells.clock.now();
-        self.cells.gate(|gate| gate.attempted(now, &self.admitted, member, after));
+        self.cells
+            .gate(|gate| gate.attempted(now, &self.admitted, member, after));
     }
 }
 
--- a/src/bin/asterreel/cli/cells.rs
+++ b/src/bin/asterreel/cli/cells.rs
@@ -38,10 +38,14 @@
         CellsCommand::Publish { source, target } => publish(source, target),
         CellsCommand::Where { placement, tenant } => {
             let bytes = std::fs::read(placement).map_err(|error| at(placement, &error))?;
-            let placed = record::decode(&bytes, Epoch::default()).map_err(|error| at(placement, &error))?;
+            let placed =
+                record::decode(&bytes, Epoch::default()).map_err(|error| at(placement, &error))?;
             let place = placed.place(tenant, b"");
             let home = place.home;
-            let name = placed.cells().get(usize::from(home.cell.0)).map_or("?", |cell| &cell.name);
+            let name = placed
+                .cells()
+                .get(usize::from(home.cell.0))
+                .map_or("?", |cell| &cell.name);
             let groups: Vec<String> = place.groups().iter().map(u64::to_string).collect();
             let stage = match (home.held, home.settling) {
                 (true, _) => ", writes held",
@@ -77,15 +81,24 @@
 
 fn plan(path: &Path) -> Result<(), Box<dyn Error>> {
     let (published, placement) = source(path)?;
-    let names: Vec<String> = (0..SAMPLE).map(|tenant| format!("tenant-{tenant}")).collect();
+    let names: Vec<String> = (0..SAMPLE)
+        .map(|tenant| format!("tenant-{tenant}"))
+        .collect();
     let mut counts = vec![0usize; placement.cells().len()];
     for name in &names {
         counts[usize::from(placement.place(name, b"").home.cell.0)] += 1;
     }
-    say(&format!("epoch {}: {} tenants placed by name", published.epoch.0, published.homes.len()));
+    say(&format!(
+        "epoch {}: {} tenants placed by name",
+        published.epoch.0,
+        published.homes.len()
+    ));
     for (cell, count) in placement.cells().iter().zip(counts) {
         let share = count as f64 * 100.0 / SAMPLE as f64;
-        say(&format!("cell {}: groups {:?}, {share:.1}% of tenants that are not", cell.name, cell.groups));
+        say(&format!(
+            "cell {}: groups {:?}, {share:.1}% of tenants that are not",
+            cell.name, cell.groups
+        ));
     }
     let overlap = placement.overlap(names.iter().map(String::as_str));
     let whole = overlap.whole as f64 * 100.0 / overlap.pairs.max(1) as f64;
@@ -102,7 +115,11 @@
         Ok(bytes) => match record::decode(&bytes, Epoch::default()) {
             Ok(there) if there.epoch >= published.epoch => {
                 let (new, old) = (published.epoch.0, there.epoch.0);
-                return Err(at(target, &format!("epoch {new} does not follow {old}, which is there")).into());
+                return Err(at(
+                    target,
+                    &format!("epoch {new} does not follow {old}, which is there"),
+                )
+                .into());
             }
             // What can't be read is no placement in force anywhere.
             Ok(_) | Err(_) => {}
@@ -110,11 +127,20 @@
         Err(error) if error.kind() == io::ErrorKind::NotFound => {}
         Err(error) => return Err(at(target, &error).into()),
     }
-    let folder = target.parent().filter(|folder| !folder.as_os_str().is_empty()).unwrap_or(Path::new("."));
-    let name = target.file_name().ok_or_else(|| at(target, &"is no file"))?;
-    let next = folder.join(format!(".{}.{}", name.to_string_lossy(), std::process::id()));
-    let written =
-        write_whole(&next, &record::encode(&published)?).and_then(|()| std::fs::rename(&next, target));
+    let folder = target
+        .parent()
+        .filter(|folder| !folder.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
+    let name = target
+        .file_name()
+        .ok_or_else(|| at(target, &"is no file"))?;
+    let next = folder.join(format!(
+        ".{}.{}",
+        name.to_string_lossy(),
+        std::process::id()
+    ));
+    let written = write_whole(&next, &record::encode(&published)?)
+        .and_then(|()| std::fs::rename(&next, target));
     if let Err(error) = written {
         let _ = std::fs::remove_file(&next);
         return Err(at(target, &error).into());
@@ -123,7 +149,11 @@
     std::fs::File::open(folder)
         .and_then(|folder| folder.sync_all())
         .map_err(|error| at(folder, &error))?;
-    say(&format!("{}: epoch {}", target.display(), published.epoch.0));
+    say(&format!(
+        "{}: epoch {}",
+        target.display(),
+        published.epoch.0
+    ));
     Ok(())
 }
 
--- a/src/bin/asterreel/cli/check.rs
+++ b/src/bin/asterreel/cli/check.rs
@@ -9,8 +9,13 @@
 pub fn run(files: &Files) -> Result<(), Box<dyn Error>> {
     let evaluated = files.evaluate(EVALUATION)?;
     let config = Config::from_env()?;
-    println!("configuration: good ({}, listens on {})", config.name, config.listen);
-    let Some(path) = &files.operator else { return Ok(()) };
+    println!(
+        "configuration: good ({}, listens on {})",
+        config.name, config.listen
+    );
+    let Some(path) = &files.operator else {
+        return Ok(());
+    };
     let table = evaluated.beside(&config)?;
     if let Some(lease) = &evaluated.operator.lease {
         println!("{}: lease good; {}", path.display(), part(lease));
--- a/src/bin/asterreel/cli/exchange.rs
+++ b/src/bin/asterreel/cli/exchange.rs
@@ -38,7 +38,9 @@
     while !enough(&answer) {
         stream.set_read_timeout(Some(left()?))?;
         match stream.read(&mut chunk) {
-            Ok(0) if answer.is_empty() => return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into()),
+            Ok(0) if answer.is_empty() => {
+                return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into())
+            }
             Ok(0) => break,
             Ok(count) => answer.extend_from_slice(&chunk[..count]),
             Err(error) => return Err(error.into()),
@@ -50,7 +52,11 @@
     Ok(answer)
 }
 
-pub(super) fn get(address: SocketAddr, path: &str, within: Duration) -> Result<(u16, String), Fault> {
+pub(super) fn get(
+    address: SocketAddr,
+    path: &str,
+    within: Duration,
+) -> Result<(u16, String), Fault> {
     let call = format!("GET {path} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n");
     let answer = exchange(address, call.as_bytes(), within, |_| false)?;
     let mut headers = [httparse::EMPTY_HEADER; 64];
--- a/src/bin/asterreel/cli/health.rs
+++ b/src/bin/asterreel/cli/health.rs
@@ -26,22 +26,36 @@
     });
     match told {
         Ok(value) => {
-            say(&if health.json { value.to_string() } else { table(&value) });
+            say(&if health.json {
+                value.to_string()
+            } else {
+                table(&value)
+            });
             ExitCode::SUCCESS
         }
         Err(Fault::Silent(error)) => {
-            eprintln!("asterreel: {}: {error}; is it running with health on?", health.address);
+            eprintln!(
+                "asterreel: {}: {error}; is it running with health on?",
+                health.address
+            );
             ExitCode::from(3)
         }
         Err(Fault::Senseless(text)) => {
-            eprintln!("asterreel: {}: not what a gateway says: {text}", health.address);
+            eprintln!(
+                "asterreel: {}: not what a gateway says: {text}",
+                health.address
+            );
             ExitCode::from(4)
         }
     }
 }
 
 fn table(value: &Value) -> String {
-    let text = |value: &Value| value.as_str().map_or_else(|| value.to_string(), str::to_owned);
+    let text = |value: &Value| {
+        value
+            .as_str()
+            .map_or_else(|| value.to_string(), str::to_owned)
+    };
     let mut rows = vec![[
         "scope",
         "state",
@@ -57,7 +71,13 @@
             (Value::Null, _) | (_, Value::Null) => String::new(),
             (usable, all) => format!("{usable} of {all}"),
         };
-        let number = |key: &str| if entry[key].is_null() { String::new() } else { entry[key].to_string() };
+        let number = |key: &str| {
+            if entry[key].is_null() {
+                String::new()
+            } else {
+                entry[key].to_string()
+            }
+        };
         let [state, weight, reason] = ["state", "weight", "reason"].map(|key| text(&entry[key]));
         [
             scope,
@@ -73,11 +93,19 @@
     for (name, entries) in value["checks"].as_object().into_iter().flatten() {
         rows.push(row(name.replace(':', " "), &entries[0]));
     }
-    let width = |column: usize| rows.iter().map(|row| row[column].chars().count()).max().unwrap_or(0);
+    let width = |column: usize| {
+        rows.iter()
+            .map(|row| row[column].chars().count())
+            .max()
+            .unwrap_or(0)
+    };
     let widths: Vec<usize> = (0..7).map(width).collect();
     let line = |row: &[String; 7]| {
-        let cells: Vec<String> =
-            row.iter().zip(&widths).map(|(cell, width)| format!("{cell:width$}")).collect();
+        let cells: Vec<String> = row
+            .iter()
+            .zip(&widths)
+            .map(|(cell, width)| format!("{cell:width$}"))
+            .collect();
         cells.join("  ").trim_end().to_owned()
     };
     rows.iter().map(line).collect::<Vec<_>>().join("\n")
--- a/src/bin/asterreel/cli/mod.rs
+++ b/src/bin/asterreel/cli/mod.rs
@@ -74,7 +74,9 @@
 impl Files {
     /// Has the operator's file evaluated, if there is one.
     pub fn evaluate(&self, within: Duration) -> Result<Evaluated, operator::BadFile> {
-        let Some(path) = &self.operator else { return Ok(Evaluated::default()) };
+        let Some(path) = &self.operator else {
+            return Ok(Evaluated::default());
+        };
         let evaluator = operator::evaluator().map_err(|error| operator::BadFile {
             file: path.display().to_string(),
             at: None,
--- a/src/bin/asterreel/cli/probe.rs
+++ b/src/bin/asterreel/cli/probe.rs
@@ -54,7 +54,10 @@
     };
     if probe.json {
         let address = probe.address.to_string();
-        say(&json!({"address": address, "verdict": verdict, "told": text, "took_ms": took}).to_string());
+        say(
+            &json!({"address": address, "verdict": verdict, "told": text, "took_ms": took})
+                .to_string(),
+        );
     } else {
         say(&format!("{verdict} ({text}) in {took:.1} ms"));
     }
@@ -77,7 +80,9 @@
                 }
             }
             Protocol::Http => {
-                let path = group.map_or("/readyz".to_owned(), |group| format!("/health/groups/{group}"));
+                let path = group.map_or("/readyz".to_owned(), |group| {
+                    format!("/health/groups/{group}")
+                });
                 let (code, body) = get(self.address, &path, left)?;
                 match code {
                     200 => Ok((true, body.trim().to_owned())),
@@ -88,13 +93,17 @@
             Protocol::Postgres => {
                 let database = group.map_or("orders".to_owned(), |group| format!("group-{group}"));
                 let startup = pg::startup_to(&database);
-                let enough = |answer: &[u8]| answer.starts_with(b"R") && answer.ends_with(b"Z\0\0\0\x05I");
+                let enough =
+                    |answer: &[u8]| answer.starts_with(b"R") && answer.ends_with(b"Z\0\0\0\x05I");
                 let answer = exchange(self.address, &startup, left, enough)?;
                 match answer.first() {
                     Some(b'R') => Ok((true, "greeted".into())),
                     Some(b'E') if answer.windows(7).any(|at| at == b"C57P03\0") => {
-                        let message = answer.split(|byte| *byte == 0).find(|field| field.starts_with(b"M"));
-                        let message = message.map(|field| String::from_utf8_lossy(&field[1..]).into_owned());
+                        let message = answer
+                            .split(|byte| *byte == 0)
+                            .find(|field| field.starts_with(b"M"));
+                        let message =
+                            message.map(|field| String::from_utf8_lossy(&field[1..]).into_owned());
                         Ok((false, message.unwrap_or_default()))
                     }
                     _ => Err(Fault::Senseless(format!("{} bytes", answer.len()))),
@@ -105,8 +114,15 @@
     }
 }
 
-fn grpc_check(address: SocketAddr, group: Option<u64>, within: Duration) -> Result<(bool, String), Fault> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_io().enable_time().build()?;
+fn grpc_check(
+    address: SocketAddr,
+    group: Option<u64>,
+    within: Duration,
+) -> Result<(bool, String), Fault> {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_io()
+        .enable_time()
+        .build()?;
     let service = group.map_or(String::new(), |group| group.to_string());
     let senseless = |text: String| Fault::Senseless(text);
     let check = async {
@@ -114,7 +130,10 @@
         let shake = h2::client::handshake(stream).await;
         let (client, connection) = shake.map_err(|error| senseless(error.to_string()))?;
         let driving = tokio::spawn(connection);
-        let mut client = client.ready().await.map_err(|error| senseless(error.to_string()))?;
+        let mut client = client
+            .ready()
+            .await
+            .map_err(|error| senseless(error.to_string()))?;
         let request = http::Request::post(format!("http://{address}/grpc.health.v1.Health/Check"))
             .header("content-type", "application/grpc")
             .header("te", "trailers")
@@ -123,7 +142,8 @@
         let sent = client.send_request(request, false);
         let (answer, mut body) = sent.map_err(|error| senseless(error.to_string()))?;
         let frame = grpc::frame(&grpc::Request { service });
-        body.send_data(frame.into(), true).map_err(|error| senseless(error.to_string()))?;
+        body.send_data(frame.into(), true)
+            .map_err(|error| senseless(error.to_string()))?;
         let answer = answer.await.map_err(|error| senseless(error.to_string()))?;
         if let Some(code) = answer.headers().get("grpc-status") {
             let code = code.to_str().unwrap_or("?");
@@ -142,5 +162,9 @@
         }
     };
     let late = || io::Error::from(io::ErrorKind::TimedOut);
-    runtime.block_on(async { tokio::time::timeout(within, check).await.map_err(|_| late())? })
+    runtime.block_on(async {
+        tokio::time::timeout(within, check)
+            .await
+            .map_err(|_| late())?
+    })
 }
--- a/src/bin/asterreel/client/gateway.rs
+++ b/src/bin/asterreel/client/gateway.rs
@@ -61,7 +61,11 @@
         sockets: usize,
         cells: Option<Cells>,
     ) -> Gateway {
-        let classes = setup.profiles.iter().zip(&settings.needs).zip(&settings.classes);
+        let classes = setup
+            .profiles
+            .iter()
+            .zip(&settings.needs)
+            .zip(&settings.classes);
         let classes = classes.map(|((profile, need), class)| Class {
             name: profile.name.clone(),
             need: *need,
@@ -88,20 +92,33 @@
 
     /// From now on clients that come are admitted as this says.
     pub fn readmit(&self, readmission: Readmission) {
-        *self.readmission.lock().unwrap_or_else(PoisonError::into_inner) = Some(readmission);
+        *self
+            .readmission
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = Some(readmission);
     }
 
     /// So many gateways share what the fleet may admit.
     pub fn share(&self, gateways: u32) {
-        let mut readmission = self.readmission.lock().unwrap_or_else(PoisonError::into_inner);
-        readmission.iter_mut().for_each(|readmission| readmission.share(gateways));
+        let mut readmission = self
+            .readmission
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        readmission
+            .iter_mut()
+            .for_each(|readmission| readmission.share(gateways));
     }
 
     /// Whether a client that comes from there may come in now; everybody may where nobody says otherwise.
     pub(super) fn readmits(&self, from: IpAddr) -> Answer {
-        let mut readmission = self.readmission.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut readmission = self
+            .readmission
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         let readmission = readmission.as_mut();
-        readmission.map_or(Answer::Admit, |readmission| readmission.arrive(self.core.clock.now(), from))
+        readmission.map_or(Answer::Admit, |readmission| {
+            readmission.arrive(self.core.clock.now(), from)
+        })
     }
 
     /// How many requests were taken since the start.
@@ -109,7 +126,10 @@
         self.core.requests()
     }
 
-    pub(super) fn sessions<T>(&self, work: impl FnOnce(&mut BTreeMap<u32, Arc<Mailbox>>) -> T) -> T {
+    pub(super) fn sessions<T>(
+        &self,
+        work: impl FnOnce(&mut BTreeMap<u32, Arc<Mailbox>>) -> T,
+    ) -> T {
         work(&mut self.sessions.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
@@ -172,28 +192,42 @@
     /// Takes a session in that is woken by this.
     pub(super) fn register(&self, waker: WaitIoWaker) -> (u32, Arc<Mailbox>) {
         let number = self.next_session.fetch_add(1, Ordering::Relaxed);
-        let mailbox = Arc::new(Mailbox::new(waker, self.core.clock.now(), self.core.orders.clone()));
+        let mailbox = Arc::new(Mailbox::new(
+            waker,
+            self.core.clock.now(),
+            self.core.orders.clone(),
+        ));
         self.sessions(|sessions| sessions.insert(number, mailbox.clone()));
         (number, mailbox)
     }
 
     /// The key of a session: whoever sees one can't tell another's from it.
     pub(super) fn key(&self, session: u32) -> pg::Key {
-        pg::Key { session, secret: self.secrets.hash_one(session) as u32 }
+        pg::Key {
+            session,
+            secret: self.secrets.hash_one(session) as u32,
+        }
     }
 
     /// Cancels what the session with this key is doing, if it is doing something; a wrong key does nothing.
     pub(super) fn cancel(&self, key: pg::Key) {
         if key == self.key(key.session) {
             let mailbox = self.sessions(|sessions| sessions.get(&key.session).cloned());
-            mailbox.iter().for_each(|mailbox| mailbox.post(Notice::Cancelled));
+            mailbox
+                .iter()
+                .for_each(|mailbox| mailbox.post(Notice::Cancelled));
         }
     }
 
     /// A session has ended: whoever waits to be accepted gets its place at once.
     pub(super) fn ended(&self, number: u32) {
         self.sessions(|sessions| sessions.remove(&number));
-        if let Some(waker) = self.room.lock().unwrap_or_else(PoisonError::into_inner).as_ref() {
+        if let Some(waker) = self
+            .room
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .as_ref()
+        {
             waker.wakeup();
         }
     }
--- a/src/bin/asterreel/client/mailbox.rs
+++ b/src/bin/asterreel/client/mailbox.rs
@@ -67,12 +67,19 @@
     }
 
     pub(super) fn post(&self, notice: Notice) {
-        self.notices.lock().unwrap_or_else(PoisonError::into_inner).push_back(notice);
+        self.notices
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push_back(notice);
         self.waker.wakeup();
     }
 
     pub(super) fn take(&self) -> Option<Notice> {
-        let notice = self.notices.lock().unwrap_or_else(PoisonError::into_inner).pop_front();
+        let notice = self
+            .notices
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .pop_front();
         if let Some(Notice::Order(_)) = notice {
             self.orders.taken.fetch_add(1, Ordering::AcqRel);
         }
@@ -80,7 +87,10 @@
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        self.notices.lock().unwrap_or_else(PoisonError::into_inner).is_empty()
+        self.notices
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .is_empty()
     }
 
     /// Drops what is left of a request that is over: the next one's orders must not begin with its last.
--- a/src/bin/asterreel/client/request.rs
+++ b/src/bin/asterreel/client/request.rs
@@ -44,7 +44,13 @@
             Denial::Failed(text) => ("58000", *text, None),
             Denial::Cancelled => ("57014", "cancelled as its client asked", None),
         };
-        pg::error(out, Severity::Error, code, text, come_back.map(|wait| wait.div_ceil(1_000)));
+        pg::error(
+            out,
+            Severity::Error,
+            code,
+            text,
+            come_back.map(|wait| wait.div_ceil(1_000)),
+        );
     }
 }
 
@@ -131,8 +137,9 @@
 
     /// Whether its cell lets an attempt go out, or what is to be said instead.
     fn quarantine(&self) -> Result<(), Denial> {
-        let shut =
-            |placed: &Placed| placed.attempt(self.admitted.effect, self.may_have_run, self.victims.len());
+        let shut = |placed: &Placed| {
+            placed.attempt(self.admitted.effect, self.may_have_run, self.victims.len())
+        };
         let text = "this statement is quarantined";
         match self.admitted.placed.as_ref().map_or(Verdict::Go, shut) {
             Verdict::Go => Ok(()),
@@ -181,7 +188,11 @@
                 out.clear();
             }
             match self.next(request.owed.then_some(overdue)) {
-                Notice::Order(Order::Send { member, address, until }) => {
+                Notice::Order(Order::Send {
+                    member,
+                    address,
+                    until,
+                }) => {
                     self.send(&mut request, (member, address, until), out);
                 }
                 Notice::Order(Order::Cancel(number)) => request.attempts.call_off(number),
@@ -197,7 +208,10 @@
                 }
                 Notice::Left | Notice::Overdue => {
                     if request.owed {
-                        warn!(left = self.left, "request ended without the module's answer");
+                        warn!(
+                            left = self.left,
+                            "request ended without the module's answer"
+                        );
                     }
                     request.deny(&Denial::Failed("out of time"), out);
                     core.departed(id);
@@ -207,7 +221,11 @@
         self.give_back(&mut request);
         core.forget(id);
         let took = core.clock.now().saturating_sub(received);
-        let Request { statement, admitted, .. } = &request;
+        let Request {
+            statement,
+            admitted,
+            ..
+        } = &request;
         let (class, group, wait) = (admitted.class.0, statement.cluster, statement.wait_ms);
         debug!(request = id.0, class, group, took, wait, "done");
         if self.left {
@@ -219,7 +237,9 @@
     /// Takes a request in, or says why not.
     fn admit(&self, statement: &Statement, received: Micros) -> Result<Admitted, Denial> {
         let gateway = &self.gateway;
-        let (number, class) = gateway.class(&statement.class).ok_or(Denial::Invalid("unknown class"))?;
+        let (number, class) = gateway
+            .class(&statement.class)
+            .ok_or(Denial::Invalid("unknown class"))?;
         // A database that got the other's copy first could give one client the answer made for another.
         let name = Name::take(gateway, &statement.id);
         let name = name.ok_or(Denial::Invalid("a request with this id is open"))?;
@@ -229,20 +249,43 @@
         if gateway.core.clock.now() >= due {
             // Its time was over before its turn came, behind others: an attempt could not be written any more, and would
             // cost the connection that it takes.
-            debug!(class = number.0, wait = statement.wait_ms, "out of time before its turn");
+            debug!(
+                class = number.0,
+                wait = statement.wait_ms,
+                "out of time before its turn"
+            );
             return Err(Denial::Failed("out of time"));
         }
         let placed = self.placed(statement, class.need)?;
-        Ok(Admitted { class: number, effect: class.effect, need: class.need, due, placed, _name: name })
+        Ok(Admitted {
+            class: number,
+            effect: class.effect,
+            need: class.need,
+            due,
+            placed,
+            _name: name,
+        })
     }
 
     /// Where a request's tenant lives, with a place in its cell; nothing where cells are off.
     fn placed(&self, statement: &Statement, need: Need) -> Result<Option<Placed>, Refusal> {
-        let Some(cells) = &self.gateway.cells else { return Ok(None) };
-        let comment = if cells.by_statement { statement.comment() } else { Vec::new() };
+        let Some(cells) = &self.gateway.cells else {
+            return Ok(None);
+        };
+        let comment = if cells.by_statement {
+            statement.comment()
+        } else {
+            Vec::new()
+        };
         let client = &self.client;
-        let (user, application, address) = (&client.user, &client.application, Some(client.address));
-        let caller = Caller { user, application, address, comment: &comment };
+        let (user, application, address) =
+            (&client.user, &client.application, Some(client.address));
+        let caller = Caller {
+            user,
+            application,
+            address,
+            comment: &comment,
+        };
         let target = (statement.cluster, &statement.key[..]);
         let placed = cells.admit(&caller, target, statement.text(), need == Need::Write)?;
         // It would wait in vain: nothing of another cell may serve it.
@@ -255,12 +298,21 @@
     /// What the module is told of a request.
     fn arrival(&self, statement: &Statement, admitted: &Admitted) -> Arrival {
         let now = self.gateway.core.clock.now();
-        let Admitted { class, need, due, placed, .. } = admitted;
+        let Admitted {
+            class,
+            need,
+            due,
+            placed,
+            ..
+        } = admitted;
         let in_session = matches!(need, Need::Write | Need::Session);
         let after = statement.after.map(|after| after.saturating_mul(1000));
-        let since_write = after.filter(|after| *after > 0).map(|after| now.saturating_sub(after));
+        let since_write = after
+            .filter(|after| *after > 0)
+            .map(|after| now.saturating_sub(after));
         // Just moved: replicas of the new home may lack what the session wrote in the old one.
-        let settling = *need == Need::Session && placed.as_ref().is_some_and(|p| p.admitted.settling);
+        let settling =
+            *need == Need::Session && placed.as_ref().is_some_and(|p| p.admitted.settling);
         Arrival {
             request: RequestId(0),
             class: *class,
@@ -268,7 +320,9 @@
             session: in_session.then(|| session_id(&statement.key)),
             due: *due,
             estimate: None,
-            group: placed.as_ref().map_or(GroupId(statement.cluster), |placed| placed.admitted.group),
+            group: placed
+                .as_ref()
+                .map_or(GroupId(statement.cluster), |placed| placed.admitted.group),
             since_write: if settling { Some(0) } else { since_write },
         }
     }
@@ -333,7 +387,11 @@
         }
         let stop = Arc::new(Stop::at(until));
         let ordered = gateway.core.clock.now();
-        let number = request.attempts.begin(Attempt { ordered, member, stop: stop.clone() });
+        let number = request.attempts.begin(Attempt {
+            ordered,
+            member,
+            stop: stop.clone(),
+        });
         let statement = request.statement.clone();
         spawn(move || {
             let may_write = || gateway.core.may_write(id, member);
@@ -344,7 +402,9 @@
 
     /// Takes an attempt's end in, and tells the module.
     fn attempt_ended(&self, request: &mut Request, number: AttemptNo, end: End, out: &mut Vec<u8>) {
-        let Some(attempt) = request.attempts.end(number) else { return };
+        let Some(attempt) = request.attempts.end(number) else {
+            return;
+        };
         let core = &self.gateway.core;
         let (outcome, role) = (end.outcome, end.note.role);
         let served = outcome == Outcome::Served;
@@ -352,13 +412,21 @@
         request.may_have_run |= !served && !outcome.proves_nothing_ran();
         if let Some(placed) = &request.admitted.placed {
             placed.attempted(attempt.member, outcome);
-            request.victims.extend((outcome == Outcome::Reset).then_some(attempt.member));
+            request
+                .victims
+                .extend((outcome == Outcome::Reset).then_some(attempt.member));
         }
         if served && std::mem::replace(&mut request.owed, false) {
             out.extend_from_slice(&end.rows);
         }
         let latency = core.clock.now().saturating_sub(attempt.ordered);
-        debug!(request = request.id.0, attempt = number.0, ?outcome, ?role, latency);
+        debug!(
+            request = request.id.0,
+            attempt = number.0,
+            ?outcome,
+            ?role,
+            latency
+        );
         core.ended(Ended {
             request: request.id,
             attempt: number,
@@ -366,7 +434,11 @@
             latency,
             note: end.note,
             report: Note::default(),
-            standing: if finished { Standing::Finished } else { Standing::Owed },
+            standing: if finished {
+                Standing::Finished
+            } else {
+                Standing::Owed
+            },
         });
     }
 
@@ -375,7 +447,9 @@
     fn give_back(&self, request: &mut Request) {
         while let Some(notice) = self.mailbox.take() {
             if matches!(notice, Notice::Order(Order::Send { .. })) {
-                self.gateway.core.ended(never_sent(request.id, request.attempts.skip()));
+                self.gateway
+                    .core
+                    .ended(never_sent(request.id, request.attempts.skip()));
             }
         }
     }
--- a/src/bin/asterreel/client/session.rs
+++ b/src/bin/asterreel/client/session.rs
@@ -59,8 +59,21 @@
         mailbox: Arc<Mailbox>,
         address: IpAddr,
     ) -> Session {
-        let client = Client { address, user: String::new(), application: String::new() };
-        Session { gateway, number, stream, mailbox, client, left: false, reads: 0, skipping: false }
+        let client = Client {
+            address,
+            user: String::new(),
+            application: String::new(),
+        };
+        Session {
+            gateway,
+            number,
+            stream,
+            mailbox,
+            client,
+            left: false,
+            reads: 0,
+            skipping: false,
+        }
     }
 
     /// All of it; its place is free afterwards.
@@ -107,7 +120,8 @@
             if self.gateway.cells.is_some() && opening == Opening::Start {
                 let message = &self.stream.buffer.data()[..length];
                 // Longer than any tenant's name is none, and not kept.
-                let word = |name| pg::parameter(message, name).filter(|word| word.len() <= who::LONGEST);
+                let word =
+                    |name| pg::parameter(message, name).filter(|word| word.len() <= who::LONGEST);
                 self.client.user = word("user").unwrap_or_default().to_owned();
                 self.client.application = word("application_name").unwrap_or_default().to_owned();
             }
@@ -188,7 +202,9 @@
             }
             Ok((Some(Plain::Session(tag)), _)) => pg::command_complete(out, tag),
             Ok((None, Ok(statement))) => self.request(statement, received, out)?,
-            Ok((None, Err(Malformed(fault)))) => pg::error(out, Severity::Error, "08P01", fault, None),
+            Ok((None, Err(Malformed(fault)))) => {
+                pg::error(out, Severity::Error, "08P01", fault, None)
+            }
             Err(fault) => return Err(self.fatal(fault)),
         }
         Ok(())
@@ -203,7 +219,11 @@
         let before = self.mailbox.stage().filter(|(was, _)| *was == stage);
         let (_, since) = before.unwrap_or((stage, core.clock.now()));
         self.mailbox.set_stage(Some((stage, since)));
-        let until = if stage == Stage::Idle { Micros::MAX } else { since + MESSAGE_WAIT };
+        let until = if stage == Stage::Idle {
+            Micros::MAX
+        } else {
+            since + MESSAGE_WAIT
+        };
         let _alarm = core.timer.alarm(until, self.stream.waker());
         // In a drain a message that has begun is read to its end and nothing else: what was not read its client sends
         // once more elsewhere, and one that always has a next request would be owed an answer when the process is killed.
@@ -212,7 +232,11 @@
             return Ok(false);
         }
         let one = draining && opening.is_none();
-        let most = if one { pg::missing(self.stream.buffer.data()) } else { usize::MAX };
+        let most = if one {
+            pg::missing(self.stream.buffer.data())
+        } else {
+            usize::MAX
+        };
         self.reads += 1;
         if self.reads % READS_IN_TURN == 0 {
             may::coroutine::yield_now();
@@ -253,14 +277,21 @@
     fn fatal(&mut self, fault: Malformed) -> Ending {
         let mut out = Vec::new();
         pg::error(&mut out, Severity::Fatal, "08P01", fault.0, None);
-        self.write(&out).map_or_else(|left| left, |()| Ending::Malformed)
+        self.write(&out)
+            .map_or_else(|left| left, |()| Ending::Malformed)
     }
 
     /// Too many come at once: it hears at once when to come again.
     fn come_again(&mut self, wait: Micros) -> Result<(), Ending> {
         let mut out = Vec::new();
         let wait_ms = wait.div_ceil(1_000);
-        pg::error(&mut out, Severity::Fatal, "53300", "too many come at once, come again", Some(wait_ms));
+        pg::error(
+            &mut out,
+            Severity::Fatal,
+            "53300",
+            "too many come at once, come again",
+            Some(wait_ms),
+        );
         self.write(&out)
     }
 }
@@ -273,8 +304,14 @@
 
 fn plain(text: &[u8]) -> Option<Plain> {
     let text = text.trim_ascii();
-    let word = text.split(|byte| byte.is_ascii_whitespace() || *byte == b';').next().unwrap_or_default();
-    if text.iter().all(|byte| *byte == b';' || byte.is_ascii_whitespace()) {
+    let word = text
+        .split(|byte| byte.is_ascii_whitespace() || *byte == b';')
+        .next()
+        .unwrap_or_default();
+    if text
+        .iter()
+        .all(|byte| *byte == b';' || byte.is_ascii_whitespace())
+    {
         return Some(Plain::Empty);
     }
     ["SET", "RESET", "DISCARD"]
--- a/src/bin/asterreel/client/shed.rs
+++ b/src/bin/asterreel/client/shed.rs
@@ -62,12 +62,20 @@
     fn shed_by_rank(&self, sessions: &BTreeMap<u32, Arc<Mailbox>>) {
         let now = self.core.clock.now();
         let (mut stay, mut served, mut ranked) = (0, 0, Vec::new());
-        for mailbox in sessions.values().filter(|mailbox| !mailbox.close.load(Ordering::Acquire)) {
+        for mailbox in sessions
+            .values()
+            .filter(|mailbox| !mailbox.close.load(Ordering::Acquire))
+        {
             let stage = mailbox.stage();
             stay += 1;
             served += usize::from(!matches!(stage, Some((Stage::Opening, _))));
             if let Some((stage, since)) = stage {
-                ranked.push((rank(stage, now.saturating_sub(since)), since, stage, mailbox));
+                ranked.push((
+                    rank(stage, now.saturating_sub(since)),
+                    since,
+                    stage,
+                    mailbox,
+                ));
             }
         }
         ranked.sort_unstable_by_key(|(rank, since, ..)| (*rank, *since));
--- a/src/bin/asterreel/client/tests.rs
+++ b/src/bin/asterreel/client/tests.rs
@@ -31,28 +31,46 @@
         may::config().set_workers(1).set_worker_pin(false);
         let database = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let place = database.local_addr().expect("bound").to_string();
-        let example = include_str!("../../../../examples/config.json").replace("127.0.0.1:5501", &place);
+        let example =
+            include_str!("../../../../examples/config.json").replace("127.0.0.1:5501", &place);
         let config = Config::parse(example.as_bytes(), |_| None).expect("good");
         let clock = Clock::start();
         let timer = Timer::new(clock);
         let ((probes, asked), (watches, _watched)) = (channel(), channel());
-        let core = Arc::new(Core::new(&config, clock, timer.clone(), probes, watches).expect("good"));
-        core.listed(ListKind::WarmCopy, &config.known).expect("good");
-        let primary = Note { role: Some(Role::Primary), position: None };
+        let core =
+            Arc::new(Core::new(&config, clock, timer.clone(), probes, watches).expect("good"));
+        core.listed(ListKind::WarmCopy, &config.known)
+            .expect("good");
+        let primary = Note {
+            role: Some(Role::Primary),
+            position: None,
+        };
         let members: Vec<(MemberId, SocketAddr)> = asked.try_iter().collect();
-        let listed = members.iter().find(|(_, address)| address.to_string() == place);
+        let listed = members
+            .iter()
+            .find(|(_, address)| address.to_string() == place);
         core.probed(listed.expect("probed").0, Outcome::Served, primary);
         let woken = core.clone();
         thread::spawn(move || timer.clone().run(|| woken.wake()));
         let connect_timeout = PATIENCE.as_micros() as Micros;
-        let pool = Arc::new(Pool::new(clock, core.timer.clone(), 10, 15_000_000, connect_timeout));
+        let pool = Arc::new(Pool::new(
+            clock,
+            core.timer.clone(),
+            10,
+            15_000_000,
+            connect_timeout,
+        ));
         let (setup, settings) = (&config.setup, &config.settings);
         let gateway = Arc::new(Gateway::new(core, pool, setup, settings, 100, 1024, None));
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let clients = listener.local_addr().expect("bound");
         let accepting = gateway.clone();
         spawn(move || accept(&accepting, &listener));
-        Stage { gateway, clients, database }
+        Stage {
+            gateway,
+            clients,
+            database,
+        }
     }
 
     /// A client that has been welcomed.
@@ -66,7 +84,9 @@
 
     /// Gives the only session an order as the module would.
     fn order(&self, order: Order) {
-        let mailbox = self.gateway.sessions(|sessions| sessions.values().next().cloned());
+        let mailbox = self
+            .gateway
+            .sessions(|sessions| sessions.values().next().cloned());
         mailbox.expect("a session").order(order);
     }
 }
@@ -80,7 +100,9 @@
 }
 
 fn write(id: &str) -> Vec<u8> {
-    pg::simple_query(&format!("INSERT INTO entries VALUES ('k') /* id={id},c=booking,d=3000,cluster=0 */"))
+    pg::simple_query(&format!(
+        "INSERT INTO entries VALUES ('k') /* id={id},c=booking,d=3000,cluster=0 */"
+    ))
 }
 
 /// The module's refusal comes while the attempt that it calls off still waits for a connection to come up, which takes its
@@ -89,24 +111,38 @@
 fn a_refusal_is_heard_at_once_and_the_next_request_waits_for_the_called_off_attempt() {
     let stage = Stage::new();
     let mut client = stage.client();
-    client.write_all(&[write("first"), write("second")].concat()).expect("sent");
+    client
+        .write_all(&[write("first"), write("second")].concat())
+        .expect("sent");
     let (mut silent, _) = stage.database.accept().expect("an attempt");
     toy::read_body(&mut silent).expect("a startup message, which is not answered");
     let decided = Instant::now();
     stage.order(Order::Refuse(None));
     stage.order(Order::Cancel(AttemptNo(0)));
     assert_eq!(message(&mut client), b'E');
-    assert!(decided.elapsed() < Duration::from_secs(2), "heard after {:?}", decided.elapsed());
+    assert!(
+        decided.elapsed() < Duration::from_secs(2),
+        "heard after {:?}",
+        decided.elapsed()
+    );
     // Neither the end of the answer nor another attempt.
     thread::sleep(Duration::from_millis(300));
     client.set_nonblocking(true).expect("set");
     stage.database.set_nonblocking(true).expect("set");
-    assert_eq!(client.peek(&mut [0]).expect_err("no more").kind(), ErrorKind::WouldBlock);
-    assert_eq!(stage.database.accept().expect_err("no attempt").kind(), ErrorKind::WouldBlock);
+    assert_eq!(
+        client.peek(&mut [0]).expect_err("no more").kind(),
+        ErrorKind::WouldBlock
+    );
+    assert_eq!(
+        stage.database.accept().expect_err("no attempt").kind(),
+        ErrorKind::WouldBlock
+    );
     client.set_nonblocking(false).expect("set");
     stage.database.set_nonblocking(false).expect("set");
     // The connection comes up now, too late: nothing is written to it, and it isn't used for the next request either.
-    silent.write_all(b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I").expect("welcomed");
+    silent
+        .write_all(b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I")
+        .expect("welcomed");
     assert_eq!(silent.read(&mut [0]).expect("an end"), 0);
     assert_eq!(message(&mut client), b'Z');
     let (serving, _) = stage.database.accept().expect("the next request's attempt");
@@ -118,5 +154,8 @@
     thread::spawn(move || toy::session(serving, move |_| toy::Reply::Answer(answer.clone())));
     assert_eq!([(); 4].map(|()| message(&mut client)), *b"TDCZ");
     client.set_nonblocking(true).expect("set");
-    assert_eq!(client.peek(&mut [0]).expect_err("no more").kind(), ErrorKind::WouldBlock);
+    assert_eq!(
+        client.peek(&mut [0]).expect_err("no more").kind(),
+        ErrorKind::WouldBlock
+    );
 }
--- a/src/bin/asterreel/control.rs
+++ b/src/bin/asterreel/control.rs
@@ -20,7 +20,9 @@
 pub fn run(asked: &Control) -> Result<(), Box<dyn Error>> {
     // Before anything else, so that a signal that comes early is not lost.
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
-    let files = Files { operator: Some(asked.operator.clone()) };
+    let files = Files {
+        operator: Some(asked.operator.clone()),
+    };
     let evaluated = files.evaluate(EVALUATION)?;
     let lease = evaluated.member()?;
     let handle = service::start_member(lease, Clock::start())?;
--- a/src/bin/asterreel/core.rs
+++ b/src/bin/asterreel/core.rs
@@ -99,7 +99,12 @@
             probes,
             watches,
         };
-        Ok(Core { clock, timer, orders: Arc::default(), state: Mutex::new(state) })
+        Ok(Core {
+            clock,
+            timer,
+            orders: Arc::default(),
+            state: Mutex::new(state),
+        })
     }
 
     #[cfg(test)]
@@ -124,12 +129,22 @@
             Err(TryLockError::WouldBlock) => return None,
         };
         let now = self.clock.now();
-        Some(state.observer.as_mut().map_or_else(Report::default, |observer| observer.report(now)))
+        Some(
+            state
+                .observer
+                .as_mut()
+                .map_or_else(Report::default, |observer| observer.report(now)),
+        )
     }
 
     /// Whether a group has lost all its members, where an observer looks on.
     pub fn lost(&self, group: GroupId) -> bool {
-        self.with(|state| state.observer.as_ref().is_some_and(|observer| observer.lost(group)))
+        self.with(|state| {
+            state
+                .observer
+                .as_ref()
+                .is_some_and(|observer| observer.lost(group))
+        })
     }
 
     /// Takes the lock and gives it back: whoever gets through here shows that requests could.
@@ -203,7 +218,9 @@
         let mut entries = Vec::with_capacity(listing.members.len());
         let mut addresses = Vec::with_capacity(listing.members.len());
         for item in &listing.members {
-            let entry = item.entry(MemberId(0), &self.zones).map_err(|f| format!("{}: {f}", item.store))?;
+            let entry = item
+                .entry(MemberId(0), &self.zones)
+                .map_err(|f| format!("{}: {f}", item.store))?;
             let address = match item.address.parse() {
                 Ok(address) => Some(address),
                 Err(_) if entry.state != EntryState::On => None,
@@ -216,7 +233,10 @@
             let next = MemberId(self.next_member);
             entry.member = *self.members.entry(item.store.clone()).or_insert(next);
             self.next_member += u32::from(entry.member == next);
-            let place = self.places.entry(entry.member).or_insert_with(|| (item.store.clone(), None));
+            let place = self
+                .places
+                .entry(entry.member)
+                .or_insert_with(|| (item.store.clone(), None));
             debug!("{:?} is {}", entry.member, item.store);
             place.1 = address.or(place.1);
         }
@@ -255,9 +275,15 @@
                 let Some(address) = self.places.get(&member).and_then(|place| place.1) else {
                     return warn!("a send to a member without an address");
                 };
-                let Some((inbox, due)) = self.inboxes.get(&request) else { return };
+                let Some((inbox, due)) = self.inboxes.get(&request) else {
+                    return;
+                };
                 let until = now.saturating_add(timeout).min(*due);
-                inbox.order(Order::Send { member, address, until });
+                inbox.order(Order::Send {
+                    member,
+                    address,
+                    until,
+                });
             }
             Action::Cancel(request, attempt) => self.order(request, Order::Cancel(attempt)),
             Action::Refuse(request, come_back) => self.order(request, Order::Refuse(come_back)),
@@ -271,7 +297,10 @@
                 let _ = self.watches.send(());
             }
             Action::Remark(member, remark) => {
-                let name = self.places.get(&member).map_or("?", |place| place.0.as_str());
+                let name = self
+                    .places
+                    .get(&member)
+                    .map_or("?", |place| place.0.as_str());
                 info!(member = name, "{remark:?}");
             }
             Action::WakeAfter(after) => core.timer.wake_at(now.saturating_add(after)),
--- a/src/bin/asterreel/core/tests.rs
+++ b/src/bin/asterreel/core/tests.rs
@@ -6,14 +6,18 @@
 
 impl Inbox for Orders {
     fn order(&self, order: Order) {
-        self.0.lock().expect("not poisoned").push(format!("{order:?}"));
+        self.0
+            .lock()
+            .expect("not poisoned")
+            .push(format!("{order:?}"));
     }
 }
 
 type Asked = (Receiver<(MemberId, SocketAddr)>, Receiver<()>);
 
 fn core_asking() -> (Core, Config, Asked) {
-    let config = Config::parse(include_bytes!("../../../../examples/config.json"), |_| None).expect("good");
+    let config =
+        Config::parse(include_bytes!("../../../../examples/config.json"), |_| None).expect("good");
     let clock = Clock::start();
     let (probes, asked) = channel();
     let (watches, watched) = channel();
@@ -30,7 +34,8 @@
 fn a_list_with_one_bad_entry_leaves_the_old_one_standing() {
     let (core, config, (asked, watched)) = core_asking();
     let clock = core.clock;
-    core.listed(ListKind::WarmCopy, &config.known).expect("good");
+    core.listed(ListKind::WarmCopy, &config.known)
+        .expect("good");
     assert!(watched.try_recv().is_ok());
     let probed: Vec<(MemberId, SocketAddr)> = asked.try_iter().collect();
     assert_eq!(probed.len(), 2, "both are probed before a first send");
@@ -47,7 +52,10 @@
         assert!(core.listed(ListKind::Full, &bad).is_err());
     }
     // The primary, which those lists left out, still gets a write.
-    let primary = Note { role: Some(Role::Primary), position: None };
+    let primary = Note {
+        role: Some(Role::Primary),
+        position: None,
+    };
     core.probed(probed[0].0, Outcome::Served, primary);
     let inbox = Arc::new(Orders::default());
     let arrival = Arrival {
@@ -62,7 +70,10 @@
     };
     core.arrive(arrival, inbox.clone());
     let orders = inbox.0.lock().expect("not poisoned");
-    assert!(orders[0].starts_with("Send") && orders[0].contains(&probed[0].1.to_string()), "{orders:?}");
+    assert!(
+        orders[0].starts_with("Send") && orders[0].contains(&probed[0].1.to_string()),
+        "{orders:?}"
+    );
 }
 
 /// Seen by reading: on a day of replacements every server that had ever been was kept, with its name.
@@ -75,8 +86,13 @@
         core.listed(ListKind::Full, &list).expect("good");
         core.with(|state| assert_eq!((state.members.len(), state.places.len()), (2, 2)));
     }
-    let mut gone = Listing { complete: false, ..config.known.clone() };
-    gone.members.iter_mut().for_each(|member| member.state = "gone".into());
+    let mut gone = Listing {
+        complete: false,
+        ..config.known.clone()
+    };
+    gone.members
+        .iter_mut()
+        .for_each(|member| member.state = "gone".into());
     core.listed(ListKind::Changes, &gone).expect("good");
     core.with(|state| assert_eq!((state.members.len(), state.places.len()), (1, 1)));
 }
--- a/src/bin/asterreel/discovery.rs
+++ b/src/bin/asterreel/discovery.rs
@@ -60,10 +60,25 @@
 
 /// Watches whenever the module asks for it; a watch that ends is reported as lost. The first list, and whatever shows that
 /// none will come soon, opens the door to clients.
-pub fn run(core: &Core, source: &Source, revision: u64, asked: &Receiver<()>, first_list: &FirstList) {
+pub fn run(
+    core: &Core,
+    source: &Source,
+    revision: u64,
+    asked: &Receiver<()>,
+    first_list: &FirstList,
+) {
     let current_at = core.clock.now();
-    let mut record = Record { revision, current_at, calls: 0, lists: 0, failed_in_a_row: 0 };
-    info!(revision, "list from the configuration in force, of unknown age");
+    let mut record = Record {
+        revision,
+        current_at,
+        calls: 0,
+        lists: 0,
+        failed_in_a_row: 0,
+    };
+    info!(
+        revision,
+        "list from the configuration in force, of unknown age"
+    );
     while asked.recv().is_ok() {
         loop {
             let address = source.address();
@@ -76,9 +91,16 @@
             let fault = listen(core, source, address, &mut record, &mut watch, first_list);
             let now = core.clock.now();
             let (failed, stale_ms) = (record.failed_in_a_row, record.stale_ms(now));
-            info!(calls, lists = record.lists, failed, stale_ms, "watch lost: {fault}");
+            info!(
+                calls,
+                lists = record.lists,
+                failed,
+                stale_ms,
+                "watch lost: {fault}"
+            );
             // Any other error may be over in a moment, or be this machine's own.
-            if matches!(&fault, Fault::Connect(error) if error.kind() == ErrorKind::ConnectionRefused) {
+            if matches!(&fault, Fault::Connect(error) if error.kind() == ErrorKind::ConnectionRefused)
+            {
                 first_list.settle();
             }
             if !source.has_moved(address, asked) {
@@ -133,7 +155,9 @@
         stream.buffer.consume(used);
         while let Some(listing) = reader.listing() {
             // A list that makes no sense leaves the old one standing; the next watch starts from there.
-            let told = listing.map_err(|fault| fault.to_string()).and_then(|list| told(core, &list, record));
+            let told = listing
+                .map_err(|fault| fault.to_string())
+                .and_then(|list| told(core, &list, record));
             if let Err(fault) = told {
                 warn!("bad list: {fault}");
                 return Fault::List(fault);
@@ -171,7 +195,11 @@
 }
 
 fn told(core: &Core, listing: &Listing, record: &mut Record) -> Result<(), String> {
-    let kind = if listing.complete { ListKind::Full } else { ListKind::Changes };
+    let kind = if listing.complete {
+        ListKind::Full
+    } else {
+        ListKind::Changes
+    };
     core.listed(kind, listing)?;
     let stale_ms = record.stale_ms(core.clock.now());
     (record.revision, record.current_at) = (listing.revision, core.clock.now());
--- a/src/bin/asterreel/discovery/first_list.rs
+++ b/src/bin/asterreel/discovery/first_list.rs
@@ -25,7 +25,9 @@
     /// Blocks a thread, never a coroutine, until it is settled, for so long at most; whether it is.
     pub fn wait(&self, within: Duration) -> bool {
         let settled = self.settled.lock().unwrap_or_else(PoisonError::into_inner);
-        let waited = self.changed.wait_timeout_while(settled, within, |settled| !*settled);
+        let waited = self
+            .changed
+            .wait_timeout_while(settled, within, |settled| !*settled);
         *waited.unwrap_or_else(PoisonError::into_inner).0
     }
 }
--- a/src/bin/asterreel/discovery/reader.rs
+++ b/src/bin/asterreel/discovery/reader.rs
@@ -72,7 +72,11 @@
     /// What all that was taken in makes.
     pub fn received(&self) -> Received {
         let within_list = self.text.iter().any(|byte| !byte.is_ascii_whitespace());
-        Received { answered: self.has_begun(), within_list, solid: self.solid }
+        Received {
+            answered: self.has_begun(),
+            within_list,
+            solid: self.solid,
+        }
     }
 
     /// Takes in bytes and says how many were used; the rest is to be offered again with more.
@@ -104,7 +108,11 @@
                     let count = left.min(rest.len());
                     self.keep(&rest[..count]);
                     used += count;
-                    self.body = if count == left { Body::ChunkEnd } else { Body::Chunk(left - count) };
+                    self.body = if count == left {
+                        Body::ChunkEnd
+                    } else {
+                        Body::Chunk(left - count)
+                    };
                 }
                 Body::ChunkEnd => match rest {
                     [b'\r', b'\n', ..] => (self.body, used) = (Body::ChunkSize, used + 2),
@@ -127,7 +135,10 @@
     fn keep(&mut self, bytes: &[u8]) {
         self.text.extend_from_slice(bytes);
         bytes.iter().for_each(|byte| self.nesting.pass(*byte));
-        self.solid += bytes.iter().filter(|byte| !byte.is_ascii_whitespace()).count() as u64;
+        self.solid += bytes
+            .iter()
+            .filter(|byte| !byte.is_ascii_whitespace())
+            .count() as u64;
     }
 
     /// The next whole list, or what makes it none. Lists may be indented, so that lines say nothing; the empty
@@ -141,7 +152,10 @@
         let mut lists = serde_json::Deserializer::from_slice(&self.text).into_iter::<Listing>();
         let next = lists.next();
         let used = lists.byte_offset();
-        if next.as_ref().is_none_or(|next| next.as_ref().is_err_and(serde_json::Error::is_eof)) {
+        if next
+            .as_ref()
+            .is_none_or(|next| next.as_ref().is_err_and(serde_json::Error::is_eof))
+        {
             self.look_again_at = 2 * self.text.len().max(FIRST_LOOK);
             self.nesting.has_closed = false;
             return None;
@@ -197,5 +211,12 @@
         header.name.eq_ignore_ascii_case("transfer-encoding")
             && header.value.to_ascii_lowercase().ends_with(b"chunked")
     });
-    Ok(Some((length, if chunked { Body::ChunkSize } else { Body::Plain })))
+    Ok(Some((
+        length,
+        if chunked {
+            Body::ChunkSize
+        } else {
+            Body::Plain
+        },
+    )))
 }
--- a/src/bin/asterreel/discovery/source.rs
+++ b/src/bin/asterreel/discovery/source.rs
@@ -27,7 +27,15 @@
 
 impl Source {
     pub fn new(address: SocketAddr, clock: Clock, asks: Sender<()>) -> Source {
-        Source { clock, place: Mutex::new(Place { address, watch: None, moved_at: None }), asks }
+        Source {
+            clock,
+            place: Mutex::new(Place {
+                address,
+                watch: None,
+                moved_at: None,
+            }),
+            asks,
+        }
     }
 
     pub(super) fn place<T>(&self, work: impl FnOnce(&mut Place) -> T) -> T {
--- a/src/bin/asterreel/discovery/tests.rs
+++ b/src/bin/asterreel/discovery/tests.rs
@@ -21,7 +21,9 @@
 
 fn lists(reader: &mut Reader) -> Vec<(u64, bool, usize)> {
     let lists = std::iter::from_fn(|| reader.listing()).map(|list| list.expect("a list"));
-    lists.map(|list| (list.revision, list.complete, list.members.len())).collect()
+    lists
+        .map(|list| (list.revision, list.complete, list.members.len()))
+        .collect()
 }
 
 #[test]
@@ -49,12 +51,17 @@
     let plain = |body: &str| {
         let mut reader = Reader::default();
         reader.take(b"HTTP/1.1 200 OK\r\n\r\n").expect("a head");
-        reader.take(body.as_bytes()).map(|_| reader.listing().map(|list| list.is_ok()))
+        reader
+            .take(body.as_bytes())
+            .map(|_| reader.listing().map(|list| list.is_ok()))
     };
     assert_eq!(plain("{\"members\":[]}"), Ok(Some(false)), "no revision");
     assert_eq!(plain("oops }"), Ok(Some(false)));
     assert_eq!(plain("{\"revision\":1}"), Ok(Some(true)));
-    assert_eq!(plain(&"[".repeat(LONGEST_LIST + 1)), Err(Unread::TooLong(LONGEST_LIST)));
+    assert_eq!(
+        plain(&"[".repeat(LONGEST_LIST + 1)),
+        Err(Unread::TooLong(LONGEST_LIST))
+    );
 }
 
 #[test]
@@ -81,20 +88,31 @@
     let parse = move || lines.map(|line| serde_json::from_str::<Listing>(&line).is_err());
     // The first to start a coroutine sets the workers for all tests, some of which rely on there being one.
     may::config().set_workers(1).set_worker_pin(false);
-    let parsed = may::go!(may::coroutine::Builder::new().stack_size(crate::net::JSON_STACK_WORDS), parse);
-    assert_eq!(parsed.expect("started").join().expect("no panic"), [true; 3]);
+    let parsed = may::go!(
+        may::coroutine::Builder::new().stack_size(crate::net::JSON_STACK_WORDS),
+        parse
+    );
+    assert_eq!(
+        parsed.expect("started").join().expect("no panic"),
+        [true; 3]
+    );
 }
 
 /// Without a length only the list itself tells whether it is whole: a reset in the middle of it is no end.
 #[test]
 fn a_list_without_a_length_counts_once_it_is_whole_and_nothing_of_it_before() {
-    let body = "{\"revision\":3,\"complete\":true,\"members\":[{\"id\":\"}]\",\"phase\":\"ready\"}]}";
+    let body =
+        "{\"revision\":3,\"complete\":true,\"members\":[{\"id\":\"}]\",\"phase\":\"ready\"}]}";
     let answer = [b"HTTP/1.1 200 OK\r\n\r\n", body.as_bytes()].concat();
     for end in 0..=answer.len() {
         let mut reader = Reader::default();
         reader.take(&answer[..end]).expect("valid");
         let found: Vec<_> = std::iter::from_fn(|| reader.listing()).collect();
-        assert_eq!(found.len(), usize::from(end == answer.len()), "cut at {end}");
+        assert_eq!(
+            found.len(),
+            usize::from(end == answer.len()),
+            "cut at {end}"
+        );
         assert!(!reader.is_over(), "more may come");
     }
 }
@@ -102,7 +120,11 @@
 #[test]
 fn an_answer_has_begun_with_its_whole_head_and_is_over_with_its_last_chunk() {
     let answer = answer();
-    let head = answer.windows(4).position(|end| end == b"\r\n\r\n").expect("a head") + 4;
+    let head = answer
+        .windows(4)
+        .position(|end| end == b"\r\n\r\n")
+        .expect("a head")
+        + 4;
     for end in 0..=answer.len() {
         let mut reader = Reader::default();
         reader.take(&answer[..end]).expect("valid");
@@ -115,13 +137,17 @@
 /// it, and the new place was called only seconds later, where 4 s after SIGHUP what it has counts as told.
 #[test]
 fn a_move_in_the_moment_in_which_a_watch_ends_is_seen_or_still_asks() {
-    let places: [SocketAddr; 2] = ["127.0.0.1:1", "127.0.0.1:2"].map(|place| place.parse().expect("a place"));
+    let places: [SocketAddr; 2] =
+        ["127.0.0.1:1", "127.0.0.1:2"].map(|place| place.parse().expect("a place"));
     for round in 0..300 {
         let (asks, asked) = may::sync::mpsc::channel();
         // What is to be dropped takes long enough for a move to fall into it in many rounds.
         (0..500).for_each(|_| asks.send(()).expect("open"));
         let source = Source::new(places[0], Clock::start(), asks);
-        let (ended, here) = (std::sync::atomic::AtomicBool::new(false), std::sync::Barrier::new(2));
+        let (ended, here) = (
+            std::sync::atomic::AtomicBool::new(false),
+            std::sync::Barrier::new(2),
+        );
         let seen = std::thread::scope(|scope| {
             scope.spawn(|| {
                 here.wait();
@@ -138,7 +164,10 @@
             ended.store(true, std::sync::atomic::Ordering::Release);
             source.has_moved(places[0], &asked)
         });
-        assert!(seen || asked.try_recv().is_ok(), "round {round}: the move is lost");
+        assert!(
+            seen || asked.try_recv().is_ok(),
+            "round {round}: the move is lost"
+        );
     }
 }
 
@@ -156,9 +185,17 @@
     let first = source.missed_since(u64::MAX);
     std::thread::sleep(std::time::Duration::from_millis(20));
     source.move_to(places[2]);
-    assert_eq!(source.missed_since(u64::MAX), first, "the second move gives no time anew");
+    assert_eq!(
+        source.missed_since(u64::MAX),
+        first,
+        "the second move gives no time anew"
+    );
     source.heard(places[1]);
-    assert_eq!(source.missed_since(u64::MAX), first, "an old place says nothing of the new one");
+    assert_eq!(
+        source.missed_since(u64::MAX),
+        first,
+        "an old place says nothing of the new one"
+    );
     source.heard(places[2]);
     assert_eq!(source.missed_since(7), 7);
 }
@@ -205,6 +242,9 @@
     };
     for members in [120, 800, 3_200] {
         let (length, decoded) = cost(members);
-        assert!(decoded <= 4 * length, "{members} members: {decoded} bytes decoded of {length}");
+        assert!(
+            decoded <= 4 * length,
+            "{members} members: {decoded} bytes decoded of {length}"
+        );
     }
 }
--- a/src/bin/asterreel/fleetwide.rs
+++ b/src/bin/asterreel/fleetwide.rs
@@ -32,24 +32,38 @@
         lease.duties.clear();
         // A gateway that is served need not be listed, and each may reach the control members at addresses of its own.
         lease.peers.retain(|peer| peer.voter);
-        lease.peers.iter_mut().for_each(|peer| peer.address = ([0, 0, 0, 0], 0).into());
+        lease
+            .peers
+            .iter_mut()
+            .for_each(|peer| peer.address = ([0, 0, 0, 0], 0).into());
     }
     if let Some(health) = &mut shared.health {
         health.agent = None;
         (health.http, health.postgres, health.grpc) = (None, None, None);
     }
     let text = serde_json::to_vec(&shared).unwrap_or_default();
-    Content { format: FORMAT, bytes: xxh3_64(&text).to_le_bytes().to_vec() }
+    Content {
+        format: FORMAT,
+        bytes: xxh3_64(&text).to_le_bytes().to_vec(),
+    }
 }
 
 impl Fleetwide {
     pub fn new(peers: Handle, notices: Receiver<Notice>, gateways: u32) -> Fleetwide {
-        Fleetwide { peers, notices, candidate: None, counted: 0, gateways, shut_out: None }
+        Fleetwide {
+            peers,
+            notices,
+            candidate: None,
+            counted: 0,
+            gateways,
+            shut_out: None,
+        }
     }
 
     /// Offers the operator's file as it is here.
     pub fn offer(&self, operator: &Operator) {
-        self.peers.request(Request::Offer(Topic::Operator, digest(operator)));
+        self.peers
+            .request(Request::Offer(Topic::Operator, digest(operator)));
     }
 
     /// Whether this gateway could act on a version. `evaluated` reads the operator's file as it is here.
@@ -76,8 +90,11 @@
 
     /// The file that was judged good as this version.
     pub fn take(&mut self, topic: Topic, number: u64) -> Option<Evaluated> {
-        let judged = |candidate: &mut (u64, Evaluated)| topic == Topic::Operator && candidate.0 == number;
-        self.candidate.take_if(judged).map(|(_, evaluated)| evaluated)
+        let judged =
+            |candidate: &mut (u64, Evaluated)| topic == Topic::Operator && candidate.0 == number;
+        self.candidate
+            .take_if(judged)
+            .map(|(_, evaluated)| evaluated)
     }
 
     /// Divides what the fleet may admit among those who have a seat; among all that there are where this gateway can't
@@ -93,9 +110,13 @@
     pub fn count(&mut self, gateway: &Gateway) {
         let taken = gateway.requests();
         let count = taken - std::mem::replace(&mut self.counted, taken);
-        let acting = self.peers.view().acting(Topic::Operator, gateway.core.clock.now());
+        let acting = self
+            .peers
+            .view()
+            .acting(Topic::Operator, gateway.core.clock.now());
         if let Some((number, _)) = acting.filter(|_| count > 0) {
-            self.peers.request(Request::Acted(Topic::Operator, number, count));
+            self.peers
+                .request(Request::Acted(Topic::Operator, number, count));
         }
     }
 }
--- a/src/bin/asterreel/health/fronts.rs
+++ b/src/bin/asterreel/health/fronts.rs
@@ -67,7 +67,10 @@
     if let Some(guest) = replaced.and_then(|old| shared.guests.borrow_mut().remove(&old)) {
         guest.abort();
     }
-    let guest = Guest { shared: shared.clone(), number };
+    let guest = Guest {
+        shared: shared.clone(),
+        number,
+    };
     let task = tokio::task::spawn_local(async move {
         let _ = stream.set_nodelay(true);
         // A peer that closes or sends nonsense ends its own check and nothing else.
@@ -79,7 +82,10 @@
         };
     });
     // It may not have run yet, so it has not taken itself off the list.
-    shared.guests.borrow_mut().insert(number, task.abort_handle());
+    shared
+        .guests
+        .borrow_mut()
+        .insert(number, task.abort_handle());
 }
 
 /// A connection's place in the crowd, which is free again once this is dropped.
@@ -91,7 +97,10 @@
 impl Guest {
     /// It asks something: it has not rested.
     pub fn asks(&self) {
-        self.shared.crowd.borrow_mut().asks(self.shared.clock.now(), self.number);
+        self.shared
+            .crowd
+            .borrow_mut()
+            .asks(self.shared.clock.now(), self.number);
     }
 }
 
@@ -107,14 +116,19 @@
 }
 
 async fn within(span: Duration, work: impl Future<Output = io::Result<()>>) -> io::Result<()> {
-    timeout(span, work).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
+    timeout(span, work)
+        .await
+        .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
 
 async fn agent(guest: &Guest, mut stream: TcpStream) -> io::Result<()> {
     let (wait, maxconn) = {
         let settings = guest.shared.settings.borrow();
         let agent = settings.agent.as_ref();
-        (agent.map_or(0, |agent| agent.wait_ms), agent.is_some_and(|agent| agent.maxconn))
+        (
+            agent.map_or(0, |agent| agent.wait_ms),
+            agent.is_some_and(|agent| agent.maxconn),
+        )
     };
     let mut bytes = Vec::with_capacity(agent::LONGEST);
     // Most balancers send nothing and wait for the line.
@@ -139,7 +153,9 @@
         }
     };
     let room = guest.shared.room.get();
-    let maxconn = maxconn.then_some(room.most_sessions).filter(|most| *most > 0);
+    let maxconn = maxconn
+        .then_some(room.most_sessions)
+        .filter(|most| *most > 0);
     let line = agent::line(guest.shared.status(scope), maxconn);
     stream.write_all(line.as_bytes()).await?;
     stream.shutdown().await
@@ -148,7 +164,12 @@
 async fn http(guest: &Guest, mut stream: TcpStream) -> io::Result<()> {
     let mut bytes = Vec::with_capacity(512);
     loop {
-        if bytes.is_empty() && timeout(REST, stream.read_buf(&mut bytes)).await.unwrap_or(Ok(0))? == 0 {
+        if bytes.is_empty()
+            && timeout(REST, stream.read_buf(&mut bytes))
+                .await
+                .unwrap_or(Ok(0))?
+                == 0
+        {
             return Ok(());
         }
         guest.asks();
@@ -162,12 +183,17 @@
                 }
             }
         };
-        let parsed = match timeout(CHECK, whole).await.unwrap_or(Ok(Err(http::Refused(408))))? {
+        let parsed = match timeout(CHECK, whole)
+            .await
+            .unwrap_or(Ok(Err(http::Refused(408))))?
+        {
             Ok(None) => return Ok(()),
             Ok(Some(request)) => Ok(request),
             Err(refused) => Err(refused),
         };
-        let used = parsed.as_ref().map_or(bytes.len(), |request| request.length);
+        let used = parsed
+            .as_ref()
+            .map_or(bytes.len(), |request| request.length);
         let (out, ends) = http::answer(&parsed, &guest.shared.facts());
         within(CHECK, async { stream.write_all(&out).await }).await?;
         if ends {
--- a/src/bin/asterreel/health/grpc.rs
+++ b/src/bin/asterreel/health/grpc.rs
@@ -37,7 +37,9 @@
         .max_concurrent_reset_streams(STREAMS as usize)
         .max_send_buffer_size(WINDOW as usize);
     let handshake = timeout(CHECK, builder.handshake::<_, Bytes>(stream)).await;
-    let mut connection = handshake.map_err(|_| io::ErrorKind::TimedOut)?.map_err(io::Error::other)?;
+    let mut connection = handshake
+        .map_err(|_| io::ErrorKind::TimedOut)?
+        .map_err(io::Error::other)?;
     let mut calls = tokio::task::JoinSet::new();
     loop {
         tokio::select! {
@@ -55,20 +57,28 @@
     }
 }
 
-async fn call(shared: &super::Shared, request: Request<RecvStream>, mut respond: SendResponse<Bytes>) {
+async fn call(
+    shared: &super::Shared,
+    request: Request<RecvStream>,
+    mut respond: SendResponse<Bytes>,
+) {
     let watch = match request.uri().path() {
         "/grpc.health.v1.Health/Check" => false,
         "/grpc.health.v1.Health/Watch" => true,
         _ => return only_status(&mut respond, UNIMPLEMENTED),
     };
     let read = timeout(CHECK, body(request.into_body())).await;
-    let Some(asked) = read.unwrap_or(None) else { return only_status(&mut respond, INVALID) };
+    let Some(asked) = read.unwrap_or(None) else {
+        return only_status(&mut respond, INVALID);
+    };
     let scope = grpc::scope(&asked.service);
     let serving = || grpc::serving(scope.and_then(|scope: Scope| shared.status(scope)));
     if !watch && serving() == Serving::ServiceUnknown {
         return only_status(&mut respond, NOT_FOUND);
     }
-    let Ok(mut stream) = respond.send_response(head(None), false) else { return };
+    let Ok(mut stream) = respond.send_response(head(None), false) else {
+        return;
+    };
     let mut changes = shared.changes.subscribe();
     let mut last = serving();
     if send(&mut stream, last).is_err() {
@@ -98,7 +108,9 @@
 }
 
 fn send(stream: &mut SendStream<Bytes>, serving: Serving) -> Result<(), h2::Error> {
-    let frame = grpc::frame(&Response { status: serving as i32 });
+    let frame = grpc::frame(&Response {
+        status: serving as i32,
+    });
     // Room for the next as well, whose lack shows a watcher that does not read.
     stream.reserve_capacity(frame.len() * 2);
     stream.send_data(frame.into(), false)
@@ -122,9 +134,11 @@
 
 fn head(code: Option<&'static str>) -> http::Response<()> {
     let mut head = http::Response::new(());
-    head.headers_mut().insert("content-type", HeaderValue::from_static("application/grpc"));
+    head.headers_mut()
+        .insert("content-type", HeaderValue::from_static("application/grpc"));
     if let Some(code) = code {
-        head.headers_mut().insert("grpc-status", HeaderValue::from_static(code));
+        head.headers_mut()
+            .insert("grpc-status", HeaderValue::from_static(code));
     }
     head
 }
--- a/src/bin/asterreel/health/mod.rs
+++ b/src/bin/asterreel/health/mod.rs
@@ -13,7 +13,9 @@
 
 use crate::client::Gateway;
 use asterreel::health::crowd::Crowd;
-use asterreel::health::{http::Facts, Action, Event, Machine, OrderAge, Room, Scope, State, Status};
+use asterreel::health::{
+    http::Facts, Action, Event, Machine, OrderAge, Room, Scope, State, Status,
+};
 use asterreel::operator::Health;
 use asterreel_control::clock::Clock;
 use std::cell::{Cell, RefCell};
@@ -71,15 +73,25 @@
     pub fn again(&mut self, settings: Health) -> Vec<&'static str> {
         let before = &self.settings;
         let later = [
-            ("health: listeners", before.listeners() != settings.listeners()),
-            ("health.connections", before.connections != settings.connections),
+            (
+                "health: listeners",
+                before.listeners() != settings.listeners(),
+            ),
+            (
+                "health.connections",
+                before.connections != settings.connections,
+            ),
             ("health.notify", before.notify != settings.notify),
             ("health.balancer and health.drain", {
                 (&before.balancer, &before.drain) != (&settings.balancer, &settings.drain)
             }),
         ];
         let _ = self.words.send(Word::Again(Box::new(settings)));
-        later.into_iter().filter(|(_, changed)| *changed).map(|(key, _)| key).collect()
+        later
+            .into_iter()
+            .filter(|(_, changed)| *changed)
+            .map(|(key, _)| key)
+            .collect()
     }
 }
 
@@ -107,14 +119,17 @@
 impl Shared {
     fn event(&self, event: Event) {
         let mut actions = Vec::new();
-        self.machine.borrow_mut().handle(self.clock.now(), event, &mut actions);
+        self.machine
+            .borrow_mut()
+            .handle(self.clock.now(), event, &mut actions);
         for action in &actions {
             let (scope, status) = match *action {
                 Action::Announce(scope, status) => (scope, Some(status)),
                 Action::Withdraw(scope) => (scope, None),
             };
             if let (Scope::Gateway, Some(status)) = (scope, status) {
-                self.started.set(self.started.get() || status.state != State::Starting);
+                self.started
+                    .set(self.started.get() || status.state != State::Starting);
                 if let Some(notify) = &self.notify {
                     let _ = notify.try_send(notify::Word::Changed(status));
                 }
@@ -142,56 +157,81 @@
             started: self.started.get(),
             groups: machine
                 .seen_groups()
-                .map(|seen| (seen.group, [seen.in_flight, seen.held, seen.usable, seen.members]))
+                .map(|seen| {
+                    (
+                        seen.group,
+                        [seen.in_flight, seen.held, seen.usable, seen.members],
+                    )
+                })
                 .collect(),
         }
     }
 }
 
 /// Binds the fronts and starts the thread; an error names the key.
-pub fn start(name: &str, settings: &Health, gateway: Arc<Gateway>, client: SocketAddr) -> io::Result<Handle> {
+pub fn start(
+    name: &str,
+    settings: &Health,
+    gateway: Arc<Gateway>,
+    client: SocketAddr,
+) -> io::Result<Handle> {
     let mut listeners = Vec::new();
     for (key, address) in settings.listeners() {
         let bound = TcpListener::bind(address).and_then(|listener| {
             listener.set_nonblocking(true)?;
             Ok(listener)
         });
-        let bound = bound.map_err(|error| io::Error::other(format!("health.{key}: {address}: {error}")))?;
+        let bound =
+            bound.map_err(|error| io::Error::other(format!("health.{key}: {address}: {error}")))?;
         listeners.push((key, bound));
     }
     let (log, logged) = sync_channel::<(Scope, Option<Status>)>(LOG_AHEAD);
-    std::thread::Builder::new().name("health-log".into()).spawn(move || {
-        for (scope, status) in logged {
-            write_log(scope, status);
-        }
-    })?;
-    let notify = if settings.notify { notify::start()? } else { None };
+    std::thread::Builder::new()
+        .name("health-log".into())
+        .spawn(move || {
+            for (scope, status) in logged {
+                write_log(scope, status);
+            }
+        })?;
+    let notify = if settings.notify {
+        notify::start()?
+    } else {
+        None
+    };
     let (words, told) = mpsc::unbounded_channel();
     let (clock, own) = (gateway.core.clock, settings.clone());
     let name = name.to_owned();
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_io().enable_time().build()?;
-    std::thread::Builder::new().name("health".into()).spawn(move || {
-        let shared = Rc::new(Shared {
-            name,
-            clock,
-            machine: RefCell::new(Machine::new(own.knobs.clone(), clock.now())),
-            crowd: RefCell::new(Crowd::new(own.allow.clone(), own.connections)),
-            settings: RefCell::new(own),
-            gateway,
-            started: Cell::default(),
-            room: Cell::default(),
-            guests: RefCell::default(),
-            spares: RefCell::default(),
-            ending: Cell::default(),
-            knock: Notify::new(),
-            changes: watch::Sender::new(0),
-            log,
-            notify,
-        });
-        let set = LocalSet::new();
-        set.block_on(&runtime, run(shared, listeners, told, client));
-    })?;
-    Ok(Handle { words, settings: settings.clone() })
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_io()
+        .enable_time()
+        .build()?;
+    std::thread::Builder::new()
+        .name("health".into())
+        .spawn(move || {
+            let shared = Rc::new(Shared {
+                name,
+                clock,
+                machine: RefCell::new(Machine::new(own.knobs.clone(), clock.now())),
+                crowd: RefCell::new(Crowd::new(own.allow.clone(), own.connections)),
+                settings: RefCell::new(own),
+                gateway,
+                started: Cell::default(),
+                room: Cell::default(),
+                guests: RefCell::default(),
+                spares: RefCell::default(),
+                ending: Cell::default(),
+                knock: Notify::new(),
+                changes: watch::Sender::new(0),
+                log,
+                notify,
+            });
+            let set = LocalSet::new();
+            set.block_on(&runtime, run(shared, listeners, told, client));
+        })?;
+    Ok(Handle {
+        words,
+        settings: settings.clone(),
+    })
 }
 
 fn write_log(scope: Scope, status: Option<Status>) {
@@ -200,7 +240,11 @@
         Scope::Group(group) => format!("group {}", group.0),
     };
     match status {
-        Some(Status { state, weight, reason }) => {
+        Some(Status {
+            state,
+            weight,
+            reason,
+        }) => {
             info!(scope, ?state, weight, reason = reason.word(), "health");
         }
         None => info!(scope, "health: no longer served"),
@@ -213,17 +257,26 @@
     mut words: mpsc::UnboundedReceiver<Word>,
     client: SocketAddr,
 ) {
-    shared.spares.borrow_mut().extend((0..SPARES).filter_map(|_| File::open("/dev/null").ok()));
+    shared
+        .spares
+        .borrow_mut()
+        .extend((0..SPARES).filter_map(|_| File::open("/dev/null").ok()));
     for (key, listener) in listeners {
         // Registering fails only where the process has no descriptors at all, which the start has shown otherwise.
-        let Ok(listener) = tokio::net::TcpListener::from_std(listener) else { continue };
+        let Ok(listener) = tokio::net::TcpListener::from_std(listener) else {
+            continue;
+        };
         let front = fronts::Front::of(key);
         tokio::task::spawn_local(fronts::accept(shared.clone(), listener, front));
     }
     // A place to connect to, where all addresses are listened on.
     let client = match client {
-        SocketAddr::V4(any) if any.ip().is_unspecified() => (Ipv4Addr::LOCALHOST, any.port()).into(),
-        SocketAddr::V6(any) if any.ip().is_unspecified() => (Ipv4Addr::LOCALHOST, any.port()).into(),
+        SocketAddr::V4(any) if any.ip().is_unspecified() => {
+            (Ipv4Addr::LOCALHOST, any.port()).into()
+        }
+        SocketAddr::V6(any) if any.ip().is_unspecified() => {
+            (Ipv4Addr::LOCALHOST, any.port()).into()
+        }
         address => address,
     };
     beat::start(&shared, client);
--- a/src/bin/asterreel/health/notify.rs
+++ b/src/bin/asterreel/health/notify.rs
@@ -26,36 +26,46 @@
     // Half of what the watchdog allows, as sd_watchdog_enabled(3) advises.
     let every = sd_notify::watchdog_enabled().map(|allowed: Duration| allowed / 2);
     let (words, told) = sync_channel(AHEAD);
-    std::thread::Builder::new().name("health-notify".into()).spawn(move || {
-        let (mut ready, mut last) = (false, None::<Instant>);
-        for word in told {
-            let (mut states, text);
-            states = Vec::new();
-            match word {
-                Word::Changed(status) => {
-                    let serves = matches!(status.state, State::Up | State::Degraded);
-                    if serves && !std::mem::replace(&mut ready, true) {
-                        states.push(NotifyState::Ready);
+    std::thread::Builder::new()
+        .name("health-notify".into())
+        .spawn(move || {
+            let (mut ready, mut last) = (false, None::<Instant>);
+            for word in told {
+                let (mut states, text);
+                states = Vec::new();
+                match word {
+                    Word::Changed(status) => {
+                        let serves = matches!(status.state, State::Up | State::Degraded);
+                        if serves && !std::mem::replace(&mut ready, true) {
+                            states.push(NotifyState::Ready);
+                        }
+                        if status.state == State::Draining
+                            && status.reason == asterreel::health::Reason::Drain
+                        {
+                            states.push(NotifyState::Stopping);
+                        }
+                        let state = format!("{:?}", status.state).to_lowercase();
+                        text = format!(
+                            "{state}, weight {}, {}",
+                            status.weight,
+                            status.reason.word()
+                        );
+                        states.push(NotifyState::Status(&text));
                     }
-                    if status.state == State::Draining && status.reason == asterreel::health::Reason::Drain {
-                        states.push(NotifyState::Stopping);
+                    Word::Moves => {
+                        if every
+                            .is_some_and(|every| last.is_none_or(|last| last.elapsed() >= every))
+                        {
+                            last = Some(Instant::now());
+                            states.push(NotifyState::Watchdog);
+                        }
                     }
-                    let state = format!("{:?}", status.state).to_lowercase();
-                    text = format!("{state}, weight {}, {}", status.weight, status.reason.word());
-                    states.push(NotifyState::Status(&text));
                 }
-                Word::Moves => {
-                    if every.is_some_and(|every| last.is_none_or(|last| last.elapsed() >= every)) {
-                        last = Some(Instant::now());
-                        states.push(NotifyState::Watchdog);
-                    }
+                if !states.is_empty() {
+                    // Nobody there is nobody told; the next word tries again.
+                    let _ = sd_notify::notify(&states);
                 }
             }
-            if !states.is_empty() {
-                // Nobody there is nobody told; the next word tries again.
-                let _ = sd_notify::notify(&states);
-            }
-        }
-    })?;
+        })?;
     Ok(Some(words))
 }
--- a/src/bin/asterreel/health/tests.rs
+++ b/src/bin/asterreel/health/tests.rs
@@ -17,8 +17,15 @@
     let mut config =
         Config::parse(include_bytes!("../../../../examples/config.json"), |_| None).expect("good");
     // Nobody listens there.
-    config.known.members.iter_mut().for_each(|member| member.address = "127.0.0.1:1".into());
-    may::config().set_workers(1).set_stack_size(crate::net::STACK_WORDS).set_worker_pin(false);
+    config
+        .known
+        .members
+        .iter_mut()
+        .for_each(|member| member.address = "127.0.0.1:1".into());
+    may::config()
+        .set_workers(1)
+        .set_stack_size(crate::net::STACK_WORDS)
+        .set_worker_pin(false);
     let clock = Clock::start();
     let timer = Timer::new(clock);
     let (probes, _) = may::sync::mpsc::channel();
@@ -30,9 +37,21 @@
     std::thread::spawn(move || timer.run(|| woken.wake()));
     core.listed(ListKind::Full, &config.known).expect("good");
     // Free a moment ago; nothing else of this machine picks an address of its own there.
-    let port = || TcpListener::bind("127.83.7.1:0").and_then(|one| one.local_addr()).expect("a port");
+    let port = || {
+        TcpListener::bind("127.83.7.1:0")
+            .and_then(|one| one.local_addr())
+            .expect("a port")
+    };
     let (client, front) = (port(), port());
-    let gateway = Arc::new(Gateway::new(core.clone(), pool, &config.setup, &config.settings, 64, 256, None));
+    let gateway = Arc::new(Gateway::new(
+        core.clone(),
+        pool,
+        &config.setup,
+        &config.settings,
+        64,
+        256,
+        None,
+    ));
     let listener = may::net::TcpListener::bind(client).expect("bound");
     let accepting = gateway.clone();
     crate::net::spawn(move || crate::client::accept(&accepting, &listener));
@@ -48,7 +67,11 @@
 fn get(front: SocketAddr, path: &str) -> (u16, String) {
     let mut stream = TcpStream::connect(front).expect("the front listens");
     stream.set_read_timeout(Some(PATIENCE)).expect("set");
-    write!(stream, "GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").expect("sent");
+    write!(
+        stream,
+        "GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
+    )
+    .expect("sent");
     let mut text = String::new();
     stream.read_to_string(&mut text).expect("an answer");
     (text[9..12].parse().expect("a code"), text)
--- a/src/bin/asterreel/main.rs
+++ b/src/bin/asterreel/main.rs
@@ -43,10 +43,14 @@
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let level = std::env::var("RELAY_LOG").ok().and_then(|level| level.parse().ok());
+    let level = std::env::var("RELAY_LOG")
+        .ok()
+        .and_then(|level| level.parse().ok());
     let level = level.unwrap_or(LevelFilter::INFO);
     // A log that can't be written is reported on standard error, and that panics when it is closed.
-    let log = tracing_subscriber::fmt().log_internal_errors(false).with_max_level(level);
+    let log = tracing_subscriber::fmt()
+        .log_internal_errors(false)
+        .with_max_level(level);
     let log = log.with_writer(std::io::stderr).with_ansi(false);
     match cli.log_format {
         LogFormat::Text => log.init(),
@@ -79,17 +83,44 @@
     configure_coroutines();
 
     let clock = Clock::start();
-    let peers = operator.lease.as_ref().map(|lease| service::start(lease, clock)).transpose()?;
-    let for_health = operator.health.as_ref().map_or(0, |health| health.descriptors());
+    let peers = operator
+        .lease
+        .as_ref()
+        .map(|lease| service::start(lease, clock))
+        .transpose()?;
+    let for_health = operator
+        .health
+        .as_ref()
+        .map_or(0, |health| health.descriptors());
     let descriptors = Descriptors::share(config.sockets, for_health);
     let decisions = startup::start(&config, &operator, descriptors.databases, clock)?;
-    let Decisions { core, pool, source, first_list } = decisions;
-    let cells = operator.cells.as_ref().map(|cells| Cells::start(cells, clock)).transpose()?;
+    let Decisions {
+        core,
+        pool,
+        source,
+        first_list,
+    } = decisions;
+    let cells = operator
+        .cells
+        .as_ref()
+        .map(|cells| Cells::start(cells, clock))
+        .transpose()?;
     let most = descriptors.clients;
-    let gateway = Gateway::new(core, pool, &config.setup, &config.settings, most, config.sockets, cells);
+    let gateway = Gateway::new(
+        core,
+        pool,
+        &config.setup,
+        &config.settings,
+        most,
+        config.sockets,
+        cells,
+    );
     let gateway = Arc::new(gateway);
     // Gateways that are served need not be listed.
-    let listed = operator.lease.as_ref().map_or(0, |lease| lease.peers.len() as u32);
+    let listed = operator
+        .lease
+        .as_ref()
+        .map_or(0, |lease| lease.peers.len() as u32);
     let gateways = listed.max(config.settings.fleet);
     if let Some(knobs) = operator.readmission.clone() {
         gateway.readmit(Readmission::new(knobs, gateways, config.seed));
@@ -101,13 +132,26 @@
     }
     accept(&gateway, config.listen)?;
     let health = match &operator.health {
-        Some(health) => Some(health::start(&config.name, health, gateway.clone(), config.listen)?),
+        Some(health) => Some(health::start(
+            &config.name,
+            health,
+            gateway.clone(),
+            config.listen,
+        )?),
         None => None,
     };
     info!(name = config.name, listen = %config.listen, "serving");
 
     let agreed = peers.map(|(peers, notices)| Fleetwide::new(peers, notices, gateways));
-    let running = Running { config, files, source: &source, health, cells: operator.cells, table, agreed };
+    let running = Running {
+        config,
+        files,
+        source: &source,
+        health,
+        cells: operator.cells,
+        table,
+        agreed,
+    };
     running.run(&gateway, &mut signals);
     Ok(())
 }
@@ -124,7 +168,8 @@
 
 /// Listens for clients, and accepts them from now on.
 fn accept(gateway: &Arc<Gateway>, listen: SocketAddr) -> Result<(), Box<dyn Error>> {
-    let listener = TcpListener::bind(listen).map_err(|error| format!("listen: {listen}: {error}"))?;
+    let listener =
+        TcpListener::bind(listen).map_err(|error| format!("listen: {listen}: {error}"))?;
     let accepting = gateway.clone();
     net::spawn(move || client::accept(&accepting, &listener));
     Ok(())
--- a/src/bin/asterreel/net.rs
+++ b/src/bin/asterreel/net.rs
@@ -87,7 +87,12 @@
     }
 
     /// Reads once, so many bytes at most.
-    pub fn read_from(&mut self, now: Micros, mut source: impl Read, most: usize) -> io::Result<usize> {
+    pub fn read_from(
+        &mut self,
+        now: Micros,
+        mut source: impl Read,
+        most: usize,
+    ) -> io::Result<usize> {
         if self.start > 0 {
             self.bytes.copy_within(self.start.., 0);
             self.bytes.truncate(self.bytes.len() - self.start);
@@ -106,13 +111,20 @@
 
     /// Notes that all bytes since the last mark were read at this time.
     fn mark_read(&mut self, now: Micros) {
-        self.reads.push_back(ReadMark { end: self.consumed + self.data().len() as u64, at: now });
+        self.reads.push_back(ReadMark {
+            end: self.consumed + self.data().len() as u64,
+            at: now,
+        });
         if self.reads.len() <= READ_MARKS {
             return;
         }
         // The two that are closest in time become one. The earlier time holds for both: whoever waits for an answer
         // rather has it a little early than after its time.
-        let gap = |earlier: &usize| self.reads[earlier + 1].at.saturating_sub(self.reads[*earlier].at);
+        let gap = |earlier: &usize| {
+            self.reads[earlier + 1]
+                .at
+                .saturating_sub(self.reads[*earlier].at)
+        };
         if let Some(earlier) = (0..self.reads.len() - 1).min_by_key(gap) {
             self.reads[earlier].end = self.reads[earlier + 1].end;
             self.reads.remove(earlier + 1);
@@ -131,7 +143,11 @@
     pub fn new(socket: TcpStream, timer: Arc<Timer>) -> Stream {
         // Small messages that wait for an answer must not wait for each other.
         let _ = socket.set_nodelay(true);
-        Stream { socket, buffer: Buffer::default(), timer }
+        Stream {
+            socket,
+            buffer: Buffer::default(),
+            timer,
+        }
     }
 
     pub fn connect(address: SocketAddr, within: Micros, timer: &Arc<Timer>) -> io::Result<Stream> {
@@ -151,7 +167,10 @@
     /// The same, and leaves what comes after so many bytes unread.
     pub fn read_at_most(&mut self, most: usize) -> io::Result<Option<usize>> {
         loop {
-            match self.buffer.read_from(self.timer.now(), self.socket.inner(), most) {
+            match self
+                .buffer
+                .read_from(self.timer.now(), self.socket.inner(), most)
+            {
                 Ok(count) => return Ok(Some(count)),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(None),
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -166,7 +185,10 @@
         let ends = EpollFlags::EPOLLRDHUP | EpollFlags::EPOLLHUP | EpollFlags::EPOLLERR;
         let asked = || -> nix::Result<bool> {
             let epoll = Epoll::new(EpollCreateFlags::EPOLL_CLOEXEC)?;
-            epoll.add(self.socket.inner(), EpollEvent::new(EpollFlags::EPOLLRDHUP, 0))?;
+            epoll.add(
+                self.socket.inner(),
+                EpollEvent::new(EpollFlags::EPOLLRDHUP, 0),
+            )?;
             let mut told = [EpollEvent::empty()];
             Ok(epoll.wait(&mut told, EpollTimeout::ZERO)? > 0 && told[0].events().intersects(ends))
         };
@@ -207,7 +229,9 @@
                 Ok(count) => bytes = &bytes[count..],
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if error.kind() == ErrorKind::WouldBlock && go_on() => self.wait(),
-                Err(error) if error.kind() == ErrorKind::WouldBlock => return Err(ErrorKind::TimedOut.into()),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => {
+                    return Err(ErrorKind::TimedOut.into())
+                }
                 Err(error) => return Err(error),
             }
         }
--- a/src/bin/asterreel/net/tests.rs
+++ b/src/bin/asterreel/net/tests.rs
@@ -2,7 +2,10 @@
 
 /// Takes these bytes in, read at this time.
 fn read(buffer: &mut Buffer, at: Micros, bytes: &[u8]) {
-    assert_eq!(buffer.read_from(at, bytes, usize::MAX).expect("read"), bytes.len());
+    assert_eq!(
+        buffer.read_from(at, bytes, usize::MAX).expect("read"),
+        bytes.len()
+    );
 }
 
 #[test]
@@ -74,7 +77,9 @@
     }
     let most = (1..=reads).map(|count| {
         let told = buffer.read_at(count as usize).expect("there");
-        ((count - 1) * apart).checked_sub(told).expect("never later than it was")
+        ((count - 1) * apart)
+            .checked_sub(told)
+            .expect("never later than it was")
     });
     // A 64th part of the time, four times over: those next to each other are joined first, never far ones.
     assert!(most.max() < Some(reads * apart / READ_MARKS as Micros * 4));
@@ -82,6 +87,10 @@
     read(&mut burst, 1, b"first");
     (0..reads).for_each(|at| read(&mut burst, 5_000_000 + at, b"x"));
     read(&mut burst, 9_000_000, b"last");
-    assert_eq!(burst.read_at(5), Some(1), "a burst takes nothing from what came long before or after");
+    assert_eq!(
+        burst.read_at(5),
+        Some(1),
+        "a burst takes nothing from what came long before or after"
+    );
     assert_eq!(burst.read_at(reads as usize + 9), Some(9_000_000));
 }
--- a/src/bin/asterreel/pg.rs
+++ b/src/bin/asterreel/pg.rs
@@ -24,9 +24,16 @@
 
 /// The first message of the bytes, once it is there as a whole.
 pub fn message(bytes: &[u8]) -> Result<Option<Message>, Malformed> {
-    let Some((&tag, rest)) = bytes.split_first() else { return Ok(None) };
-    let Some(length) = length(rest)? else { return Ok(None) };
-    Ok((rest.len() >= length).then_some(Message { tag, body: 5..1 + length }))
+    let Some((&tag, rest)) = bytes.split_first() else {
+        return Ok(None);
+    };
+    let Some(length) = length(rest)? else {
+        return Ok(None);
+    };
+    Ok((rest.len() >= length).then_some(Message {
+        tag,
+        body: 5..1 + length,
+    }))
 }
 
 /// How many bytes the first message lacks at least; one where it is malformed or lacks none.
@@ -39,7 +46,9 @@
 }
 
 fn length(bytes: &[u8]) -> Result<Option<usize>, Malformed> {
-    let Some(length) = bytes.first_chunk::<4>() else { return Ok(None) };
+    let Some(length) = bytes.first_chunk::<4>() else {
+        return Ok(None);
+    };
     match u32::from_be_bytes(*length) as usize {
         length @ 4..=LONGEST => Ok(Some(length)),
         _ => Err(Malformed("message length out of bounds")),
@@ -65,17 +74,26 @@
 
 /// The opening message and its length, once it is there as a whole.
 pub fn opening(bytes: &[u8]) -> Result<Option<(Opening, usize)>, Malformed> {
-    let Some(length) = length(bytes)? else { return Ok(None) };
+    let Some(length) = length(bytes)? else {
+        return Ok(None);
+    };
     if length < 8 {
         return Err(Malformed("startup message too short"));
     }
-    let Some(message) = bytes.get(..length) else { return Ok(None) };
-    let code = message[4..].first_chunk::<4>().map_or(0, |code| u32::from_be_bytes(*code));
+    let Some(message) = bytes.get(..length) else {
+        return Ok(None);
+    };
+    let code = message[4..]
+        .first_chunk::<4>()
+        .map_or(0, |code| u32::from_be_bytes(*code));
     match (code, code >> 16) {
         (80_877_103 | 80_877_104, _) => Ok(Some((Opening::Encrypt, length))),
         (80_877_102, _) => match message[8..] {
             [a, b, c, d, e, f, g, h] => {
-                let (session, secret) = (u32::from_be_bytes([a, b, c, d]), u32::from_be_bytes([e, f, g, h]));
+                let (session, secret) = (
+                    u32::from_be_bytes([a, b, c, d]),
+                    u32::from_be_bytes([e, f, g, h]),
+                );
                 Ok(Some((Opening::Cancel(Key { session, secret }), length)))
             }
             _ => Err(Malformed("a cancel request without a key")),
@@ -137,7 +155,11 @@
         let (Some(open), Some(close)) = (find(b"/*"), find(b"*/")) else {
             return Err(Malformed("statement without a comment"));
         };
-        if close < open + 2 || !bytes[close + 2..].iter().all(|b| b.is_ascii_whitespace() || *b == b';') {
+        if close < open + 2
+            || !bytes[close + 2..]
+                .iter()
+                .all(|b| b.is_ascii_whitespace() || *b == b';')
+        {
             return Err(Malformed("statement does not end with its comment"));
         }
         let (mut id, mut class, mut wait, mut cluster, mut after) = (None, None, None, None, None);
@@ -145,7 +167,9 @@
         for pair in bytes[at..close].split(|byte| *byte == b',') {
             let start = at;
             at += pair.len() + 1;
-            let Some(equals) = pair.iter().position(|byte| *byte == b'=') else { continue };
+            let Some(equals) = pair.iter().position(|byte| *byte == b'=') else {
+                continue;
+            };
             let raw = &pair[equals + 1..];
             let value = raw.trim_ascii();
             let value_at = start + equals + 1 + (raw.len() - raw.trim_ascii_start().len());
@@ -183,10 +207,14 @@
     /// Names and values of the comment, as far as they are text.
     pub fn comment(&self) -> Vec<(&str, &str)> {
         let text = std::str::from_utf8(&self.bytes).unwrap_or_default();
-        let comment =
-            text.rsplit_once("/*").and_then(|(_, rest)| rest.rsplit_once("*/")).map_or("", |part| part.0);
+        let comment = text
+            .rsplit_once("/*")
+            .and_then(|(_, rest)| rest.rsplit_once("*/"))
+            .map_or("", |part| part.0);
         let pairs = comment.split(',').filter_map(|pair| pair.split_once('='));
-        pairs.map(|(name, value)| (name.trim(), value.trim())).collect()
+        pairs
+            .map(|(name, value)| (name.trim(), value.trim()))
+            .collect()
     }
 
     /// The query message that passes the statement on; only `d` is changed, to how long will be waited.
@@ -205,7 +233,8 @@
 
 fn number(value: &[u8]) -> Result<u64, Malformed> {
     let text = std::str::from_utf8(value).ok();
-    text.and_then(|text| text.parse().ok()).ok_or(Malformed("comment holds a bad number"))
+    text.and_then(|text| text.parse().ok())
+        .ok_or(Malformed("comment holds a bad number"))
 }
 
 /// Appends a message whose body is written by `body`.
@@ -282,11 +311,26 @@
     Fatal,
 }
 
-pub fn error(out: &mut Vec<u8>, severity: Severity, code: &str, message: &str, detail: Option<u64>) {
-    let severity = if severity == Severity::Fatal { "FATAL" } else { "ERROR" };
+pub fn error(
+    out: &mut Vec<u8>,
+    severity: Severity,
+    code: &str,
+    message: &str,
+    detail: Option<u64>,
+) {
+    let severity = if severity == Severity::Fatal {
+        "FATAL"
+    } else {
+        "ERROR"
+    };
     let detail = detail.map(|number| number.to_string());
     put(out, b'E', |out| {
-        for (field, value) in [(b'S', severity), (b'V', severity), (b'C', code), (b'M', message)] {
+        for (field, value) in [
+            (b'S', severity),
+            (b'V', severity),
+            (b'C', code),
+            (b'M', message),
+        ] {
             out.push(field);
             put_text(out, value);
         }
@@ -343,7 +387,9 @@
             (b'T', 0) | (b'D', 1) | (b'C', 2) if self.verdict.is_none() => {
                 // What is passed on as it came must be whole inside as well.
                 let whole_inside = match tag {
-                    b'T' => column(body).and_then(text).is_some_and(|(_, rest)| rest.len() == 18),
+                    b'T' => column(body)
+                        .and_then(text)
+                        .is_some_and(|(_, rest)| rest.len() == 18),
                     b'D' => column(body).and_then(value).is_some(),
                     _ => query(body).is_ok(),
                 };
@@ -358,7 +404,9 @@
             }
             (b'E', _) if self.verdict.is_none() => {
                 let code = error_code(body).and_then(|code| code.try_into().ok());
-                self.verdict = Some(Verdict::Error(code.ok_or(Malformed("an error without a code"))?));
+                self.verdict = Some(Verdict::Error(
+                    code.ok_or(Malformed("an error without a code"))?,
+                ));
             }
             (b'Z', _) => self.ready = true,
             _ => return Err(Malformed("a message out of turn")),
@@ -412,12 +460,18 @@
 pub fn report(value: &[u8]) -> Note {
     let mut note = Note::default();
     for pair in value.split(|byte| *byte == b',') {
-        let Some(equals) = pair.iter().position(|byte| *byte == b'=') else { continue };
+        let Some(equals) = pair.iter().position(|byte| *byte == b'=') else {
+            continue;
+        };
         let (name, value) = (pair[..equals].trim_ascii(), &pair[equals + 1..]);
         match (name, decimal(value, 6)) {
             (b"x0", position) => note.position = position.map(|at: Micros| at),
             (b"x1", Some(one)) => {
-                note.role = Some(if one >= 500_000 { Role::Primary } else { Role::Replica });
+                note.role = Some(if one >= 500_000 {
+                    Role::Primary
+                } else {
+                    Role::Replica
+                });
             }
             _ => {}
         }
--- a/src/bin/asterreel/pg/tests.rs
+++ b/src/bin/asterreel/pg/tests.rs
@@ -6,12 +6,20 @@
 
 fn row() -> Vec<u8> {
     let mut out = Vec::new();
-    put(&mut out, b'T', |out| out.extend([&b"\0\x01payload\0"[..], &[0; 18]].concat()));
-    put(&mut out, b'D', |out| out.extend_from_slice(b"\0\x01\0\0\0\x03\x9f\0Z"));
+    put(&mut out, b'T', |out| {
+        out.extend([&b"\0\x01payload\0"[..], &[0; 18]].concat())
+    });
+    put(&mut out, b'D', |out| {
+        out.extend_from_slice(b"\0\x01\0\0\0\x03\x9f\0Z")
+    });
     command_complete(&mut out, "SELECT 1");
     let rows = out.clone();
-    put(&mut out, b'S', |out| out.extend_from_slice(b"server_role\0writer\0"));
-    put(&mut out, b'S', |out| out.extend_from_slice(b"commit_clock\x001767225600123\0"));
+    put(&mut out, b'S', |out| {
+        out.extend_from_slice(b"server_role\0writer\0")
+    });
+    put(&mut out, b'S', |out| {
+        out.extend_from_slice(b"commit_clock\x001767225600123\0")
+    });
     ready(&mut out);
     let mut whole = Answer::default();
     read(&out, &mut whole).expect("valid");
@@ -33,8 +41,17 @@
 #[test]
 fn parameters_of_a_startup_message_are_found_and_garbage_is_none() {
     let bytes = startup();
-    assert_eq!((parameter(&bytes, "user"), parameter(&bytes, "database")), (Some("web"), Some("orders")));
-    assert_eq!((parameter(&bytes, "web"), parameter(&bytes, "application_name")), (None, None));
+    assert_eq!(
+        (parameter(&bytes, "user"), parameter(&bytes, "database")),
+        (Some("web"), Some("orders"))
+    );
+    assert_eq!(
+        (
+            parameter(&bytes, "web"),
+            parameter(&bytes, "application_name")
+        ),
+        (None, None)
+    );
     fuzz::garbage(&bytes, |bytes| {
         assert!(parameter(bytes, "user").is_none_or(|value| value.len() < bytes.len()));
     });
@@ -55,7 +72,13 @@
         assert_eq!(answer.verdict, Some(Verdict::Row));
         assert_eq!(answer.value(), Some(&b"\x9f\0Z"[..]));
         let position = Some(1_767_225_600_123_000);
-        assert_eq!(answer.note, Note { role: Some(Role::Primary), position });
+        assert_eq!(
+            answer.note,
+            Note {
+                role: Some(Role::Primary),
+                position
+            }
+        );
     });
 }
 
@@ -64,7 +87,10 @@
 fn a_row_that_is_not_whole_inside_is_malformed_and_an_unreadable_report_spoils_no_row() {
     let spoilt = |what: &[u8], by: &[u8]| {
         let mut bytes = row();
-        let at = bytes.windows(what.len()).position(|window| window == what).expect("there");
+        let at = bytes
+            .windows(what.len())
+            .position(|window| window == what)
+            .expect("there");
         bytes[at..at + by.len()].copy_from_slice(by);
         let mut answer = Answer::default();
         let read = read(&bytes, &mut answer);
@@ -80,7 +106,10 @@
     for (what, by) in cases {
         assert!(!spoilt(what, by).0, "{what:?}");
     }
-    assert_eq!(spoilt(b"commit_clock\x0017", b"commit_clock\x00?7"), (true, Some(Verdict::Row), None));
+    assert_eq!(
+        spoilt(b"commit_clock\x0017", b"commit_clock\x00?7"),
+        (true, Some(Verdict::Row), None)
+    );
     let unended = spoilt(b"5600123\0", b"5600123x");
     assert_eq!(unended, (true, Some(Verdict::Row), None));
 }
@@ -88,12 +117,19 @@
 #[test]
 fn garbage_is_an_error_or_incomplete_and_is_never_read_past() {
     let mut bad = 0;
-    for valid in [&row()[..], &startup(), READ, b"x0=1767225600.123,x1=1,util=0.5"] {
+    for valid in [
+        &row()[..],
+        &startup(),
+        READ,
+        b"x0=1767225600.123,x1=1,util=0.5",
+    ] {
         fuzz::garbage(valid, |bytes| {
             let read = read(bytes, &mut Answer::default());
             assert!(read.is_err() || read.is_ok_and(|used| used <= bytes.len()));
             let opened = opening(bytes);
-            assert!(opened.is_err() || opened.is_ok_and(|o| o.is_none_or(|(_, n)| n <= bytes.len())));
+            assert!(
+                opened.is_err() || opened.is_ok_and(|o| o.is_none_or(|(_, n)| n <= bytes.len()))
+            );
             let parsed = Statement::parse(bytes);
             bad += usize::from(read.is_err()) + usize::from(parsed.is_err());
             let shown = parsed.map(|statement| statement.forward(1).len() <= bytes.len() + 7);
@@ -107,10 +143,23 @@
 #[test]
 fn only_the_wait_of_a_statement_changes() {
     let statement = Statement::parse(READ).expect("valid");
-    assert_eq!((statement.class.as_str(), statement.wait_ms, statement.cluster), ("basket", 480, 2));
-    assert_eq!((statement.after, &statement.key[..]), (Some(17), &b"7f"[..]));
+    assert_eq!(
+        (
+            statement.class.as_str(),
+            statement.wait_ms,
+            statement.cluster
+        ),
+        ("basket", 480, 2)
+    );
+    assert_eq!(
+        (statement.after, &statement.key[..]),
+        (Some(17), &b"7f"[..])
+    );
     let text = String::from_utf8_lossy(READ).replace("d=480", "d=9");
-    assert_eq!(&statement.forward(9)[5..], [text.as_bytes(), b"\0"].concat());
+    assert_eq!(
+        &statement.forward(9)[5..],
+        [text.as_bytes(), b"\0"].concat()
+    );
     // A value may hold anything, what looks like a comment included.
     let odd = b"INSERT INTO entries VALUES ('/* d=1 */ \xff') /* id=1,c=w,d=5,cluster=0 */";
     let forwarded = Statement::parse(odd).expect("valid").forward(77);
@@ -118,7 +167,10 @@
     assert_eq!(&forwarded[5..], wanted);
     fuzz::cuts(READ, |ends| {
         for end in ends.iter().filter(|end| **end < READ.len()) {
-            assert!(Statement::parse(&READ[..*end]).is_err(), "half a statement is none");
+            assert!(
+                Statement::parse(&READ[..*end]).is_err(),
+                "half a statement is none"
+            );
         }
     });
 }
@@ -128,7 +180,13 @@
     assert_eq!(decimal(b"1767225600.123999", 3), Some(1_767_225_600_123));
     assert_eq!(decimal(b"1767225600123", 3), Some(1_767_225_600_123_000));
     let note = report(b"x0=1767225600.5,x1=0,util=0.61");
-    assert_eq!(note, Note { role: Some(Role::Replica), position: Some(1_767_225_600_500_000) });
+    assert_eq!(
+        note,
+        Note {
+            role: Some(Role::Replica),
+            position: Some(1_767_225_600_500_000)
+        }
+    );
     assert_eq!(report(b"x0=soon,x1,=1"), Note::default());
 }
 
@@ -145,18 +203,31 @@
 #[test]
 fn a_message_lacks_its_head_then_its_body_and_never_less_than_a_byte() {
     let whole = simple_query("SELECT 1");
-    let lacks: Vec<usize> = (0..=whole.len()).map(|end| missing(&whole[..end])).collect();
+    let lacks: Vec<usize> = (0..=whole.len())
+        .map(|end| missing(&whole[..end]))
+        .collect();
     assert_eq!(lacks[..5], [5, 4, 3, 2, 1]);
     assert!((5..whole.len()).all(|end| lacks[end] == whole.len() - end));
     assert_eq!((lacks[whole.len()], missing(b"Q\xff\xff\xff\xff")), (1, 1));
-    fuzz::garbage(&whole, |bytes| assert!((1..=LONGEST + 1).contains(&missing(bytes))));
+    fuzz::garbage(&whole, |bytes| {
+        assert!((1..=LONGEST + 1).contains(&missing(bytes)))
+    });
 }
 
 #[test]
 fn a_cancel_request_holds_a_key_and_nothing_else() {
-    let key = Key { session: 7, secret: 0xfeed_beef };
-    let request =
-        |length: u32, rest: &[u8]| [&length.to_be_bytes()[..], &80_877_102u32.to_be_bytes(), rest].concat();
+    let key = Key {
+        session: 7,
+        secret: 0xfeed_beef,
+    };
+    let request = |length: u32, rest: &[u8]| {
+        [
+            &length.to_be_bytes()[..],
+            &80_877_102u32.to_be_bytes(),
+            rest,
+        ]
+        .concat()
+    };
     let whole = request(16, b"\0\0\0\x07\xfe\xed\xbe\xef");
     assert_eq!(opening(&whole), Ok(Some((Opening::Cancel(key), 16))));
     assert!((0..16).all(|end| opening(&whole[..end]) == Ok(None)));
@@ -165,5 +236,7 @@
     // The key is the one that a session is welcomed with.
     let mut out = Vec::new();
     welcome(&mut out, key);
-    assert!(out.windows(13).any(|bytes| bytes == b"K\0\0\0\x0c\0\0\0\x07\xfe\xed\xbe\xef"));
+    assert!(out
+        .windows(13)
+        .any(|bytes| bytes == b"K\0\0\0\x0c\0\0\0\x07\xfe\xed\xbe\xef"));
 }
--- a/src/bin/asterreel/pool.rs
+++ b/src/bin/asterreel/pool.rs
@@ -54,7 +54,13 @@
 }
 
 impl Pool {
-    pub fn new(clock: Clock, timer: Arc<Timer>, most: usize, closes: Micros, connect: Micros) -> Pool {
+    pub fn new(
+        clock: Clock,
+        timer: Arc<Timer>,
+        most: usize,
+        closes: Micros,
+        connect: Micros,
+    ) -> Pool {
         Pool {
             clock,
             timer,
@@ -79,7 +85,8 @@
             let idle = self.idle(|idle| idle.get_mut(&address).and_then(Vec::pop))?;
             let mut connection = idle.connection;
             // An end, an error or bytes nobody asked for: a write into it would be a reset that may have run.
-            if matches!(connection.stream.read_now(), Ok(None)) && connection.stream.buffer.data().is_empty()
+            if matches!(connection.stream.read_now(), Ok(None))
+                && connection.stream.buffer.data().is_empty()
             {
                 return Some(connection);
             }
@@ -89,7 +96,11 @@
     /// Keeps a connection for the next query.
     pub fn keep(&self, address: SocketAddr, connection: Connection) {
         let since = self.clock.now();
-        self.idle(|idle| idle.entry(address).or_default().push(Idle { connection, since }));
+        self.idle(|idle| {
+            idle.entry(address)
+                .or_default()
+                .push(Idle { connection, since })
+        });
         self.retire();
     }
 
@@ -98,7 +109,8 @@
         let now = self.clock.now();
         let old = |idle: &mut Idle| now.saturating_sub(idle.since) >= self.idle_for;
         self.idle(|idle| {
-            idle.values_mut().for_each(|kept| kept.retain_mut(|one| !old(one)));
+            idle.values_mut()
+                .for_each(|kept| kept.retain_mut(|one| !old(one)));
             idle.retain(|_, kept| !kept.is_empty());
         });
     }
@@ -108,7 +120,9 @@
             // Room for a connection that is wanted now is made by one that nobody uses.
             self.idle(|idle| {
                 let longest = idle.values_mut().filter(|kept| !kept.is_empty());
-                longest.min_by_key(|kept| kept[0].since).map(|kept| kept.remove(0))
+                longest
+                    .min_by_key(|kept| kept[0].since)
+                    .map(|kept| kept.remove(0))
             });
         }
         let taken = self.open.fetch_add(1, Ordering::AcqRel);
@@ -122,11 +136,21 @@
         let now = self.clock.now();
         let until = until.min(now + self.connect_timeout);
         let within = until.saturating_sub(now);
-        let stream = Stream::connect(address, within, &self.timer).map_err(|error| blame(&error))?;
-        let mut connection = Connection { stream, _place: place };
+        let stream =
+            Stream::connect(address, within, &self.timer).map_err(|error| blame(&error))?;
+        let mut connection = Connection {
+            stream,
+            _place: place,
+        };
         let mut answer = Answer::default();
         let stop = Stop::at(until);
-        let end = exchange(&mut connection.stream, &pg::startup(), &mut answer, &stop, self.clock);
+        let end = exchange(
+            &mut connection.stream,
+            &pg::startup(),
+            &mut answer,
+            &stop,
+            self.clock,
+        );
         match (end, answer.verdict) {
             (Ok(()), None) => Ok(connection),
             (_, Some(Verdict::Error(code))) if &code == b"53300" => Err(NoConnection::TurnedAway),
--- a/src/bin/asterreel/pool/tests.rs
+++ b/src/bin/asterreel/pool/tests.rs
@@ -20,7 +20,9 @@
         let (mut client, _) = listener.accept().expect("a client");
         let mut startup = vec![0; pg::startup().len()];
         client.read_exact(&mut startup).expect("a startup message");
-        client.write_all(b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I").expect("ready");
+        client
+            .write_all(b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I")
+            .expect("ready");
         let _ = told.recv();
     });
     (pool, address, close)
@@ -55,7 +57,11 @@
         let held = pool.open(address, until).expect("opened");
         let full = pool.open(other, until).err();
         pool.keep(address, held);
-        (full, pool.open(other, until).is_ok(), pool.take(address).is_none())
+        (
+            full,
+            pool.open(other, until).is_ok(),
+            pool.take(address).is_none(),
+        )
     });
     assert_eq!(outcomes, (Some(NoConnection::NoRoom), true, true));
 }
--- a/src/bin/asterreel/probe.rs
+++ b/src/bin/asterreel/probe.rs
@@ -9,7 +9,10 @@
 /// Asks a database for its report. A probe that takes longer than a connection may has failed.
 pub fn run(pool: &Pool, address: SocketAddr) -> (Outcome, Note) {
     let stop = Stop::at(pool.clock.now() + pool.connect_timeout);
-    let mut connection = match pool.take(address).map_or_else(|| pool.open(address, stop.at), Ok) {
+    let mut connection = match pool
+        .take(address)
+        .map_or_else(|| pool.open(address, stop.at), Ok)
+    {
         Ok(connection) => connection,
         // Too few descriptors here tell nothing of the database.
         Err(fault) => match unconnected(fault, false) {
@@ -19,10 +22,19 @@
     };
     let mut answer = Answer::default();
     let query = pg::simple_query("SHOW usage");
-    let end = exchange(&mut connection.stream, &query, &mut answer, &stop, pool.clock);
+    let end = exchange(
+        &mut connection.stream,
+        &query,
+        &mut answer,
+        &stop,
+        pool.clock,
+    );
     finish(pool, address, connection, end, &answer);
     match (&answer.verdict, end) {
-        (Some(Verdict::Row), _) => (Outcome::Served, answer.value().map(pg::report).unwrap_or_default()),
+        (Some(Verdict::Row), _) => (
+            Outcome::Served,
+            answer.value().map(pg::report).unwrap_or_default(),
+        ),
         (Some(Verdict::Error(code)), _) if code == b"53300" || code == b"57P03" => {
             (Outcome::Full, Note::default())
         }
--- a/src/bin/asterreel/running.rs
+++ b/src/bin/asterreel/running.rs
@@ -41,12 +41,18 @@
     /// Serves until a signal asks to end, and then drains.
     pub fn run(mut self, gateway: &Gateway, signals: &mut Signals) {
         if self.agreed.is_some() {
-            while signals.pending().fold(true, |serve, signal| serve & self.serves_on(signal)) {
+            while signals
+                .pending()
+                .fold(true, |serve, signal| serve & self.serves_on(signal))
+            {
                 self.serve_fleet(gateway);
                 std::thread::sleep(FLEET_POLL);
             }
         } else {
-            while signals.wait().fold(true, |serve, signal| serve & self.serves_on(signal)) {}
+            while signals
+                .wait()
+                .fold(true, |serve, signal| serve & self.serves_on(signal))
+            {}
         }
         self.drain(gateway, signals);
     }
@@ -80,8 +86,13 @@
 
     /// The operator's file as it is now, checked.
     fn evaluated(&self) -> Result<Evaluated, String> {
-        let evaluated = self.files.evaluate(cli::EVALUATION_RUNNING).map_err(|fault| fault.to_string())?;
-        evaluated.beside(&self.config).map_err(|fault| fault.to_string())?;
+        let evaluated = self
+            .files
+            .evaluate(cli::EVALUATION_RUNNING)
+            .map_err(|fault| fault.to_string())?;
+        evaluated
+            .beside(&self.config)
+            .map_err(|fault| fault.to_string())?;
         Ok(evaluated)
     }
 
@@ -104,7 +115,9 @@
 
     /// Answers what the fleet asks, and tells it what was done under its versions.
     fn serve_fleet(&mut self, gateway: &Gateway) {
-        let Some(mut agreed) = self.agreed.take() else { return };
+        let Some(mut agreed) = self.agreed.take() else {
+            return;
+        };
         agreed.count(gateway);
         if let (Some(shut_out), Some(health)) = (agreed.share(gateway), &self.health) {
             health.shut_out(shut_out);
@@ -113,7 +126,9 @@
             match notice {
                 Notice::Judge(topic, number, content) => {
                     let verdict = agreed.judge(topic, number, &content, || self.evaluated());
-                    agreed.peers.request(Request::Judged(topic, number, verdict));
+                    agreed
+                        .peers
+                        .request(Request::Judged(topic, number, verdict));
                 }
                 Notice::Enforce(topic, number) => {
                     if let Some(evaluated) = agreed.take(topic, number) {
@@ -134,7 +149,14 @@
         if let Some(agreed) = &self.agreed {
             agreed.peers.request(Request::Drain);
         }
-        let longest = self.config.settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
+        let longest = self
+            .config
+            .settings
+            .classes
+            .iter()
+            .map(|class| class.deadline)
+            .max()
+            .unwrap_or(0);
         let table = self.table.unwrap_or(Timetable::plain(longest));
         let (began, clock) = (gateway.core.clock.now(), gateway.core.clock);
         gateway.answer_until(began + table.answer_until);
--- a/src/bin/asterreel/startup.rs
+++ b/src/bin/asterreel/startup.rs
@@ -35,7 +35,10 @@
     pub fn share(all: usize, for_health: usize) -> Descriptors {
         let to_share = all.saturating_sub(RESERVED + for_health);
         let databases = to_share * 3 / 8;
-        Descriptors { clients: to_share - databases, databases }
+        Descriptors {
+            clients: to_share - databases,
+            databases,
+        }
     }
 }
 
@@ -76,11 +79,19 @@
         core.observe(&config.settings);
     }
     let allowed = &config.setup.allowed;
-    let pool = Pool::new(clock, timer.clone(), databases, allowed.conn_idle_us, allowed.connect_timeout_us);
+    let pool = Pool::new(
+        clock,
+        timer.clone(),
+        databases,
+        allowed.conn_idle_us,
+        allowed.connect_timeout_us,
+    );
     let pool = Arc::new(pool);
 
     let woken = core.clone();
-    std::thread::Builder::new().name("timer".into()).spawn(move || timer.run(|| woken.wake()))?;
+    std::thread::Builder::new()
+        .name("timer".into())
+        .spawn(move || timer.run(|| woken.wake()))?;
     let (probing, probing_pool) = (core.clone(), pool.clone());
     net::spawn(move || run_probes(&probing, &probing_pool, &probes_asked));
     core.listed(ListKind::WarmCopy, &config.known)
@@ -90,7 +101,12 @@
     let listed = first_list.clone();
     let watch = move || discovery::run(&watching, &watched, revision, &watches_asked, &listed);
     net::spawn_with_stack(net::JSON_STACK_WORDS, watch)?;
-    Ok(Decisions { core, pool, source, first_list })
+    Ok(Decisions {
+        core,
+        pool,
+        source,
+        first_list,
+    })
 }
 
 /// Runs the probes that the module asks for, each beside the others.
--- a/src/bin/asterreel/timer.rs
+++ b/src/bin/asterreel/timer.rs
@@ -37,7 +37,11 @@
 
 impl Timer {
     pub fn new(clock: Clock) -> Arc<Timer> {
-        Arc::new(Timer { clock, queue: Mutex::default(), sooner: Condvar::new() })
+        Arc::new(Timer {
+            clock,
+            queue: Mutex::default(),
+            sooner: Condvar::new(),
+        })
     }
 
     pub fn now(&self) -> Micros {
@@ -54,13 +58,22 @@
             queue.next += 1;
             let key = (at, queue.next);
             queue.alarms.insert(key, waker);
-            (key, queue.alarms.first_key_value().is_some_and(|(first, _)| *first == key))
+            (
+                key,
+                queue
+                    .alarms
+                    .first_key_value()
+                    .is_some_and(|(first, _)| *first == key),
+            )
         });
         // The thread already wakes in time for any other.
         if first {
             self.sooner.notify_one();
         }
-        Alarm { timer: self.clone(), key }
+        Alarm {
+            timer: self.clone(),
+            key,
+        }
     }
 
     /// Asks for one call of the module's wake; a later call replaces an earlier one, as its agenda expects.
@@ -74,7 +87,11 @@
         let mut queue = self.queue.lock().unwrap_or_else(PoisonError::into_inner);
         loop {
             let now = self.clock.now();
-            while let Some(alarm) = queue.alarms.first_entry().filter(|alarm| alarm.key().0 <= now) {
+            while let Some(alarm) = queue
+                .alarms
+                .first_entry()
+                .filter(|alarm| alarm.key().0 <= now)
+            {
                 alarm.remove().wakeup();
             }
             if queue.wake_at.is_some_and(|at| at <= now) {
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -100,7 +100,10 @@
         if loss.cut {
             return (RENEW_FIRST << self.losses.min(4)).min(CYCLE);
         }
-        let left = self.told_after.saturating_sub(loss.unheard + CALL_TAKES).max(RENEW_FIRST);
+        let left = self
+            .told_after
+            .saturating_sub(loss.unheard + CALL_TAKES)
+            .max(RENEW_FIRST);
         let apart = if self.losses == 0 && self.is_large {
             self.spread
         } else {
--- a/src/cells/bulkhead.rs
+++ b/src/cells/bulkhead.rs
@@ -74,7 +74,12 @@
 impl Bulkheads {
     /// One for each cell, in their order.
     pub fn new(bounds: Vec<Bounds>) -> Bulkheads {
-        Bulkheads { cells: bounds.into_iter().map(|bounds| (bounds, Held::default())).collect() }
+        Bulkheads {
+            cells: bounds
+                .into_iter()
+                .map(|bounds| (bounds, Held::default()))
+                .collect(),
+        }
     }
 
     /// Takes what is wanted, or says what is full and when to come back. A cell that is not known has no room.
@@ -85,7 +90,9 @@
         let at = |held: u32, most: u32| most > 0 && held >= most;
         let full = match want {
             Want::Request(_) if at(held.requests, bounds.requests) => Some(Full::Requests),
-            Want::Request(bytes) if bounds.bytes > 0 && held.bytes + u64::from(bytes) > bounds.bytes => {
+            Want::Request(bytes)
+                if bounds.bytes > 0 && held.bytes + u64::from(bytes) > bounds.bytes =>
+            {
                 Some(Full::Bytes)
             }
             Want::Hold if at(held.held, bounds.held) => Some(Full::Held),
@@ -119,7 +126,9 @@
 
     /// Gives back what was taken; `open` is how long a request was.
     pub fn give_back(&mut self, cell: CellId, want: Want, open: Micros) {
-        let Some((_, held)) = self.cells.get_mut(usize::from(cell.0)) else { return };
+        let Some((_, held)) = self.cells.get_mut(usize::from(cell.0)) else {
+            return;
+        };
         match want {
             Want::Request(bytes) => {
                 held.requests = held.requests.saturating_sub(1);
@@ -137,13 +146,21 @@
 
     /// Other bounds from now on, for as many cells as there are then; what is held stays counted.
     pub fn rebound(&mut self, bounds: Vec<Bounds>) {
-        self.cells.resize(bounds.len(), (Bounds::default(), Held::default()));
-        self.cells.iter_mut().zip(bounds).for_each(|(cell, bounds)| cell.0 = bounds);
+        self.cells
+            .resize(bounds.len(), (Bounds::default(), Held::default()));
+        self.cells
+            .iter_mut()
+            .zip(bounds)
+            .for_each(|(cell, bounds)| cell.0 = bounds);
     }
 
     /// Requests, sessions and refusals of a cell.
     pub fn counts(&self, cell: CellId) -> (u32, u32, u64) {
-        let held = self.cells.get(usize::from(cell.0)).map(|cell| cell.1).unwrap_or_default();
+        let held = self
+            .cells
+            .get(usize::from(cell.0))
+            .map(|cell| cell.1)
+            .unwrap_or_default();
         (held.requests, held.sessions, held.refused)
     }
 }
--- a/src/cells/gate.rs
+++ b/src/cells/gate.rs
@@ -29,8 +29,17 @@
 
 impl Rules {
     fn bounds_of(&self, placement: &Placement) -> Vec<Bounds> {
-        let named = |name: &str| self.bounds.iter().find(|(cell, _)| cell == name).map(|(_, bounds)| *bounds);
-        placement.cells().iter().map(|cell| named(&cell.name).unwrap_or(self.default_bounds)).collect()
+        let named = |name: &str| {
+            self.bounds
+                .iter()
+                .find(|(cell, _)| cell == name)
+                .map(|(_, bounds)| *bounds)
+        };
+        placement
+            .cells()
+            .iter()
+            .map(|cell| named(&cell.name).unwrap_or(self.default_bounds))
+            .collect()
     }
 }
 
@@ -149,12 +158,18 @@
             return Err(Refusal::Stale(MOVING));
         }
         let (tenant, shape) = (stable_hash(name.as_bytes()), fingerprint(name, statement));
-        if self.quarantine.admit(now, (tenant, shape), Effect::Safe, false, 0) != Verdict::Go {
+        if self
+            .quarantine
+            .admit(now, (tenant, shape), Effect::Safe, false, 0)
+            != Verdict::Go
+        {
             return Err(Refusal::Poison);
         }
         let bytes = u32::try_from(statement.len()).unwrap_or(u32::MAX);
         let cell = place.home.cell;
-        self.bulkheads.take(cell, Want::Request(bytes)).map_err(|(full, wait)| Refusal::Full(full, wait))?;
+        self.bulkheads
+            .take(cell, Want::Request(bytes))
+            .map_err(|(full, wait)| Refusal::Full(full, wait))?;
         Ok(Admitted {
             cell,
             epoch: place.home.epoch,
@@ -176,18 +191,27 @@
         ran: bool,
         victims: usize,
     ) -> Verdict {
-        self.quarantine.admit(now, (admitted.tenant, admitted.shape), effect, ran, victims)
+        self.quarantine
+            .admit(now, (admitted.tenant, admitted.shape), effect, ran, victims)
     }
 
     /// An attempt has ended, and its member fared so.
-    pub fn attempted(&mut self, now: Micros, admitted: &Admitted, member: MemberId, after: Aftermath) {
-        self.quarantine.ended(now, (admitted.tenant, admitted.shape), member, after);
+    pub fn attempted(
+        &mut self,
+        now: Micros,
+        admitted: &Admitted,
+        member: MemberId,
+        after: Aftermath,
+    ) {
+        self.quarantine
+            .ended(now, (admitted.tenant, admitted.shape), member, after);
     }
 
     /// A request is over.
     pub fn ended(&mut self, now: Micros, admitted: &Admitted) {
         let open = now.saturating_sub(admitted.at);
-        self.bulkheads.give_back(admitted.cell, Want::Request(admitted.bytes), open);
+        self.bulkheads
+            .give_back(admitted.cell, Want::Request(admitted.bytes), open);
     }
 
     /// Requests in hand and refusals, by cell's name.
--- a/src/cells/gate/tests.rs
+++ b/src/cells/gate/tests.rs
@@ -3,7 +3,10 @@
 use super::*;
 
 fn placement(epoch: u64, homes: Vec<(String, Home)>) -> Placement {
-    let cell = |name: &str, groups: &[u64]| Cell { name: name.into(), groups: groups.to_vec() };
+    let cell = |name: &str, groups: &[u64]| Cell {
+        name: name.into(),
+        groups: groups.to_vec(),
+    };
     let cells = vec![cell("one", &[10, 11]), cell("two", &[20, 21])];
     let published = Published {
         epoch: Epoch(epoch),
@@ -17,13 +20,24 @@
 }
 
 fn home(cell: u16, epoch: u64, held: bool) -> Home {
-    Home { cell: CellId(cell), epoch: Epoch(epoch), held, settling: false }
+    Home {
+        cell: CellId(cell),
+        epoch: Epoch(epoch),
+        held,
+        settling: false,
+    }
 }
 
 fn gate(homes: Vec<(String, Home)>) -> Gate {
     let rules = Rules {
         who: Who::new(vec![Source::User]).expect("good"),
-        bounds: vec![("one".into(), Bounds { requests: 1, ..Bounds::default() })],
+        bounds: vec![(
+            "one".into(),
+            Bounds {
+                requests: 1,
+                ..Bounds::default()
+            },
+        )],
         ..Rules::default()
     };
     Gate::new(rules, placement(1, homes), 1_000)
@@ -32,21 +46,35 @@
 const READ: &[u8] = b"SELECT 1 /* c=a */";
 
 fn ask(gate: &mut Gate, now: Micros, user: &str, write: bool) -> Result<Admitted, Refusal> {
-    let caller = Caller { user, ..Caller::default() };
+    let caller = Caller {
+        user,
+        ..Caller::default()
+    };
     gate.admit(now, &caller, (0, b""), READ, write)
 }
 
 #[test]
 fn a_request_goes_to_its_tenants_cell_and_a_full_cell_refuses_its_own_only() {
-    let mut gate = gate(vec![("a".into(), home(0, 1, false)), ("b".into(), home(1, 1, false))]);
+    let mut gate = gate(vec![
+        ("a".into(), home(0, 1, false)),
+        ("b".into(), home(1, 1, false)),
+    ]);
     let first = ask(&mut gate, 0, "a", true).expect("room");
     assert!([GroupId(10), GroupId(11)].contains(&first.group));
-    assert!(matches!(ask(&mut gate, 0, "a", false), Err(Refusal::Full(Full::Requests, _))));
-    assert!([GroupId(20), GroupId(21)].contains(&ask(&mut gate, 0, "b", false).expect("room").group));
+    assert!(matches!(
+        ask(&mut gate, 0, "a", false),
+        Err(Refusal::Full(Full::Requests, _))
+    ));
+    assert!(
+        [GroupId(20), GroupId(21)].contains(&ask(&mut gate, 0, "b", false).expect("room").group)
+    );
     gate.ended(50, &first);
     ask(&mut gate, 60, "a", false).expect("room again");
     assert_eq!(ask(&mut gate, 60, "", false), Err(Refusal::Nobody));
-    assert_eq!(gate.counts(), [("one".to_owned(), 1, 1), ("two".to_owned(), 1, 0)]);
+    assert_eq!(
+        gate.counts(),
+        [("one".to_owned(), 1, 1), ("two".to_owned(), 1, 0)]
+    );
 }
 
 #[test]
@@ -59,22 +87,37 @@
     let moved = ask(&mut gate, 1_500, "b", true).expect("moved");
     assert!(moved.cell == CellId(0) && moved.epoch == Epoch(2));
     gate.ended(1_600, &moved);
-    assert_eq!(ask(&mut gate, 2_000, "b", true), Err(Refusal::Stale(MOVING)));
+    assert_eq!(
+        ask(&mut gate, 2_000, "b", true),
+        Err(Refusal::Stale(MOVING))
+    );
     ask(&mut gate, 2_000, "b", false).expect("a read");
     gate.renewed(3_000);
-    assert!(matches!(ask(&mut gate, 2_000, "b", true), Err(Refusal::Full(..))));
+    assert!(matches!(
+        ask(&mut gate, 2_000, "b", true),
+        Err(Refusal::Full(..))
+    ));
 }
 
 #[test]
 fn poison_is_shut_out_at_arrival_and_between_attempts() {
     let mut gate = gate(vec![("b".into(), home(1, 1, false))]);
     let admitted = ask(&mut gate, 0, "b", false).expect("room");
-    assert_eq!(gate.attempt(0, &admitted, Effect::Safe, true, 2), Verdict::Refuse);
+    assert_eq!(
+        gate.attempt(0, &admitted, Effect::Safe, true, 2),
+        Verdict::Refuse
+    );
     for member in [MemberId(1), MemberId(2)] {
-        assert_eq!(gate.attempt(0, &admitted, Effect::Safe, false, 0), Verdict::Go);
+        assert_eq!(
+            gate.attempt(0, &admitted, Effect::Safe, false, 0),
+            Verdict::Go
+        );
         gate.attempted(0, &admitted, member, Aftermath::Died);
     }
-    assert_eq!(gate.attempt(0, &admitted, Effect::Unsafe, true, 0), Verdict::Fail);
+    assert_eq!(
+        gate.attempt(0, &admitted, Effect::Unsafe, true, 0),
+        Verdict::Fail
+    );
     assert_eq!(ask(&mut gate, 0, "b", false), Err(Refusal::Poison));
     assert_eq!(gate.quarantined(0).len(), 1);
 }
--- a/src/cells/mod.rs
+++ b/src/cells/mod.rs
@@ -23,7 +23,9 @@
 pub struct CellId(pub u16);
 
 /// The number of a placement: it only grows, and who holds a smaller one than another's is behind.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Epoch(pub u64);
 
 impl Epoch {
--- a/src/cells/moves.rs
+++ b/src/cells/moves.rs
@@ -169,7 +169,13 @@
         if from == to {
             return Err(Refused(format!("{tenant} lives in cell {} already", to.0)));
         }
-        let record = Record { tenant: tenant.to_owned(), from, to, base, step: Step::Preparing };
+        let record = Record {
+            tenant: tenant.to_owned(),
+            from,
+            to,
+            base,
+            step: Step::Preparing,
+        };
         let mut this = Move::at(record, times, now);
         this.enter(now, Step::Preparing, actions);
         Ok(this)
@@ -278,7 +284,14 @@
     /// What the step does, once it is recorded.
     fn effects(&self, actions: &mut Vec<Action>) {
         let record = &self.record;
-        let home = |cell, epoch, held, settling| Action::Publish(Home { cell, epoch, held, settling });
+        let home = |cell, epoch, held, settling| {
+            Action::Publish(Home {
+                cell,
+                epoch,
+                held,
+                settling,
+            })
+        };
         match record.step {
             Step::Preparing => actions.push(Action::Prepare),
             Step::Holding => actions.push(home(record.from, record.held(), true, false)),
@@ -331,7 +344,10 @@
         match self.under_way.get(tenant) {
             None => Err(Refused(format!("{tenant} does not move"))),
             Some(record) if record.step.may_abort() => Ok(()),
-            Some(record) => Err(Refused(format!("{tenant} is past the point of return: {:?}", record.step))),
+            Some(record) => Err(Refused(format!(
+                "{tenant} is past the point of return: {:?}",
+                record.step
+            ))),
         }
     }
 }
@@ -378,7 +394,9 @@
 
     /// It is over; with no known outcome, it may yet run until then.
     pub fn ended(&mut self, now: Micros, tenant: &str, unknown_until: Option<Micros>) {
-        let Some(sent) = self.sent.get_mut(tenant) else { return };
+        let Some(sent) = self.sent.get_mut(tenant) else {
+            return;
+        };
         sent.out = sent.out.saturating_sub(1);
         sent.unknown_until = sent.unknown_until.max(unknown_until.unwrap_or(0));
         // Tenants come and go: one that owes nothing is forgotten.
@@ -389,7 +407,10 @@
 
     /// Whether a hold can be acknowledged: nothing that was sent before it can still run.
     pub fn may_acknowledge(&mut self, now: Micros, tenant: &str, home: &Home) -> bool {
-        let quiet = self.sent.get(tenant).is_none_or(|sent| sent.out == 0 && sent.unknown_until <= now);
+        let quiet = self
+            .sent
+            .get(tenant)
+            .is_none_or(|sent| sent.out == 0 && sent.unknown_until <= now);
         if quiet {
             self.sent.remove(tenant);
         }
--- a/src/cells/placement.rs
+++ b/src/cells/placement.rs
@@ -89,7 +89,12 @@
     /// The group that serves what a client calls a cluster: clients count from 0 and know no cells.
     pub fn group(&self, cluster: u64) -> GroupId {
         let groups = self.groups();
-        GroupId(groups.get((cluster % groups.len().max(1) as u64) as usize).copied().unwrap_or_default())
+        GroupId(
+            groups
+                .get((cluster % groups.len().max(1) as u64) as usize)
+                .copied()
+                .unwrap_or_default(),
+        )
     }
 }
 
@@ -129,13 +134,23 @@
 impl Placement {
     /// Checks what was published.
     pub fn new(published: Published) -> Result<Placement, Fault> {
-        let Published { epoch, cells, spread, order, mut ranges, homes } = published;
+        let Published {
+            epoch,
+            cells,
+            spread,
+            order,
+            mut ranges,
+            homes,
+        } = published;
         let bad = |key: String, fault: String| Err((key, fault));
         if cells.is_empty() || cells.len() > usize::from(u16::MAX) {
             return bad("cells".into(), format!("{} of them", cells.len()));
         }
         if !(1..=MOST_GROUPS).contains(&spread) {
-            return bad("spread".into(), format!("{spread} is not within 1 to {MOST_GROUPS}"));
+            return bad(
+                "spread".into(),
+                format!("{spread} is not within 1 to {MOST_GROUPS}"),
+            );
         }
         for (place, cell) in cells.iter().enumerate() {
             let key = format!("cells[{place}]");
@@ -143,19 +158,28 @@
                 return bad(key, format!("{:?} is the name of two", cell.name));
             }
             if cell.groups.len() < spread {
-                let fault =
-                    format!("{:?} has {} groups, and spread is {spread}", cell.name, cell.groups.len());
+                let fault = format!(
+                    "{:?} has {} groups, and spread is {spread}",
+                    cell.name,
+                    cell.groups.len()
+                );
                 return bad(key, fault);
             }
             for group in &cell.groups {
                 // A group in two cells would carry what harms one into the other.
                 let elsewhere = |other: &&Cell| other.groups.contains(group);
                 if let Some(other) = cells[..place].iter().find(elsewhere) {
-                    let fault = format!("group {group} is in {:?} and in {:?}", other.name, cell.name);
+                    let fault = format!(
+                        "group {group} is in {:?} and in {:?}",
+                        other.name, cell.name
+                    );
                     return bad(key, fault);
                 }
                 if cell.groups.iter().filter(|other| *other == group).count() > 1 {
-                    return bad(key, format!("group {group} is named twice in {:?}", cell.name));
+                    return bad(
+                        key,
+                        format!("group {group} is named twice in {:?}", cell.name),
+                    );
                 }
             }
         }
@@ -163,13 +187,25 @@
         for (place, range) in ranges.iter().enumerate() {
             let key = format!("ranges[{place}]");
             if !known(range.cell) {
-                return bad(key, format!("{:?} names cell {}, which is none", range.name, range.cell.0));
+                return bad(
+                    key,
+                    format!(
+                        "{:?} names cell {}, which is none",
+                        range.name, range.cell.0
+                    ),
+                );
             }
             if range.to.as_ref().is_some_and(|to| *to <= range.from) {
-                return bad(key, format!("{:?} ends where it begins, or before", range.name));
+                return bad(
+                    key,
+                    format!("{:?} ends where it begins, or before", range.name),
+                );
             }
             if let Some(other) = ranges[..place].iter().find(|other| other.overlaps(range)) {
-                return bad(key, format!("{:?} and {:?} overlap", other.name, range.name));
+                return bad(
+                    key,
+                    format!("{:?} and {:?} overlap", other.name, range.name),
+                );
             }
         }
         ranges.sort_by(|one, other| one.from.cmp(&other.from));
@@ -186,8 +222,19 @@
             }
         }
         map.shrink_to_fit();
-        let salts = cells.iter().map(|cell| stable_hash(cell.name.as_bytes())).collect();
-        Ok(Placement { epoch, cells, salts, spread, order, ranges, homes: map })
+        let salts = cells
+            .iter()
+            .map(|cell| stable_hash(cell.name.as_bytes()))
+            .collect();
+        Ok(Placement {
+            epoch,
+            cells,
+            salts,
+            spread,
+            order,
+            ranges,
+            homes: map,
+        })
     }
 
     /// The cells.
@@ -200,13 +247,21 @@
         let hash = stable_hash(tenant.as_bytes());
         let home = self.range(key).or_else(|| self.homes.get(tenant).copied());
         let home = home.unwrap_or_else(|| self.hashed(hash));
-        let mut place = Place { home, count: 0, groups: [0; MOST_GROUPS] };
+        let mut place = Place {
+            home,
+            count: 0,
+            groups: [0; MOST_GROUPS],
+        };
         let mut scores = [0; MOST_GROUPS];
-        let Some(cell) = self.cells.get(usize::from(home.cell.0)) else { return place };
+        let Some(cell) = self.cells.get(usize::from(home.cell.0)) else {
+            return place;
+        };
         // The best of few: an insertion into a short array beats any sort.
         for group in &cell.groups {
             let score = mixed(hash, group.wrapping_add(1));
-            let at = scores[..usize::from(place.count)].iter().position(|other| score > *other);
+            let at = scores[..usize::from(place.count)]
+                .iter()
+                .position(|other| score > *other);
             let at = at.unwrap_or(usize::from(place.count));
             if at >= self.spread {
                 continue;
@@ -225,16 +280,37 @@
             return None;
         }
         let hashed = format!("{:016x}", stable_hash(key));
-        let key = if self.order == Order::Hash { hashed.as_bytes() } else { key };
-        let after = self.ranges.partition_point(|range| range.from.as_bytes() <= key);
-        let range = after.checked_sub(1).map(|at| &self.ranges[at]).filter(|range| range.contains(key))?;
-        Some(Home { cell: range.cell, epoch: self.epoch, held: false, settling: false })
+        let key = if self.order == Order::Hash {
+            hashed.as_bytes()
+        } else {
+            key
+        };
+        let after = self
+            .ranges
+            .partition_point(|range| range.from.as_bytes() <= key);
+        let range = after
+            .checked_sub(1)
+            .map(|at| &self.ranges[at])
+            .filter(|range| range.contains(key))?;
+        Some(Home {
+            cell: range.cell,
+            epoch: self.epoch,
+            held: false,
+            settling: false,
+        })
     }
 
     fn hashed(&self, hash: u64) -> Home {
         let scores = self.salts.iter().map(|salt| mixed(hash, *salt)).enumerate();
-        let best = scores.max_by_key(|(_, score)| *score).map_or(0, |(cell, _)| cell);
-        Home { cell: CellId(best as u16), epoch: self.epoch, held: false, settling: false }
+        let best = scores
+            .max_by_key(|(_, score)| *score)
+            .map_or(0, |(cell, _)| cell);
+        Home {
+            cell: CellId(best as u16),
+            epoch: self.epoch,
+            held: false,
+            settling: false,
+        }
     }
 
     /// The most groups that any two of these tenants share, the mean, and how many pairs share all: what shuffle
@@ -244,7 +320,11 @@
         let mut overlap = Overlap::default();
         for (at, one) in places.iter().enumerate() {
             for other in &places[..at] {
-                let shared = one.groups().iter().filter(|group| other.groups().contains(group)).count();
+                let shared = one
+                    .groups()
+                    .iter()
+                    .filter(|group| other.groups().contains(group))
+                    .count();
                 overlap.most = overlap.most.max(shared);
                 overlap.pairs += 1;
                 overlap.shared += shared as u64;
