--- a/src/cells/quarantine.rs
+++ b/src/cells/quarantine.rs
@@ -95,7 +95,12 @@
 impl Quarantine {
     /// None suspected.
     pub fn new(knobs: Knobs) -> Quarantine {
-        Quarantine { knobs, shapes: BTreeMap::new(), tenants: BTreeMap::new(), aged_at: 0 }
+        Quarantine {
+            knobs,
+            shapes: BTreeMap::new(),
+            tenants: BTreeMap::new(),
+            aged_at: 0,
+        }
     }
 
     /// Decides on an attempt at a member: `ran` when an earlier one of the request may have run, and `victims` the
@@ -109,8 +114,14 @@
         victims: usize,
     ) -> Verdict {
         self.age(now);
-        let shut = self.shapes.get(&shape).is_some_and(|suspect| suspect.until > now)
-            || self.tenants.get(&tenant).is_some_and(|suspect| suspect.until > now)
+        let shut = self
+            .shapes
+            .get(&shape)
+            .is_some_and(|suspect| suspect.until > now)
+            || self
+                .tenants
+                .get(&tenant)
+                .is_some_and(|suspect| suspect.until > now)
             || victims >= self.knobs.members;
         match (shut, effect) {
             (false, _) => Verdict::Go,
@@ -133,8 +144,11 @@
     ) {
         if after == Aftermath::Answered {
             let answered = |suspect: &mut Suspect| {
-                let count =
-                    if suspect.victims.is_empty() { &mut suspect.known } else { &mut suspect.answered };
+                let count = if suspect.victims.is_empty() {
+                    &mut suspect.known
+                } else {
+                    &mut suspect.answered
+                };
                 *count = count.saturating_add(1);
                 suspect.last = now;
             };
@@ -146,7 +160,9 @@
         let knobs = self.knobs;
         let (window, lasts) = (knobs.window_ms * 1000, knobs.lasts_ms * 1000);
         let hurt = |suspect: &mut Suspect, most: usize| {
-            suspect.victims.retain(|(other, at)| *other != member && now.saturating_sub(*at) < window);
+            suspect
+                .victims
+                .retain(|(other, at)| *other != member && now.saturating_sub(*at) < window);
             if suspect.victims.is_empty() {
                 (suspect.died, suspect.answered) = (0, 0);
             }
@@ -167,7 +183,10 @@
             }
         };
         hurt(self.shapes.entry(shape).or_default(), knobs.members);
-        hurt(self.tenants.entry(tenant).or_default(), knobs.tenant_members);
+        hurt(
+            self.tenants.entry(tenant).or_default(),
+            knobs.tenant_members,
+        );
         self.make_room();
     }
 
@@ -183,8 +202,12 @@
 
     /// What is quarantined now, and until when.
     pub fn list(&self, now: Micros) -> Vec<(Fingerprint, Micros)> {
-        let shut = self.shapes.iter().filter(|(_, suspect)| suspect.until > now);
-        shut.map(|(shape, suspect)| (*shape, suspect.until)).collect()
+        let shut = self
+            .shapes
+            .iter()
+            .filter(|(_, suspect)| suspect.until > now);
+        shut.map(|(shape, suspect)| (*shape, suspect.until))
+            .collect()
     }
 
     /// Suspects that are kept in mind.
@@ -206,7 +229,11 @@
         self.aged_at = now;
         let (window, lasts) = (self.knobs.window_ms * 1000, self.knobs.lasts_ms * 1000);
         let stays = |suspect: &mut Suspect| {
-            let remembered = if suspect.times > 0 { lasts << suspect.times.min(5) } else { 0 };
+            let remembered = if suspect.times > 0 {
+                lasts << suspect.times.min(5)
+            } else {
+                0
+            };
             suspect.until > now || now.saturating_sub(suspect.last) < window + remembered
         };
         self.shapes.retain(|_, suspect| stays(suspect));
@@ -217,8 +244,12 @@
 /// Makes room: first whoever is not quarantined, the longest quiet first.
 fn bound<K: Ord + Copy>(suspects: &mut BTreeMap<K, Suspect>, most: usize) {
     while suspects.len() > most.max(1) {
-        let oldest = suspects.iter().min_by_key(|(_, suspect)| (suspect.until, suspect.last));
-        let Some(key) = oldest.map(|(key, _)| *key) else { return };
+        let oldest = suspects
+            .iter()
+            .min_by_key(|(_, suspect)| (suspect.until, suspect.last));
+        let Some(key) = oldest.map(|(key, _)| *key) else {
+            return;
+        };
         suspects.remove(&key);
     }
 }
@@ -236,22 +267,30 @@
             b'\'' => {
                 // To the closing quote; a doubled one is inside.
                 let mut end = 1;
-                while end < rest.len() && (rest[end] != b'\'' || rest.get(end + 1) == Some(&b'\'')) {
+                while end < rest.len() && (rest[end] != b'\'' || rest.get(end + 1) == Some(&b'\''))
+                {
                     end += if rest[end] == b'\'' { 2 } else { 1 };
                 }
                 shape.push(b'?');
                 (at, spaced) = (at + (end + 1).min(rest.len()), false);
             }
             b'/' if rest.starts_with(b"/*") => {
-                let end = rest.windows(2).position(|pair| pair == b"*/").map_or(rest.len(), |end| end + 2);
+                let end = rest
+                    .windows(2)
+                    .position(|pair| pair == b"*/")
+                    .map_or(rest.len(), |end| end + 2);
                 at += end;
             }
             digit
                 if digit.is_ascii_digit()
-                    && !shape.last().is_some_and(|b| b.is_ascii_alphanumeric() || *b == b'_') =>
+                    && !shape
+                        .last()
+                        .is_some_and(|b| b.is_ascii_alphanumeric() || *b == b'_') =>
             {
-                let end =
-                    rest.iter().position(|b| !b.is_ascii_alphanumeric() && *b != b'.').unwrap_or(rest.len());
+                let end = rest
+                    .iter()
+                    .position(|b| !b.is_ascii_alphanumeric() && *b != b'.')
+                    .unwrap_or(rest.len());
                 shape.push(b'?');
                 (at, spaced) = (at + end, false);
             }
--- a/src/cells/record.rs
+++ b/src/cells/record.rs
@@ -29,10 +29,15 @@
         match self {
             Unusable::Truncated => write!(f, "it is cut short, or no placement"),
             Unusable::Version(found) => {
-                write!(f, "it is of version {found}, and this program reads {VERSION}")
+                write!(
+                    f,
+                    "it is of version {found}, and this program reads {VERSION}"
+                )
             }
             Unusable::Checksum => write!(f, "its checksum does not match"),
-            Unusable::GoesBack(found, held) => write!(f, "its epoch {} is older than {}", found.0, held.0),
+            Unusable::GoesBack(found, held) => {
+                write!(f, "its epoch {} is older than {}", found.0, held.0)
+            }
             Unusable::Faulty(key, fault) => write!(f, "{key}: {fault}"),
         }
     }
@@ -43,16 +48,26 @@
 /// The bytes of a placement: a head line with version, length and checksum, then JSON.
 pub fn encode(published: &Published) -> Result<Vec<u8>, serde_json::Error> {
     let body = serde_json::to_vec(published)?;
-    let head = format!("{MAGIC} {VERSION} {} {:016x}\n", body.len(), stable_hash(&body));
+    let head = format!(
+        "{MAGIC} {VERSION} {} {:016x}\n",
+        body.len(),
+        stable_hash(&body)
+    );
     Ok([head.as_bytes(), &body].concat())
 }
 
 /// Reads a placement that is to follow one of epoch `held`; a newer or equal one is taken.
 pub fn decode(bytes: &[u8], held: Epoch) -> Result<Placement, Unusable> {
-    let end = bytes.iter().take(128).position(|byte| *byte == b'\n').ok_or(Unusable::Truncated)?;
+    let end = bytes
+        .iter()
+        .take(128)
+        .position(|byte| *byte == b'\n')
+        .ok_or(Unusable::Truncated)?;
     let head = std::str::from_utf8(&bytes[..end]).map_err(|_| Unusable::Truncated)?;
     let words: Vec<&str> = head.split(' ').collect();
-    let [MAGIC, version, length, sum] = words[..] else { return Err(Unusable::Truncated) };
+    let [MAGIC, version, length, sum] = words[..] else {
+        return Err(Unusable::Truncated);
+    };
     let version: u32 = version.parse().map_err(|_| Unusable::Truncated)?;
     if version != VERSION {
         return Err(Unusable::Version(version));
--- a/src/cells/who.rs
+++ b/src/cells/who.rs
@@ -61,14 +61,18 @@
                                 format!("{name:?} is no tenant's name"),
                             ));
                         }
-                        if let Some((_, other)) = nets[..at].iter().find(|(other, _)| other == net) {
+                        if let Some((_, other)) = nets[..at].iter().find(|(other, _)| other == net)
+                        {
                             let fault = format!("{net} is {other}'s already");
                             return Err((key(&format!(".network[{at}]")), fault));
                         }
                     }
                 }
                 Source::TrustedComment(name) if !sound(name) => {
-                    return Err((key(".trusted_comment"), format!("{name:?} is no name in a comment")));
+                    return Err((
+                        key(".trusted_comment"),
+                        format!("{name:?} is no name in a comment"),
+                    ));
                 }
                 Source::User | Source::Application | Source::TrustedComment(_) => {}
             }
@@ -85,11 +89,15 @@
                 Source::Network(nets) => {
                     let address = caller.address?.to_canonical();
                     let around = nets.iter().filter(|(net, _)| net.contains(&address));
-                    around.max_by_key(|(net, _)| net.prefix_len()).map(|(_, name)| name.as_str())
-                }
-                Source::TrustedComment(key) => {
-                    caller.comment.iter().find(|(name, _)| name == key).map(|(_, value)| *value)
+                    around
+                        .max_by_key(|(net, _)| net.prefix_len())
+                        .map(|(_, name)| name.as_str())
                 }
+                Source::TrustedComment(key) => caller
+                    .comment
+                    .iter()
+                    .find(|(name, _)| name == key)
+                    .map(|(_, value)| *value),
             };
             name.filter(|name| sound(name))
         })
@@ -97,14 +105,18 @@
 
     /// Whether a tenant can differ from statement to statement of one session.
     pub fn by_statement(&self) -> bool {
-        self.sources.iter().any(|source| matches!(source, Source::TrustedComment(_)))
+        self.sources
+            .iter()
+            .any(|source| matches!(source, Source::TrustedComment(_)))
     }
 }
 
 /// A name that can be logged, told and stored.
 fn sound(name: &str) -> bool {
     (1..=LONGEST).contains(&name.len())
-        && name.bytes().all(|byte| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.' | b'@'))
+        && name
+            .bytes()
+            .all(|byte| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.' | b'@'))
 }
 
 #[cfg(test)]
--- a/src/config.rs
+++ b/src/config.rs
@@ -102,12 +102,19 @@
     }
 
     /// Checks the text of a configuration; `variable` looks up the environment.
-    pub fn parse(text: &[u8], variable: impl Fn(&str) -> Option<String>) -> Result<Config, BadConfig> {
+    pub fn parse(
+        text: &[u8],
+        variable: impl Fn(&str) -> Option<String>,
+    ) -> Result<Config, BadConfig> {
         Config::check(text, variable, None)
     }
 
     /// Checks a text that is to take the place of this configuration.
-    pub fn again(&self, text: &[u8], variable: impl Fn(&str) -> Option<String>) -> Result<Config, BadConfig> {
+    pub fn again(
+        &self,
+        text: &[u8],
+        variable: impl Fn(&str) -> Option<String>,
+    ) -> Result<Config, BadConfig> {
         Config::check(text, variable, Some(self))
     }
 
@@ -136,22 +143,42 @@
             (_, told) => address("RELAY_DISCOVERY", "discovery", told)?,
         };
         let seed = match &file.seed {
-            Some(seed) => u64::from_str_radix(seed, 16)
-                .map_err(|_| bad("seed", &format!("{seed:?} is not a number of 64 bits in hex")))?,
+            Some(seed) => u64::from_str_radix(seed, 16).map_err(|_| {
+                bad(
+                    "seed",
+                    &format!("{seed:?} is not a number of 64 bits in hex"),
+                )
+            })?,
             None => 0,
         };
         if file.limits.sockets < LEAST_SOCKETS {
-            return Err(bad("limits.sockets", &format!("must be at least {LEAST_SOCKETS}")));
+            return Err(bad(
+                "limits.sockets",
+                &format!("must be at least {LEAST_SOCKETS}"),
+            ));
         }
-        let settings = file.settings.settings().map_err(|fault| bad("settings", &fault))?;
-        if let Some(nameless) = file.settings.profiles.iter().position(|class| class.name.is_empty()) {
-            return Err(bad(&format!("settings.Profiles[{nameless}].Name"), "is missing"));
+        let settings = file
+            .settings
+            .settings()
+            .map_err(|fault| bad("settings", &fault))?;
+        if let Some(nameless) = file
+            .settings
+            .profiles
+            .iter()
+            .position(|class| class.name.is_empty())
+        {
+            return Err(bad(
+                &format!("settings.Profiles[{nameless}].Name"),
+                "is missing",
+            ));
         }
         if file.settings.allowed.connect_timeout_us == 0 {
             return Err(bad("settings.Allowed.ConnectTimeoutUs", "must not be 0"));
         }
         Ok(Config {
-            name: variable("RELAY_NAME").or(file.name).unwrap_or_else(|| "asterreel".into()),
+            name: variable("RELAY_NAME")
+                .or(file.name)
+                .unwrap_or_else(|| "asterreel".into()),
             listen,
             discovery,
             discovery_in_file,
@@ -170,13 +197,18 @@
 
 fn text_from_env() -> Result<Vec<u8>, BadConfig> {
     let path = variable("RELAY_CONFIG").ok_or_else(|| bad("RELAY_CONFIG", "is not set"))?;
-    std::fs::read(&path).map_err(|error| bad("RELAY_CONFIG", &format!("cannot read {path}: {error}")))
+    std::fs::read(&path)
+        .map_err(|error| bad("RELAY_CONFIG", &format!("cannot read {path}: {error}")))
 }
 
 fn parse_address(key: &str, text: &str) -> Result<SocketAddr, BadConfig> {
-    text.parse().map_err(|_| bad(key, &format!("{text:?} is not an address and port")))
+    text.parse()
+        .map_err(|_| bad(key, &format!("{text:?} is not an address and port")))
 }
 
 fn bad(key: &str, fault: &str) -> BadConfig {
-    BadConfig { key: key.into(), fault: fault.into() }
+    BadConfig {
+        key: key.into(),
+        fault: fault.into(),
+    }
 }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -23,7 +23,9 @@
 impl Fleet {
     /// A fleet of so many fronts.
     pub fn new(fronts: u32) -> Fleet {
-        Fleet { fronts: f64::from(fronts) }
+        Fleet {
+            fronts: f64::from(fronts),
+        }
     }
 
     /// How many times the fleet exceeds what each front may do at its own pace; 1 for a small one.
@@ -94,7 +96,10 @@
 
     /// Work a microsecond.
     pub fn rate(&self, now: Micros) -> f64 {
-        let age = self.since.map_or(0, |since| now.saturating_sub(since)).max(CARRIED_LEAST) as f64;
+        let age = self
+            .since
+            .map_or(0, |since| now.saturating_sub(since))
+            .max(CARRIED_LEAST) as f64;
         let over = CARRIED_OVER as f64;
         self.left(now) / (over * (1.0 - (-age / over).exp()))
     }
@@ -148,7 +153,10 @@
 
 impl Default for Flow {
     fn default() -> Flow {
-        Flow { share: 1.0, pressure: 0.0 }
+        Flow {
+            share: 1.0,
+            pressure: 0.0,
+        }
     }
 }
 
@@ -187,7 +195,11 @@
 
 impl Default for Limit {
     fn default() -> Limit {
-        Limit { most: LIMIT_START, pressure: 0.0, moved: 0 }
+        Limit {
+            most: LIMIT_START,
+            pressure: 0.0,
+            moved: 0,
+        }
     }
 }
 
--- a/src/health/crowd.rs
+++ b/src/health/crowd.rs
@@ -37,7 +37,12 @@
 impl Crowd {
     /// At most `most` connections, from these networks only; none named allows all.
     pub fn new(allow: Vec<IpNet>, most: usize) -> Crowd {
-        Crowd { allow, most, guests: BTreeMap::new(), next: 0 }
+        Crowd {
+            allow,
+            most,
+            guests: BTreeMap::new(),
+            next: 0,
+        }
     }
 
     /// Other networks from now on; who is there stays until its check is done.
@@ -68,8 +73,9 @@
             }
         }
         let mine = held.get(&from).map_or(0, |entry| entry.0);
-        let Some((_, &(most, since, oldest))) =
-            held.iter().max_by_key(|(_, (count, since, _))| (*count, std::cmp::Reverse(*since)))
+        let Some((_, &(most, since, oldest))) = held
+            .iter()
+            .max_by_key(|(_, (count, since, _))| (*count, std::cmp::Reverse(*since)))
         else {
             return Verdict::TurnAway;
         };
@@ -84,7 +90,9 @@
 
     /// A connection was asked something: it counts as new.
     pub fn asks(&mut self, now: Micros, number: u64) {
-        self.guests.entry(number).and_modify(|guest| guest.since = now);
+        self.guests
+            .entry(number)
+            .and_modify(|guest| guest.since = now);
     }
 
     /// A connection has ended.
--- a/src/health/crowd/tests.rs
+++ b/src/health/crowd/tests.rs
@@ -8,9 +8,15 @@
 fn only_allowed_networks_come_in_also_as_mapped_addresses() {
     let mut crowd = Crowd::new(vec!["127.0.0.0/30".parse().expect("a network")], 4);
     assert_eq!(crowd.comes(0, ip(9)), Verdict::TurnAway);
-    assert_eq!(crowd.comes(0, "::ffff:127.0.0.1".parse().expect("an address")), Verdict::Take(0));
+    assert_eq!(
+        crowd.comes(0, "::ffff:127.0.0.1".parse().expect("an address")),
+        Verdict::Take(0)
+    );
     crowd.allow(vec!["127.0.0.8/29".parse().expect("a network")]);
-    assert_eq!((crowd.comes(0, ip(1)), crowd.comes(0, ip(9))), (Verdict::TurnAway, Verdict::Take(1)));
+    assert_eq!(
+        (crowd.comes(0, ip(1)), crowd.comes(0, ip(9))),
+        (Verdict::TurnAway, Verdict::Take(1))
+    );
 }
 
 #[test]
--- a/src/health/drain.rs
+++ b/src/health/drain.rs
@@ -33,7 +33,11 @@
 
 impl Default for Balancer {
     fn default() -> Balancer {
-        Balancer { interval_ms: 250, fall: 2, timeout_ms: 250 }
+        Balancer {
+            interval_ms: 250,
+            fall: 2,
+            timeout_ms: 250,
+        }
     }
 }
 
@@ -84,7 +88,11 @@
 impl Balancer {
     /// The longest it takes from a change until the balancer acts on it.
     pub fn hears_within_ms(&self, hearing: Hearing) -> u64 {
-        let checks = if hearing == Hearing::Agent { 1 } else { self.fall };
+        let checks = if hearing == Hearing::Agent {
+            1
+        } else {
+            self.fall
+        };
         // The change may come just after a check; each answer takes as long as it may.
         checks * self.interval_ms + self.timeout_ms + MARGIN_MS
     }
@@ -110,12 +118,15 @@
         }
         let announce = self.announce_ms.unwrap_or(heard.max(LEAST_MS));
         if announce < heard {
-            let fault =
-                format!("{announce} is less than the {heard} ms after which {keys} let a drain be heard");
+            let fault = format!(
+                "{announce} is less than the {heard} ms after which {keys} let a drain be heard"
+            );
             return Err(("drain.announce_ms", fault));
         }
         within("drain.announce_ms", announce, LEAST_MS, LIMIT_MS)?;
-        let killed = self.kill_after_ms.map_or(killed_after(longest_deadline), |ms| ms.saturating_mul(1000));
+        let killed = self
+            .kill_after_ms
+            .map_or(killed_after(longest_deadline), |ms| ms.saturating_mul(1000));
         let answer_until = killed.saturating_sub(LAST_ANSWERS);
         if announce * 1000 + LAST_ANSWERS > answer_until {
             let fault = format!(
@@ -124,7 +135,10 @@
             );
             return Err(("drain.kill_after_ms", fault));
         }
-        Ok(Timetable { announce: announce * 1000, answer_until })
+        Ok(Timetable {
+            announce: announce * 1000,
+            answer_until,
+        })
     }
 }
 
--- a/src/health/grpc.rs
+++ b/src/health/grpc.rs
@@ -43,7 +43,10 @@
     if service.is_empty() {
         return Some(Scope::Gateway);
     }
-    service.parse().ok().map(|number| Scope::Group(GroupId(number)))
+    service
+        .parse()
+        .ok()
+        .map(|number| Scope::Group(GroupId(number)))
 }
 
 /// What is told of a status.
@@ -57,14 +60,16 @@
 
 /// The request in a frame: nothing while it is not whole, an error when it never will be.
 pub fn request(bytes: &[u8]) -> Result<Option<Request>, &'static str> {
-    let Some((head, rest)) = bytes.split_first_chunk::<5>() else { return Ok(None) };
+    let Some((head, rest)) = bytes.split_first_chunk::<5>() else {
+        return Ok(None);
+    };
     let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
     match (head[0], length) {
         (1, _) => Err("compressed messages are not taken"),
         (0, 0..=LONGEST) if rest.len() < length => Ok(None),
-        (0, 0..=LONGEST) => {
-            Request::decode(&rest[..length]).map(Some).map_err(|_| "not a HealthCheckRequest")
-        }
+        (0, 0..=LONGEST) => Request::decode(&rest[..length])
+            .map(Some)
+            .map_err(|_| "not a HealthCheckRequest"),
         _ => Err("frame out of bounds"),
     }
 }
--- a/src/health/grpc/tests.rs
+++ b/src/health/grpc/tests.rs
@@ -4,7 +4,9 @@
 
 #[test]
 fn requests_come_back_from_their_frames_and_never_half() {
-    let whole = frame(&Request { service: "7".into() });
+    let whole = frame(&Request {
+        service: "7".into(),
+    });
     assert_eq!(whole, b"\0\0\0\0\x03\x0a\x017");
     for cut in 0..whole.len() {
         assert_eq!(request(&whole[..cut]), Ok(None));
@@ -18,17 +20,36 @@
 
 #[test]
 fn only_what_is_ready_serves() {
-    let told = |state, weight| serving(Some(Status { state, weight, reason: Reason::Fine }));
+    let told = |state, weight| {
+        serving(Some(Status {
+            state,
+            weight,
+            reason: Reason::Fine,
+        }))
+    };
     assert_eq!(told(State::Degraded, 10), Serving::Serving);
-    assert_eq!((told(State::Degraded, 0), told(State::Hung, 0)), (Serving::NotServing, Serving::NotServing));
-    assert_eq!(frame(&Response { status: serving(None) as i32 }), b"\0\0\0\0\x02\x08\x03");
+    assert_eq!(
+        (told(State::Degraded, 0), told(State::Hung, 0)),
+        (Serving::NotServing, Serving::NotServing)
+    );
+    assert_eq!(
+        frame(&Response {
+            status: serving(None) as i32
+        }),
+        b"\0\0\0\0\x02\x08\x03"
+    );
 }
 
 #[test]
 fn garbage_is_an_error_or_incomplete_and_never_read_past() {
-    fuzz::garbage(&frame(&Request { service: "17".into() }), |bytes| {
-        if let Ok(Some(found)) = request(bytes) {
-            assert!(found.service.len() + 5 <= bytes.len());
-        }
-    });
+    fuzz::garbage(
+        &frame(&Request {
+            service: "17".into(),
+        }),
+        |bytes| {
+            if let Ok(Some(found)) = request(bytes) {
+                assert!(found.service.len() + 5 <= bytes.len());
+            }
+        },
+    );
 }
--- a/src/health/http.rs
+++ b/src/health/http.rs
@@ -41,11 +41,15 @@
         Err(_) => return Err(Refused(400)),
     };
     let named = |name: &str| -> Vec<&[u8]> {
-        let found = parsed.headers.iter().filter(|header| header.name.eq_ignore_ascii_case(name));
+        let found = parsed
+            .headers
+            .iter()
+            .filter(|header| header.name.eq_ignore_ascii_case(name));
         found.map(|header| header.value.trim_ascii()).collect()
     };
     // A body would be read as the next request.
-    if !named("transfer-encoding").is_empty() || named("content-length").iter().any(|length| *length != b"0")
+    if !named("transfer-encoding").is_empty()
+        || named("content-length").iter().any(|length| *length != b"0")
     {
         return Err(Refused(413));
     }
@@ -55,17 +59,28 @@
     }
     let says = |word: &[u8]| {
         let tokens = named("connection");
-        let mut tokens = tokens.iter().flat_map(|value| value.split(|byte| *byte == b','));
+        let mut tokens = tokens
+            .iter()
+            .flat_map(|value| value.split(|byte| *byte == b','));
         tokens.any(|token| token.trim_ascii().eq_ignore_ascii_case(word))
     };
-    let keep_alive = if newer { !says(b"close") } else { says(b"keep-alive") };
+    let keep_alive = if newer {
+        !says(b"close")
+    } else {
+        says(b"keep-alive")
+    };
     let target = parsed.path.unwrap_or_default();
     let path = target.split('?').next().unwrap_or_default();
     if !path.starts_with('/') {
         return Err(Refused(400));
     }
     let method = parsed.method.unwrap_or_default().to_owned();
-    Ok(Some(Request { method, path: path.to_owned(), keep_alive, length }))
+    Ok(Some(Request {
+        method,
+        path: path.to_owned(),
+        keep_alive,
+        length,
+    }))
 }
 
 /// What the endpoints tell from.
@@ -88,7 +103,10 @@
 
 impl Facts {
     fn status(&self, scope: Scope) -> Option<Status> {
-        self.statuses.iter().find(|(told, _)| *told == scope).map(|(_, status)| *status)
+        self.statuses
+            .iter()
+            .find(|(told, _)| *told == scope)
+            .map(|(_, status)| *status)
     }
 }
 
@@ -96,26 +114,45 @@
 pub fn answer(request: &Result<Request, Refused>, facts: &Facts) -> (Vec<u8>, bool) {
     let request = match request {
         Ok(request) => request,
-        Err(Refused(code)) => return (write(*code, &[], "text/plain", "", Some(false), false), true),
+        Err(Refused(code)) => {
+            return (
+                write(*code, &[], "text/plain", "", Some(false), false),
+                true,
+            )
+        }
     };
     let keep = Some(request.keep_alive);
     let head = request.method == "HEAD";
     if !head && request.method != "GET" {
         let allow = [("allow", "GET, HEAD".to_owned())];
-        return (write(405, &allow, "text/plain", "", keep, false), !request.keep_alive);
+        return (
+            write(405, &allow, "text/plain", "", keep, false),
+            !request.keep_alive,
+        );
     }
     let whole = facts.status(Scope::Gateway);
-    let group = request.path.strip_prefix("/health/groups/").map(|rest| rest.parse().map(GroupId));
+    let group = request
+        .path
+        .strip_prefix("/health/groups/")
+        .map(|rest| rest.parse().map(GroupId));
     let (status, good) = match (request.path.as_str(), &group) {
         // A process that drains is alive; to end it for that would lose what it owes.
-        ("/livez", _) => (whole, whole.is_none_or(|status| status.state != State::Hung)),
+        ("/livez", _) => (
+            whole,
+            whole.is_none_or(|status| status.state != State::Hung),
+        ),
         ("/startupz", _) => (whole, facts.started),
         ("/readyz" | "/health", _) => (whole, whole.is_some_and(|status| status.ready())),
         (_, Some(Ok(group))) if facts.status(Scope::Group(*group)).is_some() => {
             let status = facts.status(Scope::Group(*group));
             (status, status.is_some_and(|status| status.ready()))
         }
-        _ => return (write(404, &[], "text/plain", "not found\n", keep, head), !request.keep_alive),
+        _ => {
+            return (
+                write(404, &[], "text/plain", "not found\n", keep, head),
+                !request.keep_alive,
+            )
+        }
     };
     let mut headers = Vec::new();
     if let Some(status) = status {
@@ -125,7 +162,10 @@
         if status.state == State::Degraded {
             headers.push(("x-envoy-degraded", "true".to_owned()));
         }
-        if matches!(status.state, State::Draining | State::Stopping | State::Hung) {
+        if matches!(
+            status.state,
+            State::Draining | State::Stopping | State::Hung
+        ) {
             headers.push(("x-envoy-immediate-health-check-fail", "true".to_owned()));
         }
         headers.push(("endpoint-load-metrics", load_report(status, &facts.room)));
@@ -134,18 +174,31 @@
     let (kind, body) = match (request.path.as_str(), &group) {
         ("/health", _) => ("application/health+json", whole_body(facts)),
         (_, Some(Ok(id))) => {
-            let body = status.map(|status| group_body(facts, *id, status)).unwrap_or_default();
+            let body = status
+                .map(|status| group_body(facts, *id, status))
+                .unwrap_or_default();
             ("application/health+json", body)
         }
-        _ => ("text/plain", status.map_or(String::new(), |status| format!("{}\n", plain(status)))),
+        _ => (
+            "text/plain",
+            status.map_or(String::new(), |status| format!("{}\n", plain(status))),
+        ),
     };
     let code = if good { 200 } else { 503 };
-    (write(code, &headers, kind, &body, keep, head), !request.keep_alive)
+    (
+        write(code, &headers, kind, &body, keep, head),
+        !request.keep_alive,
+    )
 }
 
 fn plain(status: Status) -> String {
     let state = json!(status.state);
-    format!("{} {} {}", state.as_str().unwrap_or("?"), status.weight, status.reason.word())
+    format!(
+        "{} {} {}",
+        state.as_str().unwrap_or("?"),
+        status.weight,
+        status.reason.word()
+    )
 }
 
 /// ORCA's report: utilization of the application as this gateway sees it, and its weight as a named metric.
@@ -172,7 +225,8 @@
 
 fn group_value(facts: &Facts, id: GroupId, status: Status) -> Value {
     let mut value = entry(status);
-    if let Some((_, [in_flight, held, usable, members])) = facts.groups.iter().find(|(group, _)| *group == id)
+    if let Some((_, [in_flight, held, usable, members])) =
+        facts.groups.iter().find(|(group, _)| *group == id)
     {
         value["in_flight"] = json!(in_flight);
         value["held"] = json!(held);
@@ -188,7 +242,11 @@
 
 fn whole_body(facts: &Facts) -> String {
     let whole = facts.status(Scope::Gateway);
-    let whole = whole.unwrap_or(Status { state: State::Starting, weight: 0, reason: Reason::Start });
+    let whole = whole.unwrap_or(Status {
+        state: State::Starting,
+        weight: 0,
+        reason: Reason::Start,
+    });
     let mut value = entry(whole);
     value["serviceId"] = json!(facts.name);
     value["version"] = json!(facts.version);
@@ -197,7 +255,10 @@
         .statuses
         .iter()
         .filter_map(|(scope, status)| match scope {
-            Scope::Group(id) => Some((format!("group:{}", id.0), json!([group_value(facts, *id, *status)]))),
+            Scope::Group(id) => Some((
+                format!("group:{}", id.0),
+                json!([group_value(facts, *id, *status)]),
+            )),
             Scope::Gateway => None,
         })
         .collect();
@@ -225,7 +286,11 @@
         505 => "HTTP Version Not Supported",
         _ => "Error",
     };
-    let connection = if keep == Some(true) { "keep-alive" } else { "close" };
+    let connection = if keep == Some(true) {
+        "keep-alive"
+    } else {
+        "close"
+    };
     let mut out = format!(
         "HTTP/1.1 {code} {phrase}\r\nContent-Type: {kind}\r\nContent-Length: {}\r\nCache-Control: no-store\r\nConnection: {connection}\r\n",
         body.len()
--- a/src/health/http/tests.rs
+++ b/src/health/http/tests.rs
@@ -2,12 +2,21 @@
 use crate::fuzz;
 
 fn facts(state: State, weight: u8, reason: Reason) -> Facts {
-    let status = Status { state, weight, reason };
+    let status = Status {
+        state,
+        weight,
+        reason,
+    };
     Facts {
         name: "one".into(),
         version: "0",
         statuses: vec![(Scope::Gateway, status), (Scope::Group(GroupId(3)), status)],
-        room: Room { sessions: 1, most_sessions: 10, requests: 2, most_requests: 4 },
+        room: Room {
+            sessions: 1,
+            most_sessions: 10,
+            requests: 2,
+            most_requests: 4,
+        },
         retry_after: 1,
         started: state != State::Starting,
         groups: vec![(GroupId(3), [1, 2, 3, 4])],
@@ -27,12 +36,28 @@
 
 #[test]
 fn each_endpoint_tells_its_own_truth_in_each_state() {
-    let paths = ["/livez", "/readyz", "/startupz", "/health", "/health/groups/3"];
+    let paths = [
+        "/livez",
+        "/readyz",
+        "/startupz",
+        "/health",
+        "/health/groups/3",
+    ];
     let cases = [
         (State::Starting, 0, Reason::Start, [200, 503, 503, 503, 503]),
         (State::Up, 100, Reason::Fine, [200, 200, 200, 200, 200]),
-        (State::Degraded, 10, Reason::Overload, [200, 200, 200, 200, 200]),
-        (State::Degraded, 0, Reason::NoMember, [200, 503, 200, 503, 503]),
+        (
+            State::Degraded,
+            10,
+            Reason::Overload,
+            [200, 200, 200, 200, 200],
+        ),
+        (
+            State::Degraded,
+            0,
+            Reason::NoMember,
+            [200, 503, 200, 503, 503],
+        ),
         (State::Draining, 0, Reason::Drain, [200, 503, 200, 503, 503]),
         (State::Stopping, 0, Reason::Drain, [200, 503, 200, 503, 503]),
         (State::Hung, 0, Reason::Hung, [503, 503, 200, 503, 503]),
@@ -43,10 +68,19 @@
             let (said, text, _) = ask(&get(path), &facts);
             assert_eq!(said, code, "{state:?} {path}");
             assert_eq!(text.contains("retry-after: 1"), code == 503, "{text}");
-            assert_eq!(text.contains("x-envoy-degraded: true"), state == State::Degraded);
+            assert_eq!(
+                text.contains("x-envoy-degraded: true"),
+                state == State::Degraded
+            );
             let fails = matches!(state, State::Draining | State::Stopping | State::Hung);
-            assert_eq!(text.contains("x-envoy-immediate-health-check-fail: true"), fails);
-            assert!(text.contains("endpoint-load-metrics: JSON {\"application_utilization\":0.5"), "{text}");
+            assert_eq!(
+                text.contains("x-envoy-immediate-health-check-fail: true"),
+                fails
+            );
+            assert!(
+                text.contains("endpoint-load-metrics: JSON {\"application_utilization\":0.5"),
+                "{text}"
+            );
         }
     }
 }
@@ -79,14 +113,30 @@
         (get("/"), 404, false),
         (get("/health/groups/9"), 404, false),
         (get("/health/groups/x"), 404, false),
-        ("POST /livez HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n".into(), 405, false),
-        ("POST /livez HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\n".into(), 413, true),
+        (
+            "POST /livez HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n".into(),
+            405,
+            false,
+        ),
+        (
+            "POST /livez HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\n".into(),
+            413,
+            true,
+        ),
         ("GET /livez HTTP/1.1\r\n\r\n".into(), 400, true),
         ("GET /livez HTTP/2.0\r\nHost: x\r\n\r\n".into(), 505, true),
-        ("GET http://x/ HTTP/1.1\r\nHost: x\r\n\r\n".into(), 400, true),
+        (
+            "GET http://x/ HTTP/1.1\r\nHost: x\r\n\r\n".into(),
+            400,
+            true,
+        ),
         ("nonsense\r\n\r\n".into(), 400, true),
         ("GET /livez HTTP/1.0\r\n\r\n".into(), 200, true),
-        ("GET /livez?x=1 HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".into(), 200, true),
+        (
+            "GET /livez?x=1 HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".into(),
+            200,
+            true,
+        ),
         (long, 431, true),
     ];
     for (text, code, ends) in cases {
--- a/src/health/knobs.rs
+++ b/src/health/knobs.rs
@@ -66,15 +66,23 @@
         within("recover_after_ms", self.recover_after_ms, 100, 30_000)?;
         within("start_wait_ms", self.start_wait_ms, 0, 600_000)?;
         if !(self.strain_high > 0.0 && self.strain_high <= 1.0) {
-            return Err(("strain_high", format!("{} is not above 0 and at most 1", self.strain_high)));
+            return Err((
+                "strain_high",
+                format!("{} is not above 0 and at most 1", self.strain_high),
+            ));
         }
         if !(self.strain_low >= 0.0 && self.strain_low < self.strain_high) {
-            let fault = format!("{} is not below strain_high, {}", self.strain_low, self.strain_high);
+            let fault = format!(
+                "{} is not below strain_high, {}",
+                self.strain_low, self.strain_high
+            );
             return Err(("strain_low", fault));
         }
         if self.hung_after_ms < 2 * self.beat_every_ms {
-            let fault =
-                format!("{} is less than two of beat_every_ms, {}", self.hung_after_ms, self.beat_every_ms);
+            let fault = format!(
+                "{} is less than two of beat_every_ms, {}",
+                self.hung_after_ms, self.beat_every_ms
+            );
             return Err(("hung_after_ms", fault));
         }
         Ok(())
--- a/src/health/load.rs
+++ b/src/health/load.rs
@@ -44,7 +44,9 @@
 
     /// The weight of the step it stands on; the floor is the last.
     pub fn weight(&self, knobs: &Knobs) -> u8 {
-        STEPS.get(self.step).map_or(knobs.floor, |step| (*step).max(knobs.floor))
+        STEPS
+            .get(self.step)
+            .map_or(knobs.floor, |step| (*step).max(knobs.floor))
     }
 }
 
@@ -61,7 +63,12 @@
 impl Mover {
     /// Stands at a weight.
     pub fn new(weight: u8, now: Micros) -> Mover {
-        Mover { weight, moved: now, fell: false, turns: VecDeque::new() }
+        Mover {
+            weight,
+            moved: now,
+            fell: false,
+            turns: VecDeque::new(),
+        }
     }
 
     /// The weight it shows.
@@ -72,7 +79,11 @@
     /// Moves towards a target.
     pub fn aim(&mut self, now: Micros, target: u8, knobs: &Knobs) {
         let target = target.min(FULL);
-        while self.turns.front().is_some_and(|at| now.saturating_sub(*at) >= FLAP_SPAN) {
+        while self
+            .turns
+            .front()
+            .is_some_and(|at| now.saturating_sub(*at) >= FLAP_SPAN)
+        {
             self.turns.pop_front();
         }
         if target < self.weight {
--- a/src/health/mod.rs
+++ b/src/health/mod.rs
@@ -137,7 +137,13 @@
     /// The share that is taken, of whatever is nearest its limit; idle sessions make room for others, so they
     /// count only once not even that helps.
     fn taken(&self) -> f64 {
-        let share = |held: usize, most: usize| if most == 0 { 0.0 } else { held as f64 / most as f64 };
+        let share = |held: usize, most: usize| {
+            if most == 0 {
+                0.0
+            } else {
+                held as f64 / most as f64
+            }
+        };
         let sessions = share(self.sessions, self.most_sessions);
         share(self.requests, self.most_requests).max(if sessions >= 0.99 { sessions } else { 0.0 })
     }
@@ -260,7 +266,9 @@
 
     /// All that is told now.
     pub fn statuses(&self) -> impl Iterator<Item = (Scope, Status)> + '_ {
-        self.announced.iter().map(|(scope, status)| (*scope, *status))
+        self.announced
+            .iter()
+            .map(|(scope, status)| (*scope, *status))
     }
 
     /// Whether the request path is taken to move: what a watchdog may be told.
@@ -277,7 +285,8 @@
         let (now, knobs) = (self.now, &self.knobs);
         self.pulse.seen(room.full());
         self.told |= report.told;
-        self.groups.retain(|id, _| report.groups.iter().any(|group| group.group == *id));
+        self.groups
+            .retain(|id, _| report.groups.iter().any(|group| group.group == *id));
         for seen in report.groups {
             let group = self.groups.entry(seen.group).or_insert_with(|| Group {
                 lost: None,
@@ -301,14 +310,19 @@
         if self.phase != Phase::Starting || !self.pulse.has_answered() {
             return;
         }
-        let usable = !self.groups.is_empty() && self.groups.values().all(|group| group.seen.usable > 0);
+        let usable =
+            !self.groups.is_empty() && self.groups.values().all(|group| group.seen.usable > 0);
         let waited = self.now.saturating_sub(self.began) >= self.knobs.start_wait();
         if (self.told && usable) || waited {
             self.phase = Phase::Serving;
             // A new gateway is not worth all at once.
             self.mover = Mover::new(self.knobs.floor, self.now);
             for group in self.groups.values_mut() {
-                let floor = if group.seen.usable > 0 { self.knobs.floor } else { 0 };
+                let floor = if group.seen.usable > 0 {
+                    self.knobs.floor
+                } else {
+                    0
+                };
                 group.mover = Mover::new(floor, self.now);
             }
         }
@@ -347,7 +361,11 @@
         let weight = (weight.round() as u8).clamp(self.knobs.floor, FULL);
         let accepts = self.pulse.accepts();
         // Never 0 for one that is shut out: it serves clients on, and if all are, there is no one better.
-        let weight = if accepts && !self.shut_out { weight } else { self.knobs.floor };
+        let weight = if accepts && !self.shut_out {
+            weight
+        } else {
+            self.knobs.floor
+        };
         let reason = match reason {
             _ if !accepts => Reason::Accept,
             _ if self.shut_out => Reason::ShutOut,
@@ -359,12 +377,23 @@
 
     fn move_weights(&mut self) {
         let (now, hung) = (self.now, self.pulse.is_hung());
-        let targets: Vec<(GroupId, u8)> =
-            self.groups.iter().map(|(id, group)| (*id, self.group_target(group).0)).collect();
-        let whole = if hung { self.knobs.floor } else { self.target().0 };
+        let targets: Vec<(GroupId, u8)> = self
+            .groups
+            .iter()
+            .map(|(id, group)| (*id, self.group_target(group).0))
+            .collect();
+        let whole = if hung {
+            self.knobs.floor
+        } else {
+            self.target().0
+        };
         for (id, target) in targets {
             if let Some(group) = self.groups.get_mut(&id) {
-                let target = if hung { target.min(self.knobs.floor) } else { target };
+                let target = if hung {
+                    target.min(self.knobs.floor)
+                } else {
+                    target
+                };
                 group.mover.aim(now, target, &self.knobs);
             }
         }
@@ -375,13 +404,21 @@
 
     /// What outranks any weight: the same for the gateway and all its groups.
     fn overriding(&self) -> Option<Status> {
-        let status = |state, reason| Some(Status { state, weight: 0, reason });
+        let status = |state, reason| {
+            Some(Status {
+                state,
+                weight: 0,
+                reason,
+            })
+        };
         match self.phase {
             Phase::Stopping => status(State::Stopping, Reason::Drain),
             Phase::Draining => status(State::Draining, Reason::Drain),
             _ if self.pulse.is_hung() => status(State::Hung, Reason::Hung),
             Phase::Starting => status(State::Starting, Reason::Start),
-            Phase::Serving if self.knobs.maintenance => status(State::Draining, Reason::Maintenance),
+            Phase::Serving if self.knobs.maintenance => {
+                status(State::Draining, Reason::Maintenance)
+            }
             Phase::Serving => None,
         }
     }
@@ -389,16 +426,29 @@
     fn tell(&mut self, actions: &mut Vec<Action>) {
         let overriding = self.overriding();
         let shown = |weight: u8, (target, reason): (u8, Reason)| {
-            let reason = if reason == Reason::Fine && weight < target { Reason::Recovering } else { reason };
-            let state = if weight == FULL { State::Up } else { State::Degraded };
-            overriding.unwrap_or(Status { state, weight, reason })
+            let reason = if reason == Reason::Fine && weight < target {
+                Reason::Recovering
+            } else {
+                reason
+            };
+            let state = if weight == FULL {
+                State::Up
+            } else {
+                State::Degraded
+            };
+            overriding.unwrap_or(Status {
+                state,
+                weight,
+                reason,
+            })
         };
         let mut now = vec![(Scope::Gateway, shown(self.mover.weight(), self.target()))];
-        now.extend(
-            self.groups.iter().map(|(id, group)| {
-                (Scope::Group(*id), shown(group.mover.weight(), self.group_target(group)))
-            }),
-        );
+        now.extend(self.groups.iter().map(|(id, group)| {
+            (
+                Scope::Group(*id),
+                shown(group.mover.weight(), self.group_target(group)),
+            )
+        }));
         let gone = |scope: &&Scope| !now.iter().any(|(told, _)| told == *scope);
         let gone: Vec<Scope> = self.announced.keys().filter(gone).copied().collect();
         for scope in gone {
--- a/src/health/observer.rs
+++ b/src/health/observer.rs
@@ -110,7 +110,11 @@
 impl Observer {
     /// Looks on with the settings that the router has.
     pub fn new(settings: &Settings) -> Observer {
-        let classes = settings.classes.iter().cloned().zip(settings.needs.iter().copied());
+        let classes = settings
+            .classes
+            .iter()
+            .cloned()
+            .zip(settings.needs.iter().copied());
         Observer {
             classes: classes.collect(),
             probes: settings.probes,
@@ -174,10 +178,15 @@
                 *member = fresh;
             }
             let group = self.groups.entry(entry.group).or_default();
-            group.primary_since = if group.primary_since == 0 { now } else { group.primary_since };
+            group.primary_since = if group.primary_since == 0 {
+                now
+            } else {
+                group.primary_since
+            };
         }
         let members = &self.members;
-        self.groups.retain(|id, _| members.values().any(|member| member.group == *id));
+        self.groups
+            .retain(|id, _| members.values().any(|member| member.group == *id));
     }
 
     fn heard(&mut self, id: MemberId, good: bool) {
@@ -189,7 +198,11 @@
     fn remark(&mut self, now: Micros, id: MemberId, remark: Remark) {
         let Some(member) = self.members.get_mut(&id) else {
             // It left the list, and so leaves its mark, too.
-            for group in self.groups.values_mut().filter(|group| group.primary == Some(id)) {
+            for group in self
+                .groups
+                .values_mut()
+                .filter(|group| group.primary == Some(id))
+            {
                 (group.primary, group.primary_since) = (None, now);
             }
             return;
@@ -209,12 +222,20 @@
     }
 
     fn arrives(&mut self, now: Micros, arrival: &Arrival) {
-        let Some((class, need)) = self.classes.get(arrival.class.0) else { return };
+        let Some((class, need)) = self.classes.get(arrival.class.0) else {
+            return;
+        };
         // A group that is not listed is a client's word only: nothing may be kept under it.
-        let Some(group) = self.groups.get_mut(&arrival.group) else { return };
+        let Some(group) = self.groups.get_mut(&arrival.group) else {
+            return;
+        };
         group.decay(now);
         group.mix += class.worth;
-        group.mix_primary += if matches!(need, Need::Write | Need::Fresh) { class.worth } else { 0.0 };
+        group.mix_primary += if matches!(need, Need::Write | Need::Fresh) {
+            class.worth
+        } else {
+            0.0
+        };
         group.held += 1;
         let open = Open {
             group: arrival.group,
@@ -228,21 +249,32 @@
     }
 
     fn ended(&mut self, now: Micros, ended: &Ended) {
-        let Some(open) = self.open.get_mut(&ended.request) else { return };
+        let Some(open) = self.open.get_mut(&ended.request) else {
+            return;
+        };
         open.out = open.out.saturating_sub(1);
         let served = ended.outcome == Outcome::Served;
         if let Some(group) = self.groups.get_mut(&open.group) {
             group.in_flight = group.in_flight.saturating_sub(1);
         }
         if served || ended.standing == Standing::Finished {
-            self.over(ended.request, if served { Fate::Served(now) } else { Fate::Left });
+            self.over(
+                ended.request,
+                if served {
+                    Fate::Served(now)
+                } else {
+                    Fate::Left
+                },
+            );
         }
         self.settle(ended.request);
     }
 
     /// A request has its final answer, or nobody waits for one.
     fn over(&mut self, id: RequestId, fate: Fate) {
-        let Some(open) = self.open.get_mut(&id).filter(|open| !open.over) else { return };
+        let Some(open) = self.open.get_mut(&id).filter(|open| !open.over) else {
+            return;
+        };
         open.over = true;
         let (class, need) = &self.classes[open.class];
         if let Some(group) = self.groups.get_mut(&open.group) {
@@ -259,7 +291,11 @@
     }
 
     fn settle(&mut self, id: RequestId) {
-        if self.open.get(&id).is_some_and(|open| open.over && open.out == 0) {
+        if self
+            .open
+            .get(&id)
+            .is_some_and(|open| open.over && open.out == 0)
+        {
             self.open.remove(&id);
         }
     }
@@ -267,7 +303,10 @@
     /// Whether a group has lost all its members: each has failed, or none is listed. One that was not heard from yet is
     /// not lost.
     pub fn lost(&self, group: GroupId) -> bool {
-        self.members.values().filter(|member| member.group == group).all(|member| member.failed)
+        self.members
+            .values()
+            .filter(|member| member.group == group)
+            .all(|member| member.failed)
     }
 
     /// What is seen now.
@@ -280,7 +319,10 @@
         }
         // Before anything was asked for, each class counts for one request.
         let prior: f64 = self.classes.iter().map(|(class, _)| class.worth).sum();
-        let writes = self.classes.iter().filter(|(_, need)| matches!(need, Need::Write | Need::Fresh));
+        let writes = self
+            .classes
+            .iter()
+            .filter(|(_, need)| matches!(need, Need::Write | Need::Fresh));
         let prior_primary: f64 = writes.map(|(class, _)| class.worth).sum();
         let groups = self.groups.iter_mut().map(|(id, group)| {
             group.decay(now);
@@ -301,7 +343,10 @@
                 worth: group.mix + prior.max(f64::MIN_POSITIVE),
             }
         });
-        Report { told: self.told, groups: groups.collect() }
+        Report {
+            told: self.told,
+            groups: groups.collect(),
+        }
     }
 
     /// Requests that are kept in mind; for tests of leaks.
@@ -313,7 +358,8 @@
 impl Group {
     fn decay(&mut self, now: Micros) {
         let share = 0.5_f64.powf(now.saturating_sub(self.mix_at) as f64 / MIX_HALF);
-        (self.mix, self.mix_primary, self.mix_at) = (self.mix * share, self.mix_primary * share, now);
+        (self.mix, self.mix_primary, self.mix_at) =
+            (self.mix * share, self.mix_primary * share, now);
     }
 
     fn count(&mut self, now: Micros, strained: bool) {
--- a/src/health/postgres.rs
+++ b/src/health/postgres.rs
@@ -35,15 +35,22 @@
         if self.greeted {
             return self.message(bytes, out);
         }
-        let Some(length) = bytes.first_chunk::<4>().map(|length| u32::from_be_bytes(*length) as usize) else {
+        let Some(length) = bytes
+            .first_chunk::<4>()
+            .map(|length| u32::from_be_bytes(*length) as usize)
+        else {
             return (0, Next::More);
         };
         if !(8..=LONGEST).contains(&length) {
             error(out, "08P01", "startup message out of bounds");
             return (bytes.len(), Next::Close);
         }
-        let Some(message) = bytes.get(..length) else { return (0, Next::More) };
-        let code = message[4..].first_chunk::<4>().map_or(0, |code| u32::from_be_bytes(*code));
+        let Some(message) = bytes.get(..length) else {
+            return (0, Next::More);
+        };
+        let code = message[4..]
+            .first_chunk::<4>()
+            .map_or(0, |code| u32::from_be_bytes(*code));
         if ENCRYPT.contains(&code) {
             // Once: a peer that asks on and on gets nowhere.
             if std::mem::replace(&mut self.encrypt_asked, true) && code == ENCRYPT[0] {
@@ -82,7 +89,12 @@
     while let (Some(name), Some(value)) = (words.next(), words.next()) {
         if name == b"database" {
             let text = std::str::from_utf8(value).ok()?;
-            return text.strip_prefix("group")?.trim_start_matches(['-', '_', ' ']).parse().ok().map(GroupId);
+            return text
+                .strip_prefix("group")?
+                .trim_start_matches(['-', '_', ' '])
+                .parse()
+                .ok()
+                .map(GroupId);
         }
     }
     None
@@ -97,7 +109,11 @@
     };
     put(out, b'R', &[0; 4]);
     put(out, b'S', b"server_version\x0015.0\0");
-    put(out, b'S', format!("asterreel.weight\0{}\0", status.weight).as_bytes());
+    put(
+        out,
+        b'S',
+        format!("asterreel.weight\0{}\0", status.weight).as_bytes(),
+    );
     put(out, b'K', &[0; 8]);
     put(out, b'Z', b"I");
     false
@@ -110,7 +126,11 @@
 }
 
 fn error(out: &mut Vec<u8>, code: &str, text: &str) {
-    put(out, b'E', format!("SFATAL\0VFATAL\0C{code}\0M{text}\0\0").as_bytes());
+    put(
+        out,
+        b'E',
+        format!("SFATAL\0VFATAL\0C{code}\0M{text}\0\0").as_bytes(),
+    );
 }
 
 #[cfg(test)]
--- a/src/health/postgres/tests.rs
+++ b/src/health/postgres/tests.rs
@@ -9,7 +9,11 @@
 }
 
 fn status(state: State, weight: u8) -> Option<Status> {
-    Some(Status { state, weight, reason: Reason::Fine })
+    Some(Status {
+        state,
+        weight,
+        reason: Reason::Fine,
+    })
 }
 
 #[test]
@@ -20,7 +24,10 @@
     assert_eq!(out, b"N");
     let start = startup("orders");
     assert_eq!(check.take(&start[..9], &mut out), (0, Next::More));
-    assert_eq!(check.take(&start, &mut out), (start.len(), Next::Greet(None)));
+    assert_eq!(
+        check.take(&start, &mut out),
+        (start.len(), Next::Greet(None))
+    );
     assert!(!greet(status(State::Up, 100), &mut out) && out.ends_with(b"Z\0\0\0\x05I"));
     assert_eq!(check.take(b"X\0\0\0\x04", &mut out), (5, Next::Close));
     let mut out = Vec::new();
@@ -35,8 +42,15 @@
     assert_eq!(next(&startup("groupx")), Next::Greet(None));
     assert_eq!(next(b"\xff\xff\xff\xff"), Next::Close);
     assert_eq!(next(b"\0\0\0\x08\0\x02\0\0"), Next::Close);
-    assert_eq!(next(b"\0\0\0\x10\x04\xd2\x16\x2e\0\0\0\0\0\0\0\0"), Next::Close, "a cancel request");
-    let mut check = Check { greeted: true, encrypt_asked: false };
+    assert_eq!(
+        next(b"\0\0\0\x10\x04\xd2\x16\x2e\0\0\0\0\0\0\0\0"),
+        Next::Close,
+        "a cancel request"
+    );
+    let mut check = Check {
+        greeted: true,
+        encrypt_asked: false,
+    };
     assert_eq!(check.take(b"Q", &mut Vec::new()), (1, Next::Close));
 }
 
@@ -46,8 +60,11 @@
     fuzz::cuts(&whole, |ends| {
         for end in ends {
             let (used, next) = Check::default().take(&whole[..*end], &mut Vec::new());
-            let wanted =
-                if *end == whole.len() { (*end, Next::Greet(Some(GroupId(7)))) } else { (0, Next::More) };
+            let wanted = if *end == whole.len() {
+                (*end, Next::Greet(Some(GroupId(7))))
+            } else {
+                (0, Next::More)
+            };
             assert_eq!((used, next), wanted);
         }
     });
--- a/src/health/pulse.rs
+++ b/src/health/pulse.rs
@@ -129,14 +129,20 @@
         let old = |since: Option<Micros>| since.is_some_and(|at| now.saturating_sub(at) >= bound);
         // A fresh connection that waits for room speaks of load; one that waits while nothing else can be asked
         // and there is room speaks of a path that does not move.
-        let shut_out =
-            old(self.knocked.map(|at| at.max(self.lost_at))) && !self.open && !self.full && self.answered;
+        let shut_out = old(self.knocked.map(|at| at.max(self.lost_at)))
+            && !self.open
+            && !self.full
+            && self.answered;
         let stuck = old(self.sent) || old(self.unseen) || self.orders >= bound || shut_out;
         self.accepts = !old(self.knocked);
         if stuck {
             if !self.hung {
                 let soon = now.saturating_sub(self.hung_at) < RELAPSE_HOLDS && self.hung_at > 0;
-                self.relapses = if soon { self.relapses.saturating_add(1) } else { 0 };
+                self.relapses = if soon {
+                    self.relapses.saturating_add(1)
+                } else {
+                    0
+                };
                 self.hung_at = now;
             }
             self.hung = true;
@@ -145,7 +151,10 @@
             // Not stuck any more, but nothing has shown that it moves.
             self.good_since = now;
         }
-        let proof = knobs.recover_after().saturating_mul(1 << self.relapses.min(8)).min(LONGEST_PROOF);
+        let proof = knobs
+            .recover_after()
+            .saturating_mul(1 << self.relapses.min(8))
+            .min(LONGEST_PROOF);
         if self.hung && now.saturating_sub(self.good_since) >= proof {
             self.hung = false;
         }
@@ -166,11 +175,15 @@
             self.looks.pop_front();
         }
         // Looks that saw the same count tell nothing new: kept, they would pile up while nothing moves.
-        if given > taken && self.looks.back().is_none_or(|(_, last)| *last < given) && self.looks.len() < 256
+        if given > taken
+            && self.looks.back().is_none_or(|(_, last)| *last < given)
+            && self.looks.len() < 256
         {
             self.looks.push_back((now, given));
         }
-        self.looks.front().map_or(0, |(at, _)| now.saturating_sub(*at))
+        self.looks
+            .front()
+            .map_or(0, |(at, _)| now.saturating_sub(*at))
     }
 }
 
--- a/src/health/pulse/tests.rs
+++ b/src/health/pulse/tests.rs
@@ -3,7 +3,10 @@
 #[test]
 fn orders_age_while_none_are_taken_and_not_while_they_are() {
     let mut age = OrderAge::default();
-    assert_eq!([age.look(0, 0, 0), age.look(10, 5, 5), age.look(20, 9, 5)], [0, 0, 0]);
+    assert_eq!(
+        [age.look(0, 0, 0), age.look(10, 5, 5), age.look(20, 9, 5)],
+        [0, 0, 0]
+    );
     assert_eq!([age.look(30, 12, 5), age.look(90, 12, 8)], [10, 70]);
     // All that the first look saw is taken; what the second saw is not.
     assert_eq!([age.look(100, 12, 9), age.look(110, 12, 12)], [70, 0]);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -398,7 +398,10 @@
 impl ListLoss {
     /// A loss after so many microseconds without a word, with no list begun.
     pub fn after(unheard: Micros) -> ListLoss {
-        ListLoss { unheard, cut: false }
+        ListLoss {
+            unheard,
+            cut: false,
+        }
     }
 }
 
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -114,11 +114,13 @@
     /// Checks what the file sets beside the gateway's configuration; the drain's timetable where health is on.
     pub fn beside(&self, config: &Config) -> Result<Option<Timetable>, BadFile> {
         if let Some(lease) = &self.operator.lease {
-            lease
-                .beside(config.listen)
-                .map_err(|(key, fault)| self.bad_in(&self.lease_at, &format!("lease.{key}"), fault))?;
+            lease.beside(config.listen).map_err(|(key, fault)| {
+                self.bad_in(&self.lease_at, &format!("lease.{key}"), fault)
+            })?;
         }
-        let Some(health) = &self.operator.health else { return Ok(None) };
+        let Some(health) = &self.operator.health else {
+            return Ok(None);
+        };
         health
             .beside(config)
             .map(Some)
@@ -131,8 +133,9 @@
             let fault = "is not called: there is no control plane to be a member of";
             return Err(self.bad_in(&None, "lease", fault.to_owned()));
         };
-        let bad =
-            |(key, fault): (String, String)| self.bad_in(&self.lease_at, &format!("lease.{key}"), fault);
+        let bad = |(key, fault): (String, String)| {
+            self.bad_in(&self.lease_at, &format!("lease.{key}"), fault)
+        };
         lease.member().map_err(bad)?;
         Ok(lease)
     }
@@ -141,7 +144,12 @@
     fn bad_in(&self, place: &Option<Place>, key: &str, fault: String) -> BadFile {
         match place {
             Some(place) => place.bad(key, &fault),
-            None => BadFile { file: self.file.clone(), at: None, key: Some(key.to_owned()), fault },
+            None => BadFile {
+                file: self.file.clone(),
+                at: None,
+                key: Some(key.to_owned()),
+                fault,
+            },
         }
     }
 }
@@ -171,7 +179,12 @@
 /// Has a file evaluated by that program, within this time.
 pub fn evaluate(evaluator: &Path, path: &Path, within: Duration) -> Result<Evaluated, BadFile> {
     let file = path.display().to_string();
-    let bad = |fault: String| BadFile { file: file.clone(), at: None, key: None, fault };
+    let bad = |fault: String| BadFile {
+        file: file.clone(),
+        at: None,
+        key: None,
+        fault,
+    };
     let failed = |error: std::io::Error| {
         let program = evaluator.display();
         bad(format!(
@@ -179,11 +192,18 @@
         ))
     };
     let mut command = Command::new(evaluator);
-    command.arg(path).arg(within.as_millis().to_string()).stdin(Stdio::null()).stdout(Stdio::piped());
+    command
+        .arg(path)
+        .arg(within.as_millis().to_string())
+        .stdin(Stdio::null())
+        .stdout(Stdio::piped());
     let mut child = command.spawn().map_err(failed)?;
     let mut text = Vec::new();
     // It ends by itself within its time, and its output with it.
-    let read = child.stdout.take().map(|out| out.take(LONGEST).read_to_end(&mut text));
+    let read = child
+        .stdout
+        .take()
+        .map(|out| out.take(LONGEST).read_to_end(&mut text));
     let ended = child.wait().map_err(failed)?;
     read.transpose().map_err(failed)?;
     let reply: Reply = serde_json::from_slice(&text)
--- a/src/operator/settings.rs
+++ b/src/operator/settings.rs
@@ -86,7 +86,13 @@
         within("lease_ms", self.lease_ms, 2 * self.reread_ms, 600_000).map_err(owned)?;
         let knobs = &self.quarantine;
         within("quarantine.members", knobs.members as u64, 1, 16).map_err(owned)?;
-        within("quarantine.tenant_members", knobs.tenant_members as u64, 1, 64).map_err(owned)?;
+        within(
+            "quarantine.tenant_members",
+            knobs.tenant_members as u64,
+            1,
+            64,
+        )
+        .map_err(owned)?;
         within("quarantine.window_ms", knobs.window_ms, 1_000, 3_600_000).map_err(owned)?;
         within("quarantine.lasts_ms", knobs.lasts_ms, 1_000, 86_400_000).map_err(owned)?;
         within("quarantine.entries", knobs.entries as u64, 16, 65_536).map_err(owned)?;
@@ -97,7 +103,11 @@
         };
         Ok(Rules {
             who: Who::new(self.who.clone())?,
-            bounds: self.bounds.iter().map(|(name, own)| (name.clone(), bounds(own))).collect(),
+            bounds: self
+                .bounds
+                .iter()
+                .map(|(name, own)| (name.clone(), bounds(own)))
+                .collect(),
             default_bounds: bounds(&self.default_bounds),
             quarantine: self.quarantine,
         })
@@ -183,7 +193,10 @@
     /// The addresses it listens on, by key.
     pub fn listeners(&self) -> Vec<(&'static str, SocketAddr)> {
         let plain = |key, listener: &Option<Listener>| listener.as_ref().map(|l| (key, l.listen));
-        let agent = self.agent.as_ref().map(|agent| ("agent.listen", agent.listen));
+        let agent = self
+            .agent
+            .as_ref()
+            .map(|agent| ("agent.listen", agent.listen));
         let all = [
             agent,
             plain("http.listen", &self.http),
@@ -198,7 +211,10 @@
         let mut seen: Vec<(&str, SocketAddr)> = Vec::new();
         for (key, address) in self.listeners() {
             if address.port() == 0 {
-                return Err((key.into(), "port 0 is no place that a balancer can be told".into()));
+                return Err((
+                    key.into(),
+                    "port 0 is no place that a balancer can be told".into(),
+                ));
             }
             if let Some((other, _)) = seen.iter().find(|(_, taken)| *taken == address) {
                 return Err((key.into(), format!("{address} is {other} already")));
@@ -206,7 +222,10 @@
             seen.push((key, address));
         }
         if seen.is_empty() && !self.notify {
-            return Err(("health".into(), "has no front: set agent, http, postgres, grpc or notify".into()));
+            return Err((
+                "health".into(),
+                "has no front: set agent, http, postgres, grpc or notify".into(),
+            ));
         }
         let owned = |(key, fault): (&str, String)| (key.to_owned(), fault);
         within("connections", self.connections as u64, 4, 128).map_err(owned)?;
@@ -216,9 +235,13 @@
         if self.allow.is_empty() {
             return Err(("allow".into(), "names no network: nobody could ask".into()));
         }
-        self.knobs.check().map_err(|(key, fault)| (format!("knobs.{key}"), fault))?;
+        self.knobs
+            .check()
+            .map_err(|(key, fault)| (format!("knobs.{key}"), fault))?;
         // With the longest deadline there is; the gateway's own may leave less.
-        self.drain.timetable(&self.balancer, self.hearing(), u64::MAX).map_err(owned)?;
+        self.drain
+            .timetable(&self.balancer, self.hearing(), u64::MAX)
+            .map_err(owned)?;
         Ok(())
     }
 
@@ -236,16 +259,29 @@
         self.check()?;
         for (key, address) in self.listeners() {
             if address == config.listen {
-                return Err((key.into(), format!("{address} is where clients connect (listen)")));
+                return Err((
+                    key.into(),
+                    format!("{address} is where clients connect (listen)"),
+                ));
             }
         }
         if self.descriptors() > config.sockets / 4 {
-            let fault =
-                format!("{} descriptors are more than a quarter of limits.sockets", self.descriptors());
+            let fault = format!(
+                "{} descriptors are more than a quarter of limits.sockets",
+                self.descriptors()
+            );
             return Err(("connections".into(), fault));
         }
-        let longest = config.settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
+        let longest = config
+            .settings
+            .classes
+            .iter()
+            .map(|class| class.deadline)
+            .max()
+            .unwrap_or(0);
         let owned = |(key, fault): (&str, String)| (key.to_owned(), fault);
-        self.drain.timetable(&self.balancer, self.hearing(), longest).map_err(owned)
+        self.drain
+            .timetable(&self.balancer, self.hearing(), longest)
+            .map_err(owned)
     }
 }
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -123,7 +123,11 @@
             members: BTreeMap::new(),
             groups: BTreeMap::new(),
             requests: BTreeMap::new(),
-            paces: settings.classes.iter().map(|class| Pace::first_guess(class.aim)).collect(),
+            paces: settings
+                .classes
+                .iter()
+                .map(|class| Pace::first_guess(class.aim))
+                .collect(),
             commits: Commits::default(),
             agenda: Agenda::default(),
             retries: RETRY_SAVED,
@@ -143,13 +147,17 @@
             // This front stood still: what comes at this moment tells nothing of a member's speed or silence.
             // Harm: a member that failed just then is found out by the next attempt.
             self.stalled_at = self.now;
-            self.members.values_mut().for_each(|member| member.quiet_since = now);
+            self.members
+                .values_mut()
+                .for_each(|member| member.quiet_since = now);
         }
         match event {
             Event::Arrive(arrival) => self.arrive(arrival),
             Event::Ended(ended) => self.ended(ended),
             Event::Started(id) => {
-                self.requests.entry(id).and_modify(|request| request.streaming = true);
+                self.requests
+                    .entry(id)
+                    .and_modify(|request| request.streaming = true);
             }
             Event::Departed(id) => self.conclude(id),
             Event::Probed(id, outcome, report) => self.probed(id, outcome, report),
@@ -176,7 +184,9 @@
     fn run_agenda(&mut self) {
         while let Some(task) = self.agenda.due(self.now) {
             match task {
-                Task::GiveUp(id) if self.requests.get(&id).is_some_and(|r| r.waiting) => self.give_up(id),
+                Task::GiveUp(id) if self.requests.get(&id).is_some_and(|r| r.waiting) => {
+                    self.give_up(id)
+                }
                 Task::GiveUp(_) => {}
                 Task::Serve(id) => self.look_again(id),
                 Task::Survey(id) => self.survey(id),
@@ -188,7 +198,8 @@
             self.beating = true;
             self.later(BEAT, Task::Beat);
         }
-        self.out.extend(self.agenda.next_wake(self.now).map(Action::WakeAfter));
+        self.out
+            .extend(self.agenda.next_wake(self.now).map(Action::WakeAfter));
     }
 
     fn listed(&mut self, kind: ListKind, entries: &[Entry]) {
@@ -230,7 +241,9 @@
             self.later(first, Task::Survey(id));
         }
         let (chance, proven) = (self.rng.f64(), !self.settings.probes.granted());
-        let Some(member) = self.members.get_mut(&id) else { return };
+        let Some(member) = self.members.get_mut(&id) else {
+            return;
+        };
         member.state = EntryState::On;
         member.seen_draining = false;
         if is_new || member.started < entry.started {
@@ -246,11 +259,15 @@
             }
         }
         let listed = entry.role == Role::Primary;
-        self.members.entry(id).and_modify(|member| member.listed_primary = listed);
+        self.members
+            .entry(id)
+            .and_modify(|member| member.listed_primary = listed);
     }
 
     fn leaving(&mut self, id: MemberId, state: EntryState) {
-        let Some(member) = self.members.get_mut(&id) else { return };
+        let Some(member) = self.members.get_mut(&id) else {
+            return;
+        };
         member.state = state;
         member.seen_draining |= state == EntryState::Draining;
         if !member.drain_binds(&self.settings) {
@@ -262,7 +279,9 @@
 
     /// Forgets a member that is gone and owes nothing.
     fn forget_gone(&mut self, id: MemberId) {
-        let Some(member) = self.members.get(&id) else { return };
+        let Some(member) = self.members.get(&id) else {
+            return;
+        };
         let over = member.state == EntryState::Gone && member.in_flight == 0;
         if over && member.drain_binds(&self.settings) {
             let group = self.groups.entry(member.group);
@@ -279,7 +298,9 @@
     fn probe(&mut self, id: MemberId) {
         let may = self.settings.probes.granted();
         let member = self.members.get_mut(&id).filter(|m| may && !m.probe_out);
-        let Some(member) = member.filter(|m| !m.drain_binds(&self.settings)) else { return };
+        let Some(member) = member.filter(|m| !m.drain_binds(&self.settings)) else {
+            return;
+        };
         member.probe_out = true;
         member.probed_at = self.now;
         self.out.push(Action::Probe(id));
@@ -288,7 +309,9 @@
     /// About once a second: a probe.
     fn survey(&mut self, id: MemberId) {
         let every = self.fleet.pace(PROBE_EVERY);
-        let Some(member) = self.members.get(&id) else { return };
+        let Some(member) = self.members.get(&id) else {
+            return;
+        };
         // Of a large fleet each front is told enough by answers and by asking when it needs to know.
         if !self.fleet.is_large() || member.failed() {
             self.probe(id);
@@ -298,9 +321,15 @@
     }
 
     fn probed(&mut self, id: MemberId, outcome: Outcome, report: Note) {
-        let Some(member) = self.members.get_mut(&id) else { return };
+        let Some(member) = self.members.get_mut(&id) else {
+            return;
+        };
         member.probe_out = false;
-        member.unheard = if outcome == Outcome::Served { 0 } else { member.unheard + 1 };
+        member.unheard = if outcome == Outcome::Served {
+            0
+        } else {
+            member.unheard + 1
+        };
         let (group, asked) = (member.group, member.probed_at);
         if outcome == Outcome::Served {
             member.verified = true;
@@ -318,7 +347,9 @@
 
     fn count_error(&mut self, id: MemberId) {
         let trial_at = self.now.saturating_add(self.fleet.pace(PROBE_EVERY));
-        let Some(member) = self.members.get_mut(&id) else { return };
+        let Some(member) = self.members.get_mut(&id) else {
+            return;
+        };
         member.trial_at = trial_at;
         member.errors = member.errors.saturating_add(1);
         if member.errors == FAIL_POINT {
@@ -335,7 +366,9 @@
         self.learn_share(id, ended.outcome, ratio);
         let error = f64::from(u8::from(ended.outcome == Outcome::Error));
         self.error_share += LEARN * (error - self.error_share);
-        let Some(member) = self.members.get_mut(&id) else { return };
+        let Some(member) = self.members.get_mut(&id) else {
+            return;
+        };
         member.in_flight = member.in_flight.saturating_sub(1);
         // A wait that ended while the member answered others speaks of load, not of health.
         let unheard = now.saturating_sub(ended.latency) >= member.quiet_since;
@@ -348,7 +381,9 @@
                     member.limit.learn(ratio, member.in_flight, now);
                     self.paces[class].learn(ended.latency, LEARN);
                     let (group, work) = (member.group, self.work(class));
-                    self.groups.entry(group).and_modify(|g| g.carried.answered(now, work));
+                    self.groups
+                        .entry(group)
+                        .and_modify(|g| g.carried.answered(now, work));
                 }
             }
             Outcome::Full | Outcome::Error => {
@@ -364,7 +399,11 @@
                 if late && self.fleet.is_large() {
                     member.shunned_until = now.saturating_add(SHUN);
                 }
-                member.limit.learn(if late { ratio.max(1.0) } else { ratio }, member.in_flight, now);
+                member.limit.learn(
+                    if late { ratio.max(1.0) } else { ratio },
+                    member.in_flight,
+                    now,
+                );
                 let long = ended.latency as f64 >= member.pace.tail();
                 if unheard && long {
                     // Nothing heard for so long weighs as much as two quick errors.
@@ -388,8 +427,12 @@
     /// thin front from each member. Covers overload and lost capacity. Harm: lost members look late.
     fn learn_share(&mut self, id: MemberId, outcome: Outcome, ratio: f64) {
         let group = self.members.get(&id).map(|member| member.group);
-        let thin = group.and_then(|id| self.groups.get(&id)).is_some_and(|group| self.thin(group));
-        let Some(group) = group.and_then(|id| self.groups.get_mut(&id)) else { return };
+        let thin = group
+            .and_then(|id| self.groups.get(&id))
+            .is_some_and(|group| self.thin(group));
+        let Some(group) = group.and_then(|id| self.groups.get_mut(&id)) else {
+            return;
+        };
         group.in_flight = group.in_flight.saturating_sub(1);
         let flow = &mut group.flows[usize::from(group.active == Some(id))];
         flow.learn(outcome, ratio, self.stalled_at != self.now, thin);
@@ -403,7 +446,9 @@
 
     /// Whether a read is among the share that is taken, the least worth for its work left out first.
     fn welcome(&self, request: &Request, at_active: bool) -> bool {
-        let Some(group) = self.groups.get(&request.arrival.group) else { return true };
+        let Some(group) = self.groups.get(&request.arrival.group) else {
+            return true;
+        };
         let share = group.flows[usize::from(at_active)].share;
         let relative = || self.best_read() / self.value(request.class()).max(f64::MIN_POSITIVE);
         let all = request.need == Need::Write || share >= 1.0 || !self.thin(group);
@@ -412,8 +457,15 @@
 
     /// The most worth for its work of any class of reads.
     fn best_read(&self) -> f64 {
-        let reads = self.settings.needs.iter().enumerate().filter(|(_, need)| **need != Need::Write);
-        reads.map(|(class, _)| self.value(class)).fold(f64::MIN_POSITIVE, f64::max)
+        let reads = self
+            .settings
+            .needs
+            .iter()
+            .enumerate()
+            .filter(|(_, need)| **need != Need::Write);
+        reads
+            .map(|(class, _)| self.value(class))
+            .fold(f64::MIN_POSITIVE, f64::max)
     }
 
     /// Takes in a role and a position, as answered to what was asked then. The latest word on the role
@@ -422,7 +474,9 @@
     /// before an answer showed a replica, and bounded reads would go there. Harm: its own mark comes later.
     fn hear(&mut self, id: MemberId, note: Note, asked: Micros, source: Source) {
         let now = self.now;
-        let Some(member) = self.members.get_mut(&id) else { return };
+        let Some(member) = self.members.get_mut(&id) else {
+            return;
+        };
         if let Some(position) = note.position.filter(|at| *at >= member.position) {
             member.position = position;
             member.heard_at = now;
@@ -436,7 +490,9 @@
     }
 
     fn mark(&mut self, id: MemberId) {
-        let Some(member) = self.members.get_mut(&id) else { return };
+        let Some(member) = self.members.get_mut(&id) else {
+            return;
+        };
         let group = self.groups.get_mut(&member.group);
         let group = group.filter(|_| !member.drain_binds(&self.settings));
         if let Some(group) = group.filter(|group| group.active != Some(id)) {
@@ -447,9 +503,15 @@
     }
 
     fn unmark(&mut self, id: MemberId) {
-        let Some(member) = self.members.get_mut(&id) else { return };
+        let Some(member) = self.members.get_mut(&id) else {
+            return;
+        };
         (member.listed_primary, member.asked_at) = (false, self.now);
-        if let Some(group) = self.groups.get_mut(&member.group).filter(|group| group.active == Some(id)) {
+        if let Some(group) = self
+            .groups
+            .get_mut(&member.group)
+            .filter(|group| group.active == Some(id))
+        {
             group.active = None;
             self.out.push(Action::Remark(id, Remark::Unmarked));
         }
@@ -494,7 +556,10 @@
         let class = &self.settings.classes[request.class()];
         let stretch = request.arrival.estimate.unwrap_or(0) as f64 * class.aim_stretch;
         let aim = class.aim.saturating_add(stretch as Micros);
-        request.received.saturating_add(aim).min(request.arrival.due)
+        request
+            .received
+            .saturating_add(aim)
+            .min(request.arrival.due)
     }
 
     /// Until when an attempt that is out is waited for: as long as a late answer earns anything.
@@ -516,21 +581,37 @@
         let usual = usual.max(2 * self.settings.period);
         let end = if lasting { worth } else { aim };
         // A read that was never tried and is refused in its second half has cost its client that time.
-        let half = request.received.saturating_add(request.arrival.due.saturating_sub(request.received) / 2);
-        let end = if !lasting && request.attempts.is_empty() { end.min(half + usual) } else { end };
+        let half = request
+            .received
+            .saturating_add(request.arrival.due.saturating_sub(request.received) / 2);
+        let end = if !lasting && request.attempts.is_empty() {
+            end.min(half + usual)
+        } else {
+            end
+        };
         end.saturating_sub(usual)
     }
 
     /// The final answer of a request not served: a refusal where nothing forbids a retry.
     fn give_up(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
         if request.answered || request.streaming {
             return;
         }
-        let repeatable = matches!(request.effect, Effect::Safe | Effect::Keyed { scope: Scope::All, .. });
+        let repeatable = matches!(
+            request.effect,
+            Effect::Safe
+                | Effect::Keyed {
+                    scope: Scope::All,
+                    ..
+                }
+        );
         let harmless = repeatable || request.first_may_have_run().is_none();
         let refusal = Action::Refuse(id, self.come_back(request));
-        self.out.push(if harmless { refusal } else { Action::Fail(id) });
+        self.out
+            .push(if harmless { refusal } else { Action::Fail(id) });
         self.conclude(id);
     }
 
@@ -538,24 +619,35 @@
         let group = self.groups.get(&request.arrival.group)?;
         let usual = self.paces[request.class()].mean as Micros;
         let most = self.settings.max_come_back;
-        let wait = if group.active.is_some() { usual.min(most) } else { most / 2 };
+        let wait = if group.active.is_some() {
+            usual.min(most)
+        } else {
+            most / 2
+        };
         self.settings.come_back.granted().then_some(wait)
     }
 
     /// Nothing is owed any more: what is still out is called off.
     fn conclude(&mut self, id: RequestId) {
         let cancels = self.settings.cancel.granted();
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         request.answered = true;
         request.waiting = false;
         let all = (0..request.attempts.len()).filter(|_| cancels && !request.streaming);
         let out = all.filter(|number| request.attempt_out(*number));
-        self.out.extend(out.map(|number| Action::Cancel(id, AttemptNo(number as u32))));
+        self.out
+            .extend(out.map(|number| Action::Cancel(id, AttemptNo(number as u32))));
         self.forget(id);
     }
 
     fn forget(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|request| request.answered && !request.is_out()) {
+        if self
+            .requests
+            .get(&id)
+            .is_some_and(|request| request.answered && !request.is_out())
+        {
             self.requests.remove(&id);
         }
     }
@@ -563,14 +655,22 @@
     fn ended(&mut self, ended: Ended) {
         let number = ended.attempt.0 as usize;
         let request = self.requests.get_mut(&ended.request);
-        let Some(request) = request.filter(|request| request.attempt_out(number)) else { return };
+        let Some(request) = request.filter(|request| request.attempt_out(number)) else {
+            return;
+        };
         let attempt = &mut request.attempts[number];
         attempt.out = false;
         attempt.may_have_run = !ended.outcome.proves_nothing_ran();
         let (member, sent) = (attempt.member, attempt.sent);
-        request.unsent = if ended.outcome == Outcome::Moot { request.unsent + 1 } else { 0 };
+        request.unsent = if ended.outcome == Outcome::Moot {
+            request.unsent + 1
+        } else {
+            0
+        };
         if let Some(rests) = request.unsent.checked_sub(UNSENT_RESTS) {
-            request.rests_until = self.now.saturating_add(SERVE_EVERY << rests.min(UNSENT_DOUBLES));
+            request.rests_until = self
+                .now
+                .saturating_add(SERVE_EVERY << rests.min(UNSENT_DOUBLES));
         }
         let (class, need, group) = (request.class(), request.need, request.arrival.group);
         let session = request.arrival.session;
@@ -578,14 +678,23 @@
         self.judge(member, class, &ended);
         let served = ended.outcome == Outcome::Served;
         self.hear(member, ended.note, sent, Source::of(need, ended.outcome));
-        let standby = self.groups.get(&group).is_some_and(|group| group.active != Some(member));
-        if let Some(member) = self.members.get(&member).filter(|_| standby && served && need == Need::Any) {
+        let standby = self
+            .groups
+            .get(&group)
+            .is_some_and(|group| group.active != Some(member));
+        if let Some(member) = self
+            .members
+            .get(&member)
+            .filter(|_| standby && served && need == Need::Any)
+        {
             let far = member.lag() >= LAG_APART.max(ended.latency / 2);
             self.held_up[class] += LEARN * (f64::from(u8::from(far)) - self.held_up[class]);
         }
         let until = self.now.saturating_add(PROBE_EVERY);
         if ended.outcome == Outcome::Miss && need != Need::Write {
-            self.members.entry(member).and_modify(|member| member.missed_until = until);
+            self.members
+                .entry(member)
+                .and_modify(|member| member.missed_until = until);
         }
         let id = ended.request;
         // Where nobody asks for them, commits are not kept: a long day has a new session a moment.
@@ -594,7 +703,9 @@
         if let (Some(session), Some(commit)) = (session, ended.note.position) {
             self.commits.remember(session, commit, SESSIONS);
         }
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
         if served || ended.standing == Standing::Finished {
             self.conclude(id);
         } else if request.answered {
@@ -610,11 +721,16 @@
     fn try_again(&mut self, id: RequestId, ended: &Ended) {
         let request = &self.requests[&id];
         let usual = self.paces[request.class()].mean;
-        let left = request.attempts.len() < self.settings.max_attempts as usize && !request.streaming;
+        let left =
+            request.attempts.len() < self.settings.max_attempts as usize && !request.streaming;
         let allowed = request.effect != Effect::Unsafe || request.first_may_have_run().is_none();
         let can = left && allowed && self.now < self.last_start(request);
         let quick = ended.outcome == Outcome::Error && (ended.latency as f64) < usual / 4.0;
-        let price = if quick || ended.outcome.proves_nothing_ran() { 0.0 } else { 1.0 };
+        let price = if quick || ended.outcome.proves_nothing_ran() {
+            0.0
+        } else {
+            1.0
+        };
         if ended.outcome == Outcome::Unusable {
             self.out.push(Action::Fail(id));
             return self.conclude(id);
@@ -629,11 +745,17 @@
     }
 
     fn wait(&mut self, id: RequestId) {
-        let Some(request) = self.requests.get(&id) else { return };
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
         let left = self.last_start(request).saturating_sub(self.now);
         let (group, class) = (request.arrival.group, request.class());
-        self.requests.entry(id).and_modify(|request| request.waiting = true);
-        self.groups.entry(group).and_modify(|group| group.waiting[class].push_back(id));
+        self.requests
+            .entry(id)
+            .and_modify(|request| request.waiting = true);
+        self.groups
+            .entry(group)
+            .and_modify(|group| group.waiting[class].push_back(id));
         self.later(left, Task::GiveUp(id));
         self.search(group);
         self.ask(id);
@@ -641,14 +763,19 @@
     }
 
     fn ask(&mut self, id: RequestId) {
-        let asked = self.requests.get(&id).and_then(|request| self.asks(request));
+        let asked = self
+            .requests
+            .get(&id)
+            .and_then(|request| self.asks(request));
         if let Some(member) = asked {
             self.probe(member);
         }
     }
 
     fn serve_later(&mut self, id: GroupId) {
-        let Some(group) = self.groups.get_mut(&id) else { return };
+        let Some(group) = self.groups.get_mut(&id) else {
+            return;
+        };
         if !group.serving && group.waiting.iter().any(|queue| !queue.is_empty()) {
             group.serving = true;
             self.later(SERVE_EVERY, Task::Serve(id));
@@ -656,7 +783,9 @@
     }
 
     fn look_again(&mut self, id: GroupId) {
-        let Some(group) = self.groups.get_mut(&id) else { return };
+        let Some(group) = self.groups.get_mut(&id) else {
+            return;
+        };
         group.serving = false;
         self.search(id);
         self.serve(id);
@@ -666,7 +795,9 @@
     /// Places what waits, most worth for its work first; stops at a class's first few that find no room.
     /// Oldest first in a jam, each would go out with too little time left: there the newest go first.
     fn serve(&mut self, id: GroupId) {
-        let Some(group) = self.groups.get_mut(&id) else { return };
+        let Some(group) = self.groups.get_mut(&id) else {
+            return;
+        };
         let mut waiting = std::mem::take(&mut group.waiting);
         let classes = (0..waiting.len()).filter(|class| !waiting[*class].is_empty());
         let mut order: Vec<usize> = classes.collect();
@@ -678,11 +809,20 @@
                 queue.pop_front();
             }
             let aim = self.settings.classes[class].aim;
-            let oldest = queue.front().and_then(waits).map_or(self.now, |request| request.received);
+            let oldest = queue
+                .front()
+                .and_then(waits)
+                .map_or(self.now, |request| request.received);
             let jammed = self.now.saturating_sub(oldest) > aim / JAMMED;
             while blocked < 3 {
-                let at = if jammed { queue.len().checked_sub(blocked + 1) } else { Some(blocked) };
-                let Some((at, request)) = at.and_then(|at| Some((at, *queue.get(at)?))) else { break };
+                let at = if jammed {
+                    queue.len().checked_sub(blocked + 1)
+                } else {
+                    Some(blocked)
+                };
+                let Some((at, request)) = at.and_then(|at| Some((at, *queue.get(at)?))) else {
+                    break;
+                };
                 let waits = self.requests.get(&request).is_some_and(|r| r.waiting);
                 if !waits || self.place(request) {
                     queue.remove(at);
@@ -692,7 +832,9 @@
                 }
             }
         }
-        self.groups.entry(id).and_modify(|group| group.waiting = waiting);
+        self.groups
+            .entry(id)
+            .and_modify(|group| group.waiting = waiting);
     }
 
     /// The worth of a class for its work, as far as latency tells the work.
@@ -706,25 +848,41 @@
     }
 
     fn lightest(&self) -> f64 {
-        self.paces.iter().map(|pace| pace.mean).fold(f64::INFINITY, f64::min)
+        self.paces
+            .iter()
+            .map(|pace| pace.mean)
+            .fold(f64::INFINITY, f64::min)
     }
 
     /// With no usable active member one waiting request at a time looks for the primary, since a miss proves
     /// that nothing ran; the member listed as primary first, then the one heard or asked longest ago.
     fn search(&mut self, id: GroupId) {
         let now = self.now;
-        let Some(group) = self.groups.get(&id) else { return };
+        let Some(group) = self.groups.get(&id) else {
+            return;
+        };
         let pause = group.searched_at.saturating_add(SERVE_EVERY);
         if self.usable_active(group).is_some() || now < pause {
             return;
         }
-        let Some(next) = self.standbys(group).min_by_key(|m| (!m.listed_primary, m.asked_at)) else {
+        let Some(next) = self
+            .standbys(group)
+            .min_by_key(|m| (!m.listed_primary, m.asked_at))
+        else {
+            return;
+        };
+        let harmless = |id: &RequestId| {
+            self.requests
+                .get(id)
+                .is_some_and(|r| self.harmless_at(r, next))
+        };
+        let Some(request) = group.waiting.iter().flatten().copied().find(harmless) else {
             return;
         };
-        let harmless = |id: &RequestId| self.requests.get(id).is_some_and(|r| self.harmless_at(r, next));
-        let Some(request) = group.waiting.iter().flatten().copied().find(harmless) else { return };
         let next = next.id;
-        self.groups.entry(id).and_modify(|group| group.searched_at = now);
+        self.groups
+            .entry(id)
+            .and_modify(|group| group.searched_at = now);
         self.members.entry(next).and_modify(|member| {
             member.asked_at = now;
             member.listed_primary = false;
@@ -747,18 +905,24 @@
 
     /// Healthy members that are not the active one.
     fn standbys<'a>(&'a self, group: &'a Group) -> impl Iterator<Item = &'a Member> {
-        self.members_of(group).filter(|m| Some(m.id) != group.active && self.healthy(m))
+        self.members_of(group)
+            .filter(|m| Some(m.id) != group.active && self.healthy(m))
     }
 
     fn usable_active(&self, group: &Group) -> Option<&Member> {
-        group.active.and_then(|id| self.members.get(&id)).filter(|member| self.healthy(member))
+        group
+            .active
+            .and_then(|id| self.members.get(&id))
+            .filter(|member| self.healthy(member))
     }
 
     /// Whether the rules on effects, drains and cold members let this request go to this member.
     fn may_go(&self, request: &Request, member: &Member) -> bool {
         let two_out = request.is_out() && !self.settings.parallel.granted();
         // Long reads need more saved up, and by lot: each front that saved one send up may have one to send.
-        let long = || Some(self.work(request.class())).filter(|work| request.reads() && *work >= LONG_WORK);
+        let long = || {
+            Some(self.work(request.class())).filter(|work| request.reads() && *work >= LONG_WORK)
+        };
         let price = || long().map_or(1.0, |work| (request.luck * work).max(1.0));
         let too_cold = self.is_cold(member) && self.cold_credit(member) < price();
         let rests = self.now < request.rests_until;
@@ -781,7 +945,9 @@
         let needed = match request.need {
             _ if member.shunned_until > self.now => return false,
             Need::Any => return true,
-            Need::Bounded => self.now.saturating_sub(self.settings.bounds[request.class()]),
+            Need::Bounded => self
+                .now
+                .saturating_sub(self.settings.bounds[request.class()]),
             Need::Session => request.token,
             Need::Fresh | Need::Write => return false,
         };
@@ -830,8 +996,12 @@
         let warmth = member.warmth(&self.settings, self.now);
         let each = |group: &Group| group.carried.rate(self.now) / group.members.len().max(1) as f64;
         let carried = self.groups.get(&member.group).map_or(0.0, each);
-        let rate = self.fleet.cold_rate(&self.settings, warmth, carried, self.lightest());
-        member.cold.saved(self.now, rate, self.settings.fall_for.max(1))
+        let rate = self
+            .fleet
+            .cold_rate(&self.settings, warmth, carried, self.lightest());
+        member
+            .cold
+            .saved(self.now, rate, self.settings.fall_for.max(1))
     }
 
     fn is_cold(&self, member: &Member) -> bool {
@@ -849,7 +1019,9 @@
         if !request.reads() {
             return active(1.0);
         }
-        let open = self.members_of(group).filter(|m| !request.tried(m.id) && self.may_go(request, m));
+        let open = self
+            .members_of(group)
+            .filter(|m| !request.tried(m.id) && self.may_go(request, m));
         let first = request.effect == Effect::Safe && request.attempts.is_empty();
         let checked = self.settings.checks == Checks::TurnsAway;
         let harmless = |m: &&Member| first && (checked || self.in_sync(request, m, true));
@@ -857,12 +1029,15 @@
             return Some(trial.id);
         }
         let standbys = open.filter(|m| Some(m.id) != group.active && self.healthy(m));
-        let mut in_sync: Vec<&Member> = standbys.filter(|m| self.in_sync(request, m, stalled)).collect();
+        let mut in_sync: Vec<&Member> = standbys
+            .filter(|m| self.in_sync(request, m, stalled))
+            .collect();
         // Standbys that lag leave few in sync, and those crowded: a quick active member takes the rest.
         let large = self.fleet.is_large();
         let part_of = |members: f64| request.luck < members / group.members.len() as f64;
         let room = warm && (!large || part_of(SPILL_MEMBERS));
-        let spilled = |may: bool| active(SPILL_SHARE).filter(|_| may && room && self.welcome(request, true));
+        let spilled =
+            |may: bool| active(SPILL_SHARE).filter(|_| may && room && self.welcome(request, true));
         let quick = group.flows[1].pressure < LOADED;
         if in_sync.is_empty() && self.asks(request).is_some() {
             // The active member has room for its part of the reads without a question.
@@ -894,14 +1069,19 @@
             return None;
         }
         let stale = self.settings.bounds[request.class()] / 2;
-        let open = self.standbys(group).filter(|m| self.may_go(request, m) && m.shunned_until <= self.now);
+        let open = self
+            .standbys(group)
+            .filter(|m| self.may_go(request, m) && m.shunned_until <= self.now);
         let old = |m: &&Member| {
             m.probe_out
                 || self.now.saturating_sub(m.heard_at.max(m.probed_at))
                     >= stale.max(m.lag() / 4) << m.unheard.min(6)
         };
         let mut open: Vec<&Member> = open.filter(old).collect();
-        if let Some(asked) = open.iter().find(|m| m.probe_out && m.probed_at + ASK_AGAIN > self.now) {
+        if let Some(asked) = open
+            .iter()
+            .find(|m| m.probe_out && m.probed_at + ASK_AGAIN > self.now)
+        {
             return Some(asked.id);
         }
         open.retain(|m| !m.probe_out);
@@ -932,7 +1112,11 @@
             return behind.into_iter().find(room).map(|m| m.id);
         }
         behind.sort_by_key(|m| (self.is_cold(m), Reverse(m.lag())));
-        if !holds_up || behind.first().is_some_and(|m| m.lag() <= LAG_APART || self.is_cold(m)) {
+        if !holds_up
+            || behind
+                .first()
+                .is_some_and(|m| m.lag() <= LAG_APART || self.is_cold(m))
+        {
             behind = members.iter().copied().filter(room).collect();
             return self.less_busy_of_two(&behind);
         }
@@ -948,7 +1132,12 @@
         let step = rng.usize(0..members.len().max(2) - 1) + 1;
         let (one, two) = (members[first], members[(first + step) % members.len()]);
         let warmth = |m: &Member| m.warmth(&self.settings, self.now).max(0.01);
-        let rank = |m: &Member| (f64::from(m.in_flight + 1) / warmth(m), m.zone != self.settings.zone);
+        let rank = |m: &Member| {
+            (
+                f64::from(m.in_flight + 1) / warmth(m),
+                m.zone != self.settings.zone,
+            )
+        };
         let less_busy = if rank(two) < rank(one) { two } else { one };
         Some(less_busy.id)
     }
@@ -961,7 +1150,10 @@
     }
 
     fn place(&mut self, id: RequestId) -> bool {
-        let member = self.requests.get(&id).and_then(|request| self.pick(request));
+        let member = self
+            .requests
+            .get(&id)
+            .and_then(|request| self.pick(request));
         if let Some(member) = member {
             self.send(id, member);
         }
@@ -971,7 +1163,9 @@
     fn send(&mut self, id: RequestId, to: MemberId) {
         let now = self.now;
         self.rng.u64(..);
-        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
         request.waiting = false;
         request.sent(to, now);
         let request = &self.requests[&id];
--- a/src/readmission/mod.rs
+++ b/src/readmission/mod.rs
@@ -45,7 +45,8 @@
 impl Knobs {
     /// Whether they make sense; a fault names the key.
     pub fn check(&self) -> Result<(), (&'static str, String)> {
-        let within = |key, value: f64, least: f64, most: f64| match (least..=most).contains(&value) {
+        let within = |key, value: f64, least: f64, most: f64| match (least..=most).contains(&value)
+        {
             true => Ok(()),
             false => Err((key, format!("{value} is not within {least} to {most}"))),
         };
@@ -111,7 +112,11 @@
         self.lapse(now, from);
         let early = (self.apart() * (self.knobs.burst - 1.0)) as Micros;
         let due = self.spent_until.saturating_sub(early);
-        let own = self.places.get(&from).and_then(|places| places.front()).copied();
+        let own = self
+            .places
+            .get(&from)
+            .and_then(|places| places.front())
+            .copied();
         let in_turn = own.is_some_and(|place| place <= now);
         if (in_turn || now >= self.row_until) && now >= due {
             if in_turn {
@@ -159,11 +164,18 @@
     /// Places that were not taken up within the longest wait lapse; all of them, now and then, or of this address.
     fn lapse(&mut self, now: Micros, from: IpAddr) {
         let old = now.saturating_sub(self.longest());
-        while self.places.get(&from).and_then(|places| places.front()).is_some_and(|place| *place < old) {
+        while self
+            .places
+            .get(&from)
+            .and_then(|places| places.front())
+            .is_some_and(|place| *place < old)
+        {
             self.give_up(from);
         }
         if self.taken >= PLACES || self.row_until < old {
-            self.places.values_mut().for_each(|places| places.retain(|place| *place >= old));
+            self.places
+                .values_mut()
+                .for_each(|places| places.retain(|place| *place >= old));
             self.places.retain(|_, places| !places.is_empty());
             self.taken = self.places.values().map(VecDeque::len).sum();
         }
--- a/src/roles.rs
+++ b/src/roles.rs
@@ -46,18 +46,30 @@
 impl Doubt {
     /// Takes in a word that was asked for at some time. The role that the member has by it; none where the word says none,
     /// or may be older than what the member has shown since.
-    pub fn hear(&mut self, told: Option<Role>, asked: Micros, source: Source, now: Micros) -> Option<Role> {
+    pub fn hear(
+        &mut self,
+        told: Option<Role>,
+        asked: Micros,
+        source: Source,
+        now: Micros,
+    ) -> Option<Role> {
         match (source, told) {
             (Source::MissedWrite, _) => {
-                *self =
-                    Doubt { any_until: now.saturating_add(DOUBT), report_until: now.saturating_add(DOUBT) };
+                *self = Doubt {
+                    any_until: now.saturating_add(DOUBT),
+                    report_until: now.saturating_add(DOUBT),
+                };
                 Some(Role::Replica)
             }
             (Source::Answer | Source::ServedWrite, Some(Role::Replica)) => {
                 self.report_until = now.saturating_add(DOUBT);
                 told
             }
-            (Source::Report, Some(Role::Primary)) if asked < self.any_until.max(self.report_until) => None,
+            (Source::Report, Some(Role::Primary))
+                if asked < self.any_until.max(self.report_until) =>
+            {
+                None
+            }
             (Source::Answer, Some(Role::Primary)) if asked < self.any_until => None,
             _ => told,
         }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -232,7 +232,10 @@
         let zone = match &self.campus {
             Place::Number(number) => *number,
             // A zone that the settings don't name is nobody's own.
-            Place::Name(name) => zones.iter().position(|zone| zone == name).map_or(u32::MAX, |n| n as u32),
+            Place::Name(name) => zones
+                .iter()
+                .position(|zone| zone == name)
+                .map_or(u32::MAX, |n| n as u32),
         };
         let state = match self.state.as_str() {
             "on" | "ready" => EntryState::On,
@@ -247,7 +250,11 @@
             zone: ZoneId(zone),
             state,
             started: self.ready_at_us.max(self.up_since_ms.saturating_mul(1000)),
-            role: if primary { Role::Primary } else { Role::Replica },
+            role: if primary {
+                Role::Primary
+            } else {
+                Role::Replica
+            },
             size: self.size,
             lot: xxh3_64(self.store.as_bytes()),
         })
@@ -276,7 +283,13 @@
             classes: classes?,
             needs: needs?,
             bounds: family.staleness_bound_us.clone(),
-            tenants: setup.customers.iter().map(|customer| Tenant { quota: customer.quota_rps }).collect(),
+            tenants: setup
+                .customers
+                .iter()
+                .map(|customer| Tenant {
+                    quota: customer.quota_rps,
+                })
+                .collect(),
             over_share_worth: setup.over_share_worth,
             fleet: setup.fleet_size,
             zone: ZoneId(setup.zone),
@@ -334,7 +347,10 @@
     Ok(Class {
         effect: match profile.effect.as_str() {
             "free" => Effect::Safe,
-            "guarded" => Effect::Keyed { scope, window: profile.dedup_window_us },
+            "guarded" => Effect::Keyed {
+                scope,
+                window: profile.dedup_window_us,
+            },
             "single_shot" => Effect::Unsafe,
             other => return Err(unknown("effect", other)),
         },
--- a/src/state.rs
+++ b/src/state.rs
@@ -18,7 +18,10 @@
 impl Pace {
     /// Before anything was measured, for what is wanted within a time.
     pub fn first_guess(aim: Micros) -> Pace {
-        Pace { mean: aim as f64 / 4.0, deviation: aim as f64 / 8.0 }
+        Pace {
+            mean: aim as f64 / 4.0,
+            deviation: aim as f64 / 8.0,
+        }
     }
 
     /// A latency that few answers exceed.
@@ -187,7 +190,12 @@
     }
 
     pub fn sent(&mut self, member: MemberId, sent: Micros) {
-        self.attempts.push(Attempt { member, sent, out: true, may_have_run: true });
+        self.attempts.push(Attempt {
+            member,
+            sent,
+            out: true,
+            may_have_run: true,
+        });
     }
 }
 
--- a/src/statements/evidence.rs
+++ b/src/statements/evidence.rs
@@ -65,7 +65,9 @@
         }
         let heard = self.heard.entry((group, shape)).or_default();
         heard.at = now;
-        heard.members.retain(|_, at| now.saturating_sub(*at) < COUNTS);
+        heard
+            .members
+            .retain(|_, at| now.saturating_sub(*at) < COUNTS);
         heard.members.insert(member, now);
         let told = if heard.members.len() >= MEMBERS {
             heard.aside_until = now.saturating_add(ASIDE);
@@ -74,7 +76,11 @@
             Told::Member
         };
         while self.heard.len() > KEPT {
-            let oldest = self.heard.iter().min_by_key(|(_, heard)| heard.at).map(|(key, _)| *key);
+            let oldest = self
+                .heard
+                .iter()
+                .min_by_key(|(_, heard)| heard.at)
+                .map(|(key, _)| *key);
             oldest.and_then(|key| self.heard.remove(&key));
         }
         told
@@ -93,7 +99,10 @@
     /// Whether a member may get a shape now, as far as answers tell.
     pub fn allows(&self, now: Micros, group: GroupId, shape: Shape, member: MemberId) -> bool {
         self.heard.get(&(group, shape)).is_none_or(|heard| {
-            let said = heard.members.get(&member).is_some_and(|at| now.saturating_sub(*at) < ASIDE);
+            let said = heard
+                .members
+                .get(&member)
+                .is_some_and(|at| now.saturating_sub(*at) < ASIDE);
             now >= heard.aside_until && !said
         })
     }
--- a/src/statements/mod.rs
+++ b/src/statements/mod.rs
@@ -177,17 +177,25 @@
     /// Whether this one may follow `before`: each group's change has taken one step at most, forward or back, so that
     /// gateways on this and on `before` never find each other's statements at a member on the wrong side.
     pub fn follows(&self, before: &Catalog) -> Result<(), BadCatalog> {
-        let tenants = self.shapes.values().fold(BTreeMap::<&str, usize>::new(), |mut all, known| {
-            *all.entry(&known.tenant).or_default() += 1;
-            all
-        });
+        let tenants =
+            self.shapes
+                .values()
+                .fold(BTreeMap::<&str, usize>::new(), |mut all, known| {
+                    *all.entry(&known.tenant).or_default() += 1;
+                    all
+                });
         if let Some((tenant, _)) = tenants.iter().find(|(_, count)| **count > SHAPES_EACH) {
             return Err(BadCatalog::TooMany(format!("tenant {tenant}")));
         }
         if self.shapes.len() > SHAPES {
             return Err(BadCatalog::TooMany("the catalog".into()));
         }
-        for group in self.changes.keys().chain(before.changes.keys()).chain(self.schemas.keys()) {
+        for group in self
+            .changes
+            .keys()
+            .chain(before.changes.keys())
+            .chain(self.schemas.keys())
+        {
             self.one_step(before, *group)?;
         }
         Ok(())
@@ -197,9 +205,15 @@
         let (old, new) = (before.changes.get(&group), self.changes.get(&group));
         let (schema, was) = (self.schema(group), before.schema(group));
         // A change that is over leaves its schema in use.
-        let over = old.filter(|old| old.step == Step::Forgotten && new.is_none()).map(|old| old.to);
+        let over = old
+            .filter(|old| old.step == Step::Forgotten && new.is_none())
+            .map(|old| old.to);
         if schema != was && over != Some(schema) && !(was == 0 && old.is_none()) {
-            return Err(BadCatalog::Schema { group, schema, before: was });
+            return Err(BadCatalog::Schema {
+                group,
+                schema,
+                before: was,
+            });
         }
         let may = match (old, new) {
             (None, None) => true,
@@ -215,7 +229,12 @@
         if !may {
             let to = new.or(old).map_or(0, |change| change.to);
             let (from, step) = (old.map(|old| old.step), new.map(|new| new.step));
-            return Err(BadCatalog::Steps { group, to, from, step });
+            return Err(BadCatalog::Steps {
+                group,
+                to,
+                from,
+                step,
+            });
         }
         let placed = new.is_none_or(|new| new.step < Step::NewOnly || new.position.is_some());
         placed.then_some(()).ok_or(BadCatalog::Position(group))
@@ -224,16 +243,28 @@
     /// Which members of a group may get a statement.
     pub fn candidates(&self, shape: Shape, group: GroupId) -> Candidates {
         let Some(known) = self.shapes.get(&shape.0) else {
-            return if self.unknown == Unknown::Pass { Candidates::All } else { Candidates::Never };
+            return if self.unknown == Unknown::Pass {
+                Candidates::All
+            } else {
+                Candidates::Never
+            };
+        };
+        let Some(&(first, last)) = known.groups.get(&group.0) else {
+            return Candidates::Never;
         };
-        let Some(&(first, last)) = known.groups.get(&group.0) else { return Candidates::Never };
         let fits = |schema: u64| first <= schema && last.is_none_or(|last| schema <= last);
         let schema = self.schema(group.0);
         let Some(change) = self.changes.get(&group.0) else {
-            return if fits(schema) { Candidates::All } else { Candidates::Never };
+            return if fits(schema) {
+                Candidates::All
+            } else {
+                Candidates::Never
+            };
         };
         let (old, new) = (fits(schema), fits(change.to));
-        let past = change.position.map_or(Candidates::NoneYet, Candidates::Past);
+        let past = change
+            .position
+            .map_or(Candidates::NoneYet, Candidates::Past);
         match change.step {
             Step::Proposed => {
                 if old {
--- a/src/statements/shape.rs
+++ b/src/statements/shape.rs
@@ -25,10 +25,13 @@
                 }
                 b'/' if rest.starts_with(b"/*") => comment(rest),
                 b'0'..=b'9' if !in_word => number(rest),
-                b'$' if !in_word && rest.get(1).is_some_and(u8::is_ascii_digit) => 1 + number(&rest[1..]),
+                b'$' if !in_word && rest.get(1).is_some_and(u8::is_ascii_digit) => {
+                    1 + number(&rest[1..])
+                }
                 _ => 1,
             };
-            let skipped = byte.is_ascii_whitespace() || rest.starts_with(b"--") || rest.starts_with(b"/*");
+            let skipped =
+                byte.is_ascii_whitespace() || rest.starts_with(b"--") || rest.starts_with(b"/*");
             let value = byte == b'\''
                 || length > 0 && !in_word && (byte.is_ascii_digit() || byte == b'$' && length > 1);
             let word = byte.is_ascii_alphanumeric() || byte == b'_' || byte >= 0x80;
@@ -56,7 +59,10 @@
 /// The length of what stands in quotes, up to the closing one; a doubled quote stands for itself.
 fn quoted(text: &[u8], quote: u8) -> usize {
     let mut at = 1;
-    while let Some(found) = text.get(at..).and_then(|rest| rest.iter().position(|byte| *byte == quote)) {
+    while let Some(found) = text
+        .get(at..)
+        .and_then(|rest| rest.iter().position(|byte| *byte == quote))
+    {
         at += found + 1;
         if text.get(at) != Some(&quote) {
             return at;
@@ -80,7 +86,9 @@
 }
 
 fn number(text: &[u8]) -> usize {
-    text.iter().take_while(|byte| byte.is_ascii_alphanumeric() || **byte == b'.').count()
+    text.iter()
+        .take_while(|byte| byte.is_ascii_alphanumeric() || **byte == b'.')
+        .count()
 }
 
 #[cfg(test)]
--- a/src/statements/tests.rs
+++ b/src/statements/tests.rs
@@ -5,13 +5,31 @@
 
 fn known(first: u64, last: Option<u64>) -> Known {
     let groups = BTreeMap::from([(GROUP, (first, last))]);
-    Known { tenant: "a".into(), class: "read".into(), form: 1, groups }
+    Known {
+        tenant: "a".into(),
+        class: "read".into(),
+        form: 1,
+        groups,
+    }
 }
 
 /// Shapes 1, 2 and 3 fit the old schema, the new one, and both.
 fn catalog(step: Option<Step>, position: Option<Micros>) -> Catalog {
-    let shapes = [(1, known(0, Some(4))), (2, known(5, None)), (3, known(0, None))];
-    let change = step.map(|step| (GROUP, Change { to: 5, step, position }));
+    let shapes = [
+        (1, known(0, Some(4))),
+        (2, known(5, None)),
+        (3, known(0, None)),
+    ];
+    let change = step.map(|step| {
+        (
+            GROUP,
+            Change {
+                to: 5,
+                step,
+                position,
+            },
+        )
+    });
     Catalog {
         shapes: shapes.into(),
         schemas: [(GROUP, 4)].into(),
@@ -28,18 +46,41 @@
 fn statements_go_where_their_schema_is_at_each_step() {
     use Candidates::{All, Never, NoneYet, Past};
     assert_eq!(all(&catalog(None, None)), [All, Never, All]);
-    assert_eq!(all(&catalog(Some(Step::Proposed), None)), [All, NoneYet, All]);
-    assert_eq!(all(&catalog(Some(Step::Both), None)), [All, NoneYet, All], "applied nowhere yet");
-    assert_eq!(all(&catalog(Some(Step::Both), Some(AT))), [All, Past(AT), All]);
-    assert_eq!(all(&catalog(Some(Step::NewOnly), Some(AT))), [Never, Past(AT), All]);
-    assert_eq!(all(&catalog(Some(Step::Forgotten), Some(AT))), [Never, Past(AT), All]);
+    assert_eq!(
+        all(&catalog(Some(Step::Proposed), None)),
+        [All, NoneYet, All]
+    );
+    assert_eq!(
+        all(&catalog(Some(Step::Both), None)),
+        [All, NoneYet, All],
+        "applied nowhere yet"
+    );
+    assert_eq!(
+        all(&catalog(Some(Step::Both), Some(AT))),
+        [All, Past(AT), All]
+    );
+    assert_eq!(
+        all(&catalog(Some(Step::NewOnly), Some(AT))),
+        [Never, Past(AT), All]
+    );
+    assert_eq!(
+        all(&catalog(Some(Step::Forgotten), Some(AT))),
+        [Never, Past(AT), All]
+    );
     let mut done = catalog(None, None);
     done.schemas.insert(GROUP, 5);
     assert_eq!(all(&done), [Never, All, All]);
     let one = catalog(None, None);
-    assert_eq!(one.candidates(Shape(9), GroupId(GROUP)), Never, "an unknown shape");
+    assert_eq!(
+        one.candidates(Shape(9), GroupId(GROUP)),
+        Never,
+        "an unknown shape"
+    );
     assert_eq!(one.candidates(Shape(1), GroupId(8)), Never, "another group");
-    let lenient = Catalog { unknown: Unknown::Pass, ..one };
+    let lenient = Catalog {
+        unknown: Unknown::Pass,
+        ..one
+    };
     assert_eq!(lenient.candidates(Shape(9), GroupId(GROUP)), All);
 }
 
@@ -60,11 +101,21 @@
     for (one, next) in pairs {
         let (one, next) = (catalog(one.0, one.1), catalog(next.0, next.1));
         assert_eq!(next.follows(&one), Ok(()));
-        let gone = next.changes.get(&GROUP).is_some_and(|change| change.step == Step::Forgotten);
+        let gone = next
+            .changes
+            .get(&GROUP)
+            .is_some_and(|change| change.step == Step::Forgotten);
         for sender in [&one, &next] {
             let [old, new, _] = all(sender);
-            assert!(!gone || old == Candidates::Never, "an old statement where its schema may go");
-            assert_ne!(new, Candidates::All, "a new statement at a member that may not have it");
+            assert!(
+                !gone || old == Candidates::Never,
+                "an old statement where its schema may go"
+            );
+            assert_ne!(
+                new,
+                Candidates::All,
+                "a new statement at a member that may not have it"
+            );
         }
     }
 }
@@ -85,16 +136,40 @@
         (&new_only, &forgotten),
         (&none, &both),
     ] {
-        assert!(matches!(next.follows(before), Err(BadCatalog::Steps { .. })), "{next:?} after {before:?}");
+        assert!(
+            matches!(next.follows(before), Err(BadCatalog::Steps { .. })),
+            "{next:?} after {before:?}"
+        );
     }
-    assert_eq!(at(Step::NewOnly, None).follows(&both), Err(BadCatalog::Position(GROUP)));
+    assert_eq!(
+        at(Step::NewOnly, None).follows(&both),
+        Err(BadCatalog::Position(GROUP))
+    );
     let mut done = none.clone();
     done.schemas.insert(GROUP, 5);
     assert_eq!(done.follows(&forgotten), Ok(()));
-    assert!(matches!(done.follows(&new_only), Err(BadCatalog::Schema { .. })));
-    assert!(matches!(done.follows(&none), Err(BadCatalog::Schema { .. })), "without any step");
-    let many = (0..=SHAPES_EACH as u64).map(|shape| (shape, known(0, None))).collect();
-    assert!(matches!(Catalog { shapes: many, ..none.clone() }.follows(&none), Err(BadCatalog::TooMany(_))));
+    assert!(matches!(
+        done.follows(&new_only),
+        Err(BadCatalog::Schema { .. })
+    ));
+    assert!(
+        matches!(done.follows(&none), Err(BadCatalog::Schema { .. })),
+        "without any step"
+    );
+    let many = (0..=SHAPES_EACH as u64)
+        .map(|shape| (shape, known(0, None)))
+        .collect();
+    assert!(matches!(
+        Catalog {
+            shapes: many,
+            ..none.clone()
+        }
+        .follows(&none),
+        Err(BadCatalog::TooMany(_))
+    ));
     assert_eq!(Catalog::read(&both.write()), Ok(both));
-    assert!(matches!(Catalog::read(b"{"), Err(BadCatalog::Unreadable(_))));
+    assert!(matches!(
+        Catalog::read(b"{"),
+        Err(BadCatalog::Unreadable(_))
+    ));
 }
--- a/src/watch.rs
+++ b/src/watch.rs
@@ -38,7 +38,12 @@
 impl Watch {
     /// A watch that is called for now.
     pub fn call(now: Micros) -> Watch {
-        Watch { latest: Received::default(), heard_at: now, moved_at: now, list_began_at: now }
+        Watch {
+            latest: Received::default(),
+            heard_at: now,
+            moved_at: now,
+            list_began_at: now,
+        }
     }
 
     /// Bytes came; this is what all of them make.
@@ -84,7 +89,13 @@
     /// What is lost with it where it is given up now, and since when.
     pub fn given_up(self, now: Micros) -> (ListLoss, Micros) {
         let unheard = now.saturating_sub(self.heard_at);
-        (ListLoss { unheard, cut: self.latest.within_list }, self.heard_at)
+        (
+            ListLoss {
+                unheard,
+                cut: self.latest.within_list,
+            },
+            self.heard_at,
+        )
     }
 }
 
--- a/src/watch/tests.rs
+++ b/src/watch/tests.rs
@@ -3,7 +3,11 @@
 const SECOND: Micros = 1_000_000;
 
 fn received(within_list: bool, solid: u64) -> Received {
-    Received { answered: true, within_list, solid }
+    Received {
+        answered: true,
+        within_list,
+        solid,
+    }
 }
 
 #[test]
@@ -26,7 +30,11 @@
         assert_eq!(watch.broken_at(), beat * 2 * SECOND + SILENCE);
     }
     assert_eq!(watch.ended(19 * SECOND).0, ListLoss::after(0));
-    assert_eq!(watch.given_up(21 * SECOND).0, ListLoss::after(3 * SECOND), "it fell silent");
+    assert_eq!(
+        watch.given_up(21 * SECOND).0,
+        ListLoss::after(3 * SECOND),
+        "it fell silent"
+    );
 }
 
 #[test]
@@ -39,9 +47,19 @@
     }
     assert_eq!(watch.broken_at(), 2 * SECOND + SILENCE);
     assert_eq!(watch.heard_at(), SECOND);
-    assert_eq!(watch.ended(4 * SECOND).0, ListLoss { unheard: 3 * SECOND, cut: true });
+    assert_eq!(
+        watch.ended(4 * SECOND).0,
+        ListLoss {
+            unheard: 3 * SECOND,
+            cut: true
+        }
+    );
     watch.receive(4 * SECOND, received(false, 70));
-    assert_eq!(watch.ended(4 * SECOND).0, ListLoss::after(0), "it came whole after all");
+    assert_eq!(
+        watch.ended(4 * SECOND).0,
+        ListLoss::after(0),
+        "it came whole after all"
+    );
 }
 
 #[test]
--- a/tests/cells_fronts.rs
+++ b/tests/cells_fronts.rs
@@ -14,12 +14,23 @@
 const PATIENCE: Duration = Duration::from_secs(30);
 
 fn home(cell: u16, epoch: u64) -> Home {
-    Home { cell: CellId(cell), epoch: Epoch(epoch), held: false, settling: false }
+    Home {
+        cell: CellId(cell),
+        epoch: Epoch(epoch),
+        held: false,
+        settling: false,
+    }
 }
 
 fn published(epoch: u64, homes: &[(&str, Home)]) -> Vec<u8> {
-    let cell = |name: &str, group| Cell { name: name.into(), groups: vec![group] };
-    let homes = homes.iter().map(|(name, home)| ((*name).to_owned(), *home)).collect();
+    let cell = |name: &str, group| Cell {
+        name: name.into(),
+        groups: vec![group],
+    };
+    let homes = homes
+        .iter()
+        .map(|(name, home)| ((*name).to_owned(), *home))
+        .collect();
     let cells = vec![cell("one", 0), cell("two", 1)];
     let whole = Published {
         epoch: Epoch(epoch),
@@ -42,12 +53,21 @@
 
 impl Scene {
     fn start(extra: &str) -> Scene {
-        let fleet = Fleet::start(Shape { groups: 2, ..Shape::default() }).expect("a fleet");
+        let fleet = Fleet::start(Shape {
+            groups: 2,
+            ..Shape::default()
+        })
+        .expect("a fleet");
         let folder = tempfile::tempdir().expect("a folder");
         let placement = folder.path().join("placement");
-        std::fs::write(&placement, published(1, &[("a", home(0, 1)), ("b", home(1, 1))])).expect("written");
+        std::fs::write(
+            &placement,
+            published(1, &[("a", home(0, 1)), ("b", home(1, 1))]),
+        )
+        .expect("written");
         let shown = placement.display();
-        let plan = Plan::beside(&fleet, 0, env!("CARGO_BIN_EXE_asterreel").into()).expect("free ports");
+        let plan =
+            Plan::beside(&fleet, 0, env!("CARGO_BIN_EXE_asterreel").into()).expect("free ports");
         let plan = Plan {
             extra: format!(
                 "notify = False)\ncells(placement = '{shown}', who = ['user'], reread_ms = 50, {extra}"
@@ -57,8 +77,18 @@
         };
         let gateway = Gateway::start(&plan).expect("started");
         let up = |line: &serde_json::Value| line["scope"] == "gateway" && line["state"] == "Up";
-        assert!(gateway.logged(0, PATIENCE, up).is_some(), "it never came up: {:?}", gateway.log());
-        Scene { fleet, gateway, client: plan.client, placement, _folder: folder }
+        assert!(
+            gateway.logged(0, PATIENCE, up).is_some(),
+            "it never came up: {:?}",
+            gateway.log()
+        );
+        Scene {
+            fleet,
+            gateway,
+            client: plan.client,
+            placement,
+            _folder: folder,
+        }
     }
 
     fn publish(&self, bytes: &[u8]) {
@@ -71,8 +101,11 @@
     /// The groups that took the writes of these ids.
     fn groups(&self, prefix: &str) -> Vec<usize> {
         let taken = self.fleet.taken();
-        let mut groups: Vec<usize> =
-            taken.iter().filter(|taken| taken.id.starts_with(prefix)).map(|taken| taken.member / 3).collect();
+        let mut groups: Vec<usize> = taken
+            .iter()
+            .filter(|taken| taken.id.starts_with(prefix))
+            .map(|taken| taken.member / 3)
+            .collect();
         groups.dedup();
         groups
     }
@@ -87,7 +120,10 @@
         let mut client = Client(stream);
         let words = format!("user\0{user}\0database\0orders\0\0");
         let length = (words.len() as u32 + 8).to_be_bytes();
-        client.0.write_all(&[&length[..], &[0, 3, 0, 0], words.as_bytes()].concat()).expect("sent");
+        client
+            .0
+            .write_all(&[&length[..], &[0, 3, 0, 0], words.as_bytes()].concat())
+            .expect("sent");
         client.answer();
         client
     }
@@ -102,7 +138,9 @@
             match tag[0] {
                 b'E' => {
                     let mut fields = body.split(|byte| *byte == 0);
-                    let field = fields.find(|field| field.starts_with(b"C")).expect("a code");
+                    let field = fields
+                        .find(|field| field.starts_with(b"C"))
+                        .expect("a code");
                     code = Some(String::from_utf8_lossy(&field[1..]).into_owned());
                 }
                 b'Z' => return code,
@@ -119,7 +157,9 @@
                 "SELECT payload FROM entries WHERE ref = '{id}' /* id={id},c=search,d=1200,cluster=0 */\0"
             )
         };
-        self.0.write_all(&message(b'Q', text.as_bytes())).expect("sent");
+        self.0
+            .write_all(&message(b'Q', text.as_bytes()))
+            .expect("sent");
         self.answer()
     }
 }
@@ -127,7 +167,10 @@
 #[test]
 fn tenants_write_to_their_own_cell_also_over_a_connection_that_is_kept_across_a_move() {
     let scene = Scene::start("");
-    let (mut a, mut b) = (Client::connect(scene.client, "a"), Client::connect(scene.client, "b"));
+    let (mut a, mut b) = (
+        Client::connect(scene.client, "a"),
+        Client::connect(scene.client, "b"),
+    );
     for round in 0..10 {
         assert_eq!(a.ask(&format!("a{round}"), true), None);
         assert_eq!(b.ask(&format!("b{round}"), true), None);
@@ -138,7 +181,10 @@
     assert_eq!(scene.groups("a"), [0]);
 
     // Held: writes are refused, to come again; reads go on.
-    let held = Home { held: true, ..home(0, 2) };
+    let held = Home {
+        held: true,
+        ..home(0, 2)
+    };
     scene.publish(&published(2, &[("a", held), ("b", home(1, 1))]));
     let began = Instant::now();
     while a.ask(&format!("h{}", began.elapsed().as_nanos()), true) != Some("53300".into()) {
@@ -148,7 +194,10 @@
     // Moved, and what is cut short or older changes nothing.
     let moved = published(3, &[("a", home(1, 3)), ("b", home(1, 1))]);
     scene.publish(&moved);
-    while a.ask(&format!("m{}", began.elapsed().as_nanos()), true).is_some() {
+    while a
+        .ask(&format!("m{}", began.elapsed().as_nanos()), true)
+        .is_some()
+    {
         assert!(began.elapsed() < PATIENCE);
     }
     assert_eq!(scene.groups("m"), [1]);
@@ -158,9 +207,15 @@
     ] {
         let from = scene.gateway.log().len();
         scene.publish(bytes);
-        let warned =
-            |line: &serde_json::Value| line["message"].as_str().is_some_and(|text| text.contains(word));
-        assert!(scene.gateway.logged(from, PATIENCE, warned).is_some(), "{word}");
+        let warned = |line: &serde_json::Value| {
+            line["message"]
+                .as_str()
+                .is_some_and(|text| text.contains(word))
+        };
+        assert!(
+            scene.gateway.logged(from, PATIENCE, warned).is_some(),
+            "{word}"
+        );
         assert_eq!(a.ask(&format!("n{word}"), true), None);
     }
     assert_eq!(scene.groups("n"), [1]);
@@ -169,7 +224,10 @@
 #[test]
 fn a_cell_that_loses_all_its_members_fails_its_own_promptly_and_spills_nowhere() {
     let scene = Scene::start("");
-    let (mut a, mut b) = (Client::connect(scene.client, "a"), Client::connect(scene.client, "b"));
+    let (mut a, mut b) = (
+        Client::connect(scene.client, "a"),
+        Client::connect(scene.client, "b"),
+    );
     assert_eq!((a.ask("a0", true), b.ask("b0", true)), (None, None));
     for member in 0..3 {
         scene.fleet.crash(member);
@@ -179,7 +237,10 @@
     loop {
         let asked = Instant::now();
         let code = a.ask(&format!("l{}", began.elapsed().as_nanos()), false);
-        assert!(code.is_some() && asked.elapsed() < Duration::from_secs(4), "never after its deadline");
+        assert!(
+            code.is_some() && asked.elapsed() < Duration::from_secs(4),
+            "never after its deadline"
+        );
         if asked.elapsed() < Duration::from_millis(100) {
             break;
         }
@@ -188,7 +249,10 @@
     let mut took = Vec::new();
     for number in 0..20 {
         let asked = Instant::now();
-        assert_eq!(a.ask(&format!("l{number}"), number % 2 == 0).as_deref(), Some("53300"));
+        assert_eq!(
+            a.ask(&format!("l{number}"), number % 2 == 0).as_deref(),
+            Some("53300")
+        );
         took.push(asked.elapsed());
         assert_eq!(b.ask(&format!("b{}", number + 1), true), None);
     }
@@ -198,7 +262,10 @@
     // One of them back: the cell serves again.
     scene.fleet.restart(1);
     let began = Instant::now();
-    while a.ask(&format!("r{}", began.elapsed().as_nanos()), false).is_some() {
+    while a
+        .ask(&format!("r{}", began.elapsed().as_nanos()), false)
+        .is_some()
+    {
         assert!(began.elapsed() < PATIENCE);
         std::thread::sleep(Duration::from_millis(20));
     }
@@ -207,17 +274,28 @@
 #[test]
 fn who_is_nobody_is_told_so_and_a_cell_at_its_bounds_refuses_its_own_only() {
     let scene = Scene::start("bounds = {'one': bounds(bytes = 40)},");
-    let (mut a, mut b) = (Client::connect(scene.client, "a"), Client::connect(scene.client, "b"));
-    assert_eq!((a.ask("a0", false).as_deref(), b.ask("b0", false)), (Some("53300"), None));
+    let (mut a, mut b) = (
+        Client::connect(scene.client, "a"),
+        Client::connect(scene.client, "b"),
+    );
+    assert_eq!(
+        (a.ask("a0", false).as_deref(), b.ask("b0", false)),
+        (Some("53300"), None)
+    );
     let mut nobody = Client::connect(scene.client, "no name");
     assert_eq!(nobody.ask("x0", false).as_deref(), Some("28000"));
 }
 
 fn asterreel(arguments: &[&str]) -> (Option<i32>, String) {
-    let output = std::process::Command::new(env!("CARGO_BIN_EXE_asterreel")).args(arguments).output();
+    let output = std::process::Command::new(env!("CARGO_BIN_EXE_asterreel"))
+        .args(arguments)
+        .output();
     let output = output.expect("it runs");
     let text = [output.stdout, output.stderr].concat();
-    (output.status.code(), String::from_utf8_lossy(&text).into_owned())
+    (
+        output.status.code(),
+        String::from_utf8_lossy(&text).into_owned(),
+    )
 }
 
 #[test]
@@ -228,19 +306,37 @@
     let example = include_str!("../examples/placement.json");
     std::fs::write(&source, example).expect("written");
     let (code, text) = asterreel(&["cells", "plan", &source]);
-    assert!(code == Some(0) && text.contains("cell alpine: groups [0]"), "{text}");
-    assert_eq!(asterreel(&["cells", "publish", &source, &target]).0, Some(0));
+    assert!(
+        code == Some(0) && text.contains("cell alpine: groups [0]"),
+        "{text}"
+    );
+    assert_eq!(
+        asterreel(&["cells", "publish", &source, &target]).0,
+        Some(0)
+    );
     let (code, text) = asterreel(&["cells", "where", &target, "web"]);
-    assert!(code == Some(0) && text.contains("web: cell alpine, groups 0, epoch 1"), "{text}");
+    assert!(
+        code == Some(0) && text.contains("web: cell alpine, groups 0, epoch 1"),
+        "{text}"
+    );
     let (code, text) = asterreel(&["cells", "publish", &source, &target]);
-    assert!(code == Some(1) && text.contains("epoch 1 does not follow 1"), "{text}");
+    assert!(
+        code == Some(1) && text.contains("epoch 1 does not follow 1"),
+        "{text}"
+    );
     std::fs::write(&source, example.replace("\"epoch\": 1,", "\"epoch\": 2,")).expect("written");
-    assert_eq!(asterreel(&["cells", "publish", &source, &target]).0, Some(0));
+    assert_eq!(
+        asterreel(&["cells", "publish", &source, &target]).0,
+        Some(0)
+    );
     let left = std::fs::read_dir(folder.path()).expect("read").count();
     assert_eq!(left, 2, "nothing half is left behind");
     std::fs::write(&source, example.replace("\"spread\": 1", "\"spread\": 2")).expect("written");
     let (code, text) = asterreel(&["cells", "plan", &source]);
-    assert!(code == Some(1) && text.contains("cells[0]") && text.contains("spread is 2"), "{text}");
+    assert!(
+        code == Some(1) && text.contains("cells[0]") && text.contains("spread is 2"),
+        "{text}"
+    );
     std::fs::write(&source, example.replace("\"order\"", "\"ordr\"")).expect("written");
     let (code, text) = asterreel(&["cells", "plan", &source]);
     assert!(code == Some(1) && text.contains("order"), "{text}");
--- a/tests/cells_model.rs
+++ b/tests/cells_model.rs
@@ -9,7 +9,12 @@
 const SOURCE: CellId = CellId(0);
 const TARGET: CellId = CellId(1);
 const TENANT: &str = "t";
-const TIMES: Times = Times { lease: 2, drift: 1, hold: 5, settle: 1 };
+const TIMES: Times = Times {
+    lease: 2,
+    drift: 1,
+    hold: 5,
+    settle: 1,
+};
 
 /// What is explored, and which safeguard is taken out.
 #[derive(Clone, Copy)]
@@ -85,15 +90,18 @@
     }
 
     fn owe(&mut self, actions: Vec<Action>) {
-        self.todo.extend(actions.into_iter().map(|action| match action {
-            Action::Record(record) => Deed::Record(record),
-            Action::Prepare => Deed::Prepare,
-            Action::Publish(home) => Deed::Publish(home.cell, home.epoch, home.held, home.settling),
-            Action::Fence(cell) => Deed::Fence(cell),
-            Action::Unfence(cell, epoch) => Deed::Unfence(cell, epoch),
-            Action::CatchUp => Deed::CatchUp,
-            Action::Finished(_) => Deed::Finished,
-        }));
+        self.todo
+            .extend(actions.into_iter().map(|action| match action {
+                Action::Record(record) => Deed::Record(record),
+                Action::Prepare => Deed::Prepare,
+                Action::Publish(home) => {
+                    Deed::Publish(home.cell, home.epoch, home.held, home.settling)
+                }
+                Action::Fence(cell) => Deed::Fence(cell),
+                Action::Unfence(cell, epoch) => Deed::Unfence(cell, epoch),
+                Action::CatchUp => Deed::CatchUp,
+                Action::Finished(_) => Deed::Finished,
+            }));
     }
 
     fn deed(&mut self, fence: bool) {
@@ -105,7 +113,12 @@
             }
             Deed::Prepare => self.tell(Event::Prepared),
             Deed::Publish(cell, epoch, held, settling) => {
-                self.published = Home { cell, epoch, held, settling };
+                self.published = Home {
+                    cell,
+                    epoch,
+                    held,
+                    settling,
+                };
                 self.tell(Event::Published(epoch));
             }
             Deed::Fence(cell) => {
@@ -129,7 +142,9 @@
     }
 
     fn arrive(&mut self, gateway: usize) {
-        let Some((cell, epoch)) = self.gateways[gateway].air.take() else { return };
+        let Some((cell, epoch)) = self.gateways[gateway].air.take() else {
+            return;
+        };
         let taken = self.takes[usize::from(cell.0)].is_some_and(|from| epoch >= from);
         let moving = self.record.as_ref().map(|record| record.step);
         let gone = matches!(moving, Some(Step::CutOver | Step::Settling | Step::Placed));
@@ -151,8 +166,17 @@
     type Action = Do;
 
     fn init_states(&self) -> Vec<World> {
-        let home = Home { cell: SOURCE, epoch: Epoch(1), held: false, settling: false };
-        let gateway = Gateway { holder: Holder::default(), home: None, air: None };
+        let home = Home {
+            cell: SOURCE,
+            epoch: Epoch(1),
+            held: false,
+            settling: false,
+        };
+        let gateway = Gateway {
+            holder: Holder::default(),
+            home: None,
+            air: None,
+        };
         let mut world = World {
             now: 1,
             mover: None,
@@ -169,7 +193,14 @@
             losses: 0,
         };
         let mut actions = Vec::new();
-        let begun = Move::begin(TENANT, (SOURCE, TARGET), Epoch(1), TIMES, world.now, &mut actions);
+        let begun = Move::begin(
+            TENANT,
+            (SOURCE, TARGET),
+            Epoch(1),
+            TIMES,
+            world.now,
+            &mut actions,
+        );
         world.mover = Some(begun.expect("two cells"));
         world.owe(actions);
         vec![world]
@@ -200,7 +231,9 @@
             _ => {}
         }
         for (number, gateway) in world.gateways.iter().enumerate() {
-            if gateway.home != Some(world.published) || gateway.holder.overdue(world.gateways_now() + 1) > 0 {
+            if gateway.home != Some(world.published)
+                || gateway.holder.overdue(world.gateways_now() + 1) > 0
+            {
                 actions.push(Do::Fetch(number, true));
                 if world.losses < self.losses {
                     actions.push(Do::Fetch(number, false));
@@ -209,7 +242,9 @@
             let now = world.gateways_now();
             match (gateway.air, &gateway.home) {
                 (Some(_), _) => actions.push(Do::Arrive(number)),
-                (None, Some(home)) if gateway.holder.may_write(now, home) => actions.push(Do::Decide(number)),
+                (None, Some(home)) if gateway.holder.may_write(now, home) => {
+                    actions.push(Do::Decide(number))
+                }
                 (None, Some(home))
                     if home.held && gateway.holder.clone().may_acknowledge(now, TENANT, home) =>
                 {
@@ -247,9 +282,16 @@
             }
             Do::Fetch(number, arrives) => {
                 let (asked, home) = (world.gateways_now(), world.published);
-                world.tell(Event::Leased(GatewayId(number as u16), world.now + TIMES.lease + TIMES.drift));
+                world.tell(Event::Leased(
+                    GatewayId(number as u16),
+                    world.now + TIMES.lease + TIMES.drift,
+                ));
                 world.losses += u8::from(!arrives);
-                if arrives && world.gateways[number].holder.learned(asked, &TIMES, home.epoch) {
+                if arrives
+                    && world.gateways[number]
+                        .holder
+                        .learned(asked, &TIMES, home.epoch)
+                {
                     world.gateways[number].home = Some(home);
                 }
             }
@@ -263,14 +305,19 @@
             Do::Acknowledge(number, arrives) => {
                 let (now, home) = (world.gateways_now(), world.gateways[number].home?);
                 world.losses += u8::from(!arrives);
-                if world.gateways[number].holder.may_acknowledge(now, TENANT, &home) && arrives {
+                if world.gateways[number]
+                    .holder
+                    .may_acknowledge(now, TENANT, &home)
+                    && arrives
+                {
                     world.tell(Event::Acknowledged(GatewayId(number as u16), home.epoch));
                 }
             }
             Do::CrashGateway(number) => {
                 // What it had on the way may still arrive.
                 world.crashes += 1;
-                (world.gateways[number].holder, world.gateways[number].home) = (Holder::default(), None);
+                (world.gateways[number].holder, world.gateways[number].home) =
+                    (Holder::default(), None);
             }
         }
         (world != *before).then_some(world)
@@ -278,14 +325,18 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no write to two cells and none lost", |_, world: &World| world.wrong.is_none()),
+            Property::always("no write to two cells and none lost", |_, world: &World| {
+                world.wrong.is_none()
+            }),
             Property::sometimes("a move is completed", |_, world: &World| {
                 world.finished && world.published.cell == TARGET
             }),
             Property::sometimes("a move is aborted", |_, world: &World| {
                 world.finished && world.published.cell == SOURCE
             }),
-            Property::sometimes("the target is written", |_, world: &World| world.target_wrote),
+            Property::sometimes("the target is written", |_, world: &World| {
+                world.target_wrote
+            }),
         ]
     }
 }
@@ -293,39 +344,73 @@
 fn explore(explored: Explored) -> (usize, Vec<&'static str>) {
     let checker = explored.checker().threads(8).spawn_bfs().join();
     let found: Vec<&'static str> = checker.discoveries().into_keys().collect();
-    println!("{} states, {} unique, found {found:?}", checker.state_count(), checker.unique_state_count());
+    println!(
+        "{} states, {} unique, found {found:?}",
+        checker.state_count(),
+        checker.unique_state_count()
+    );
     (checker.unique_state_count(), found)
 }
 
 fn is_safe(explored: Explored) -> usize {
     let (states, found) = explore(explored);
     assert!(!found.contains(&"no write to two cells and none lost"));
-    assert!(found.contains(&"a move is completed") && found.contains(&"the target is written"), "{found:?}");
+    assert!(
+        found.contains(&"a move is completed") && found.contains(&"the target is written"),
+        "{found:?}"
+    );
     assert_eq!(found.contains(&"a move is aborted"), explored.aborts);
     states
 }
 
 /// Exhaustive, within its bounds.
-const QUICK: Explored = Explored { fence: true, ticks: 5, crashes: 0, losses: 0, aborts: false };
+const QUICK: Explored = Explored {
+    fence: true,
+    ticks: 5,
+    crashes: 0,
+    losses: 0,
+    aborts: false,
+};
 
 #[test]
 fn no_interleaving_writes_a_tenant_to_two_cells_or_loses_a_write() {
     let states = is_safe(QUICK);
-    assert!(states > 10_000, "{states} states are too few to mean anything");
-    is_safe(Explored { aborts: true, ..QUICK });
+    assert!(
+        states > 10_000,
+        "{states} states are too few to mean anything"
+    );
+    is_safe(Explored {
+        aborts: true,
+        ..QUICK
+    });
     is_safe(Explored { losses: 1, ..QUICK });
-    is_safe(Explored { crashes: 1, ..QUICK });
+    is_safe(Explored {
+        crashes: 1,
+        ..QUICK
+    });
 }
 
 /// The command of docs/measurements/cells-model.md.
 #[test]
 #[ignore = "a measurement: cargo test --release --test cells_model -- --ignored --nocapture"]
 fn the_same_with_all_of_it_at_once() {
-    is_safe(Explored { ticks: 6, crashes: 1, losses: 1, aborts: true, ..QUICK });
+    is_safe(Explored {
+        ticks: 6,
+        crashes: 1,
+        losses: 1,
+        aborts: true,
+        ..QUICK
+    });
 }
 
 #[test]
 fn without_the_fence_a_paused_gateway_is_caught_writing_where_it_must_not() {
-    let (_, found) = explore(Explored { fence: false, ..QUICK });
-    assert!(found.contains(&"no write to two cells and none lost"), "{found:?}");
+    let (_, found) = explore(Explored {
+        fence: false,
+        ..QUICK
+    });
+    assert!(
+        found.contains(&"no write to two cells and none lost"),
+        "{found:?}"
+    );
 }
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -26,15 +26,23 @@
         move |cluster: &Cluster| {
             let own = cluster.history();
             let seats = own.iter().filter(|line| line.gateway == gateway);
-            let last =
-                seats.filter_map(|line| line.fields["message"].as_str()).rfind(|m| m.starts_with("seat: "));
+            let last = seats
+                .filter_map(|line| line.fields["message"].as_str())
+                .rfind(|m| m.starts_with("seat: "));
             last.is_some_and(|message| message.starts_with("seat: stopped"))
         }
     };
     for gateway in [1, 2] {
-        assert!(cluster.wait(LONG, stopped(gateway)).is_some(), "gateway {gateway} goes on without the log");
+        assert!(
+            cluster.wait(LONG, stopped(gateway)).is_some(),
+            "gateway {gateway} goes on without the log"
+        );
     }
-    let moved = |cluster: &Cluster| cluster.in_force()[2..].iter().all(|number| *number > before);
+    let moved = |cluster: &Cluster| {
+        cluster.in_force()[2..]
+            .iter()
+            .all(|number| *number > before)
+    };
     let mut offered = false;
     for by in [2, 3, 4, 2, 3, 4] {
         cluster.offer(by, None).expect("offered");
@@ -43,8 +51,16 @@
             break;
         }
     }
-    assert!(offered, "three of five agree on a version: {:?}", cluster.in_force());
-    assert_eq!(cluster.in_force()[..2], [before, before], "and the others have not heard of it");
+    assert!(
+        offered,
+        "three of five agree on a version: {:?}",
+        cluster.in_force()
+    );
+    assert_eq!(
+        cluster.in_force()[..2],
+        [before, before],
+        "and the others have not heard of it"
+    );
     cluster.heal();
     assert!(
         cluster.agree(LONG).expect("played").is_some(),
@@ -63,12 +79,20 @@
     cluster.offer(0, Some(4)).expect("offered");
     let refused = |cluster: &Cluster| {
         let history = cluster.history();
-        let refusals = history.iter().filter(|line| line.fields["message"] == "version: refused");
+        let refusals = history
+            .iter()
+            .filter(|line| line.fields["message"] == "version: refused");
         refusals.filter(|line| line.fields["by"] == 5).count() >= 5
     };
-    assert!(cluster.wait(LONG, refused).is_some(), "each gateway hears who refused it");
+    assert!(
+        cluster.wait(LONG, refused).is_some(),
+        "each gateway hears who refused it"
+    );
     assert_eq!(cluster.in_force(), before);
-    assert!(cluster.agree(LONG).expect("played").is_some(), "a good one is taken");
+    assert!(
+        cluster.agree(LONG).expect("played").is_some(),
+        "a good one is taken"
+    );
     no_violation(&cluster);
 }
 
@@ -76,8 +100,13 @@
 #[test]
 fn clients_that_come_back_together_are_admitted_at_the_fleets_pace() {
     let _alone = alone();
-    let mut cluster = Cluster::start_with(program(), 3, 3, "readmission(sessions_per_s = 90, burst = 5)\n")
-        .expect("started");
+    let mut cluster = Cluster::start_with(
+        program(),
+        3,
+        3,
+        "readmission(sessions_per_s = 90, burst = 5)\n",
+    )
+    .expect("started");
     assert!(cluster.agree(LONG).expect("played").is_some());
     cluster.kill(0);
     // Two are left once the dead one's seat is taken away: each admits 45 a second.
@@ -87,11 +116,17 @@
     admitted.sort_unstable();
     assert_eq!(admitted.len(), 200, "everybody comes in");
     for (n, at) in admitted.iter().enumerate() {
-        let within = admitted[n..].iter().take_while(|other| **other < at + 1_000_000).count();
+        let within = admitted[n..]
+            .iter()
+            .take_while(|other| **other < at + 1_000_000)
+            .count();
         // The part, the burst, and a tenth for the client's own way.
         assert!(within <= 55, "{within} in a second");
     }
-    assert!(storm.refused >= 150 && storm.told, "each refusal says when to come again");
+    assert!(
+        storm.refused >= 150 && storm.told,
+        "each refusal says when to come again"
+    );
     no_violation(&cluster);
 }
 
@@ -101,9 +136,17 @@
     let mut cluster = agreed(3, 3);
     cluster.signal(0, Signal::SIGSTOP);
     // A version that all others act on without its verdict: its seat is taken away by then.
-    assert!(cluster.agree_without(LONG, 0).expect("played").is_some(), "{:?}", cluster.in_force());
+    assert!(
+        cluster.agree_without(LONG, 0).expect("played").is_some(),
+        "{:?}",
+        cluster.in_force()
+    );
     cluster.signal(0, Signal::SIGCONT);
-    assert!(cluster.agree(LONG).expect("played").is_some(), "it comes back: {:?}", cluster.in_force());
+    assert!(
+        cluster.agree(LONG).expect("played").is_some(),
+        "it comes back: {:?}",
+        cluster.in_force()
+    );
     no_violation(&cluster);
 }
 
@@ -114,7 +157,11 @@
     for voter in [0, 1] {
         cluster.wipe(voter).expect("wiped");
         cluster.revive(voter).expect("started");
-        assert!(cluster.agree(LONG).expect("played").is_some(), "{:?}", cluster.in_force());
+        assert!(
+            cluster.agree(LONG).expect("played").is_some(),
+            "{:?}",
+            cluster.in_force()
+        );
     }
     no_violation(&cluster);
 }
@@ -126,8 +173,15 @@
     let before = cluster.in_force()[0];
     (0..3).for_each(|gateway| cluster.kill(gateway));
     (0..3).for_each(|gateway| cluster.revive(gateway).expect("started"));
-    assert!(cluster.agree(LONG).expect("played").is_some(), "{:?}", cluster.in_force());
-    assert!(cluster.in_force()[0] > before, "its versions are numbered on");
+    assert!(
+        cluster.agree(LONG).expect("played").is_some(),
+        "{:?}",
+        cluster.in_force()
+    );
+    assert!(
+        cluster.in_force()[0] > before,
+        "its versions are numbered on"
+    );
     no_violation(&cluster);
 }
 
@@ -137,6 +191,9 @@
     for (seed, gateways) in [(1, 5), (2, 3)] {
         let found = play(program(), seed, gateways, Duration::from_secs(10)).expect("played");
         assert_eq!(found.violations, Vec::<String>::new(), "seed {seed}");
-        assert!(found.faults > 10 && found.versions > 1, "seed {seed}: {found:?}");
+        assert!(
+            found.faults > 10 && found.versions > 1,
+            "seed {seed}: {found:?}"
+        );
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -27,7 +27,10 @@
 }
 
 pub fn settings() -> Settings {
-    let keyed = Effect::Keyed { scope: Scope::Group, window: 5_000 * MS };
+    let keyed = Effect::Keyed {
+        scope: Scope::Group,
+        window: 5_000 * MS,
+    };
     Settings {
         classes: vec![
             class(Effect::Unsafe, 0.3),
@@ -76,7 +79,12 @@
 /// The same, where any-reads are long beside the rest.
 pub fn reports() -> Settings {
     let mut settings = settings();
-    for (number, class) in settings.classes.iter_mut().enumerate().filter(|(number, _)| *number != ANY) {
+    for (number, class) in settings
+        .classes
+        .iter_mut()
+        .enumerate()
+        .filter(|(number, _)| *number != ANY)
+    {
         class.aim = if number == BOUNDED { 40 * MS } else { 100 * MS };
     }
     settings
@@ -102,7 +110,10 @@
 }
 
 pub fn note(role: Role, position: Micros) -> Note {
-    Note { role: Some(role), position: Some(position) }
+    Note {
+        role: Some(role),
+        position: Some(position),
+    }
 }
 
 impl Front {
@@ -115,7 +126,11 @@
     pub fn listing(settings: Settings, members: u32, seed: u64) -> (Front, Vec<Action>) {
         let seed = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15);
         let router = Router::new(settings, seed, START).expect("good settings");
-        let mut front = Front { router, now: START, next: 0 };
+        let mut front = Front {
+            router,
+            now: START,
+            next: 0,
+        };
         let list = (0..members).map(|m| entry(m, EntryState::On, 0)).collect();
         let actions = front.event(Event::Listed(ListKind::WarmCopy, list));
         (front, actions)
@@ -199,19 +214,40 @@
         (request, actions)
     }
 
-    pub fn ends(&mut self, request: RequestId, attempt: u32, outcome: Outcome, note: Note) -> Vec<Action> {
-        self.event(Event::Ended(ended(request, attempt, outcome, 50 * MS, note)))
+    pub fn ends(
+        &mut self,
+        request: RequestId,
+        attempt: u32,
+        outcome: Outcome,
+        note: Note,
+    ) -> Vec<Action> {
+        self.event(Event::Ended(ended(
+            request,
+            attempt,
+            outcome,
+            50 * MS,
+            note,
+        )))
     }
 
     /// A first attempt that got no answer in time, and ended its request.
     pub fn times_out(&mut self, request: RequestId, latency: Micros) -> Vec<Action> {
         let late = ended(request, 0, Outcome::TimedOut, latency, Note::default());
-        self.event(Event::Ended(Ended { standing: Standing::Finished, ..late }))
+        self.event(Event::Ended(Ended {
+            standing: Standing::Finished,
+            ..late
+        }))
     }
 }
 
 /// How an attempt ended; being served finishes its request.
-pub fn ended(request: RequestId, attempt: u32, outcome: Outcome, latency: Micros, note: Note) -> Ended {
+pub fn ended(
+    request: RequestId,
+    attempt: u32,
+    outcome: Outcome,
+    latency: Micros,
+    note: Note,
+) -> Ended {
     Ended {
         request,
         attempt: AttemptNo(attempt),
@@ -219,7 +255,11 @@
         latency,
         note,
         report: Note::default(),
-        standing: if outcome == Outcome::Served { Standing::Finished } else { Standing::Owed },
+        standing: if outcome == Outcome::Served {
+            Standing::Finished
+        } else {
+            Standing::Owed
+        },
     }
 }
 
@@ -232,7 +272,9 @@
 }
 
 pub fn refused(actions: &[Action], request: RequestId) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse(id, _) if *id == request))
+    actions
+        .iter()
+        .any(|a| matches!(a, Action::Refuse(id, _) if *id == request))
 }
 
 pub fn failed(actions: &[Action], request: RequestId) -> bool {
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -12,7 +12,10 @@
     let config = parse(EXAMPLE).expect("the example is good");
     assert_eq!((config.name.as_str(), config.sockets), ("example", 1024));
     assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
-    assert_eq!((config.known.members.len(), config.settings.classes.len()), (2, 2));
+    assert_eq!(
+        (config.known.members.len(), config.settings.classes.len()),
+        (2, 2)
+    );
     let told = |name: &str| (name == "RELAY_LISTEN").then(|| "127.0.0.9:1".to_owned());
     let config = Config::parse(EXAMPLE.as_bytes(), told).expect("good");
     assert_eq!(config.listen.to_string(), "127.0.0.9:1");
@@ -21,14 +24,30 @@
 #[test]
 fn a_fault_names_its_key() {
     let cases = [
-        ("\"listen\": \"127.0.0.1:6433\"", "\"listen\": \"here\"", "listen"),
+        (
+            "\"listen\": \"127.0.0.1:6433\"",
+            "\"listen\": \"here\"",
+            "listen",
+        ),
         ("\"discovery\": \"127.0.0.1:8500\",", "", "discovery"),
         ("\"seed\": \"8c", "\"seed\": \"xx", "seed"),
         ("\"sockets\": 1024", "\"sockets\": 3", "limits.sockets"),
-        ("\"sockets\": 1024", "\"sockets\": \"many\"", "limits.sockets"),
-        ("\"ConnectTimeoutUs\": 250000", "\"ConnectTimeoutUs\": 0", "settings.Allowed.ConnectTimeoutUs"),
+        (
+            "\"sockets\": 1024",
+            "\"sockets\": \"many\"",
+            "limits.sockets",
+        ),
+        (
+            "\"ConnectTimeoutUs\": 250000",
+            "\"ConnectTimeoutUs\": 0",
+            "settings.Allowed.ConnectTimeoutUs",
+        ),
         ("\"Name\": \"booking\",", "", "settings.Profiles[1].Name"),
-        ("\"FleetSize\": 1", "\"FleetSize\": -1", "settings.FleetSize"),
+        (
+            "\"FleetSize\": 1",
+            "\"FleetSize\": -1",
+            "settings.FleetSize",
+        ),
         ("\"Checks\": \"none\"", "\"Checks\": \"maybe\"", "settings"),
         ("\"cell\": 0", "\"cell\": true", "known.members[0].cell"),
     ];
@@ -38,7 +57,10 @@
         assert_eq!(fault.key, key, "{fault}");
         assert!(fault.to_string().contains(key));
     }
-    assert_eq!(Config::from_env().expect_err("not set here").key, "RELAY_CONFIG");
+    assert_eq!(
+        Config::from_env().expect_err("not set here").key,
+        "RELAY_CONFIG"
+    );
 }
 
 #[test]
@@ -57,5 +79,8 @@
         assert_eq!(current.discovery.to_string(), discovery);
     }
     let bad = EXAMPLE.replace("127.0.0.1:8500", "nowhere");
-    assert_eq!(current.again(bad.as_bytes(), told).expect_err("bad").key, "discovery");
+    assert_eq!(
+        current.again(bad.as_bytes(), told).expect_err("bad").key,
+        "discovery"
+    );
 }
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -21,13 +21,19 @@
 /// A fleet of such processes, each gateway of which acts on a first version.
 fn agreed(roles: &[Role], times: (u64, u64)) -> Cluster {
     let mut cluster = Cluster::start_as(program(), roles.to_vec(), times, "").expect("started");
-    agree(&mut cluster, if times == LASTING { ELECTIONS } else { LONG });
+    agree(
+        &mut cluster,
+        if times == LASTING { ELECTIONS } else { LONG },
+    );
     cluster
 }
 
 /// What a gateway said of its seat, in order: when, the seat, and whether it may act.
 fn seats(cluster: &Cluster, gateway: usize) -> Vec<(u64, u64, bool)> {
-    let own = cluster.history().into_iter().filter(|line| line.gateway == gateway as u64 + 1);
+    let own = cluster
+        .history()
+        .into_iter()
+        .filter(|line| line.gateway == gateway as u64 + 1);
     let said = own.filter_map(|line| {
         let message = line.fields["message"].as_str()?;
         let at = line.fields["at"].as_u64()?;
@@ -50,19 +56,34 @@
 
 /// Has a leader fall in some way; gateways go on under the seats that they had, and a version comes in force after that.
 fn outlives(cluster: &mut Cluster, served: &[usize], fall: impl FnOnce(&mut Cluster, usize)) {
-    let seated: Vec<_> = served.iter().map(|gateway| seats(cluster, *gateway)).collect();
-    let all_act = seated.iter().all(|said| said.last().is_some_and(|(_, _, acting)| *acting));
+    let seated: Vec<_> = served
+        .iter()
+        .map(|gateway| seats(cluster, *gateway))
+        .collect();
+    let all_act = seated
+        .iter()
+        .all(|said| said.last().is_some_and(|(_, _, acting)| *acting));
     assert!(all_act, "before the fall: {seated:?}");
     let leader = cluster.leader().expect("one leads");
     let at = asterreel_rig::now();
     fall(cluster, leader);
     for (gateway, before) in served.iter().zip(&seated) {
         let kept = cluster.wait(ELECTIONS, renewed(*gateway, at + ON_ITS_WAY_MS * 1_000));
-        assert!(kept.is_some(), "gateway {gateway}: {:?}", seats(cluster, *gateway).last());
+        assert!(
+            kept.is_some(),
+            "gateway {gateway}: {:?}",
+            seats(cluster, *gateway).last()
+        );
         let since = seats(cluster, *gateway);
         let token = before.last().map(|(_, token, _)| *token);
-        let same = since[before.len()..].iter().all(|(_, now, acting)| *acting && Some(*now) == token);
-        assert!(same, "gateway {gateway} has had another seat than {token:?}: {:?}", &since[before.len()..]);
+        let same = since[before.len()..]
+            .iter()
+            .all(|(_, now, acting)| *acting && Some(*now) == token);
+        assert!(
+            same,
+            "gateway {gateway} has had another seat than {token:?}: {:?}",
+            &since[before.len()..]
+        );
     }
     assert_ne!(cluster.leader(), Some(leader), "another leads");
     agree(cluster, ELECTIONS);
@@ -71,14 +92,31 @@
 #[test]
 fn a_gateway_that_no_peer_lists_takes_versions_and_stops_when_it_is_cut_off_from_all_members() {
     let _alone = alone();
-    let mut cluster = agreed(&[Role::Voter, Role::Voter, Role::Voter, Role::Client], SHORT);
+    let mut cluster = agreed(
+        &[Role::Voter, Role::Voter, Role::Voter, Role::Client],
+        SHORT,
+    );
     let served = 3;
     let before = cluster.in_force()[served];
     assert!(before > 0 && seats(&cluster, served).iter().any(|(_, _, acting)| *acting));
     cluster.part(&[served], true);
-    let stopped = |cluster: &Cluster| seats(cluster, served).last().is_some_and(|(_, _, acting)| !acting);
-    assert!(cluster.wait(LONG, stopped).is_some(), "it acts without any member");
-    assert!(cluster.agree_without(LONG, served).expect("played").is_some(), "{:?}", cluster.in_force());
+    let stopped = |cluster: &Cluster| {
+        seats(cluster, served)
+            .last()
+            .is_some_and(|(_, _, acting)| !acting)
+    };
+    assert!(
+        cluster.wait(LONG, stopped).is_some(),
+        "it acts without any member"
+    );
+    assert!(
+        cluster
+            .agree_without(LONG, served)
+            .expect("played")
+            .is_some(),
+        "{:?}",
+        cluster.in_force()
+    );
     assert_eq!(cluster.in_force()[served], before, "it has not heard of it");
     cluster.heal();
     agree(&mut cluster, LONG);
@@ -90,7 +128,11 @@
     let _alone = alone();
     let (member, client) = (Role::Member, Role::Client);
     let mut cluster = agreed(&[member, member, member, client, client], LASTING);
-    assert_eq!(cluster.in_force()[..3], [0, 0, 0], "members act on no version");
+    assert_eq!(
+        cluster.in_force()[..3],
+        [0, 0, 0],
+        "members act on no version"
+    );
     let served = [3, 4];
     // One that is killed, and comes back.
     outlives(&mut cluster, &served, |cluster, leader| {
@@ -116,14 +158,33 @@
 #[test]
 fn a_gateway_that_is_cut_off_from_the_leader_alone_loses_its_right_and_no_other() {
     let _alone = alone();
-    let mut cluster = agreed(&[Role::Voter, Role::Voter, Role::Voter, Role::Client, Role::Listed], SHORT);
+    let mut cluster = agreed(
+        &[
+            Role::Voter,
+            Role::Voter,
+            Role::Voter,
+            Role::Client,
+            Role::Listed,
+        ],
+        SHORT,
+    );
     // It asks the others meanwhile, who send it to the leader again; on a busy machine another may lead by then.
     let stopped = |cluster: &Cluster| {
         cluster.part_two(cluster.leader().expect("one leads"), 3);
-        seats(cluster, 3).last().is_some_and(|(_, _, acting)| !acting)
+        seats(cluster, 3)
+            .last()
+            .is_some_and(|(_, _, acting)| !acting)
     };
-    assert!(cluster.wait(LONG, stopped).is_some(), "{:?}", seats(&cluster, 3).last());
-    assert!(cluster.agree_without(LONG, 3).expect("played").is_some(), "{:?}", cluster.in_force());
+    assert!(
+        cluster.wait(LONG, stopped).is_some(),
+        "{:?}",
+        seats(&cluster, 3).last()
+    );
+    assert!(
+        cluster.agree_without(LONG, 3).expect("played").is_some(),
+        "{:?}",
+        cluster.in_force()
+    );
     cluster.heal();
     agree(&mut cluster, LONG);
     no_violation(&cluster);
@@ -136,10 +197,22 @@
     let peers =
         "peers = [peer(id = 1, address = '127.0.0.1:7101'), peer(id = 2, address = '127.0.0.1:7102'), \
                  peer(id = 3, address = '127.0.0.1:7103')]";
-    std::fs::write(&path, format!("lease(\n  me = 9, client = True, {peers})\n")).expect("written");
+    std::fs::write(
+        &path,
+        format!("lease(\n  me = 9, client = True, {peers})\n"),
+    )
+    .expect("written");
     let mut command = Command::new(program());
-    let ended = command.arg("control").arg("--operator").arg(&path).output().expect("started");
+    let ended = command
+        .arg("control")
+        .arg("--operator")
+        .arg(&path)
+        .output()
+        .expect("started");
     let said = String::from_utf8_lossy(&ended.stderr);
     assert_eq!(ended.status.code(), Some(1), "{said}");
-    assert!(said.contains("lease.me") && said.contains("operator.star:2:3"), "{said}");
+    assert!(
+        said.contains("lease.me") && said.contains("operator.star:2:3"),
+        "{said}"
+    );
 }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -34,7 +34,12 @@
 
     /// How many statements came after a time.
     fn came_after(&self, from: Instant) -> usize {
-        self.came.lock().expect("not poisoned").iter().filter(|at| **at > from).count()
+        self.came
+            .lock()
+            .expect("not poisoned")
+            .iter()
+            .filter(|at| **at > from)
+            .count()
     }
 }
 
@@ -47,11 +52,17 @@
 /// A gateway of the incident's fleet in front of a primary and a replica.
 fn of_the_fleet(databases: [&Watched; 2], discovery: SocketAddr, seed: &str) -> (Gateway, Log) {
     let change = |config: String| {
-        let changed = config.replace("\"FleetSize\": 1", FLEET).replace("8c1f30d27a5be964", seed);
+        let changed = config
+            .replace("\"FleetSize\": 1", FLEET)
+            .replace("8c1f30d27a5be964", seed);
         assert!(changed.contains(FLEET) && changed.contains(seed));
         changed
     };
-    staged(databases.map(|watched| watched.database.address), discovery, change)
+    staged(
+        databases.map(|watched| watched.database.address),
+        discovery,
+        change,
+    )
 }
 
 /// One entry of a list: the replica in this phase.
@@ -87,7 +98,10 @@
     let discovery = listen();
     let place = discovery.local_addr().expect("bound");
     let removed_at = Instant::now();
-    tell_all(discovery, changes(2, &replica_is("gone", replica.database.address)));
+    tell_all(
+        discovery,
+        changes(2, &replica_is("gone", replica.database.address)),
+    );
     let away = Duration::from_secs(4);
     thread::sleep(away);
     let (gateway, _log) = of_the_fleet([&primary, &replica], place, "0000000000000007");
@@ -101,8 +115,14 @@
         thread::sleep(Duration::from_millis(10));
     }
     let late = replica.came_after(binds_at);
-    assert_eq!(late, 0, "requests of {number} came to a member whose removal bound by then");
-    assert!(primary.came_after(removed_at) > 50, "the other member serves meanwhile");
+    assert_eq!(
+        late, 0,
+        "requests of {number} came to a member whose removal bound by then"
+    );
+    assert!(
+        primary.came_after(removed_at) > 50,
+        "the other member serves meanwhile"
+    );
 }
 
 /// What discovery wrote counts as told even where it did not arrive whole: a list that is cut, or that stops while beats go
@@ -124,14 +144,20 @@
         let cut_at = Instant::now();
         call = call_within(&discovery, PATIENCE).expect("a further call");
         let took = cut_at.elapsed();
-        assert!(took < Duration::from_millis(500) + MACHINE, "cut at {cut}: called again after {took:?}");
+        assert!(
+            took < Duration::from_millis(500) + MACHINE,
+            "cut at {cut}: called again after {took:?}"
+        );
     }
     let mut watch = asterreel_rig::database::Watch::begin(call).expect("begun");
     watch.tell(&list[..40]).expect("told");
     let stopped_at = Instant::now();
     while call_within(&discovery, Duration::from_millis(500)).is_none() {
         let _ = watch.tell("\n");
-        assert!(stopped_at.elapsed() < Duration::from_secs(5), "beats keep a watch whose list never ends");
+        assert!(
+            stopped_at.elapsed() < Duration::from_secs(5),
+            "beats keep a watch whose list never ends"
+        );
     }
 }
 
@@ -164,8 +190,14 @@
         began.push(lost_at.elapsed());
         thread::spawn(move || refuse_after_queue(call));
     }
-    for (at, latest) in began.iter().zip([2_000, 4_500, 7_000].map(Duration::from_millis)) {
-        assert!(*at <= latest + MACHINE, "calls began {began:?} after the loss");
+    for (at, latest) in began
+        .iter()
+        .zip([2_000, 4_500, 7_000].map(Duration::from_millis))
+    {
+        assert!(
+            *at <= latest + MACHINE,
+            "calls began {began:?} after the loss"
+        );
     }
 }
 
@@ -185,7 +217,11 @@
         let started_at = Instant::now();
         let (gateway, log) = of_the_fleet([&primary, &replica], place, "8c1f30d27a5be964");
         let call = call_within(&discovery, PATIENCE).expect("a first call");
-        assert!(started_at.elapsed() < Duration::from_secs(2) + MACHINE, "{:?}", started_at.elapsed());
+        assert!(
+            started_at.elapsed() < Duration::from_secs(2) + MACHINE,
+            "{:?}",
+            started_at.elapsed()
+        );
         assert!(!takes_clients(&gateway), "no list is here");
         if answers {
             let mut watch = asterreel_rig::database::Watch::begin(call).expect("begun");
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -35,7 +35,11 @@
 fn id(statement: &[u8]) -> String {
     let text = String::from_utf8_lossy(statement).into_owned();
     let from = text.find("id=").map_or(0, |at| at + 3);
-    text[from..].split(',').next().unwrap_or_default().to_owned()
+    text[from..]
+        .split(',')
+        .next()
+        .unwrap_or_default()
+        .to_owned()
 }
 
 /// A stage of two replicas: writes wait in the gateway until one of them says that it is the primary.
@@ -56,13 +60,21 @@
         let databases = [(); 2].map(|()| Database::start(false, true, &tell, instead));
         let places = [databases[0].address, databases[1].address];
         let (gateway, log) = staged(places, nowhere(), |config| config);
-        Stage { gateway, log, databases, seen }
+        Stage {
+            gateway,
+            log,
+            databases,
+            seen,
+        }
     }
 
     /// The same, and neither database answers statements.
     fn hanging() -> Stage {
         let stage = Stage::new();
-        stage.databases.iter().for_each(|database| database.gate.set(false));
+        stage
+            .databases
+            .iter()
+            .for_each(|database| database.gate.set(false));
         stage
     }
 
@@ -136,7 +148,9 @@
 #[test]
 fn what_a_client_sent_ahead_of_its_end_is_not_sent_on_either() {
     let (stage, mut client) = Stage::with_a_waiting_write("first");
-    let ahead: Vec<u8> = (0..5).flat_map(|n| query(&read(&format!("ahead-{n}")))).collect();
+    let ahead: Vec<u8> = (0..5)
+        .flat_map(|n| query(&read(&format!("ahead-{n}"))))
+        .collect();
     client.send(&ahead);
     drop(client);
     stage.leaves_and_nothing_is_sent();
@@ -150,7 +164,9 @@
     let one = query(&[&read("ahead")[..], &vec![b' '; 20_000]].concat());
     (0..10).for_each(|_| client.send(&one));
     drop(client);
-    stage.log.says_within("session ended: Left", Duration::from_secs(5));
+    stage
+        .log
+        .says_within("session ended: Left", Duration::from_secs(5));
     stage.primary_comes();
     assert_eq!(stage.reached(), [""; 0]);
 }
@@ -178,15 +194,25 @@
 /// The first attempt ends with an error in the very moment in which the client leaves: no second one begins.
 #[test]
 fn no_further_attempt_begins_for_a_client_that_leaves_as_the_last_one_ends() {
-    let broken = |statement: &[u8]| statement.starts_with(b"SELECT").then(|| toy::error("XX000", "broken"));
+    let broken = |statement: &[u8]| {
+        statement
+            .starts_with(b"SELECT")
+            .then(|| toy::error("XX000", "broken"))
+    };
     let stage = Stage::answering(broken);
-    stage.databases.iter().for_each(|database| database.gate.set(false));
+    stage
+        .databases
+        .iter()
+        .for_each(|database| database.gate.set(false));
     let mut client = Client::ready(&stage.gateway);
     client.send(&query(&read("gone")));
     stage.seen.recv_timeout(PATIENCE).expect("a first attempt");
     stage.gateway.signal("-STOP");
     drop(client);
-    stage.databases.iter().for_each(|database| database.gate.set(true));
+    stage
+        .databases
+        .iter()
+        .for_each(|database| database.gate.set(true));
     // Both are there before it goes on: what a database writes is on its way at once on this machine.
     thread::sleep(Duration::from_millis(100));
     stage.gateway.signal("-CONT");
@@ -201,7 +227,11 @@
     stage.databases[0].primary.store(true, Ordering::SeqCst);
     let (mut client, key) = Client::with_key(&stage.gateway);
     let (other, others) = Client::with_key(&stage.gateway);
-    assert_ne!(key[4..], others[4..], "each session has a secret of its own");
+    assert_ne!(
+        key[4..],
+        others[4..],
+        "each session has a secret of its own"
+    );
     drop(other);
     // Between two requests there is nothing to cancel, and the next is not touched.
     let cancel = |key: &[u8]| {
@@ -219,7 +249,10 @@
     cancel(&wrong);
     cancel(&others);
     client.0.set_nonblocking(true).expect("set");
-    assert_eq!(client.0.peek(&mut [0]).expect_err("no answer yet").kind(), ErrorKind::WouldBlock);
+    assert_eq!(
+        client.0.peek(&mut [0]).expect_err("no answer yet").kind(),
+        ErrorKind::WouldBlock
+    );
     client.0.set_nonblocking(false).expect("set");
     cancel(&key);
     let (tags, bytes) = client.answer();
@@ -227,7 +260,11 @@
     stage.databases[0].gate.set(true);
     client.send(&query(&read("after")));
     assert_eq!(client.answer().0, "TDCZ", "the session goes on");
-    assert_eq!(stage.reached(), ["after"], "what was cancelled is not sent again");
+    assert_eq!(
+        stage.reached(),
+        ["after"],
+        "what was cancelled is not sent again"
+    );
 }
 
 #[test]
@@ -250,7 +287,11 @@
 fn a_client_that_always_has_a_next_request_does_not_hold_a_drain_up() {
     let (tell, seen) = channel();
     let databases = [true, false].map(|primary| Database::start(primary, true, &tell, |_| None));
-    let (mut gateway, log) = staged([databases[0].address, databases[1].address], nowhere(), |config| config);
+    let (mut gateway, log) = staged(
+        [databases[0].address, databases[1].address],
+        nowhere(),
+        |config| config,
+    );
     // One waits for each answer, the other sends on and on without looking.
     let mut asks = Client::ready(&gateway);
     let mut sends = Client::ready(&gateway);
@@ -259,15 +300,21 @@
     let writer = thread::spawn(move || {
         // Ten at a time, so that some are always there; for far longer than a drain takes, but not for ever.
         (0..).step_by(10).find(|first| {
-            let ten: Vec<u8> =
-                (*first..first + 10).flat_map(|n| query(&read(&format!("sent-{n}")))).collect();
+            let ten: Vec<u8> = (*first..first + 10)
+                .flat_map(|n| query(&read(&format!("sent-{n}"))))
+                .collect();
             thread::sleep(Duration::from_millis(1));
             begun.elapsed() > PATIENCE || sending.write_all(&ten).is_err()
         });
     });
     let reader = thread::spawn(move || {
         let mut answers = 0;
-        while sends.0.peek(&mut [0]).expect("an answer or an end, and no reset") > 0 {
+        while sends
+            .0
+            .peek(&mut [0])
+            .expect("an answer or an end, and no reset")
+            > 0
+        {
             assert_eq!(sends.answer().0, "TDCZ", "whole, after {answers}");
             answers += 1;
         }
@@ -279,7 +326,12 @@
     let drained = Instant::now();
     while drained.elapsed() < PATIENCE {
         asks.send(&query(&read(&format!("asked-{answers}"))));
-        if asks.0.peek(&mut [0]).expect("an answer or an end, and no reset") == 0 {
+        if asks
+            .0
+            .peek(&mut [0])
+            .expect("an answer or an end, and no reset")
+            == 0
+        {
             break;
         }
         assert_eq!(asks.answer().0, "TDCZ", "whole, after {answers}");
@@ -288,12 +340,19 @@
     assert!(answers > 0, "served on for as long as clients may come");
     gateway.exits_well();
     // Nothing is owed 0.75 s after the signal but what was read by then.
-    assert!(drained.elapsed() < Duration::from_millis(2_500), "{:?}", drained.elapsed());
+    assert!(
+        drained.elapsed() < Duration::from_millis(2_500),
+        "{:?}",
+        drained.elapsed()
+    );
     let served = reader.join().expect("no reset");
     writer.join().expect("it ends");
     drop(gateway);
     // Each that reached a database was answered: nothing that was read after the end was sent on.
-    let reached = seen.try_iter().filter(|statement| id(statement).starts_with("sent")).count();
+    let reached = seen
+        .try_iter()
+        .filter(|statement| id(statement).starts_with("sent"))
+        .count();
     assert_eq!(reached, served);
 }
 
@@ -302,7 +361,11 @@
 fn a_client_that_has_sent_more_than_was_read_still_gets_its_last_answer_and_an_end() {
     let (tell, _seen) = channel();
     let databases = [true, false].map(|primary| Database::start(primary, true, &tell, |_| None));
-    let (gateway, _log) = staged([databases[0].address, databases[1].address], nowhere(), |config| config);
+    let (gateway, _log) = staged(
+        [databases[0].address, databases[1].address],
+        nowhere(),
+        |config| config,
+    );
     let mut client = Client::ready(&gateway);
     // No message, and then far more than one read takes in.
     client.send(&[&[0xff; 5][..], &[b'x'; 100_000]].concat());
@@ -319,7 +382,10 @@
         .concat(),
     );
     let rest = client.end().expect("an end and no reset");
-    assert!(rest.windows(8).any(|bytes| bytes == b"SELECT 1"), "the answer before its goodbye");
+    assert!(
+        rest.windows(8).any(|bytes| bytes == b"SELECT 1"),
+        "the answer before its goodbye"
+    );
 }
 
 /// A database that sends notices without end, as fast as it can: the request ends when its time is over, and others are
@@ -331,7 +397,10 @@
     let listener = listen();
     let endless = listener.local_addr().expect("bound");
     thread::spawn(move || {
-        listener.incoming().flatten().for_each(|client| drop(thread::spawn(move || pour(client))))
+        listener
+            .incoming()
+            .flatten()
+            .for_each(|client| drop(thread::spawn(move || pour(client))))
     });
     let (gateway, _log) = staged([good.address, endless], nowhere(), |config| config);
     let begun = Instant::now();
@@ -351,7 +420,11 @@
     waiting.0.set_nonblocking(false).expect("set");
     let tags = waiting.answer().0;
     assert!(tags == "EZ" || tags == "TDCZ", "{tags}");
-    assert!(served > 0 && begun.elapsed() < Duration::from_secs(10), "{served} in {:?}", begun.elapsed());
+    assert!(
+        served > 0 && begun.elapsed() < Duration::from_secs(10),
+        "{served} in {:?}",
+        begun.elapsed()
+    );
 }
 
 /// A database that welcomes and reports as a replica in step, and answers statements with notices for good.
@@ -366,7 +439,9 @@
         let position = asterreel_rig::now() / 1000;
         if body.starts_with(b"SHOW usage") {
             let role = toy::Role::Replica;
-            client.write_all(&[toy::report(role, position, 0.1), toy::note(role, position)].concat())?;
+            client.write_all(
+                &[toy::report(role, position, 0.1), toy::note(role, position)].concat(),
+            )?;
             continue;
         }
         loop {
@@ -383,20 +458,38 @@
     let stage = Stage::hanging();
     let mut client = Client::ready(&stage.gateway);
     let sent = Instant::now();
-    let all: Vec<u8> = (0..5).flat_map(|n| query(&read_within(&format!("r-{n}"), WAIT))).collect();
+    let all: Vec<u8> = (0..5)
+        .flat_map(|n| query(&read_within(&format!("r-{n}"), WAIT)))
+        .collect();
     client.send(&all);
     for n in 0..5 {
         assert_eq!(client.answer().0, "EZ", "request {n}");
-        assert!(sent.elapsed() < WAIT + LATE, "request {n} is answered after {:?}", sent.elapsed());
+        assert!(
+            sent.elapsed() < WAIT + LATE,
+            "request {n} is answered after {:?}",
+            sent.elapsed()
+        );
     }
     // The session goes on, and a request that comes later has all of its time.
-    stage.databases.iter().for_each(|database| database.gate.set(true));
+    stage
+        .databases
+        .iter()
+        .for_each(|database| database.gate.set(true));
     client.send(&query(&read("after")));
     assert_eq!(client.answer().0, "TDCZ");
     // Nothing was begun for those whose time was over when their turn came.
-    let lines = stage.log.lines_up_to("done request=2 ", PATIENCE).expect("logged");
-    let arrived = lines.iter().filter(|line| line.contains("Arrive(Arrival")).count();
-    let over = lines.iter().filter(|line| line.contains("out of time before its turn")).count();
+    let lines = stage
+        .log
+        .lines_up_to("done request=2 ", PATIENCE)
+        .expect("logged");
+    let arrived = lines
+        .iter()
+        .filter(|line| line.contains("Arrive(Arrival"))
+        .count();
+    let over = lines
+        .iter()
+        .filter(|line| line.contains("out of time before its turn"))
+        .count();
     assert_eq!((arrived, over), (2, 4), "the first and the last");
 }
 
@@ -420,11 +513,18 @@
     // A slow machine may take longer over the pieces, but must not be done before the first is given up.
     assert!(sent.elapsed() < WAIT, "written while the first still waits");
     assert_eq!(client.answer().0, "EZ");
-    assert!(sent.elapsed() < WAIT + LATE, "the first is answered after {:?}", sent.elapsed());
+    assert!(
+        sent.elapsed() < WAIT + LATE,
+        "the first is answered after {:?}",
+        sent.elapsed()
+    );
     for n in [2, 3] {
         assert_eq!(client.answer().0, "EZ");
         let took = whole.elapsed();
-        assert!(took > WAIT - EARLY && took < WAIT + LATE, "request {n} is answered after {took:?}");
+        assert!(
+            took > WAIT - EARLY && took < WAIT + LATE,
+            "request {n} is answered after {took:?}"
+        );
     }
 }
 
@@ -456,7 +556,8 @@
             };
             let (gateway, log) = staged([nowhere(), nowhere()], place, change);
             assert!(
-                gateway.config.contains(&fleet_size) && gateway.config.contains("\"AskEveryUs\": 60000000")
+                gateway.config.contains(&fleet_size)
+                    && gateway.config.contains("\"AskEveryUs\": 60000000")
             );
             (0..4).for_each(|_| assert!(log.says("watch lost"), "refused"));
             let back = Instant::now();
@@ -467,9 +568,15 @@
     });
     // All of them, before anything is asserted: none may be left behind.
     let played: Vec<_> = plays.into_iter().map(thread::JoinHandle::join).collect();
-    let took: Vec<_> = played.into_iter().map(|play| play.expect("called")).collect();
+    let took: Vec<_> = played
+        .into_iter()
+        .map(|play| play.expect("called"))
+        .collect();
     // One second more for the machine.
-    assert!(took.iter().all(|(_, took)| *took < Duration::from_secs(5)), "fleets, called after: {took:?}");
+    assert!(
+        took.iter().all(|(_, took)| *took < Duration::from_secs(5)),
+        "fleets, called after: {took:?}"
+    );
 }
 
 /// An agent's word counts from when it has it: a watch on it that ends is opened again at once, in a fleet of any size.
@@ -482,7 +589,11 @@
         drop(watch);
         let ended = Instant::now();
         let again = called(&agent).expect("it calls again");
-        assert!(ended.elapsed() < Duration::from_secs(1), "called again after {:?}", ended.elapsed());
+        assert!(
+            ended.elapsed() < Duration::from_secs(1),
+            "called again after {:?}",
+            ended.elapsed()
+        );
         drop(again);
     }
 }
@@ -494,24 +605,31 @@
     // Nobody ever accepts there, and its queue is full.
     let full = listen();
     let place = full.local_addr().expect("bound");
-    let queue: Vec<_> =
-        (0..200).map(|_| TcpStream::connect_timeout(&place, Duration::from_millis(20))).collect();
+    let queue: Vec<_> = (0..200)
+        .map(|_| TcpStream::connect_timeout(&place, Duration::from_millis(20)))
+        .collect();
     let places = [nowhere(), silent.local_addr().expect("bound"), place];
     for place in places {
         for fleet in [1, 300] {
             let (tell, _seen) = channel();
-            let databases = [true, false].map(|primary| Database::start(primary, true, &tell, |_| None));
+            let databases =
+                [true, false].map(|primary| Database::start(primary, true, &tell, |_| None));
             let begun = Instant::now();
             let addresses = [databases[0].address, databases[1].address];
-            let change =
-                |config: String| config.replace("\"FleetSize\": 1,", &format!("\"FleetSize\": {fleet},"));
+            let change = |config: String| {
+                config.replace("\"FleetSize\": 1,", &format!("\"FleetSize\": {fleet},"))
+            };
             let (gateway, _log) = staged(addresses, place, change);
             let mut client = Client::ready(&gateway);
             client.send(&query(b""));
             assert_eq!(client.answer().0, "IZ", "ready");
             client.send(&query(&write("w")));
             assert_eq!(client.answer().0, "TDCZ");
-            assert!(begun.elapsed() < Duration::from_secs(5), "{:?} after its start", begun.elapsed());
+            assert!(
+                begun.elapsed() < Duration::from_secs(5),
+                "{:?} after its start",
+                begun.elapsed()
+            );
         }
     }
     drop(queue);
@@ -528,7 +646,9 @@
     let addresses = [databases[0].address, databases[1].address];
     let (gateway, log) = staged(addresses, place, |config| config.replace("1024", "96"));
     let mut resting: Vec<Client> = (0..60).map(|_| Client::ready(&gateway)).collect();
-    databases.iter().for_each(|database| database.gate.set(false));
+    databases
+        .iter()
+        .for_each(|database| database.gate.set(false));
     let mut busy = Client::ready(&gateway);
     busy.send(&query(&write("busy")));
     while id(&seen.recv_timeout(PATIENCE).expect("sent")) != "busy" {}
@@ -538,11 +658,19 @@
     let discovery = listen_again(place);
     let back = Instant::now();
     let mut watch = toy::Watch::begin(called(&discovery).expect("it calls")).expect("begun");
-    watch.tell(&format!("{}\n", list_of(&gateway.config))).expect("told");
-    assert!(back.elapsed() < Duration::from_secs(5), "called after {:?}", back.elapsed());
+    watch
+        .tell(&format!("{}\n", list_of(&gateway.config)))
+        .expect("told");
+    assert!(
+        back.elapsed() < Duration::from_secs(5),
+        "called after {:?}",
+        back.elapsed()
+    );
     // A new crowd, of whom one asks.
     resting.extend((0..30).map(|_| Client::ready(&gateway)));
-    databases.iter().for_each(|database| database.gate.set(true));
+    databases
+        .iter()
+        .for_each(|database| database.gate.set(true));
     let last = resting.last_mut().expect("a crowd");
     last.send(&query(&read("asks")));
     assert_eq!(last.answer().0, "TDCZ");
@@ -568,7 +696,12 @@
         thread::spawn(move || kept.into_iter().collect::<Vec<TcpStream>>());
         keep
     };
-    thread::spawn(move || listener.incoming().flatten().try_for_each(|client| kept.send(client)));
+    thread::spawn(move || {
+        listener
+            .incoming()
+            .flatten()
+            .try_for_each(|client| kept.send(client))
+    });
     let (gateway, _log) = staged([good.address, place], nowhere(), |config| config);
     let mut client = Client::ready(&gateway);
     for n in 0..10 {
