--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -29,7 +29,10 @@
     for n in 0..50 {
         front.arrive(n % 5);
         let actions = front.event(Event::Wake);
-        wakes += actions.iter().filter(|a| matches!(a, Action::WakeAfter(_))).count();
+        wakes += actions
+            .iter()
+            .filter(|a| matches!(a, Action::WakeAfter(_)))
+            .count();
     }
     assert!(wakes <= 2, "{wakes} timers for 50 wake-ups at one time");
 }
@@ -116,7 +119,10 @@
             front.now += 100 * MS;
         }
     }
-    assert!((1..=40).contains(&at_cold), "{at_cold} sends of {fleet} fronts");
+    assert!(
+        (1..=40).contains(&at_cold),
+        "{at_cold} sends of {fleet} fronts"
+    );
 }
 
 /// balancer_stall: what a front finds after standing still looks like the silence of every member.
@@ -158,23 +164,39 @@
             }
             if !sends(&actions).is_empty() {
                 let replica = note(Role::Replica, front.now);
-                front.event(Event::Ended(ended(read, 0, Outcome::Served, latency, replica)));
+                front.event(Event::Ended(ended(
+                    read,
+                    0,
+                    Outcome::Served,
+                    latency,
+                    replica,
+                )));
             }
         }
         refusals
     };
-    assert_eq!(late_and_refused(80 * MS), 0, "in good time nothing is refused");
+    assert_eq!(
+        late_and_refused(80 * MS),
+        0,
+        "in good time nothing is refused"
+    );
     let refusals = late_and_refused(450 * MS);
     assert!((50..190).contains(&refusals), "{refusals} of 200");
 }
 
 fn list(kind: ListKind, members: &[u32]) -> Event {
-    let entries = members.iter().map(|m| entry(*m, EntryState::On, 0)).collect();
+    let entries = members
+        .iter()
+        .map(|m| entry(*m, EntryState::On, 0))
+        .collect();
     Event::Listed(kind, entries)
 }
 
 fn only_draining_binds() -> Settings {
-    Settings { drain_binds: DrainBinds::DrainingOnly, ..settings() }
+    Settings {
+        drain_binds: DrainBinds::DrainingOnly,
+        ..settings()
+    }
 }
 
 /// wrong_list, shrink and empty: where only draining binds, members that answer go on serving, writes too.
@@ -188,7 +210,10 @@
         let (_, actions) = front.arrive(BOUNDED);
         assert_ne!(sends(&actions)[0].1, 0);
         let back = front.event(list(ListKind::Full, &[0, 1, 2]));
-        let probes = back.iter().filter(|a| matches!(a, Action::Probe(_))).count();
+        let probes = back
+            .iter()
+            .filter(|a| matches!(a, Action::Probe(_)))
+            .count();
         assert_eq!(probes, 0, "the true list's return starts nothing anew");
     }
 }
@@ -242,7 +267,13 @@
     let (read, _) = front.arrive(ANY);
     front.pass(350 * MS);
     let replica = note(Role::Replica, front.now);
-    front.event(Event::Ended(ended(read, 0, Outcome::Served, 350 * MS, replica)));
+    front.event(Event::Ended(ended(
+        read,
+        0,
+        Outcome::Served,
+        350 * MS,
+        replica,
+    )));
     for _ in 0..4 {
         let (read, actions) = front.arrive(ANY);
         assert_eq!(sends(&actions), [(read, 1)]);
@@ -299,7 +330,11 @@
         }
         front.pass(2_000 * MS);
     }
-    assert!(sends(&actions).len() >= 60, "a quick error is tried again: {}", sends(&actions).len());
+    assert!(
+        sends(&actions).len() >= 60,
+        "a quick error is tried again: {}",
+        sends(&actions).len()
+    );
     let failed = |a: &&Action| matches!(a, Action::Remark(_, Remark::Failed));
     assert_eq!(actions.iter().filter(failed).count(), 0);
 }
@@ -312,7 +347,11 @@
     for _ in 0..60 {
         let (read, placed) = front.arrive(ANY);
         let to = sends(&placed)[0].1;
-        let outcome = if to == 2 { Outcome::Error } else { Outcome::Served };
+        let outcome = if to == 2 {
+            Outcome::Error
+        } else {
+            Outcome::Served
+        };
         let replica = note(Role::Replica, front.now);
         actions.extend(front.ends(read, 0, outcome, replica));
     }
@@ -334,7 +373,9 @@
     assert!(!front.router.may_write(front.now + 299 * MS, read, member));
     assert!(!front.router.may_write(front.now + 301 * MS, read, member));
     // The active member stands at the present, and any data does for an any-read.
-    assert!(front.router.may_write(front.now + 301 * MS, read, MemberId(0)));
+    assert!(front
+        .router
+        .may_write(front.now + 301 * MS, read, MemberId(0)));
     let (any, _) = front.arrive(ANY);
     assert!(front.router.may_write(front.now + 301 * MS, any, member));
     front.change(to, EntryState::Draining, 0);
@@ -357,7 +398,13 @@
             return (front, to.is_none());
         }
         front.now += 10 * MS;
-        let late = ended(read, 0, Outcome::Served, latency, note(Role::Replica, front.now - 350 * MS));
+        let late = ended(
+            read,
+            0,
+            Outcome::Served,
+            latency,
+            note(Role::Replica, front.now - 350 * MS),
+        );
         front.event(Event::Ended(late));
     }
     (front, false)
@@ -366,7 +413,10 @@
 #[test]
 fn any_reads_wait_while_the_standby_they_gather_on_is_late() {
     // The wanted time is 400 ms: more reads would only time out there, or block the other standbys' log.
-    assert!(!gathering(100 * MS, true).1, "in good time: they go on gathering");
+    assert!(
+        !gathering(100 * MS, true).1,
+        "in good time: they go on gathering"
+    );
     let (mut front, held) = gathering(390 * MS, true);
     assert!(held, "late: they wait");
     let (_, actions) = front.arrive(BOUNDED);
@@ -378,7 +428,10 @@
 #[test]
 fn the_standby_that_any_reads_gather_on_is_tried_again_once_it_is_idle() {
     let (front, held) = gathering(390 * MS, false);
-    assert!(!held && front.next == 20, "each answer lets the next one go");
+    assert!(
+        !held && front.next == 20,
+        "each answer lets the next one go"
+    );
 }
 
 /// The same days: one standby can't bear all reports of a busy group, and spread they stop the log everywhere.
@@ -389,10 +442,20 @@
     for (m, lag) in [(1, 400), (2, 300), (3, 200), (4, 10)] {
         front.tell_behind(m, Role::Replica, lag * MS);
     }
-    let placed = (0..40).flat_map(|_| sends(&front.arrive(ANY).1)).map(|(_, m)| m).collect::<Vec<u32>>();
+    let placed = (0..40)
+        .flat_map(|_| sends(&front.arrive(ANY).1))
+        .map(|(_, m)| m)
+        .collect::<Vec<u32>>();
     let full = placed.iter().filter(|m| **m == 1).count();
-    assert!(full > 1 && placed[..full].iter().all(|m| *m == 1), "the furthest behind first: {placed:?}");
-    assert_eq!(placed[full..], vec![2; full], "then the next, then they wait");
+    assert!(
+        full > 1 && placed[..full].iter().all(|m| *m == 1),
+        "the furthest behind first: {placed:?}"
+    );
+    assert_eq!(
+        placed[full..],
+        vec![2; full],
+        "then the next, then they wait"
+    );
 }
 
 /// vejle-tarif rough-1: short reads that any member may answer, a third of all, gathered on one of two or three
@@ -404,22 +467,41 @@
         let mut sent = [0; 4];
         for round in 0..120 {
             front.now += 20 * MS;
-            (1..4).for_each(|m| drop(front.tell_behind(m, Role::Replica, lag + u64::from(m) * 10 * MS)));
+            (1..4).for_each(|m| {
+                drop(front.tell_behind(m, Role::Replica, lag + u64::from(m) * 10 * MS))
+            });
             let (read, actions) = front.arrive(ANY);
-            let Some((_, to)) = sends(&actions).first().copied() else { panic!("held: {sent:?}") };
+            let Some((_, to)) = sends(&actions).first().copied() else {
+                panic!("held: {sent:?}")
+            };
             // The first answers teach how long such reads take, and whether they leave their standby behind.
             sent[to as usize] += u32::from(round >= 40);
             front.now += latency;
             let behind = note(Role::Replica, front.now - lag - u64::from(to) * 10 * MS);
-            front.event(Event::Ended(ended(read, 0, Outcome::Served, latency, behind)));
+            front.event(Event::Ended(ended(
+                read,
+                0,
+                Outcome::Served,
+                latency,
+                behind,
+            )));
         }
         sent
     };
     for (what, sent) in [
-        ("short ones, however far all lag", spread(settings(), 35 * MS, 2_000 * MS)),
-        ("long ones that leave their standby little behind", spread(reports(), 300 * MS, 100 * MS)),
+        (
+            "short ones, however far all lag",
+            spread(settings(), 35 * MS, 2_000 * MS),
+        ),
+        (
+            "long ones that leave their standby little behind",
+            spread(reports(), 300 * MS, 100 * MS),
+        ),
     ] {
-        assert!(sent[0] == 0 && sent[1..].iter().all(|count| *count > 12), "{what}: {sent:?}");
+        assert!(
+            sent[0] == 0 && sent[1..].iter().all(|count| *count > 12),
+            "{what}: {sent:?}"
+        );
     }
     let gathered = spread(reports(), 300 * MS, 400 * MS);
     assert_eq!(gathered, [0, 0, 0, 80], "long ones that leave it behind");
@@ -505,7 +587,10 @@
     pass_until_probed(&mut front, 0);
     let lag = front.now - stood;
     let actions = front.tell_behind(0, Role::Primary, lag);
-    assert!(!actions.contains(&Action::Remark(MemberId(0), Remark::Active)), "{actions:?}");
+    assert!(
+        !actions.contains(&Action::Remark(MemberId(0), Remark::Active)),
+        "{actions:?}"
+    );
     // The other one is 0.8 s behind and more: 300 ms are allowed.
     let (read, actions) = front.arrive(BOUNDED);
     assert_eq!(sends(&actions), [], "neither may answer request {read:?}");
@@ -529,7 +614,10 @@
         front.ends(first, 0, Outcome::Served, note(Role::Replica, front.now));
         front.now += MS;
         let actions = front.ends(second, 0, Outcome::Served, note(Role::Primary, front.now));
-        assert!(actions.contains(&Action::Remark(MemberId(0), Remark::Active)), "class {class}");
+        assert!(
+            actions.contains(&Action::Remark(MemberId(0), Remark::Active)),
+            "class {class}"
+        );
     }
 }
 
@@ -538,12 +626,22 @@
 fn bounded_reads_spill_on_a_quick_active_member_when_the_standbys_in_sync_are_full() {
     let mut front = Front::ready(settings(), 3);
     front.now += 400 * MS;
-    let placed: Vec<u32> = (0..40).flat_map(|_| sends(&front.arrive(BOUNDED).1)).map(|(_, m)| m).collect();
+    let placed: Vec<u32> = (0..40)
+        .flat_map(|_| sends(&front.arrive(BOUNDED).1))
+        .map(|(_, m)| m)
+        .collect();
     let standby = placed.iter().take_while(|m| **m != 0).count();
-    assert!(standby > 1 && standby < placed.len(), "the standbys first, then the active member: {placed:?}");
+    assert!(
+        standby > 1 && standby < placed.len(),
+        "the standbys first, then the active member: {placed:?}"
+    );
     assert_eq!(placed[standby..], vec![0; placed.len() - standby]);
     let (write, actions) = front.arrive(WRITE);
-    assert_eq!(sends(&actions), [(write, 0)], "its room is left to writes for the most part");
+    assert_eq!(
+        sends(&actions),
+        [(write, 0)],
+        "its room is left to writes for the most part"
+    );
 }
 
 /// The same day: a primary fell behind, and writes went out oldest first, each with too little time left.
@@ -566,10 +664,18 @@
     let mut sent = vec![];
     for write in filling {
         let primary = note(Role::Primary, front.now);
-        sent.extend(sends(&front.ends(write, 0, Outcome::Served, primary)).into_iter().map(|(id, _)| id));
+        sent.extend(
+            sends(&front.ends(write, 0, Outcome::Served, primary))
+                .into_iter()
+                .map(|(id, _)| id),
+        );
         front.pass(250 * MS);
     }
-    let in_turn = sent.iter().zip(&waiting).take_while(|(sent, wait)| sent == wait).count();
+    let in_turn = sent
+        .iter()
+        .zip(&waiting)
+        .take_while(|(sent, wait)| sent == wait)
+        .count();
     let newest: Vec<RequestId> = waiting[in_turn..].iter().rev().copied().collect();
     assert!((1..5).contains(&in_turn), "{sent:?}");
     assert_eq!(sent[in_turn..], newest[..sent.len() - in_turn]);
@@ -581,7 +687,10 @@
     let (read, mut actions) = front.arrive(ANY);
     let arrived = front.now;
     while !refused(&actions, read) {
-        assert!(front.now < arrived + 1_010 * MS, "its second half has begun");
+        assert!(
+            front.now < arrived + 1_010 * MS,
+            "its second half has begun"
+        );
         actions = front.pass(5 * MS);
     }
 }
@@ -596,7 +705,13 @@
                 let (read, actions) = front.arrive(class);
                 assert_eq!(sends(&actions).len(), 1);
                 let replica = note(Role::Replica, front.now);
-                front.event(Event::Ended(ended(read, 0, Outcome::Served, latency, replica)));
+                front.event(Event::Ended(ended(
+                    read,
+                    0,
+                    Outcome::Served,
+                    latency,
+                    replica,
+                )));
                 front.tell(0, Role::Primary);
             }
         }
@@ -611,16 +726,29 @@
             let to = sends(&actions).first().map(|(_, m)| *m);
             sent += usize::from(to == Some(1));
             if to.is_some() {
-                let role = if to == Some(1) { Role::Replica } else { Role::Primary };
+                let role = if to == Some(1) {
+                    Role::Replica
+                } else {
+                    Role::Primary
+                };
                 let answer = note(role, front.now);
                 let latency = if class == ANY { 200 * MS } else { 20 * MS };
-                front.event(Event::Ended(ended(read, 0, Outcome::Served, latency, answer)));
+                front.event(Event::Ended(ended(
+                    read,
+                    0,
+                    Outcome::Served,
+                    latency,
+                    answer,
+                )));
             }
         }
         sent
     };
     let (light, long) = (sent(BOUNDED), sent(ANY));
-    assert!(long >= 1 && long * 3 <= light, "{long} long ones, {light} light ones");
+    assert!(
+        long >= 1 && long * 3 <= light,
+        "{long} long ones, {light} light ones"
+    );
 }
 
 /// Seen by reading: a member that was gone while an attempt was out stayed for good, probes and all.
@@ -658,7 +786,10 @@
                 front.now += 5 * MS;
                 actions = front.event(Event::Wake);
             }
-            assert!(front.now < over_at + 100 * MS, "class {class}: not tried again in time");
+            assert!(
+                front.now < over_at + 100 * MS,
+                "class {class}: not tried again in time"
+            );
         }
     }
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -60,11 +60,20 @@
     }
 
     fn with(settings: Settings, fronts: u32, groups: u32, seed: u64) -> World {
-        let list: std::sync::Arc<[Entry]> =
-            (0..groups * MEMBERS).map(|m| Entry { role: role(m), ..listed(m, EntryState::On, 0) }).collect();
-        let settings =
-            Settings { fleet: fronts, checks: Checks::None, discovery: Discovery::Ask, ..settings };
-        let router = |n| Router::new(settings.clone(), seed * 1_000 + n, START).expect("good settings");
+        let list: std::sync::Arc<[Entry]> = (0..groups * MEMBERS)
+            .map(|m| Entry {
+                role: role(m),
+                ..listed(m, EntryState::On, 0)
+            })
+            .collect();
+        let settings = Settings {
+            fleet: fronts,
+            checks: Checks::None,
+            discovery: Discovery::Ask,
+            ..settings
+        };
+        let router =
+            |n| Router::new(settings.clone(), seed * 1_000 + n, START).expect("good settings");
         let mut world = World {
             now: START,
             fronts: (0..u64::from(fronts)).map(router).collect(),
@@ -108,7 +117,8 @@
 
     fn later(&mut self, after: Micros, next: Next) {
         self.number += 1;
-        self.events.push(Reverse((self.now + after, self.number, next)));
+        self.events
+            .push(Reverse((self.now + after, self.number, next)));
     }
 
     fn feed(&mut self, front: usize, event: Event) {
@@ -119,7 +129,10 @@
                 Action::Send(request, member, _) => {
                     let class = self.classes[&request.0];
                     *self.sends.entry((class, member.0)).or_default() += 1;
-                    self.times.entry(member.0).or_default().push((self.now, class));
+                    self.times
+                        .entry(member.0)
+                        .or_default()
+                        .push((self.now, class));
                     *self.attempts.entry((front, request.0)).or_default() += 1;
                     self.later(work(class), Next::Answer(front, request.0, member.0));
                 }
@@ -150,7 +163,9 @@
     fn play(&mut self, span: Micros, rate: u64) {
         let end = self.now + span;
         while self.events.peek().is_some_and(|event| event.0 .0 < end) {
-            let Some(Reverse((at, _, next))) = self.events.pop() else { break };
+            let Some(Reverse((at, _, next))) = self.events.pop() else {
+                break;
+            };
             self.now = at;
             match next {
                 Next::Arrival => {
@@ -184,7 +199,11 @@
     fn arrive(&mut self) {
         self.arrived += 1;
         let luck = self.rng.f64();
-        let share = if self.uneven { luck * luck * luck } else { luck };
+        let share = if self.uneven {
+            luck * luck * luck
+        } else {
+            luck
+        };
         let front = (share * self.fronts.len() as f64) as usize;
         let class = match self.rng.u32(0..100) {
             0..80 => BOUNDED,
@@ -218,7 +237,10 @@
     }
 
     fn sent(&self, class: usize, to: impl Fn(u32) -> bool) -> u32 {
-        let sends = self.sends.iter().filter(|((of, member), _)| *of == class && to(*member));
+        let sends = self
+            .sends
+            .iter()
+            .filter(|((of, member), _)| *of == class && to(*member));
         sends.map(|(_, count)| count).sum()
     }
 
@@ -267,15 +289,28 @@
         let reads = world.sent(BOUNDED, |_| true);
         let spilled = world.sent(BOUNDED, is_primary);
         // The primary has the writes as well: it gets the reads of one and a half members, and chance.
-        assert!(spilled * MEMBERS < reads * 2, "seed {seed}: {spilled} of {reads} reads on primaries");
-        assert!(world.refused * 50 < world.arrived, "seed {seed}: {} refused", world.refused);
+        assert!(
+            spilled * MEMBERS < reads * 2,
+            "seed {seed}: {spilled} of {reads} reads on primaries"
+        );
+        assert!(
+            world.refused * 50 < world.arrived,
+            "seed {seed}: {} refused",
+            world.refused
+        );
         // At most one question a bounded read, and none for anything else.
         let asked = world.probes();
-        assert!(asked < reads, "seed {seed}: {asked} probes for {reads} reads");
+        assert!(
+            asked < reads,
+            "seed {seed}: {asked} probes for {reads} reads"
+        );
         for member in (0..12 * MEMBERS).filter(|member| !is_primary(*member)) {
             let share = world.sent(BOUNDED, |to| to == member);
             // One standby in four takes the any-reads.
-            assert!(share < reads / (12 * 2), "seed {seed}: {share} of {reads} reads on {member}");
+            assert!(
+                share < reads / (12 * 2),
+                "seed {seed}: {share} of {reads} reads on {member}"
+            );
         }
     }
 }
@@ -288,9 +323,16 @@
         let mut world = World::new(100, 12, seed);
         world.play(10 * SECOND, 1_400);
         let reports = world.sent(ANY, |_| true);
-        let most = |group| (0..MEMBERS).map(|m| world.sent(ANY, |to| to == group * MEMBERS + m)).max();
+        let most = |group| {
+            (0..MEMBERS)
+                .map(|m| world.sent(ANY, |to| to == group * MEMBERS + m))
+                .max()
+        };
         let gathered: u32 = (0..12).filter_map(most).sum();
-        assert!(gathered * 20 >= reports * 19, "seed {seed}: {gathered} of {reports}");
+        assert!(
+            gathered * 20 >= reports * 19,
+            "seed {seed}: {gathered} of {reports}"
+        );
     }
 }
 
@@ -300,7 +342,11 @@
     let mut world = World::new(100, 12, 1);
     world.play(100 * MS, 1_400);
     let probes = world.probes();
-    assert!(probes <= world.arrived, "{probes} probes for {} requests", world.arrived);
+    assert!(
+        probes <= world.arrived,
+        "{probes} probes for {} requests",
+        world.arrived
+    );
     // A small one knows all members before the first request, as it did.
     let mut world = World::new(3, 2, 1);
     world.play(100 * MS, 100);
@@ -324,20 +370,36 @@
         let span = settings.fall_for;
         let carried = rate as f64 / f64::from(4 * MEMBERS);
         let mut used = 0;
-        for (member, times) in world.times.iter().filter(|(member, _)| **member % MEMBERS > 1) {
-            let cold: Vec<Micros> = times.iter().map(|(at, _)| *at).filter(|at| *at >= began).collect();
+        for (member, times) in world
+            .times
+            .iter()
+            .filter(|(member, _)| **member % MEMBERS > 1)
+        {
+            let cold: Vec<Micros> = times
+                .iter()
+                .map(|(at, _)| *at)
+                .filter(|at| *at >= began)
+                .collect();
             used += cold.len();
             for (n, at) in cold.iter().enumerate() {
-                let within = cold[n..].iter().take_while(|other| **other < at + span).count();
+                let within = cold[n..]
+                    .iter()
+                    .take_while(|other| **other < at + span)
+                    .count();
                 let warmth = asterreel::fleet::warmth(&settings, began, at + span);
                 let room = settings.fall_multiple * warmth * carried * span as f64 / 1e6;
                 // Capacity is well above what is carried on the mean; the rest is chance in small numbers.
                 let most = room + 3.0 * room.sqrt();
-                assert!(within as f64 <= most, "seed {seed}, {fronts} fronts: {within} sends to {member}");
+                assert!(
+                    within as f64 <= most,
+                    "seed {seed}, {fronts} fronts: {within} sends to {member}"
+                );
             }
         }
         // A third of what the sum of warmths over ten seconds would carry at the mean.
-        let warm: f64 = (0..10).map(|s| asterreel::fleet::warmth(&settings, 1, s * SECOND)).sum();
+        let warm: f64 = (0..10)
+            .map(|s| asterreel::fleet::warmth(&settings, 1, s * SECOND))
+            .sum();
         let share = 12.0 * warm * carried / 3.0;
         assert!(
             used as f64 >= share,
@@ -357,7 +419,12 @@
         let asked = world.probes[member];
         assert!(asked <= 100 * 7, "{asked} probes of {member}");
     }
-    assert!(world.refused * 20 < world.arrived, "{} of {} refused", world.refused, world.arrived);
+    assert!(
+        world.refused * 20 < world.arrived,
+        "{} of {} refused",
+        world.refused,
+        world.arrived
+    );
 }
 
 /// Seen: after 70 of 100 fronts had restarted, 155 calls to discovery in 2 s, of which 2 were answered; one that answered
@@ -370,20 +437,35 @@
         world.play(60 * SECOND, 1);
         let in_span = |from: Micros, span: Micros| {
             let from = START + from;
-            world.calls.iter().filter(|at| (from..from + span).contains(at)).count() as f64
+            world
+                .calls
+                .iter()
+                .filter(|at| (from..from + span).contains(at))
+                .count() as f64
         };
         // The first calls are spread over 4.5 ms for each front, as far as that goes. Never more in a second than there
         // are fronts, or than its queue of 2 s takes in with what a discovery was measured to answer.
-        let most = (0..60).map(|s| in_span(s * SECOND, SECOND)).fold(0.0, f64::max);
+        let most = (0..60)
+            .map(|s| in_span(s * SECOND, SECOND))
+            .fold(0.0, f64::max);
         let first = f64::from(fronts).min(1e3 / 4.5);
-        assert!(most <= first + 3.0 * first.sqrt(), "seed {seed}: {most} calls in a second");
+        assert!(
+            most <= first + 3.0 * first.sqrt(),
+            "seed {seed}: {most} calls in a second"
+        );
         let mean = f64::from(fronts) / 2.25;
         let late = in_span(40 * SECOND, 20 * SECOND) / 20.0;
-        assert!((0.9 * mean..=1.2 * mean).contains(&late), "seed {seed}: {late} calls a second after 40 s");
+        assert!(
+            (0.9 * mean..=1.2 * mean).contains(&late),
+            "seed {seed}: {late} calls a second after 40 s"
+        );
         // Apart: no tenth of a second has many more than its part.
         let tenths = (400..600).map(|tenth| in_span(tenth * SECOND / 10, SECOND / 10));
         let (most, part) = (tenths.fold(0.0, f64::max), mean / 10.0);
-        assert!(most <= part + 4.0 * part.sqrt() + 2.0, "seed {seed}: {most} calls in a tenth of a second");
+        assert!(
+            most <= part + 4.0 * part.sqrt() + 2.0,
+            "seed {seed}: {most} calls in a tenth of a second"
+        );
     }
 }
 
@@ -395,7 +477,14 @@
 fn a_call_after_any_loss_is_made_in_time_to_be_answered_whatever_the_fleet_and_how_often() {
     // A watch that ended, a call refused at once, a place that can't be reached, a call that was refused out of a
     // queue, one that was given up, a watch that fell silent.
-    for unheard in [0, 20 * MS, SECOND, CALL, 2_500 * MS, asterreel::calls::SILENCE] {
+    for unheard in [
+        0,
+        20 * MS,
+        SECOND,
+        CALL,
+        2_500 * MS,
+        asterreel::calls::SILENCE,
+    ] {
         for fleet in [1, 3, 8, 9, 30, 100, 300, 5_000] {
             for (ask_every, seed) in [
                 (3 * SECOND, 1),
@@ -403,8 +492,16 @@
                 (60 * SECOND, 3),
                 (600 * SECOND, 4),
             ] {
-                let settings = Settings { fleet, discovery: Discovery::Ask, ask_every, ..settings() };
-                let told = ask_every.min(6 * SECOND).saturating_sub(unheard + CALL).max(200 * MS);
+                let settings = Settings {
+                    fleet,
+                    discovery: Discovery::Ask,
+                    ask_every,
+                    ..settings()
+                };
+                let told = ask_every
+                    .min(6 * SECOND)
+                    .saturating_sub(unheard + CALL)
+                    .max(200 * MS);
                 let mut front = Front::seeded(settings, 2, seed);
                 for count in 0..30 {
                     let waited = wait_after_loss(&mut front, unheard);
@@ -438,16 +535,26 @@
 #[test]
 fn three_calls_are_made_before_what_a_start_or_a_loss_misses_binds_whatever_the_fleet() {
     for fleet in [1, 3, 8, 9, 30, 100, 312, 900] {
-        let settings = Settings { fleet, discovery: Discovery::Ask, ..settings() };
+        let settings = Settings {
+            fleet,
+            discovery: Discovery::Ask,
+            ..settings()
+        };
         for seed in 0..40 {
             for takes in [0, 20 * MS, SECOND, CALL] {
                 let what = format!("fleet {fleet}, seed {seed}, each takes {takes} us");
                 let (mut front, began) = started(&settings, seed);
-                assert_calls(&calls_from(&mut front, began, takes), &format!("after a start, {what}"));
+                assert_calls(
+                    &calls_from(&mut front, began, takes),
+                    &format!("after a start, {what}"),
+                );
 
                 front.event(Event::Listed(ListKind::Changes, [].into()));
                 let first = wait_after_loss(&mut front, 0);
-                assert_calls(&calls_from(&mut front, first, takes), &format!("after a loss, {what}"));
+                assert_calls(
+                    &calls_from(&mut front, first, takes),
+                    &format!("after a loss, {what}"),
+                );
             }
         }
     }
@@ -469,7 +576,10 @@
 /// The first call within 2 s, each further one 2.5 s after the one before at most; clocks are read each 10 ms.
 fn assert_calls(calls: &[Micros], what: &str) {
     for (number, (at, latest)) in calls.iter().zip([2_000, 4_500, 7_000]).enumerate() {
-        assert!(*at <= (latest + 50) * MS, "{what}: call {number} of {calls:?}");
+        assert!(
+            *at <= (latest + 50) * MS,
+            "{what}: call {number} of {calls:?}"
+        );
     }
 }
 
@@ -491,11 +601,18 @@
 fn an_agent_that_pushes_lists_is_asked_again_at_once_however_large_the_fleet() {
     for fleet in [1, 30, 300] {
         for unheard in [0, CALL, asterreel::calls::SILENCE] {
-            let settings = Settings { fleet, discovery: Discovery::Push, ..settings() };
+            let settings = Settings {
+                fleet,
+                discovery: Discovery::Push,
+                ..settings()
+            };
             let mut front = Front::seeded(settings, 2, 7);
             for count in 0..30 {
                 let waited = wait_after_loss(&mut front, unheard);
-                assert!(waited <= 60 * MS, "fleet {fleet}, number {count}: {waited} us");
+                assert!(
+                    waited <= 60 * MS,
+                    "fleet {fleet}, number {count}: {waited} us"
+                );
             }
         }
     }
@@ -505,19 +622,31 @@
 #[test]
 fn calls_of_many_fronts_after_a_common_loss_are_spread() {
     for fleet in [3, 30, 300] {
-        let settings = Settings { fleet, discovery: Discovery::Ask, ..settings() };
+        let settings = Settings {
+            fleet,
+            discovery: Discovery::Ask,
+            ..settings()
+        };
         // Each has made its first call, and has a list.
-        let mut fronts: Vec<Front> = (0..60).map(|seed| started(&settings, 100 + seed).0).collect();
+        let mut fronts: Vec<Front> = (0..60)
+            .map(|seed| started(&settings, 100 + seed).0)
+            .collect();
         for front in &mut fronts {
             front.event(Event::Listed(ListKind::Changes, [].into()));
         }
         for round in 0..8 {
-            let mut waits: Vec<Micros> = fronts.iter_mut().map(|front| wait_after_loss(front, 0)).collect();
+            let mut waits: Vec<Micros> = fronts
+                .iter_mut()
+                .map(|front| wait_after_loss(front, 0))
+                .collect();
             waits.sort_unstable();
             // Half of them lie no closer together than half of the longest wait has room for, roughly.
             let (early, late) = (waits[15], waits[45]);
             let room = if round == 0 { 50 * MS } else { waits[59] / 5 };
-            assert!(late - early >= room.min(600 * MS), "fleet {fleet}, round {round}: {early} to {late}");
+            assert!(
+                late - early >= room.min(600 * MS),
+                "fleet {fleet}, round {round}: {early} to {late}"
+            );
         }
     }
 }
@@ -527,7 +656,14 @@
 #[test]
 fn reads_of_a_large_fleet_shun_a_standby_that_let_one_time_out() {
     for (fleet, shuns) in [(100, true), (3, false)] {
-        let mut front = Front::ready(Settings { fleet, checks: Checks::None, ..settings() }, 4);
+        let mut front = Front::ready(
+            Settings {
+                fleet,
+                checks: Checks::None,
+                ..settings()
+            },
+            4,
+        );
         let (read, actions) = front.arrive(BOUNDED);
         let (_, slow) = sends(&actions)[0];
         front.now += 100 * MS;
@@ -538,14 +674,21 @@
             let sent = sends(&actions);
             again += sent.iter().filter(|(_, to)| *to == slow).count();
             let note = note(Role::Replica, front.now);
-            sent.iter().for_each(|_| drop(front.ends(read, 0, Outcome::Served, note)));
+            sent.iter()
+                .for_each(|_| drop(front.ends(read, 0, Outcome::Served, note)));
         }
-        assert_eq!(again == 0, shuns, "{again} of 40 reads sent to it, fleet of {fleet}");
+        assert_eq!(
+            again == 0,
+            shuns,
+            "{again} of 40 reads sent to it, fleet of {fleet}"
+        );
         // It is taken up again later.
         front.now += 4 * SECOND;
         (1..4).for_each(|m| drop(front.tell(m, Role::Replica)));
-        let sent: Vec<u32> =
-            (0..40).flat_map(|_| sends(&front.arrive(BOUNDED).1)).map(|(_, to)| to).collect();
+        let sent: Vec<u32> = (0..40)
+            .flat_map(|_| sends(&front.arrive(BOUNDED).1))
+            .map(|(_, to)| to)
+            .collect();
         assert!(sent.contains(&slow), "fleet of {fleet}: {sent:?}");
     }
 }
@@ -574,7 +717,9 @@
                 continue;
             }
             let within = sends[n..].iter().take_while(|(other, _)| *other < end);
-            let load: f64 = within.map(|(_, class)| work(*class) as f64 / MEAN_WORK).sum();
+            let load: f64 = within
+                .map(|(_, class)| work(*class) as f64 / MEAN_WORK)
+                .sum();
             let room = settings.fall_multiple * warmth * capacity * settings.fall_for as f64 / 1e6;
             all += 1;
             over += usize::from(load > room + 2.0 * room.sqrt() + 2.0);
@@ -602,8 +747,17 @@
 /// to cold members up to 1.2 times the bound was sent in these scenes.
 #[test]
 fn no_window_of_a_cold_member_gets_more_than_its_budget_and_chance_from_all_fronts_together() {
-    let narrow = Settings { fall_multiple: 2.0, fall_for: 2_500 * MS, ..reports() };
-    let platform = Settings { fall_multiple: 2.5, fall_for: 2 * SECOND, cold_share: 0.16, ..reports() };
+    let narrow = Settings {
+        fall_multiple: 2.0,
+        fall_for: 2_500 * MS,
+        ..reports()
+    };
+    let platform = Settings {
+        fall_multiple: 2.5,
+        fall_for: 2 * SECOND,
+        cold_share: 0.16,
+        ..reports()
+    };
     let mut plays = Vec::new();
     for (settings, seed) in [(narrow, 1), (platform, 2)] {
         for (fronts, rate, groups) in [
@@ -622,13 +776,21 @@
     let (least, played) = std::thread::scope(|scope| {
         let threads: Vec<_> = plays
             .chunks(plays.len() / 4)
-            .map(|plays| scope.spawn(move || plays.iter().map(cold_windows).collect::<Vec<usize>>()))
+            .map(|plays| {
+                scope.spawn(move || plays.iter().map(cold_windows).collect::<Vec<usize>>())
+            })
+            .collect();
+        let windows: Vec<usize> = threads
+            .into_iter()
+            .flat_map(|t| t.join().expect("kept"))
             .collect();
-        let windows: Vec<usize> = threads.into_iter().flat_map(|t| t.join().expect("kept")).collect();
         (windows.iter().copied().min(), windows.len())
     });
     assert_eq!(played, plays.len());
-    assert!(least > Some(50), "cold members are used in every play: {least:?}");
+    assert!(
+        least > Some(50),
+        "cold members are used in every play: {least:?}"
+    );
 }
 
 /// Plays a scene and asserts that none of its windows is over; how many there were.
@@ -641,13 +803,17 @@
     let began = world.now;
     let stays_warm = |member: &u32| scene != Scene::All && member % MEMBERS < 2;
     let (warm, cold): (Vec<u32>, Vec<u32>) = (0..groups * MEMBERS).partition(stays_warm);
-    cold.iter().for_each(|member| world.change(*member, EntryState::On, began));
+    cold.iter()
+        .for_each(|member| world.change(*member, EntryState::On, began));
     match scene {
         Scene::WarmDie => world.dead = warm,
         Scene::FrontsStart => {
             world.play(3 * SECOND, rate);
             let started = |member| if cold.contains(&member) { began } else { 0 };
-            let entry = |m| Entry { role: role(m), ..listed(m, EntryState::On, started(m)) };
+            let entry = |m| Entry {
+                role: role(m),
+                ..listed(m, EntryState::On, started(m))
+            };
             let list: std::sync::Arc<[Entry]> = (0..groups * MEMBERS).map(entry).collect();
             world.restart(settings, &list, seed * 77);
         }
@@ -657,7 +823,13 @@
     // Four fifths of what a member of one core could do, or what each carried before, whichever is more.
     let capacity = (rate as f64 / f64::from(groups * MEMBERS)).max(0.8e6 / MEAN_WORK);
     let (over, all, worst) = windows_over(&world, settings, began, &cold, capacity);
-    let what = format!("{fronts} fronts, {rate} a second, multiple {}, {scene:?}", settings.fall_multiple);
-    assert_eq!(over, 0, "{what}: of {all} windows, the worst {worst:.2} of what is allowed");
+    let what = format!(
+        "{fronts} fronts, {rate} a second, multiple {}, {scene:?}",
+        settings.fall_multiple
+    );
+    assert_eq!(
+        over, 0,
+        "{what}: of {all} windows, the worst {worst:.2} of what is allowed"
+    );
     all
 }
--- a/tests/fleets/mod.rs
+++ b/tests/fleets/mod.rs
@@ -21,12 +21,23 @@
 pub fn agree(cluster: &mut Cluster, within: Duration) {
     let took = cluster.agree(within).expect("played");
     if took.is_none() {
-        cluster.history().iter().for_each(|line| println!("{} {}", line.gateway, line.fields));
+        cluster
+            .history()
+            .iter()
+            .for_each(|line| println!("{} {}", line.gateway, line.fields));
     }
-    assert!(took.is_some(), "{:?} {:?}", cluster.in_force(), cluster.ended());
+    assert!(
+        took.is_some(),
+        "{:?} {:?}",
+        cluster.in_force(),
+        cluster.ended()
+    );
 }
 
 /// What must never be was not.
 pub fn no_violation(cluster: &Cluster) {
-    assert_eq!(history::violations(&cluster.history()), Vec::<String>::new());
+    assert_eq!(
+        history::violations(&cluster.history()),
+        Vec::<String>::new()
+    );
 }
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -21,12 +21,24 @@
     let (tags, bytes) = client.answer();
     assert_eq!(tags, "TDCZ");
     assert!(bytes.starts_with(&toy::row(b"\x9f\x03toy")));
-    let seen = gateway.seen.recv_timeout(Duration::from_secs(20)).expect("a database got it");
-    let (before, after) = (b"id=a,c=search,d=".as_slice(), b",cluster=0,k=1 */".as_slice());
-    let at = seen.windows(before.len()).position(|w| w == before).expect("id and class") + before.len();
+    let seen = gateway
+        .seen
+        .recv_timeout(Duration::from_secs(20))
+        .expect("a database got it");
+    let (before, after) = (
+        b"id=a,c=search,d=".as_slice(),
+        b",cluster=0,k=1 */".as_slice(),
+    );
+    let at = seen
+        .windows(before.len())
+        .position(|w| w == before)
+        .expect("id and class")
+        + before.len();
     assert_eq!(seen[..at], read("a")[..at]);
     assert!(seen.ends_with(after));
-    let wait: u64 = String::from_utf8_lossy(&seen[at..seen.len() - after.len()]).parse().expect("a number");
+    let wait: u64 = String::from_utf8_lossy(&seen[at..seen.len() - after.len()])
+        .parse()
+        .expect("a number");
     assert!((1..=60_000).contains(&wait));
 }
 
@@ -36,7 +48,15 @@
     let mut client = Client::ready(&gateway);
     let write =
         b"INSERT INTO entries VALUES ('k', '\\x00') RETURNING payload /* id=w,c=booking,d=2000,cluster=0 */";
-    client.send(&[query(write), query(b"SET x = 1"), query(&read("b")), query(b";")].concat());
+    client.send(
+        &[
+            query(write),
+            query(b"SET x = 1"),
+            query(&read("b")),
+            query(b";"),
+        ]
+        .concat(),
+    );
     let tags: Vec<String> = (0..4).map(|_| client.answer().0).collect();
     assert_eq!(tags, ["TDCZ", "CZ", "TDCZ", "IZ"]);
 }
@@ -64,7 +84,11 @@
         stayed.push(client);
     }
     for client in &mut stayed[..32] {
-        assert_eq!(client.answer().0, "", "those that have rested longest are closed");
+        assert_eq!(
+            client.answer().0,
+            "",
+            "those that have rested longest are closed"
+        );
     }
     let last = stayed.last_mut().expect("128 clients");
     last.send(&query(&read("again")));
@@ -82,7 +106,10 @@
         assert_eq!(client.answer().0, "TDCZ");
     }
     let mut told = silent.iter_mut().map(|one| one.answer().0);
-    assert!(told.any(|tags| tags == "E"), "those left over are told that they took too long");
+    assert!(
+        told.any(|tags| tags == "E"),
+        "those left over are told that they took too long"
+    );
 }
 
 #[test]
@@ -96,16 +123,26 @@
     bad[2].send(&[startup(), whole[..30].to_vec()].concat());
     assert_eq!(bad[2].answer().0, "RSSKZ");
     let mut slow = Client::ready(&gateway);
-    slow.0.set_read_timeout(Some(Duration::from_millis(100))).expect("set");
-    let told = whole.iter().any(|byte| slow.0.write_all(&[*byte]).is_err() || slow.0.peek(&mut [0]).is_ok());
+    slow.0
+        .set_read_timeout(Some(Duration::from_millis(100)))
+        .expect("set");
+    let told = whole
+        .iter()
+        .any(|byte| slow.0.write_all(&[*byte]).is_err() || slow.0.peek(&mut [0]).is_ok());
     assert!(told, "before its message is whole");
-    slow.0.set_read_timeout(Some(Duration::from_secs(20))).expect("set");
+    slow.0
+        .set_read_timeout(Some(Duration::from_secs(20)))
+        .expect("set");
     for client in bad.iter_mut().chain([&mut slow]) {
         let (tags, bytes) = client.answer();
         assert_eq!((tags.as_str(), code(&bytes)), ("E", &b"08P01"[..]));
     }
     client.send(&whole);
-    assert_eq!(client.answer().0, "TDCZ", "one that rested meanwhile is served");
+    assert_eq!(
+        client.answer().0,
+        "TDCZ",
+        "one that rested meanwhile is served"
+    );
 }
 
 #[test]
@@ -115,7 +152,9 @@
         Some(whole[..whole.len() - 4].to_vec())
     });
     let mut client = Client::ready(&gateway);
-    client.send(&query(b"INSERT INTO entries VALUES ('k') /* id=w,c=booking,d=5000,cluster=0 */"));
+    client.send(&query(
+        b"INSERT INTO entries VALUES ('k') /* id=w,c=booking,d=5000,cluster=0 */",
+    ));
     let (tags, bytes) = client.answer();
     // It may have run: failed, not refused.
     assert_eq!((tags.as_str(), code(&bytes)), ("EZ", &b"58000"[..]));
@@ -124,14 +163,21 @@
     client.send(&query(&read("r")));
     let (tags, bytes) = client.answer();
     assert_eq!((tags.as_str(), code(&bytes)), ("EZ", &b"53300"[..]));
-    assert!(gateway.seen.try_iter().count() > 1, "a safe read was tried again");
+    assert!(
+        gateway.seen.try_iter().count() > 1,
+        "a safe read was tried again"
+    );
 }
 
 #[test]
 fn an_error_code_that_means_refused_is_not_passed_on_for_a_write_that_may_have_run() {
-    let gateway = start_with(1000, 1024, |_| Some(toy::message(b'E', b"SFATAL\0C57P03\0Mgoing down\0\0")));
+    let gateway = start_with(1000, 1024, |_| {
+        Some(toy::message(b'E', b"SFATAL\0C57P03\0Mgoing down\0\0"))
+    });
     let mut client = Client::ready(&gateway);
-    client.send(&query(b"INSERT INTO entries VALUES ('k') /* id=w,c=booking,d=5000,cluster=0 */"));
+    client.send(&query(
+        b"INSERT INTO entries VALUES ('k') /* id=w,c=booking,d=5000,cluster=0 */",
+    ));
     let (tags, bytes) = client.answer();
     assert_eq!((tags.as_str(), code(&bytes)), ("EZ", &b"58000"[..]));
     assert_eq!(gateway.seen.try_iter().count(), 1);
@@ -139,7 +185,9 @@
 
 #[test]
 fn a_statement_that_databases_cannot_use_fails_at_once_and_is_sent_to_no_other() {
-    let gateway = start_with(1000, 1024, |_| Some(toy::message(b'E', b"SERROR\0C42601\0Msyntax\0\0")));
+    let gateway = start_with(1000, 1024, |_| {
+        Some(toy::message(b'E', b"SERROR\0C42601\0Msyntax\0\0"))
+    });
     let mut client = Client::ready(&gateway);
     client.send(&query(&read("u")));
     let (tags, bytes) = client.answer();
@@ -154,19 +202,31 @@
     let mut clients = [Client::ready(&gateway), Client::ready(&gateway)];
     for client in &mut clients {
         client.send(&query(&read("same")));
-        client.0.set_read_timeout(Some(Duration::from_millis(200))).expect("set");
+        client
+            .0
+            .set_read_timeout(Some(Duration::from_millis(200)))
+            .expect("set");
     }
     // Whichever came in second hears before any database has answered.
-    let refused = |clients: &[Client; 2]| clients.iter().position(|one| one.0.peek(&mut [0]).is_ok());
-    let second = (0..50).find_map(|_| refused(&clients)).expect("one of them hears");
+    let refused =
+        |clients: &[Client; 2]| clients.iter().position(|one| one.0.peek(&mut [0]).is_ok());
+    let second = (0..50)
+        .find_map(|_| refused(&clients))
+        .expect("one of them hears");
     for client in &mut clients {
-        client.0.set_read_timeout(Some(Duration::from_secs(20))).expect("set");
+        client
+            .0
+            .set_read_timeout(Some(Duration::from_secs(20)))
+            .expect("set");
     }
     let (tags, bytes) = clients[second].answer();
     assert_eq!((tags.as_str(), code(&bytes)), ("EZ", &b"08P01"[..]));
     // Its id is free again once the first has been served.
     for asking in [1 - second, second] {
-        gateway.seen.recv_timeout(Duration::from_secs(20)).expect("a database got it");
+        gateway
+            .seen
+            .recv_timeout(Duration::from_secs(20))
+            .expect("a database got it");
         assert_eq!(clients[asking].answer().0, "TDCZ");
         assert!(gateway.seen.try_recv().is_err(), "once only");
         clients[second].send(&query(&read("same")));
@@ -214,29 +274,46 @@
     let log = BufReader::new(gateway.process.stderr.take().expect("piped"));
     let signalled = Instant::now();
     gateway.signal("-TERM");
-    assert!(log.lines().any(|line| line.expect("text").contains("draining")));
+    assert!(log
+        .lines()
+        .any(|line| line.expect("text").contains("draining")));
     busy.send(&query(&read("c")));
     // One of the two is not answered by its database before the process may be killed.
     late.send(&query(&read("d")));
     assert_eq!(idle.answer().0, "", "closed");
-    assert!(signalled.elapsed() >= Duration::from_millis(700), "clients may still use it for so long");
+    assert!(
+        signalled.elapsed() >= Duration::from_millis(700),
+        "clients may still use it for so long"
+    );
     // Only now does the database answer.
-    gateway.seen.recv_timeout(Duration::from_secs(20)).expect("a database got it");
+    gateway
+        .seen
+        .recv_timeout(Duration::from_secs(20))
+        .expect("a database got it");
     let mut tags = [busy.answer().0, late.answer().0];
     tags.sort_unstable();
     assert_eq!(tags, ["EZ", "TDCZ"], "what was taken is answered");
     // The read may wait for 20 s, but the process may be killed 3.7 s after the signal.
     assert!(signalled.elapsed() < Duration::from_millis(3700), "in time");
-    assert_eq!((busy.answer().0, late.answer().0), (String::new(), String::new()));
+    assert_eq!(
+        (busy.answer().0, late.answer().0),
+        (String::new(), String::new())
+    );
     gateway.exits_well();
 }
 
 #[test]
 fn a_bad_configuration_ends_it_and_names_the_key() {
     let mut file = tempfile::NamedTempFile::new().expect("a file");
-    file.write_all(EXAMPLE.replace("\"MaxAttempts\": 10", "\"MaxAttempts\": -1").as_bytes())
-        .expect("written");
-    let output = Command::new(env!("CARGO_BIN_EXE_asterreel")).env("RELAY_CONFIG", file.path()).output();
+    file.write_all(
+        EXAMPLE
+            .replace("\"MaxAttempts\": 10", "\"MaxAttempts\": -1")
+            .as_bytes(),
+    )
+    .expect("written");
+    let output = Command::new(env!("CARGO_BIN_EXE_asterreel"))
+        .env("RELAY_CONFIG", file.path())
+        .output();
     let output = output.expect("it runs");
     assert!(!output.status.success());
     let error = String::from_utf8_lossy(&output.stderr).into_owned();
@@ -256,7 +333,10 @@
 /// A place for discovery, with a key of the configuration that names it.
 fn discovery_place() -> (TcpListener, String) {
     let listener = listen();
-    let key = format!("\"discovery\": \"{}\"", listener.local_addr().expect("bound"));
+    let key = format!(
+        "\"discovery\": \"{}\"",
+        listener.local_addr().expect("bound")
+    );
     (listener, key)
 }
 
@@ -275,7 +355,10 @@
         // The old place is still up, and its watch open.
         let mut watch = called(&listener).expect("the gateway calls");
         watch.read_exact(&mut call).expect("a call");
-        assert!(call.starts_with(b"GET /v1/servers?watch=1&after=0 "), "everything is asked for");
+        assert!(
+            call.starts_with(b"GET /v1/servers?watch=1&after=0 "),
+            "everything is asked for"
+        );
         // The new place is silent: the members stay known.
         client.send(&query(&read("h")));
         assert_eq!(client.answer().0, "TDCZ");
@@ -323,7 +406,11 @@
     let took = silent.elapsed();
     let mut head = [0; 36];
     call.read_exact(&mut head).expect("a call");
-    assert_eq!(&head[..], b"GET /v1/servers?watch=1&after=777 HT", "it has read the list");
+    assert_eq!(
+        &head[..],
+        b"GET /v1/servers?watch=1&after=777 HT",
+        "it has read the list"
+    );
     // Beats come every 2 s, and a call may wait 2 s in discovery's queue before the 6 s are over; one more for the machine.
     let (least, most) = (Duration::from_millis(2_500), Duration::from_millis(5_000));
     assert!((least..most).contains(&took), "called again after {took:?}");
--- a/tests/golden/mod.rs
+++ b/tests/golden/mod.rs
@@ -9,17 +9,26 @@
 /// Compares what was seen with the record of this name; what differs is left in the build's temporary folder.
 #[track_caller]
 pub fn assert_matches(name: &str, seen: &str) {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/golden")
+        .join(name);
     let record = std::fs::read_to_string(&path).unwrap_or_default();
     if seen == record {
         return;
     }
     let left = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&left, seen).expect("written");
-    let place = seen.lines().zip(record.lines()).position(|(one, other)| one != other);
+    let place = seen
+        .lines()
+        .zip(record.lines())
+        .position(|(one, other)| one != other);
     let place = place.unwrap_or(seen.lines().count().min(record.lines().count()));
     let (one, other) = (seen.lines().nth(place), record.lines().nth(place));
-    panic!("{name}, line {}: {one:?} in place of {other:?}; all of it is in {}", place + 1, left.display());
+    panic!(
+        "{name}, line {}: {one:?} in place of {other:?}; all of it is in {}",
+        place + 1,
+        left.display()
+    );
 }
 
 /// Bytes as text: what is not printable is escaped.
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -24,8 +24,13 @@
         paths(value, &path, all);
     };
     match value {
-        Value::Object(map) => map.iter().for_each(|(key, value)| inner(key.clone(), value)),
-        Value::Array(list) => list.iter().enumerate().for_each(|(at, value)| inner(at.to_string(), value)),
+        Value::Object(map) => map
+            .iter()
+            .for_each(|(key, value)| inner(key.clone(), value)),
+        Value::Array(list) => list
+            .iter()
+            .enumerate()
+            .for_each(|(at, value)| inner(at.to_string(), value)),
         _ => {}
     }
 }
@@ -66,13 +71,26 @@
     for path in all {
         seen += &format!("{path} left out: {}\n", said(&without(&config, &path)));
         let old = config.pointer(&path).expect("it is there");
-        let nonsense = if old.is_string() { json!([7]) } else { json!("nonsense") };
-        seen += &format!("{path} of another type: {}\n", said(&with(&config, &path, nonsense)));
+        let nonsense = if old.is_string() {
+            json!([7])
+        } else {
+            json!("nonsense")
+        };
+        seen += &format!(
+            "{path} of another type: {}\n",
+            said(&with(&config, &path, nonsense))
+        );
         if old.is_string() {
-            seen += &format!("{path} unknown: {}\n", said(&with(&config, &path, json!("unheard-of"))));
+            seen += &format!(
+                "{path} unknown: {}\n",
+                said(&with(&config, &path, json!("unheard-of")))
+            );
         }
         if old.is_number() {
-            seen += &format!("{path} negative: {}\n", said(&with(&config, &path, json!(-1))));
+            seen += &format!(
+                "{path} negative: {}\n",
+                said(&with(&config, &path, json!(-1)))
+            );
             seen += &format!("{path} zero: {}\n", said(&with(&config, &path, json!(0))));
         }
     }
@@ -91,7 +109,11 @@
         let folder = tempfile::tempdir().expect("a folder");
         let path = folder.path().join("operator.star");
         std::fs::write(&path, text).expect("written");
-        Operator { evaluator: Path::new(env!("CARGO_BIN_EXE_asterreel-operator")), folder, path }
+        Operator {
+            evaluator: Path::new(env!("CARGO_BIN_EXE_asterreel-operator")),
+            folder,
+            path,
+        }
     }
 
     fn without_folder(&self, text: &str) -> String {
@@ -100,7 +122,11 @@
 
     /// What the evaluator answers.
     fn reply(&self) -> String {
-        let output = Command::new(self.evaluator).arg(&self.path).arg("20000").output().expect("it runs");
+        let output = Command::new(self.evaluator)
+            .arg(&self.path)
+            .arg("20000")
+            .output()
+            .expect("it runs");
         self.without_folder(&String::from_utf8(output.stdout).expect("text"))
     }
 
@@ -109,7 +135,10 @@
         let config = Config::parse(CONFIG.as_bytes(), |_| None).expect("good");
         let evaluated = operator::evaluate(self.evaluator, &self.path, Duration::from_secs(20));
         let beside = evaluated.and_then(|evaluated| evaluated.beside(&config).map(drop));
-        beside.map_or_else(|fault| self.without_folder(&fault.to_string()), |()| "good".to_owned())
+        beside.map_or_else(
+            |fault| self.without_folder(&fault.to_string()),
+            |()| "good".to_owned(),
+        )
     }
 }
 
@@ -122,8 +151,13 @@
 
 /// The places in a text where a named argument is given: where its name begins, where its value does.
 fn arguments(text: &str) -> Vec<(usize, usize)> {
-    let word =
-        |at: &usize| text[..*at].chars().rev().take_while(|c| c.is_alphanumeric() || *c == '_').count();
+    let word = |at: &usize| {
+        text[..*at]
+            .chars()
+            .rev()
+            .take_while(|c| c.is_alphanumeric() || *c == '_')
+            .count()
+    };
     let equals = text.match_indices(" = ").map(|(at, _)| at);
     equals.map(|at| (at - word(&at), at + 3)).collect()
 }
@@ -154,26 +188,37 @@
     // Each file takes a process: some at a time.
     let parts = files.chunks(files.len().div_ceil(4));
     let seen: String = std::thread::scope(|scope| {
-        let threads: Vec<_> =
-            parts.map(|part| scope.spawn(move || part.iter().map(say).collect::<String>())).collect();
-        threads.into_iter().map(|thread| thread.join().expect("it ends")).collect()
+        let threads: Vec<_> = parts
+            .map(|part| scope.spawn(move || part.iter().map(say).collect::<String>()))
+            .collect();
+        threads
+            .into_iter()
+            .map(|thread| thread.join().expect("it ends"))
+            .collect()
     });
     golden::assert_matches("operator-faults.txt", &seen);
 }
 
 #[test]
 fn discovery_list_matches_record() {
-    let list: Listing = serde_json::from_str(include_str!("golden/discovery-list.json")).expect("a list");
+    let list: Listing =
+        serde_json::from_str(include_str!("golden/discovery-list.json")).expect("a list");
     let zones = ["east".to_owned(), "west".to_owned()];
     let mut seen = format!("revision {}, complete {}\n", list.revision, list.complete);
     for (number, item) in list.members.iter().enumerate() {
-        let read = item.entry(MemberId(number as u32), &zones).expect("an entry");
+        let read = item
+            .entry(MemberId(number as u32), &zones)
+            .expect("an entry");
         let state = match read.state {
             EntryState::On => "on",
             EntryState::Draining => "draining",
             EntryState::Gone => "gone",
         };
-        let role = if read.role == Role::Primary { "primary" } else { "replica" };
+        let role = if read.role == Role::Primary {
+            "primary"
+        } else {
+            "replica"
+        };
         let (group, zone, hash) = (read.group.0, read.zone.0, read.lot);
         seen += &format!(
             "{} at {:?}: {state} {role}, group {group}, zone {zone}, size {}, started {}, hash {hash:016x}\n",
@@ -182,6 +227,11 @@
     }
     let unknown = r#"{"id": "s", "phase": "lost", "cell": 0}"#;
     let unknown: Item = serde_json::from_str(unknown).expect("an item");
-    seen += &format!("{}\n", unknown.entry(MemberId(0), &zones).expect_err("an unknown state"));
+    seen += &format!(
+        "{}\n",
+        unknown
+            .entry(MemberId(0), &zones)
+            .expect_err("an unknown state")
+    );
     golden::assert_matches("discovery-list.txt", &seen);
 }
--- a/tests/golden_simulator.rs
+++ b/tests/golden_simulator.rs
@@ -148,7 +148,9 @@
             rng,
             now: 100_000_000,
             databases: (0..count).map(database).collect(),
-            primaries: (0..scenario.cells).map(|cell| (cell * scenario.members_of_cell) as usize).collect(),
+            primaries: (0..scenario.cells)
+                .map(|cell| (cell * scenario.members_of_cell) as usize)
+                .collect(),
             due: BTreeMap::new(),
             made: 0,
             jobs: 0,
@@ -172,7 +174,12 @@
     }
 
     fn position_us(&self, number: usize) -> u64 {
-        self.now - if self.is_primary(number) { 0 } else { self.databases[number].lag_us }
+        self.now
+            - if self.is_primary(number) {
+                0
+            } else {
+                self.databases[number].lag_us
+            }
     }
 
     fn feedback(&self, number: usize) -> Value {
@@ -205,7 +212,10 @@
     }
 
     fn arrival(&mut self) -> Value {
-        let (profile, cell) = (self.rng.usize(0..8), self.rng.usize(0..self.primaries.len()) as u64);
+        let (profile, cell) = (
+            self.rng.usize(0..8),
+            self.rng.usize(0..self.primaries.len()) as u64,
+        );
         let job = format!("j{}", self.jobs);
         self.jobs += 1;
         let due = self.now + self.rng.u64(60_000..1_200_000);
@@ -249,7 +259,9 @@
             self.primaries[cell] = cell * of_cell + self.rng.usize(0..of_cell);
         }
         if self.one_in(200) {
-            self.databases.iter_mut().for_each(|one| (one.slowness, one.hangs, one.state) = (1, false, "on"));
+            self.databases
+                .iter_mut()
+                .for_each(|one| (one.slowness, one.hangs, one.state) = (1, false, "on"));
             self.announce(20_000, "total", 0);
         }
         if self.one_in(250) {
@@ -284,7 +296,11 @@
     fn route(&mut self, route: &Value) {
         let (job, store) = (text(&route["Job"]), text(&route["Store"]));
         let timeout = route["TimeoutUs"].as_u64().expect("a number");
-        let number = self.databases.iter().position(|one| one.name == store).expect("a database of the list");
+        let number = self
+            .databases
+            .iter()
+            .position(|one| one.name == store)
+            .expect("a database of the list");
         let (profile, _, round, _) = *self.open.get(&job).expect("a job that is open");
         self.open.entry(job.clone()).and_modify(|open| open.2 += 1);
         let (latency, result) = self.attempt(number, profile, timeout);
@@ -303,7 +319,10 @@
     }
 
     fn take(&mut self, output: &Value) {
-        let (word, body) = output.as_object().and_then(|all| all.iter().next()).expect("one word");
+        let (word, body) = output
+            .as_object()
+            .and_then(|all| all.iter().next())
+            .expect("one word");
         match word.as_str() {
             "ROUTE" => self.route(body),
             "WITHDRAW" => {
@@ -313,7 +332,11 @@
             }
             "TEST" => {
                 let store = text(&body["Store"]);
-                let number = self.databases.iter().position(|one| one.name == store).expect("listed");
+                let number = self
+                    .databases
+                    .iter()
+                    .position(|one| one.name == store)
+                    .expect("listed");
                 let result = match (self.databases[number].state, self.databases[number].hangs) {
                     ("off", _) => 50,
                     (_, true) => 40,
@@ -324,7 +347,11 @@
                 if result == 10 {
                     health["Feedback"] = self.feedback(number);
                 }
-                let after = if result == 40 { 250_000 } else { self.rng.u64(500..3_000) };
+                let after = if result == 40 {
+                    250_000
+                } else {
+                    self.rng.u64(500..3_000)
+                };
                 self.later(after, json!({"HEALTH": health}));
             }
             "TRACK" => {
@@ -352,7 +379,9 @@
         }
         self.change();
         let later = self.due.split_off(&(self.now + 1, 0));
-        let mut events: Vec<Value> = std::mem::replace(&mut self.due, later).into_values().collect();
+        let mut events: Vec<Value> = std::mem::replace(&mut self.due, later)
+            .into_values()
+            .collect();
         let crowd = if self.now / 1_000_000 % 5 == 3 { 3 } else { 1 };
         for _ in 0..self.rng.u64(0..=self.arrivals_of_batch * crowd) {
             events.push(self.arrival());
@@ -380,13 +409,26 @@
             .stdout(Stdio::piped())
             .spawn()
             .expect("the adapter starts");
-        let (input, output) = (process.stdin.take().expect("piped"), process.stdout.take().expect("piped"));
+        let (input, output) = (
+            process.stdin.take().expect("piped"),
+            process.stdout.take().expect("piped"),
+        );
         let (transcript, replies) = (String::new(), Vec::new());
-        Adapter { process, input, output: BufReader::new(output), transcript, replies }
+        Adapter {
+            process,
+            input,
+            output: BufReader::new(output),
+            transcript,
+            replies,
+        }
     }
 
     fn ask(&mut self, number: u64, now: u64, events: Vec<Value>) -> Vec<Value> {
-        let parts = if events.is_empty() { json!([]) } else { json!([{"I": "front-0", "in": events}]) };
+        let parts = if events.is_empty() {
+            json!([])
+        } else {
+            json!([{"I": "front-0", "in": events}])
+        };
         let batch = json!({"SimTimeUs": now, "batch": number, "parts": parts}).to_string();
         writeln!(self.input, "{batch}").expect("written");
         let mut line = String::new();
@@ -394,7 +436,10 @@
         self.transcript += &format!("< {batch}\n> {line}");
         self.replies.extend(line.as_bytes());
         let reply: Value = serde_json::from_str(&line).expect("a reply in JSON");
-        reply["parts"][0]["out"].as_array().cloned().unwrap_or_default()
+        reply["parts"][0]["out"]
+            .as_array()
+            .cloned()
+            .unwrap_or_default()
     }
 }
 
@@ -410,22 +455,36 @@
         let outputs = adapter.ask(number, world.now, events);
         for output in &outputs {
             world.take(output);
-            let word = output.as_object().and_then(|all| all.keys().next()).expect("one word");
+            let word = output
+                .as_object()
+                .and_then(|all| all.keys().next())
+                .expect("one word");
             *words.entry(word.clone()).or_default() += 1;
         }
         events = world.batch();
     }
     drop(adapter.input);
     assert!(adapter.process.wait().expect("it ends").success());
-    let counts: Vec<String> = words.iter().map(|(word, count)| format!("{word} {count}")).collect();
-    let record = format!("{}: {:016x}; {}", scenario.name, xxh3_64(&adapter.replies), counts.join(", "));
+    let counts: Vec<String> = words
+        .iter()
+        .map(|(word, count)| format!("{word} {count}"))
+        .collect();
+    let record = format!(
+        "{}: {:016x}; {}",
+        scenario.name,
+        xxh3_64(&adapter.replies),
+        counts.join(", ")
+    );
     (record, adapter.transcript)
 }
 
 #[test]
 fn simulator_decisions_match_record() {
     let played: Vec<(String, String)> = SCENARIOS.iter().map(play).collect();
-    let seen: String = played.iter().map(|(record, _)| format!("{record}\n")).collect();
+    let seen: String = played
+        .iter()
+        .map(|(record, _)| format!("{record}\n"))
+        .collect();
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"));
     for ((_, transcript), scenario) in played.iter().zip(&SCENARIOS) {
         let file = folder.join(format!("{}.txt", scenario.name.replace(' ', "-")));
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -2,8 +2,8 @@
 mod common;
 
 use asterreel::health::{
-    Action, Beat, Event, GroupReport, Knobs, Ladder, Machine, Mover, Observer, Reason, Report, Room, Scope,
-    State, Status, FULL,
+    Action, Beat, Event, GroupReport, Knobs, Ladder, Machine, Mover, Observer, Reason, Report,
+    Room, Scope, State, Status, FULL,
 };
 use asterreel::interface::{Event as Told, *};
 use common::{ended, entry, settings, Front, GROUP, MS, START};
@@ -51,7 +51,12 @@
             answers: true,
             sees: true,
             enters: true,
-            room: Room { sessions: 5, most_sessions: 100, requests: 1, most_requests: 50 },
+            room: Room {
+                sessions: 5,
+                most_sessions: 100,
+                requests: 1,
+                most_requests: 50,
+            },
         };
         subject.event(Event::Beat(Beat::Knocked));
         subject.event(Event::Beat(Beat::Entered));
@@ -82,8 +87,15 @@
         let end = self.now + span;
         while self.now < end {
             self.now += 25 * MS;
-            let report = Report { told: true, groups: vec![self.group.clone()] };
-            self.event(if self.sees { Event::Seen(report, self.room) } else { Event::Unseen });
+            let report = Report {
+                told: true,
+                groups: vec![self.group.clone()],
+            };
+            self.event(if self.sees {
+                Event::Seen(report, self.room)
+            } else {
+                Event::Unseen
+            });
             self.event(Event::Beat(Beat::Sent));
             if self.answers {
                 self.event(Event::Beat(Beat::Answered));
@@ -119,26 +131,43 @@
     assert_eq!((subject.told().0, subject.told().1), (State::Degraded, 10));
     subject.pass(5 * S);
     assert_eq!(subject.told().1, FULL);
-    let weights: Vec<u8> = subject.history.iter().map(|(_, status)| status.weight).collect();
+    let weights: Vec<u8> = subject
+        .history
+        .iter()
+        .map(|(_, status)| status.weight)
+        .collect();
     assert_eq!(weights, [0, 10, 30, 50, 70, 90, 100]);
 }
 
 #[test]
 fn with_discovery_down_from_the_start_it_serves_what_it_knows_after_the_stated_wait() {
-    let knobs = Knobs { start_wait_ms: 3_000, ..Knobs::default() };
+    let knobs = Knobs {
+        start_wait_ms: 3_000,
+        ..Knobs::default()
+    };
     let mut machine = Machine::new(knobs, START);
     let mut actions = Vec::new();
     let mut look = |machine: &mut Machine, at, usable| {
-        let group = GroupReport { usable, ..group_report() };
+        let group = GroupReport {
+            usable,
+            ..group_report()
+        };
         machine.handle(at, Event::Beat(Beat::Entered), &mut actions);
-        let report = Report { told: false, groups: vec![group] };
+        let report = Report {
+            told: false,
+            groups: vec![group],
+        };
         machine.handle(at, Event::Seen(report, Room::default()), &mut actions);
         machine.status(Scope::Gateway).expect("told").state
     };
     assert_eq!(look(&mut machine, START + 2_900 * MS, 2), State::Starting);
     assert_eq!(look(&mut machine, START + 3_000 * MS, 2), State::Degraded);
     assert_eq!(look(&mut machine, START + 3_100 * MS, 0), State::Degraded);
-    assert_eq!(machine.status(Scope::Gateway).expect("told").weight, 0, "no member at all can serve");
+    assert_eq!(
+        machine.status(Scope::Gateway).expect("told").weight,
+        0,
+        "no member at all can serve"
+    );
 }
 
 #[test]
@@ -164,22 +193,43 @@
 #[test]
 fn a_group_without_any_member_has_no_weight_and_the_others_keep_theirs() {
     let mut subject = Subject::up();
-    let other = GroupReport { group: GroupId(8), ..group_report() };
-    let lost = GroupReport { usable: 0, ..group_report() };
-    let report = Report { told: true, groups: vec![lost, other] };
+    let other = GroupReport {
+        group: GroupId(8),
+        ..group_report()
+    };
+    let lost = GroupReport {
+        usable: 0,
+        ..group_report()
+    };
+    let report = Report {
+        told: true,
+        groups: vec![lost, other],
+    };
     subject.now += 25 * MS;
     subject.event(Event::Seen(report.clone(), subject.room));
     subject.now += 25 * MS;
     subject.event(Event::Seen(report, subject.room));
     assert_eq!(
         subject.told_of_group(),
-        Status { state: State::Degraded, weight: 0, reason: Reason::NoMember }
+        Status {
+            state: State::Degraded,
+            weight: 0,
+            reason: Reason::NoMember
+        }
     );
     assert_eq!((subject.told().0, subject.told().1), (State::Degraded, 50));
     let mut actions = Vec::new();
-    let report = Report { told: true, groups: vec![group_report()] };
-    subject.machine.handle(subject.now, Event::Seen(report, subject.room), &mut actions);
-    assert!(actions.contains(&Action::Withdraw(Scope::Group(GroupId(8)))), "{actions:?}");
+    let report = Report {
+        told: true,
+        groups: vec![group_report()],
+    };
+    subject
+        .machine
+        .handle(subject.now, Event::Seen(report, subject.room), &mut actions);
+    assert!(
+        actions.contains(&Action::Withdraw(Scope::Group(GroupId(8)))),
+        "{actions:?}"
+    );
 }
 
 #[test]
@@ -188,7 +238,11 @@
     subject.group.strained = 60;
     subject.pass(10 * S);
     assert_eq!(subject.told(), (State::Degraded, 10, Reason::Overload));
-    let weights: Vec<u8> = subject.history.iter().map(|(_, status)| status.weight).collect();
+    let weights: Vec<u8> = subject
+        .history
+        .iter()
+        .map(|(_, status)| status.weight)
+        .collect();
     assert_eq!(weights, [75, 50, 25, 10]);
     // Between the thresholds it stays; calm, it rises.
     subject.group.strained = 10;
@@ -209,8 +263,14 @@
             gateway.pass(25 * MS);
         }
         let statuses: Vec<_> = gateways.iter().map(Subject::told).collect();
-        let sum: u32 = statuses.iter().map(|(_, weight, _)| u32::from(*weight)).sum();
-        assert!(sum >= 30 && statuses.iter().all(|(state, ..)| *state <= State::Degraded), "{statuses:?}");
+        let sum: u32 = statuses
+            .iter()
+            .map(|(_, weight, _)| u32::from(*weight))
+            .sum();
+        assert!(
+            sum >= 30 && statuses.iter().all(|(state, ..)| *state <= State::Degraded),
+            "{statuses:?}"
+        );
     }
 }
 
@@ -233,7 +293,14 @@
         hang(&mut subject);
         subject.pass(400 * MS);
         let (at, status) = subject.history[0];
-        assert_eq!(status, Status { state: State::Hung, weight: 0, reason: Reason::Hung });
+        assert_eq!(
+            status,
+            Status {
+                state: State::Hung,
+                weight: 0,
+                reason: Reason::Hung
+            }
+        );
         assert!(at - began <= 350 * MS, "{}", at - began);
         assert!(!subject.machine.moves());
     }
@@ -252,7 +319,11 @@
         while subject.told().0 == State::Hung {
             subject.pass(25 * MS);
         }
-        assert!(subject.told().1 <= 30, "it rises from the floor: {:?}", subject.told());
+        assert!(
+            subject.told().1 <= 30,
+            "it rises from the floor: {:?}",
+            subject.told()
+        );
         proofs.push((subject.now - mended) / S);
     }
     assert_eq!(proofs, [1, 2, 4]);
@@ -276,8 +347,12 @@
     let now = subject.now;
     let mut actions = Vec::new();
     for back in [S, 60 * S, now] {
-        subject.machine.handle(now - back, Event::Beat(Beat::Sent), &mut actions);
-        subject.machine.handle(now - back, Event::Tick, &mut actions);
+        subject
+            .machine
+            .handle(now - back, Event::Beat(Beat::Sent), &mut actions);
+        subject
+            .machine
+            .handle(now - back, Event::Tick, &mut actions);
     }
     assert_eq!(actions, []);
     subject.pass(S);
@@ -296,14 +371,20 @@
     subject.answers = true;
     for _ in 0..80 {
         subject.now += 25 * MS;
-        let report = Report { told: true, groups: vec![subject.group.clone()] };
+        let report = Report {
+            told: true,
+            groups: vec![subject.group.clone()],
+        };
         subject.event(Event::Seen(report, subject.room));
         subject.event(Event::Beat(Beat::Knocked));
     }
     assert_eq!(subject.told().0, State::Degraded);
     // With room to spare and nothing open, a path that lets nobody in is hung.
     subject.room.sessions = 1;
-    let report = Report { told: true, groups: vec![subject.group.clone()] };
+    let report = Report {
+        told: true,
+        groups: vec![subject.group.clone()],
+    };
     subject.event(Event::Seen(report, subject.room));
     assert_eq!(subject.told().0, State::Hung);
 }
@@ -315,7 +396,13 @@
     subject.event(Event::ShutOut(true));
     subject.pass(2 * S);
     assert_eq!(subject.told(), (State::Degraded, 10, Reason::ShutOut));
-    assert!(subject.machine.status(Scope::Gateway).is_some_and(|status| status.ready()), "never 0");
+    assert!(
+        subject
+            .machine
+            .status(Scope::Gateway)
+            .is_some_and(|status| status.ready()),
+        "never 0"
+    );
     subject.event(Event::ShutOut(false));
     subject.pass(10 * S);
     assert_eq!(subject.told(), (State::Up, FULL, Reason::Fine));
@@ -342,7 +429,10 @@
 #[test]
 fn maintenance_takes_it_out_and_the_file_read_again_brings_it_back() {
     let mut subject = Subject::up();
-    subject.event(Event::Configured(Knobs { maintenance: true, ..Knobs::default() }));
+    subject.event(Event::Configured(Knobs {
+        maintenance: true,
+        ..Knobs::default()
+    }));
     assert_eq!(subject.told(), (State::Draining, 0, Reason::Maintenance));
     subject.event(Event::Configured(Knobs::default()));
     assert_eq!(subject.told().0, State::Up);
@@ -350,7 +440,10 @@
 
 #[test]
 fn a_primary_lost_and_found_over_and_over_turns_the_weight_no_oftener_than_allowed() {
-    let knobs = Knobs { flaps_per_minute: 3, ..Knobs::default() };
+    let knobs = Knobs {
+        flaps_per_minute: 3,
+        ..Knobs::default()
+    };
     let mut subject = Subject::new(knobs);
     subject.pass(10 * S);
     subject.history.clear();
@@ -369,10 +462,19 @@
         if status.weight > last && fell {
             times.push(*at);
         }
-        fell = if status.weight == last { fell } else { status.weight < last };
+        fell = if status.weight == last {
+            fell
+        } else {
+            status.weight < last
+        };
         last = status.weight;
     }
-    let within = |from: &Micros| times.iter().filter(|at| **at >= *from && **at < from + span).count();
+    let within = |from: &Micros| {
+        times
+            .iter()
+            .filter(|at| **at >= *from && **at < from + span)
+            .count()
+    };
     times.iter().map(within).max().unwrap_or(0)
 }
 
@@ -385,16 +487,33 @@
     let feed = |observer: &mut Observer, front: &mut Front, event: Told| {
         observer.event(front.now, &event);
         let actions = front.event(event);
-        actions.iter().for_each(|action| observer.action(front.now, action));
+        actions
+            .iter()
+            .for_each(|action| observer.action(front.now, action));
         actions
     };
     let list = (0..3).map(|m| entry(m, EntryState::On, 0)).collect();
-    feed(&mut observer, &mut front, Told::Listed(ListKind::Full, list));
-    assert_eq!(observer.report(front.now).groups[0].usable, 0, "nobody was heard from");
+    feed(
+        &mut observer,
+        &mut front,
+        Told::Listed(ListKind::Full, list),
+    );
+    assert_eq!(
+        observer.report(front.now).groups[0].usable,
+        0,
+        "nobody was heard from"
+    );
     for m in 0..3 {
         let role = if m == 0 { Role::Primary } else { Role::Replica };
-        let note = Note { role: Some(role), position: Some(front.now) };
-        feed(&mut observer, &mut front, Told::Probed(MemberId(m), Outcome::Served, note));
+        let note = Note {
+            role: Some(role),
+            position: Some(front.now),
+        };
+        feed(
+            &mut observer,
+            &mut front,
+            Told::Probed(MemberId(m), Outcome::Served, note),
+        );
     }
     let report = observer.report(front.now);
     assert!(report.told && report.groups[0].primary);
@@ -422,7 +541,13 @@
         let took = if round % 2 == 0 { 10 * MS } else { 60 * MS };
         front.now += took;
         let request = RequestId(front.next);
-        let served = ended(request, 0, Outcome::Served, took, common::note(Role::Primary, front.now));
+        let served = ended(
+            request,
+            0,
+            Outcome::Served,
+            took,
+            common::note(Role::Primary, front.now),
+        );
         feed(&mut observer, &mut front, Told::Ended(served));
     }
     let group = &observer.report(front.now).groups[0];
@@ -443,7 +568,11 @@
         asked.extend(common::sends(&actions).iter().map(|(request, _)| *request));
     }
     let group = observer.report(front.now).groups[0].clone();
-    assert_eq!(group.held + group.in_flight, 10, "one of them may seek the primary");
+    assert_eq!(
+        group.held + group.in_flight,
+        10,
+        "one of them may seek the primary"
+    );
     let end = front.now + 3 * S;
     while front.now < end {
         front.now += 20 * MS;
@@ -451,8 +580,17 @@
         let mut answered = 0;
         while answered < asked.len() {
             let request = asked[answered];
-            let number = asked[..answered].iter().filter(|other| **other == request).count() as u32;
-            let miss = ended(request, number, Outcome::Miss, MS, common::note(Role::Replica, front.now));
+            let number = asked[..answered]
+                .iter()
+                .filter(|other| **other == request)
+                .count() as u32;
+            let miss = ended(
+                request,
+                number,
+                Outcome::Miss,
+                MS,
+                common::note(Role::Replica, front.now),
+            );
             actions.extend(feed(&mut observer, &mut front, Told::Ended(miss)));
             asked.extend(common::sends(&actions).iter().map(|(request, _)| *request));
             actions.clear();
@@ -461,16 +599,33 @@
         asked.extend(common::sends(&actions).iter().map(|(request, _)| *request));
     }
     let group = observer.report(front.now).groups[0].clone();
-    assert_eq!((group.held, group.in_flight, observer.open_requests()), (0, 0, 0));
-    assert_eq!(group.strain(), None, "refused for want of a primary: {group:?}");
+    assert_eq!(
+        (group.held, group.in_flight, observer.open_requests()),
+        (0, 0, 0)
+    );
+    assert_eq!(
+        group.strain(),
+        None,
+        "refused for want of a primary: {group:?}"
+    );
     // A client that names a group that does not exist leaves nothing behind.
     let mut stranger = arrive(&mut front, common::WRITE);
     if let Told::Arrive(arrival) = &mut stranger {
         arrival.group = GroupId(99);
     }
     feed(&mut observer, &mut front, stranger);
-    assert_eq!((observer.open_requests(), observer.report(front.now).groups.len()), (0, 1));
-    feed(&mut observer, &mut front, Told::Listed(ListKind::Full, [].into()));
+    assert_eq!(
+        (
+            observer.open_requests(),
+            observer.report(front.now).groups.len()
+        ),
+        (0, 1)
+    );
+    feed(
+        &mut observer,
+        &mut front,
+        Told::Listed(ListKind::Full, [].into()),
+    );
     assert_eq!(observer.report(front.now).groups, []);
 }
 
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -9,8 +9,12 @@
 use asterreel::lease::{Action, Command, Duty, Event, Fence, Holder, Index, Leases, Timing, Token};
 use xxhash_rust::xxh3::Xxh3;
 
-const TIMING: Timing =
-    Timing { lease_us: 3_000_000, renew_us: 1_000_000, drift_ppm: 1_000, margin_us: 50_000 };
+const TIMING: Timing = Timing {
+    lease_us: 3_000_000,
+    renew_us: 1_000_000,
+    drift_ppm: 1_000,
+    margin_us: 50_000,
+};
 const GATEWAYS: usize = 5;
 const DUTIES: [Duty; 2] = [Duty(0), Duty(1)];
 /// Longest that a proposal travels to the log, and an entry from the log to a gateway, in the runs.
@@ -70,7 +74,13 @@
     let mut rng = fastrand::Rng::with_seed(run.seed);
     let mut gateways: Vec<Gateway> = (0..GATEWAYS as u32)
         .map(|number| Gateway {
-            leases: Leases::new(Holder { gateway: number, life: 0 }, run.timing),
+            leases: Leases::new(
+                Holder {
+                    gateway: number,
+                    life: 0,
+                },
+                run.timing,
+            ),
             offset: rng.u64(0..500_000),
             rate_ppm: rng.i64(-run.drift_ppm..=run.drift_ppm),
             alive: true,
@@ -93,7 +103,9 @@
     let mut out = Vec::new();
     for gateway in &mut gateways {
         let now = gateway.clock(0);
-        DUTIES.iter().for_each(|&duty| gateway.leases.handle(now, Event::Want(duty), &mut out));
+        DUTIES
+            .iter()
+            .for_each(|&duty| gateway.leases.handle(now, Event::Want(duty), &mut out));
         out.clear();
     }
     let faults_end = run.length_us - run.calm_us;
@@ -118,10 +130,17 @@
                 gateway.alive = true;
                 gateway.applied = 0;
                 gateway.offset = rng.u64(0..500_000);
-                gateway.leases =
-                    Leases::new(Holder { gateway: gateway.number, life: gateway.life }, run.timing);
+                gateway.leases = Leases::new(
+                    Holder {
+                        gateway: gateway.number,
+                        life: gateway.life,
+                    },
+                    run.timing,
+                );
                 let now = gateway.clock(real);
-                DUTIES.iter().for_each(|&duty| gateway.leases.handle(now, Event::Want(duty), &mut out));
+                DUTIES
+                    .iter()
+                    .for_each(|&duty| gateway.leases.handle(now, Event::Want(duty), &mut out));
                 out.clear();
             }
         }
@@ -142,7 +161,9 @@
                 let (command, _) = log[gateway.applied];
                 gateway.applied += 1;
                 let index = Index(gateway.applied as u64);
-                gateway.leases.handle(now, Event::Applied { index, command }, &mut out);
+                gateway
+                    .leases
+                    .handle(now, Event::Applied { index, command }, &mut out);
             }
             gateway.leases.handle(now, Event::Tick, &mut out);
             for action in out.drain(..) {
@@ -159,7 +180,11 @@
             for &duty in &DUTIES {
                 if let Some(token) = gateway.leases.acting(duty, now) {
                     let late = faulty && rng.u8(0..50) == 0;
-                    let delay = if late { rng.u64(0..10_000_000) } else { rng.u64(0..TRAVEL_US) };
+                    let delay = if late {
+                        rng.u64(0..10_000_000)
+                    } else {
+                        rng.u64(0..TRAVEL_US)
+                    };
                     actions.push((real + delay, duty, token));
                 }
             }
@@ -179,10 +204,15 @@
             let acting: Vec<(u32, u32, Token)> = gateways
                 .iter()
                 .filter(|gateway| gateway.alive)
-                .filter_map(|g| g.leases.acting(duty, g.clock(real)).map(|token| (g.number, g.life, token)))
+                .filter_map(|g| {
+                    g.leases
+                        .acting(duty, g.clock(real))
+                        .map(|token| (g.number, g.life, token))
+                })
                 .collect();
             if acting.len() > 1 {
-                seen.overlaps.push(format!("{real} us: {duty:?} by {acting:?}"));
+                seen.overlaps
+                    .push(format!("{real} us: {duty:?} by {acting:?}"));
             }
             match (acting.is_empty(), idle_since[place]) {
                 (true, None) => idle_since[place] = Some(real),
@@ -235,12 +265,19 @@
     let (mut gaps, mut refused) = (Vec::new(), 0);
     for seed in seeds {
         let seen = play(run(seed));
-        assert!(seen.overlaps.is_empty(), "seed {seed}: {:?}", &seen.overlaps[..seen.overlaps.len().min(5)]);
+        assert!(
+            seen.overlaps.is_empty(),
+            "seed {seed}: {:?}",
+            &seen.overlaps[..seen.overlaps.len().min(5)]
+        );
         assert!(
             seen.held_at_end,
             "seed {seed}: a duty had no holder at the end, with the faults over for 15 s"
         );
-        assert!(seen.admitted > 0, "seed {seed}: nothing was done under any duty");
+        assert!(
+            seen.admitted > 0,
+            "seed {seed}: nothing was done under any duty"
+        );
         refused += seen.refused;
         gaps.extend(seen.gaps);
     }
@@ -251,24 +288,56 @@
 fn no_two_act_at_once_and_a_holder_comes_back_on_fixed_seeds() {
     let (gaps, refused) = check(1..9);
     // The faults happened: late actions met the fence, and duties went without a holder for a while.
-    assert!(refused > 0, "no late action reached the fence: the faults did not happen");
-    assert!(gaps.iter().any(|&gap| gap > TIMING.renew_us), "no duty was ever taken over: {gaps:?}");
+    assert!(
+        refused > 0,
+        "no late action reached the fence: the faults did not happen"
+    );
+    assert!(
+        gaps.iter().any(|&gap| gap > TIMING.renew_us),
+        "no duty was ever taken over: {gaps:?}"
+    );
 }
 
 #[test]
 fn without_room_for_drift_two_act_at_once() {
     // Clocks run up to 9.9% apart, and the timing counts on none: the others' wait is shorter in real time than the
     // holder's lease. A holder cut off from the log then acts on while another takes the duty.
-    let careless = Timing { drift_ppm: 0, margin_us: 0, ..TIMING };
+    let careless = Timing {
+        drift_ppm: 0,
+        margin_us: 0,
+        ..TIMING
+    };
     let overlaps: usize = (1..17)
-        .map(|seed| play(Run { drift_ppm: 99_000, timing: careless, ..run(seed) }).overlaps.len())
+        .map(|seed| {
+            play(Run {
+                drift_ppm: 99_000,
+                timing: careless,
+                ..run(seed)
+            })
+            .overlaps
+            .len()
+        })
         .sum();
-    assert!(overlaps > 0, "the check found no overlap where the timing is wrong");
+    assert!(
+        overlaps > 0,
+        "the check found no overlap where the timing is wrong"
+    );
     // With the drift allowed for, the same clocks are safe.
-    let careful = Timing { drift_ppm: 99_000, ..TIMING };
+    let careful = Timing {
+        drift_ppm: 99_000,
+        ..TIMING
+    };
     for seed in 1..17 {
-        let seen = play(Run { drift_ppm: 99_000, timing: careful, ..run(seed) });
-        assert!(seen.overlaps.is_empty(), "seed {seed}: {:?}", &seen.overlaps[..1]);
+        let seen = play(Run {
+            drift_ppm: 99_000,
+            timing: careful,
+            ..run(seed)
+        });
+        assert!(
+            seen.overlaps.is_empty(),
+            "seed {seed}: {:?}",
+            &seen.overlaps[..1]
+        );
     }
 }
 
--- a/tests/lease_model.rs
+++ b/tests/lease_model.rs
@@ -9,7 +9,12 @@
 const DUTY: Duty = Duty(0);
 /// In ticks of the model: a lease of three, asked again after one, waited out in three. Clocks run at one rate, so
 /// no drift; a second gateway's clock is a tick ahead.
-const TIMING: Timing = Timing { lease_us: 3, renew_us: 1, drift_ppm: 0, margin_us: 0 };
+const TIMING: Timing = Timing {
+    lease_us: 3,
+    renew_us: 1,
+    drift_ppm: 0,
+    margin_us: 0,
+};
 const OFFSETS: [u64; 3] = [0, 1, 0];
 
 /// What is explored.
@@ -61,18 +66,29 @@
 impl Explored {
     fn timing(&self, number: usize) -> Timing {
         if self.careless && number == 0 {
-            Timing { lease_us: 5, ..TIMING }
+            Timing {
+                lease_us: 5,
+                ..TIMING
+            }
         } else {
             TIMING
         }
     }
 
     fn born(&self, number: usize, life: u32, now: u64) -> Gateway {
-        let holder = Holder { gateway: number as u32, life };
+        let holder = Holder {
+            gateway: number as u32,
+            life,
+        };
         let mut leases = Leases::new(holder, self.timing(number));
         // It wants the duty from its start; what it proposes then comes with its first look.
         leases.handle(now + OFFSETS[number], Event::Want(DUTY), &mut Vec::new());
-        Gateway { leases, applied: 0, looked: false, life }
+        Gateway {
+            leases,
+            applied: 0,
+            looked: false,
+            life,
+        }
     }
 }
 
@@ -81,7 +97,9 @@
     fn owe(&mut self, out: Vec<Action>, most: usize, arrives: bool) {
         for action in out {
             match action {
-                Action::Propose(command) if arrives && self.log.len() < most => self.log.push(command),
+                Action::Propose(command) if arrives && self.log.len() < most => {
+                    self.log.push(command)
+                }
                 Action::Propose(_) => self.losses += u8::from(!arrives),
                 _ => {}
             }
@@ -91,13 +109,16 @@
 
 impl World {
     fn acting(&self) -> usize {
-        let on =
-            |(number, gateway): (usize, &Gateway)| gateway.leases.acting(DUTY, self.now + OFFSETS[number]);
+        let on = |(number, gateway): (usize, &Gateway)| {
+            gateway.leases.acting(DUTY, self.now + OFFSETS[number])
+        };
         self.gateways.iter().enumerate().filter_map(on).count()
     }
 
     fn settled(&self) -> bool {
-        self.gateways.iter().all(|g| g.looked && g.applied == self.log.len())
+        self.gateways
+            .iter()
+            .all(|g| g.looked && g.applied == self.log.len())
     }
 }
 
@@ -147,11 +168,16 @@
         match action {
             Do::Tick => {
                 world.now += 1;
-                world.gateways.iter_mut().for_each(|gateway| gateway.looked = false);
+                world
+                    .gateways
+                    .iter_mut()
+                    .for_each(|gateway| gateway.looked = false);
             }
             Do::Look(number, arrives) => {
                 let gateway = &mut world.gateways[number];
-                gateway.leases.handle(world.now + OFFSETS[number], Event::Tick, &mut out);
+                gateway
+                    .leases
+                    .handle(world.now + OFFSETS[number], Event::Tick, &mut out);
                 gateway.looked = self.fair;
                 world.owe(out, self.log, arrives);
             }
@@ -176,7 +202,9 @@
             }
             Do::Drain(number) => {
                 let gateway = &mut world.gateways[number];
-                gateway.leases.handle(world.now + OFFSETS[number], Event::Drain, &mut out);
+                gateway
+                    .leases
+                    .handle(world.now + OFFSETS[number], Event::Drain, &mut out);
                 world.owe(out, self.log, true);
                 world.drains += 1;
                 world.acted_since = false;
@@ -189,11 +217,15 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("no two act at once", |_, world: &World| world.acting() <= 1),
-            Property::eventually("someone acts after every crash and drain", |_, world: &World| {
-                world.acted_since && world.now > 0
-            }),
+            Property::eventually(
+                "someone acts after every crash and drain",
+                |_, world: &World| world.acted_since && world.now > 0,
+            ),
             Property::sometimes("a duty changes hands", |_, world: &World| {
-                world.gateways.iter().any(|gateway| gateway.leases.table().entry(DUTY).token.0 > 1)
+                world
+                    .gateways
+                    .iter()
+                    .any(|gateway| gateway.leases.table().entry(DUTY).token.0 > 1)
             }),
         ]
     }
@@ -202,16 +234,31 @@
 fn explore(explored: Explored) -> (usize, Vec<&'static str>) {
     let checker = explored.checker().threads(4);
     // A careless run has shown what it must once it broke the rule.
-    let checker = if explored.careless { checker.finish_when(HasDiscoveries::AnyFailures) } else { checker };
+    let checker = if explored.careless {
+        checker.finish_when(HasDiscoveries::AnyFailures)
+    } else {
+        checker
+    };
     let checker = checker.spawn_dfs().join();
     let found: Vec<&'static str> = checker.discoveries().into_keys().collect();
-    println!("{} states, {} unique, found {found:?}", checker.state_count(), checker.unique_state_count());
+    println!(
+        "{} states, {} unique, found {found:?}",
+        checker.state_count(),
+        checker.unique_state_count()
+    );
     (checker.unique_state_count(), found)
 }
 
 /// Small enough for every test run: interleavings of looks and late applications alone.
-const QUICK: Explored =
-    Explored { ticks: 4, log: 3, crashes: 0, losses: 0, drains: 0, fair: false, careless: false };
+const QUICK: Explored = Explored {
+    ticks: 4,
+    log: 3,
+    crashes: 0,
+    losses: 0,
+    drains: 0,
+    fair: false,
+    careless: false,
+};
 
 fn is_safe(explored: Explored) -> usize {
     let (states, found) = explore(explored);
@@ -223,22 +270,47 @@
 #[test]
 fn in_no_interleaving_do_two_act_at_once() {
     let states = is_safe(QUICK);
-    assert!(states > 10_000, "{states} states are too few to mean anything");
+    assert!(
+        states > 10_000,
+        "{states} states are too few to mean anything"
+    );
 }
 
 #[test]
 fn on_fair_paths_someone_acts_after_every_crash_and_drain() {
-    let fair = Explored { ticks: 7, log: 10, crashes: 1, fair: true, ..QUICK };
+    let fair = Explored {
+        ticks: 7,
+        log: 10,
+        crashes: 1,
+        fair: true,
+        ..QUICK
+    };
     let (_, found) = explore(fair);
-    assert!(!found.contains(&"someone acts after every crash and drain"), "{found:?}");
+    assert!(
+        !found.contains(&"someone acts after every crash and drain"),
+        "{found:?}"
+    );
     assert!(!found.contains(&"no two act at once"), "{found:?}");
-    let (_, found) = explore(Explored { crashes: 0, drains: 1, ..fair });
-    assert!(!found.contains(&"someone acts after every crash and drain"), "{found:?}");
+    let (_, found) = explore(Explored {
+        crashes: 0,
+        drains: 1,
+        ..fair
+    });
+    assert!(
+        !found.contains(&"someone acts after every crash and drain"),
+        "{found:?}"
+    );
 }
 
 #[test]
 fn a_lease_longer_than_the_others_wait_is_caught() {
-    let (_, found) = explore(Explored { ticks: 6, log: 4, losses: 1, careless: true, ..QUICK });
+    let (_, found) = explore(Explored {
+        ticks: 6,
+        log: 4,
+        losses: 1,
+        careless: true,
+        ..QUICK
+    });
     assert!(found.contains(&"no two act at once"), "{found:?}");
 }
 
@@ -248,7 +320,14 @@
 #[ignore = "a measurement"]
 fn the_same_with_losses_crashes_and_more_time() {
     is_safe(Explored { losses: 1, ..QUICK });
-    is_safe(Explored { crashes: 1, ..QUICK });
-    is_safe(Explored { ticks: 5, log: 4, ..QUICK });
+    is_safe(Explored {
+        crashes: 1,
+        ..QUICK
+    });
+    is_safe(Explored {
+        ticks: 5,
+        log: 4,
+        ..QUICK
+    });
     is_safe(Explored { drains: 1, ..QUICK });
 }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -19,7 +19,10 @@
             }
         }
     }
-    assert!((6..=14).contains(&probes), "{probes} probes in 5 s of 2 members");
+    assert!(
+        (6..=14).contains(&probes),
+        "{probes} probes in 5 s of 2 members"
+    );
 }
 
 #[test]
@@ -49,13 +52,22 @@
     front.tell(0, Role::Replica);
     let (asked, actions) = front.arrive(WRITE);
     let seeks = sends(&actions);
-    assert!(seeks.len() == 1 && seeks[0].1 != 0, "one write seeks the primary, elsewhere");
+    assert!(
+        seeks.len() == 1 && seeks[0].1 != 0,
+        "one write seeks the primary, elsewhere"
+    );
     let (write, actions) = front.arrive(WRITE);
-    assert!(sends(&actions).is_empty(), "writes wait while none is active");
+    assert!(
+        sends(&actions).is_empty(),
+        "writes wait while none is active"
+    );
     front.now += MS;
     let replica = note(Role::Replica, front.now);
     let actions = front.ends(asked, 0, Outcome::Miss, replica);
-    assert!(sends(&actions).is_empty(), "the next one asks no sooner than 20 ms on");
+    assert!(
+        sends(&actions).is_empty(),
+        "the next one asks no sooner than 20 ms on"
+    );
     let mut actions = front.tell(2, Role::Primary);
     actions.extend(front.pass(20 * MS));
     let mut placed = sends(&actions);
@@ -99,7 +111,11 @@
     assert_eq!(sends(&actions)[0].1, 1, "three bad results are not enough");
     front.probe_fails(1);
     let (_, actions) = front.arrive(ANY);
-    assert_eq!(sends(&actions)[0].1, 0, "no standby is left, the active serves");
+    assert_eq!(
+        sends(&actions)[0].1,
+        0,
+        "no standby is left, the active serves"
+    );
     front.tell(1, Role::Replica);
     let (_, actions) = front.arrive(ANY);
     assert_eq!(sends(&actions)[0].1, 1);
@@ -127,7 +143,10 @@
         counts[sends(&actions)[0].1 as usize] += 1;
     }
     assert_eq!(counts[0], 0);
-    assert!(counts[1..].iter().all(|n| (3..=9).contains(n)), "{counts:?}");
+    assert!(
+        counts[1..].iter().all(|n| (3..=9).contains(n)),
+        "{counts:?}"
+    );
 }
 
 #[test]
@@ -168,7 +187,11 @@
     let (_, actions) = front.arrive_with(SESSION, Some(9), None);
     assert_eq!(sends(&actions)[0].1, 0);
     let (_, actions) = front.arrive_with(SESSION, Some(8), None);
-    assert_eq!(sends(&actions)[0].1, 1, "another session has written nothing");
+    assert_eq!(
+        sends(&actions)[0].1,
+        1,
+        "another session has written nothing"
+    );
 }
 
 #[test]
@@ -206,7 +229,10 @@
     assert_eq!(calls, 20, "each loss is followed by a call");
     front.event(Event::ListLost(ListLoss::default()));
     let early = front.pass(900 * MS);
-    assert!(!early.contains(&Action::Watch), "after many losses the wait is long");
+    assert!(
+        !early.contains(&Action::Watch),
+        "after many losses the wait is long"
+    );
 }
 
 #[test]
@@ -232,7 +258,10 @@
         let (_, to) = sends(&actions)[0];
         assert!(front.router.may_write(front.now, write, MemberId(to)));
         front.change(to, ending, 0);
-        assert!(!front.router.may_write(front.now, write, MemberId(to)), "{ending:?}");
+        assert!(
+            !front.router.may_write(front.now, write, MemberId(to)),
+            "{ending:?}"
+        );
     }
     let mut front = Front::ready(settings(), 3);
     let (write, actions) = front.arrive(WRITE);
--- a/tests/process/mod.rs
+++ b/tests/process/mod.rs
@@ -28,7 +28,10 @@
 
 impl Gateway {
     pub fn signal(&self, name: &str) {
-        let told = Command::new("kill").arg(name).arg(self.process.id().to_string()).status();
+        let told = Command::new("kill")
+            .arg(name)
+            .arg(self.process.id().to_string())
+            .status();
         assert!(told.expect("kill runs").success());
     }
 
@@ -40,7 +43,9 @@
 
     /// Waits for its end, and has it end well.
     pub fn exits_well(&mut self) {
-        assert!(bounded::exit(&mut self.process, PATIENCE).expect("it ends").success());
+        assert!(bounded::exit(&mut self.process, PATIENCE)
+            .expect("it ends")
+            .success());
     }
 }
 
@@ -79,7 +84,10 @@
     let to = config.find("]},").expect("its end") + 2;
     let list = config[from..to].replace('\n', " ");
     let discovery = listen();
-    config = config.replace("127.0.0.1:8500", &discovery.local_addr().expect("bound").to_string());
+    config = config.replace(
+        "127.0.0.1:8500",
+        &discovery.local_addr().expect("bound").to_string(),
+    );
     thread::spawn(move || toy::discovery(&discovery, &list));
     let address = own_address();
     config = config.replace("127.0.0.1:6433", &address.to_string());
@@ -97,14 +105,23 @@
         .stderr(log)
         .spawn()
         .expect("the gateway starts");
-    Gateway { process, address, seen, file, config }
+    Gateway {
+        process,
+        address,
+        seen,
+        file,
+        config,
+    }
 }
 
 /// An address of its own for a gateway, where no other test's or client's port can be in the way.
 pub fn own_address() -> SocketAddr {
     static STARTED: AtomicU8 = AtomicU8::new(0);
     let [.., high, low] = std::process::id().to_be_bytes();
-    SocketAddr::from(([127, 64 + STARTED.fetch_add(1, Ordering::Relaxed), high, low], 6433))
+    SocketAddr::from((
+        [127, 64 + STARTED.fetch_add(1, Ordering::Relaxed), high, low],
+        6433,
+    ))
 }
 
 /// A gate that statements wait at.
@@ -123,7 +140,12 @@
 
     fn pass(&self) {
         let closed = self.0 .0.lock().expect("not poisoned");
-        drop(self.0 .1.wait_while(closed, |open| !*open).expect("not poisoned"));
+        drop(
+            self.0
+                 .1
+                .wait_while(closed, |open| !*open)
+                .expect("not poisoned"),
+        );
     }
 }
 
@@ -148,9 +170,16 @@
         let listener = listen();
         let address = listener.local_addr().expect("bound");
         let primary = Arc::new(AtomicBool::new(primary));
-        let database = Database { address, primary, gate: Gate::new(open), instead };
+        let database = Database {
+            address,
+            primary,
+            gate: Gate::new(open),
+            instead,
+        };
         let (serving, seen) = (database.clone(), seen.clone());
-        thread::spawn(move || toy::serve(&listener, move |statement| serving.reply(statement, &seen)));
+        thread::spawn(move || {
+            toy::serve(&listener, move |statement| serving.reply(statement, &seen))
+        });
         database
     }
 
@@ -161,7 +190,11 @@
             self.gate.pass();
         }
         let primary = self.primary.load(Ordering::SeqCst);
-        let role = if primary { toy::Role::Primary } else { toy::Role::Replica };
+        let role = if primary {
+            toy::Role::Primary
+        } else {
+            toy::Role::Replica
+        };
         let position = asterreel_rig::now() / 1000;
         let answer = if asked {
             toy::report(role, position, 0.1)
@@ -211,7 +244,11 @@
     fn of(gateway: &mut Gateway) -> Log {
         let lines = BufReader::new(gateway.process.stderr.take().expect("piped")).lines();
         let (tell, told) = channel();
-        thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| tell.send(line)));
+        thread::spawn(move || {
+            lines
+                .map_while(Result::ok)
+                .try_for_each(|line| tell.send(line))
+        });
         Log(told)
     }
 
@@ -227,7 +264,10 @@
     /// The lines that are still unread up to one that holds this, once it comes.
     pub fn lines_up_to(&self, what: &str, within: Duration) -> Option<Vec<String>> {
         let (until, mut lines) = (Instant::now() + within, Vec::new());
-        while let Ok(line) = self.0.recv_timeout(until.saturating_duration_since(Instant::now())) {
+        while let Ok(line) = self
+            .0
+            .recv_timeout(until.saturating_duration_since(Instant::now()))
+        {
             lines.push(line);
             if lines.last().is_some_and(|line| line.contains(what)) {
                 return Some(lines);
@@ -292,7 +332,11 @@
         loop {
             if let Err(end) = self.0.read_exact(&mut head) {
                 // Silence is no end.
-                assert_ne!(end.kind(), ErrorKind::WouldBlock, "neither an answer nor a close");
+                assert_ne!(
+                    end.kind(),
+                    ErrorKind::WouldBlock,
+                    "neither an answer nor a close"
+                );
                 break;
             }
             let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
@@ -315,7 +359,10 @@
         let mut client = Client::connect(gateway);
         client.send(&startup());
         let (_, welcome) = client.answer();
-        let at = welcome.windows(5).position(|head| head == b"K\0\0\0\x0c").expect("a key");
+        let at = welcome
+            .windows(5)
+            .position(|head| head == b"K\0\0\0\x0c")
+            .expect("a key");
         (client, welcome[at + 5..at + 13].to_vec())
     }
 
@@ -339,16 +386,25 @@
 
 /// The code of the error in an answer.
 pub fn code(bytes: &[u8]) -> &[u8] {
-    let at = bytes.windows(2).position(|field| field == b"\0C").expect("a code");
+    let at = bytes
+        .windows(2)
+        .position(|field| field == b"\0C")
+        .expect("a code");
     &bytes[at + 2..at + 7]
 }
 
 /// A gateway of a fleet of so many whose list is pushed by this agent.
 pub fn pushed(agent: &TcpListener, fleet: u32) -> Gateway {
     let config = EXAMPLE
-        .replace("\"Discovery\": \"subscribe\"", "\"Discovery\": \"automatic\"")
+        .replace(
+            "\"Discovery\": \"subscribe\"",
+            "\"Discovery\": \"automatic\"",
+        )
         .replace("\"FleetSize\": 1", &format!("\"FleetSize\": {fleet}"))
-        .replace("127.0.0.1:8500", &agent.local_addr().expect("bound").to_string())
+        .replace(
+            "127.0.0.1:8500",
+            &agent.local_addr().expect("bound").to_string(),
+        )
         .replace("127.0.0.1:6433", "127.0.0.1:0");
     assert!(config.contains(&format!("\"FleetSize\": {fleet}")));
     let address = "127.0.0.1:0".parse().expect("an address");
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -40,7 +40,10 @@
             actions = front.pass(5 * MS);
         }
     }
-    assert!(front.now > due - 200 * MS, "it was held while it could still make it");
+    assert!(
+        front.now > due - 200 * MS,
+        "it was held while it could still make it"
+    );
 }
 
 #[test]
@@ -92,13 +95,21 @@
     front.now += 400 * MS;
     let (read, mut actions) = front.arrive(BOUNDED);
     assert!(actions.iter().any(|a| matches!(a, Action::Probe(_))));
-    assert_eq!(sends(&actions), [], "a standby is asked first how far it is");
+    assert_eq!(
+        sends(&actions),
+        [],
+        "a standby is asked first how far it is"
+    );
     for member in [1, 2] {
         assert_eq!(sends(&actions), [], "one is left to hear from");
         front.now += MS;
         actions = front.tell_behind(member, Role::Replica, 350 * MS);
     }
-    assert_eq!(sends(&actions), [(read, 0)], "all that were asked are behind");
+    assert_eq!(
+        sends(&actions),
+        [(read, 0)],
+        "all that were asked are behind"
+    );
 }
 
 #[test]
@@ -115,7 +126,11 @@
     assert!(refused(&actions, request));
     front.ends(RequestId(12345), 3, Outcome::Served, Note::default());
     front.event(Event::Departed(RequestId(777)));
-    front.event(Event::Probed(MemberId(99), Outcome::Served, Note::default()));
+    front.event(Event::Probed(
+        MemberId(99),
+        Outcome::Served,
+        Note::default(),
+    ));
     let (mut empty, _) = Front::new(settings(), 0);
     let (request, actions) = empty.arrive(ANY);
     assert!(refused(&actions, request));
@@ -186,7 +201,10 @@
             }
         }
         for seen in self.requests.values() {
-            assert!(seen.done || now <= seen.due + settings.answer_slack, "no answer in time");
+            assert!(
+                seen.done || now <= seen.due + settings.answer_slack,
+                "no answer in time"
+            );
         }
     }
 }
@@ -230,11 +248,22 @@
                     Outcome::ConnectFailed,
                     Outcome::Cancelled,
                 ][usize::from(b) % 8];
-                end(&mut watcher, &mut front, &settings, (id, number, m), outcome, a);
+                end(
+                    &mut watcher,
+                    &mut front,
+                    &settings,
+                    (id, number, m),
+                    outcome,
+                    a,
+                );
             }
             5 => {
                 let m = u32::from(a) % 4;
-                let role = if b % 3 == 0 { Role::Primary } else { Role::Replica };
+                let role = if b % 3 == 0 {
+                    Role::Primary
+                } else {
+                    Role::Replica
+                };
                 let lag = u64::from(b) * 4 * MS;
                 hear(&mut watcher, m, note(role, front.now - lag));
                 let actions = front.tell_behind(m, role, lag);
@@ -307,11 +336,26 @@
     seen.may_have_run |= !matches!(outcome, Full | ConnectFailed | Moot | Miss);
     seen.done |= outcome == Served;
     let answered = matches!(outcome, Served | Miss | Full | Error);
-    let role = if a % 2 == 0 { Role::Primary } else { Role::Replica };
-    let said = if answered { note(role, front.now - 5 * MS) } else { Note::default() };
-    let standing = if seen.done { Standing::Finished } else { Standing::Owed };
+    let role = if a % 2 == 0 {
+        Role::Primary
+    } else {
+        Role::Replica
+    };
+    let said = if answered {
+        note(role, front.now - 5 * MS)
+    } else {
+        Note::default()
+    };
+    let standing = if seen.done {
+        Standing::Finished
+    } else {
+        Standing::Owed
+    };
     hear(watcher, m, said);
-    let actions = front.event(Event::Ended(Ended { standing, ..ended(id, number, outcome, 60 * MS, said) }));
+    let actions = front.event(Event::Ended(Ended {
+        standing,
+        ..ended(id, number, outcome, 60 * MS, said)
+    }));
     watcher.check(settings, front.now, &actions);
 }
 
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -32,8 +32,13 @@
 
 /// What each hollow gateway received and sent between two samples: frames in, frames out, bytes in, bytes out.
 fn counts(before: &Sample, after: &Sample) -> Vec<[u64; 4]> {
-    let all =
-        |sample: &Sample| sample.hollow.iter().flat_map(|used| used.gateways.clone()).collect::<Vec<_>>();
+    let all = |sample: &Sample| {
+        sample
+            .hollow
+            .iter()
+            .flat_map(|used| used.gateways.clone())
+            .collect::<Vec<_>>()
+    };
     let pairs = all(before).into_iter().zip(all(after));
     let between = pairs.map(|(was, is)| {
         assert_eq!(was.gateway, is.gateway);
@@ -85,37 +90,69 @@
             (least..=most).contains(&frames_in) && (least..=most).contains(&frames_out),
             "{frames_in}, {frames_out}"
         );
-        assert!(bytes_in <= most * FRAME && bytes_out <= most * FRAME, "{bytes_in} in, {bytes_out} out");
+        assert!(
+            bytes_in <= most * FRAME && bytes_out <= most * FRAME,
+            "{bytes_in} in, {bytes_out} out"
+        );
     }
 }
 
 /// The member that leads serves all gateways, the others none, and what they say to each other does not grow with gateways.
 fn members_say_no_more_than_they_must(leader: u32, before: &Sample, after: &Sample) {
     for (member, now) in &after.voters {
-        let (was, is) = before.voters[member].traffic.zip(now.traffic).expect("it logs its traffic");
+        let (was, is) = before.voters[member]
+            .traffic
+            .zip(now.traffic)
+            .expect("it logs its traffic");
         // What it logged last may be of a renewal before.
         let seconds = (is.at - was.at).div_ceil(SECOND_US) + 1;
         let served = is.gateways.frames_in - was.gateways.frames_in;
         if *member == leader {
             let least = u64::from(GATEWAYS) * WINDOW.as_secs() / 4;
             let most = u64::from(GATEWAYS) * FRAMES * seconds;
-            assert!((least..=most).contains(&served), "the leader hears {served} frames of gateways");
+            assert!(
+                (least..=most).contains(&served),
+                "the leader hears {served} frames of gateways"
+            );
         } else {
-            assert_eq!(served, 0, "frames of gateways at member {member}, which does not lead");
+            assert_eq!(
+                served, 0,
+                "frames of gateways at member {member}, which does not lead"
+            );
         }
-        let others = if *member == leader { u64::from(VOTERS) - 1 } else { 1 };
-        let (frames, bytes) =
-            (is.members.frames_out - was.members.frames_out, is.members.bytes_out - was.members.bytes_out);
+        let others = if *member == leader {
+            u64::from(VOTERS) - 1
+        } else {
+            1
+        };
+        let (frames, bytes) = (
+            is.members.frames_out - was.members.frames_out,
+            is.members.bytes_out - was.members.bytes_out,
+        );
         let most = others * MEMBER_FRAMES * seconds;
-        assert!(frames > 0 && frames <= most, "member {member} sends {frames} frames in {seconds} s");
-        assert!(bytes <= most * MEMBER_FRAME, "member {member} sends {bytes} bytes in {seconds} s");
+        assert!(
+            frames > 0 && frames <= most,
+            "member {member} sends {frames} frames in {seconds} s"
+        );
+        assert!(
+            bytes <= most * MEMBER_FRAME,
+            "member {member} sends {bytes} bytes in {seconds} s"
+        );
     }
 }
 
 /// The leader has a socket for each gateway, and no other member has.
 fn sockets_are_the_leaders(leader: u32, after: &Sample) {
-    let sockets = |voter: u32| after.voters.get(&voter).map_or(0, |voter| voter.process.sockets);
-    let mut of_followers: Vec<u64> = (1..=VOTERS).filter(|voter| *voter != leader).map(sockets).collect();
+    let sockets = |voter: u32| {
+        after
+            .voters
+            .get(&voter)
+            .map_or(0, |voter| voter.process.sockets)
+    };
+    let mut of_followers: Vec<u64> = (1..=VOTERS)
+        .filter(|voter| *voter != leader)
+        .map(sockets)
+        .collect();
     of_followers.sort_unstable();
     let served = sockets(leader).saturating_sub(of_followers[of_followers.len() / 2]);
     let one_each = u64::from(GATEWAYS);
@@ -135,20 +172,33 @@
 /// A third that is cut off stops by itself; the others go on, and all agree again once it is back.
 fn a_third_is_cut_off_and_comes_back(fleet: &mut Fleet) {
     let first = in_force(fleet)[0].0;
-    assert!(in_force(fleet).iter().all(|(number, _)| *number == first), "{:?}", in_force(fleet));
+    assert!(
+        in_force(fleet).iter().all(|(number, _)| *number == first),
+        "{:?}",
+        in_force(fleet)
+    );
 
     fleet.cut(true).expect("cut");
     let (lapsed, _) = fleet
-        .wait(LONG, &[Part::Dead, Part::Stopped, Part::Tenth, Part::Rest], |one| {
-            one.gateway <= VOTERS || !one.acts_now()
-        })
+        .wait(
+            LONG,
+            &[Part::Dead, Part::Stopped, Part::Tenth, Part::Rest],
+            |one| one.gateway <= VOTERS || !one.acts_now(),
+        )
         .expect("looked");
     assert!(lapsed, "a third that is cut off stops by itself");
     // Their seats are taken away a moment after their rights ran out: an offer waits for that.
     let moved = fleet.agree(LONG, &[Part::Third]).expect("played").is_some();
     assert!(moved, "the others go on: {:?}", in_force(fleet));
-    let behind = in_force(fleet).iter().filter(|(number, _)| *number == first).count();
-    assert_eq!(behind, GATEWAYS as usize / 3, "and the third has not heard of it");
+    let behind = in_force(fleet)
+        .iter()
+        .filter(|(number, _)| *number == first)
+        .count();
+    assert_eq!(
+        behind,
+        GATEWAYS as usize / 3,
+        "and the third has not heard of it"
+    );
     fleet.cut(false).expect("healed");
     let agreed = fleet.agree(LONG, &[]).expect("played").is_some();
     assert!(agreed, "all agree again: {:?}", in_force(fleet));
@@ -165,7 +215,10 @@
         memory_kib: 2 << 20,
     };
     let mut fleet = Fleet::start(size).expect("started");
-    assert!(fleet.agree(LONG, &[]).expect("played").is_some(), "all act on one version");
+    assert!(
+        fleet.agree(LONG, &[]).expect("played").is_some(),
+        "all act on one version"
+    );
     let (leader, before, after) = rest(&mut fleet);
     gateways_keep_their_seats_and_say_no_more(&before, &after);
     members_say_no_more_than_they_must(leader, &before, &after);
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -17,8 +17,14 @@
 const SPAN: Micros = 12 * SECOND;
 
 fn class() -> impl Strategy<Value = (Class, Need, Micros)> {
-    let keyed = (prop_oneof![Just(Scope::All), Just(Scope::Zone), Just(Scope::Group)], 500..6_000_u64)
-        .prop_map(|(scope, ms)| Effect::Keyed { scope, window: ms * MS });
+    let keyed = (
+        prop_oneof![Just(Scope::All), Just(Scope::Zone), Just(Scope::Group)],
+        500..6_000_u64,
+    )
+        .prop_map(|(scope, ms)| Effect::Keyed {
+            scope,
+            window: ms * MS,
+        });
     let write = prop_oneof![Just(Effect::Unsafe), keyed].prop_map(|effect| (Need::Write, effect));
     let reads = prop_oneof![
         Just(Need::Any),
@@ -27,11 +33,28 @@
         Just(Need::Fresh)
     ];
     let need = prop_oneof![1 => write, 3 => reads.prop_map(|need| (need, Effect::Safe))];
-    let times = (50..2_000_u64, 2..6_u64, 0.0..1.0_f64, 1.0..6.0_f64, 50..1_500_u64);
+    let times = (
+        50..2_000_u64,
+        2..6_u64,
+        0.0..1.0_f64,
+        1.0..6.0_f64,
+        50..1_500_u64,
+    );
     (need, times).prop_map(|((need, effect), (aim, times, late_worth, worth, bound))| {
         let (aim, deadline) = (aim * MS, aim * times * MS);
-        let class = Class { effect, aim, aim_stretch: 0.0, deadline, worth, late_worth };
-        (class, need, if need == Need::Bounded { bound * MS } else { 0 })
+        let class = Class {
+            effect,
+            aim,
+            aim_stretch: 0.0,
+            deadline,
+            worth,
+            late_worth,
+        };
+        (
+            class,
+            need,
+            if need == Need::Bounded { bound * MS } else { 0 },
+        )
     })
 }
 
@@ -50,12 +73,24 @@
             Just(ListedRole::Start),
             Just(ListedRole::Never)
         ],
-        prop_oneof![Just(DrainBinds::DrainingAndGone), Just(DrainBinds::DrainingOnly)],
+        prop_oneof![
+            Just(DrainBinds::DrainingAndGone),
+            Just(DrainBinds::DrainingOnly)
+        ],
     );
     let permits = (permit(), permit(), permit(), permit());
-    let figures =
-        (prop_oneof![Just(1_u32), Just(2), Just(3), Just(300)], 1..12_u32, 1..4_000_u64, 1_000..20_000_u64);
-    let cold = (0.05..1.0_f64, 1_000..20_000_u64, 1.5..4.0_f64, 500..3_000_u64);
+    let figures = (
+        prop_oneof![Just(1_u32), Just(2), Just(3), Just(300)],
+        1..12_u32,
+        1..4_000_u64,
+        1_000..20_000_u64,
+    );
+    let cold = (
+        0.05..1.0_f64,
+        1_000..20_000_u64,
+        1.5..4.0_f64,
+        500..3_000_u64,
+    );
     (classes, modes, permits, figures, cold).prop_map(|(classes, modes, permits, figures, cold)| {
         let (discovery, checks, tokens, listed_role, drain_binds) = modes;
         let (probes, cancel, come_back, positions) = permits;
@@ -161,7 +196,17 @@
                 let (state, alive) = (EntryState::On, true);
                 let excused = place == 0;
                 let floor = START - lag;
-                let member = Member { group, zone, state, lag, floor, work, alive, bound_at: None, excused };
+                let member = Member {
+                    group,
+                    zone,
+                    state,
+                    lag,
+                    floor,
+                    work,
+                    alive,
+                    bound_at: None,
+                    excused,
+                };
                 members.insert(id, member);
                 primaries.entry(group).or_insert(id);
             }
@@ -186,7 +231,8 @@
 
     fn later(&mut self, after: Micros, next: Next) {
         self.number += 1;
-        self.events.push(Reverse((self.now + after, self.number, next)));
+        self.events
+            .push(Reverse((self.now + after, self.number, next)));
     }
 
     fn entry(&self, id: u32) -> Entry {
@@ -212,9 +258,20 @@
     fn note(&self, id: u32) -> Note {
         let member = &self.members[&id];
         let primary = self.primaries.get(&member.group) == Some(&id);
-        let role = if primary { Role::Primary } else { Role::Replica };
-        let position = self.settings.positions.granted().then(|| self.position(member));
-        Note { role: Some(role), position }
+        let role = if primary {
+            Role::Primary
+        } else {
+            Role::Replica
+        };
+        let position = self
+            .settings
+            .positions
+            .granted()
+            .then(|| self.position(member));
+        Note {
+            role: Some(role),
+            position,
+        }
     }
 
     fn feed(&mut self, event: Event) -> Broken {
@@ -237,10 +294,19 @@
                 {
                     return Err(format!("come back after {come_back:?}"));
                 }
-                let Some(open) = self.open.get(&request.0) else { return Ok(()) };
+                let Some(open) = self.open.get(&request.0) else {
+                    return Ok(());
+                };
                 let effect = self.settings.classes[open.class].effect;
                 let may_have_run = open.attempts.iter().any(|attempt| attempt.3);
-                let harmless = matches!(effect, Effect::Safe | Effect::Keyed { scope: Scope::All, .. });
+                let harmless = matches!(
+                    effect,
+                    Effect::Safe
+                        | Effect::Keyed {
+                            scope: Scope::All,
+                            ..
+                        }
+                );
                 if may_have_run && !harmless {
                     return Err(format!("{request:?} may have run and is refused"));
                 }
@@ -281,7 +347,9 @@
 
     fn answer(&mut self, request: u64) -> Broken {
         let Some(open) = self.open.get_mut(&request) else {
-            return Err(format!("{request} is answered and was never taken, or is over"));
+            return Err(format!(
+                "{request} is answered and was never taken, or is over"
+            ));
         };
         if std::mem::replace(&mut open.answered, true) {
             return Err(format!("{request} is answered twice"));
@@ -310,7 +378,9 @@
         };
         let class = &settings.classes[open.class];
         if member.group != open.group || now + timeout > open.due || timeout == 0 {
-            return Err(format!("{request} is sent to another group, or to be waited for too long"));
+            return Err(format!(
+                "{request} is sent to another group, or to be waited for too long"
+            ));
         }
         if open.attempts.len() >= settings.max_attempts as usize {
             return Err(format!("{request} has too many attempts"));
@@ -321,11 +391,15 @@
         let first = open.attempts.iter().find(|attempt| attempt.3);
         match (first, class.effect) {
             (None, _) | (_, Effect::Safe) => {}
-            (Some(_), Effect::Unsafe) => return Err(format!("{request} may have run and is sent again")),
+            (Some(_), Effect::Unsafe) => {
+                return Err(format!("{request} may have run and is sent again"))
+            }
             (Some((earlier, sent, ..)), Effect::Keyed { scope, window }) => {
                 let zone = self.members[earlier].zone;
                 if now >= sent + window || scope == Scope::Zone && zone != member.zone {
-                    return Err(format!("{request} is repeated where its key is not known any more"));
+                    return Err(format!(
+                        "{request} is repeated where its key is not known any more"
+                    ));
                 }
             }
         }
@@ -339,20 +413,31 @@
         };
         let told = settings.positions.granted();
         if settings.checks == Checks::None && told && !member.excused && position < must_see {
-            return Err(format!("{request} ({need:?}) is sent to {to}, {} us behind", now - position));
+            return Err(format!(
+                "{request} ({need:?}) is sent to {to}, {} us behind",
+                now - position
+            ));
         }
         let at = open.attempts.len();
         open.attempts.push((to, now, true, true));
         let took = self.rng.f64() * 2.0 * member.work as f64 + 1.0;
-        let after = if member.alive { (took as Micros).min(timeout) } else { timeout.min(250 * MS) };
+        let after = if member.alive {
+            (took as Micros).min(timeout)
+        } else {
+            timeout.min(250 * MS)
+        };
         self.later(after, Next::End(request, at));
         Ok(())
     }
 
     /// An attempt ends, one way or another.
     fn end(&mut self, request: u64, at: usize) -> Broken {
-        let Some(open) = self.open.get(&request) else { return Ok(()) };
-        let Some(&(to, sent, true, _)) = open.attempts.get(at) else { return Ok(()) };
+        let Some(open) = self.open.get(&request) else {
+            return Ok(());
+        };
+        let Some(&(to, sent, true, _)) = open.attempts.get(at) else {
+            return Ok(());
+        };
         let member = self.members[&to].clone();
         let need = self.settings.needs[open.class];
         let primary = self.primaries.get(&member.group) == Some(&to);
@@ -384,11 +469,18 @@
         let open = self.open.get_mut(&request).expect("it is there");
         open.attempts[at].2 = false;
         open.attempts[at].3 = !outcome.proves_nothing_ran();
-        let told = matches!(outcome, Outcome::Served | Outcome::Miss | Outcome::Error | Outcome::Full);
+        let told = matches!(
+            outcome,
+            Outcome::Served | Outcome::Miss | Outcome::Error | Outcome::Full
+        );
         let note = if told { self.note(to) } else { Note::default() };
         let served = outcome == Outcome::Served;
         let owed = !self.open[&request].answered;
-        let standing = if served || !owed { Standing::Finished } else { Standing::Owed };
+        let standing = if served || !owed {
+            Standing::Finished
+        } else {
+            Standing::Owed
+        };
         if served && owed {
             self.answer(request)?;
             self.served += 1;
@@ -397,7 +489,14 @@
                 *commit = now.max(*commit);
             }
         }
-        let note = if served && need == Need::Write { Note { position: Some(now), ..note } } else { note };
+        let note = if served && need == Need::Write {
+            Note {
+                position: Some(now),
+                ..note
+            }
+        } else {
+            note
+        };
         let ended = Ended {
             request: RequestId(request),
             attempt: AttemptNo(at as u32),
@@ -408,7 +507,9 @@
             standing,
         };
         if told && !primary {
-            self.members.entry(to).and_modify(|member| member.excused = false);
+            self.members
+                .entry(to)
+                .and_modify(|member| member.excused = false);
         }
         self.feed(Event::Ended(ended))
     }
@@ -422,11 +523,25 @@
         let session = Some(self.rng.u64(0..20));
         let carried = self.settings.tokens == Tokens::Carried;
         // What a session carries is how long ago it last wrote.
-        let wrote = session.and_then(|session| self.commits.get(&session)).copied();
+        let wrote = session
+            .and_then(|session| self.commits.get(&session))
+            .copied();
         let since_write = wrote.filter(|_| carried).map(|at| self.now - at);
         let token = wrote.unwrap_or(0);
         let (received, attempts, answered) = (self.now, Vec::new(), false);
-        self.open.insert(request, Open { class, group, due, received, session, token, attempts, answered });
+        self.open.insert(
+            request,
+            Open {
+                class,
+                group,
+                due,
+                received,
+                session,
+                token,
+                attempts,
+                answered,
+            },
+        );
         self.feed(Event::Arrive(Arrival {
             request: RequestId(request),
             class: ClassId(class),
@@ -444,22 +559,36 @@
         let id = self.rng.u32(0..self.members.len() as u32);
         let group = self.members[&id].group;
         match self.rng.u8(0..8) {
-            0 => self.members.entry(id).and_modify(|member| member.alive = false),
-            1 => self.members.entry(id).and_modify(|member| member.alive = true),
+            0 => self
+                .members
+                .entry(id)
+                .and_modify(|member| member.alive = false),
+            1 => self
+                .members
+                .entry(id)
+                .and_modify(|member| member.alive = true),
             2 => {
                 // A primary stands at the present; the one before it does not any more.
                 let old = self.primaries.insert(group, id).unwrap_or(id);
                 let now = self.now;
-                self.members.entry(old).and_modify(|member| (member.lag, member.floor) = (20 * MS, now));
-                self.members.entry(id).and_modify(|member| (member.lag, member.excused) = (0, true))
+                self.members
+                    .entry(old)
+                    .and_modify(|member| (member.lag, member.floor) = (20 * MS, now));
+                self.members
+                    .entry(id)
+                    .and_modify(|member| (member.lag, member.excused) = (0, true))
             }
             // An answer is known to hold from then on: a member never falls back behind what it said, so lag grows
             // by time passing alone. Here it only shrinks.
             3 => self.members.entry(id).and_modify(|member| member.lag /= 2),
             4 | 5 => {
-                let state = if self.rng.bool() { EntryState::Draining } else { EntryState::Gone };
-                let binds =
-                    self.settings.drain_binds == DrainBinds::DrainingAndGone || state == EntryState::Draining;
+                let state = if self.rng.bool() {
+                    EntryState::Draining
+                } else {
+                    EntryState::Gone
+                };
+                let binds = self.settings.drain_binds == DrainBinds::DrainingAndGone
+                    || state == EntryState::Draining;
                 let now = self.now;
                 self.members.entry(id).and_modify(|member| {
                     member.state = state;
@@ -486,7 +615,10 @@
 
     /// Every request that is past its time has its answer.
     fn overdue(&self) -> Broken {
-        let late = self.open.iter().find(|(_, open)| !open.answered && self.now > open.due + 5 * MS);
+        let late = self
+            .open
+            .iter()
+            .find(|(_, open)| !open.answered && self.now > open.due + 5 * MS);
         late.map_or(Ok(()), |(request, open)| {
             Err(format!(
                 "{request} (class {}) has no answer {} us after its time",
@@ -523,14 +655,23 @@
                 Next::Wake => self.feed(Event::Wake)?,
                 Next::End(request, attempt) => self.end(request, attempt)?,
                 Next::Report(id) => {
-                    let outcome = if self.members[&id].alive { Outcome::Served } else { Outcome::TimedOut };
-                    let report = if outcome == Outcome::Served { self.note(id) } else { Note::default() };
+                    let outcome = if self.members[&id].alive {
+                        Outcome::Served
+                    } else {
+                        Outcome::TimedOut
+                    };
+                    let report = if outcome == Outcome::Served {
+                        self.note(id)
+                    } else {
+                        Note::default()
+                    };
                     self.feed(Event::Probed(MemberId(id), outcome, report))?;
                 }
                 Next::Watched => self.feed(Event::Listed(ListKind::Changes, [].into()))?,
             }
             self.overdue()?;
-            self.open.retain(|_, open| !open.answered || open.attempts.iter().any(|attempt| attempt.2));
+            self.open
+                .retain(|_, open| !open.answered || open.attempts.iter().any(|attempt| attempt.2));
         }
         if self.open.values().any(|open| !open.answered) {
             return Err("requests were left without an answer".into());
@@ -541,8 +682,15 @@
 
 #[test]
 fn the_rules_hold_whatever_the_settings() {
-    let cases = std::env::var("SETTINGS_CASES").ok().and_then(|cases| cases.parse().ok()).unwrap_or(40);
-    let config = Config { cases, failure_persistence: None, ..Config::default() };
+    let cases = std::env::var("SETTINGS_CASES")
+        .ok()
+        .and_then(|cases| cases.parse().ok())
+        .unwrap_or(40);
+    let config = Config {
+        cases,
+        failure_persistence: None,
+        ..Config::default()
+    };
     let rng = proptest::test_runner::TestRng::deterministic_rng(config.rng_algorithm);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let served = std::cell::Cell::new(0);
@@ -553,5 +701,9 @@
         kept.map_err(|broken| TestCaseError::fail(format!("{broken}; after {:#?}", world.trace)))
     });
     played.unwrap_or_else(|broken| panic!("{broken}"));
-    assert!(served.get() > 100 * cases, "{} requests served in {cases} draws", served.get());
+    assert!(
+        served.get() > 100 * cases,
+        "{} requests served in {cases} draws",
+        served.get()
+    );
 }
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -11,17 +11,26 @@
 
 use asterreel::agreed;
 use asterreel::lease::{Holder, Index, Timing, Token};
-use asterreel::versions::{client, coordinator, Client, Command, Content, Coordinator, Formats, Outcome};
+use asterreel::versions::{
+    client, coordinator, Client, Command, Content, Coordinator, Formats, Outcome,
+};
 use asterreel::versions::{Table, ToControl, ToGateway, Topic};
 use std::collections::{BTreeMap, BTreeSet};
 use xxhash_rust::xxh3::Xxh3;
 
-const TIMING: Timing =
-    Timing { lease_us: 3_000_000, renew_us: 1_000_000, drift_ppm: 1_000, margin_us: 50_000 };
+const TIMING: Timing = Timing {
+    lease_us: 3_000_000,
+    renew_us: 1_000_000,
+    drift_ppm: 1_000,
+    margin_us: 50_000,
+};
 const GATEWAYS: usize = 6;
 const MEMBERS: usize = 3;
 const TOPIC: Topic = Topic::Catalog;
-const FORMATS: Formats = Formats { oldest: 1, newest: 1 };
+const FORMATS: Formats = Formats {
+    oldest: 1,
+    newest: 1,
+};
 /// Longest that a frame, a proposal, an entry or half a confirmation travels; but one in [`LATE_ONE_IN`] is later still.
 const TRAVEL_US: u64 = 200_000;
 const LATE_ONE_IN: u32 = 50;
@@ -192,7 +201,10 @@
 }
 
 fn gateway_holder(number: usize, life: u32) -> Holder {
-    Holder { gateway: number as u32 + 1, life }
+    Holder {
+        gateway: number as u32 + 1,
+        life,
+    }
 }
 
 impl World {
@@ -217,7 +229,9 @@
         };
         for number in 0..MEMBERS {
             let rate_ppm = world.rng.i64(-play.drift_ppm..=play.drift_ppm);
-            world.members.push(World::member(number, 1, Clock { born: 0, rate_ppm }));
+            world
+                .members
+                .push(World::member(number, 1, Clock { born: 0, rate_ppm }));
         }
         world.elect(0);
         for number in 0..GATEWAYS {
@@ -295,7 +309,9 @@
     fn gateway_event(&mut self, number: usize, event: client::Event) {
         let mut out = Vec::new();
         let gateway = &mut self.gateways[number];
-        gateway.client.handle(gateway.clock.at(self.real), event, &mut out);
+        gateway
+            .client
+            .handle(gateway.clock.at(self.real), event, &mut out);
         for action in out {
             self.gateway_action(number, action);
         }
@@ -304,9 +320,12 @@
     fn gateway_action(&mut self, number: usize, action: client::Action) {
         match action {
             client::Action::Send(message) => {
-                let Some(member) = self.gateways[number].link else { return };
+                let Some(member) = self.gateways[number].link else {
+                    return;
+                };
                 if self.connects(number, member) {
-                    let message = ToControl::decode(&message.encode()).expect("what was encoded is read");
+                    let message =
+                        ToControl::decode(&message.encode()).expect("what was encoded is read");
                     self.send(Parcel::ToControl(member, message), 20);
                 }
             }
@@ -315,18 +334,38 @@
                 let other = self.rng.usize(0..MEMBERS);
                 self.dial(number, other);
             }
-            client::Action::Judge { number: version, content, .. } => {
+            client::Action::Judge {
+                number: version,
+                content,
+                ..
+            } => {
                 let never = match self.play.orderly {
                     Some(Unhelpful::Silent(one) | Unhelpful::Dead(one)) => one == number,
                     None => self.one_in(20),
                 };
-                let at = if never { u64::MAX } else { self.real + self.rng.u64(0..500_000) };
+                let at = if never {
+                    u64::MAX
+                } else {
+                    self.real + self.rng.u64(0..500_000)
+                };
                 let bad = content.bytes == [1];
-                let verdict = if bad { Err("it is bad".to_owned()) } else { Ok(()) };
+                let verdict = if bad {
+                    Err("it is bad".to_owned())
+                } else {
+                    Ok(())
+                };
                 self.gateways[number].judging.push((version, at, verdict));
             }
-            client::Action::Enforce { number: version, before, .. } => {
-                assert_eq!(self.before.get(&version), Some(&before), "the same order everywhere");
+            client::Action::Enforce {
+                number: version,
+                before,
+                ..
+            } => {
+                assert_eq!(
+                    self.before.get(&version),
+                    Some(&before),
+                    "the same order everywhere"
+                );
             }
             client::Action::Dropped { .. } => self.seen.refused += 1,
             client::Action::Wake(at) => self.gateways[number].wake_at = at,
@@ -339,8 +378,8 @@
         let cut = |(one, other, until): &(usize, usize, u64)| {
             (*one, *other) == (number, member) && self.real < *until
         };
-        let alive =
-            self.real >= self.gateways[number].cut_until && self.real >= self.members[member].cut_until;
+        let alive = self.real >= self.gateways[number].cut_until
+            && self.real >= self.members[member].cut_until;
         alive && !self.cut_links.iter().any(cut)
     }
 
@@ -355,7 +394,10 @@
 
     /// A link is up, or can't be and another one is tried.
     fn connect(&mut self, number: usize) {
-        let Some((member, _)) = self.gateways[number].dialing.filter(|(_, at)| self.real >= *at) else {
+        let Some((member, _)) = self.gateways[number]
+            .dialing
+            .filter(|(_, at)| self.real >= *at)
+        else {
             return;
         };
         self.gateways[number].dialing = None;
@@ -375,10 +417,18 @@
         }
         self.connect(number);
         let judging = std::mem::take(&mut self.gateways[number].judging);
-        let (done, left): (Vec<_>, Vec<_>) = judging.into_iter().partition(|(_, at, _)| *at <= self.real);
+        let (done, left): (Vec<_>, Vec<_>) =
+            judging.into_iter().partition(|(_, at, _)| *at <= self.real);
         self.gateways[number].judging = left;
         for (version, _, verdict) in done {
-            self.gateway_event(number, client::Event::Judged { topic: TOPIC, number: version, verdict });
+            self.gateway_event(
+                number,
+                client::Event::Judged {
+                    topic: TOPIC,
+                    number: version,
+                    verdict,
+                },
+            );
         }
         if self.gateways[number].clock.at(self.real) >= self.gateways[number].wake_at {
             self.gateway_event(number, client::Event::Tick);
@@ -389,7 +439,14 @@
         if let Some((version, _)) = self.acting(number) {
             let who = gateway_holder(number, self.gateways[number].life);
             *self.done.entry(who).or_default() += 1;
-            self.gateway_event(number, client::Event::Acted { topic: TOPIC, number: version, count: 1 });
+            self.gateway_event(
+                number,
+                client::Event::Acted {
+                    topic: TOPIC,
+                    number: version,
+                    count: 1,
+                },
+            );
         }
     }
 
@@ -398,7 +455,9 @@
     fn acting(&self, number: usize) -> Option<(u64, Token)> {
         let gateway = &self.gateways[number];
         let awake = self.real >= gateway.stalled_until;
-        awake.then(|| gateway.client.acting(TOPIC, gateway.clock.at(self.real))).flatten()
+        awake
+            .then(|| gateway.client.acting(TOPIC, gateway.clock.at(self.real)))
+            .flatten()
     }
 
     // Control members.
@@ -406,7 +465,9 @@
     fn member_event(&mut self, number: usize, event: coordinator::Event) {
         let mut out = Vec::new();
         let member = &mut self.members[number];
-        member.coordinator.handle(member.clock.at(self.real), event, &mut out);
+        member
+            .coordinator
+            .handle(member.clock.at(self.real), event, &mut out);
         for action in out {
             self.member_action(number, action);
         }
@@ -415,15 +476,26 @@
     fn member_action(&mut self, number: usize, action: coordinator::Action) {
         let reaches = self.members[number].reaches_members(self.real);
         match action {
-            coordinator::Action::Propose(command) if reaches => self.send(Parcel::Proposal(command), 10),
+            coordinator::Action::Propose(command) if reaches => {
+                self.send(Parcel::Proposal(command), 10)
+            }
             coordinator::Action::Confirm(round) if self.play.unconfirmed => {
                 self.member_event(number, coordinator::Event::Confirmed(round));
             }
             coordinator::Action::Confirm(round) if reaches => {
                 let committed = self.log.len();
-                self.send(Parcel::Round { member: number, round, committed }, 10);
+                self.send(
+                    Parcel::Round {
+                        member: number,
+                        round,
+                        committed,
+                    },
+                    10,
+                );
+            }
+            coordinator::Action::Send(who, message) => {
+                self.tell(number, who.gateway as usize - 1, message)
             }
-            coordinator::Action::Send(who, message) => self.tell(number, who.gateway as usize - 1, message),
             coordinator::Action::Broadcast(message) => {
                 for gateway in 0..GATEWAYS {
                     if self.gateways[gateway].link == Some(number) {
@@ -452,7 +524,9 @@
         if self.members[number].hears_members(self.real) {
             let lag = self.rng.u64(0..TRAVEL_US);
             let next = self.members[number].applied;
-            let ready = self.log[next..].iter().take_while(|(_, at)| at + lag <= self.real);
+            let ready = self.log[next..]
+                .iter()
+                .take_while(|(_, at)| at + lag <= self.real);
             let ready: Vec<Command> = ready.map(|(command, _)| command.clone()).collect();
             for command in ready {
                 self.members[number].applied += 1;
@@ -472,9 +546,20 @@
         self.seen.elections += 1;
         let place = self.elections.len();
         for member in 0..MEMBERS {
-            let latest = if Some(member) == former { LATE_US } else { TRAVEL_US };
+            let latest = if Some(member) == former {
+                LATE_US
+            } else {
+                TRAVEL_US
+            };
             let at = self.real + self.rng.u64(0..latest);
-            self.parcels.push((at, Parcel::Elected { member, place, leader }));
+            self.parcels.push((
+                at,
+                Parcel::Elected {
+                    member,
+                    place,
+                    leader,
+                },
+            ));
         }
     }
 
@@ -520,30 +605,53 @@
             {
                 return false;
             }
-            Parcel::ToGateway(gateway, _) if real < self.gateways[gateway].stalled_until => return false,
+            Parcel::ToGateway(gateway, _) if real < self.gateways[gateway].stalled_until => {
+                return false
+            }
             Parcel::ToControl(member, message) => {
                 self.member_event(member, coordinator::Event::Received(message));
             }
-            Parcel::Hello(member, who) => self.member_event(member, coordinator::Event::Connected(who)),
+            Parcel::Hello(member, who) => {
+                self.member_event(member, coordinator::Event::Connected(who))
+            }
             Parcel::ToGateway(gateway, message) => {
                 self.gateway_event(gateway, client::Event::Received(message));
             }
             Parcel::Proposal(command) => self.commit(command),
-            Parcel::Round { member, round, committed } => {
+            Parcel::Round {
+                member,
+                round,
+                committed,
+            } => {
                 // The truth of a confirmation: at this moment, after it was asked for, no other had been elected.
                 if self.leader() == member && self.members[member].reaches_members(real) {
                     let at = self.travel();
-                    self.parcels.push((at, Parcel::Confirmed { member, round, committed }));
+                    self.parcels.push((
+                        at,
+                        Parcel::Confirmed {
+                            member,
+                            round,
+                            committed,
+                        },
+                    ));
                 }
             }
-            Parcel::Confirmed { member, round, committed } => {
+            Parcel::Confirmed {
+                member,
+                round,
+                committed,
+            } => {
                 if self.members[member].applied < committed {
                     return false;
                 }
                 self.member_event(member, coordinator::Event::Confirmed(round));
             }
             Parcel::Elect(leader) => self.elect(leader),
-            Parcel::Elected { member, place, leader } => {
+            Parcel::Elected {
+                member,
+                place,
+                leader,
+            } => {
                 if place > self.members[member].heard_of {
                     self.members[member].heard_of = place;
                     let known = Some(leader as u32 + 1);
@@ -562,7 +670,9 @@
         self.log.push((command.clone(), self.real));
         let mut outcomes = Vec::new();
         let index = Index(self.log.len() as u64);
-        self.truth.apply(index, &command, &mut outcomes).expect("the next entry");
+        self.truth
+            .apply(index, &command, &mut outcomes)
+            .expect("the next entry");
         for outcome in outcomes {
             match outcome {
                 Outcome::Offered { number, .. } => {
@@ -623,15 +733,35 @@
     }
 
     fn restart_gateway(&mut self, number: usize) {
-        let (life, rate_ppm) = (self.gateways[number].life + 1, self.gateways[number].clock.rate_ppm);
-        self.gateways[number] = self.gateway(number, life, Clock { born: self.real, rate_ppm });
+        let (life, rate_ppm) = (
+            self.gateways[number].life + 1,
+            self.gateways[number].clock.rate_ppm,
+        );
+        self.gateways[number] = self.gateway(
+            number,
+            life,
+            Clock {
+                born: self.real,
+                rate_ppm,
+            },
+        );
         self.start(number);
     }
 
     /// A control member is killed and comes back later, with the log's entries or with a snapshot of them.
     fn restart_member(&mut self, number: usize) {
-        let (life, rate_ppm) = (self.members[number].life + 1, self.members[number].clock.rate_ppm);
-        let former = World::member(number, life, Clock { born: self.real, rate_ppm });
+        let (life, rate_ppm) = (
+            self.members[number].life + 1,
+            self.members[number].clock.rate_ppm,
+        );
+        let former = World::member(
+            number,
+            life,
+            Clock {
+                born: self.real,
+                rate_ppm,
+            },
+        );
         let former = std::mem::replace(&mut self.members[number], former);
         if self.rng.bool() {
             let table = former.coordinator.table().clone();
@@ -660,7 +790,13 @@
         let one = self.rng.usize(0..GATEWAYS);
         if self.real >= self.gateways[one].stalled_until {
             let content = Content { format, bytes };
-            self.gateway_event(one, client::Event::Offer { topic: TOPIC, content });
+            self.gateway_event(
+                one,
+                client::Event::Offer {
+                    topic: TOPIC,
+                    content,
+                },
+            );
         }
     }
 
@@ -672,7 +808,10 @@
         let acted: BTreeSet<u64> = acting.iter().map(|(_, (version, _))| *version).collect();
         if let Some(newest) = acted.last() {
             let before = self.before.get(newest).copied().unwrap_or(0);
-            if acted.iter().any(|version| version != newest && *version != before) {
+            if acted
+                .iter()
+                .any(|version| version != newest && *version != before)
+            {
                 let breach = format!("{}: {acted:?}, {before} before {newest}", self.real);
                 self.seen.breaches.push(breach);
             }
@@ -680,7 +819,10 @@
         for (number, (_, token)) in acting {
             let who = gateway_holder(number, self.gateways[number].life);
             if self.truth.seat(who).is_none_or(|seat| seat.token != token) {
-                let breach = format!("{}: {who:?} acts under {token:?}, which is not its seat", self.real);
+                let breach = format!(
+                    "{}: {who:?} acts under {token:?}, which is not its seat",
+                    self.real
+                );
                 self.seen.breaches.push(breach);
             }
         }
@@ -711,7 +853,10 @@
 
     /// Whether the version in force was offered since a time.
     fn settled(&self, since: u64) -> bool {
-        let newest = self.truth.topic(TOPIC).map_or(0, |standing| standing.number());
+        let newest = self
+            .truth
+            .topic(TOPIC)
+            .map_or(0, |standing| standing.number());
         self.offered.get(&newest).is_some_and(|at| *at >= since)
     }
 
@@ -729,7 +874,9 @@
         for (who, done) in &self.done {
             let rows = audit.rows().iter().filter(|row| row.who == *who);
             let lives = self.gateways[who.gateway as usize - 1].life == who.life;
-            self.seen.counts.push((*who, *done, rows.map(|row| row.span.count).sum(), lives));
+            self.seen
+                .counts
+                .push((*who, *done, rows.map(|row| row.span.count).sum(), lives));
         }
     }
 }
@@ -776,11 +923,21 @@
     for seed in seeds {
         let seen = play(seed, SOUND);
         assert_eq!(seen.breaches, Vec::<String>::new(), "seed {seed}");
-        took.push(seen.agreed_after.unwrap_or_else(|| panic!("seed {seed}: nothing agreed in the calm")));
+        took.push(
+            seen.agreed_after
+                .unwrap_or_else(|| panic!("seed {seed}: nothing agreed in the calm")),
+        );
         for (who, done, counted, lives) in seen.counts {
             // What a gateway did last before it crashed is not told any more; nothing counts twice.
-            let told = if lives { counted == done } else { counted <= done };
-            assert!(told, "seed {seed}: {who:?} did {done}, and the audit has {counted}");
+            let told = if lives {
+                counted == done
+            } else {
+                counted <= done
+            };
+            assert!(
+                told,
+                "seed {seed}: {who:?} did {done}, and the audit has {counted}"
+            );
         }
         (in_force, refused) = (in_force + seen.in_force, refused + seen.refused);
         (expelled, elections) = (expelled + seen.expelled, elections + seen.elections);
@@ -791,7 +948,9 @@
         "{} runs, {elections} elections, {in_force} versions in force, {refused} refusals heard, {expelled} seats lost",
         took.len()
     );
-    println!("in the calm, from offer to in force everywhere: median {median} us, worst {worst} us");
+    println!(
+        "in the calm, from offer to in force everywhere: median {median} us, worst {worst} us"
+    );
     assert!(in_force > took.len() && refused > 0 && expelled > 0 && elections > took.len());
 }
 
@@ -804,7 +963,10 @@
 #[test]
 fn version_logs_match_record() {
     let line = |seed| format!("seed {seed}: {:016x}\n", play(seed, SOUND).log_digest);
-    golden::assert_matches("version-logs.txt", &(101..=106).map(line).collect::<String>());
+    golden::assert_matches(
+        "version-logs.txt",
+        &(101..=106).map(line).collect::<String>(),
+    );
 }
 
 #[test]
@@ -821,26 +983,57 @@
 /// meet it.
 #[test]
 fn a_right_that_outlasts_the_others_wait_is_caught() {
-    let generous = Timing { lease_us: 4 * TIMING.lease_us, ..TIMING };
-    assert!(breaching(Play { first: generous, ..SOUND }).is_some(), "no seed shows it");
+    let generous = Timing {
+        lease_us: 4 * TIMING.lease_us,
+        ..TIMING
+    };
+    assert!(
+        breaching(Play {
+            first: generous,
+            ..SOUND
+        })
+        .is_some(),
+        "no seed shows it"
+    );
 }
 
 /// The check can fail: a former leader goes on to keep seats that a later one has taken away.
 #[test]
 fn a_seat_that_is_kept_without_confirmation_is_caught() {
-    assert!(breaching(Play { unconfirmed: true, ..SOUND }).is_some(), "no seed shows it");
+    assert!(
+        breaching(Play {
+            unconfirmed: true,
+            ..SOUND
+        })
+        .is_some(),
+        "no seed shows it"
+    );
 }
 
 /// The check can fail: a former leader takes away seats that a later one keeps.
 #[test]
 fn a_seat_that_a_former_leader_takes_away_is_caught() {
-    assert!(breaching(Play { any_epoch: true, ..SOUND }).is_some(), "no seed shows it");
+    assert!(
+        breaching(Play {
+            any_epoch: true,
+            ..SOUND
+        })
+        .is_some(),
+        "no seed shows it"
+    );
 }
 
 /// How long a change takes that one gateway does not help with, and how many seats it costs.
 fn held_up(seed: u64, unhelpful: Unhelpful) -> (u64, usize) {
-    let mut world = World::new(seed, Play { orderly: Some(unhelpful), ..SOUND });
-    let everyone = |world: &World| (0..GATEWAYS).all(|number| world.gateways[number].client.seats() == 6);
+    let mut world = World::new(
+        seed,
+        Play {
+            orderly: Some(unhelpful),
+            ..SOUND
+        },
+    );
+    let everyone =
+        |world: &World| (0..GATEWAYS).all(|number| world.gateways[number].client.seats() == 6);
     while !everyone(&world) {
         world.step();
         assert!(world.real < 20_000_000, "seed {seed}: no seats");
@@ -850,8 +1043,17 @@
     while world.offered.is_empty() {
         if offered_at.is_none_or(|at| world.real > at + 2_000_000) {
             offered_at = Some(world.real);
-            let content = Content { format: 1, bytes: vec![0] };
-            world.gateway_event(0, client::Event::Offer { topic: TOPIC, content });
+            let content = Content {
+                format: 1,
+                bytes: vec![0],
+            };
+            world.gateway_event(
+                0,
+                client::Event::Offer {
+                    topic: TOPIC,
+                    content,
+                },
+            );
         }
         world.step();
     }
@@ -864,7 +1066,10 @@
         assert!(world.real < 60_000_000, "seed {seed}: not in force");
     }
     assert_eq!(world.seen.breaches, Vec::<String>::new(), "seed {seed}");
-    (world.real - world.offered.values().next().expect("one offer"), world.seen.expelled)
+    (
+        world.real - world.offered.values().next().expect("one offer"),
+        world.seen.expelled,
+    )
 }
 
 /// The longest that a change took in twenty runs. It costs the seat that held it up, and no other.
@@ -884,14 +1089,20 @@
 /// `wait_us` until it counts as a straggler, and `wait_us` from the last heartbeat that may have kept its seat.
 #[test]
 fn a_straggler_that_lives_holds_a_change_up_for_two_waits_at_most() {
-    let (took, bound) = (held_up_at_most(Unhelpful::Silent(4)), 2 * TIMING.wait_us() + ON_TOP_US);
+    let (took, bound) = (
+        held_up_at_most(Unhelpful::Silent(4)),
+        2 * TIMING.wait_us() + ON_TOP_US,
+    );
     println!("held up by a straggler: {took} us at most, bound {bound} us");
     assert!(took <= bound, "{took} us, more than {bound} us");
 }
 
 #[test]
 fn a_dead_gateway_holds_a_change_up_for_one_wait_at_most() {
-    let (took, bound) = (held_up_at_most(Unhelpful::Dead(4)), TIMING.wait_us() + ON_TOP_US);
+    let (took, bound) = (
+        held_up_at_most(Unhelpful::Dead(4)),
+        TIMING.wait_us() + ON_TOP_US,
+    );
     println!("held up by a dead gateway: {took} us at most, bound {bound} us");
     assert!(took <= bound, "{took} us, more than {bound} us");
 }
--- a/tests/versions_model.rs
+++ b/tests/versions_model.rs
@@ -11,7 +11,10 @@
 use std::hash::{Hash, Hasher};
 
 const TOPIC: Topic = Topic::Catalog;
-const FORMATS: Formats = Formats { oldest: 1, newest: 1 };
+const FORMATS: Formats = Formats {
+    oldest: 1,
+    newest: 1,
+};
 /// A tick of the model. Most parts of a renewal that the machines know are none at all then: verdicts are written and
 /// rounds asked for at once, and a round without an answer is replaced after a tick.
 const TICK: u64 = 4;
@@ -102,13 +105,16 @@
 }
 
 fn holder(number: usize, life: u32) -> Holder {
-    Holder { gateway: number as u32, life }
+    Holder {
+        gateway: number as u32,
+        life,
+    }
 }
 
 impl World {
     fn begin(explored: &Explored) -> World {
-        let members =
-            (0..explored.members).map(|number| Coordinator::new(holder(100 + number, 0), explored.timing()));
+        let members = (0..explored.members)
+            .map(|number| Coordinator::new(holder(100 + number, 0), explored.timing()));
         let mut world = World {
             now: 0,
             log: Vec::new(),
@@ -137,7 +143,11 @@
         world.settle();
         world.offer(0);
         world.settle();
-        assert_eq!(world.acted_on().len(), 1, "a version is acted on: {world:#?}");
+        assert_eq!(
+            world.acted_on().len(),
+            1,
+            "a version is acted on: {world:#?}"
+        );
         assert!((0..explored.gateways).all(|number| world.acting(number).is_some()));
         world.offers = 0;
         world.offerers.clear();
@@ -160,7 +170,11 @@
             match action {
                 client::Action::Send(message) => self.mail.push(Parcel::ToControl(member, message)),
                 client::Action::Judge { number, .. } => {
-                    let judged = client::Event::Judged { topic: TOPIC, number, verdict: Ok(()) };
+                    let judged = client::Event::Judged {
+                        topic: TOPIC,
+                        number,
+                        verdict: Ok(()),
+                    };
                     client.handle(self.now, judged, &mut out);
                 }
                 _ => {}
@@ -176,14 +190,20 @@
                 coordinator::Action::Propose(command) => self.mail.push(Parcel::Proposal(command)),
                 coordinator::Action::Confirm(round) => {
                     let committed = self.log.len();
-                    self.mail.push(Parcel::Round { member: number, round, committed });
+                    self.mail.push(Parcel::Round {
+                        member: number,
+                        round,
+                        committed,
+                    });
                 }
                 coordinator::Action::Send(who, message) => {
-                    self.mail.push(Parcel::ToGateway(who.gateway as usize, message));
+                    self.mail
+                        .push(Parcel::ToGateway(who.gateway as usize, message));
                 }
                 coordinator::Action::Broadcast(message) => {
                     let all = 0..self.gateways.len();
-                    self.mail.extend(all.map(|gateway| Parcel::ToGateway(gateway, message.clone())));
+                    self.mail
+                        .extend(all.map(|gateway| Parcel::ToGateway(gateway, message.clone())));
                 }
                 coordinator::Action::Counted { .. } | coordinator::Action::Wake(_) => {}
             }
@@ -201,9 +221,19 @@
     }
 
     fn offer(&mut self, number: usize) {
-        let content = Content { format: 1, bytes: vec![self.offers] };
+        let content = Content {
+            format: 1,
+            bytes: vec![self.offers],
+        };
         let member = self.leader();
-        self.gateway(number, member, client::Event::Offer { topic: TOPIC, content });
+        self.gateway(
+            number,
+            member,
+            client::Event::Offer {
+                topic: TOPIC,
+                content,
+            },
+        );
         self.offers += 1;
         self.offerers.insert(number);
     }
@@ -215,14 +245,22 @@
     fn apply(&mut self, number: usize) {
         let next = self.applied(number);
         let command = self.log[next].clone();
-        self.member(number, coordinator::Event::Applied { index: Index(next as u64 + 1), command });
+        self.member(
+            number,
+            coordinator::Event::Applied {
+                index: Index(next as u64 + 1),
+                command,
+            },
+        );
     }
 
     fn commit(&mut self, command: Command) {
         let mut outcomes = Vec::new();
         self.log.push(command.clone());
         let index = Index(self.log.len() as u64);
-        self.truth.apply(index, &command, &mut outcomes).expect("the next entry");
+        self.truth
+            .apply(index, &command, &mut outcomes)
+            .expect("the next entry");
         for outcome in outcomes {
             if let Outcome::InForce { number, before, .. } = outcome {
                 self.before.insert(number, before);
@@ -241,10 +279,18 @@
                 self.gateway(gateway, member, client::Event::Received(message));
             }
             Parcel::Proposal(command) => self.commit(command),
-            Parcel::Round { member, round, committed } => {
+            Parcel::Round {
+                member,
+                round,
+                committed,
+            } => {
                 // The truth of a confirmation: at this moment, after it was asked for, no other had been elected.
                 if self.leader() == member {
-                    self.mail.push(Parcel::Confirmed { member, round, committed });
+                    self.mail.push(Parcel::Confirmed {
+                        member,
+                        round,
+                        committed,
+                    });
                 }
             }
             Parcel::Confirmed { member, round, .. } => {
@@ -256,7 +302,9 @@
     /// Whether a parcel may arrive: a confirmation does after the entries that it stands for.
     fn ready(&self, parcel: &Parcel) -> bool {
         match parcel {
-            Parcel::Confirmed { member, committed, .. } => self.applied(*member) >= *committed,
+            Parcel::Confirmed {
+                member, committed, ..
+            } => self.applied(*member) >= *committed,
             _ => true,
         }
     }
@@ -277,7 +325,9 @@
             if self.mail.is_empty() {
                 return;
             }
-            std::mem::take(&mut self.mail).into_iter().for_each(|parcel| self.arrive(parcel));
+            std::mem::take(&mut self.mail)
+                .into_iter()
+                .for_each(|parcel| self.arrive(parcel));
         }
     }
 
@@ -286,13 +336,16 @@
     }
 
     fn acted_on(&self) -> BTreeSet<u64> {
-        (0..self.gateways.len()).filter_map(|number| Some(self.acting(number)?.0)).collect()
+        (0..self.gateways.len())
+            .filter_map(|number| Some(self.acting(number)?.0))
+            .collect()
     }
 
     /// Whether a gateway acts under no seat, or under the one that the log gives it.
     fn seated(&self, number: usize) -> bool {
         let seat = self.truth.seat(holder(number, self.lives[number]));
-        self.acting(number).is_none_or(|(_, token)| seat.is_some_and(|seat| seat.token == token))
+        self.acting(number)
+            .is_none_or(|(_, token)| seat.is_some_and(|seat| seat.token == token))
     }
 }
 
@@ -360,7 +413,9 @@
             Do::Offer(number) => {
                 world.offer(number);
                 // One without a right offers nothing.
-                let offer = |parcel: &Parcel| matches!(parcel, Parcel::ToControl(_, ToControl::Offer { .. }));
+                let offer = |parcel: &Parcel| {
+                    matches!(parcel, Parcel::ToControl(_, ToControl::Offer { .. }))
+                };
                 world.mail.iter().any(offer).then_some(())?;
             }
             Do::Elect(member) => world.elections.push(member),
@@ -386,13 +441,18 @@
         vec![
             Property::always("no third version is acted on", |_, world: &World| {
                 let acted = world.acted_on();
-                let Some(newest) = acted.last() else { return true };
+                let Some(newest) = acted.last() else {
+                    return true;
+                };
                 let before = world.before.get(newest).copied().unwrap_or(0);
-                acted.iter().all(|version| version == newest || *version == before)
-            }),
-            Property::always("nobody acts under a seat that is not its own", |_, world: &World| {
-                (0..world.gateways.len()).all(|number| world.seated(number))
+                acted
+                    .iter()
+                    .all(|version| version == newest || *version == before)
             }),
+            Property::always(
+                "nobody acts under a seat that is not its own",
+                |_, world: &World| (0..world.gateways.len()).all(|number| world.seated(number)),
+            ),
             Property::eventually(
                 "every offer ends and all act on the newest",
                 |explored: &Explored, world: &World| {
@@ -400,11 +460,18 @@
                         .map(|number| world.acting(number).map(|(one, _)| one))
                         .collect();
                     let same = all[0].is_some() && all.iter().all(|one| *one == all[0]);
-                    let open = world.truth.topic(TOPIC).is_some_and(|standing| standing.open.is_some());
+                    let open = world
+                        .truth
+                        .topic(TOPIC)
+                        .is_some_and(|standing| standing.open.is_some());
                     // A path that makes no offer stays with the version that it began with. So does one whose offer
                     // came to a former leader, if the gateway that offered crashed before it could offer again.
                     let one_leader = world.elections.len() == 1;
-                    let offered = if one_leader { world.offers > 0 } else { !world.offerers.is_empty() };
+                    let offered = if one_leader {
+                        world.offers > 0
+                    } else {
+                        !world.offerers.is_empty()
+                    };
                     let first = world.before.keys().next().copied();
                     let moved = !offered || all[0] > first;
                     world.now == explored.end() && same && moved && !open
@@ -413,16 +480,24 @@
             Property::sometimes("two versions are acted on at once", |_, world: &World| {
                 world.acted_on().len() == 2
             }),
-            Property::sometimes("a seat is taken away", |explored: &Explored, world: &World| {
-                world.truth.seats().count() < explored.gateways
-            }),
+            Property::sometimes(
+                "a seat is taken away",
+                |explored: &Explored, world: &World| {
+                    world.truth.seats().count() < explored.gateways
+                },
+            ),
         ]
     }
 }
 
 impl Explored {
     fn timing(&self) -> Timing {
-        Timing { lease_us: self.lease * TICK, renew_us: TICK, drift_ppm: 0, margin_us: 0 }
+        Timing {
+            lease_us: self.lease * TICK,
+            renew_us: TICK,
+            drift_ppm: 0,
+            margin_us: 0,
+        }
     }
 
     /// When time is over: it begins after one tick.
@@ -434,7 +509,11 @@
 fn explore(explored: Explored) -> (usize, Vec<&'static str>) {
     let checker = explored.checker().threads(4).spawn_dfs().join();
     let found: Vec<&'static str> = checker.discoveries().into_keys().collect();
-    println!("{} states, {} unique, found {found:?}", checker.state_count(), checker.unique_state_count());
+    println!(
+        "{} states, {} unique, found {found:?}",
+        checker.state_count(),
+        checker.unique_state_count()
+    );
     (checker.unique_state_count(), found)
 }
 
@@ -453,50 +532,119 @@
 
 fn is_safe(explored: Explored, seen: &'static str) -> usize {
     let (states, found) = explore(explored);
-    assert!(!found.contains(&"no third version is acted on"), "{found:?}");
-    assert!(!found.contains(&"nobody acts under a seat that is not its own"), "{found:?}");
+    assert!(
+        !found.contains(&"no third version is acted on"),
+        "{found:?}"
+    );
+    assert!(
+        !found.contains(&"nobody acts under a seat that is not its own"),
+        "{found:?}"
+    );
     assert!(found.contains(&seen), "{found:?}");
     states
 }
 
-const FAIR: Explored = Explored { lease: 3, ticks: 20, crashes: 1, fair: true, ..QUICK };
+const FAIR: Explored = Explored {
+    lease: 3,
+    ticks: 20,
+    crashes: 1,
+    fair: true,
+    ..QUICK
+};
 
 /// Two members that may both believe that they lead, and one gateway that may hear either.
-const LED_BY_TWO: Explored =
-    Explored { gateways: 1, members: 2, ticks: 2, mail: 1, offers: 0, elections: 1, ..QUICK };
+const LED_BY_TWO: Explored = Explored {
+    gateways: 1,
+    members: 2,
+    ticks: 2,
+    mail: 1,
+    offers: 0,
+    elections: 1,
+    ..QUICK
+};
 
 #[test]
 fn in_no_interleaving_is_a_third_version_acted_on() {
     // The second offer can come in force while some act on the first version still: a third would show.
-    let third = is_safe(Explored { log: 8, offers: 2, ..QUICK }, "two versions are acted on at once");
-    let later = Explored { gateways: 2, ticks: 1, log: 3, mail: 2, ..QUICK };
+    let third = is_safe(
+        Explored {
+            log: 8,
+            offers: 2,
+            ..QUICK
+        },
+        "two versions are acted on at once",
+    );
+    let later = Explored {
+        gateways: 2,
+        ticks: 1,
+        log: 3,
+        mail: 2,
+        ..QUICK
+    };
     let states = third + is_safe(later, "two versions are acted on at once");
-    assert!(states > 50_000, "{states} states are too few to mean anything");
+    assert!(
+        states > 50_000,
+        "{states} states are too few to mean anything"
+    );
 }
 
 #[test]
 fn in_no_interleaving_does_a_gateway_act_after_a_leader_took_its_seat_away() {
     let states = is_safe(LED_BY_TWO, "a seat is taken away");
-    assert!(states > 20_000, "{states} states are too few to mean anything");
+    assert!(
+        states > 20_000,
+        "{states} states are too few to mean anything"
+    );
 }
 
 /// More on its way at once, and more time: `cargo test --release --test versions_model -- --ignored --nocapture`.
 #[test]
 #[ignore = "a measurement"]
 fn the_same_with_more_on_its_way_and_more_time() {
-    is_safe(Explored { mail: 2, ..LED_BY_TWO }, "a seat is taken away");
-    is_safe(Explored { ticks: 3, ..LED_BY_TWO }, "a seat is taken away");
-    let more = Explored { gateways: 2, ticks: 1, log: 3, mail: 3, ..QUICK };
+    is_safe(
+        Explored {
+            mail: 2,
+            ..LED_BY_TWO
+        },
+        "a seat is taken away",
+    );
+    is_safe(
+        Explored {
+            ticks: 3,
+            ..LED_BY_TWO
+        },
+        "a seat is taken away",
+    );
+    let more = Explored {
+        gateways: 2,
+        ticks: 1,
+        log: 3,
+        mail: 3,
+        ..QUICK
+    };
     is_safe(more, "two versions are acted on at once");
 }
 
 #[test]
 fn on_fair_paths_every_offer_ends_whoever_crashes_or_leads() {
-    let two_leaders = Explored { members: 2, elections: 1, ..FAIR };
+    let two_leaders = Explored {
+        members: 2,
+        elections: 1,
+        ..FAIR
+    };
     for explored in [Explored { offers: 2, ..FAIR }, two_leaders] {
         let (_, found) = explore(explored);
-        assert!(!found.contains(&"every offer ends and all act on the newest"), "{found:?}");
-        assert!(!found.contains(&"no third version is acted on"), "{found:?}");
-        assert!(!found.contains(&"nobody acts under a seat that is not its own"), "{found:?}");
+        assert!(
+            !found.contains(&"every offer ends and all act on the newest"),
+            "{found:?}"
+        );
+        assert!(
+            !found.contains(&"no third version is acted on"),
+            "{found:?}"
+        );
+        assert!(
+            !found.contains(&"nobody acts under a seat that is not its own"),
+            "{found:?}"
+        );
     }
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -25,7 +25,9 @@
 }
 
 fn batch(number: u32, now: u64, instance: &str, events: &str) -> String {
-    format!(r#"{{"SimTimeUs":{now},"batch":{number},"parts":[{{"I":"{instance}","in":[{events}]}}]}}"#)
+    format!(
+        r#"{{"SimTimeUs":{now},"batch":{number},"parts":[{{"I":"{instance}","in":[{events}]}}]}}"#
+    )
 }
 
 fn start() -> String {
@@ -65,7 +67,12 @@
         batch(2, 6_000_000, "front-0", r#"{"NONSENSE":{}}"#),
         batch(2, 6_000_000, "front-0", r#"{"ACCEPT":{"Job":"j1"}}"#),
         batch(2, 6_000_000, "front-9", r#"{"DUE":{"Cookie":0}}"#),
-        batch(2, 6_000_000, "front-0", r#"{"VIEW":{"How":"total","Stamp":2,"Table":9}}"#),
+        batch(
+            2,
+            6_000_000,
+            "front-0",
+            r#"{"VIEW":{"How":"total","Stamp":2,"Table":9}}"#,
+        ),
     ];
     for line in bad {
         let output = run(&[start(), line.clone()]);
@@ -80,7 +87,10 @@
 
 #[test]
 fn class_arrays_of_unequal_length_are_refused() {
-    let events = format!(r#"{{"NEW_INSTANCE":{{"Entropy":5,"Setup":{}}}}}"#, setup("[1]"));
+    let events = format!(
+        r#"{{"NEW_INSTANCE":{{"Entropy":5,"Setup":{}}}}}"#,
+        setup("[1]")
+    );
     let output = run(&[batch(1, 5, "front-0", &events)]);
     assert!(!output.status.success());
     assert!(String::from_utf8_lossy(&output.stderr).contains("unequal"));
