--- a/control/src/agreed/entry.rs
+++ b/control/src/agreed/entry.rs
@@ -238,7 +238,9 @@
 
 /// What an entry says.
 ///
-/// Errors: [`BadEntry`], where it is not understood whole.
+/// # Errors
+///
+/// [`BadEntry`], where it is not understood whole.
 pub fn decode(bytes: &[u8]) -> Result<Command, BadEntry> {
     use versions::Command as V;
     let entry = Entry::decode(bytes).map_err(|fault| BadEntry::Damaged(fault.to_string()))?;
--- a/control/src/agreed/mod.rs
+++ b/control/src/agreed/mod.rs
@@ -179,7 +179,9 @@
 
     /// Takes an event at `now` (microseconds on this member's monotonic clock) and says what to do.
     ///
-    /// Errors: [`Diverged`], after which nothing more may be applied; the state stays as it was before the event.
+    /// # Errors
+    ///
+    /// [`Diverged`], after which nothing more may be applied; the state stays as it was before the event.
     pub fn handle(
         &mut self,
         now: Micros,
--- a/control/src/frame.rs
+++ b/control/src/frame.rs
@@ -13,14 +13,14 @@
 
 /// The formats of frames that this build reads and writes. A gateway of the version before or after is spoken to in the
 /// newest format that both know; one that shares none is turned away. Format 1 had gateways that all took part in the log.
-pub const OLDEST: u32 = 2;
-pub const NEWEST: u32 = 2;
+pub(crate) const OLDEST: u32 = 2;
+pub(crate) const NEWEST: u32 = 2;
 /// The longest frame, bytes: a snapshot of all that is agreed, with room for the two contents of each topic.
-pub const LONGEST: usize = 1 << 20;
+pub(crate) const LONGEST: usize = 1 << 20;
 
 /// What is wrong with what the other side sent, or with the link to it.
 #[derive(Debug, thiserror::Error)]
-pub enum BadFrame {
+pub(crate) enum BadFrame {
     #[error("the link broke: {0}")]
     Io(#[from] std::io::Error),
     #[error("the peer closed the link")]
@@ -49,7 +49,7 @@
 
 /// The first frame of each side.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Hello {
+pub(crate) struct Hello {
     #[prost(uint32, tag = "1")]
     pub oldest: u32,
     #[prost(uint32, tag = "2")]
@@ -76,7 +76,7 @@
 
 impl Hello {
     /// What a gateway says first that wants to be served.
-    pub fn of_client(me: Holder, fleet: u64) -> Hello {
+    pub(crate) fn of_client(me: Holder, fleet: u64) -> Hello {
         let (oldest, newest, gateway) = (OLDEST, NEWEST, u64::from(me.gateway));
         Hello {
             oldest,
@@ -91,7 +91,7 @@
     }
 
     /// Whether its sender may be spoken to, as gateway `expected` where that is known.
-    pub fn check(&self, fleet: u64, expected: Option<u64>) -> Result<(), BadFrame> {
+    pub(crate) fn check(&self, fleet: u64, expected: Option<u64>) -> Result<(), BadFrame> {
         if self.newest < OLDEST || self.oldest > NEWEST {
             return Err(BadFrame::Format(self.oldest, self.newest));
         }
@@ -105,7 +105,7 @@
     }
 
     /// The gateway that sent it, in its present life; a number that no gateway can have is an error.
-    pub fn holder(&self) -> Result<Holder, BadFrame> {
+    pub(crate) fn holder(&self) -> Result<Holder, BadFrame> {
         let gateway = u16::try_from(self.gateway)
             .ok()
             .filter(|gateway| *gateway > 0);
@@ -140,7 +140,7 @@
 
 /// A frame's meaning.
 #[derive(Debug, PartialEq)]
-pub enum Payload {
+pub(crate) enum Payload {
     Hello(Hello),
     Raft(Box<eraftpb::Message>),
     ToControl(ToControl),
@@ -162,27 +162,27 @@
     Ok(bytes.freeze())
 }
 
-pub fn hello(hello: &Hello) -> Result<Bytes, BadFrame> {
+pub(crate) fn hello(hello: &Hello) -> Result<Bytes, BadFrame> {
     bytes_of(Kind::Hello(hello.clone()))
 }
 
-pub fn raft(message: &eraftpb::Message) -> Result<Bytes, BadFrame> {
+pub(crate) fn raft(message: &eraftpb::Message) -> Result<Bytes, BadFrame> {
     let bytes = message
         .write_to_bytes()
         .map_err(|fault| BadFrame::Damaged(fault.to_string()))?;
     bytes_of(Kind::Raft(bytes))
 }
 
-pub fn to_control(message: &ToControl) -> Result<Bytes, BadFrame> {
+pub(crate) fn to_control(message: &ToControl) -> Result<Bytes, BadFrame> {
     bytes_of(Kind::ToControl(message.encode()))
 }
 
-pub fn to_gateway(message: &ToGateway) -> Result<Bytes, BadFrame> {
+pub(crate) fn to_gateway(message: &ToGateway) -> Result<Bytes, BadFrame> {
     bytes_of(Kind::ToGateway(message.encode()))
 }
 
 /// Frames as they come in.
-pub struct Frames<R> {
+pub(crate) struct Frames<R> {
     from: R,
     codec: LengthDelimitedCodec,
     bytes: BytesMut,
@@ -190,7 +190,7 @@
 }
 
 impl<R: AsyncRead + Unpin> Frames<R> {
-    pub fn new(from: R, traffic: Traffic) -> Frames<R> {
+    pub(crate) fn new(from: R, traffic: Traffic) -> Frames<R> {
         Frames {
             from,
             codec: codec(),
@@ -200,12 +200,12 @@
     }
 
     /// Counts all that is read from now on with other links.
-    pub fn count_with(&mut self, traffic: Traffic) {
+    pub(crate) fn count_with(&mut self, traffic: Traffic) {
         self.traffic = traffic;
     }
 
     /// The next frame. May be dropped while it waits: what has come stays.
-    pub async fn next(&mut self) -> Result<Payload, BadFrame> {
+    pub(crate) async fn next(&mut self) -> Result<Payload, BadFrame> {
         loop {
             if let Some(frame) = self.codec.decode(&mut self.bytes)? {
                 self.traffic.received();
@@ -240,7 +240,7 @@
 }
 
 /// Writes a frame whole.
-pub async fn write(
+pub(crate) async fn write(
     to: &mut (impl AsyncWrite + Unpin),
     frame: &[u8],
     traffic: &Traffic,
--- a/control/src/golden_tests.rs
+++ b/control/src/golden_tests.rs
@@ -82,8 +82,7 @@
     vec![span(Topic::Operator, 5), span(Topic::Program, 6)]
 }
 
-#[test]
-fn log_entries_match_record() {
+fn commands() -> Vec<(&'static str, Command)> {
     use versions::Command as V;
     let (duty, topic, number) = (Duty(1), Topic::Catalog, 20);
     let other = Holder {
@@ -92,7 +91,7 @@
     };
     let lease = |command| Command::Lease(command);
     let version = |command| Command::Version(command);
-    let commands = vec![
+    vec![
         (
             "claim",
             lease(lease::Command::Claim {
@@ -181,8 +180,12 @@
                 spans: spans(),
             }),
         ),
-    ];
-    assert_matches("entries.txt", commands, agreed::encode, |bytes| {
+    ]
+}
+
+#[test]
+fn log_entries_match_record() {
+    assert_matches("entries.txt", commands(), agreed::encode, |bytes| {
         agreed::decode(bytes).expect("an entry")
     });
 }
--- a/control/src/lease/fence.rs
+++ b/control/src/lease/fence.rs
@@ -12,7 +12,9 @@
 impl Fence {
     /// Takes an action under `duty` with `token`, or refuses it.
     ///
-    /// Errors: the newest token seen, where `token` is older. An equal token is the same lease, and is taken.
+    /// # Errors
+    ///
+    /// The newest token seen, where `token` is older. An equal token is the same lease, and is taken.
     pub fn admit(&mut self, duty: Duty, token: Token) -> Result<(), Token> {
         let newest = self.newest.entry(duty).or_default();
         if token < *newest {
--- a/control/src/lease/mod.rs
+++ b/control/src/lease/mod.rs
@@ -164,6 +164,10 @@
     }
 
     /// Whether the values make sense together. A fault names the key, in the operator's words (milliseconds).
+    ///
+    /// # Errors
+    ///
+    /// The key at fault, in the operator's words, and what is wrong with its value.
     pub fn check(&self) -> Result<(), (&'static str, String)> {
         if self.drift_ppm >= DRIFT_MOST_PPM {
             let fault = format!(
--- a/control/src/lease/table.rs
+++ b/control/src/lease/table.rs
@@ -94,7 +94,9 @@
 
     /// Applies the entry at `index`, which must be the next one (or one applied before, which is left alone).
     ///
-    /// Errors: [`Gap`] where entries in between were not applied; nothing changes then.
+    /// # Errors
+    ///
+    /// [`Gap`] where entries in between were not applied; nothing changes then.
     pub fn apply(&mut self, index: Index, command: &Command) -> Result<Outcome, Gap> {
         if index <= self.applied {
             return Ok(Outcome::Again);
--- a/control/src/link/accept.rs
+++ b/control/src/link/accept.rs
@@ -26,7 +26,7 @@
 const LINKS_PER_MEMBER: usize = 3;
 /// Gateways served at once: twice the largest fleet that is planned for (2,048), as each may come again before its former
 /// link is seen to be gone. A link takes a few kilobytes and one descriptor.
-pub const MAX_GATEWAYS: usize = 4_096;
+pub(crate) const MAX_GATEWAYS: usize = 4_096;
 /// Frames that may wait for one gateway. It is sent a handful in a lease, so that one that lets so many wait has stopped
 /// reading; its link is closed, and it comes again.
 const GATEWAY_QUEUE: usize = 64;
@@ -35,7 +35,7 @@
 const MEMBER_SILENCE: Duration = Duration::from_secs(60);
 
 /// What links tell the loop of a control member.
-pub enum LinkEvent {
+pub(crate) enum LinkEvent {
     /// A message of the consensus.
     Raft(Box<Message>),
     /// What another member says of itself.
@@ -53,7 +53,7 @@
 }
 
 /// The link of a gateway that is served, as the loop knows it. Dropped, it is closed.
-pub struct GatewayLink {
+pub(crate) struct GatewayLink {
     /// Who it is.
     pub who: Holder,
     /// Tells this link from others of the same gateway.
@@ -63,13 +63,13 @@
 
 impl GatewayLink {
     /// Sends a frame; false where so much waits already that the link is to be closed.
-    pub fn send(&self, frame: Bytes) -> bool {
+    pub(crate) fn send(&self, frame: Bytes) -> bool {
         self.queue.try_send(frame).is_ok()
     }
 }
 
 /// What a control member needs to take links.
-pub struct Acceptor {
+pub(crate) struct Acceptor {
     /// Networks from which links are taken.
     pub allow: Vec<IpNet>,
     /// The control members, by number.
@@ -85,7 +85,7 @@
 }
 
 /// Takes links for as long as the thread's tasks run.
-pub fn listen(listener: TcpListener, acceptor: Acceptor) {
+pub(crate) fn listen(listener: TcpListener, acceptor: Acceptor) {
     let handshakes = Arc::new(Semaphore::new(HANDSHAKES_AT_ONCE));
     let slots = Rc::new(Slots {
         members: Arc::new(Semaphore::new(acceptor.voters.len() * LINKS_PER_MEMBER)),
--- a/control/src/link/gateway.rs
+++ b/control/src/link/gateway.rs
@@ -24,7 +24,7 @@
 const HANDSHAKE_LEAST: Duration = Duration::from_millis(200);
 
 /// What the link tells the loop; each with the number of the link, counted from 1.
-pub enum LinkEvent {
+pub(crate) enum LinkEvent {
     /// A member serves this gateway on a new link.
     Up(u64),
     /// The member said something.
@@ -41,12 +41,12 @@
 }
 
 /// The link, as the loop knows it.
-pub struct Link {
+pub(crate) struct Link {
     commands: mpsc::Sender<(u64, Command)>,
 }
 
 /// What a gateway needs to find the member that leads.
-pub struct Search {
+pub(crate) struct Search {
     /// The control members.
     pub members: Vec<(u64, SocketAddr)>,
     /// What is said first.
@@ -63,19 +63,19 @@
 
 impl Link {
     /// Begins to look for the member that leads.
-    pub fn start(search: Search) -> Link {
+    pub(crate) fn start(search: Search) -> Link {
         let (commands, received) = mpsc::channel(QUEUE);
         spawn_local(LinkTask::new(search).run(received));
         Link { commands }
     }
 
     /// Says something on a link; it is lost where that link has ended.
-    pub fn send(&self, link: u64, message: ToControl) {
+    pub(crate) fn send(&self, link: u64, message: ToControl) {
         let _ = self.commands.try_send((link, Command::Send(message)));
     }
 
     /// Leaves a link for the member that leads.
-    pub fn switch(&self, link: u64, leader: Option<u32>) {
+    pub(crate) fn switch(&self, link: u64, leader: Option<u32>) {
         let _ = self.commands.try_send((link, Command::Switch(leader)));
     }
 }
--- a/control/src/link/member.rs
+++ b/control/src/link/member.rs
@@ -19,12 +19,12 @@
 const QUEUE: usize = 256;
 
 /// The link that this member sends on to one other.
-pub struct Link {
+pub(crate) struct Link {
     queue: mpsc::Sender<Payload>,
 }
 
 impl Link {
-    pub fn dial(
+    pub(crate) fn dial(
         peer: u64,
         address: SocketAddr,
         own: SharedHello,
@@ -46,7 +46,7 @@
     }
 
     /// Sends, or drops what a slow link has no room for.
-    pub fn send(&self, payload: Payload) {
+    pub(crate) fn send(&self, payload: Payload) {
         let _ = self.queue.try_send(payload);
     }
 }
--- a/control/src/link/mod.rs
+++ b/control/src/link/mod.rs
@@ -4,9 +4,9 @@
 //! comes in on the links that others dial is read only, so that a link that works one way is seen as that. A gateway keeps
 //! one link, to the control member that leads, and both speak on it ([`gateway`]). [`accept`] takes both kinds.
 
-pub mod accept;
-pub mod gateway;
-pub mod member;
+pub(crate) mod accept;
+pub(crate) mod gateway;
+pub(crate) mod member;
 #[cfg(test)]
 mod tests;
 
@@ -20,7 +20,7 @@
 use tokio::time::timeout;
 
 /// Events of all links that may wait for the loop.
-pub const EVENT_QUEUE: usize = 1024;
+pub(crate) const EVENT_QUEUE: usize = 1024;
 /// How long the other side may take to connect and say hello, and to take a frame.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(2_000);
 const WRITE_TIMEOUT: Duration = Duration::from_millis(2_000);
@@ -30,11 +30,11 @@
 
 /// What this process says first, kept up to date by the loop.
 #[derive(Clone, Default)]
-pub struct SharedHello(Arc<Mutex<Hello>>);
+pub(crate) struct SharedHello(Arc<Mutex<Hello>>);
 
 impl SharedHello {
     /// What is said at present.
-    pub fn hello(&self) -> Hello {
+    pub(crate) fn hello(&self) -> Hello {
         self.0
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -42,7 +42,7 @@
     }
 
     /// Says this from now on; whether that is another than before.
-    pub fn set(&self, hello: Hello) -> bool {
+    pub(crate) fn set(&self, hello: Hello) -> bool {
         let mut own = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let changed = *own != hello;
         *own = hello;
--- a/control/src/node.rs
+++ b/control/src/node.rs
@@ -38,7 +38,7 @@
 
 /// Where the consensus stands, for those who look.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Place {
+pub(crate) struct Place {
     pub leader: u64,
     pub leads: bool,
     pub term: u64,
@@ -49,7 +49,7 @@
     M::parse_from_bytes(bytes).map_err(|fault| StoreError::Read(fault.to_string()))
 }
 
-pub struct Node {
+pub(crate) struct Node {
     raw: RawNode<Store>,
     agreed: Agreed,
     place: Place,
@@ -72,18 +72,18 @@
 
 /// The gateway that takes part under a number: its own number is the lower part, and what is above tells apart the logs
 /// that it had. One that lost its log comes back under another number: by the old one it may have voted.
-pub fn gateway_of(id: u64) -> u64 {
+pub(crate) fn gateway_of(id: u64) -> u64 {
     id & 0xFFFF
 }
 
 /// A number for gateway `gateway` with a log that it never had before.
-pub fn another(gateway: u64, life: u32) -> u64 {
+pub(crate) fn another(gateway: u64, life: u32) -> u64 {
     u64::from(life) << 16 | gateway
 }
 
 impl Node {
     /// A gateway's consensus on its store, with an election timeout of so many ticks.
-    pub fn new(
+    pub(crate) fn new(
         id: u64,
         store: Store,
         agreed: Agreed,
@@ -131,33 +131,33 @@
     }
 
     /// The number under which it takes part.
-    pub fn id(&self) -> u64 {
+    pub(crate) fn id(&self) -> u64 {
         self.raw.raft.id
     }
 
-    pub fn place(&self) -> Place {
+    pub(crate) fn place(&self) -> Place {
         self.place
     }
 
     /// What is agreed, as far as it was applied here.
     #[cfg(test)]
-    pub fn agreed(&self) -> &Agreed {
+    pub(crate) fn agreed(&self) -> &Agreed {
         &self.agreed
     }
 
     /// The latest snapshot that was stored, encoded; empty where there is none.
     #[cfg(test)]
-    pub fn latest_snapshot(&self) -> &[u8] {
+    pub(crate) fn latest_snapshot(&self) -> &[u8] {
         self.raw.store().latest().get_data()
     }
 
-    pub fn tick(&mut self) {
+    pub(crate) fn tick(&mut self) {
         self.raw.tick();
     }
 
     /// A message from another member; one that makes no sense is dropped. Rounds are begun and answered by the leader's
     /// own node alone, so those that were passed on make no sense.
-    pub fn step(&mut self, message: Message) {
+    pub(crate) fn step(&mut self, message: Message) {
         let kind = message.get_msg_type();
         let passed_on = matches!(
             kind,
@@ -169,7 +169,7 @@
     }
 
     /// As leader, hands the leadership to the member that has most of the log: this one is about to end.
-    pub fn hand_over(&mut self) {
+    pub(crate) fn hand_over(&mut self) {
         let own = self.raw.raft.id;
         let voters = self.members().voters;
         let matched = |id: &u64| {
@@ -197,7 +197,7 @@
 
     /// As leader, takes a gateway that has another log than it had out of the consensus and in again, first as one that
     /// learns, then, once it has caught up, as one that votes if it is to. One change at a time.
-    pub fn reconcile(&mut self, known: &BTreeMap<u64, u64>, voters: &BTreeSet<u64>) {
+    pub(crate) fn reconcile(&mut self, known: &BTreeMap<u64, u64>, voters: &BTreeSet<u64>) {
         let members = self.members();
         if !self.place.leads || !members.voters_outgoing.is_empty() {
             return;
@@ -240,11 +240,11 @@
         }
     }
 
-    pub fn unreachable(&mut self, peer: u64) {
+    pub(crate) fn unreachable(&mut self, peer: u64) {
         self.raw.report_unreachable(peer);
     }
 
-    pub fn snapshot_sent(&mut self, peer: u64, whole: bool) {
+    pub(crate) fn snapshot_sent(&mut self, peer: u64, whole: bool) {
         let status = if whole {
             SnapshotStatus::Finish
         } else {
@@ -254,7 +254,7 @@
     }
 
     /// Feeds what is agreed with an event of this gateway's own.
-    pub fn event(
+    pub(crate) fn event(
         &mut self,
         now: Micros,
         event: Event,
@@ -334,7 +334,7 @@
     }
 
     /// Stores, sends and applies what the consensus has ready.
-    pub fn drive(
+    pub(crate) fn drive(
         &mut self,
         now: Micros,
         out: &mut Vec<Action>,
--- a/control/src/service/gateway.rs
+++ b/control/src/service/gateway.rs
@@ -68,7 +68,7 @@
 }
 
 impl Gateway {
-    pub fn start(
+    pub(super) fn start(
         asked: &Lease,
         clock: Clock,
         me: Holder,
@@ -101,19 +101,19 @@
         gateway
     }
 
-    pub fn client(&self) -> &Client {
+    pub(super) fn client(&self) -> &Client {
         &self.client
     }
 
     /// How long nothing is due.
-    pub fn sleeps(&self, now: Micros) -> Duration {
+    pub(super) fn sleeps(&self, now: Micros) -> Duration {
         let due = self
             .wake
             .map(|wake| Duration::from_micros(wake.saturating_sub(now)));
         due.map_or(LONGEST_SLEEP, |due| due.min(LONGEST_SLEEP))
     }
 
-    pub fn on_link_event(&mut self, event: LinkEvent) {
+    pub(super) fn on_link_event(&mut self, event: LinkEvent) {
         match event {
             LinkEvent::Up(link) => {
                 self.up = Some(link);
@@ -128,7 +128,7 @@
         }
     }
 
-    pub fn handle(&mut self, event: Event) {
+    pub(super) fn handle(&mut self, event: Event) {
         if event == Event::Tick {
             self.wake = None;
         }
--- a/control/src/service/member.rs
+++ b/control/src/service/member.rs
@@ -110,7 +110,7 @@
 
 impl Member {
     /// Opens this member's store.
-    pub fn open(asked: &Lease, clock: Clock, me: Holder) -> Result<Member, PeerError> {
+    pub(super) fn open(asked: &Lease, clock: Clock, me: Holder) -> Result<Member, PeerError> {
         let store = Store::open(&asked.store, asked.me.into())?;
         let stage = match store.id() {
             Some(id) => Stage::Runs(node(id, store, me, asked, clock.now())?),
@@ -136,7 +136,7 @@
     }
 
     /// Dials the other members and takes links; what comes in on all of them.
-    pub fn link_up(
+    pub(super) fn link_up(
         &mut self,
         listener: std::net::TcpListener,
     ) -> Result<mpsc::Receiver<LinkEvent>, PeerError> {
@@ -179,7 +179,7 @@
     }
 
     /// Whether it leads the log.
-    pub fn leads(&self) -> bool {
+    pub(super) fn leads(&self) -> bool {
         matches!(&self.stage, Stage::Runs(node) if node.place().leads)
     }
 
@@ -264,7 +264,7 @@
     }
 
     /// A tick of the consensus has passed; they come often enough for all that is due here.
-    pub fn tick(&mut self) -> Result<(), PeerError> {
+    pub(super) fn tick(&mut self) -> Result<(), PeerError> {
         let known = self
             .hellos
             .iter()
@@ -313,13 +313,13 @@
     }
 
     /// Gives its duties back, and soon the leadership as well.
-    pub fn drain(&mut self) -> Result<(), PeerError> {
+    pub(super) fn drain(&mut self) -> Result<(), PeerError> {
         self.drains = Some(0);
         self.event(Event::Drain)
     }
 
     /// Handles what a link of a member or of a gateway brings.
-    pub fn on_link_event(&mut self, event: LinkEvent) -> Result<(), PeerError> {
+    pub(super) fn on_link_event(&mut self, event: LinkEvent) -> Result<(), PeerError> {
         match (event, &mut self.stage) {
             (LinkEvent::Hello(hello), _) => drop(self.hellos.insert(hello.gateway, hello)),
             (LinkEvent::Raft(message), Stage::Runs(node)) => node.step(*message),
@@ -358,7 +358,7 @@
     }
 
     /// Has all that is ready stored, sent and applied, carries out what follows, and says what has changed.
-    pub fn settle(&mut self) -> Result<(), PeerError> {
+    pub(super) fn settle(&mut self) -> Result<(), PeerError> {
         self.begin_log()?;
         let Stage::Runs(node) = &mut self.stage else {
             self.update_hello();
--- a/control/src/service/mod.rs
+++ b/control/src/service/mod.rs
@@ -128,11 +128,19 @@
 }
 
 /// Starts the loop of a gateway on a thread of its own; where the settings let it vote, it is a control member as well.
+///
+/// # Errors
+///
+/// [`PeerError`], where the log cannot be opened, or the listener cannot be bound.
 pub fn start(asked: &Lease, clock: Clock) -> Result<(Handle, Receiver<Notice>), PeerError> {
     begin(asked, clock, true)
 }
 
 /// Starts the loop of a control member that serves no clients of its own: it has no seat and acts on no version.
+///
+/// # Errors
+///
+/// [`PeerError`], where the log cannot be opened, or the listener cannot be bound.
 pub fn start_member(asked: &Lease, clock: Clock) -> Result<Handle, PeerError> {
     if !asked.votes() {
         return Err(PeerError::NoVoter(asked.me));
--- a/control/src/settings.rs
+++ b/control/src/settings.rs
@@ -11,6 +11,10 @@
 pub type Fault = (&'static str, String);
 
 /// A number outside its bounds is a fault of its key.
+///
+/// # Errors
+///
+/// The key, and the bounds that its value is outside of.
 pub fn within(key: &'static str, value: u64, least: u64, most: u64) -> Result<(), Fault> {
     if (least..=most).contains(&value) {
         return Ok(());
@@ -126,6 +130,10 @@
     }
 
     /// Whether it makes sense, each value and all together; a fault names the key.
+    ///
+    /// # Errors
+    ///
+    /// The key at fault and what is wrong with its value.
     pub fn check(&self) -> Result<(), KeyFault> {
         self.check_peers()?;
         if self.client {
@@ -261,6 +269,10 @@
     }
 
     /// Checks it beside the address where the gateway's clients connect.
+    ///
+    /// # Errors
+    ///
+    /// The key at fault and what is wrong with its value.
     pub fn beside(&self, clients: SocketAddr) -> Result<(), KeyFault> {
         self.check()?;
         if self.listen == Some(clients) {
@@ -273,6 +285,10 @@
     }
 
     /// Checks it for a control member that serves no clients.
+    ///
+    /// # Errors
+    ///
+    /// The key at fault: this gateway is no voter, or a value is out of bounds.
     pub fn member(&self) -> Result<(), KeyFault> {
         self.check()?;
         if !self.votes() {
--- a/control/src/store.rs
+++ b/control/src/store.rs
@@ -45,7 +45,7 @@
 }
 
 /// The log: on disk, and what the consensus reads of it in memory, bounded by snapshots.
-pub struct Store {
+pub(crate) struct Store {
     disk: Database,
     memory: MemStorage,
     snapshot: Snapshot,
@@ -75,7 +75,7 @@
 
 impl Store {
     /// Opens the log of gateway `me` in a folder; a new one is nobody's yet.
-    pub fn open(folder: &Path, me: u64) -> Result<Store, StoreError> {
+    pub(crate) fn open(folder: &Path, me: u64) -> Result<Store, StoreError> {
         let open = |fault: String| StoreError::Open {
             path: folder.to_owned(),
             fault,
@@ -96,13 +96,13 @@
     }
 
     /// Under which number this log takes part in the consensus; nothing before [`Store::begin`].
-    pub fn id(&self) -> Option<u64> {
+    pub(crate) fn id(&self) -> Option<u64> {
         self.id
     }
 
     /// Takes part from now on under a number that was never used with another log. These voted and learned where the
     /// log itself began: what its entries change starts from there.
-    pub fn begin(&mut self, id: u64, members: &ConfState) -> Result<(), StoreError> {
+    pub(crate) fn begin(&mut self, id: u64, members: &ConfState) -> Result<(), StoreError> {
         let transaction = self.disk.begin_write().map_err(redb::Error::from)?;
         {
             let mut meta = transaction.open_table(META).map_err(redb::Error::from)?;
@@ -118,7 +118,7 @@
     }
 
     /// Who votes and who learns from now on.
-    pub fn members(&mut self, members: &ConfState) -> Result<(), StoreError> {
+    pub(crate) fn members(&mut self, members: &ConfState) -> Result<(), StoreError> {
         let transaction = self.disk.begin_write().map_err(redb::Error::from)?;
         {
             let mut meta = transaction.open_table(META).map_err(redb::Error::from)?;
@@ -223,12 +223,12 @@
     }
 
     /// The latest snapshot; empty where there is none.
-    pub fn latest(&self) -> &Snapshot {
+    pub(crate) fn latest(&self) -> &Snapshot {
         &self.snapshot
     }
 
     /// Makes entries, hard state and a received snapshot durable, all or nothing, then visible to the consensus.
-    pub fn write(
+    pub(crate) fn write(
         &mut self,
         snapshot: Option<&Snapshot>,
         entries: &[Entry],
@@ -284,12 +284,12 @@
     }
 
     /// Notes how far the log is committed; that can be learned again, so that it is not written at once.
-    pub fn committed(&mut self, index: u64) {
+    pub(crate) fn committed(&mut self, index: u64) {
         self.memory.wl().mut_hard_state().commit = index;
     }
 
     /// Puts a snapshot of all that is agreed in place of the entries up to `index`.
-    pub fn compact(&mut self, index: u64, data: Vec<u8>) -> Result<(), StoreError> {
+    pub(crate) fn compact(&mut self, index: u64, data: Vec<u8>) -> Result<(), StoreError> {
         let mut snapshot = Snapshot::default();
         snapshot.set_data(data.into());
         let state = self.memory.initial_state().map_err(memory_fault)?;
--- a/control/src/versions/audit.rs
+++ b/control/src/versions/audit.rs
@@ -10,7 +10,7 @@
 /// Rows kept; the oldest versions' go first. About 80 bytes each, so 320 KiB. Ours.
 const ROWS: usize = 4_096;
 /// Spans that one report may hold. Ours: four topics, and three versions each while it could not be sent.
-pub const SPANS: usize = 16;
+pub(super) const SPANS: usize = 16;
 
 /// What a gateway did under one version, from one moment to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
--- a/control/src/versions/table.rs
+++ b/control/src/versions/table.rs
@@ -224,7 +224,9 @@
 
     /// Whether a gateway may have a seat now, that it has none.
     ///
-    /// Errors: the reason why not.
+    /// # Errors
+    ///
+    /// The reason why not.
     pub fn joinable(&self, who: Holder, formats: Formats) -> Result<(), Refusal> {
         if self.seats.contains_key(&who.gateway) {
             return Err(Refusal::Occupied);
@@ -246,7 +248,9 @@
 
     /// Whether a version may be offered now.
     ///
-    /// Errors: the reason why not.
+    /// # Errors
+    ///
+    /// The reason why not.
     pub fn offerable(
         &self,
         who: Holder,
@@ -279,7 +283,9 @@
 
     /// Applies the entry at `index`, which must be the next one (or one applied before, which is left alone).
     ///
-    /// Errors: [`Gap`] where entries in between were not applied; nothing changes then.
+    /// # Errors
+    ///
+    /// [`Gap`] where entries in between were not applied; nothing changes then.
     pub fn apply(
         &mut self,
         index: Index,
--- a/control/src/versions/wire.rs
+++ b/control/src/versions/wire.rs
@@ -71,7 +71,9 @@
 
     /// What bytes say.
     ///
-    /// Errors: [`BadEntry`], where they are not understood whole.
+    /// # Errors
+    ///
+    /// [`BadEntry`], where they are not understood whole.
     pub fn decode(bytes: &[u8]) -> Result<ToControl, BadEntry> {
         let message: ControlMessage = read(bytes)?;
         Ok(match message.body.ok_or(BadEntry::Unknown("kind"))? {
@@ -166,7 +168,9 @@
 
     /// What bytes say.
     ///
-    /// Errors: [`BadEntry`], where they are not understood whole.
+    /// # Errors
+    ///
+    /// [`BadEntry`], where they are not understood whole.
     pub fn decode(bytes: &[u8]) -> Result<ToGateway, BadEntry> {
         let message: GatewayMessage = read(bytes)?;
         Ok(match message.body.ok_or(BadEntry::Unknown("kind"))? {
--- a/rig/src/balancer.rs
+++ b/rig/src/balancer.rs
@@ -206,6 +206,10 @@
 
 impl Check {
     /// Checks once.
+    ///
+    /// # Errors
+    ///
+    /// The connection failed, or nothing that can be understood came within the timeout.
     pub fn run(&self, timeout: Duration) -> io::Result<Found> {
         match self {
             Check::Connect(address) => {
--- a/rig/src/capacity/busy.rs
+++ b/rig/src/capacity/busy.rs
@@ -10,7 +10,7 @@
 
 /// Where the requests are.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Whereabouts {
+pub(super) enum Whereabouts {
     /// At databases, each on a connection of its own.
     AtDatabases,
     /// Nearly all in the gateway, which sends each database few until it has answered.
--- a/rig/src/capacity/databases.rs
+++ b/rig/src/capacity/databases.rs
@@ -9,7 +9,7 @@
 
 /// What stays the same while gateways are added.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Traffic {
+pub(super) enum Traffic {
     /// The statements a second of all gateways together.
     Whole,
     /// The statements a second of each gateway at each database: what the plan comes to.
--- a/rig/src/capacity/mod.rs
+++ b/rig/src/capacity/mod.rs
@@ -79,6 +79,10 @@
 
 impl Experiment {
     /// Measures, writes the table and the chart, and prints the fits.
+    ///
+    /// # Errors
+    ///
+    /// A process could not be started or measured, or a file could not be written.
     pub fn play(self, setting: &Setting) -> anyhow::Result<()> {
         match self {
             Experiment::Resting => resting::play(setting),
--- a/rig/src/capacity/neighbours.rs
+++ b/rig/src/capacity/neighbours.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// Databases of a group: one primary and four replicas.
-pub const GROUP: usize = 5;
+pub(super) const GROUP: usize = 5;
 /// How far replicas are behind.
 const LAG_MS: u64 = 10;
 /// How often discovery says that nothing has changed.
@@ -21,7 +21,7 @@
 
 /// What was counted so far, over all databases.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Count {
+pub(super) struct Count {
     /// Connections that were accepted: each is a handshake.
     pub handshakes: u64,
     /// Connections that are open.
@@ -54,7 +54,7 @@
 }
 
 /// Databases in groups of five, and their discovery; they end when this is dropped.
-pub struct Neighbours {
+pub(super) struct Neighbours {
     counters: Arc<Counters>,
     databases: Vec<SocketAddr>,
     discovery: SocketAddr,
@@ -78,7 +78,7 @@
 
 impl Neighbours {
     /// Starts so many databases, each of which takes so long over a statement, and none over a probe.
-    pub fn start(databases: usize, takes: Duration) -> io::Result<Neighbours> {
+    pub(super) fn start(databases: usize, takes: Duration) -> io::Result<Neighbours> {
         let counters = Arc::new(Counters::default());
         let doors: Vec<TcpListener> = (0..databases)
             .map(|_| TcpListener::bind("127.0.0.1:0"))
@@ -117,22 +117,22 @@
     }
 
     /// Where discovery is.
-    pub fn discovery(&self) -> SocketAddr {
+    pub(super) fn discovery(&self) -> SocketAddr {
         self.discovery
     }
 
     /// The list of databases.
-    pub fn list(&self) -> Value {
+    pub(super) fn list(&self) -> Value {
         list(&self.databases)
     }
 
     /// Groups of databases.
-    pub fn groups(&self) -> usize {
+    pub(super) fn groups(&self) -> usize {
         self.databases.len().div_ceil(GROUP)
     }
 
     /// What was counted until now.
-    pub fn count(&self) -> Count {
+    pub(super) fn count(&self) -> Count {
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         let counters = &self.counters;
         Count {
--- a/rig/src/capacity/stage.rs
+++ b/rig/src/capacity/stage.rs
@@ -15,20 +15,20 @@
 
 /// Descriptors that a gateway is told it may hold where many connections are wanted: just under a process's limit of
 /// 20,000 on the machine that the tables were made on.
-pub const MANY_SOCKETS: usize = 19_900;
+pub(super) const MANY_SOCKETS: usize = 19_900;
 /// What a gateway is told elsewhere: the most that the platform gives.
-pub const FEW_SOCKETS: usize = 1_024;
+pub(super) const FEW_SOCKETS: usize = 1_024;
 /// How long a gateway may take until it serves.
 const STARTS: Duration = Duration::from_secs(20);
 /// Rest before each figure: what a change has set off is over by then.
-pub const REST: Duration = Duration::from_secs(3);
+pub(super) const REST: Duration = Duration::from_secs(3);
 /// What the seed of a counted load is above that of its warming.
 const COUNTED_SEED: u64 = 1_000;
 /// How long CPU at rest is counted.
-pub const WATCHED: Duration = Duration::from_secs(5);
+pub(super) const WATCHED: Duration = Duration::from_secs(5);
 
 /// A gateway's plan: the rig's usual settings, in a fleet of this size, before these neighbours.
-pub fn plan(
+pub(super) fn plan(
     setting: &Setting,
     neighbours: &Neighbours,
     fleet: usize,
@@ -48,7 +48,7 @@
 }
 
 /// Adds a class of reads that wait very long, so that requests stay in hand while they are counted.
-pub fn with_patience(mut settings: Value, deadline: Duration) -> Value {
+pub(super) fn with_patience(mut settings: Value, deadline: Duration) -> Value {
     let push = |list: &mut Value, value: Value| list.as_array_mut().map(|list| list.push(value));
     let deadline = deadline.as_micros() as u64;
     push(
@@ -64,7 +64,7 @@
 }
 
 /// Starts a gateway and waits until it serves.
-pub fn start(plan: &Plan) -> anyhow::Result<Gateway> {
+pub(super) fn start(plan: &Plan) -> anyhow::Result<Gateway> {
     let gateway = Gateway::start(plan)?;
     let serving = gateway.logged(0, STARTS, |fields| fields["message"] == "serving");
     serving.with_context(|| format!("it never served: {:?}", gateway.log()))?;
@@ -72,7 +72,7 @@
 }
 
 /// A balancer that knows these gateways to be up and asks no more of them than a connection every 5 s.
-pub fn balancer(clients: &[SocketAddr]) -> anyhow::Result<Arc<Balancer>> {
+pub(super) fn balancer(clients: &[SocketAddr]) -> anyhow::Result<Arc<Balancer>> {
     let checks = clients.iter().map(|place| Check::Connect(*place)).collect();
     let balancer = Balancer::start(
         checks,
@@ -91,14 +91,14 @@
 }
 
 /// Opens so many sessions, one after another; the gateway may refuse some.
-pub fn sessions(at: SocketAddr, count: u64) -> Vec<TcpStream> {
+pub(super) fn sessions(at: SocketAddr, count: u64) -> Vec<TcpStream> {
     (0..count)
         .filter_map(|_| load::connect(at, "web").ok())
         .collect()
 }
 
 /// Sessions that the gateway has not closed.
-pub fn held(sessions: &[TcpStream]) -> usize {
+pub(super) fn held(sessions: &[TcpStream]) -> usize {
     let open = |session: &&TcpStream| {
         let quiet = session
             .set_nonblocking(true)
@@ -110,7 +110,7 @@
 }
 
 /// Sessions that are open and to which nothing was written that is still unread.
-pub fn unanswered(sessions: &[TcpStream]) -> usize {
+pub(super) fn unanswered(sessions: &[TcpStream]) -> usize {
     let waits = |session: &&TcpStream| {
         let quiet = session
             .set_nonblocking(true)
@@ -121,7 +121,7 @@
 }
 
 /// What a counted load used of a gateway, and what became of it.
-pub struct Counted {
+pub(super) struct Counted {
     /// CPU of the gateway's process, microseconds.
     pub cpu_us: f64,
     /// Each request.
@@ -130,18 +130,18 @@
 
 impl Counted {
     /// How many requests were asked for; one where there were none.
-    pub fn asked(&self) -> f64 {
+    pub(super) fn asked(&self) -> f64 {
         self.records.len().max(1) as f64
     }
 
     /// How many were served in time.
-    pub fn served(&self) -> f64 {
+    pub(super) fn served(&self) -> f64 {
         load::served(&self.records) as f64
     }
 }
 
 /// A load through one gateway.
-pub struct Load<'a> {
+pub(super) struct Load<'a> {
     gateway: &'a Gateway,
     client: SocketAddr,
     balancer: Arc<Balancer>,
@@ -150,7 +150,11 @@
 
 impl Load<'_> {
     /// Plays a load that is not counted: connections open, limits are learnt.
-    pub fn warm(gateway: &Gateway, client: SocketAddr, shape: Shape) -> anyhow::Result<Load<'_>> {
+    pub(super) fn warm(
+        gateway: &Gateway,
+        client: SocketAddr,
+        shape: Shape,
+    ) -> anyhow::Result<Load<'_>> {
         let balancer = balancer(&[client])?;
         load::play(shape, &balancer, &[client]);
         Ok(Load {
@@ -162,7 +166,7 @@
     }
 
     /// Plays the same load for this time, on a schedule of its own, and counts it.
-    pub fn count(self, span: Duration) -> anyhow::Result<Counted> {
+    pub(super) fn count(self, span: Duration) -> anyhow::Result<Counted> {
         let shape = Shape {
             span,
             seed: self.shape.seed + COUNTED_SEED,
@@ -176,7 +180,7 @@
 }
 
 /// CPU that a gateway uses while this goes on, microseconds.
-pub fn cpu_us<T>(gateway: &Gateway, work: impl FnOnce() -> T) -> anyhow::Result<(f64, T)> {
+pub(super) fn cpu_us<T>(gateway: &Gateway, work: impl FnOnce() -> T) -> anyhow::Result<(f64, T)> {
     let before = process::cpu_ns(gateway.id())?;
     let done = work();
     let used = process::cpu_ns(gateway.id())?.saturating_sub(before);
@@ -184,7 +188,7 @@
 }
 
 /// CPU that a gateway uses a second while nothing is asked of it, microseconds.
-pub fn idle_us_per_s(gateway: &Gateway) -> anyhow::Result<f64> {
+pub(super) fn idle_us_per_s(gateway: &Gateway) -> anyhow::Result<f64> {
     let began = Instant::now();
     let (used, ()) = cpu_us(gateway, || thread::sleep(WATCHED))?;
     Ok(used / began.elapsed().as_secs_f64())
--- a/rig/src/capacity/table.rs
+++ b/rig/src/capacity/table.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 /// A quantity that is measured at each size, and what becomes of it at the planned size.
-pub struct Quantity {
+pub(super) struct Quantity {
     /// Its name with its unit, as the table's column.
     pub name: &'static str,
     /// Whether a curve is fitted; otherwise it only explains the point.
@@ -14,12 +14,12 @@
 }
 
 /// A fitted quantity.
-pub const fn fitted(name: &'static str) -> Quantity {
+pub(super) const fn fitted(name: &'static str) -> Quantity {
     Quantity { name, fitted: true }
 }
 
 /// One that only explains its point.
-pub const fn told(name: &'static str) -> Quantity {
+pub(super) const fn told(name: &'static str) -> Quantity {
     Quantity {
         name,
         fitted: false,
@@ -27,7 +27,7 @@
 }
 
 /// The points of an experiment.
-pub struct Table {
+pub(super) struct Table {
     name: &'static str,
     size: &'static str,
     quantities: &'static [Quantity],
@@ -56,7 +56,11 @@
 
 impl Table {
     /// An experiment's table: what its sizes are, and what is measured.
-    pub fn new(name: &'static str, size: &'static str, quantities: &'static [Quantity]) -> Table {
+    pub(super) fn new(
+        name: &'static str,
+        size: &'static str,
+        quantities: &'static [Quantity],
+    ) -> Table {
         Table {
             name,
             size,
@@ -67,7 +71,7 @@
     }
 
     /// Measures all sizes in turn, as often as the setting says.
-    pub fn measure(
+    pub(super) fn measure(
         &mut self,
         setting: &Setting,
         sizes: &[u64],
@@ -90,7 +94,7 @@
     }
 
     /// Something is different at this size, or broke there: the table says so, and no curve goes through the point.
-    pub fn aside(&mut self, size: u64, what: String) {
+    pub(super) fn aside(&mut self, size: u64, what: String) {
         self.aside.insert(size, what);
     }
 
@@ -110,7 +114,7 @@
     }
 
     /// Writes the points, the fits with their values at the planned size, and a chart of the first quantity.
-    pub fn write(&self, setting: &Setting, planned: f64) -> anyhow::Result<()> {
+    pub(super) fn write(&self, setting: &Setting, planned: f64) -> anyhow::Result<()> {
         let file = |ending: &str| setting.out.join(format!("capacity-{}{ending}", self.name));
         let mut table = csv::Writer::from_path(file(".csv"))?;
         table.write_record([
--- a/rig/src/cells.rs
+++ b/rig/src/cells.rs
@@ -19,7 +19,11 @@
 const DOWN: Duration = Duration::from_secs(3);
 
 /// Twenty-four tenants over six groups, one of them poisoned, with cells and without, on the same schedule.
-pub fn blast(setting: &Setting) -> anyhow::Result<()> {
+#[expect(
+    clippy::too_many_lines,
+    reason = "to be split: one experiment from its processes to its chart"
+)]
+pub(crate) fn blast(setting: &Setting) -> anyhow::Result<()> {
     let folder = tempfile::tempdir()?;
     let (source, placement) = (
         folder.path().join("source.json"),
--- a/rig/src/chart.rs
+++ b/rig/src/chart.rs
@@ -7,6 +7,10 @@
 pub type Line = (String, Vec<(f64, f64)>);
 
 /// Draws lines over common axes into an SVG file.
+///
+/// # Errors
+///
+/// The file could not be drawn or written.
 pub fn lines(path: &Path, title: &str, axes: (&str, &str), lines: &[Line]) -> anyhow::Result<()> {
     let points = || lines.iter().flat_map(|(_, points)| points.iter().copied());
     let most = |of: fn((f64, f64)) -> f64| points().map(of).fold(f64::MIN_POSITIVE, f64::max);
--- a/rig/src/cluster/faults.rs
+++ b/rig/src/cluster/faults.rs
@@ -40,6 +40,10 @@
 
 /// Plays a run of so long from a seed, with so many gateways that are control members or listed by them, and a few more
 /// that they only serve.
+///
+/// # Errors
+///
+/// A process could not be started, signalled or read.
 pub fn play(program: PathBuf, seed: u64, gateways: usize, span: Duration) -> io::Result<Found> {
     let voters = if gateways >= VOTERS {
         VOTERS
--- a/rig/src/cluster/mod.rs
+++ b/rig/src/cluster/mod.rs
@@ -78,11 +78,19 @@
 
 impl Cluster {
     /// Starts so many gateways, the first `voters` of which vote.
+    ///
+    /// # Errors
+    ///
+    /// No free ports, or a process could not be started.
     pub fn start(program: PathBuf, gateways: usize, voters: usize) -> io::Result<Cluster> {
         Cluster::start_with(program, gateways, voters, "")
     }
 
     /// The same, with more in each operator's file.
+    ///
+    /// # Errors
+    ///
+    /// No free ports, or a process could not be started.
     pub fn start_with(
         program: PathBuf,
         gateways: usize,
@@ -101,6 +109,10 @@
     }
 
     /// Starts processes of these roles, with rights that last and are renewed after so many milliseconds.
+    ///
+    /// # Errors
+    ///
+    /// No free ports, or a process could not be started.
     pub fn start_as(
         program: PathBuf,
         roles: Vec<Role>,
@@ -201,6 +213,10 @@
     }
 
     /// Starts a gateway that does not run, on the store that it has.
+    ///
+    /// # Errors
+    ///
+    /// The process could not be started.
     pub fn revive(&mut self, gateway: usize) -> io::Result<()> {
         if self.gateways[gateway].is_none() {
             let operator = self.file(gateway, self.edition);
@@ -252,6 +268,10 @@
     }
 
     /// Takes a dead gateway's disk away; one that does not vote has nothing there.
+    ///
+    /// # Errors
+    ///
+    /// The folder could not be removed.
     pub fn wipe(&mut self, gateway: usize) -> io::Result<()> {
         self.kill(gateway);
         match std::fs::remove_dir_all(self.store(gateway)) {
@@ -276,6 +296,10 @@
     }
 
     /// Asks a process to end in order, and says whether it did in time.
+    ///
+    /// # Errors
+    ///
+    /// The process could not be signalled.
     pub fn end(&mut self, gateway: usize, within: Duration) -> io::Result<bool> {
         self.signal(gateway, Signal::SIGTERM);
         let ended = self.gateways[gateway]
@@ -333,6 +357,10 @@
     }
 
     /// Puts a new edition of the operator's file on all gateways but `except`, and has one of them offer it.
+    ///
+    /// # Errors
+    ///
+    /// A file could not be written, or a process could not be signalled.
     pub fn offer(&mut self, by: usize, except: Option<usize>) -> io::Result<()> {
         self.edition += 1;
         for gateway in (0..self.places.len()).filter(|gateway| Some(*gateway) != except) {
@@ -345,6 +373,10 @@
     }
 
     /// Spoils one gateway's operator's file.
+    ///
+    /// # Errors
+    ///
+    /// The file could not be written.
     pub fn spoil(&self, gateway: usize) -> io::Result<()> {
         let bad = "lease(me = 'none')\n";
         self.gateways[gateway]
@@ -429,11 +461,19 @@
     }
 
     /// Offers editions until each gateway acts on the same one, newer than all before, and says how long that took.
+    ///
+    /// # Errors
+    ///
+    /// A file could not be written, or a process could not be signalled.
     pub fn agree(&mut self, within: Duration) -> io::Result<Option<Duration>> {
         self.agree_without(within, usize::MAX)
     }
 
     /// The same, but for one gateway that is gone.
+    ///
+    /// # Errors
+    ///
+    /// A file could not be written, or a process could not be signalled.
     pub fn agree_without(&mut self, within: Duration, gone: usize) -> io::Result<Option<Duration>> {
         let began = Instant::now();
         let seated = self.seated();
--- a/rig/src/cluster/proxy.rs
+++ b/rig/src/cluster/proxy.rs
@@ -45,7 +45,7 @@
 const LONGEST: usize = 2 << 20;
 
 /// Listens in front of `target` for one gateway that dials it; `to` is the direction to the target, `back` from it.
-pub fn link(target: SocketAddr, to: Arc<Way>, back: Arc<Way>) -> io::Result<SocketAddr> {
+pub(super) fn link(target: SocketAddr, to: Arc<Way>, back: Arc<Way>) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
     thread::spawn(move || {
--- a/rig/src/cluster/storm.rs
+++ b/rig/src/cluster/storm.rs
@@ -60,7 +60,7 @@
 }
 
 /// Has so many clients come to a gateway at once, and again when they are told, until all are in or time is up.
-pub fn play(address: SocketAddr, clients: usize, within: Duration) -> Storm {
+pub(super) fn play(address: SocketAddr, clients: usize, within: Duration) -> Storm {
     let until = Instant::now() + within;
     let all: Vec<_> = (0..clients)
         .map(|_| spawn(move || one_client(address, until)))
--- a/rig/src/database.rs
+++ b/rig/src/database.rs
@@ -33,6 +33,10 @@
 }
 
 /// One connection: its opening, then statements until it ends.
+///
+/// # Errors
+///
+/// The connection failed or ended within a message.
 pub fn session(mut client: TcpStream, reply: impl Fn(&[u8]) -> Reply) -> io::Result<()> {
     client.set_nodelay(true)?;
     read_body(&mut client)?;
@@ -126,6 +130,10 @@
 
 impl Watch {
     /// Reads the call and begins the answer.
+    ///
+    /// # Errors
+    ///
+    /// The connection failed before the call was whole or the answer begun.
     pub fn begin(mut client: TcpStream) -> io::Result<Watch> {
         client.set_nodelay(true)?;
         let mut request = Vec::new();
@@ -139,6 +147,10 @@
     }
 
     /// Sends a chunk.
+    ///
+    /// # Errors
+    ///
+    /// The connection failed.
     pub fn tell(&mut self, text: &str) -> io::Result<()> {
         self.0
             .write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
@@ -146,6 +158,10 @@
 }
 
 /// Reads a message's length and body.
+///
+/// # Errors
+///
+/// The connection failed or ended before the message did.
 pub fn read_body(from: &mut TcpStream) -> io::Result<Vec<u8>> {
     let mut length = [0; 4];
     from.read_exact(&mut length)?;
--- a/rig/src/fleet.rs
+++ b/rig/src/fleet.rs
@@ -91,6 +91,10 @@
 
 impl Fleet {
     /// Starts the databases, the first of each group primary, and discovery.
+    ///
+    /// # Errors
+    ///
+    /// A listener could not be bound.
     pub fn start(shape: Shape) -> std::io::Result<Arc<Fleet>> {
         let bind = |count: usize| -> std::io::Result<Vec<TcpListener>> {
             (0..count)
--- a/rig/src/gateway.rs
+++ b/rig/src/gateway.rs
@@ -61,11 +61,19 @@
 
 impl Plan {
     /// One gateway of a fleet, by its number, at addresses that are free now; health is on and checked every 100 ms.
+    ///
+    /// # Errors
+    ///
+    /// No free ports.
     pub fn beside(fleet: &Fleet, gateway: usize, program: PathBuf) -> io::Result<Plan> {
         Plan::with_list(fleet.discovery(gateway), fleet.list(gateway), program)
     }
 
     /// One gateway before the databases of a list, at addresses that are free now; otherwise as above.
+    ///
+    /// # Errors
+    ///
+    /// No free ports.
     pub fn with_list(discovery: SocketAddr, known: Value, program: PathBuf) -> io::Result<Plan> {
         let places = free(3)?;
         Ok(Plan {
@@ -89,6 +97,10 @@
 
 /// Addresses that are free, on a loopback host of this call's own: on the common one, a port that was free a moment ago
 /// may be some client's by the time that it is listened on.
+///
+/// # Errors
+///
+/// An address could not be bound.
 pub fn free(count: usize) -> io::Result<Vec<SocketAddr>> {
     static CALLS: AtomicU8 = AtomicU8::new(0);
     let [.., high, low] = std::process::id().to_be_bytes();
@@ -167,6 +179,10 @@
 
 impl Gateway {
     /// Starts one.
+    ///
+    /// # Errors
+    ///
+    /// A file could not be written, or the process could not be started.
     pub fn start(plan: &Plan) -> io::Result<Gateway> {
         let files = tempfile::tempdir()?;
         let config = json!({
@@ -233,6 +249,10 @@
     }
 
     /// Puts another operator's file in place of what it was started with; it reads it on SIGHUP, or when asked.
+    ///
+    /// # Errors
+    ///
+    /// The file could not be written.
     pub fn rewrite(&self, text: &str) -> io::Result<()> {
         std::fs::write(self.files.path().join(OPERATOR), text)
     }
@@ -266,6 +286,10 @@
     }
 
     /// Sends it a signal.
+    ///
+    /// # Errors
+    ///
+    /// The process is gone.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         Ok(kill(Pid::from_raw(self.child.id() as i32), signal)?)
     }
@@ -276,11 +300,19 @@
     }
 
     /// Waits for its end; false when it ended badly.
+    ///
+    /// # Errors
+    ///
+    /// The process could not be waited for.
     pub fn wait(&mut self, within: Duration) -> io::Result<bool> {
         Ok(bounded::exit(&mut self.child, within)?.success())
     }
 
     /// CPU time it has used, microseconds.
+    ///
+    /// # Errors
+    ///
+    /// The process is gone, or what the system says of it makes no sense.
     pub fn cpu_us(&self) -> io::Result<u64> {
         let stat =
             std::fs::read_to_string(Path::new("/proc").join(self.id().to_string()).join("stat"))?;
@@ -295,6 +327,10 @@
     }
 
     /// Descriptors it holds, and its resident memory in KiB.
+    ///
+    /// # Errors
+    ///
+    /// The process is gone, or what the system says of it makes no sense.
     pub fn holds(&self) -> io::Result<(usize, u64)> {
         Ok((
             process::descriptors(self.id())?,
@@ -304,6 +340,10 @@
 
     /// Stops the thread that runs requests, and nothing else, until the guard is dropped: the port still accepts and
     /// other threads go on. Only for a process that this one started.
+    ///
+    /// # Errors
+    ///
+    /// The process is gone, or its threads may not be traced.
     pub fn freeze(&self) -> io::Result<Frozen> {
         let mut threads = Vec::new();
         for (thread, name) in process::threads(self.id())? {
--- a/rig/src/health/changes.rs
+++ b/rig/src/health/changes.rs
@@ -133,7 +133,7 @@
 }
 
 /// Measures how soon a balancer records each kind of change, over all lanes at once.
-pub fn play(setting: &Setting, rounds: u32) -> anyhow::Result<()> {
+pub(super) fn play(setting: &Setting, rounds: u32) -> anyhow::Result<()> {
     let fleet = Fleet::start(fleet::Shape {
         gateways: LANES,
         ..fleet::Shape::default()
--- a/rig/src/health/cost.rs
+++ b/rig/src/health/cost.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 /// Measures each arm three times and writes the median.
-pub fn play(setting: &Setting) -> anyhow::Result<()> {
+pub(super) fn play(setting: &Setting) -> anyhow::Result<()> {
     let mut table = csv::Writer::from_path(setting.out.join("health-cost.csv"))?;
     table.write_record([
         "arm",
--- a/rig/src/health/mod.rs
+++ b/rig/src/health/mod.rs
@@ -17,7 +17,7 @@
 
 /// What is measured.
 #[derive(Clone, Copy, Debug, ValueEnum)]
-pub enum Experiment {
+pub(crate) enum Experiment {
     /// How soon a balancer records each kind of change
     Changes,
     /// A rolling restart of three gateways under load, with and without health
@@ -29,7 +29,7 @@
 }
 
 /// Where and with what.
-pub struct Setting {
+pub(crate) struct Setting {
     /// Of the load's schedule.
     pub seed: u64,
     /// The gateway's program.
@@ -39,11 +39,11 @@
 }
 
 /// How long anything that must come is waited for.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
 
 impl Experiment {
     /// Runs it, and writes its table and chart.
-    pub fn play(self, setting: &Setting, rounds: u32) -> anyhow::Result<()> {
+    pub(crate) fn play(self, setting: &Setting, rounds: u32) -> anyhow::Result<()> {
         match self {
             Experiment::Changes => changes::play(setting, rounds),
             Experiment::Rolling => rolling::play(setting),
@@ -54,7 +54,7 @@
 }
 
 /// A gateway of the fleet with health on or off, and what else its operator's file says of it.
-pub fn plan(
+pub(crate) fn plan(
     setting: &Setting,
     fleet: &Fleet,
     gateway: usize,
@@ -70,7 +70,7 @@
 }
 
 /// The first change of a server from an index on that satisfies this.
-pub fn recorded(
+pub(crate) fn recorded(
     balancer: &Balancer,
     server: usize,
     from: usize,
--- a/rig/src/health/outage.rs
+++ b/rig/src/health/outage.rs
@@ -16,7 +16,7 @@
 }
 
 /// Plays each trouble with weights and without.
-pub fn play(setting: &Setting) -> anyhow::Result<()> {
+pub(super) fn play(setting: &Setting) -> anyhow::Result<()> {
     let shape = load::Shape {
         rate: 300.0,
         span: Duration::from_secs(25),
--- a/rig/src/health/rolling.rs
+++ b/rig/src/health/rolling.rs
@@ -14,7 +14,7 @@
 const RELEASE: Duration = Duration::from_secs(2);
 
 /// Restarts the gateways one after another, with each way of checking them.
-pub fn play(setting: &Setting) -> anyhow::Result<()> {
+pub(super) fn play(setting: &Setting) -> anyhow::Result<()> {
     let shape = load::Shape {
         rate: 400.0,
         span: Duration::from_secs(30),
--- a/rig/src/health/under_load.rs
+++ b/rig/src/health/under_load.rs
@@ -14,7 +14,7 @@
 
 /// How the balancer learns of gateways.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub enum Front {
+pub(super) enum Front {
     /// Whether a connection opens, every 2 s, and three in a row.
     SlowConnect,
     /// The same every 100 ms, and two in a row.
@@ -24,7 +24,7 @@
 }
 
 /// What three gateways under load came to.
-pub struct Played {
+pub(super) struct Played {
     /// What became of each request.
     pub records: Vec<Record>,
     begun: u64,
@@ -33,7 +33,7 @@
 }
 
 /// Plays a load over three gateways while `faults` does what it does to them.
-pub fn play(
+pub(super) fn play(
     setting: &Setting,
     front: Front,
     shape: load::Shape,
@@ -108,7 +108,7 @@
     }
 
     /// Goodput by second.
-    pub fn by_second(&self) -> Vec<(f64, f64)> {
+    pub(super) fn by_second(&self) -> Vec<(f64, f64)> {
         let mut seconds: BTreeMap<u64, Vec<&Record>> = BTreeMap::new();
         for record in &self.records {
             seconds
@@ -123,7 +123,7 @@
     }
 
     /// Its row of the table, with how many were sent late after a drain's word.
-    pub fn row(&self, arm: &str, late_sends: usize) -> Vec<String> {
+    pub(super) fn row(&self, arm: &str, late_sends: usize) -> Vec<String> {
         let worst = self
             .by_second()
             .iter()
@@ -161,7 +161,7 @@
 ];
 
 /// Writes the table and the chart of an experiment.
-pub fn write(
+pub(super) fn write(
     setting: &Setting,
     name: &str,
     title: &str,
--- a/rig/src/process.rs
+++ b/rig/src/process.rs
@@ -35,6 +35,10 @@
 }
 
 /// Reads what a process holds.
+///
+/// # Errors
+///
+/// The process is gone, or what the system says of it makes no sense.
 pub fn usage(process: u32) -> io::Result<Usage> {
     let folder = folder(process);
     let mut found = Usage {
@@ -52,6 +56,10 @@
 }
 
 /// Resident memory of a process, KiB.
+///
+/// # Errors
+///
+/// The process is gone, or what the system says of it makes no sense.
 pub fn resident_kib(process: u32) -> io::Result<u64> {
     number_after(
         &std::fs::read_to_string(folder(process).join("status"))?,
@@ -60,6 +68,10 @@
 }
 
 /// Memory that a process has touched and that no file backs, KiB: what a limit on memory counts and nobody can take back.
+///
+/// # Errors
+///
+/// The process is gone, or what the system says of it makes no sense.
 pub fn anonymous_kib(process: u32) -> io::Result<u64> {
     number_after(
         &std::fs::read_to_string(folder(process).join("status"))?,
@@ -68,11 +80,19 @@
 }
 
 /// Descriptors that a process holds.
+///
+/// # Errors
+///
+/// The process is gone, or what the system says of it makes no sense.
 pub fn descriptors(process: u32) -> io::Result<usize> {
     Ok(std::fs::read_dir(folder(process).join("fd"))?.count())
 }
 
 /// The threads of a process: their number and name.
+///
+/// # Errors
+///
+/// The process is gone, or what the system says of it makes no sense.
 pub fn threads(process: u32) -> io::Result<Vec<(u32, String)>> {
     let mut all = Vec::new();
     for entry in std::fs::read_dir(folder(process).join("task"))? {
@@ -96,18 +116,30 @@
 }
 
 /// Nanoseconds that a thread has run on a processor.
+///
+/// # Errors
+///
+/// The process is gone, or what the system says of it makes no sense.
 pub fn thread_cpu_ns(process: u32, thread: u32) -> io::Result<u64> {
     scheduled_ns(&folder(process).join("task").join(thread.to_string()))
 }
 
 /// Nanoseconds that all threads of a process that still run have run on a processor: the scheduler's own count, as the
 /// ticks of `stat` are too coarse for a few seconds at little load.
+///
+/// # Errors
+///
+/// The process is gone, or what the system says of it makes no sense.
 pub fn cpu_ns(process: u32) -> io::Result<u64> {
     let tasks = std::fs::read_dir(folder(process).join("task"))?;
     tasks.map(|task| scheduled_ns(&task?.path())).sum()
 }
 
 /// Memory that the machine could still give away, KiB.
+///
+/// # Errors
+///
+/// What the system says of its memory makes no sense.
 pub fn available_kib() -> io::Result<u64> {
     number_after(&std::fs::read_to_string("/proc/meminfo")?, "MemAvailable:")
 }
--- a/rig/src/scale/cut.rs
+++ b/rig/src/scale/cut.rs
@@ -23,6 +23,10 @@
 
 impl Cut {
     /// Starts the forwarders on a thread of their own.
+    ///
+    /// # Errors
+    ///
+    /// A listener could not be bound.
     pub fn start(forwards: Vec<Forward>) -> io::Result<Cut> {
         let (is_cut, watched) = watch::channel(false);
         let listen = |(at, to): Forward| -> io::Result<(std::net::TcpListener, SocketAddr)> {
--- a/rig/src/scale/fleet.rs
+++ b/rig/src/scale/fleet.rs
@@ -82,6 +82,10 @@
 
 impl Fleet {
     /// Starts it: the voters, their databases and clients, and the hollow gateways.
+    ///
+    /// # Errors
+    ///
+    /// A process could not be started, or memory is short.
     pub fn start(size: Size) -> anyhow::Result<Fleet> {
         ensure!(
             size.gateways > VOTERS + 10,
@@ -177,6 +181,10 @@
     }
 
     /// How all gateways stand that run and answer, but those of parts that are left out.
+    ///
+    /// # Errors
+    ///
+    /// A process of the fleet is gone or does not answer.
     pub fn look(&mut self, without: &[Part]) -> anyhow::Result<Vec<Standing>> {
         let answers = self.ask(&Order::Look, |part| !without.contains(&part))?;
         let mut all: Vec<Standing> = answers
@@ -195,6 +203,10 @@
     }
 
     /// What the fleet has used until now.
+    ///
+    /// # Errors
+    ///
+    /// A process of the fleet is gone or does not answer.
     pub fn measure(&mut self) -> anyhow::Result<Sample> {
         let answers = self.ask(&Order::Measure, |_| true)?;
         let hollow = answers.into_iter().filter_map(|answer| match answer {
@@ -236,6 +248,10 @@
     }
 
     /// Fails where the fleet has taken more memory than it may.
+    ///
+    /// # Errors
+    ///
+    /// The fleet has taken more memory than it may.
     pub fn check_memory(&self) -> anyhow::Result<()> {
         let taken = self.available_kib.saturating_sub(process::available_kib()?);
         let most = self.size.memory_kib;
@@ -249,6 +265,10 @@
     }
 
     /// Waits until all gateways that run, but those of parts left out, satisfy this; how they stand at the end.
+    ///
+    /// # Errors
+    ///
+    /// A process of the fleet is gone or does not answer.
     pub fn wait(
         &mut self,
         within: Duration,
@@ -269,6 +289,10 @@
 
     /// Waits until all gateways act, but those of parts left out, and offers editions until a new one is in force at each of
     /// them; how long that took. On a busy machine a real gateway may refuse one, as it can't read its file in time.
+    ///
+    /// # Errors
+    ///
+    /// A process of the fleet is gone or does not answer.
     pub fn agree(
         &mut self,
         within: Duration,
@@ -302,6 +326,10 @@
     }
 
     /// Kills the voter that leads the log outright; says which it was. Its store stays.
+    ///
+    /// # Errors
+    ///
+    /// A process of the fleet is gone or does not answer.
     pub fn kill_leader(&mut self) -> anyhow::Result<u32> {
         let leader = self.leader();
         // Dropped, its process is killed.
@@ -313,6 +341,10 @@
     }
 
     /// Starts a voter again, on the store that it has.
+    ///
+    /// # Errors
+    ///
+    /// A process of the fleet is gone or does not answer.
     pub fn revive_voter(&mut self, voter: u32) -> anyhow::Result<()> {
         self.start_voter(voter)
     }
@@ -324,6 +356,10 @@
 
     /// Watches until every gateway that runs holds a right that it asked for after `fallen_at`, or time is up. Says at which
     /// look each was first seen with one, Unix microseconds, of those that were seen with a right at every look.
+    ///
+    /// # Errors
+    ///
+    /// A process of the fleet is gone or does not answer.
     pub fn renewed_without_a_gap(
         &mut self,
         fallen_at: u64,
@@ -351,6 +387,10 @@
     }
 
     /// Puts a new edition of the operator's file on the real gateways and has one of them offer it; says when.
+    ///
+    /// # Errors
+    ///
+    /// A process of the fleet is gone or does not answer.
     pub fn offer(&mut self, by: u32) -> anyhow::Result<u64> {
         self.edition += 1;
         for (number, voter) in &self.voters {
@@ -365,6 +405,10 @@
     }
 
     /// Has so many hollow gateways offer the newest version once more, all at once; says when.
+    ///
+    /// # Errors
+    ///
+    /// A process of the fleet is gone or does not answer.
     pub fn offer_again(&mut self, count: usize) -> anyhow::Result<u64> {
         let answering = self.groups.iter().filter(|group| group.answers());
         let by = answering.flat_map(Group::gateways).take(count).collect();
@@ -374,6 +418,10 @@
     }
 
     /// Cuts a third off, or heals that.
+    ///
+    /// # Errors
+    ///
+    /// A process of the fleet is gone or does not answer.
     pub fn cut(&mut self, is_cut: bool) -> anyhow::Result<()> {
         self.ask(&Order::Cut(is_cut), |part| part == Part::Third)
             .map(drop)
@@ -386,11 +434,19 @@
     }
 
     /// Kills all gateways of a part at once.
+    ///
+    /// # Errors
+    ///
+    /// A process of the fleet is gone or does not answer.
     pub fn kill(&mut self, part: Part) -> anyhow::Result<()> {
         self.of(part).try_for_each(Group::kill)
     }
 
     /// Starts a part again, on the stores that it has.
+    ///
+    /// # Errors
+    ///
+    /// A process of the fleet is gone or does not answer.
     pub fn revive(&mut self, part: Part) -> anyhow::Result<()> {
         let host = self.size.host.clone();
         self.of(part).try_for_each(|group| group.start(&host))?;
@@ -399,11 +455,19 @@
     }
 
     /// Has a part's processes stand still, or go on.
+    ///
+    /// # Errors
+    ///
+    /// A process of the fleet is gone or does not answer.
     pub fn stand_still(&mut self, part: Part, still: bool) -> anyhow::Result<()> {
         self.of(part).try_for_each(|group| group.stand_still(still))
     }
 
     /// Restarts all processes, one after another; each must have its gateways act before the next goes.
+    ///
+    /// # Errors
+    ///
+    /// A process of the fleet is gone or does not answer.
     pub fn restart_all(&mut self, within: Duration) -> anyhow::Result<bool> {
         let host = self.size.host.clone();
         let until = Instant::now() + within;
--- a/rig/src/scale/group.rs
+++ b/rig/src/scale/group.rs
@@ -84,6 +84,10 @@
     }
 
     /// Starts its process; [`Group::send`] then asks it to begin.
+    ///
+    /// # Errors
+    ///
+    /// The process could not be started.
     pub fn start(&mut self, host: &Host) -> anyhow::Result<()> {
         let (ours, theirs) = UnixStream::pair()?;
         ours.set_read_timeout(Some(ANSWER_WITHIN))?;
@@ -121,6 +125,10 @@
     }
 
     /// Sends an order; [`Group::receive`] takes its answer.
+    ///
+    /// # Errors
+    ///
+    /// The process is gone.
     pub fn send(&mut self, order: &Order) -> anyhow::Result<()> {
         let running = self.running.as_mut().context("it does not run")?;
         writeln!(running.orders, "{}", serde_json::to_string(order)?)?;
@@ -128,6 +136,10 @@
     }
 
     /// Takes the answer to an order.
+    ///
+    /// # Errors
+    ///
+    /// The process is gone, or its answer makes no sense.
     pub fn receive(&mut self) -> anyhow::Result<Answer> {
         let running = self.running.as_mut().context("it does not run")?;
         let mut line = String::new();
@@ -142,6 +154,10 @@
     }
 
     /// Kills its process outright; stores stay.
+    ///
+    /// # Errors
+    ///
+    /// The process could not be ended.
     pub fn kill(&mut self) -> anyhow::Result<()> {
         if let Some(mut child) = self.running.take().and_then(|running| running.child) {
             child.kill()?;
@@ -151,6 +167,10 @@
     }
 
     /// Has its process stand still, or go on.
+    ///
+    /// # Errors
+    ///
+    /// The process is gone.
     pub fn stand_still(&mut self, still: bool) -> anyhow::Result<()> {
         if let Some(running) = &mut self.running {
             if let Some(child) = &running.child {
--- a/rig/src/scale/hollow.rs
+++ b/rig/src/scale/hollow.rs
@@ -110,6 +110,10 @@
 }
 
 /// Carries out orders until there are no more.
+///
+/// # Errors
+///
+/// An order makes no sense, or could not be carried out or answered.
 pub fn serve(orders: impl BufRead, mut answers: impl Write) -> anyhow::Result<()> {
     let empty = process::usage(std::process::id())?;
     let mut hollows = Hollows {
--- a/rig/src/scale/layout.rs
+++ b/rig/src/scale/layout.rs
@@ -108,6 +108,10 @@
 
 /// Places so many gateways, in parts drawn from a seed; voters keep their stores in a folder. Those of the third reach the
 /// voters through forwarders that can be cut.
+///
+/// # Errors
+///
+/// No free ports.
 pub fn place(gateways: u32, seed: u64, folder: &Path) -> io::Result<Placement> {
     let listens = free(VOTERS as usize)?;
     let listen = |voter: u32| listens[voter as usize - 1];
--- a/rig/src/scale/schedule.rs
+++ b/rig/src/scale/schedule.rs
@@ -88,6 +88,10 @@
 }
 
 /// Plays the events on a fleet of one size. What was measured before a fault ended it is kept.
+///
+/// # Errors
+///
+/// The fleet could not be started.
 pub fn play(size: Size, events: &[Event], pace: Pace) -> anyhow::Result<Measured> {
     let (began, gateways, seed) = (Instant::now(), size.gateways, size.seed);
     let fleet = Fleet::start(size)?;
--- a/rig/src/scale/table.rs
+++ b/rig/src/scale/table.rs
@@ -328,6 +328,10 @@
 }
 
 /// Writes a table; rows of sizes that were not played again are kept.
+///
+/// # Errors
+///
+/// The file could not be read or written.
 pub fn write<Row: AtSize + Serialize + DeserializeOwned>(
     path: &Path,
     played: &[u32],
@@ -345,6 +349,10 @@
 }
 
 /// Draws the processor time of each role during an event by size, from a table that has it.
+///
+/// # Errors
+///
+/// The table could not be read, or the chart not be written.
 pub fn draw(table: &Path, chart: &Path, event: &str) -> anyhow::Result<()> {
     let mut rows = csv::Reader::from_path(table)?
         .into_deserialize()
--- a/rig/src/sizes.rs
+++ b/rig/src/sizes.rs
@@ -10,7 +10,7 @@
 const KIB_OF_GIB: u64 = 1 << 20;
 
 #[derive(clap::Args)]
-pub struct Scale {
+pub(crate) struct Scale {
     /// Gateways of each fleet, voters included
     #[arg(long, value_delimiter = ',', default_value = "25,50,100,200,410")]
     gateways: Vec<u32>,
@@ -48,7 +48,7 @@
 
 impl Scale {
     /// Plays each size; what is measured of one is written before the next.
-    pub fn play(&self) -> anyhow::Result<()> {
+    pub(crate) fn play(&self) -> anyhow::Result<()> {
         std::fs::create_dir_all(&self.out)?;
         if self.no_play {
             return self.conclude();
--- a/src/bin/asterreel-adapter/wire.rs
+++ b/src/bin/asterreel-adapter/wire.rs
@@ -181,14 +181,14 @@
 
 /// All instances of this process.
 #[derive(Default)]
-pub struct Host {
+pub(crate) struct Host {
     instances: BTreeMap<String, Instance>,
     tables: HashMap<u32, Arc<Vec<Item>>>,
 }
 
 impl Host {
     /// Answers one batch with one reply line, or says what is wrong with it.
-    pub fn answer(&mut self, line: &[u8]) -> Result<String, String> {
+    pub(crate) fn answer(&mut self, line: &[u8]) -> Result<String, String> {
         let batch: Batch = serde_json::from_slice(line).map_err(|fault| {
             match serde_json::from_slice::<BatchNumber>(line) {
                 Ok(number) => format!("batch {}: {fault}", number.batch),
--- a/src/bin/asterreel/attempt.rs
+++ b/src/bin/asterreel/attempt.rs
@@ -17,14 +17,14 @@
 const READS_IN_TURN: u32 = 16;
 
 /// When to stop waiting: at a time, or when told.
-pub struct Stop {
+pub(crate) struct Stop {
     pub at: Micros,
     called_off: AtomicBool,
     waker: Mutex<Option<WaitIoWaker>>,
 }
 
 impl Stop {
-    pub fn at(at: Micros) -> Stop {
+    pub(crate) fn at(at: Micros) -> Stop {
         Stop {
             at,
             called_off: AtomicBool::new(false),
@@ -33,7 +33,7 @@
     }
 
     /// Calls the attempt off, wherever it is.
-    pub fn call_off(&self) {
+    pub(crate) fn call_off(&self) {
         self.called_off.store(true, Ordering::Release);
         if let Some(waker) = self
             .waker
@@ -56,7 +56,7 @@
 
 /// How an exchange broke off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
+pub(crate) enum Broken {
     /// The connection broke or ended, before (`false`) or after the last byte was written.
     Connection { written: bool },
     /// Its time was over, or it was called off.
@@ -66,7 +66,7 @@
 }
 
 /// Writes a message and reads its answer up to ReadyForQuery.
-pub fn exchange(
+pub(crate) fn exchange(
     stream: &mut Stream,
     query: &[u8],
     answer: &mut Answer,
@@ -142,7 +142,7 @@
 
 /// How an attempt ended.
 #[derive(Debug)]
-pub struct End {
+pub(crate) struct End {
     pub outcome: Outcome,
     pub note: Note,
     /// The row, in messages as the database sent them, where it was served.
@@ -160,7 +160,7 @@
 }
 
 /// Makes one attempt; nothing is ever sent twice in here.
-pub fn run(
+pub(crate) fn run(
     pool: &Pool,
     address: SocketAddr,
     statement: &Statement,
@@ -199,7 +199,7 @@
 }
 
 /// Keeps a connection whose answer is complete; abandoning any other attempt closes its connection.
-pub fn finish(
+pub(crate) fn finish(
     pool: &Pool,
     address: SocketAddr,
     connection: Connection,
@@ -212,7 +212,7 @@
 }
 
 /// Without a connection nothing ran, whatever the reason.
-pub fn unconnected(fault: NoConnection, time_over: bool) -> Outcome {
+pub(crate) fn unconnected(fault: NoConnection, time_over: bool) -> Outcome {
     match fault {
         NoConnection::TurnedAway => Outcome::Full,
         NoConnection::NoRoom => Outcome::Moot,
@@ -222,7 +222,11 @@
 }
 
 /// The table of outcomes: what can have run, and what can't.
-pub fn outcome(end: Result<(), Broken>, verdict: Option<&Verdict>, called_off: bool) -> Outcome {
+pub(crate) fn outcome(
+    end: Result<(), Broken>,
+    verdict: Option<&Verdict>,
+    called_off: bool,
+) -> Outcome {
     match (verdict, end) {
         (Some(Verdict::Row), _) => Outcome::Served,
         (Some(Verdict::Error(code)), _) => match code {
--- a/src/bin/asterreel/cells.rs
+++ b/src/bin/asterreel/cells.rs
@@ -13,7 +13,7 @@
 
 /// What sessions ask.
 #[derive(Clone)]
-pub struct Cells {
+pub(crate) struct Cells {
     gate: Arc<Mutex<Gate>>,
     clock: Clock,
     /// The tenant can differ from statement to statement.
@@ -22,7 +22,7 @@
 
 impl Cells {
     /// Reads the placement, and starts to look at it again and again; an error names the key.
-    pub fn start(settings: &operator::Cells, clock: Clock) -> io::Result<Cells> {
+    pub(crate) fn start(settings: &operator::Cells, clock: Clock) -> io::Result<Cells> {
         let bad = |key: &str, fault: String| io::Error::other(format!("cells.{key}: {fault}"));
         let rules = settings.rules().map_err(|(key, fault)| bad(&key, fault))?;
         let path = settings.placement.clone();
@@ -93,7 +93,7 @@
     }
 
     /// Takes a request, or says why not.
-    pub fn admit(
+    pub(crate) fn admit(
         &self,
         caller: &Caller,
         what: (u64, &[u8]),
@@ -110,21 +110,21 @@
 }
 
 /// A request's place in its cell, which is given back once this is dropped.
-pub struct Placed {
+pub(crate) struct Placed {
     cells: Cells,
     pub admitted: Admitted,
 }
 
 impl Placed {
     /// Whether an attempt may go out.
-    pub fn attempt(&self, effect: Effect, ran: bool, victims: usize) -> Verdict {
+    pub(crate) fn attempt(&self, effect: Effect, ran: bool, victims: usize) -> Verdict {
         let now = self.cells.clock.now();
         self.cells
             .gate(|gate| gate.attempt(now, &self.admitted, effect, ran, victims))
     }
 
     /// An attempt has ended. Only a connection that broke under it speaks of a death; silence may be load.
-    pub fn attempted(&self, member: MemberId, outcome: Outcome) {
+    pub(crate) fn attempted(&self, member: MemberId, outcome: Outcome) {
         let after = match outcome {
             Outcome::Reset => Aftermath::Died,
             Outcome::Served | Outcome::Error | Outcome::Miss | Outcome::Full => Aftermath::Answered,
--- a/src/bin/asterreel/cli/cells.rs
+++ b/src/bin/asterreel/cli/cells.rs
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 
 #[derive(Subcommand)]
-pub enum CellsCommand {
+pub(crate) enum CellsCommand {
     /// Check a placement written as JSON, and say how it spreads tenants
     Plan {
         /// The placement: epoch, cells, spread, order, ranges, homes
@@ -32,7 +32,7 @@
 }
 
 /// Carries out a command on placements.
-pub fn run(command: &CellsCommand) -> Result<(), Box<dyn Error>> {
+pub(crate) fn run(command: &CellsCommand) -> Result<(), Box<dyn Error>> {
     match command {
         CellsCommand::Plan { source } => plan(source),
         CellsCommand::Publish { source, target } => publish(source, target),
--- a/src/bin/asterreel/cli/check.rs
+++ b/src/bin/asterreel/cli/check.rs
@@ -6,7 +6,7 @@
 use std::error::Error;
 
 /// Checks both files.
-pub fn run(files: &Files) -> Result<(), Box<dyn Error>> {
+pub(crate) fn run(files: &Files) -> Result<(), Box<dyn Error>> {
     let evaluated = files.evaluate(EVALUATION)?;
     let config = Config::from_env()?;
     println!(
--- a/src/bin/asterreel/cli/health.rs
+++ b/src/bin/asterreel/cli/health.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 #[derive(Args)]
-pub struct Health {
+pub(crate) struct Health {
     /// Where its HTTP health front listens, as ADDRESS:PORT
     #[arg(default_value = "127.0.0.1:6461")]
     address: SocketAddr,
@@ -19,7 +19,7 @@
 }
 
 /// Shows what a gateway tells of itself.
-pub fn run(health: &Health) -> ExitCode {
+pub(crate) fn run(health: &Health) -> ExitCode {
     let told = get(health.address, "/health", Duration::from_secs(2)).and_then(|(_, body)| {
         let value: Result<Value, _> = serde_json::from_str(&body);
         value.map_err(|error| Fault::Senseless(error.to_string()))
--- a/src/bin/asterreel/cli/mod.rs
+++ b/src/bin/asterreel/cli/mod.rs
@@ -1,10 +1,10 @@
 //! The command line: what can be asked for, and the commands that need no gateway of their own.
 
-pub mod cells;
-pub mod check;
+pub(crate) mod cells;
+pub(crate) mod check;
 mod exchange;
-pub mod health;
-pub mod probe;
+pub(crate) mod health;
+pub(crate) mod probe;
 
 use asterreel::operator::{self, Evaluated};
 use cells::CellsCommand;
@@ -20,7 +20,7 @@
 /// Without a command it runs the gateway. RELAY_CONFIG names its configuration; the README lists all variables.
 #[derive(Parser)]
 #[command(version, about)]
-pub struct Cli {
+pub(crate) struct Cli {
     /// How log lines are written, to standard error; RELAY_LOG sets the level.
     #[arg(long, value_enum, default_value = "text", global = true)]
     pub log_format: LogFormat,
@@ -30,7 +30,7 @@
 
 /// The form of a log line.
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
-pub enum LogFormat {
+pub(crate) enum LogFormat {
     /// For people.
     Text,
     /// One JSON object a line.
@@ -38,7 +38,7 @@
 }
 
 #[derive(Subcommand)]
-pub enum Command {
+pub(crate) enum Command {
     /// Run the gateway (the default)
     Run(Files),
     /// Check the configuration and the operator's file; opens no socket
@@ -65,7 +65,7 @@
 }
 
 #[derive(Args, Default)]
-pub struct Files {
+pub(crate) struct Files {
     /// The operator's file (Starlark); without one all that it could set is off
     #[arg(long, value_name = "FILE")]
     pub operator: Option<PathBuf>,
@@ -73,7 +73,7 @@
 
 impl Files {
     /// Has the operator's file evaluated, if there is one.
-    pub fn evaluate(&self, within: Duration) -> Result<Evaluated, operator::BadFile> {
+    pub(crate) fn evaluate(&self, within: Duration) -> Result<Evaluated, operator::BadFile> {
         let Some(path) = &self.operator else {
             return Ok(Evaluated::default());
         };
@@ -88,11 +88,11 @@
 }
 
 /// How long the evaluation of an operator's file may take, at the start and while the gateway runs: signals wait for it.
-pub const EVALUATION: Duration = Duration::from_secs(5);
-pub const EVALUATION_RUNNING: Duration = Duration::from_millis(500);
+pub(crate) const EVALUATION: Duration = Duration::from_secs(5);
+pub(crate) const EVALUATION_RUNNING: Duration = Duration::from_millis(500);
 
 #[derive(Args)]
-pub struct Control {
+pub(crate) struct Control {
     /// The operator's file (Starlark); its `lease(...)` has to make this process a voter
     #[arg(long, value_name = "FILE")]
     pub operator: PathBuf,
--- a/src/bin/asterreel/cli/probe.rs
+++ b/src/bin/asterreel/cli/probe.rs
@@ -24,7 +24,7 @@
 }
 
 #[derive(Args)]
-pub struct Probe {
+pub(crate) struct Probe {
     /// Where the front listens, as ADDRESS:PORT
     address: SocketAddr,
     /// What it speaks
@@ -42,7 +42,7 @@
 }
 
 /// Probes as a balancer would.
-pub fn run(probe: &Probe) -> ExitCode {
+pub(crate) fn run(probe: &Probe) -> ExitCode {
     let began = Instant::now();
     let told = probe.ask();
     let took = began.elapsed().as_secs_f64() * 1e3;
--- a/src/bin/asterreel/client/accept.rs
+++ b/src/bin/asterreel/client/accept.rs
@@ -13,7 +13,7 @@
 const ACCEPT_AGAIN: Micros = 5_000;
 
 /// Accepts clients for as long as the process runs. Running out of descriptors only makes the next one wait.
-pub fn accept(gateway: &Arc<Gateway>, listener: &TcpListener) {
+pub(crate) fn accept(gateway: &Arc<Gateway>, listener: &TcpListener) {
     gateway.wake_for_room(listener.waker());
     let pause = || {
         let at = gateway.core.clock.now() + ACCEPT_AGAIN;
--- a/src/bin/asterreel/client/gateway.rs
+++ b/src/bin/asterreel/client/gateway.rs
@@ -26,7 +26,7 @@
 }
 
 /// What all sessions share.
-pub struct Gateway {
+pub(crate) struct Gateway {
     pub core: Arc<Core>,
     pub pool: Arc<Pool>,
     /// By their numbers.
@@ -52,7 +52,7 @@
 }
 
 impl Gateway {
-    pub fn new(
+    pub(crate) fn new(
         core: Arc<Core>,
         pool: Arc<Pool>,
         setup: &Setup,
@@ -91,7 +91,7 @@
     }
 
     /// From now on clients that come are admitted as this says.
-    pub fn readmit(&self, readmission: Readmission) {
+    pub(crate) fn readmit(&self, readmission: Readmission) {
         *self
             .readmission
             .lock()
@@ -99,7 +99,7 @@
     }
 
     /// So many gateways share what the fleet may admit.
-    pub fn share(&self, gateways: u32) {
+    pub(crate) fn share(&self, gateways: u32) {
         let mut readmission = self
             .readmission
             .lock()
@@ -122,7 +122,7 @@
     }
 
     /// How many requests were taken since the start.
-    pub fn requests(&self) -> u64 {
+    pub(crate) fn requests(&self) -> u64 {
         self.core.requests()
     }
 
@@ -139,7 +139,7 @@
 
     /// From now on no request is waited for any longer than this: the process may be killed soon after, and
     /// what it had taken by then would be lost.
-    pub fn answer_until(&self, at: Micros) {
+    pub(crate) fn answer_until(&self, at: Micros) {
         self.answer_until.store(at, Ordering::Release);
     }
 
@@ -149,7 +149,7 @@
     }
 
     /// From now on connections are closed between requests.
-    pub fn drain(&self) {
+    pub(crate) fn drain(&self) {
         self.draining.store(true, Ordering::Release);
         self.sessions(|sessions| sessions.values().for_each(|mailbox| mailbox.waker.wakeup()));
     }
@@ -165,12 +165,12 @@
     }
 
     /// Sessions that are open.
-    pub fn open_sessions(&self) -> usize {
+    pub(crate) fn open_sessions(&self) -> usize {
         self.sessions(|sessions| sessions.len())
     }
 
     /// How much of what clients may hold is held; nothing where a lock is held, as this never waits.
-    pub fn room(&self) -> Option<Room> {
+    pub(crate) fn room(&self) -> Option<Room> {
         Some(Room {
             sessions: self.sessions.try_lock().ok()?.len(),
             most_sessions: self.most_sessions,
--- a/src/bin/asterreel/client/mod.rs
+++ b/src/bin/asterreel/client/mod.rs
@@ -11,8 +11,8 @@
 mod session;
 mod shed;
 
-pub use accept::accept;
-pub use gateway::Gateway;
+pub(crate) use accept::accept;
+pub(crate) use gateway::Gateway;
 
 #[cfg(test)]
 mod tests;
--- a/src/bin/asterreel/client/request.rs
+++ b/src/bin/asterreel/client/request.rs
@@ -152,7 +152,7 @@
 impl Session {
     /// The life of one request, from its arrival to the end of its last attempt. Its final answer is written as soon as it
     /// is decided, where attempts are still out then; otherwise it is appended to `out`.
-    pub fn request(
+    pub(super) fn request(
         &mut self,
         statement: Statement,
         received: Micros,
--- a/src/bin/asterreel/client/session.rs
+++ b/src/bin/asterreel/client/session.rs
@@ -52,7 +52,7 @@
 }
 
 impl Session {
-    pub fn new(
+    pub(super) fn new(
         gateway: Arc<Gateway>,
         number: u32,
         stream: Stream,
@@ -77,7 +77,7 @@
     }
 
     /// All of it; its place is free afterwards.
-    pub fn live(mut self) {
+    pub(super) fn live(mut self) {
         let end = self.run();
         if let Err(end) = &end {
             debug!("session ended: {end:?}");
@@ -265,7 +265,7 @@
         }
     }
 
-    pub fn write(&mut self, bytes: &[u8]) -> Result<(), Ending> {
+    pub(super) fn write(&mut self, bytes: &[u8]) -> Result<(), Ending> {
         let core = self.gateway.core.clone();
         let until = core.clock.now() + WRITE_WAIT;
         let _alarm = core.timer.alarm(until, self.stream.waker());
--- a/src/bin/asterreel/control.rs
+++ b/src/bin/asterreel/control.rs
@@ -17,7 +17,7 @@
 const LOOK: Duration = Duration::from_millis(20);
 
 /// Runs a control member until SIGTERM or SIGINT.
-pub fn run(asked: &Control) -> Result<(), Box<dyn Error>> {
+pub(crate) fn run(asked: &Control) -> Result<(), Box<dyn Error>> {
     // Before anything else, so that a signal that comes early is not lost.
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     let files = Files {
--- a/src/bin/asterreel/core.rs
+++ b/src/bin/asterreel/core.rs
@@ -17,7 +17,7 @@
 
 /// What the module wants done for one request.
 #[derive(Debug)]
-pub enum Order {
+pub(crate) enum Order {
     /// Send an attempt, to be waited for until this time.
     Send {
         member: MemberId,
@@ -33,27 +33,27 @@
 }
 
 /// Where a request's orders go; must not wait.
-pub trait Inbox: Send + Sync {
+pub(crate) trait Inbox: Send + Sync {
     fn order(&self, order: Order);
 }
 
 /// Orders that inboxes were given, and those that sessions have taken or will never take. Read without a lock, by
 /// who tells whether requests move.
 #[derive(Default)]
-pub struct Orders {
+pub(crate) struct Orders {
     pub given: AtomicU64,
     pub taken: AtomicU64,
 }
 
 impl Orders {
     /// How many were given and taken; never fewer given.
-    pub fn counts(&self) -> (u64, u64) {
+    pub(crate) fn counts(&self) -> (u64, u64) {
         let taken = self.taken.load(Ordering::Acquire);
         (self.given.load(Ordering::Acquire), taken)
     }
 }
 
-pub struct Core {
+pub(crate) struct Core {
     pub clock: Clock,
     pub timer: Arc<Timer>,
     pub orders: Arc<Orders>,
@@ -78,7 +78,7 @@
 }
 
 impl Core {
-    pub fn new(
+    pub(crate) fn new(
         config: &Config,
         clock: Clock,
         timer: Arc<Timer>,
@@ -108,7 +108,7 @@
     }
 
     #[cfg(test)]
-    pub fn hold(&self, work: impl FnOnce()) {
+    pub(crate) fn hold(&self, work: impl FnOnce()) {
         self.with(|_| work());
     }
 
@@ -117,12 +117,12 @@
     }
 
     /// From now on an observer looks on; before the first list, or it misses that.
-    pub fn observe(&self, settings: &Settings) {
+    pub(crate) fn observe(&self, settings: &Settings) {
         self.with(|state| state.observer = Some(Observer::new(settings)));
     }
 
     /// What the observer sees, or nothing where the lock is held: never waits.
-    pub fn look(&self) -> Option<Report> {
+    pub(crate) fn look(&self) -> Option<Report> {
         let mut state = match self.state.try_lock() {
             Ok(state) => state,
             Err(TryLockError::Poisoned(poisoned)) => poisoned.into_inner(),
@@ -138,7 +138,7 @@
     }
 
     /// Whether a group has lost all its members, where an observer looks on.
-    pub fn lost(&self, group: GroupId) -> bool {
+    pub(crate) fn lost(&self, group: GroupId) -> bool {
         self.with(|state| {
             state
                 .observer
@@ -148,7 +148,7 @@
     }
 
     /// Takes the lock and gives it back: whoever gets through here shows that requests could.
-    pub fn pass_through(&self) {
+    pub(crate) fn pass_through(&self) {
         self.with(|_| ());
     }
 
@@ -157,12 +157,12 @@
     }
 
     /// How many requests came in since the start.
-    pub fn requests(&self) -> u64 {
+    pub(crate) fn requests(&self) -> u64 {
         self.with(|state| state.requests)
     }
 
     /// A request came in; its orders go to the inbox until [`Core::forget`].
-    pub fn arrive(&self, mut arrival: Arrival, inbox: Arc<dyn Inbox>) -> RequestId {
+    pub(crate) fn arrive(&self, mut arrival: Arrival, inbox: Arc<dyn Inbox>) -> RequestId {
         self.with(|state| {
             state.requests += 1;
             arrival.request = RequestId(state.requests);
@@ -172,38 +172,38 @@
         })
     }
 
-    pub fn ended(&self, ended: Ended) {
+    pub(crate) fn ended(&self, ended: Ended) {
         self.feed(Event::Ended(ended));
     }
 
     /// Whether an attempt that was ordered earlier may be written now.
-    pub fn may_write(&self, request: RequestId, member: MemberId) -> bool {
+    pub(crate) fn may_write(&self, request: RequestId, member: MemberId) -> bool {
         self.with(|state| state.router.may_write(self.clock.now(), request, member))
     }
 
-    pub fn departed(&self, request: RequestId) {
+    pub(crate) fn departed(&self, request: RequestId) {
         self.feed(Event::Departed(request));
     }
 
-    pub fn probed(&self, member: MemberId, outcome: Outcome, report: Note) {
+    pub(crate) fn probed(&self, member: MemberId, outcome: Outcome, report: Note) {
         self.feed(Event::Probed(member, outcome, report));
     }
 
-    pub fn list_lost(&self, loss: ListLoss) {
+    pub(crate) fn list_lost(&self, loss: ListLoss) {
         self.feed(Event::ListLost(loss));
     }
 
-    pub fn wake(&self) {
+    pub(crate) fn wake(&self) {
         self.feed(Event::Wake);
     }
 
     /// No orders are wanted any more.
-    pub fn forget(&self, request: RequestId) {
+    pub(crate) fn forget(&self, request: RequestId) {
         self.with(|state| state.inboxes.remove(&request));
     }
 
     /// Takes in a list; one with an entry that makes no sense changes nothing.
-    pub fn listed(&self, kind: ListKind, listing: &Listing) -> Result<(), String> {
+    pub(crate) fn listed(&self, kind: ListKind, listing: &Listing) -> Result<(), String> {
         self.with(|state| {
             let entries = state.entries(listing)?;
             state.feed(self, Event::Listed(kind, entries.into()));
--- a/src/bin/asterreel/discovery.rs
+++ b/src/bin/asterreel/discovery.rs
@@ -4,8 +4,8 @@
 mod reader;
 mod source;
 
-pub use first_list::{FirstList, PATIENCE as FIRST_LIST_PATIENCE};
-pub use source::Source;
+pub(crate) use first_list::{FirstList, PATIENCE as FIRST_LIST_PATIENCE};
+pub(crate) use source::Source;
 
 use crate::core::Core;
 use crate::net::Stream;
@@ -60,7 +60,7 @@
 
 /// Watches whenever the module asks for it; a watch that ends is reported as lost. The first list, and whatever shows that
 /// none will come soon, opens the door to clients.
-pub fn run(
+pub(crate) fn run(
     core: &Core,
     source: &Source,
     revision: u64,
--- a/src/bin/asterreel/discovery/first_list.rs
+++ b/src/bin/asterreel/discovery/first_list.rs
@@ -5,25 +5,25 @@
 
 /// How long a gateway that starts waits for its first list before it takes clients: the latest first call, and most of what
 /// that may wait in discovery's queue. Whatever discovery does, a gateway serves within 5 s of its start. Ours.
-pub const PATIENCE: Duration = Duration::from_millis(3_500);
+pub(crate) const PATIENCE: Duration = Duration::from_millis(3_500);
 
 /// Whether the first list has come, or it is known that it can't come soon. The list that a gateway starts with is of
 /// unknown age, and what it misses may bind from the first request on.
 #[derive(Default)]
-pub struct FirstList {
+pub(crate) struct FirstList {
     settled: Mutex<bool>,
     changed: Condvar,
 }
 
 impl FirstList {
     /// The list is here, or nobody listens where discovery should be.
-    pub fn settle(&self) {
+    pub(crate) fn settle(&self) {
         *self.settled.lock().unwrap_or_else(PoisonError::into_inner) = true;
         self.changed.notify_all();
     }
 
     /// Blocks a thread, never a coroutine, until it is settled, for so long at most; whether it is.
-    pub fn wait(&self, within: Duration) -> bool {
+    pub(crate) fn wait(&self, within: Duration) -> bool {
         let settled = self.settled.lock().unwrap_or_else(PoisonError::into_inner);
         let waited = self
             .changed
--- a/src/bin/asterreel/discovery/reader.rs
+++ b/src/bin/asterreel/discovery/reader.rs
@@ -5,11 +5,11 @@
 
 /// The longest head of an answer, and the longest list, that are taken in: 3,200 databases take 0.9 MB indented.
 const LONGEST_HEAD: usize = 16 * 1024;
-pub const LONGEST_LIST: usize = 2 << 20;
+pub(super) const LONGEST_LIST: usize = 2 << 20;
 
 /// What is wrong with an answer.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Unread {
+pub(super) enum Unread {
     #[error("status {0}")]
     Status(u16),
     #[error("head: {0}")]
@@ -25,7 +25,7 @@
 
 /// Reads an HTTP answer as it comes and takes its body apart into lists. No input or output.
 #[derive(Default)]
-pub struct Reader {
+pub(super) struct Reader {
     body: Body,
     /// Of the body, what is not decoded yet.
     text: Vec<u8>,
@@ -54,23 +54,23 @@
 
 impl Reader {
     /// The answer's head is whole.
-    pub fn has_begun(&self) -> bool {
+    pub(super) fn has_begun(&self) -> bool {
         !matches!(self.body, Body::Head)
     }
 
     /// The answer has come to its end, though the connection may stay.
-    pub fn is_over(&self) -> bool {
+    pub(super) fn is_over(&self) -> bool {
         matches!(self.body, Body::Over)
     }
 
     /// How many bytes were decoded so far, each as often as it was.
     #[cfg(test)]
-    pub fn decoded(&self) -> u64 {
+    pub(super) fn decoded(&self) -> u64 {
         self.decoded
     }
 
     /// What all that was taken in makes.
-    pub fn received(&self) -> Received {
+    pub(super) fn received(&self) -> Received {
         let within_list = self.text.iter().any(|byte| !byte.is_ascii_whitespace());
         Received {
             answered: self.has_begun(),
@@ -80,7 +80,7 @@
     }
 
     /// Takes in bytes and says how many were used; the rest is to be offered again with more.
-    pub fn take(&mut self, bytes: &[u8]) -> Result<usize, Unread> {
+    pub(super) fn take(&mut self, bytes: &[u8]) -> Result<usize, Unread> {
         let mut used = 0;
         loop {
             let rest = &bytes[used..];
@@ -144,7 +144,7 @@
     /// The next whole list, or what makes it none. Lists may be indented, so that lines say nothing; the empty
     /// lines between them are white space. Decodes where a list ends, and what has doubled since it was looked at,
     /// so that nonsense is found early and a long list costs what its length does.
-    pub fn listing(&mut self) -> Option<serde_json::Result<Listing>> {
+    pub(super) fn listing(&mut self) -> Option<serde_json::Result<Listing>> {
         if !self.nesting.has_closed && self.text.len() < self.look_again_at {
             return None;
         }
--- a/src/bin/asterreel/discovery/source.rs
+++ b/src/bin/asterreel/discovery/source.rs
@@ -8,7 +8,7 @@
 use std::sync::{Mutex, PoisonError};
 
 /// Where discovery is, which may change while it is watched.
-pub struct Source {
+pub(crate) struct Source {
     clock: Clock,
     place: Mutex<Place>,
     asks: Sender<()>,
@@ -26,7 +26,7 @@
 const MOVED_SOONER: Micros = 2_000_000;
 
 impl Source {
-    pub fn new(address: SocketAddr, clock: Clock, asks: Sender<()>) -> Source {
+    pub(crate) fn new(address: SocketAddr, clock: Clock, asks: Sender<()>) -> Source {
         Source {
             clock,
             place: Mutex::new(Place {
@@ -47,7 +47,7 @@
     }
 
     /// From now on discovery is watched here; a watch elsewhere ends at once.
-    pub fn move_to(&self, address: SocketAddr) {
+    pub(crate) fn move_to(&self, address: SocketAddr) {
         self.place(|place| {
             place.address = address;
             // A further move while nothing was heard gives no time anew: the first one counts until a list comes.
--- a/src/bin/asterreel/fleetwide.rs
+++ b/src/bin/asterreel/fleetwide.rs
@@ -10,7 +10,7 @@
 /// The format of what is offered of the operator's file: a digest of what it sets.
 const FORMAT: u32 = 1;
 
-pub struct Fleetwide {
+pub(crate) struct Fleetwide {
     pub peers: Handle,
     pub notices: Receiver<Notice>,
     /// Judged good, to be put in force when the fleet agrees.
@@ -49,7 +49,7 @@
 }
 
 impl Fleetwide {
-    pub fn new(peers: Handle, notices: Receiver<Notice>, gateways: u32) -> Fleetwide {
+    pub(crate) fn new(peers: Handle, notices: Receiver<Notice>, gateways: u32) -> Fleetwide {
         Fleetwide {
             peers,
             notices,
@@ -61,13 +61,13 @@
     }
 
     /// Offers the operator's file as it is here.
-    pub fn offer(&self, operator: &Operator) {
+    pub(crate) fn offer(&self, operator: &Operator) {
         self.peers
             .request(Request::Offer(Topic::Operator, digest(operator)));
     }
 
     /// Whether this gateway could act on a version. `evaluated` reads the operator's file as it is here.
-    pub fn judge(
+    pub(crate) fn judge(
         &mut self,
         topic: Topic,
         number: u64,
@@ -89,7 +89,7 @@
     }
 
     /// The file that was judged good as this version.
-    pub fn take(&mut self, topic: Topic, number: u64) -> Option<Evaluated> {
+    pub(crate) fn take(&mut self, topic: Topic, number: u64) -> Option<Evaluated> {
         let judged =
             |candidate: &mut (u64, Evaluated)| topic == Topic::Operator && candidate.0 == number;
         self.candidate
@@ -99,7 +99,7 @@
 
     /// Divides what the fleet may admit among those who have a seat; among all that there are where this gateway can't
     /// tell, so that one that is cut off takes its own part and no more. Says whether it is shut out, where that is news.
-    pub fn share(&mut self, gateway: &Gateway) -> Option<bool> {
+    pub(crate) fn share(&mut self, gateway: &Gateway) -> Option<bool> {
         let view = self.peers.view();
         let sure = view.right(gateway.core.clock.now()).is_some();
         gateway.share(if sure { view.seats } else { self.gateways });
@@ -107,7 +107,7 @@
     }
 
     /// Tells the fleet how many requests were taken under the operator's file in force.
-    pub fn count(&mut self, gateway: &Gateway) {
+    pub(crate) fn count(&mut self, gateway: &Gateway) {
         let taken = gateway.requests();
         let count = taken - std::mem::replace(&mut self.counted, taken);
         let acting = self
--- a/src/bin/asterreel/fuzz.rs
+++ b/src/bin/asterreel/fuzz.rs
@@ -3,7 +3,7 @@
 use quickcheck::{Arbitrary, Gen};
 
 /// Hands out growing beginnings of the bytes, cut at random places, then all of them; many times over.
-pub fn cuts(bytes: &[u8], mut run: impl FnMut(&[usize])) {
+pub(crate) fn cuts(bytes: &[u8], mut run: impl FnMut(&[usize])) {
     for seed in 0..200 {
         let mut gen = Gen::from_size_and_seed(64, seed);
         let mut ends: Vec<usize> = Vec::<usize>::arbitrary(&mut gen);
@@ -15,7 +15,7 @@
 }
 
 /// Hands out garbage: random bytes, and the valid ones with some of them replaced.
-pub fn garbage(valid: &[u8], mut run: impl FnMut(&[u8])) {
+pub(crate) fn garbage(valid: &[u8], mut run: impl FnMut(&[u8])) {
     for seed in 0..500 {
         let mut gen = Gen::from_size_and_seed(256, seed);
         run(&Vec::<u8>::arbitrary(&mut gen));
--- a/src/bin/asterreel/health/beat.rs
+++ b/src/bin/asterreel/health/beat.rs
@@ -25,7 +25,7 @@
 const LONGEST: usize = 4096;
 
 /// Starts both halves.
-pub fn start(shared: &Rc<Shared>, address: SocketAddr) {
+pub(super) fn start(shared: &Rc<Shared>, address: SocketAddr) {
     let (entered, sessions) = mpsc::channel(1);
     tokio::task::spawn_local(knock(shared.clone(), address, entered));
     tokio::task::spawn_local(beat(shared.clone(), sessions));
--- a/src/bin/asterreel/health/fronts.rs
+++ b/src/bin/asterreel/health/fronts.rs
@@ -22,7 +22,7 @@
 
 /// What a listener speaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Front {
+pub(super) enum Front {
     Agent,
     Http,
     Postgres,
@@ -31,7 +31,7 @@
 
 impl Front {
     /// By the key of its address.
-    pub fn of(key: &str) -> Front {
+    pub(super) fn of(key: &str) -> Front {
         match key {
             "agent.listen" => Front::Agent,
             "http.listen" => Front::Http,
@@ -42,7 +42,7 @@
 }
 
 /// Accepts for as long as the process runs.
-pub async fn accept(shared: Rc<Shared>, listener: TcpListener, front: Front) {
+pub(super) async fn accept(shared: Rc<Shared>, listener: TcpListener, front: Front) {
     loop {
         match listener.accept().await {
             Ok((stream, from)) => admit(&shared, stream, from.ip(), front),
@@ -89,14 +89,14 @@
 }
 
 /// A connection's place in the crowd, which is free again once this is dropped.
-pub struct Guest {
+pub(super) struct Guest {
     pub shared: Rc<Shared>,
     number: u64,
 }
 
 impl Guest {
     /// It asks something: it has not rested.
-    pub fn asks(&self) {
+    pub(super) fn asks(&self) {
         self.shared
             .crowd
             .borrow_mut()
--- a/src/bin/asterreel/health/grpc.rs
+++ b/src/bin/asterreel/health/grpc.rs
@@ -26,7 +26,7 @@
 const UNIMPLEMENTED: &str = "12";
 
 /// Serves one connection.
-pub async fn serve(guest: &Guest, stream: TcpStream) -> io::Result<()> {
+pub(super) async fn serve(guest: &Guest, stream: TcpStream) -> io::Result<()> {
     let mut builder = Builder::new();
     builder
         .max_concurrent_streams(STREAMS)
--- a/src/bin/asterreel/health/mod.rs
+++ b/src/bin/asterreel/health/mod.rs
@@ -47,7 +47,7 @@
 }
 
 /// Speaks to the health thread.
-pub struct Handle {
+pub(crate) struct Handle {
     words: mpsc::UnboundedSender<Word>,
     /// What was set when it started.
     settings: Health,
@@ -55,22 +55,22 @@
 
 impl Handle {
     /// SIGTERM came: told to balancers from now on.
-    pub fn terminate(&self) {
+    pub(crate) fn terminate(&self) {
         let _ = self.words.send(Word::Terminate);
     }
 
     /// Connections are being closed.
-    pub fn stopping(&self) {
+    pub(crate) fn stopping(&self) {
         let _ = self.words.send(Word::Stopping);
     }
 
     /// Whether the gateway has no seat in the fleet's log.
-    pub fn shut_out(&self, shut_out: bool) {
+    pub(crate) fn shut_out(&self, shut_out: bool) {
         let _ = self.words.send(Word::ShutOut(shut_out));
     }
 
     /// Puts what was read again into force; the keys that have to wait for the next start.
-    pub fn again(&mut self, settings: Health) -> Vec<&'static str> {
+    pub(crate) fn again(&mut self, settings: Health) -> Vec<&'static str> {
         let before = &self.settings;
         let later = [
             (
@@ -169,7 +169,7 @@
 }
 
 /// Binds the fronts and starts the thread; an error names the key.
-pub fn start(
+pub(crate) fn start(
     name: &str,
     settings: &Health,
     gateway: Arc<Gateway>,
--- a/src/bin/asterreel/health/notify.rs
+++ b/src/bin/asterreel/health/notify.rs
@@ -11,14 +11,14 @@
 const AHEAD: usize = 64;
 
 /// What is to be told.
-pub enum Word {
+pub(super) enum Word {
     Changed(Status),
     /// The request path moves.
     Moves,
 }
 
 /// Starts the thread that tells; nothing without `NOTIFY_SOCKET`.
-pub fn start() -> io::Result<Option<SyncSender<Word>>> {
+pub(super) fn start() -> io::Result<Option<SyncSender<Word>>> {
     if std::env::var_os("NOTIFY_SOCKET").is_none() {
         warn!("health.notify: NOTIFY_SOCKET is not set: nobody is told");
         return Ok(None);
--- a/src/bin/asterreel/net.rs
+++ b/src/bin/asterreel/net.rs
@@ -14,27 +14,30 @@
 
 /// Stack of a coroutine in machine words (128 KiB). The deepest measured used 677 of them; overflowing kills
 /// the process, and only what is touched takes memory. An odd number makes may report what was used.
-pub const STACK_WORDS: usize = 0x4000;
+pub(crate) const STACK_WORDS: usize = 0x4000;
 
 /// The same for the coroutine that decodes JSON (1 MiB): nested as deep as the decoder lets it, a line used up
 /// 128 KiB.
-pub const JSON_STACK_WORDS: usize = 0x20000;
+pub(crate) const JSON_STACK_WORDS: usize = 0x20000;
 
 /// Starts a coroutine. `go!` hides an unsafe block: a coroutine that overflows its stack or leans on a
 /// thread-local across a yield is undefined. Nothing here keeps a thread-local or a tracing span across a
 /// wait, and the stack is many times what was measured.
-pub fn spawn(work: impl FnOnce() + Send + 'static) {
+pub(crate) fn spawn(work: impl FnOnce() + Send + 'static) {
     may::go!(work);
 }
 
 /// The same with a stack of so many words.
-pub fn spawn_with_stack(words: usize, work: impl FnOnce() + Send + 'static) -> io::Result<()> {
+pub(crate) fn spawn_with_stack(
+    words: usize,
+    work: impl FnOnce() + Send + 'static,
+) -> io::Result<()> {
     may::go!(may::coroutine::Builder::new().stack_size(words), work).map(drop)
 }
 
 /// Bytes that came in and are not used up yet, and when they were read; grows as needed and is compacted in place.
 #[derive(Default)]
-pub struct Buffer {
+pub(crate) struct Buffer {
     bytes: Vec<u8>,
     start: usize,
     /// How many bytes were used up since the connection began.
@@ -59,19 +62,19 @@
 const READ_MARKS: usize = 64;
 
 impl Buffer {
-    pub fn data(&self) -> &[u8] {
+    pub(crate) fn data(&self) -> &[u8] {
         &self.bytes[self.start..]
     }
 
     /// When the last of the first `count` bytes was read; nothing where they aren't all here.
-    pub fn read_at(&self, count: usize) -> Option<Micros> {
+    pub(crate) fn read_at(&self, count: usize) -> Option<Micros> {
         let last = self.consumed + count as u64;
         // Sorted by their ends.
         let mark = self.reads.partition_point(|mark| mark.end < last);
         self.reads.get(mark).map(|mark| mark.at)
     }
 
-    pub fn consume(&mut self, count: usize) {
+    pub(crate) fn consume(&mut self, count: usize) {
         let count = count.min(self.data().len());
         self.start += count;
         self.consumed += count as u64;
@@ -87,7 +90,7 @@
     }
 
     /// Reads once, so many bytes at most.
-    pub fn read_from(
+    pub(crate) fn read_from(
         &mut self,
         now: Micros,
         mut source: impl Read,
@@ -133,14 +136,14 @@
 }
 
 /// A connection and its buffer.
-pub struct Stream {
+pub(crate) struct Stream {
     socket: TcpStream,
     pub buffer: Buffer,
     pub timer: Arc<Timer>,
 }
 
 impl Stream {
-    pub fn new(socket: TcpStream, timer: Arc<Timer>) -> Stream {
+    pub(crate) fn new(socket: TcpStream, timer: Arc<Timer>) -> Stream {
         // Small messages that wait for an answer must not wait for each other.
         let _ = socket.set_nodelay(true);
         Stream {
@@ -150,22 +153,26 @@
         }
     }
 
-    pub fn connect(address: SocketAddr, within: Micros, timer: &Arc<Timer>) -> io::Result<Stream> {
+    pub(crate) fn connect(
+        address: SocketAddr,
+        within: Micros,
+        timer: &Arc<Timer>,
+    ) -> io::Result<Stream> {
         let socket = TcpStream::connect_timeout(&address, Duration::from_micros(within.max(1)))?;
         Ok(Stream::new(socket, timer.clone()))
     }
 
-    pub fn waker(&self) -> WaitIoWaker {
+    pub(crate) fn waker(&self) -> WaitIoWaker {
         self.socket.waker()
     }
 
     /// Reads what is there, without waiting; `None` when there is nothing, `Some(0)` at the end.
-    pub fn read_now(&mut self) -> io::Result<Option<usize>> {
+    pub(crate) fn read_now(&mut self) -> io::Result<Option<usize>> {
         self.read_at_most(CHUNK)
     }
 
     /// The same, and leaves what comes after so many bytes unread.
-    pub fn read_at_most(&mut self, most: usize) -> io::Result<Option<usize>> {
+    pub(crate) fn read_at_most(&mut self, most: usize) -> io::Result<Option<usize>> {
         loop {
             match self
                 .buffer
@@ -181,7 +188,7 @@
 
     /// Whether the other side has closed or reset the connection, even where bytes that came before the end are still
     /// unread; one that can't be asked hasn't.
-    pub fn has_left(&self) -> bool {
+    pub(crate) fn has_left(&self) -> bool {
         let ends = EpollFlags::EPOLLRDHUP | EpollFlags::EPOLLHUP | EpollFlags::EPOLLERR;
         let asked = || -> nix::Result<bool> {
             let epoll = Epoll::new(EpollCreateFlags::EPOLL_CLOEXEC)?;
@@ -198,7 +205,7 @@
     /// Ends a connection so that what was written last arrives: a close over unread bytes would reset it. Says that
     /// nothing more comes, then reads and drops what the other side still sends until it closes too, up to a time and a
     /// number of bytes. Nothing that is read here is ever used.
-    pub fn part(&mut self, clock: Clock, within: Micros, most: usize) {
+    pub(crate) fn part(&mut self, clock: Clock, within: Micros, most: usize) {
         if self.socket.inner().shutdown(Shutdown::Write).is_err() {
             return;
         }
@@ -217,12 +224,16 @@
     }
 
     /// Waits until the socket is ready for something, or somebody wakes this coroutine.
-    pub fn wait(&self) {
+    pub(crate) fn wait(&self) {
         self.socket.wait_io();
     }
 
     /// Writes everything, or fails; `go_on` is asked at every wait whether to keep at it.
-    pub fn write_all(&mut self, mut bytes: &[u8], go_on: impl Fn() -> bool) -> io::Result<()> {
+    pub(crate) fn write_all(
+        &mut self,
+        mut bytes: &[u8],
+        go_on: impl Fn() -> bool,
+    ) -> io::Result<()> {
         while !bytes.is_empty() {
             match self.socket.inner().write(bytes) {
                 Ok(0) => return Err(ErrorKind::WriteZero.into()),
--- a/src/bin/asterreel/pg.rs
+++ b/src/bin/asterreel/pg.rs
@@ -6,24 +6,24 @@
 use std::ops::Range;
 
 /// The longest message that is taken in: a value of 64 KiB in hex, and room.
-pub const LONGEST: usize = 132 * 1024;
+pub(crate) const LONGEST: usize = 132 * 1024;
 
 /// The tags of all messages that a database may answer with.
-pub const ANSWERS: &[u8] = b"ACDEKNRSTZ";
+pub(crate) const ANSWERS: &[u8] = b"ACDEKNRSTZ";
 
 /// Bytes that are no message of this protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Malformed(pub &'static str);
+pub(crate) struct Malformed(pub &'static str);
 
 /// A message: its tag, and its body within the bytes it was found in.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Message {
+pub(crate) struct Message {
     pub tag: u8,
     pub body: Range<usize>,
 }
 
 /// The first message of the bytes, once it is there as a whole.
-pub fn message(bytes: &[u8]) -> Result<Option<Message>, Malformed> {
+pub(crate) fn message(bytes: &[u8]) -> Result<Option<Message>, Malformed> {
     let Some((&tag, rest)) = bytes.split_first() else {
         return Ok(None);
     };
@@ -37,7 +37,7 @@
 }
 
 /// How many bytes the first message lacks at least; one where it is malformed or lacks none.
-pub fn missing(bytes: &[u8]) -> usize {
+pub(crate) fn missing(bytes: &[u8]) -> usize {
     let whole = match bytes.split_first().map(|(_, rest)| length(rest)) {
         Some(Ok(Some(length))) => 1 + length,
         _ => 5,
@@ -57,7 +57,7 @@
 
 /// What a client opens its connection with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Opening {
+pub(crate) enum Opening {
     Start,
     /// Asks for encryption, which is answered with one byte.
     Encrypt,
@@ -67,13 +67,13 @@
 
 /// What a client must know to cancel what its session is doing: the session's number, and a secret.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Key {
+pub(crate) struct Key {
     pub session: u32,
     pub secret: u32,
 }
 
 /// The opening message and its length, once it is there as a whole.
-pub fn opening(bytes: &[u8]) -> Result<Option<(Opening, usize)>, Malformed> {
+pub(crate) fn opening(bytes: &[u8]) -> Result<Option<(Opening, usize)>, Malformed> {
     let Some(length) = length(bytes)? else {
         return Ok(None);
     };
@@ -104,7 +104,7 @@
 }
 
 /// A parameter of a startup message, by its name; nothing where it is not there or no text.
-pub fn parameter<'a>(message: &'a [u8], name: &str) -> Option<&'a str> {
+pub(crate) fn parameter<'a>(message: &'a [u8], name: &str) -> Option<&'a str> {
     let mut rest = message.get(8..)?;
     while let Some((key, after)) = text(rest).filter(|(key, _)| !key.is_empty()) {
         let (value, after) = text(after)?;
@@ -123,7 +123,7 @@
 }
 
 /// The statement of a query message.
-pub fn query(body: &[u8]) -> Result<&[u8], Malformed> {
+pub(crate) fn query(body: &[u8]) -> Result<&[u8], Malformed> {
     match text(body) {
         Some((statement, [])) => Ok(statement),
         _ => Err(Malformed("query is not one text")),
@@ -132,7 +132,7 @@
 
 /// A client's statement, with what its comment says.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Statement {
+pub(crate) struct Statement {
     bytes: Vec<u8>,
     wait: Range<usize>,
     /// What the client calls the request.
@@ -150,7 +150,7 @@
 }
 
 impl Statement {
-    pub fn parse(bytes: &[u8]) -> Result<Statement, Malformed> {
+    pub(crate) fn parse(bytes: &[u8]) -> Result<Statement, Malformed> {
         let find = |what: &[u8]| bytes.windows(2).rposition(|pair| pair == what);
         let (Some(open), Some(close)) = (find(b"/*"), find(b"*/")) else {
             return Err(Malformed("statement without a comment"));
@@ -200,12 +200,12 @@
     }
 
     /// The statement as the client sent it.
-    pub fn text(&self) -> &[u8] {
+    pub(crate) fn text(&self) -> &[u8] {
         &self.bytes
     }
 
     /// Names and values of the comment, as far as they are text.
-    pub fn comment(&self) -> Vec<(&str, &str)> {
+    pub(crate) fn comment(&self) -> Vec<(&str, &str)> {
         let text = std::str::from_utf8(&self.bytes).unwrap_or_default();
         let comment = text
             .rsplit_once("/*")
@@ -218,7 +218,7 @@
     }
 
     /// The query message that passes the statement on; only `d` is changed, to how long will be waited.
-    pub fn forward(&self, wait_ms: u64) -> Vec<u8> {
+    pub(crate) fn forward(&self, wait_ms: u64) -> Vec<u8> {
         let wait = wait_ms.to_string();
         let mut out = Vec::with_capacity(self.bytes.len() + wait.len() + 6);
         put(&mut out, b'Q', |out| {
@@ -253,12 +253,12 @@
 }
 
 /// What a gateway opens its connection to a database with.
-pub fn startup() -> Vec<u8> {
+pub(crate) fn startup() -> Vec<u8> {
     startup_to("orders")
 }
 
 /// The same, to a database of this name.
-pub fn startup_to(database: &str) -> Vec<u8> {
+pub(crate) fn startup_to(database: &str) -> Vec<u8> {
     let mut out = vec![0, 0, 0, 0, 0, 3, 0, 0];
     for word in ["user", "web", "database", database, ""] {
         put_text(&mut out, word);
@@ -269,14 +269,14 @@
 }
 
 /// A query message of a plain statement.
-pub fn simple_query(statement: &str) -> Vec<u8> {
+pub(crate) fn simple_query(statement: &str) -> Vec<u8> {
     let mut out = Vec::new();
     put(&mut out, b'Q', |out| put_text(out, statement));
     out
 }
 
 /// The answer to a client's startup message.
-pub fn welcome(out: &mut Vec<u8>, key: Key) {
+pub(crate) fn welcome(out: &mut Vec<u8>, key: Key) {
     put(out, b'R', |out| out.extend_from_slice(&[0; 4]));
     for (name, value) in [("server_version", "15.0"), ("client_encoding", "UTF8")] {
         put(out, b'S', |out| {
@@ -291,27 +291,27 @@
     ready(out);
 }
 
-pub fn ready(out: &mut Vec<u8>) {
+pub(crate) fn ready(out: &mut Vec<u8>) {
     put(out, b'Z', |out| out.push(b'I'));
 }
 
-pub fn empty_query_response(out: &mut Vec<u8>) {
+pub(crate) fn empty_query_response(out: &mut Vec<u8>) {
     put(out, b'I', |_| {});
 }
 
-pub fn command_complete(out: &mut Vec<u8>, tag: &str) {
+pub(crate) fn command_complete(out: &mut Vec<u8>, tag: &str) {
     put(out, b'C', |out| put_text(out, tag));
 }
 
 /// How serious an error is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Severity {
+pub(crate) enum Severity {
     Error,
     /// The connection ends with it.
     Fatal,
 }
 
-pub fn error(
+pub(crate) fn error(
     out: &mut Vec<u8>,
     severity: Severity,
     code: &str,
@@ -356,7 +356,7 @@
 
 /// How a database answered a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub(crate) enum Verdict {
     /// A row of one column and the end of the command.
     Row,
     /// An error with this code.
@@ -365,7 +365,7 @@
 
 /// What has come of a database's answer to one query, or to the startup message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Answer {
+pub(crate) struct Answer {
     /// RowDescription, DataRow and CommandComplete, byte for byte.
     pub rows: Vec<u8>,
     pub note: Note,
@@ -377,7 +377,7 @@
 
 impl Answer {
     /// Takes in one message, `whole` being all its bytes.
-    pub fn take(&mut self, tag: u8, whole: &[u8], body: &[u8]) -> Result<(), Malformed> {
+    pub(crate) fn take(&mut self, tag: u8, whole: &[u8], body: &[u8]) -> Result<(), Malformed> {
         if self.ready {
             return Err(Malformed("a message after the end of the answer"));
         }
@@ -425,7 +425,7 @@
     }
 
     /// The value of the row, if one came.
-    pub fn value(&self) -> Option<&[u8]> {
+    pub(crate) fn value(&self) -> Option<&[u8]> {
         let description = message(&self.rows).ok()??;
         let rest = &self.rows[description.body.end..];
         value(column(&rest[message(rest).ok()??.body])?)
@@ -457,7 +457,7 @@
 }
 
 /// What a load report tells: `x0` is the position in Unix seconds, `x1` whether it is the primary.
-pub fn report(value: &[u8]) -> Note {
+pub(crate) fn report(value: &[u8]) -> Note {
     let mut note = Note::default();
     for pair in value.split(|byte| *byte == b',') {
         let Some(equals) = pair.iter().position(|byte| *byte == b'=') else {
--- a/src/bin/asterreel/pool.rs
+++ b/src/bin/asterreel/pool.rs
@@ -12,7 +12,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 
-pub struct Pool {
+pub(crate) struct Pool {
     pub clock: Clock,
     pub timer: Arc<Timer>,
     idle: Mutex<HashMap<SocketAddr, Vec<Idle>>>,
@@ -23,7 +23,7 @@
 }
 
 /// A connection to a database that is ready for a query.
-pub struct Connection {
+pub(crate) struct Connection {
     pub stream: Stream,
     _place: Place,
 }
@@ -44,7 +44,7 @@
 
 /// Why there is no connection. In every case nothing was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NoConnection {
+pub(crate) enum NoConnection {
     /// All descriptors set aside for databases are in use, or this machine is out of something that connections need.
     NoRoom,
     /// The database holds too many.
@@ -54,7 +54,7 @@
 }
 
 impl Pool {
-    pub fn new(
+    pub(crate) fn new(
         clock: Clock,
         timer: Arc<Timer>,
         most: usize,
@@ -79,7 +79,7 @@
     }
 
     /// An idle connection that has not been closed from the other side.
-    pub fn take(&self, address: SocketAddr) -> Option<Connection> {
+    pub(crate) fn take(&self, address: SocketAddr) -> Option<Connection> {
         self.retire();
         loop {
             let idle = self.idle(|idle| idle.get_mut(&address).and_then(Vec::pop))?;
@@ -94,7 +94,7 @@
     }
 
     /// Keeps a connection for the next query.
-    pub fn keep(&self, address: SocketAddr, connection: Connection) {
+    pub(crate) fn keep(&self, address: SocketAddr, connection: Connection) {
         let since = self.clock.now();
         self.idle(|idle| {
             idle.entry(address)
@@ -105,7 +105,7 @@
     }
 
     /// Closes what has been idle for too long.
-    pub fn retire(&self) {
+    pub(crate) fn retire(&self) {
         let now = self.clock.now();
         let old = |idle: &mut Idle| now.saturating_sub(idle.since) >= self.idle_for;
         self.idle(|idle| {
@@ -131,7 +131,11 @@
     }
 
     /// Opens a connection; it must be ready by the connect timeout, and by `until`.
-    pub fn open(&self, address: SocketAddr, until: Micros) -> Result<Connection, NoConnection> {
+    pub(crate) fn open(
+        &self,
+        address: SocketAddr,
+        until: Micros,
+    ) -> Result<Connection, NoConnection> {
         let place = self.place().ok_or(NoConnection::NoRoom)?;
         let now = self.clock.now();
         let until = until.min(now + self.connect_timeout);
--- a/src/bin/asterreel/probe.rs
+++ b/src/bin/asterreel/probe.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 /// Asks a database for its report. A probe that takes longer than a connection may has failed.
-pub fn run(pool: &Pool, address: SocketAddr) -> (Outcome, Note) {
+pub(crate) fn run(pool: &Pool, address: SocketAddr) -> (Outcome, Note) {
     let stop = Stop::at(pool.clock.now() + pool.connect_timeout);
     let mut connection = match pool
         .take(address)
--- a/src/bin/asterreel/running.rs
+++ b/src/bin/asterreel/running.rs
@@ -20,7 +20,7 @@
 const DRAIN_POLL: Duration = Duration::from_millis(10);
 
 /// What signals act on.
-pub struct Running<'a> {
+pub(crate) struct Running<'a> {
     /// The platform's configuration in force.
     pub config: Config,
     /// Where the operator's file is.
@@ -39,7 +39,7 @@
 
 impl Running<'_> {
     /// Serves until a signal asks to end, and then drains.
-    pub fn run(mut self, gateway: &Gateway, signals: &mut Signals) {
+    pub(crate) fn run(mut self, gateway: &Gateway, signals: &mut Signals) {
         if self.agreed.is_some() {
             while signals
                 .pending()
--- a/src/bin/asterreel/startup.rs
+++ b/src/bin/asterreel/startup.rs
@@ -21,7 +21,7 @@
 
 /// How many descriptors clients and databases may hold, of those that the platform gives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Descriptors {
+pub(crate) struct Descriptors {
     /// Of clients.
     pub clients: usize,
     /// Of databases.
@@ -32,7 +32,7 @@
     /// Shares all of them, less those for health's fronts. Requests hold a third of all at most, and each holds one to a
     /// database as well: beside those there must be room for connections kept for the next request, and for clients that
     /// are between two.
-    pub fn share(all: usize, for_health: usize) -> Descriptors {
+    pub(crate) fn share(all: usize, for_health: usize) -> Descriptors {
         let to_share = all.saturating_sub(RESERVED + for_health);
         let databases = to_share * 3 / 8;
         Descriptors {
@@ -43,7 +43,7 @@
 }
 
 /// The decision module, and what it is fed by and acts through.
-pub struct Decisions {
+pub(crate) struct Decisions {
     /// The module, where events and actions meet.
     pub core: Arc<Core>,
     /// Connections to databases.
@@ -59,7 +59,7 @@
 /// # Errors
 ///
 /// Settings or known members that the module refuses, and threads that can't be had.
-pub fn start(
+pub(crate) fn start(
     config: &Config,
     operator: &Operator,
     databases: usize,
--- a/src/bin/asterreel/timer.rs
+++ b/src/bin/asterreel/timer.rs
@@ -10,7 +10,7 @@
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::Duration;
 
-pub struct Timer {
+pub(crate) struct Timer {
     clock: Clock,
     queue: Mutex<Queue>,
     sooner: Condvar,
@@ -24,7 +24,7 @@
 }
 
 /// An alarm that is set; dropping it takes it back.
-pub struct Alarm {
+pub(crate) struct Alarm {
     timer: Arc<Timer>,
     key: (Micros, u64),
 }
@@ -36,7 +36,7 @@
 }
 
 impl Timer {
-    pub fn new(clock: Clock) -> Arc<Timer> {
+    pub(crate) fn new(clock: Clock) -> Arc<Timer> {
         Arc::new(Timer {
             clock,
             queue: Mutex::default(),
@@ -44,7 +44,7 @@
         })
     }
 
-    pub fn now(&self) -> Micros {
+    pub(crate) fn now(&self) -> Micros {
         self.clock.now()
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// Wakes a coroutine that waits on its socket at this time.
-    pub fn alarm(self: &Arc<Self>, at: Micros, waker: WaitIoWaker) -> Alarm {
+    pub(crate) fn alarm(self: &Arc<Self>, at: Micros, waker: WaitIoWaker) -> Alarm {
         let (key, first) = self.locked(|queue| {
             queue.next += 1;
             let key = (at, queue.next);
@@ -77,13 +77,13 @@
     }
 
     /// Asks for one call of the module's wake; a later call replaces an earlier one, as its agenda expects.
-    pub fn wake_at(&self, at: Micros) {
+    pub(crate) fn wake_at(&self, at: Micros) {
         self.locked(|queue| queue.wake_at = Some(at));
         self.sooner.notify_one();
     }
 
     /// The thread's loop.
-    pub fn run(&self, wake: impl Fn()) {
+    pub(crate) fn run(&self, wake: impl Fn()) {
         let mut queue = self.queue.lock().unwrap_or_else(PoisonError::into_inner);
         loop {
             let now = self.clock.now();
--- a/src/cells/bulkhead.rs
+++ b/src/cells/bulkhead.rs
@@ -83,6 +83,10 @@
     }
 
     /// Takes what is wanted, or says what is full and when to come back. A cell that is not known has no room.
+    ///
+    /// # Errors
+    ///
+    /// What is full, and when to come back, microseconds.
     pub fn take(&mut self, cell: CellId, want: Want) -> Result<(), (Full, Micros)> {
         let Some((bounds, held)) = self.cells.get_mut(usize::from(cell.0)) else {
             return Err((Full::Requests, COME_BACK_MOST));
--- a/src/cells/gate.rs
+++ b/src/cells/gate.rs
@@ -140,6 +140,10 @@
     }
 
     /// Takes a request, or says why not; `write` where it changes data.
+    ///
+    /// # Errors
+    ///
+    /// [`Refusal`]: who asks is not known, the cell is full or moving, or its statement is in quarantine.
     pub fn admit(
         &mut self,
         now: Micros,
--- a/src/cells/moves.rs
+++ b/src/cells/moves.rs
@@ -158,6 +158,10 @@
 
 impl Move {
     /// A new move, at the epoch that is in force.
+    ///
+    /// # Errors
+    ///
+    /// [`Refused`], where the placement does not allow the move.
     pub fn begin(
         tenant: &str,
         (from, to): (CellId, CellId),
@@ -329,6 +333,10 @@
     }
 
     /// Whether a tenant may begin to move: not while it moves.
+    ///
+    /// # Errors
+    ///
+    /// [`Refused`], while the tenant moves.
     pub fn may_begin(&self, tenant: &str) -> Result<(), Refused> {
         self.under_way.get(tenant).map_or(Ok(()), |record| {
             let text = format!(
@@ -340,6 +348,10 @@
     }
 
     /// Whether a move may be called off.
+    ///
+    /// # Errors
+    ///
+    /// [`Refused`], where it does not move, or has passed the point of no return.
     pub fn may_abort(&self, tenant: &str) -> Result<(), Refused> {
         match self.under_way.get(tenant) {
             None => Err(Refused(format!("{tenant} does not move"))),
--- a/src/cells/placement.rs
+++ b/src/cells/placement.rs
@@ -133,6 +133,10 @@
 
 impl Placement {
     /// Checks what was published.
+    ///
+    /// # Errors
+    ///
+    /// [`Fault`]: the key at fault and what is wrong with it.
     pub fn new(published: Published) -> Result<Placement, Fault> {
         let Published {
             epoch,
--- a/src/cells/record.rs
+++ b/src/cells/record.rs
@@ -46,6 +46,10 @@
 impl std::error::Error for Unusable {}
 
 /// The bytes of a placement: a head line with version, length and checksum, then JSON.
+///
+/// # Errors
+///
+/// The placement cannot be written as JSON.
 pub fn encode(published: &Published) -> Result<Vec<u8>, serde_json::Error> {
     let body = serde_json::to_vec(published)?;
     let head = format!(
@@ -57,6 +61,10 @@
 }
 
 /// Reads a placement that is to follow one of epoch `held`; a newer or equal one is taken.
+///
+/// # Errors
+///
+/// [`Unusable`], where the bytes are damaged, or older than what is held.
 pub fn decode(bytes: &[u8], held: Epoch) -> Result<Placement, Unusable> {
     let end = bytes
         .iter()
--- a/src/cells/who.rs
+++ b/src/cells/who.rs
@@ -43,6 +43,10 @@
 
 impl Who {
     /// Asks these, in order; a fault names the key.
+    ///
+    /// # Errors
+    ///
+    /// The key at fault and what is wrong with its value.
     pub fn new(sources: Vec<Source>) -> Result<Who, (String, String)> {
         for (place, source) in sources.iter().enumerate() {
             let key = |part: &str| format!("who[{place}]{part}");
--- a/src/config.rs
+++ b/src/config.rs
@@ -92,16 +92,28 @@
 
 impl Config {
     /// Reads the configuration that the environment names.
+    ///
+    /// # Errors
+    ///
+    /// [`BadConfig`] names the key at fault.
     pub fn from_env() -> Result<Config, BadConfig> {
         Config::parse(&text_from_env()?, variable)
     }
 
     /// Reads the file again; this configuration stands if that fails.
+    ///
+    /// # Errors
+    ///
+    /// [`BadConfig`] names the key at fault.
     pub fn again_from_env(&self) -> Result<Config, BadConfig> {
         self.again(&text_from_env()?, variable)
     }
 
     /// Checks the text of a configuration; `variable` looks up the environment.
+    ///
+    /// # Errors
+    ///
+    /// [`BadConfig`] names the key at fault.
     pub fn parse(
         text: &[u8],
         variable: impl Fn(&str) -> Option<String>,
@@ -110,6 +122,10 @@
     }
 
     /// Checks a text that is to take the place of this configuration.
+    ///
+    /// # Errors
+    ///
+    /// [`BadConfig`] names the key at fault.
     pub fn again(
         &self,
         text: &[u8],
--- a/src/health/drain.rs
+++ b/src/health/drain.rs
@@ -100,6 +100,10 @@
 
 impl Drain {
     /// Computes the timetable, or says which keys can't be kept together.
+    ///
+    /// # Errors
+    ///
+    /// The key at fault, and which others it can't be kept with.
     pub fn timetable(
         &self,
         balancer: &Balancer,
--- a/src/health/grpc.rs
+++ b/src/health/grpc.rs
@@ -59,6 +59,10 @@
 }
 
 /// The request in a frame: nothing while it is not whole, an error when it never will be.
+///
+/// # Errors
+///
+/// What is wrong with the frame.
 pub fn request(bytes: &[u8]) -> Result<Option<Request>, &'static str> {
     let Some((head, rest)) = bytes.split_first_chunk::<5>() else {
         return Ok(None);
--- a/src/health/http.rs
+++ b/src/health/http.rs
@@ -30,6 +30,10 @@
 }
 
 /// The first request of the bytes, once its head is there as a whole.
+///
+/// # Errors
+///
+/// [`Refused`], with the status to answer with.
 pub fn request(bytes: &[u8]) -> Result<Option<Request>, Refused> {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
--- a/src/health/knobs.rs
+++ b/src/health/knobs.rs
@@ -55,6 +55,10 @@
 
 impl Knobs {
     /// Whether the values make sense, each and together; a fault names the key.
+    ///
+    /// # Errors
+    ///
+    /// The key at fault and what is wrong with its value.
     pub fn check(&self) -> Result<(), Fault> {
         within("floor", u64::from(self.floor), 1, 50)?;
         within("rise_step", u64::from(self.rise_step), 1, 100)?;
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -112,6 +112,10 @@
 
 impl Evaluated {
     /// Checks what the file sets beside the gateway's configuration; the drain's timetable where health is on.
+    ///
+    /// # Errors
+    ///
+    /// [`BadFile`] names the file, the place and the key at fault.
     pub fn beside(&self, config: &Config) -> Result<Option<Timetable>, BadFile> {
         if let Some(lease) = &self.operator.lease {
             lease.beside(config.listen).map_err(|(key, fault)| {
@@ -128,6 +132,10 @@
     }
 
     /// What the file sets for a control member that serves no clients; a file that makes it none is a fault.
+    ///
+    /// # Errors
+    ///
+    /// [`BadFile`] names the file, the place and the key at fault.
     pub fn member(&self) -> Result<&Lease, BadFile> {
         let Some(lease) = &self.operator.lease else {
             let fault = "is not called: there is no control plane to be a member of";
@@ -172,11 +180,19 @@
 }
 
 /// The evaluator that stands beside this program.
+///
+/// # Errors
+///
+/// The path of this program is not known.
 pub fn evaluator() -> std::io::Result<PathBuf> {
     Ok(std::env::current_exe()?.with_file_name("asterreel-operator"))
 }
 
 /// Has a file evaluated by that program, within this time.
+///
+/// # Errors
+///
+/// [`BadFile`]: the evaluator could not be run, ran too long, or found the file at fault.
 pub fn evaluate(evaluator: &Path, path: &Path, within: Duration) -> Result<Evaluated, BadFile> {
     let file = path.display().to_string();
     let bad = |fault: String| BadFile {
--- a/src/operator/settings.rs
+++ b/src/operator/settings.rs
@@ -74,6 +74,10 @@
 
 impl Cells {
     /// Checks it, and puts it in the words of [`crate::cells`].
+    ///
+    /// # Errors
+    ///
+    /// The key at fault and what is wrong with its value.
     pub fn rules(&self) -> Result<Rules, (String, String)> {
         let owned = |(key, fault): (&str, String)| (key.to_owned(), fault);
         if self.who.is_empty() {
@@ -207,6 +211,10 @@
     }
 
     /// What can be said without the gateway's own configuration.
+    ///
+    /// # Errors
+    ///
+    /// The key at fault and what is wrong with its value.
     pub fn check(&self) -> Result<(), (String, String)> {
         let mut seen: Vec<(&str, SocketAddr)> = Vec::new();
         for (key, address) in self.listeners() {
@@ -255,6 +263,10 @@
     }
 
     /// Checks it beside the gateway's configuration, and computes the drain's timetable.
+    ///
+    /// # Errors
+    ///
+    /// The key at fault and what is wrong with its value.
     pub fn beside(&self, config: &Config) -> Result<Timetable, (String, String)> {
         self.check()?;
         for (key, address) in self.listeners() {
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -104,6 +104,10 @@
 
 impl Router {
     /// A router that knows nothing yet; settings that contradict themselves are an error.
+    ///
+    /// # Errors
+    ///
+    /// [`BadSettings`], where the settings contradict themselves.
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Router, BadSettings> {
         let count = settings.classes.len();
         let bad = |fault: &str| Err(BadSettings(fault.into()));
--- a/src/readmission/mod.rs
+++ b/src/readmission/mod.rs
@@ -44,6 +44,10 @@
 
 impl Knobs {
     /// Whether they make sense; a fault names the key.
+    ///
+    /// # Errors
+    ///
+    /// The key at fault and what is wrong with its value.
     pub fn check(&self) -> Result<(), (&'static str, String)> {
         let within = |key, value: f64, least: f64, most: f64| match (least..=most).contains(&value)
         {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -228,6 +228,10 @@
 
 impl Item {
     /// The entry in the module's words, for a member that goes by this number here.
+    ///
+    /// # Errors
+    ///
+    /// The state of the endpoint is none that is known.
     pub fn entry(&self, member: MemberId, zones: &[String]) -> Result<Entry, String> {
         let zone = match &self.campus {
             Place::Number(number) => *number,
@@ -275,6 +279,10 @@
 
 impl Setup {
     /// The settings in the module's words; a word that is not known is an error.
+    ///
+    /// # Errors
+    ///
+    /// A word that is not known, and where it stands.
     pub fn settings(&self) -> Result<Settings, String> {
         let (setup, family) = (self, &self.family_info);
         let classes: Result<Vec<Class>, String> = setup.profiles.iter().map(class).collect();
--- a/src/state.rs
+++ b/src/state.rs
@@ -7,7 +7,7 @@
 
 /// A running mean and mean deviation.
 #[derive(Clone, Copy, Default)]
-pub struct Pace {
+pub(crate) struct Pace {
     pub mean: f64,
     pub deviation: f64,
 }
@@ -17,7 +17,7 @@
 
 impl Pace {
     /// Before anything was measured, for what is wanted within a time.
-    pub fn first_guess(aim: Micros) -> Pace {
+    pub(crate) fn first_guess(aim: Micros) -> Pace {
         Pace {
             mean: aim as f64 / 4.0,
             deviation: aim as f64 / 8.0,
@@ -25,11 +25,11 @@
     }
 
     /// A latency that few answers exceed.
-    pub fn tail(&self) -> f64 {
+    pub(crate) fn tail(&self) -> f64 {
         self.mean + TAIL_DEVIATIONS * self.deviation
     }
 
-    pub fn learn(&mut self, sample: Micros, weight: f64) {
+    pub(crate) fn learn(&mut self, sample: Micros, weight: f64) {
         let error = sample as f64 - self.mean;
         self.mean += weight * error;
         self.deviation += weight * (error.abs() - self.deviation);
@@ -38,7 +38,7 @@
 
 /// What this front knows of a member.
 #[derive(Default)]
-pub struct Member {
+pub(crate) struct Member {
     pub id: MemberId,
     pub group: GroupId,
     pub zone: ZoneId,
@@ -81,7 +81,7 @@
 }
 
 impl Member {
-    pub fn new(entry: &Entry, now: Micros) -> Member {
+    pub(crate) fn new(entry: &Entry, now: Micros) -> Member {
         Member {
             id: entry.member,
             group: entry.group,
@@ -96,7 +96,7 @@
 
 /// One primary and its replicas, and the requests that wait for them.
 #[derive(Default)]
-pub struct Group {
+pub(crate) struct Group {
     pub members: Vec<MemberId>,
     pub active: Option<MemberId>,
     /// What its members carry for this front.
@@ -112,7 +112,7 @@
 }
 
 /// A request that is not done with yet.
-pub struct Request {
+pub(crate) struct Request {
     pub arrival: Arrival,
     pub need: Need,
     pub effect: Effect,
@@ -132,7 +132,7 @@
 }
 
 /// One send of a request.
-pub struct Attempt {
+pub(crate) struct Attempt {
     pub member: MemberId,
     pub sent: Micros,
     pub out: bool,
@@ -140,7 +140,7 @@
 }
 
 impl Request {
-    pub fn new(
+    pub(crate) fn new(
         arrival: Arrival,
         need: Need,
         effect: Effect,
@@ -165,31 +165,31 @@
     }
 
     /// Whether others than the primary may serve it.
-    pub fn reads(&self) -> bool {
+    pub(crate) fn reads(&self) -> bool {
         !matches!(self.need, Need::Write | Need::Fresh)
     }
 
-    pub fn class(&self) -> usize {
+    pub(crate) fn class(&self) -> usize {
         self.arrival.class.0
     }
 
-    pub fn is_out(&self) -> bool {
+    pub(crate) fn is_out(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.out)
     }
 
-    pub fn attempt_out(&self, number: usize) -> bool {
+    pub(crate) fn attempt_out(&self, number: usize) -> bool {
         self.attempts.get(number).is_some_and(|attempt| attempt.out)
     }
 
-    pub fn tried(&self, member: MemberId) -> bool {
+    pub(crate) fn tried(&self, member: MemberId) -> bool {
         self.attempts.iter().any(|a| a.member == member)
     }
 
-    pub fn first_may_have_run(&self) -> Option<&Attempt> {
+    pub(crate) fn first_may_have_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_run)
     }
 
-    pub fn sent(&mut self, member: MemberId, sent: Micros) {
+    pub(crate) fn sent(&mut self, member: MemberId, sent: Micros) {
         self.attempts.push(Attempt {
             member,
             sent,
@@ -201,7 +201,7 @@
 
 /// Something to look at later.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Task {
+pub(crate) enum Task {
     GiveUp(RequestId),
     Serve(GroupId),
     Survey(MemberId),
@@ -211,30 +211,30 @@
 
 /// Tasks by time, and the one timer that is out for them.
 #[derive(Default)]
-pub struct Agenda {
+pub(crate) struct Agenda {
     tasks: BTreeSet<(Micros, Task)>,
     wake_at: Option<Micros>,
 }
 
 impl Agenda {
-    pub fn add(&mut self, at: Micros, task: Task) {
+    pub(crate) fn add(&mut self, at: Micros, task: Task) {
         self.tasks.insert((at, task));
     }
 
     /// Takes the next task that is due.
-    pub fn due(&mut self, now: Micros) -> Option<Task> {
+    pub(crate) fn due(&mut self, now: Micros) -> Option<Task> {
         self.tasks.first().filter(|(at, _)| *at <= now)?;
         self.tasks.pop_first().map(|(_, task)| task)
     }
 
     /// How late the timer that is out has become.
-    pub fn overdue(&self, now: Micros) -> Micros {
+    pub(crate) fn overdue(&self, now: Micros) -> Micros {
         self.wake_at.map_or(0, |wake| now.saturating_sub(wake))
     }
 
     /// The wait to ask a timer for, unless one that is early enough is out. A timer that was overtaken by an
     /// earlier one must not ask for another: they would pile up.
-    pub fn next_wake(&mut self, now: Micros) -> Option<Micros> {
+    pub(crate) fn next_wake(&mut self, now: Micros) -> Option<Micros> {
         let at = self.tasks.first().map(|(at, _)| *at)?;
         self.wake_at = self.wake_at.filter(|wake| *wake > now);
         if self.wake_at.is_some_and(|wake| wake <= at) {
@@ -247,19 +247,19 @@
 
 /// The last commit of each session, for so many sessions; the oldest forgotten one is the floor for the rest.
 #[derive(Default)]
-pub struct Commits {
+pub(crate) struct Commits {
     last: BTreeMap<SessionId, Micros>,
     order: VecDeque<(SessionId, Micros)>,
     floor: Micros,
 }
 
 impl Commits {
-    pub fn of(&self, session: Option<SessionId>) -> Micros {
+    pub(crate) fn of(&self, session: Option<SessionId>) -> Micros {
         let last = session.and_then(|session| self.last.get(&session));
         last.copied().unwrap_or(self.floor)
     }
 
-    pub fn remember(&mut self, session: SessionId, commit: Micros, room: usize) {
+    pub(crate) fn remember(&mut self, session: SessionId, commit: Micros, room: usize) {
         let last = self.last.entry(session).or_insert(0);
         *last = commit.max(*last);
         self.order.push_back((session, commit));
--- a/src/statements/mod.rs
+++ b/src/statements/mod.rs
@@ -161,6 +161,10 @@
 
 impl Catalog {
     /// Reads the content of a version.
+    ///
+    /// # Errors
+    ///
+    /// [`BadCatalog`], where the content is no catalog.
     pub fn read(bytes: &[u8]) -> Result<Catalog, BadCatalog> {
         serde_json::from_slice(bytes).map_err(|fault| BadCatalog::Unreadable(fault.to_string()))
     }
@@ -176,6 +180,10 @@
 
     /// Whether this one may follow `before`: each group's change has taken one step at most, forward or back, so that
     /// gateways on this and on `before` never find each other's statements at a member on the wrong side.
+    ///
+    /// # Errors
+    ///
+    /// [`BadCatalog`] names the group whose change has gone more than one step.
     pub fn follows(&self, before: &Catalog) -> Result<(), BadCatalog> {
         let tenants =
             self.shapes
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -4,16 +4,16 @@
 use asterreel::interface::*;
 use asterreel::policy::Router;
 
-pub const MS: Micros = 1_000;
-pub const START: Micros = 100_000_000;
-pub const GROUP: GroupId = GroupId(7);
+pub(crate) const MS: Micros = 1_000;
+pub(crate) const START: Micros = 100_000_000;
+pub(crate) const GROUP: GroupId = GroupId(7);
 /// The classes of [`settings`].
-pub const WRITE: usize = 0;
-pub const FRESH: usize = 1;
-pub const SESSION: usize = 2;
-pub const BOUNDED: usize = 3;
-pub const ANY: usize = 4;
-pub const KEYED: usize = 5;
+pub(crate) const WRITE: usize = 0;
+pub(crate) const FRESH: usize = 1;
+pub(crate) const SESSION: usize = 2;
+pub(crate) const BOUNDED: usize = 3;
+pub(crate) const ANY: usize = 4;
+pub(crate) const KEYED: usize = 5;
 
 fn class(effect: Effect, late_worth: f64) -> Class {
     Class {
@@ -26,7 +26,7 @@
     }
 }
 
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     let keyed = Effect::Keyed {
         scope: Scope::Group,
         window: 5_000 * MS,
@@ -77,7 +77,7 @@
 }
 
 /// The same, where any-reads are long beside the rest.
-pub fn reports() -> Settings {
+pub(crate) fn reports() -> Settings {
     let mut settings = settings();
     for (number, class) in settings
         .classes
@@ -90,13 +90,13 @@
     settings
 }
 
-pub struct Front {
+pub(crate) struct Front {
     pub router: Router,
     pub now: Micros,
     pub next: u64,
 }
 
-pub fn entry(member: u32, state: EntryState, started: Micros) -> Entry {
+pub(crate) fn entry(member: u32, state: EntryState, started: Micros) -> Entry {
     Entry {
         member: MemberId(member),
         group: GROUP,
@@ -109,7 +109,7 @@
     }
 }
 
-pub fn note(role: Role, position: Micros) -> Note {
+pub(crate) fn note(role: Role, position: Micros) -> Note {
     Note {
         role: Some(role),
         position: Some(position),
@@ -118,12 +118,12 @@
 
 impl Front {
     /// A front of a group with that many members, all on for long; nothing heard from them.
-    pub fn new(settings: Settings, members: u32) -> (Front, Vec<Action>) {
+    pub(crate) fn new(settings: Settings, members: u32) -> (Front, Vec<Action>) {
         Front::listing(settings, members, 1)
     }
 
     /// A front with a seed of its own, and what it does when it is given its warm copy.
-    pub fn listing(settings: Settings, members: u32, seed: u64) -> (Front, Vec<Action>) {
+    pub(crate) fn listing(settings: Settings, members: u32, seed: u64) -> (Front, Vec<Action>) {
         let seed = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15);
         let router = Router::new(settings, seed, START).expect("good settings");
         let mut front = Front {
@@ -137,12 +137,12 @@
     }
 
     /// The same front as [`Front::new`], with a seed of its own.
-    pub fn seeded(settings: Settings, members: u32, seed: u64) -> Front {
+    pub(crate) fn seeded(settings: Settings, members: u32, seed: u64) -> Front {
         Front::listing(settings, members, seed).0
     }
 
     /// The same, after a good probe of each: member 0 is the primary, the others are in sync.
-    pub fn ready(settings: Settings, members: u32) -> Front {
+    pub(crate) fn ready(settings: Settings, members: u32) -> Front {
         let (mut front, _) = Front::new(settings, members);
         for m in 0..members {
             front.tell(m, if m == 0 { Role::Primary } else { Role::Replica });
@@ -150,36 +150,36 @@
         front
     }
 
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
+    pub(crate) fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.router.handle(self.now, event, &mut actions);
         actions
     }
 
     /// A good probe that reports a role and the present as position.
-    pub fn tell(&mut self, m: u32, role: Role) -> Vec<Action> {
+    pub(crate) fn tell(&mut self, m: u32, role: Role) -> Vec<Action> {
         self.tell_behind(m, role, 0)
     }
 
     /// A good probe that reports a role and a position so far behind the present.
-    pub fn tell_behind(&mut self, m: u32, role: Role, lag: Micros) -> Vec<Action> {
+    pub(crate) fn tell_behind(&mut self, m: u32, role: Role, lag: Micros) -> Vec<Action> {
         let report = note(role, self.now - lag);
         self.event(Event::Probed(MemberId(m), Outcome::Served, report))
     }
 
     /// A probe that is not answered.
-    pub fn probe_fails(&mut self, m: u32) -> Vec<Action> {
+    pub(crate) fn probe_fails(&mut self, m: u32) -> Vec<Action> {
         let none = Note::default();
         self.event(Event::Probed(MemberId(m), Outcome::TimedOut, none))
     }
 
     /// Word from the list on one member.
-    pub fn change(&mut self, m: u32, state: EntryState, started: Micros) -> Vec<Action> {
+    pub(crate) fn change(&mut self, m: u32, state: EntryState, started: Micros) -> Vec<Action> {
         let entries = [entry(m, state, started)].into();
         self.event(Event::Listed(ListKind::Changes, entries))
     }
 
-    pub fn pass(&mut self, span: Micros) -> Vec<Action> {
+    pub(crate) fn pass(&mut self, span: Micros) -> Vec<Action> {
         let mut actions = Vec::new();
         let end = self.now + span;
         while self.now < end {
@@ -189,11 +189,11 @@
         actions
     }
 
-    pub fn arrive(&mut self, class: usize) -> (RequestId, Vec<Action>) {
+    pub(crate) fn arrive(&mut self, class: usize) -> (RequestId, Vec<Action>) {
         self.arrive_with(class, None, None)
     }
 
-    pub fn arrive_with(
+    pub(crate) fn arrive_with(
         &mut self,
         class: usize,
         session: Option<u64>,
@@ -214,7 +214,7 @@
         (request, actions)
     }
 
-    pub fn ends(
+    pub(crate) fn ends(
         &mut self,
         request: RequestId,
         attempt: u32,
@@ -231,7 +231,7 @@
     }
 
     /// A first attempt that got no answer in time, and ended its request.
-    pub fn times_out(&mut self, request: RequestId, latency: Micros) -> Vec<Action> {
+    pub(crate) fn times_out(&mut self, request: RequestId, latency: Micros) -> Vec<Action> {
         let late = ended(request, 0, Outcome::TimedOut, latency, Note::default());
         self.event(Event::Ended(Ended {
             standing: Standing::Finished,
@@ -241,7 +241,7 @@
 }
 
 /// How an attempt ended; being served finishes its request.
-pub fn ended(
+pub(crate) fn ended(
     request: RequestId,
     attempt: u32,
     outcome: Outcome,
@@ -263,7 +263,7 @@
     }
 }
 
-pub fn sends(actions: &[Action]) -> Vec<(RequestId, u32)> {
+pub(crate) fn sends(actions: &[Action]) -> Vec<(RequestId, u32)> {
     let send = |action: &Action| match action {
         Action::Send(request, member, _) => Some((*request, member.0)),
         _ => None,
@@ -271,12 +271,12 @@
     actions.iter().filter_map(send).collect()
 }
 
-pub fn refused(actions: &[Action], request: RequestId) -> bool {
+pub(crate) fn refused(actions: &[Action], request: RequestId) -> bool {
     actions
         .iter()
         .any(|a| matches!(a, Action::Refuse(id, _) if *id == request))
 }
 
-pub fn failed(actions: &[Action], request: RequestId) -> bool {
+pub(crate) fn failed(actions: &[Action], request: RequestId) -> bool {
     actions.contains(&Action::Fail(request))
 }
--- a/tests/fleets/mod.rs
+++ b/tests/fleets/mod.rs
@@ -6,19 +6,19 @@
 use std::time::Duration;
 
 /// The gateway's program.
-pub fn program() -> PathBuf {
+pub(crate) fn program() -> PathBuf {
     env!("CARGO_BIN_EXE_asterreel").into()
 }
 
 /// One fleet at a time: tests of one file run at once, and each fleet is several processes whose rights may last little more
 /// than a second.
-pub fn alone() -> MutexGuard<'static, ()> {
+pub(crate) fn alone() -> MutexGuard<'static, ()> {
     static FLEET: Mutex<()> = Mutex::new(());
     FLEET.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// Waits until each gateway acts on a version that is newer than all before, and prints what was logged where none does.
-pub fn agree(cluster: &mut Cluster, within: Duration) {
+pub(crate) fn agree(cluster: &mut Cluster, within: Duration) {
     let took = cluster.agree(within).expect("played");
     if took.is_none() {
         cluster
@@ -35,7 +35,7 @@
 }
 
 /// What must never be was not.
-pub fn no_violation(cluster: &Cluster) {
+pub(crate) fn no_violation(cluster: &Cluster) {
     assert_eq!(
         history::violations(&cluster.history()),
         Vec::<String>::new()
--- a/tests/golden/mod.rs
+++ b/tests/golden/mod.rs
@@ -8,7 +8,7 @@
 
 /// Compares what was seen with the record of this name; what differs is left in the build's temporary folder.
 #[track_caller]
-pub fn assert_matches(name: &str, seen: &str) {
+pub(crate) fn assert_matches(name: &str, seen: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
         .join(name);
@@ -32,6 +32,6 @@
 }
 
 /// Bytes as text: what is not printable is escaped.
-pub fn escaped(bytes: &[u8]) -> String {
+pub(crate) fn escaped(bytes: &[u8]) -> String {
     bytes.escape_ascii().to_string()
 }
--- a/tests/golden_answers.rs
+++ b/tests/golden_answers.rs
@@ -50,8 +50,11 @@
 const READ: &str = "SELECT payload FROM entries WHERE ref = 'k'";
 const WRITE: &str = "INSERT INTO entries VALUES ('k') RETURNING payload";
 
-/// What a client gets for what it sends, where nothing else is needed.
-fn plain_cases() -> Vec<(&'static str, bool, Vec<u8>, usize)> {
+/// What a client sends, whether after its startup, and how many answers come.
+type Case = (&'static str, bool, Vec<u8>, usize);
+
+/// Openings and messages other than requests.
+fn message_cases() -> Vec<Case> {
     let ssl = [0, 0, 0, 8, 4, 210, 22, 47];
     let long = [&b"Q"[..], &200_000_u32.to_be_bytes()].concat();
     vec![
@@ -88,6 +91,12 @@
             toy::message(b'Q', b"SELECT 1"),
             1,
         ),
+    ]
+}
+
+/// Requests, where nothing but their statement is needed.
+fn request_cases() -> Vec<Case> {
+    vec![
         ("no comment", true, query(b"SELECT 1"), 1),
         (
             "comment without id",
@@ -172,7 +181,7 @@
     let nowhere = listen().local_addr().expect("bound");
     let (gateway, log) = staged([primary.address, replica.address], nowhere, |config| config);
     let mut seen = String::new();
-    for (name, greeted, bytes, answers) in plain_cases() {
+    for (name, greeted, bytes, answers) in message_cases().into_iter().chain(request_cases()) {
         writeln!(
             seen,
             "{name}: {}",
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -479,6 +479,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "to be split: one long script of a machine"
+)]
 fn the_observer_sees_the_primary_the_mix_and_what_fared_badly_and_forgets_what_ended() {
     let settings = settings();
     let mut observer = Observer::new(&settings);
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -70,6 +70,10 @@
     held_at_end: bool,
 }
 
+#[expect(
+    clippy::too_many_lines,
+    reason = "to be split: one simulation step after another"
+)]
 fn play(run: Run) -> Seen {
     let mut rng = fastrand::Rng::with_seed(run.seed);
     let mut gateways: Vec<Gateway> = (0..GATEWAYS as u32)
--- a/tests/process/mod.rs
+++ b/tests/process/mod.rs
@@ -12,11 +12,11 @@
 use std::time::{Duration, Instant};
 
 /// How long anything is waited for: far longer than it takes on a slow machine.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
 
-pub const EXAMPLE: &str = include_str!("../../examples/config.json");
+pub(crate) const EXAMPLE: &str = include_str!("../../examples/config.json");
 
-pub struct Gateway {
+pub(crate) struct Gateway {
     pub process: Child,
     pub address: SocketAddr,
     /// The statements that the databases got.
@@ -27,7 +27,7 @@
 }
 
 impl Gateway {
-    pub fn signal(&self, name: &str) {
+    pub(crate) fn signal(&self, name: &str) {
         let told = Command::new("kill")
             .arg(name)
             .arg(self.process.id().to_string())
@@ -36,13 +36,13 @@
     }
 
     /// Replaces the configuration file and says so.
-    pub fn reload(&self, config: &str) {
+    pub(crate) fn reload(&self, config: &str) {
         std::fs::write(self.file.path(), config).expect("written");
         self.signal("-HUP");
     }
 
     /// Waits for its end, and has it end well.
-    pub fn exits_well(&mut self) {
+    pub(crate) fn exits_well(&mut self) {
         assert!(bounded::exit(&mut self.process, PATIENCE)
             .expect("it ends")
             .success());
@@ -56,20 +56,20 @@
     }
 }
 
-pub fn listen() -> TcpListener {
+pub(crate) fn listen() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").expect("a free port")
 }
 
-pub fn start() -> Gateway {
+pub(crate) fn start() -> Gateway {
     start_with(1000, 1024, |_| None)
 }
 
 /// A gateway whose databases answer a statement once it is among so many that are still to be taken note of.
-pub fn start_with(unseen: usize, sockets: u32, spoil: toy::Spoil) -> Gateway {
+pub(crate) fn start_with(unseen: usize, sockets: u32, spoil: toy::Spoil) -> Gateway {
     start_logging(unseen, sockets, spoil, Stdio::null())
 }
 
-pub fn start_logging(unseen: usize, sockets: u32, spoil: toy::Spoil, log: Stdio) -> Gateway {
+pub(crate) fn start_logging(unseen: usize, sockets: u32, spoil: toy::Spoil, log: Stdio) -> Gateway {
     let (tell, seen) = sync_channel(unseen);
     // A slow machine must not run into a deadline.
     let config = EXAMPLE.replace("\"DeadlineUs\": 1200000", "\"DeadlineUs\": 20000000");
@@ -95,7 +95,12 @@
 }
 
 /// The gateway's process, reading this configuration from a file of its own.
-pub fn spawn(config: String, address: SocketAddr, seen: Receiver<Vec<u8>>, log: Stdio) -> Gateway {
+pub(crate) fn spawn(
+    config: String,
+    address: SocketAddr,
+    seen: Receiver<Vec<u8>>,
+    log: Stdio,
+) -> Gateway {
     let mut file = tempfile::NamedTempFile::new().expect("a file");
     file.write_all(config.as_bytes()).expect("written");
     let process = Command::new(env!("CARGO_BIN_EXE_asterreel"))
@@ -115,7 +120,7 @@
 }
 
 /// An address of its own for a gateway, where no other test's or client's port can be in the way.
-pub fn own_address() -> SocketAddr {
+pub(crate) fn own_address() -> SocketAddr {
     static STARTED: AtomicU8 = AtomicU8::new(0);
     let [.., high, low] = std::process::id().to_be_bytes();
     SocketAddr::from((
@@ -126,14 +131,14 @@
 
 /// A gate that statements wait at.
 #[derive(Clone)]
-pub struct Gate(Arc<(Mutex<bool>, Condvar)>);
+pub(crate) struct Gate(Arc<(Mutex<bool>, Condvar)>);
 
 impl Gate {
-    pub fn new(open: bool) -> Gate {
+    pub(crate) fn new(open: bool) -> Gate {
         Gate(Arc::new((Mutex::new(open), Condvar::new())))
     }
 
-    pub fn set(&self, open: bool) {
+    pub(crate) fn set(&self, open: bool) {
         *self.0 .0.lock().expect("not poisoned") = open;
         self.0 .1.notify_all();
     }
@@ -151,7 +156,7 @@
 
 /// A database whose role, time and answers a test decides.
 #[derive(Clone)]
-pub struct Database {
+pub(crate) struct Database {
     pub address: SocketAddr,
     pub primary: Arc<AtomicBool>,
     pub gate: Gate,
@@ -161,7 +166,7 @@
 
 impl Database {
     /// Serves; tells each statement, but for reports, before it waits at the gate.
-    pub fn start(
+    pub(crate) fn start(
         primary: bool,
         open: bool,
         seen: &Sender<Vec<u8>>,
@@ -211,7 +216,7 @@
 
 /// A gateway in front of these two databases, with its log, and settings changed as a test wants; discovery is where it
 /// says. A slow machine must not run into a deadline.
-pub fn staged(
+pub(crate) fn staged(
     databases: [SocketAddr; 2],
     discovery: SocketAddr,
     change: impl Fn(String) -> String,
@@ -231,14 +236,14 @@
 }
 
 /// The list in a configuration, on one line.
-pub fn list_of(config: &str) -> String {
+pub(crate) fn list_of(config: &str) -> String {
     let from = config.find("{\"revision\"").expect("a list");
     let to = config.find("]},").expect("its end") + 2;
     config[from..to].replace('\n', " ")
 }
 
 /// What a gateway logs, debug lines included.
-pub struct Log(Receiver<String>);
+pub(crate) struct Log(Receiver<String>);
 
 impl Log {
     fn of(gateway: &mut Gateway) -> Log {
@@ -253,16 +258,16 @@
     }
 
     /// Waits for a line that holds this, 20 s at most; whether it came.
-    pub fn says(&self, what: &str) -> bool {
+    pub(crate) fn says(&self, what: &str) -> bool {
         self.says_within(what, Duration::from_secs(20))
     }
 
-    pub fn says_within(&self, what: &str, within: Duration) -> bool {
+    pub(crate) fn says_within(&self, what: &str, within: Duration) -> bool {
         self.lines_up_to(what, within).is_some()
     }
 
     /// The lines that are still unread up to one that holds this, once it comes.
-    pub fn lines_up_to(&self, what: &str, within: Duration) -> Option<Vec<String>> {
+    pub(crate) fn lines_up_to(&self, what: &str, within: Duration) -> Option<Vec<String>> {
         let (until, mut lines) = (Instant::now() + within, Vec::new());
         while let Ok(line) = self
             .0
@@ -277,19 +282,19 @@
     }
 }
 
-pub struct Client(pub TcpStream);
+pub(crate) struct Client(pub TcpStream);
 
-pub fn startup() -> Vec<u8> {
+pub(crate) fn startup() -> Vec<u8> {
     let words = b"user\0web\0database\0orders\0\0";
     let length = (words.len() as u32 + 8).to_be_bytes();
     [&length[..], &[0, 3, 0, 0], words].concat()
 }
 
-pub fn query(statement: &[u8]) -> Vec<u8> {
+pub(crate) fn query(statement: &[u8]) -> Vec<u8> {
     toy::message(b'Q', &[statement, b"\0"].concat())
 }
 
-pub fn read(id: &str) -> Vec<u8> {
+pub(crate) fn read(id: &str) -> Vec<u8> {
     let comment = format!("/* id={id},c=search,d=60000,cluster=0,k=1 */");
     [
         b"SELECT payload FROM entries WHERE ref = '\xfe' ".as_slice(),
@@ -300,7 +305,7 @@
 
 impl Client {
     /// Connects as soon as the gateway listens.
-    pub fn connect(gateway: &Gateway) -> Client {
+    pub(crate) fn connect(gateway: &Gateway) -> Client {
         let mut tries = 0;
         let stream = loop {
             match TcpStream::connect(gateway.address) {
@@ -314,19 +319,19 @@
         Client(stream)
     }
 
-    pub fn ready(gateway: &Gateway) -> Client {
+    pub(crate) fn ready(gateway: &Gateway) -> Client {
         let mut client = Client::connect(gateway);
         client.send(&startup());
         client.answer();
         client
     }
 
-    pub fn send(&mut self, bytes: &[u8]) {
+    pub(crate) fn send(&mut self, bytes: &[u8]) {
         self.0.write_all(bytes).expect("sent");
     }
 
     /// The messages up to ReadyForQuery or the end of the connection: tags, and all bytes.
-    pub fn answer(&mut self) -> (String, Vec<u8>) {
+    pub(crate) fn answer(&mut self) -> (String, Vec<u8>) {
         let (mut tags, mut bytes) = (String::new(), Vec::new());
         let mut head = [0; 5];
         loop {
@@ -355,7 +360,7 @@
 
 impl Client {
     /// A client that has been welcomed, with the key that it may cancel with.
-    pub fn with_key(gateway: &Gateway) -> (Client, Vec<u8>) {
+    pub(crate) fn with_key(gateway: &Gateway) -> (Client, Vec<u8>) {
         let mut client = Client::connect(gateway);
         client.send(&startup());
         let (_, welcome) = client.answer();
@@ -367,25 +372,25 @@
     }
 
     /// How the connection ends once all that is still to come has been read: with an end, or a reset.
-    pub fn end(&mut self) -> std::io::Result<Vec<u8>> {
+    pub(crate) fn end(&mut self) -> std::io::Result<Vec<u8>> {
         let mut rest = Vec::new();
         self.0.read_to_end(&mut rest).map(|_| rest)
     }
 }
 
 /// What a client sends on a connection of its own to cancel what another is doing.
-pub fn cancel_request(key: &[u8]) -> Vec<u8> {
+pub(crate) fn cancel_request(key: &[u8]) -> Vec<u8> {
     [&16u32.to_be_bytes()[..], &80_877_102u32.to_be_bytes(), key].concat()
 }
 
 /// A write.
-pub fn write(id: &str) -> Vec<u8> {
+pub(crate) fn write(id: &str) -> Vec<u8> {
     format!("INSERT INTO entries VALUES ('k') RETURNING payload /* id={id},c=booking,d=60000,cluster=0 */")
         .into_bytes()
 }
 
 /// The code of the error in an answer.
-pub fn code(bytes: &[u8]) -> &[u8] {
+pub(crate) fn code(bytes: &[u8]) -> &[u8] {
     let at = bytes
         .windows(2)
         .position(|field| field == b"\0C")
@@ -394,7 +399,7 @@
 }
 
 /// A gateway of a fleet of so many whose list is pushed by this agent.
-pub fn pushed(agent: &TcpListener, fleet: u32) -> Gateway {
+pub(crate) fn pushed(agent: &TcpListener, fleet: u32) -> Gateway {
     let config = EXAMPLE
         .replace(
             "\"Discovery\": \"subscribe\"",
@@ -412,6 +417,6 @@
 }
 
 /// The next call that comes to an agent.
-pub fn called(agent: &TcpListener) -> Option<TcpStream> {
+pub(crate) fn called(agent: &TcpListener) -> Option<TcpStream> {
     bounded::accept(agent, PATIENCE).ok()
 }
