--- a/src/bin/asterreel/cells.rs
+++ b/src/bin/asterreel/cells.rs
@@ -3,7 +3,7 @@
 use asterreel::cells::quarantine::{Aftermath, Verdict};
 use asterreel::cells::who::Caller;
 use asterreel::cells::{record, Admitted, Epoch, Gate, Refusal};
-use asterreel::interface::{Effect, MemberId, Micros, Outcome};
+use asterreel::interface::{Idempotency, MemberId, Micros, Outcome};
 use asterreel::operator;
 use asterreel_control::clock::Clock;
 use std::io;
@@ -117,10 +117,10 @@
 
 impl Placed {
     /// Whether an attempt may go out.
-    pub(crate) fn attempt(&self, effect: Effect, ran: bool, victims: usize) -> Verdict {
+    pub(crate) fn attempt(&self, idempotency: Idempotency, ran: bool, victims: usize) -> Verdict {
         let now = self.cells.clock.now();
         self.cells
-            .gate(|gate| gate.attempt(now, &self.admitted, effect, ran, victims))
+            .gate(|gate| gate.attempt(now, &self.admitted, idempotency, ran, victims))
     }
 
     /// An attempt has ended. Only a connection that broke under it speaks of a death; silence may be load.
--- a/src/bin/asterreel/client/gateway.rs
+++ b/src/bin/asterreel/client/gateway.rs
@@ -6,7 +6,7 @@
 use crate::pg;
 use crate::pool::Pool;
 use asterreel::health::Room;
-use asterreel::interface::{ClassId, Effect, Micros, Need, Settings};
+use asterreel::interface::{ClassId, Idempotency, Micros, Need, Settings};
 use asterreel::readmission::{Answer, Readmission};
 use asterreel::settings::Setup;
 use may::io::WaitIoWaker;
@@ -20,7 +20,7 @@
 pub(super) struct Class {
     name: String,
     pub need: Need,
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// The longest that a request of it is waited for.
     pub deadline: Micros,
 }
@@ -69,7 +69,7 @@
         let classes = classes.map(|((profile, need), class)| Class {
             name: profile.name.clone(),
             need: *need,
-            effect: class.effect,
+            idempotency: class.idempotency,
             deadline: class.deadline,
         });
         Gateway {
--- a/src/bin/asterreel/client/request.rs
+++ b/src/bin/asterreel/client/request.rs
@@ -66,7 +66,7 @@
 /// What a request that is taken in holds until it is over.
 struct Admitted {
     class: ClassId,
-    effect: Effect,
+    idempotency: Idempotency,
     need: Need,
     /// When its client has waited long enough.
     due: Micros,
@@ -138,7 +138,11 @@
     /// Whether its cell lets an attempt go out, or what is to be said instead.
     fn quarantine(&self) -> Result<(), Denial> {
         let shut = |placed: &Placed| {
-            placed.attempt(self.admitted.effect, self.may_have_run, self.victims.len())
+            placed.attempt(
+                self.admitted.idempotency,
+                self.may_have_run,
+                self.victims.len(),
+            )
         };
         let text = "this statement is quarantined";
         match self.admitted.placed.as_ref().map_or(Verdict::Go, shut) {
@@ -259,7 +263,7 @@
         let placed = self.placed(statement, class.need)?;
         Ok(Admitted {
             class: number,
-            effect: class.effect,
+            idempotency: class.idempotency,
             need: class.need,
             due,
             placed,
--- a/src/cells/gate.rs
+++ b/src/cells/gate.rs
@@ -6,7 +6,7 @@
 use super::quarantine::{fingerprint, Aftermath, Fingerprint, Knobs, Quarantine, Verdict};
 use super::who::{Caller, Who};
 use super::{stable_hash, CellId, Epoch};
-use crate::interface::{Effect, GroupId, MemberId, Micros};
+use crate::interface::{GroupId, Idempotency, MemberId, Micros};
 
 /// A come-back time for what a move or a placement that is too old holds up. Ours: a move is meant to take a second.
 const MOVING: Micros = 250_000;
@@ -164,7 +164,7 @@
         let (tenant, shape) = (stable_hash(name.as_bytes()), fingerprint(name, statement));
         if self
             .quarantine
-            .admit(now, (tenant, shape), Effect::Safe, false, 0)
+            .admit(now, (tenant, shape), Idempotency::Idempotent, false, 0)
             != Verdict::Go
         {
             return Err(Refusal::Poison);
@@ -191,12 +191,17 @@
         &mut self,
         now: Micros,
         admitted: &Admitted,
-        effect: Effect,
+        idempotency: Idempotency,
         ran: bool,
         victims: usize,
     ) -> Verdict {
-        self.quarantine
-            .admit(now, (admitted.tenant, admitted.shape), effect, ran, victims)
+        self.quarantine.admit(
+            now,
+            (admitted.tenant, admitted.shape),
+            idempotency,
+            ran,
+            victims,
+        )
     }
 
     /// An attempt has ended, and its member fared so.
--- a/src/cells/gate/tests.rs
+++ b/src/cells/gate/tests.rs
@@ -104,18 +104,18 @@
     let mut gate = gate(vec![("b".into(), home(1, 1, false))]);
     let admitted = ask(&mut gate, 0, "b", false).expect("room");
     assert_eq!(
-        gate.attempt(0, &admitted, Effect::Safe, true, 2),
+        gate.attempt(0, &admitted, Idempotency::Idempotent, true, 2),
         Verdict::Refuse
     );
     for member in [MemberId(1), MemberId(2)] {
         assert_eq!(
-            gate.attempt(0, &admitted, Effect::Safe, false, 0),
+            gate.attempt(0, &admitted, Idempotency::Idempotent, false, 0),
             Verdict::Go
         );
         gate.attempted(0, &admitted, member, Aftermath::Died);
     }
     assert_eq!(
-        gate.attempt(0, &admitted, Effect::Unsafe, true, 0),
+        gate.attempt(0, &admitted, Idempotency::NonIdempotent, true, 0),
         Verdict::Fail
     );
     assert_eq!(ask(&mut gate, 0, "b", false), Err(Refusal::Poison));
--- a/src/cells/quarantine.rs
+++ b/src/cells/quarantine.rs
@@ -7,7 +7,7 @@
 //! found out.
 
 use super::stable_hash;
-use crate::interface::{Effect, MemberId, Micros};
+use crate::interface::{Idempotency, MemberId, Micros};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -109,7 +109,7 @@
         &mut self,
         now: Micros,
         (tenant, shape): (u64, Fingerprint),
-        effect: Effect,
+        idempotency: Idempotency,
         ran: bool,
         victims: usize,
     ) -> Verdict {
@@ -123,9 +123,9 @@
                 .get(&tenant)
                 .is_some_and(|suspect| suspect.until > now)
             || victims >= self.knobs.members;
-        match (shut, effect) {
+        match (shut, idempotency) {
             (false, _) => Verdict::Go,
-            (true, Effect::Safe) => Verdict::Refuse,
+            (true, Idempotency::Idempotent) => Verdict::Refuse,
             (true, _) if !ran => Verdict::Refuse,
             (true, _) => Verdict::Fail,
         }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -34,18 +34,18 @@
 
 /// What repeating a request does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Effect {
+pub enum Idempotency {
     /// Nothing: it may be repeated and refused freely.
-    Safe,
+    Idempotent,
     /// Repeats are discarded within a scope and for a time.
-    Keyed {
+    IdempotencyKey {
         /// The members that discard each other's repeats.
         scope: Scope,
         /// How long they remember, from the first send that might have run.
         window: Micros,
     },
     /// It must never run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// The members that know each other's keyed requests.
@@ -78,7 +78,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// What repeating does.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// An answer inside this time earns the full worth.
     pub aim: Micros,
     /// The aim grows by this many times the request's own work.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -533,10 +533,10 @@
         let in_turn = group.waiting[class].is_empty();
         self.retries = (self.retries + RETRY_EARNED).min(RETRY_SAVED);
         let need = self.settings.needs[class];
-        let effect = self.settings.classes[class].effect;
+        let idempotency = self.settings.classes[class].idempotency;
         let token = self.token(&arrival);
         let luck = self.rng.f64();
-        let request = Request::new(arrival, need, effect, token, self.now, luck);
+        let request = Request::new(arrival, need, idempotency, token, self.now, luck);
         let welcome = self.welcome(&request, need == Need::Fresh);
         self.requests.insert(id, request);
         match (in_turn || !welcome) && self.place(id) {
@@ -605,9 +605,9 @@
             return;
         }
         let repeatable = matches!(
-            request.effect,
-            Effect::Safe
-                | Effect::Keyed {
+            request.idempotency,
+            Idempotency::Idempotent
+                | Idempotency::IdempotencyKey {
                     scope: Scope::All,
                     ..
                 }
@@ -727,7 +727,8 @@
         let usual = self.paces[request.class()].mean;
         let left =
             request.attempts.len() < self.settings.max_attempts as usize && !request.streaming;
-        let allowed = request.effect != Effect::Unsafe || request.first_may_have_run().is_none();
+        let allowed = request.idempotency != Idempotency::NonIdempotent
+            || request.first_may_have_run().is_none();
         let can = left && allowed && self.now < self.last_start(request);
         let quick = ended.outcome == Outcome::Error && (ended.latency as f64) < usual / 4.0;
         let price = if quick || ended.outcome.proves_nothing_ran() {
@@ -934,10 +935,10 @@
             return false;
         }
         let zone = |id| self.members.get(&id).map(|member| member.zone);
-        match (request.first_may_have_run(), request.effect) {
-            (None, _) | (_, Effect::Safe) => true,
-            (_, Effect::Unsafe) => false,
-            (Some(first), Effect::Keyed { scope, window }) => {
+        match (request.first_may_have_run(), request.idempotency) {
+            (None, _) | (_, Idempotency::Idempotent) => true,
+            (_, Idempotency::NonIdempotent) => false,
+            (Some(first), Idempotency::IdempotencyKey { scope, window }) => {
                 let near = scope != Scope::Zone || Some(member.zone) == zone(first.member);
                 near && self.now < first.sent.saturating_add(window)
             }
@@ -1026,7 +1027,7 @@
         let open = self
             .members_of(group)
             .filter(|m| !request.tried(m.id) && self.may_go(request, m));
-        let first = request.effect == Effect::Safe && request.attempts.is_empty();
+        let first = request.idempotency == Idempotency::Idempotent && request.attempts.is_empty();
         let checked = self.settings.checks == Checks::TurnsAway;
         let harmless = |m: &&Member| first && (checked || self.in_sync(request, m, true));
         if let Some(trial) = open.clone().filter(harmless).find(|m| self.on_trial(m)) {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -353,13 +353,13 @@
         _ => Scope::All,
     };
     Ok(Class {
-        effect: match profile.effect.as_str() {
-            "free" => Effect::Safe,
-            "guarded" => Effect::Keyed {
+        idempotency: match profile.effect.as_str() {
+            "free" => Idempotency::Idempotent,
+            "guarded" => Idempotency::IdempotencyKey {
                 scope,
                 window: profile.dedup_window_us,
             },
-            "single_shot" => Effect::Unsafe,
+            "single_shot" => Idempotency::NonIdempotent,
             other => return Err(unknown("effect", other)),
         },
         aim: profile.slo_us,
--- a/src/state.rs
+++ b/src/state.rs
@@ -115,7 +115,7 @@
 pub(crate) struct Request {
     pub arrival: Arrival,
     pub need: Need,
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     pub received: Micros,
     /// Drawn from 0 to 1: whether it is among a share of arrivals.
     pub luck: f64,
@@ -143,7 +143,7 @@
     pub(crate) fn new(
         arrival: Arrival,
         need: Need,
-        effect: Effect,
+        idempotency: Idempotency,
         token: Micros,
         received: Micros,
         luck: f64,
@@ -151,7 +151,7 @@
         Request {
             arrival,
             need,
-            effect,
+            idempotency,
             received,
             luck,
             token,
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -5,7 +5,7 @@
 use asterreel::cells::quarantine::{fingerprint, Aftermath, Knobs, Quarantine, Verdict};
 use asterreel::cells::record::{decode, encode, Unusable};
 use asterreel::cells::{CellId, Epoch};
-use asterreel::interface::{Effect, MemberId};
+use asterreel::interface::{Idempotency, MemberId};
 
 const S: u64 = 1_000_000;
 
@@ -291,45 +291,45 @@
     let shape = fingerprint("one", b"SELECT x FROM t WHERE a = 'p' /* id=1,c=search */");
     let whose = (1, shape);
     let mut now = 100 * S;
-    let admit = |quarantine: &mut Quarantine, now, effect, ran| {
-        quarantine.admit(now, whose, effect, ran, 0)
+    let admit = |quarantine: &mut Quarantine, now, idempotency, ran| {
+        quarantine.admit(now, whose, idempotency, ran, 0)
     };
     assert_eq!(
-        admit(&mut quarantine, now, Effect::Safe, false),
+        admit(&mut quarantine, now, Idempotency::Idempotent, false),
         Verdict::Go
     );
     quarantine.ended(now, whose, MemberId(1), Aftermath::Died);
     quarantine.ended(now, whose, MemberId(1), Aftermath::Hung);
     quarantine.ended(now, whose, MemberId(2), Aftermath::Answered);
     assert_eq!(
-        admit(&mut quarantine, now, Effect::Safe, false),
+        admit(&mut quarantine, now, Idempotency::Idempotent, false),
         Verdict::Go,
         "one member only, twice"
     );
     quarantine.ended(now, whose, MemberId(2), Aftermath::Died);
     assert_eq!(
-        admit(&mut quarantine, now, Effect::Safe, true),
+        admit(&mut quarantine, now, Idempotency::Idempotent, true),
         Verdict::Refuse
     );
     assert_eq!(
-        admit(&mut quarantine, now, Effect::Unsafe, false),
+        admit(&mut quarantine, now, Idempotency::NonIdempotent, false),
         Verdict::Refuse
     );
     assert_eq!(
-        admit(&mut quarantine, now, Effect::Unsafe, true),
+        admit(&mut quarantine, now, Idempotency::NonIdempotent, true),
         Verdict::Fail
     );
     assert_eq!(quarantine.list(now), [(shape, now + 300 * S)]);
     // Another tenant's same query is another's.
     let other = (2, fingerprint("two", b"SELECT x FROM t WHERE a = 'p'"));
     assert_eq!(
-        quarantine.admit(now, other, Effect::Safe, false, 0),
+        quarantine.admit(now, other, Idempotency::Idempotent, false, 0),
         Verdict::Go
     );
     // It ages out; when it comes back, it is shut for twice as long.
     now += 301 * S;
     assert_eq!(
-        admit(&mut quarantine, now, Effect::Safe, false),
+        admit(&mut quarantine, now, Idempotency::Idempotent, false),
         Verdict::Go
     );
     quarantine.ended(now, whose, MemberId(1), Aftermath::Died);
@@ -337,7 +337,7 @@
     assert_eq!(quarantine.list(now), [(shape, now + 600 * S)]);
     assert!(quarantine.lift(shape) && !quarantine.lift(shape));
     assert_eq!(
-        admit(&mut quarantine, now, Effect::Safe, false),
+        admit(&mut quarantine, now, Idempotency::Idempotent, false),
         Verdict::Go
     );
 }
@@ -352,7 +352,7 @@
     // The request's own attempts have killed two: no third, before any fingerprint is shut.
     let whose = (1, fingerprint("one", b"a"));
     assert_eq!(
-        quarantine.admit(now, whose, Effect::Safe, true, 2),
+        quarantine.admit(now, whose, Idempotency::Idempotent, true, 2),
         Verdict::Refuse
     );
     // Four shapes, a member each: the tenant is shut.
@@ -361,7 +361,7 @@
         quarantine.ended(now, (1, shape), MemberId(member), Aftermath::Hung);
     }
     assert_eq!(
-        quarantine.admit(now, whose, Effect::Safe, false, 0),
+        quarantine.admit(now, whose, Idempotency::Idempotent, false, 0),
         Verdict::Refuse
     );
     for shape in 0..10_000u32 {
@@ -370,11 +370,11 @@
     }
     assert!(quarantine.len() <= 200, "{}", quarantine.len());
     assert_eq!(
-        quarantine.admit(now, whose, Effect::Safe, false, 0),
+        quarantine.admit(now, whose, Idempotency::Idempotent, false, 0),
         Verdict::Refuse,
         "the shut one stays"
     );
-    quarantine.admit(now + 10_000 * S, whose, Effect::Safe, false, 0);
+    quarantine.admit(now + 10_000 * S, whose, Idempotency::Idempotent, false, 0);
     assert!(quarantine.is_empty());
 }
 
@@ -624,7 +624,7 @@
         for _ in 0..100 {
             quarantine.ended(now, whose, MemberId(9), Aftermath::Answered);
         }
-        let verdict = quarantine.admit(now, whose, Effect::Safe, false, 0);
+        let verdict = quarantine.admit(now, whose, Idempotency::Idempotent, false, 0);
         // The second death of two in a row would shut it; with answers between them it is nobody's doing.
         assert_eq!(verdict, Verdict::Go, "after {death}");
     }
@@ -647,11 +647,11 @@
         quarantine.ended(now, new, MemberId(death), Aftermath::Died);
     }
     assert_eq!(
-        quarantine.admit(now, known, Effect::Safe, false, 0),
+        quarantine.admit(now, known, Idempotency::Idempotent, false, 0),
         Verdict::Go
     );
     assert_eq!(
-        quarantine.admit(now, new, Effect::Safe, false, 0),
+        quarantine.admit(now, new, Idempotency::Idempotent, false, 0),
         Verdict::Refuse
     );
     // A release that turned it into poison: deaths go on, and answers don't.
@@ -659,7 +659,7 @@
         quarantine.ended(now, known, MemberId(death), Aftermath::Died);
     }
     assert_eq!(
-        quarantine.admit(now, known, Effect::Safe, false, 0),
+        quarantine.admit(now, known, Idempotency::Idempotent, false, 0),
         Verdict::Refuse
     );
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -15,9 +15,9 @@
 pub(crate) const ANY: usize = 4;
 pub(crate) const KEYED: usize = 5;
 
-fn class(effect: Effect, late_worth: f64) -> Class {
+fn class(idempotency: Idempotency, late_worth: f64) -> Class {
     Class {
-        effect,
+        idempotency,
         aim: 400 * MS,
         aim_stretch: 0.0,
         deadline: 2_000 * MS,
@@ -27,17 +27,17 @@
 }
 
 pub(crate) fn settings() -> Settings {
-    let keyed = Effect::Keyed {
+    let keyed = Idempotency::IdempotencyKey {
         scope: Scope::Group,
         window: 5_000 * MS,
     };
     Settings {
         classes: vec![
-            class(Effect::Unsafe, 0.3),
-            class(Effect::Safe, 0.0),
-            class(Effect::Safe, 0.0),
-            class(Effect::Safe, 0.0),
-            class(Effect::Safe, 0.0),
+            class(Idempotency::NonIdempotent, 0.3),
+            class(Idempotency::Idempotent, 0.0),
+            class(Idempotency::Idempotent, 0.0),
+            class(Idempotency::Idempotent, 0.0),
+            class(Idempotency::Idempotent, 0.0),
             class(keyed, 0.5),
         ],
         needs: vec![
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -166,7 +166,7 @@
                     if !settings.parallel.granted() {
                         assert!(seen.out.is_empty(), "two attempts out");
                     }
-                    if settings.classes[seen.class].effect == Effect::Unsafe {
+                    if settings.classes[seen.class].idempotency == Idempotency::NonIdempotent {
                         assert!(!seen.may_have_run && seen.out.is_empty());
                     }
                     if let Some(told) = self.drained.get(&m) {
@@ -191,8 +191,8 @@
                     let seen = self.requests.get_mut(&id).expect("a known request");
                     assert!(!seen.done, "two final answers");
                     if matches!(action, Action::Refuse(..)) {
-                        let effect = settings.classes[seen.class].effect;
-                        let safe = effect == Effect::Safe;
+                        let idempotency = settings.classes[seen.class].idempotency;
+                        let safe = idempotency == Idempotency::Idempotent;
                         assert!(safe || (!seen.may_have_run && seen.out.is_empty()));
                     }
                     seen.done = true;
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -21,18 +21,19 @@
         prop_oneof![Just(Scope::All), Just(Scope::Zone), Just(Scope::Group)],
         500..6_000_u64,
     )
-        .prop_map(|(scope, ms)| Effect::Keyed {
+        .prop_map(|(scope, ms)| Idempotency::IdempotencyKey {
             scope,
             window: ms * MS,
         });
-    let write = prop_oneof![Just(Effect::Unsafe), keyed].prop_map(|effect| (Need::Write, effect));
+    let write = prop_oneof![Just(Idempotency::NonIdempotent), keyed]
+        .prop_map(|idempotency| (Need::Write, idempotency));
     let reads = prop_oneof![
         Just(Need::Any),
         Just(Need::Bounded),
         Just(Need::Session),
         Just(Need::Fresh)
     ];
-    let need = prop_oneof![1 => write, 3 => reads.prop_map(|need| (need, Effect::Safe))];
+    let need = prop_oneof![1 => write, 3 => reads.prop_map(|need| (need, Idempotency::Idempotent))];
     let times = (
         50..2_000_u64,
         2..6_u64,
@@ -40,22 +41,24 @@
         1.0..6.0_f64,
         50..1_500_u64,
     );
-    (need, times).prop_map(|((need, effect), (aim, times, late_worth, worth, bound))| {
-        let (aim, deadline) = (aim * MS, aim * times * MS);
-        let class = Class {
-            effect,
-            aim,
-            aim_stretch: 0.0,
-            deadline,
-            worth,
-            late_worth,
-        };
-        (
-            class,
-            need,
-            if need == Need::Bounded { bound * MS } else { 0 },
-        )
-    })
+    (need, times).prop_map(
+        |((need, idempotency), (aim, times, late_worth, worth, bound))| {
+            let (aim, deadline) = (aim * MS, aim * times * MS);
+            let class = Class {
+                idempotency,
+                aim,
+                aim_stretch: 0.0,
+                deadline,
+                worth,
+                late_worth,
+            };
+            (
+                class,
+                need,
+                if need == Need::Bounded { bound * MS } else { 0 },
+            )
+        },
+    )
 }
 
 fn permit() -> impl Strategy<Value = Permit> {
@@ -297,12 +300,12 @@
                 let Some(open) = self.open.get(&request.0) else {
                     return Ok(());
                 };
-                let effect = self.settings.classes[open.class].effect;
+                let idempotency = self.settings.classes[open.class].idempotency;
                 let may_have_run = open.attempts.iter().any(|attempt| attempt.3);
                 let harmless = matches!(
-                    effect,
-                    Effect::Safe
-                        | Effect::Keyed {
+                    idempotency,
+                    Idempotency::Idempotent
+                        | Idempotency::IdempotencyKey {
                             scope: Scope::All,
                             ..
                         }
@@ -389,12 +392,12 @@
             return Err(format!("{request} has two attempts out"));
         }
         let first = open.attempts.iter().find(|attempt| attempt.3);
-        match (first, class.effect) {
-            (None, _) | (_, Effect::Safe) => {}
-            (Some(_), Effect::Unsafe) => {
+        match (first, class.idempotency) {
+            (None, _) | (_, Idempotency::Idempotent) => {}
+            (Some(_), Idempotency::NonIdempotent) => {
                 return Err(format!("{request} may have run and is sent again"))
             }
-            (Some((earlier, sent, ..)), Effect::Keyed { scope, window }) => {
+            (Some((earlier, sent, ..)), Idempotency::IdempotencyKey { scope, window }) => {
                 let zone = self.members[earlier].zone;
                 if now >= sent + window || scope == Scope::Zone && zone != member.zone {
                     return Err(format!(
