--- a/src/bin/asterreel/client/gateway.rs
+++ b/src/bin/asterreel/client/gateway.rs
@@ -6,7 +6,7 @@
 use crate::pg;
 use crate::pool::Pool;
 use asterreel::health::Room;
-use asterreel::interface::{ClassId, Idempotency, Micros, Need, Settings};
+use asterreel::interface::{ClassId, ConsistencyLevel, Idempotency, Micros, Settings};
 use asterreel::readmission::{Answer, Readmission};
 use asterreel::settings::Setup;
 use may::io::WaitIoWaker;
@@ -19,7 +19,7 @@
 /// What a session has to know of a class of requests.
 pub(super) struct Class {
     name: String,
-    pub need: Need,
+    pub consistency: ConsistencyLevel,
     pub idempotency: Idempotency,
     /// The longest that a request of it is waited for.
     pub deadline: Micros,
@@ -64,11 +64,11 @@
         let classes = setup
             .profiles
             .iter()
-            .zip(&settings.needs)
+            .zip(&settings.consistency_levels)
             .zip(&settings.classes);
-        let classes = classes.map(|((profile, need), class)| Class {
+        let classes = classes.map(|((profile, consistency), class)| Class {
             name: profile.name.clone(),
-            need: *need,
+            consistency: *consistency,
             idempotency: class.idempotency,
             deadline: class.deadline,
         });
--- a/src/bin/asterreel/client/request.rs
+++ b/src/bin/asterreel/client/request.rs
@@ -67,7 +67,7 @@
 struct Admitted {
     class: ClassId,
     idempotency: Idempotency,
-    need: Need,
+    consistency: ConsistencyLevel,
     /// When its client has waited long enough.
     due: Micros,
     /// Its place in its cell, where cells are on.
@@ -260,11 +260,11 @@
             );
             return Err(Denial::Failed("out of time"));
         }
-        let placed = self.placed(statement, class.need)?;
+        let placed = self.placed(statement, class.consistency)?;
         Ok(Admitted {
             class: number,
             idempotency: class.idempotency,
-            need: class.need,
+            consistency: class.consistency,
             due,
             placed,
             _name: name,
@@ -272,7 +272,11 @@
     }
 
     /// Where a request's tenant lives, with a place in its cell; nothing where cells are off.
-    fn placed(&self, statement: &Statement, need: Need) -> Result<Option<Placed>, Refusal> {
+    fn placed(
+        &self,
+        statement: &Statement,
+        consistency: ConsistencyLevel,
+    ) -> Result<Option<Placed>, Refusal> {
         let Some(cells) = &self.gateway.cells else {
             return Ok(None);
         };
@@ -291,7 +295,12 @@
             comment: &comment,
         };
         let target = (statement.cluster, &statement.key[..]);
-        let placed = cells.admit(&caller, target, statement.text(), need == Need::Write)?;
+        let placed = cells.admit(
+            &caller,
+            target,
+            statement.text(),
+            consistency == ConsistencyLevel::Write,
+        )?;
         // It would wait in vain: nothing of another cell may serve it.
         if self.gateway.core.lost(placed.admitted.group) {
             return Err(Refusal::Lost(LOST));
@@ -304,19 +313,22 @@
         let now = self.gateway.core.clock.now();
         let Admitted {
             class,
-            need,
+            consistency,
             due,
             placed,
             ..
         } = admitted;
-        let in_session = matches!(need, Need::Write | Need::Session);
+        let in_session = matches!(
+            consistency,
+            ConsistencyLevel::Write | ConsistencyLevel::Session
+        );
         let after = statement.after.map(|after| after.saturating_mul(1000));
         let since_write = after
             .filter(|after| *after > 0)
             .map(|after| now.saturating_sub(after));
         // Just moved: replicas of the new home may lack what the session wrote in the old one.
-        let settling =
-            *need == Need::Session && placed.as_ref().is_some_and(|p| p.admitted.settling);
+        let settling = *consistency == ConsistencyLevel::Session
+            && placed.as_ref().is_some_and(|p| p.admitted.settling);
         Arrival {
             request: RequestId(0),
             class: *class,
--- a/src/health/observer.rs
+++ b/src/health/observer.rs
@@ -99,7 +99,7 @@
 
 /// Looks on; see the module.
 pub struct Observer {
-    classes: Vec<(Class, Need)>,
+    classes: Vec<(Class, ConsistencyLevel)>,
     probes: Permit,
     told: bool,
     members: BTreeMap<MemberId, Member>,
@@ -114,7 +114,7 @@
             .classes
             .iter()
             .cloned()
-            .zip(settings.needs.iter().copied());
+            .zip(settings.consistency_levels.iter().copied());
         Observer {
             classes: classes.collect(),
             probes: settings.probes,
@@ -222,7 +222,7 @@
     }
 
     fn arrives(&mut self, now: Micros, arrival: &Arrival) {
-        let Some((class, need)) = self.classes.get(arrival.class.0) else {
+        let Some((class, consistency)) = self.classes.get(arrival.class.0) else {
             return;
         };
         // A group that is not listed is a client's word only: nothing may be kept under it.
@@ -231,7 +231,10 @@
         };
         group.decay(now);
         group.mix += class.worth;
-        group.mix_primary += if matches!(need, Need::Write | Need::Fresh) {
+        group.mix_primary += if matches!(
+            consistency,
+            ConsistencyLevel::Write | ConsistencyLevel::Strong
+        ) {
             class.worth
         } else {
             0.0
@@ -276,11 +279,15 @@
             return;
         };
         open.over = true;
-        let (class, need) = &self.classes[open.class];
+        let (class, consistency) = &self.classes[open.class];
         if let Some(group) = self.groups.get_mut(&open.group) {
             group.held -= u32::from(!open.sent && group.held > 0);
             // What waits for a primary that is not there tells nothing of load.
-            let excused = group.primary.is_none() && matches!(need, Need::Write | Need::Fresh);
+            let excused = group.primary.is_none()
+                && matches!(
+                    consistency,
+                    ConsistencyLevel::Write | ConsistencyLevel::Strong
+                );
             match fate {
                 Fate::Served(now) => group.count(now, now.saturating_sub(open.arrived) > class.aim),
                 Fate::NotServed(now) if !excused => group.count(now, true),
@@ -319,10 +326,12 @@
         }
         // Before anything was asked for, each class counts for one request.
         let prior: f64 = self.classes.iter().map(|(class, _)| class.worth).sum();
-        let writes = self
-            .classes
-            .iter()
-            .filter(|(_, need)| matches!(need, Need::Write | Need::Fresh));
+        let writes = self.classes.iter().filter(|(_, consistency)| {
+            matches!(
+                consistency,
+                ConsistencyLevel::Write | ConsistencyLevel::Strong
+            )
+        });
         let prior_primary: f64 = writes.map(|(class, _)| class.worth).sum();
         let groups = self.groups.iter_mut().map(|(id, group)| {
             group.decay(now);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -40,7 +40,7 @@
     /// Repeats are discarded within a scope and for a time.
     IdempotencyKey {
         /// The members that discard each other's repeats.
-        scope: Scope,
+        scope: DeduplicationScope,
         /// How long they remember, from the first send that might have run.
         window: Micros,
     },
@@ -50,7 +50,7 @@
 
 /// The members that know each other's keyed requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Scope {
+pub enum DeduplicationScope {
     /// All members.
     All,
     /// Those of one zone.
@@ -59,19 +59,19 @@
     Group,
 }
 
-/// What data a request needs.
+/// The consistency level that a request asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Need {
+pub enum ConsistencyLevel {
     /// It changes data: only the primary takes it.
     Write,
     /// All that was committed before it arrived.
-    Fresh,
+    Strong,
     /// All that its session has written.
     Session,
-    /// Data no older than its class's bound when it is sent.
-    Bounded,
+    /// Data no older than the staleness bound of its class when the request is dispatched.
+    BoundedStaleness,
     /// Any data.
-    Any,
+    Eventual,
 }
 
 /// A request class.
@@ -166,10 +166,10 @@
 pub struct Settings {
     /// The request classes.
     pub classes: Vec<Class>,
-    /// What data each class needs.
-    pub needs: Vec<Need>,
-    /// The age bound of each class; it counts for [`Need::Bounded`].
-    pub bounds: Vec<Micros>,
+    /// The consistency level of each class.
+    pub consistency_levels: Vec<ConsistencyLevel>,
+    /// The age bound of each class; it counts for [`ConsistencyLevel::BoundedStaleness`].
+    pub staleness_bounds: Vec<Micros>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// The share of its worth that a request past its tenant's quota keeps.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -112,7 +112,10 @@
         let count = settings.classes.len();
         let bad = |fault: &str| Err(BadSettings(fault.into()));
         let none = settings.fleet == 0 || settings.max_attempts == 0;
-        if none || settings.needs.len() != count || settings.bounds.len() != count {
+        if none
+            || settings.consistency_levels.len() != count
+            || settings.staleness_bounds.len() != count
+        {
             return bad("no fronts, no attempts, or class arrays of unequal length");
         }
         let shares = settings.cold_share + settings.fall_multiple;
@@ -455,7 +458,8 @@
         };
         let share = group.flows[usize::from(at_active)].share;
         let relative = || self.best_read() / self.value(request.class()).max(f64::MIN_POSITIVE);
-        let all = request.need == Need::Write || share >= 1.0 || !self.thin(group);
+        let all =
+            request.consistency == ConsistencyLevel::Write || share >= 1.0 || !self.thin(group);
         all || request.luck < share.powf(relative())
     }
 
@@ -463,10 +467,10 @@
     fn best_read(&self) -> f64 {
         let reads = self
             .settings
-            .needs
+            .consistency_levels
             .iter()
             .enumerate()
-            .filter(|(_, need)| **need != Need::Write);
+            .filter(|(_, consistency)| **consistency != ConsistencyLevel::Write);
         reads
             .map(|(class, _)| self.value(class))
             .fold(f64::MIN_POSITIVE, f64::max)
@@ -532,12 +536,12 @@
         };
         let in_turn = group.waiting[class].is_empty();
         self.retries = (self.retries + RETRY_EARNED).min(RETRY_SAVED);
-        let need = self.settings.needs[class];
+        let consistency = self.settings.consistency_levels[class];
         let idempotency = self.settings.classes[class].idempotency;
         let token = self.token(&arrival);
         let luck = self.rng.f64();
-        let request = Request::new(arrival, need, idempotency, token, self.now, luck);
-        let welcome = self.welcome(&request, need == Need::Fresh);
+        let request = Request::new(arrival, consistency, idempotency, token, self.now, luck);
+        let welcome = self.welcome(&request, consistency == ConsistencyLevel::Strong);
         self.requests.insert(id, request);
         match (in_turn || !welcome) && self.place(id) {
             true => {}
@@ -579,7 +583,7 @@
     /// The latest a send may go out and still earn enough for the room it takes.
     fn last_start(&self, request: &Request) -> Micros {
         let late = self.settings.classes[request.class()].late_worth;
-        let lasting = request.need == Need::Write || late >= WORTH_LATE;
+        let lasting = request.consistency == ConsistencyLevel::Write || late >= WORTH_LATE;
         let (worth, aim) = (self.worth_end(request), self.aim_end(request));
         let usual = (self.paces[request.class()].mean / 2.0) as Micros;
         let usual = usual.max(2 * self.settings.period);
@@ -608,7 +612,7 @@
             request.idempotency,
             Idempotency::Idempotent
                 | Idempotency::IdempotencyKey {
-                    scope: Scope::All,
+                    scope: DeduplicationScope::All,
                     ..
                 }
         );
@@ -676,12 +680,18 @@
                 .now
                 .saturating_add(SERVE_EVERY << rests.min(UNSENT_DOUBLES));
         }
-        let (class, need, group) = (request.class(), request.need, request.arrival.group);
+        let (class, consistency, group) =
+            (request.class(), request.consistency, request.arrival.group);
         let session = request.arrival.session;
         self.hear(member, ended.report, sent, Source::Report);
         self.judge(member, class, &ended);
         let served = ended.outcome == Outcome::Served;
-        self.hear(member, ended.note, sent, Source::of(need, ended.outcome));
+        self.hear(
+            member,
+            ended.note,
+            sent,
+            Source::of(consistency, ended.outcome),
+        );
         let standby = self
             .groups
             .get(&group)
@@ -689,21 +699,24 @@
         if let Some(member) = self
             .members
             .get(&member)
-            .filter(|_| standby && served && need == Need::Any)
+            .filter(|_| standby && served && consistency == ConsistencyLevel::Eventual)
         {
             let far = member.lag() >= LAG_APART.max(ended.latency / 2);
             self.held_up[class] += LEARN * (f64::from(u8::from(far)) - self.held_up[class]);
         }
         let until = self.now.saturating_add(PROBE_EVERY);
-        if ended.outcome == Outcome::Miss && need != Need::Write {
+        if ended.outcome == Outcome::Miss && consistency != ConsistencyLevel::Write {
             self.members
                 .entry(member)
                 .and_modify(|member| member.missed_until = until);
         }
         let id = ended.request;
         // Where nobody asks for them, commits are not kept: a long day has a new session a moment.
-        let asked = self.settings.needs.contains(&Need::Session);
-        let session = session.filter(|_| asked && served && need == Need::Write);
+        let asked = self
+            .settings
+            .consistency_levels
+            .contains(&ConsistencyLevel::Session);
+        let session = session.filter(|_| asked && served && consistency == ConsistencyLevel::Write);
         if let (Some(session), Some(commit)) = (session, ended.note.position) {
             self.commits.remember(session, commit, SESSIONS);
         }
@@ -900,7 +913,8 @@
         let spare = self.settings.max_attempts.saturating_sub(3).max(1) as usize;
         request.waiting
             && request.attempts.len() < spare
-            && (request.need == Need::Write || self.settings.checks == Checks::TurnsAway)
+            && (request.consistency == ConsistencyLevel::Write
+                || self.settings.checks == Checks::TurnsAway)
             && self.may_go(request, member)
     }
 
@@ -939,7 +953,8 @@
             (None, _) | (_, Idempotency::Idempotent) => true,
             (_, Idempotency::NonIdempotent) => false,
             (Some(first), Idempotency::IdempotencyKey { scope, window }) => {
-                let near = scope != Scope::Zone || Some(member.zone) == zone(first.member);
+                let near =
+                    scope != DeduplicationScope::Zone || Some(member.zone) == zone(first.member);
                 near && self.now < first.sent.saturating_add(window)
             }
         }
@@ -947,14 +962,14 @@
 
     /// Whether a member is known to have applied what a read must see.
     fn in_sync(&self, request: &Request, member: &Member, stalled: bool) -> bool {
-        let needed = match request.need {
+        let needed = match request.consistency {
             _ if member.shunned_until > self.now => return false,
-            Need::Any => return true,
-            Need::Bounded => self
+            ConsistencyLevel::Eventual => return true,
+            ConsistencyLevel::BoundedStaleness => self
                 .now
-                .saturating_sub(self.settings.bounds[request.class()]),
-            Need::Session => request.token,
-            Need::Fresh | Need::Write => return false,
+                .saturating_sub(self.settings.staleness_bounds[request.class()]),
+            ConsistencyLevel::Session => request.token,
+            ConsistencyLevel::Strong | ConsistencyLevel::Write => return false,
         };
         let known = needed == 0 || member.position >= needed;
         if known || self.settings.checks == Checks::None {
@@ -976,9 +991,9 @@
         let Some((request, member)) = self.requests.get(&id).zip(self.members.get(&to)) else {
             return false;
         };
-        let bound = self.settings.bounds[request.class()].saturating_sub(WRITE_TAKES);
-        let recent = match request.need {
-            Need::Bounded if self.settings.checks == Checks::None => {
+        let bound = self.settings.staleness_bounds[request.class()].saturating_sub(WRITE_TAKES);
+        let recent = match request.consistency {
+            ConsistencyLevel::BoundedStaleness if self.settings.checks == Checks::None => {
                 let group = self.groups.get(&member.group);
                 let active = group.is_some_and(|group| group.active == Some(to));
                 active || member.position >= now.saturating_sub(bound)
@@ -1052,13 +1067,13 @@
             return spilled(in_sync.is_empty() || quick);
         }
         let proven = in_sync.iter().any(|member| member.verified);
-        let shared = request.need == Need::Any && large;
+        let shared = request.consistency == ConsistencyLevel::Eventual && large;
         in_sync.retain(|m| shared || m.verified == proven);
-        if request.need == Need::Any {
+        if request.consistency == ConsistencyLevel::Eventual {
             return self.gather(request.class(), &in_sync);
         }
         in_sync.retain(|m| self.admits(m, 1.0));
-        if in_sync.is_empty() && request.need == Need::Bounded {
+        if in_sync.is_empty() && request.consistency == ConsistencyLevel::BoundedStaleness {
             return spilled(quick);
         }
         self.less_busy_of_two(&in_sync)
@@ -1068,12 +1083,13 @@
     /// next read comes would send all of them to the active member. Harm: a read waits a round trip.
     fn asks(&self, request: &Request) -> Option<MemberId> {
         let group = self.groups.get(&request.arrival.group)?;
-        let unchecked = request.need == Need::Bounded && self.settings.checks == Checks::None;
+        let unchecked = request.consistency == ConsistencyLevel::BoundedStaleness
+            && self.settings.checks == Checks::None;
         let patient = self.now < request.received.saturating_add(ASK_PATIENCE);
         if !unchecked || !patient || !self.settings.probes.granted() {
             return None;
         }
-        let stale = self.settings.bounds[request.class()] / 2;
+        let stale = self.settings.staleness_bounds[request.class()] / 2;
         let open = self
             .standbys(group)
             .filter(|m| self.may_go(request, m) && m.shunned_until <= self.now);
--- a/src/roles.rs
+++ b/src/roles.rs
@@ -3,7 +3,7 @@
 //! Decides from what a member has shown of itself and when each word was asked for. It neither marks a member nor sends
 //! anything: [`crate::policy`] does.
 
-use crate::interface::{Micros, Need, Outcome, Role};
+use crate::interface::{ConsistencyLevel, Micros, Outcome, Role};
 
 /// How long a member that turned a write away, or noted in an answer that it is a replica, is not taken for the primary on
 /// a word that may be older. One that drains hands over within a second, and a write may ask it again before; load reports
@@ -25,10 +25,10 @@
 
 impl Source {
     /// That of an attempt's note.
-    pub fn of(need: Need, outcome: Outcome) -> Source {
-        match (need, outcome) {
-            (Need::Write, Outcome::Served) => Source::ServedWrite,
-            (Need::Write, Outcome::Miss) => Source::MissedWrite,
+    pub fn of(consistency: ConsistencyLevel, outcome: Outcome) -> Source {
+        match (consistency, outcome) {
+            (ConsistencyLevel::Write, Outcome::Served) => Source::ServedWrite,
+            (ConsistencyLevel::Write, Outcome::Miss) => Source::MissedWrite,
             _ => Source::Answer,
         }
     }
--- a/src/roles/tests.rs
+++ b/src/roles/tests.rs
@@ -74,10 +74,19 @@
 #[test]
 fn the_source_of_a_note_is_told_by_what_was_asked_and_how_it_ended() {
     assert_eq!(
-        Source::of(Need::Write, Outcome::Served),
+        Source::of(ConsistencyLevel::Write, Outcome::Served),
         Source::ServedWrite
     );
-    assert_eq!(Source::of(Need::Write, Outcome::Miss), Source::MissedWrite);
-    assert_eq!(Source::of(Need::Write, Outcome::Error), Source::Answer);
-    assert_eq!(Source::of(Need::Bounded, Outcome::Miss), Source::Answer);
+    assert_eq!(
+        Source::of(ConsistencyLevel::Write, Outcome::Miss),
+        Source::MissedWrite
+    );
+    assert_eq!(
+        Source::of(ConsistencyLevel::Write, Outcome::Error),
+        Source::Answer
+    );
+    assert_eq!(
+        Source::of(ConsistencyLevel::BoundedStaleness, Outcome::Miss),
+        Source::Answer
+    );
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -286,11 +286,15 @@
     pub fn settings(&self) -> Result<Settings, String> {
         let (setup, family) = (self, &self.family_info);
         let classes: Result<Vec<Class>, String> = setup.profiles.iter().map(class).collect();
-        let needs: Result<Vec<Need>, String> = family.consistency.iter().map(|n| need(n)).collect();
+        let consistency_levels: Result<Vec<ConsistencyLevel>, String> = family
+            .consistency
+            .iter()
+            .map(|word| consistency_level(word))
+            .collect();
         Ok(Settings {
             classes: classes?,
-            needs: needs?,
-            bounds: family.staleness_bound_us.clone(),
+            consistency_levels: consistency_levels?,
+            staleness_bounds: family.staleness_bound_us.clone(),
             tenants: setup
                 .customers
                 .iter()
@@ -348,9 +352,9 @@
 
 fn class(profile: &Profile) -> Result<Class, String> {
     let scope = match profile.group.as_str() {
-        "zone" => Scope::Zone,
-        "cell" => Scope::Group,
-        _ => Scope::All,
+        "zone" => DeduplicationScope::Zone,
+        "cell" => DeduplicationScope::Group,
+        _ => DeduplicationScope::All,
     };
     Ok(Class {
         idempotency: match profile.effect.as_str() {
@@ -370,13 +374,13 @@
     })
 }
 
-fn need(word: &str) -> Result<Need, String> {
+fn consistency_level(word: &str) -> Result<ConsistencyLevel, String> {
     Ok(match word {
-        "mutate" => Need::Write,
-        "strong" => Need::Fresh,
-        "causal" => Need::Session,
-        "lag_bound" => Need::Bounded,
-        "eventual" => Need::Any,
+        "mutate" => ConsistencyLevel::Write,
+        "strong" => ConsistencyLevel::Strong,
+        "causal" => ConsistencyLevel::Session,
+        "lag_bound" => ConsistencyLevel::BoundedStaleness,
+        "eventual" => ConsistencyLevel::Eventual,
         other => return Err(unknown("consistency", other)),
     })
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -114,7 +114,7 @@
 /// A request that is not done with yet.
 pub(crate) struct Request {
     pub arrival: Arrival,
-    pub need: Need,
+    pub consistency: ConsistencyLevel,
     pub idempotency: Idempotency,
     pub received: Micros,
     /// Drawn from 0 to 1: whether it is among a share of arrivals.
@@ -142,7 +142,7 @@
 impl Request {
     pub(crate) fn new(
         arrival: Arrival,
-        need: Need,
+        consistency: ConsistencyLevel,
         idempotency: Idempotency,
         token: Micros,
         received: Micros,
@@ -150,7 +150,7 @@
     ) -> Request {
         Request {
             arrival,
-            need,
+            consistency,
             idempotency,
             received,
             luck,
@@ -166,7 +166,10 @@
 
     /// Whether others than the primary may serve it.
     pub(crate) fn reads(&self) -> bool {
-        !matches!(self.need, Need::Write | Need::Fresh)
+        !matches!(
+            self.consistency,
+            ConsistencyLevel::Write | ConsistencyLevel::Strong
+        )
     }
 
     pub(crate) fn class(&self) -> usize {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -28,7 +28,7 @@
 
 pub(crate) fn settings() -> Settings {
     let keyed = Idempotency::IdempotencyKey {
-        scope: Scope::Group,
+        scope: DeduplicationScope::Group,
         window: 5_000 * MS,
     };
     Settings {
@@ -40,15 +40,15 @@
             class(Idempotency::Idempotent, 0.0),
             class(keyed, 0.5),
         ],
-        needs: vec![
-            Need::Write,
-            Need::Fresh,
-            Need::Session,
-            Need::Bounded,
-            Need::Any,
-            Need::Write,
+        consistency_levels: vec![
+            ConsistencyLevel::Write,
+            ConsistencyLevel::Strong,
+            ConsistencyLevel::Session,
+            ConsistencyLevel::BoundedStaleness,
+            ConsistencyLevel::Eventual,
+            ConsistencyLevel::Write,
         ],
-        bounds: vec![0, 0, 0, 300 * MS, 0, 0],
+        staleness_bounds: vec![0, 0, 0, 300 * MS, 0, 0],
         tenants: Vec::new(),
         over_share_worth: 0.1,
         fleet: 2,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -115,7 +115,7 @@
 #[test]
 fn settings_that_contradict_themselves_are_an_error() {
     let mut settings = settings();
-    settings.bounds.pop();
+    settings.staleness_bounds.pop();
     assert!(asterreel::policy::Router::new(settings, 1, 0).is_err());
 }
 
@@ -174,11 +174,11 @@
                     }
                     if settings.checks == Checks::None && !self.been_primary.contains(&m) {
                         let position = self.position.get(&m).copied().unwrap_or(0);
-                        match settings.needs[seen.class] {
-                            Need::Bounded => {
-                                assert!(position + settings.bounds[seen.class] >= now);
+                        match settings.consistency_levels[seen.class] {
+                            ConsistencyLevel::BoundedStaleness => {
+                                assert!(position + settings.staleness_bounds[seen.class] >= now);
                             }
-                            Need::Fresh => panic!("a fresh read at a replica"),
+                            ConsistencyLevel::Strong => panic!("a fresh read at a replica"),
                             _ => {}
                         }
                     }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -16,9 +16,13 @@
 const START: Micros = 1_000 * SECOND;
 const SPAN: Micros = 12 * SECOND;
 
-fn class() -> impl Strategy<Value = (Class, Need, Micros)> {
+fn class() -> impl Strategy<Value = (Class, ConsistencyLevel, Micros)> {
     let keyed = (
-        prop_oneof![Just(Scope::All), Just(Scope::Zone), Just(Scope::Group)],
+        prop_oneof![
+            Just(DeduplicationScope::All),
+            Just(DeduplicationScope::Zone),
+            Just(DeduplicationScope::Group)
+        ],
         500..6_000_u64,
     )
         .prop_map(|(scope, ms)| Idempotency::IdempotencyKey {
@@ -26,14 +30,14 @@
             window: ms * MS,
         });
     let write = prop_oneof![Just(Idempotency::NonIdempotent), keyed]
-        .prop_map(|idempotency| (Need::Write, idempotency));
+        .prop_map(|idempotency| (ConsistencyLevel::Write, idempotency));
     let reads = prop_oneof![
-        Just(Need::Any),
-        Just(Need::Bounded),
-        Just(Need::Session),
-        Just(Need::Fresh)
+        Just(ConsistencyLevel::Eventual),
+        Just(ConsistencyLevel::BoundedStaleness),
+        Just(ConsistencyLevel::Session),
+        Just(ConsistencyLevel::Strong)
     ];
-    let need = prop_oneof![1 => write, 3 => reads.prop_map(|need| (need, Idempotency::Idempotent))];
+    let consistency = prop_oneof![1 => write, 3 => reads.prop_map(|consistency| (consistency, Idempotency::Idempotent))];
     let times = (
         50..2_000_u64,
         2..6_u64,
@@ -41,8 +45,8 @@
         1.0..6.0_f64,
         50..1_500_u64,
     );
-    (need, times).prop_map(
-        |((need, idempotency), (aim, times, late_worth, worth, bound))| {
+    (consistency, times).prop_map(
+        |((consistency, idempotency), (aim, times, late_worth, worth, bound))| {
             let (aim, deadline) = (aim * MS, aim * times * MS);
             let class = Class {
                 idempotency,
@@ -54,8 +58,12 @@
             };
             (
                 class,
-                need,
-                if need == Need::Bounded { bound * MS } else { 0 },
+                consistency,
+                if consistency == ConsistencyLevel::BoundedStaleness {
+                    bound * MS
+                } else {
+                    0
+                },
             )
         },
     )
@@ -100,8 +108,8 @@
         let (fleet, max_attempts, max_come_back, ask_every) = figures;
         let base = common::settings();
         Settings {
-            needs: classes.iter().map(|class| class.1).collect(),
-            bounds: classes.iter().map(|class| class.2).collect(),
+            consistency_levels: classes.iter().map(|class| class.1).collect(),
+            staleness_bounds: classes.iter().map(|class| class.2).collect(),
             classes: classes.into_iter().map(|class| class.0).collect(),
             fleet,
             discovery,
@@ -306,7 +314,7 @@
                     idempotency,
                     Idempotency::Idempotent
                         | Idempotency::IdempotencyKey {
-                            scope: Scope::All,
+                            scope: DeduplicationScope::All,
                             ..
                         }
                 );
@@ -399,7 +407,8 @@
             }
             (Some((earlier, sent, ..)), Idempotency::IdempotencyKey { scope, window }) => {
                 let zone = self.members[earlier].zone;
-                if now >= sent + window || scope == Scope::Zone && zone != member.zone {
+                if now >= sent + window || scope == DeduplicationScope::Zone && zone != member.zone
+                {
                     return Err(format!(
                         "{request} is repeated where its key is not known any more"
                     ));
@@ -407,17 +416,17 @@
             }
         }
         // Members that check reads see to it themselves; others answer from what they have.
-        let need = settings.needs[open.class];
-        let must_see = match need {
-            Need::Bounded => now - settings.bounds[open.class],
-            Need::Fresh => open.received,
-            Need::Session => open.token,
-            Need::Any | Need::Write => 0,
+        let consistency = settings.consistency_levels[open.class];
+        let must_see = match consistency {
+            ConsistencyLevel::BoundedStaleness => now - settings.staleness_bounds[open.class],
+            ConsistencyLevel::Strong => open.received,
+            ConsistencyLevel::Session => open.token,
+            ConsistencyLevel::Eventual | ConsistencyLevel::Write => 0,
         };
         let told = settings.positions.granted();
         if settings.checks == Checks::None && told && !member.excused && position < must_see {
             return Err(format!(
-                "{request} ({need:?}) is sent to {to}, {} us behind",
+                "{request} ({consistency:?}) is sent to {to}, {} us behind",
                 now - position
             ));
         }
@@ -442,13 +451,14 @@
             return Ok(());
         };
         let member = self.members[&to].clone();
-        let need = self.settings.needs[open.class];
+        let consistency = self.settings.consistency_levels[open.class];
         let primary = self.primaries.get(&member.group) == Some(&to);
         let session = open.session;
         let checked = self.settings.checks == Checks::TurnsAway;
-        let behind = need == Need::Bounded && member.lag > self.settings.bounds[open.class]
-            || need == Need::Fresh && !primary
-            || need == Need::Session && !primary && member.lag > 0;
+        let behind = consistency == ConsistencyLevel::BoundedStaleness
+            && member.lag > self.settings.staleness_bounds[open.class]
+            || consistency == ConsistencyLevel::Strong && !primary
+            || consistency == ConsistencyLevel::Session && !primary && member.lag > 0;
         let outcome = if self.cancelled.contains(&(request, at)) {
             Outcome::Cancelled
         } else if !member.alive {
@@ -457,7 +467,7 @@
             } else {
                 Outcome::TimedOut
             }
-        } else if need == Need::Write && !primary || checked && behind {
+        } else if consistency == ConsistencyLevel::Write && !primary || checked && behind {
             Outcome::Miss
         } else {
             match self.rng.u8(0..40) {
@@ -487,12 +497,12 @@
         if served && owed {
             self.answer(request)?;
             self.served += 1;
-            if let (Need::Write, Some(session)) = (need, session) {
+            if let (ConsistencyLevel::Write, Some(session)) = (consistency, session) {
                 let commit = self.commits.entry(session).or_default();
                 *commit = now.max(*commit);
             }
         }
-        let note = if served && need == Need::Write {
+        let note = if served && consistency == ConsistencyLevel::Write {
             Note {
                 position: Some(now),
                 ..note
