--- a/src/bin/asterreel-adapter/wire.rs
+++ b/src/bin/asterreel-adapter/wire.rs
@@ -541,13 +541,13 @@
     Ok(match code {
         10 => Outcome::Served,
         20 => Outcome::Error,
-        30 => Outcome::Full,
+        30 => Outcome::Rejected,
         40 => Outcome::TimedOut,
         50 => Outcome::ConnectFailed,
         60 => Outcome::Reset,
         70 => Outcome::Cancelled,
-        80 => Outcome::Moot,
-        90 => Outcome::Miss,
+        80 => Outcome::NotSent,
+        90 => Outcome::Misrouted,
         other => return Err(format!("unknown result {other}")),
     })
 }
--- a/src/bin/asterreel/attempt.rs
+++ b/src/bin/asterreel/attempt.rs
@@ -177,7 +177,7 @@
     // The connection may have taken long: a bound on age or a drain can have run out since the decision.
     if !may_write() {
         pool.keep(address, connection);
-        return End::without_note(Outcome::Moot);
+        return End::without_note(Outcome::NotSent);
     }
     let left = stop.at.saturating_sub(pool.clock.now());
     let query = statement.forward((left / 1000).max(1));
@@ -214,9 +214,9 @@
 /// Without a connection nothing ran, whatever the reason.
 pub(crate) fn unconnected(fault: NoConnection, time_over: bool) -> Outcome {
     match fault {
-        NoConnection::TurnedAway => Outcome::Full,
-        NoConnection::NoRoom => Outcome::Moot,
-        NoConnection::Failed if time_over => Outcome::Moot,
+        NoConnection::TurnedAway => Outcome::Rejected,
+        NoConnection::NoRoom => Outcome::NotSent,
+        NoConnection::Failed if time_over => Outcome::NotSent,
         NoConnection::Failed => Outcome::ConnectFailed,
     }
 }
@@ -230,16 +230,16 @@
     match (verdict, end) {
         (Some(Verdict::Row), _) => Outcome::Served,
         (Some(Verdict::Error(code)), _) => match code {
-            b"25006" | b"72000" => Outcome::Miss,
-            b"53300" => Outcome::Full,
+            b"25006" | b"72000" => Outcome::Misrouted,
+            b"53300" => Outcome::Rejected,
             // A syntax error or a breach of protocol is the statement's: sent on, it would meet the same again
             // and count against each member it reached.
-            [b'4', b'2', ..] | b"08P01" => Outcome::Unusable,
+            [b'4', b'2', ..] | b"08P01" => Outcome::InvalidRequest,
             _ => Outcome::Error,
         },
         // A database starts a query once its last byte has come: one not written whole never runs.
         (None, Err(Broken::Connection { written: false })) => Outcome::ConnectFailed,
-        (None, Err(Broken::Stopped { written: false })) => Outcome::Moot,
+        (None, Err(Broken::Stopped { written: false })) => Outcome::NotSent,
         (None, Err(Broken::Connection { written: true })) => Outcome::Reset,
         (None, Err(Broken::Stopped { written: true })) if called_off => Outcome::Cancelled,
         (None, Err(Broken::Stopped { written: true })) => Outcome::TimedOut,
--- a/src/bin/asterreel/attempt/tests.rs
+++ b/src/bin/asterreel/attempt/tests.rs
@@ -12,17 +12,17 @@
         (Ok(()), Some(Verdict::Row), false, Outcome::Served),
         // Served is served, even if the connection breaks before the note.
         (broken(true), Some(Verdict::Row), false, Outcome::Served),
-        (Ok(()), error(b"25006"), false, Outcome::Miss),
-        (Ok(()), error(b"72000"), false, Outcome::Miss),
+        (Ok(()), error(b"25006"), false, Outcome::Misrouted),
+        (Ok(()), error(b"72000"), false, Outcome::Misrouted),
         (Ok(()), error(b"XX000"), false, Outcome::Error),
-        (Ok(()), error(b"53300"), false, Outcome::Full),
-        (Ok(()), error(b"42601"), false, Outcome::Unusable),
-        (Ok(()), error(b"08P01"), false, Outcome::Unusable),
+        (Ok(()), error(b"53300"), false, Outcome::Rejected),
+        (Ok(()), error(b"42601"), false, Outcome::InvalidRequest),
+        (Ok(()), error(b"08P01"), false, Outcome::InvalidRequest),
         // Only the codes of the table prove anything; a shutdown notice does not.
         (broken(true), error(b"57P03"), false, Outcome::Error),
         (broken(false), None, false, Outcome::ConnectFailed),
         (broken(true), None, false, Outcome::Reset),
-        (stopped(false), None, true, Outcome::Moot),
+        (stopped(false), None, true, Outcome::NotSent),
         (stopped(true), None, true, Outcome::Cancelled),
         (stopped(true), None, false, Outcome::TimedOut),
         (Err(Broken::Malformed), None, false, Outcome::Error),
@@ -39,9 +39,12 @@
 
 #[test]
 fn without_a_connection_nothing_ran_and_only_the_member_is_blamed_for_what_it_did() {
-    assert_eq!(unconnected(NoConnection::TurnedAway, false), Outcome::Full);
-    assert_eq!(unconnected(NoConnection::NoRoom, false), Outcome::Moot);
-    assert_eq!(unconnected(NoConnection::Failed, true), Outcome::Moot);
+    assert_eq!(
+        unconnected(NoConnection::TurnedAway, false),
+        Outcome::Rejected
+    );
+    assert_eq!(unconnected(NoConnection::NoRoom, false), Outcome::NotSent);
+    assert_eq!(unconnected(NoConnection::Failed, true), Outcome::NotSent);
     assert_eq!(
         unconnected(NoConnection::Failed, false),
         Outcome::ConnectFailed
--- a/src/bin/asterreel/cells.rs
+++ b/src/bin/asterreel/cells.rs
@@ -127,7 +127,9 @@
     pub(crate) fn attempted(&self, member: MemberId, outcome: Outcome) {
         let after = match outcome {
             Outcome::Reset => Aftermath::Died,
-            Outcome::Served | Outcome::Error | Outcome::Miss | Outcome::Full => Aftermath::Answered,
+            Outcome::Served | Outcome::Error | Outcome::Misrouted | Outcome::Rejected => {
+                Aftermath::Answered
+            }
             _ => return,
         };
         let now = self.cells.clock.now();
--- a/src/bin/asterreel/client/request.rs
+++ b/src/bin/asterreel/client/request.rs
@@ -425,7 +425,7 @@
         let (outcome, role) = (end.outcome, end.note.role);
         let served = outcome == Outcome::Served;
         let finished = served || !request.owed;
-        request.may_have_run |= !served && !outcome.proves_nothing_ran();
+        request.may_have_run |= !served && !outcome.proves_no_effect();
         if let Some(placed) = &request.admitted.placed {
             placed.attempted(attempt.member, outcome);
             request
@@ -476,7 +476,7 @@
     Ended {
         request,
         attempt,
-        outcome: Outcome::Moot,
+        outcome: Outcome::NotSent,
         latency: 0,
         note: Note::default(),
         report: Note::default(),
--- a/src/bin/asterreel/probe.rs
+++ b/src/bin/asterreel/probe.rs
@@ -16,7 +16,7 @@
         Ok(connection) => connection,
         // Too few descriptors here tell nothing of the database.
         Err(fault) => match unconnected(fault, false) {
-            Outcome::Moot => return (Outcome::Full, Note::default()),
+            Outcome::NotSent => return (Outcome::Rejected, Note::default()),
             outcome => return (outcome, Note::default()),
         },
     };
@@ -36,7 +36,7 @@
             answer.value().map(pg::report).unwrap_or_default(),
         ),
         (Some(Verdict::Error(code)), _) if code == b"53300" || code == b"57P03" => {
-            (Outcome::Full, Note::default())
+            (Outcome::Rejected, Note::default())
         }
         (_, Err(Broken::Stopped { .. })) => (Outcome::TimedOut, Note::default()),
         (_, Err(Broken::Connection { .. })) => (Outcome::Reset, Note::default()),
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -171,7 +171,7 @@
         let late = outcome == Outcome::TimedOut || served && ratio >= 1.0;
         if served && ratio < PRESSED {
             self.share = (self.share + SHARE_GAIN).min(1.0);
-        } else if thin && told && (late && self.pressure > LOADED || outcome == Outcome::Full) {
+        } else if thin && told && (late && self.pressure > LOADED || outcome == Outcome::Rejected) {
             self.share = (self.share * (1.0 - SHARE_LOSS)).max(SHARE_FLOOR);
         }
     }
--- a/src/health/observer.rs
+++ b/src/health/observer.rs
@@ -230,12 +230,12 @@
             return;
         };
         group.decay(now);
-        group.mix += class.worth;
+        group.mix += class.priority_weight;
         group.mix_primary += if matches!(
             consistency,
             ConsistencyLevel::Write | ConsistencyLevel::Strong
         ) {
-            class.worth
+            class.priority_weight
         } else {
             0.0
         };
@@ -289,7 +289,10 @@
                     ConsistencyLevel::Write | ConsistencyLevel::Strong
                 );
             match fate {
-                Fate::Served(now) => group.count(now, now.saturating_sub(open.arrived) > class.aim),
+                Fate::Served(now) => group.count(
+                    now,
+                    now.saturating_sub(open.arrived) > class.latency_objective,
+                ),
                 Fate::NotServed(now) if !excused => group.count(now, true),
                 Fate::NotServed(_) | Fate::Left => {}
             }
@@ -325,14 +328,18 @@
             *all += 1;
         }
         // Before anything was asked for, each class counts for one request.
-        let prior: f64 = self.classes.iter().map(|(class, _)| class.worth).sum();
+        let prior: f64 = self
+            .classes
+            .iter()
+            .map(|(class, _)| class.priority_weight)
+            .sum();
         let writes = self.classes.iter().filter(|(_, consistency)| {
             matches!(
                 consistency,
                 ConsistencyLevel::Write | ConsistencyLevel::Strong
             )
         });
-        let prior_primary: f64 = writes.map(|(class, _)| class.worth).sum();
+        let prior_primary: f64 = writes.map(|(class, _)| class.priority_weight).sum();
         let groups = self.groups.iter_mut().map(|(id, group)| {
             group.decay(now);
             let (usable, all) = members.get(id).copied().unwrap_or_default();
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -80,15 +80,15 @@
     /// What repeating does.
     pub idempotency: Idempotency,
     /// An answer inside this time earns the full worth.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// The aim grows by this many times the request's own work.
-    pub aim_stretch: f64,
+    pub objective_work_factor: f64,
     /// How long a client waits over all its tries.
     pub deadline: Micros,
     /// The worth of one request.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// The share of the worth that a late answer earns.
-    pub late_worth: f64,
+    pub late_weight: f64,
 }
 
 /// A tenant and its share.
@@ -173,7 +173,7 @@
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
     /// The share of its worth that a request past its tenant's quota keeps.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// How many fronts there are.
     pub fleet: u32,
     /// This front's zone.
@@ -246,7 +246,7 @@
     /// The member answered with an error; it may have run.
     Error,
     /// Rejected unseen: full or draining.
-    Full,
+    Rejected,
     /// No answer in time; it may have run.
     TimedOut,
     /// No connection; it never ran.
@@ -256,18 +256,21 @@
     /// Called off; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
     /// Turned away untouched: not the primary, or too far behind.
-    Miss,
+    Misrouted,
     /// Turned away untouched: the request itself is at fault, wherever it is sent.
-    Unusable,
+    InvalidRequest,
 }
 
 impl Outcome {
     /// Whether it shows that the attempt has had no effect and will have none.
-    pub fn proves_nothing_ran(self) -> bool {
+    pub fn proves_no_effect(self) -> bool {
         use Outcome::*;
-        matches!(self, Full | ConnectFailed | Moot | Miss | Unusable)
+        matches!(
+            self,
+            Rejected | ConnectFailed | NotSent | Misrouted | InvalidRequest
+        )
     }
 }
 
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -133,7 +133,7 @@
             paces: settings
                 .classes
                 .iter()
-                .map(|class| Pace::first_guess(class.aim))
+                .map(|class| Pace::first_guess(class.latency_objective))
                 .collect(),
             commits: Commits::default(),
             agenda: Agenda::default(),
@@ -237,9 +237,13 @@
         let (id, now) = (entry.member, self.now);
         let is_new = !self.members.contains_key(&id);
         if is_new {
-            let aims = self.settings.classes.iter().map(|class| class.aim);
+            let latency_objectives = self
+                .settings
+                .classes
+                .iter()
+                .map(|class| class.latency_objective);
             let mut member = Member::new(entry, now);
-            member.pace = Pace::first_guess(aims.max().unwrap_or(PROBE_EVERY));
+            member.pace = Pace::first_guess(latency_objectives.max().unwrap_or(PROBE_EVERY));
             self.members.insert(id, member);
             let group = self.groups.entry(entry.group).or_default();
             group.waiting.resize(self.paces.len(), VecDeque::new());
@@ -345,7 +349,7 @@
                 member.errors = 0;
             }
             self.hear(id, report, asked, Source::Report);
-        } else if outcome != Outcome::Full && self.stalled_at != self.now {
+        } else if outcome != Outcome::Rejected && self.stalled_at != self.now {
             // A probe turned away for too many others says only that the process runs.
             self.count_error(id);
         }
@@ -368,7 +372,8 @@
     /// What an attempt's outcome says of the member's health and room.
     fn judge(&mut self, id: MemberId, class: usize, ended: &Ended) {
         let now = self.now;
-        let ratio = ended.latency as f64 / self.settings.classes[class].aim.max(1) as f64;
+        let ratio =
+            ended.latency as f64 / self.settings.classes[class].latency_objective.max(1) as f64;
         let told = self.stalled_at != now;
         self.learn_share(id, ended.outcome, ratio);
         let error = f64::from(u8::from(ended.outcome == Outcome::Error));
@@ -380,7 +385,7 @@
         // A wait that ended while the member answered others speaks of load, not of health.
         let unheard = now.saturating_sub(ended.latency) >= member.quiet_since;
         match ended.outcome {
-            Outcome::Served | Outcome::Miss => {
+            Outcome::Served | Outcome::Misrouted => {
                 (member.errors, member.mute, member.verified) = (0, false, true);
                 member.quiet_since = now;
                 if ended.outcome == Outcome::Served && told {
@@ -393,10 +398,10 @@
                         .and_modify(|g| g.carried.answered(now, work));
                 }
             }
-            Outcome::Full | Outcome::Error => {
+            Outcome::Rejected | Outcome::Error => {
                 member.quiet_since = now;
                 // Errors that come from everywhere are no member's own: to fail them would end all service.
-                if ended.outcome == Outcome::Full || self.error_share < ERRORS_APART {
+                if ended.outcome == Outcome::Rejected || self.error_share < ERRORS_APART {
                     self.count_error(id);
                 }
             }
@@ -424,9 +429,9 @@
                 }
             }
             // It answered, and what it turned away says nothing of it: a client may send such by the hundred.
-            Outcome::Unusable => member.quiet_since = now,
+            Outcome::InvalidRequest => member.quiet_since = now,
             Outcome::ConnectFailed | Outcome::Reset => self.count_error(id),
-            Outcome::TimedOut | Outcome::Cancelled | Outcome::Moot => {}
+            Outcome::TimedOut | Outcome::Cancelled | Outcome::NotSent => {}
         }
     }
 
@@ -560,34 +565,39 @@
     }
 
     /// Until when an answer earns its full worth.
-    fn aim_end(&self, request: &Request) -> Micros {
+    fn objective_deadline(&self, request: &Request) -> Micros {
         let class = &self.settings.classes[request.class()];
-        let stretch = request.arrival.estimate.unwrap_or(0) as f64 * class.aim_stretch;
-        let aim = class.aim.saturating_add(stretch as Micros);
+        let stretch = request.arrival.estimate.unwrap_or(0) as f64 * class.objective_work_factor;
+        let latency_objective = class.latency_objective.saturating_add(stretch as Micros);
         request
             .received
-            .saturating_add(aim)
+            .saturating_add(latency_objective)
             .min(request.arrival.due)
     }
 
     /// Until when an attempt that is out is waited for: as long as a late answer earns anything.
-    fn worth_end(&self, request: &Request) -> Micros {
-        let late = self.settings.classes[request.class()].late_worth > 0.0;
+    fn useful_until(&self, request: &Request) -> Micros {
+        let late = self.settings.classes[request.class()].late_weight > 0.0;
         if late {
             request.arrival.due
         } else {
-            self.aim_end(request)
+            self.objective_deadline(request)
         }
     }
 
     /// The latest a send may go out and still earn enough for the room it takes.
-    fn last_start(&self, request: &Request) -> Micros {
-        let late = self.settings.classes[request.class()].late_worth;
+    fn latest_dispatch(&self, request: &Request) -> Micros {
+        let late = self.settings.classes[request.class()].late_weight;
         let lasting = request.consistency == ConsistencyLevel::Write || late >= WORTH_LATE;
-        let (worth, aim) = (self.worth_end(request), self.aim_end(request));
+        let (priority_weight, latency_objective) =
+            (self.useful_until(request), self.objective_deadline(request));
         let usual = (self.paces[request.class()].mean / 2.0) as Micros;
         let usual = usual.max(2 * self.settings.period);
-        let end = if lasting { worth } else { aim };
+        let end = if lasting {
+            priority_weight
+        } else {
+            latency_objective
+        };
         // A read that was never tried and is refused in its second half has cost its client that time.
         let half = request
             .received
@@ -668,9 +678,9 @@
         };
         let attempt = &mut request.attempts[number];
         attempt.out = false;
-        attempt.may_have_run = !ended.outcome.proves_nothing_ran();
+        attempt.may_have_run = !ended.outcome.proves_no_effect();
         let (member, sent) = (attempt.member, attempt.sent);
-        request.unsent = if ended.outcome == Outcome::Moot {
+        request.unsent = if ended.outcome == Outcome::NotSent {
             request.unsent + 1
         } else {
             0
@@ -705,7 +715,7 @@
             self.held_up[class] += LEARN * (f64::from(u8::from(far)) - self.held_up[class]);
         }
         let until = self.now.saturating_add(PROBE_EVERY);
-        if ended.outcome == Outcome::Miss && consistency != ConsistencyLevel::Write {
+        if ended.outcome == Outcome::Misrouted && consistency != ConsistencyLevel::Write {
             self.members
                 .entry(member)
                 .and_modify(|member| member.missed_until = until);
@@ -742,14 +752,14 @@
             request.attempts.len() < self.settings.max_attempts as usize && !request.streaming;
         let allowed = request.idempotency != Idempotency::NonIdempotent
             || request.first_may_have_run().is_none();
-        let can = left && allowed && self.now < self.last_start(request);
+        let can = left && allowed && self.now < self.latest_dispatch(request);
         let quick = ended.outcome == Outcome::Error && (ended.latency as f64) < usual / 4.0;
-        let price = if quick || ended.outcome.proves_nothing_ran() {
+        let price = if quick || ended.outcome.proves_no_effect() {
             0.0
         } else {
             1.0
         };
-        if ended.outcome == Outcome::Unusable {
+        if ended.outcome == Outcome::InvalidRequest {
             self.out.push(Action::Fail(id));
             return self.conclude(id);
         }
@@ -766,7 +776,7 @@
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        let left = self.last_start(request).saturating_sub(self.now);
+        let left = self.latest_dispatch(request).saturating_sub(self.now);
         let (group, class) = (request.arrival.group, request.class());
         self.requests
             .entry(id)
@@ -826,12 +836,12 @@
             while queue.front().is_some_and(|id| waits(id).is_none()) {
                 queue.pop_front();
             }
-            let aim = self.settings.classes[class].aim;
+            let latency_objective = self.settings.classes[class].latency_objective;
             let oldest = queue
                 .front()
                 .and_then(waits)
                 .map_or(self.now, |request| request.received);
-            let jammed = self.now.saturating_sub(oldest) > aim / JAMMED;
+            let jammed = self.now.saturating_sub(oldest) > latency_objective / JAMMED;
             while blocked < 3 {
                 let at = if jammed {
                     queue.len().checked_sub(blocked + 1)
@@ -857,7 +867,7 @@
 
     /// The worth of a class for its work, as far as latency tells the work.
     fn value(&self, class: usize) -> f64 {
-        self.settings.classes[class].worth / self.paces[class].mean.max(1.0)
+        self.settings.classes[class].priority_weight / self.paces[class].mean.max(1.0)
     }
 
     /// How many times the work of the lightest class it is, as far as latency tells the work.
@@ -1190,7 +1200,7 @@
         request.waiting = false;
         request.sent(to, now);
         let request = &self.requests[&id];
-        let timeout = self.worth_end(request).saturating_sub(now).max(1);
+        let timeout = self.useful_until(request).saturating_sub(now).max(1);
         let trial_at = now.saturating_add(self.fleet.pace(PROBE_EVERY));
         let credit = self.members.get(&to).map_or(0.0, |m| self.cold_credit(m));
         // What a warm member was seen to carry is mostly of the lightest class: long work counts for more.
--- a/src/roles.rs
+++ b/src/roles.rs
@@ -28,7 +28,7 @@
     pub fn of(consistency: ConsistencyLevel, outcome: Outcome) -> Source {
         match (consistency, outcome) {
             (ConsistencyLevel::Write, Outcome::Served) => Source::ServedWrite,
-            (ConsistencyLevel::Write, Outcome::Miss) => Source::MissedWrite,
+            (ConsistencyLevel::Write, Outcome::Misrouted) => Source::MissedWrite,
             _ => Source::Answer,
         }
     }
--- a/src/roles/tests.rs
+++ b/src/roles/tests.rs
@@ -78,7 +78,7 @@
         Source::ServedWrite
     );
     assert_eq!(
-        Source::of(ConsistencyLevel::Write, Outcome::Miss),
+        Source::of(ConsistencyLevel::Write, Outcome::Misrouted),
         Source::MissedWrite
     );
     assert_eq!(
@@ -86,7 +86,7 @@
         Source::Answer
     );
     assert_eq!(
-        Source::of(ConsistencyLevel::BoundedStaleness, Outcome::Miss),
+        Source::of(ConsistencyLevel::BoundedStaleness, Outcome::Misrouted),
         Source::Answer
     );
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -302,7 +302,7 @@
                     quota: customer.quota_rps,
                 })
                 .collect(),
-            over_share_worth: setup.over_share_worth,
+            over_quota_weight: setup.over_share_worth,
             fleet: setup.fleet_size,
             zone: ZoneId(setup.zone),
             discovery: match setup.discovery.as_str() {
@@ -366,11 +366,11 @@
             "single_shot" => Idempotency::NonIdempotent,
             other => return Err(unknown("effect", other)),
         },
-        aim: profile.slo_us,
-        aim_stretch: profile.aim_stretch,
+        latency_objective: profile.slo_us,
+        objective_work_factor: profile.aim_stretch,
         deadline: profile.deadline_us,
-        worth: profile.worth,
-        late_worth: profile.late_worth,
+        priority_weight: profile.worth,
+        late_weight: profile.late_worth,
     })
 }
 
--- a/src/state.rs
+++ b/src/state.rs
@@ -17,10 +17,10 @@
 
 impl Pace {
     /// Before anything was measured, for what is wanted within a time.
-    pub(crate) fn first_guess(aim: Micros) -> Pace {
+    pub(crate) fn first_guess(latency_objective: Micros) -> Pace {
         Pace {
-            mean: aim as f64 / 4.0,
-            deviation: aim as f64 / 8.0,
+            mean: latency_objective as f64 / 4.0,
+            deviation: latency_objective as f64 / 8.0,
         }
     }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -15,14 +15,14 @@
 pub(crate) const ANY: usize = 4;
 pub(crate) const KEYED: usize = 5;
 
-fn class(idempotency: Idempotency, late_worth: f64) -> Class {
+fn class(idempotency: Idempotency, late_weight: f64) -> Class {
     Class {
         idempotency,
-        aim: 400 * MS,
-        aim_stretch: 0.0,
+        latency_objective: 400 * MS,
+        objective_work_factor: 0.0,
         deadline: 2_000 * MS,
-        worth: 1.0,
-        late_worth,
+        priority_weight: 1.0,
+        late_weight,
     }
 }
 
@@ -50,7 +50,7 @@
         ],
         staleness_bounds: vec![0, 0, 0, 300 * MS, 0, 0],
         tenants: Vec::new(),
-        over_share_worth: 0.1,
+        over_quota_weight: 0.1,
         fleet: 2,
         zone: ZoneId(0),
         discovery: Discovery::Push,
@@ -85,7 +85,7 @@
         .enumerate()
         .filter(|(number, _)| *number != ANY)
     {
-        class.aim = if number == BOUNDED { 40 * MS } else { 100 * MS };
+        class.latency_objective = if number == BOUNDED { 40 * MS } else { 100 * MS };
     }
     settings
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -518,7 +518,7 @@
     let (write, actions) = front.arrive(WRITE);
     assert_eq!(sends(&actions), [(write, 0)]);
     front.now += MS;
-    front.ends(write, 0, Outcome::Miss, Note::default());
+    front.ends(write, 0, Outcome::Misrouted, Note::default());
     front.now += MS;
     let primary = note(Role::Primary, front.now);
     let actions = front.ends(old, 0, Outcome::Served, primary);
@@ -541,7 +541,7 @@
     let mut front = Front::ready(settings(), 1);
     let (write, _) = front.arrive(WRITE);
     front.now += MS;
-    front.ends(write, 0, Outcome::Miss, Note::default());
+    front.ends(write, 0, Outcome::Misrouted, Note::default());
     let mut asked = vec![];
     for _ in 0..4 {
         front.now += 20 * MS;
@@ -780,7 +780,7 @@
                 break;
             }
             if sent {
-                actions = front.ends(request, attempt, Outcome::Moot, Note::default());
+                actions = front.ends(request, attempt, Outcome::NotSent, Note::default());
                 attempt += 1;
             } else {
                 front.now += 5 * MS;
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -591,7 +591,7 @@
             let miss = ended(
                 request,
                 number,
-                Outcome::Miss,
+                Outcome::Misrouted,
                 MS,
                 common::note(Role::Replica, front.now),
             );
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -63,7 +63,7 @@
     );
     front.now += MS;
     let replica = note(Role::Replica, front.now);
-    let actions = front.ends(asked, 0, Outcome::Miss, replica);
+    let actions = front.ends(asked, 0, Outcome::Misrouted, replica);
     assert!(
         sends(&actions).is_empty(),
         "the next one asks no sooner than 20 ms on"
@@ -80,10 +80,10 @@
     let mut front = Front::ready(settings(), 3);
     let (write, _) = front.arrive(WRITE);
     front.now += MS;
-    let actions = front.ends(write, 0, Outcome::Miss, Note::default());
+    let actions = front.ends(write, 0, Outcome::Misrouted, Note::default());
     assert!(sends(&actions).iter().all(|(_, m)| *m != 0));
     assert!(!refused(&actions, write) && !failed(&actions, write));
-    let actions = front.ends(write, 1, Outcome::Miss, Note::default());
+    let actions = front.ends(write, 1, Outcome::Misrouted, Note::default());
     assert!(!refused(&actions, write) && !failed(&actions, write));
     assert_eq!(sends(&front.tell(2, Role::Primary)), [(write, 2)]);
 }
@@ -95,7 +95,7 @@
     let (_, missed) = sends(&actions)[0];
     assert_ne!(missed, 0);
     let behind = note(Role::Replica, START - 900 * MS);
-    let actions = front.ends(read, 0, Outcome::Miss, behind);
+    let actions = front.ends(read, 0, Outcome::Misrouted, behind);
     assert_eq!(sends(&actions).len(), 1);
     let (write, actions) = front.arrive(WRITE);
     assert_eq!(sends(&actions), [(write, 0)], "the mark stays");
@@ -200,7 +200,12 @@
     front.tell(0, Role::Replica);
     let waiting: Vec<RequestId> = (0..40).map(|_| front.arrive(WRITE).0).collect();
     // The oldest went out to seek the primary; turned away, it keeps its place.
-    front.ends(waiting[0], 0, Outcome::Miss, note(Role::Replica, front.now));
+    front.ends(
+        waiting[0],
+        0,
+        Outcome::Misrouted,
+        note(Role::Replica, front.now),
+    );
     let first = sends(&front.tell(1, Role::Primary));
     assert!((1..=4).contains(&first.len()), "{} at once", first.len());
     let (done, _) = first[0];
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -34,7 +34,7 @@
         // Each search for the primary is turned away untouched.
         if !sends(&actions).is_empty() {
             let replica = note(Role::Replica, front.now);
-            actions = front.ends(write, attempt, Outcome::Miss, replica);
+            actions = front.ends(write, attempt, Outcome::Misrouted, replica);
             attempt += 1;
         } else {
             actions = front.pass(5 * MS);
@@ -81,7 +81,7 @@
         let (read, actions) = front.arrive(ANY);
         if let Some((_, 1)) = sends(&actions).first() {
             sent += 1;
-            front.ends(read, 0, Outcome::Full, Note::default());
+            front.ends(read, 0, Outcome::Rejected, Note::default());
         }
     }
     assert!(sent <= 2, "{sent} sends to a member just started");
@@ -241,8 +241,8 @@
                 let outcome = [
                     Outcome::Served,
                     Outcome::Served,
-                    Outcome::Miss,
-                    Outcome::Full,
+                    Outcome::Misrouted,
+                    Outcome::Rejected,
                     Outcome::Error,
                     Outcome::Reset,
                     Outcome::ConnectFailed,
@@ -333,9 +333,9 @@
     let seen = watcher.requests.get_mut(&id).expect("a known request");
     seen.out.retain(|other| *other != number);
     use Outcome::*;
-    seen.may_have_run |= !matches!(outcome, Full | ConnectFailed | Moot | Miss);
+    seen.may_have_run |= !matches!(outcome, Rejected | ConnectFailed | NotSent | Misrouted);
     seen.done |= outcome == Served;
-    let answered = matches!(outcome, Served | Miss | Full | Error);
+    let answered = matches!(outcome, Served | Misrouted | Rejected | Error);
     let role = if a % 2 == 0 {
         Role::Primary
     } else {
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -46,15 +46,19 @@
         50..1_500_u64,
     );
     (consistency, times).prop_map(
-        |((consistency, idempotency), (aim, times, late_worth, worth, bound))| {
-            let (aim, deadline) = (aim * MS, aim * times * MS);
+        |(
+            (consistency, idempotency),
+            (latency_objective, times, late_weight, priority_weight, bound),
+        )| {
+            let (latency_objective, deadline) =
+                (latency_objective * MS, latency_objective * times * MS);
             let class = Class {
                 idempotency,
-                aim,
-                aim_stretch: 0.0,
+                latency_objective,
+                objective_work_factor: 0.0,
                 deadline,
-                worth,
-                late_worth,
+                priority_weight,
+                late_weight,
             };
             (
                 class,
@@ -468,23 +472,23 @@
                 Outcome::TimedOut
             }
         } else if consistency == ConsistencyLevel::Write && !primary || checked && behind {
-            Outcome::Miss
+            Outcome::Misrouted
         } else {
             match self.rng.u8(0..40) {
                 0 => Outcome::Error,
-                1 => Outcome::Full,
+                1 => Outcome::Rejected,
                 2 => Outcome::Reset,
-                3 => Outcome::Unusable,
+                3 => Outcome::InvalidRequest,
                 _ => Outcome::Served,
             }
         };
         let now = self.now;
         let open = self.open.get_mut(&request).expect("it is there");
         open.attempts[at].2 = false;
-        open.attempts[at].3 = !outcome.proves_nothing_ran();
+        open.attempts[at].3 = !outcome.proves_no_effect();
         let told = matches!(
             outcome,
-            Outcome::Served | Outcome::Miss | Outcome::Error | Outcome::Full
+            Outcome::Served | Outcome::Misrouted | Outcome::Error | Outcome::Rejected
         );
         let note = if told { self.note(to) } else { Note::default() };
         let served = outcome == Outcome::Served;
