--- a/src/bin/asterreel-adapter/wire.rs
+++ b/src/bin/asterreel-adapter/wire.rs
@@ -446,19 +446,19 @@
             attempt: AttemptNo(reply.round_no),
             outcome,
             latency: reply.latency_us,
-            note: self.note(reply.stamp),
-            report,
-            standing: if reply.last {
-                Standing::Finished
+            answer_report: self.note(reply.stamp),
+            load_report: report,
+            answer: if reply.last {
+                AnswerStatus::Finished
             } else {
-                Standing::Owed
+                AnswerStatus::Owed
             },
         })))
     }
 
-    fn note(&self, stamp: u64) -> Note {
+    fn note(&self, stamp: u64) -> MemberReport {
         let after_zero = (stamp / 4).saturating_mul(1000);
-        Note {
+        MemberReport {
             role: match stamp % 4 {
                 1 => Some(Role::Primary),
                 2 => Some(Role::Replica),
@@ -468,8 +468,8 @@
         }
     }
 
-    fn report(&self, feedback: Option<&[Option<f64>]>) -> Note {
-        let mut note = Note::default();
+    fn report(&self, feedback: Option<&[Option<f64>]>) -> MemberReport {
+        let mut note = MemberReport::default();
         let values = feedback.unwrap_or(&[]).iter();
         for (name, value) in self.report.iter().zip(values) {
             match (name.as_str(), value) {
--- a/src/bin/asterreel/attempt.rs
+++ b/src/bin/asterreel/attempt.rs
@@ -3,7 +3,7 @@
 use crate::net::Stream;
 use crate::pg::{self, Answer, Statement, Verdict};
 use crate::pool::{Connection, NoConnection, Pool};
-use asterreel::interface::{Micros, Note, Outcome};
+use asterreel::interface::{MemberReport, Micros, Outcome};
 use asterreel_control::clock::Clock;
 use may::io::WaitIoWaker;
 use std::net::SocketAddr;
@@ -144,7 +144,7 @@
 #[derive(Debug)]
 pub(crate) struct End {
     pub outcome: Outcome,
-    pub note: Note,
+    pub answer_report: MemberReport,
     /// The row, in messages as the database sent them, where it was served.
     pub rows: Vec<u8>,
 }
@@ -153,7 +153,7 @@
     fn without_note(outcome: Outcome) -> End {
         End {
             outcome,
-            note: Note::default(),
+            answer_report: MemberReport::default(),
             rows: Vec::new(),
         }
     }
@@ -193,7 +193,7 @@
     let outcome = outcome(end, answer.verdict.as_ref(), stop.is_called_off());
     End {
         outcome,
-        note: answer.note,
+        answer_report: answer.note,
         rows: answer.rows,
     }
 }
--- a/src/bin/asterreel/client/request.rs
+++ b/src/bin/asterreel/client/request.rs
@@ -422,7 +422,7 @@
             return;
         };
         let core = &self.gateway.core;
-        let (outcome, role) = (end.outcome, end.note.role);
+        let (outcome, role) = (end.outcome, end.answer_report.role);
         let served = outcome == Outcome::Served;
         let finished = served || !request.owed;
         request.may_have_run |= !served && !outcome.proves_no_effect();
@@ -448,12 +448,12 @@
             attempt: number,
             outcome,
             latency,
-            note: end.note,
-            report: Note::default(),
-            standing: if finished {
-                Standing::Finished
+            answer_report: end.answer_report,
+            load_report: MemberReport::default(),
+            answer: if finished {
+                AnswerStatus::Finished
             } else {
-                Standing::Owed
+                AnswerStatus::Owed
             },
         });
     }
@@ -478,9 +478,9 @@
         attempt,
         outcome: Outcome::NotSent,
         latency: 0,
-        note: Note::default(),
-        report: Note::default(),
-        standing: Standing::Finished,
+        answer_report: MemberReport::default(),
+        load_report: MemberReport::default(),
+        answer: AnswerStatus::Finished,
     }
 }
 
--- a/src/bin/asterreel/client/tests.rs
+++ b/src/bin/asterreel/client/tests.rs
@@ -41,7 +41,7 @@
             Arc::new(Core::new(&config, clock, timer.clone(), probes, watches).expect("good"));
         core.listed(ListKind::WarmCopy, &config.known)
             .expect("good");
-        let primary = Note {
+        let primary = MemberReport {
             role: Some(Role::Primary),
             position: None,
         };
--- a/src/bin/asterreel/core.rs
+++ b/src/bin/asterreel/core.rs
@@ -185,7 +185,7 @@
         self.feed(Event::Departed(request));
     }
 
-    pub(crate) fn probed(&self, member: MemberId, outcome: Outcome, report: Note) {
+    pub(crate) fn probed(&self, member: MemberId, outcome: Outcome, report: MemberReport) {
         self.feed(Event::Probed(member, outcome, report));
     }
 
--- a/src/bin/asterreel/core/tests.rs
+++ b/src/bin/asterreel/core/tests.rs
@@ -52,7 +52,7 @@
         assert!(core.listed(ListKind::Full, &bad).is_err());
     }
     // The primary, which those lists left out, still gets a write.
-    let primary = Note {
+    let primary = MemberReport {
         role: Some(Role::Primary),
         position: None,
     };
--- a/src/bin/asterreel/pg.rs
+++ b/src/bin/asterreel/pg.rs
@@ -2,7 +2,7 @@
 //!
 //! No input or output: bytes in, meaning out.
 
-use asterreel::interface::{Micros, Note, Role};
+use asterreel::interface::{MemberReport, Micros, Role};
 use std::ops::Range;
 
 /// The longest message that is taken in: a value of 64 KiB in hex, and room.
@@ -368,7 +368,7 @@
 pub(crate) struct Answer {
     /// RowDescription, DataRow and CommandComplete, byte for byte.
     pub rows: Vec<u8>,
-    pub note: Note,
+    pub note: MemberReport,
     pub verdict: Option<Verdict>,
     /// ReadyForQuery has come.
     pub ready: bool,
@@ -457,8 +457,8 @@
 }
 
 /// What a load report tells: `x0` is the position in Unix seconds, `x1` whether it is the primary.
-pub(crate) fn report(value: &[u8]) -> Note {
-    let mut note = Note::default();
+pub(crate) fn report(value: &[u8]) -> MemberReport {
+    let mut note = MemberReport::default();
     for pair in value.split(|byte| *byte == b',') {
         let Some(equals) = pair.iter().position(|byte| *byte == b'=') else {
             continue;
--- a/src/bin/asterreel/pg/tests.rs
+++ b/src/bin/asterreel/pg/tests.rs
@@ -74,7 +74,7 @@
         let position = Some(1_767_225_600_123_000);
         assert_eq!(
             answer.note,
-            Note {
+            MemberReport {
                 role: Some(Role::Primary),
                 position
             }
@@ -182,12 +182,12 @@
     let note = report(b"x0=1767225600.5,x1=0,util=0.61");
     assert_eq!(
         note,
-        Note {
+        MemberReport {
             role: Some(Role::Replica),
             position: Some(1_767_225_600_500_000)
         }
     );
-    assert_eq!(report(b"x0=soon,x1,=1"), Note::default());
+    assert_eq!(report(b"x0=soon,x1,=1"), MemberReport::default());
 }
 
 #[test]
--- a/src/bin/asterreel/probe.rs
+++ b/src/bin/asterreel/probe.rs
@@ -3,11 +3,11 @@
 use crate::attempt::{exchange, finish, unconnected, Broken, Stop};
 use crate::pg::{self, Answer, Verdict};
 use crate::pool::Pool;
-use asterreel::interface::{Note, Outcome};
+use asterreel::interface::{MemberReport, Outcome};
 use std::net::SocketAddr;
 
 /// Asks a database for its report. A probe that takes longer than a connection may has failed.
-pub(crate) fn run(pool: &Pool, address: SocketAddr) -> (Outcome, Note) {
+pub(crate) fn run(pool: &Pool, address: SocketAddr) -> (Outcome, MemberReport) {
     let stop = Stop::at(pool.clock.now() + pool.connect_timeout);
     let mut connection = match pool
         .take(address)
@@ -16,8 +16,8 @@
         Ok(connection) => connection,
         // Too few descriptors here tell nothing of the database.
         Err(fault) => match unconnected(fault, false) {
-            Outcome::NotSent => return (Outcome::Rejected, Note::default()),
-            outcome => return (outcome, Note::default()),
+            Outcome::NotSent => return (Outcome::Rejected, MemberReport::default()),
+            outcome => return (outcome, MemberReport::default()),
         },
     };
     let mut answer = Answer::default();
@@ -36,10 +36,10 @@
             answer.value().map(pg::report).unwrap_or_default(),
         ),
         (Some(Verdict::Error(code)), _) if code == b"53300" || code == b"57P03" => {
-            (Outcome::Rejected, Note::default())
+            (Outcome::Rejected, MemberReport::default())
         }
-        (_, Err(Broken::Stopped { .. })) => (Outcome::TimedOut, Note::default()),
-        (_, Err(Broken::Connection { .. })) => (Outcome::Reset, Note::default()),
-        _ => (Outcome::Error, Note::default()),
+        (_, Err(Broken::Stopped { .. })) => (Outcome::TimedOut, MemberReport::default()),
+        (_, Err(Broken::Connection { .. })) => (Outcome::Reset, MemberReport::default()),
+        _ => (Outcome::Error, MemberReport::default()),
     }
 }
--- a/src/health/observer.rs
+++ b/src/health/observer.rs
@@ -260,7 +260,7 @@
         if let Some(group) = self.groups.get_mut(&open.group) {
             group.in_flight = group.in_flight.saturating_sub(1);
         }
-        if served || ended.standing == Standing::Finished {
+        if served || ended.answer == AnswerStatus::Finished {
             self.over(
                 ended.request,
                 if served {
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -229,9 +229,9 @@
     Replica,
 }
 
-/// What a member said of itself with an answer or a probe.
+/// What a member reports of itself, with an answer or to a health check.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Note {
+pub struct MemberReport {
     /// Its role, if told.
     pub role: Option<Role>,
     /// All commits up to here are applied; for a write that went through, its commit.
@@ -276,7 +276,7 @@
 
 /// Whether a request still waits for its final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum AnswerStatus {
     /// The router owes a final answer.
     Owed,
     /// The request is finished.
@@ -359,12 +359,12 @@
     pub outcome: Outcome,
     /// How long since it went out.
     pub latency: Micros,
-    /// What the member said.
-    pub note: Note,
-    /// The load report that came with it; older than the note.
-    pub report: Note,
+    /// What the answer itself says of the member.
+    pub answer_report: MemberReport,
+    /// The load report that came with it; made before the answer.
+    pub load_report: MemberReport,
     /// Whether a final answer is still owed.
-    pub standing: Standing,
+    pub answer: AnswerStatus,
 }
 
 /// What happens to a router.
@@ -379,7 +379,7 @@
     /// The client has left; nothing is owed.
     Departed(RequestId),
     /// A probe came back, with what the member reported.
-    Probed(MemberId, Outcome, Note),
+    Probed(MemberId, Outcome, MemberReport),
     /// Word from the list.
     Listed(ListKind, Arc<[Entry]>),
     /// A call to the list failed, or the watch was lost: what changes meanwhile is missed, and counts as told some
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -331,7 +331,7 @@
         self.later(every - every / 10 + jitter, Task::Survey(id));
     }
 
-    fn probed(&mut self, id: MemberId, outcome: Outcome, report: Note) {
+    fn probed(&mut self, id: MemberId, outcome: Outcome, report: MemberReport) {
         let Some(member) = self.members.get_mut(&id) else {
             return;
         };
@@ -485,17 +485,17 @@
     /// decides the mark, but for one that may be older: a primary that has turned a write away says so until
     /// it has handed over, and each time held writes would spend attempts there; a report may have been made
     /// before an answer showed a replica, and bounded reads would go there. Harm: its own mark comes later.
-    fn hear(&mut self, id: MemberId, note: Note, asked: Micros, source: Source) {
+    fn hear(&mut self, id: MemberId, report: MemberReport, asked: Micros, source: Source) {
         let now = self.now;
         let Some(member) = self.members.get_mut(&id) else {
             return;
         };
-        if let Some(position) = note.position.filter(|at| *at >= member.position) {
+        if let Some(position) = report.position.filter(|at| *at >= member.position) {
             member.position = position;
             member.heard_at = now;
             member.missed_until = 0;
         }
-        match member.doubt.hear(note.role, asked, source, now) {
+        match member.doubt.hear(report.role, asked, source, now) {
             Some(Role::Primary) => self.mark(id),
             Some(Role::Replica) => self.unmark(id),
             None => {}
@@ -693,12 +693,12 @@
         let (class, consistency, group) =
             (request.class(), request.consistency, request.arrival.group);
         let session = request.arrival.session;
-        self.hear(member, ended.report, sent, Source::Report);
+        self.hear(member, ended.load_report, sent, Source::Report);
         self.judge(member, class, &ended);
         let served = ended.outcome == Outcome::Served;
         self.hear(
             member,
-            ended.note,
+            ended.answer_report,
             sent,
             Source::of(consistency, ended.outcome),
         );
@@ -727,13 +727,13 @@
             .consistency_levels
             .contains(&ConsistencyLevel::Session);
         let session = session.filter(|_| asked && served && consistency == ConsistencyLevel::Write);
-        if let (Some(session), Some(commit)) = (session, ended.note.position) {
+        if let (Some(session), Some(commit)) = (session, ended.answer_report.position) {
             self.commits.remember(session, commit, SESSIONS);
         }
         let Some(request) = self.requests.get(&id) else {
             return;
         };
-        if served || ended.standing == Standing::Finished {
+        if served || ended.answer == AnswerStatus::Finished {
             self.conclude(id);
         } else if request.answered {
             self.forget(id);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -109,8 +109,8 @@
     }
 }
 
-pub(crate) fn note(role: Role, position: Micros) -> Note {
-    Note {
+pub(crate) fn note(role: Role, position: Micros) -> MemberReport {
+    MemberReport {
         role: Some(role),
         position: Some(position),
     }
@@ -169,7 +169,7 @@
 
     /// A probe that is not answered.
     pub(crate) fn probe_fails(&mut self, m: u32) -> Vec<Action> {
-        let none = Note::default();
+        let none = MemberReport::default();
         self.event(Event::Probed(MemberId(m), Outcome::TimedOut, none))
     }
 
@@ -219,22 +219,28 @@
         request: RequestId,
         attempt: u32,
         outcome: Outcome,
-        note: Note,
+        answer_report: MemberReport,
     ) -> Vec<Action> {
         self.event(Event::Ended(ended(
             request,
             attempt,
             outcome,
             50 * MS,
-            note,
+            answer_report,
         )))
     }
 
     /// A first attempt that got no answer in time, and ended its request.
     pub(crate) fn times_out(&mut self, request: RequestId, latency: Micros) -> Vec<Action> {
-        let late = ended(request, 0, Outcome::TimedOut, latency, Note::default());
+        let late = ended(
+            request,
+            0,
+            Outcome::TimedOut,
+            latency,
+            MemberReport::default(),
+        );
         self.event(Event::Ended(Ended {
-            standing: Standing::Finished,
+            answer: AnswerStatus::Finished,
             ..late
         }))
     }
@@ -246,19 +252,19 @@
     attempt: u32,
     outcome: Outcome,
     latency: Micros,
-    note: Note,
+    answer_report: MemberReport,
 ) -> Ended {
     Ended {
         request,
         attempt: AttemptNo(attempt),
         outcome,
         latency,
-        note,
-        report: Note::default(),
-        standing: if outcome == Outcome::Served {
-            Standing::Finished
+        answer_report,
+        load_report: MemberReport::default(),
+        answer: if outcome == Outcome::Served {
+            AnswerStatus::Finished
         } else {
-            Standing::Owed
+            AnswerStatus::Owed
         },
     }
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -323,7 +323,7 @@
         let (mut attempt, mut more) = (0, true);
         while more {
             front.now += MS;
-            let quick = ended(read, attempt, Outcome::Error, MS, Note::default());
+            let quick = ended(read, attempt, Outcome::Error, MS, MemberReport::default());
             let next = front.event(Event::Ended(quick));
             (attempt, more) = (attempt + 1, !sends(&next).is_empty());
             actions.extend(next);
@@ -518,7 +518,7 @@
     let (write, actions) = front.arrive(WRITE);
     assert_eq!(sends(&actions), [(write, 0)]);
     front.now += MS;
-    front.ends(write, 0, Outcome::Misrouted, Note::default());
+    front.ends(write, 0, Outcome::Misrouted, MemberReport::default());
     front.now += MS;
     let primary = note(Role::Primary, front.now);
     let actions = front.ends(old, 0, Outcome::Served, primary);
@@ -541,7 +541,7 @@
     let mut front = Front::ready(settings(), 1);
     let (write, _) = front.arrive(WRITE);
     front.now += MS;
-    front.ends(write, 0, Outcome::Misrouted, Note::default());
+    front.ends(write, 0, Outcome::Misrouted, MemberReport::default());
     let mut asked = vec![];
     for _ in 0..4 {
         front.now += 20 * MS;
@@ -759,7 +759,7 @@
     assert_eq!(sends(&actions), [(write, 0)]);
     front.change(0, EntryState::Gone, 0);
     assert!(front.router.knows(MemberId(0)), "it still owes an answer");
-    front.ends(write, 0, Outcome::Served, Note::default());
+    front.ends(write, 0, Outcome::Served, MemberReport::default());
     assert!(!front.router.knows(MemberId(0)));
 }
 
@@ -780,7 +780,7 @@
                 break;
             }
             if sent {
-                actions = front.ends(request, attempt, Outcome::NotSent, Note::default());
+                actions = front.ends(request, attempt, Outcome::NotSent, MemberReport::default());
                 attempt += 1;
             } else {
                 front.now += 5 * MS;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -152,9 +152,9 @@
     }
 
     /// What a member says now, as of so long ago.
-    fn reply(&self, member: u32, age: Micros) -> (Outcome, Note) {
+    fn reply(&self, member: u32, age: Micros) -> (Outcome, MemberReport) {
         match self.dead.contains(&member) {
-            true => (Outcome::ConnectFailed, Note::default()),
+            true => (Outcome::ConnectFailed, MemberReport::default()),
             false => (Outcome::Served, note(role(member), self.now - age)),
         }
     }
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -509,7 +509,7 @@
     );
     for m in 0..3 {
         let role = if m == 0 { Role::Primary } else { Role::Replica };
-        let note = Note {
+        let note = MemberReport {
             role: Some(role),
             position: Some(front.now),
         };
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -80,10 +80,10 @@
     let mut front = Front::ready(settings(), 3);
     let (write, _) = front.arrive(WRITE);
     front.now += MS;
-    let actions = front.ends(write, 0, Outcome::Misrouted, Note::default());
+    let actions = front.ends(write, 0, Outcome::Misrouted, MemberReport::default());
     assert!(sends(&actions).iter().all(|(_, m)| *m != 0));
     assert!(!refused(&actions, write) && !failed(&actions, write));
-    let actions = front.ends(write, 1, Outcome::Misrouted, Note::default());
+    let actions = front.ends(write, 1, Outcome::Misrouted, MemberReport::default());
     assert!(!refused(&actions, write) && !failed(&actions, write));
     assert_eq!(sends(&front.tell(2, Role::Primary)), [(write, 2)]);
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -15,7 +15,7 @@
     ] {
         let mut front = Front::ready(settings(), 3);
         let (write, _) = front.arrive(WRITE);
-        let actions = front.ends(write, 0, outcome, Note::default());
+        let actions = front.ends(write, 0, outcome, MemberReport::default());
         assert!(failed(&actions, write), "{outcome:?}");
         assert!(sends(&actions).is_empty() && !refused(&actions, write));
     }
@@ -81,7 +81,7 @@
         let (read, actions) = front.arrive(ANY);
         if let Some((_, 1)) = sends(&actions).first() {
             sent += 1;
-            front.ends(read, 0, Outcome::Rejected, Note::default());
+            front.ends(read, 0, Outcome::Rejected, MemberReport::default());
         }
     }
     assert!(sent <= 2, "{sent} sends to a member just started");
@@ -124,12 +124,17 @@
     let mut front = Front::ready(settings(), 2);
     let (request, actions) = front.arrive(99);
     assert!(refused(&actions, request));
-    front.ends(RequestId(12345), 3, Outcome::Served, Note::default());
+    front.ends(
+        RequestId(12345),
+        3,
+        Outcome::Served,
+        MemberReport::default(),
+    );
     front.event(Event::Departed(RequestId(777)));
     front.event(Event::Probed(
         MemberId(99),
         Outcome::Served,
-        Note::default(),
+        MemberReport::default(),
     ));
     let (mut empty, _) = Front::new(settings(), 0);
     let (request, actions) = empty.arrive(ANY);
@@ -307,10 +312,10 @@
     }
 }
 
-fn hear(watcher: &mut Watcher, m: u32, note: Note) {
+fn hear(watcher: &mut Watcher, m: u32, report: MemberReport) {
     let position = watcher.position.entry(m).or_insert(0);
-    *position = (*position).max(note.position.unwrap_or(0));
-    match note.role {
+    *position = (*position).max(report.position.unwrap_or(0));
+    match report.role {
         Some(Role::Primary) => {
             watcher.been_primary.insert(m);
         }
@@ -344,16 +349,16 @@
     let said = if answered {
         note(role, front.now - 5 * MS)
     } else {
-        Note::default()
+        MemberReport::default()
     };
-    let standing = if seen.done {
-        Standing::Finished
+    let answer = if seen.done {
+        AnswerStatus::Finished
     } else {
-        Standing::Owed
+        AnswerStatus::Owed
     };
     hear(watcher, m, said);
     let actions = front.event(Event::Ended(Ended {
-        standing,
+        answer,
         ..ended(id, number, outcome, 60 * MS, said)
     }));
     watcher.check(settings, front.now, &actions);
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -270,7 +270,7 @@
         member.floor.max(self.now - member.lag)
     }
 
-    fn note(&self, id: u32) -> Note {
+    fn note(&self, id: u32) -> MemberReport {
         let member = &self.members[&id];
         let primary = self.primaries.get(&member.group) == Some(&id);
         let role = if primary {
@@ -283,7 +283,7 @@
             .positions
             .granted()
             .then(|| self.position(member));
-        Note {
+        MemberReport {
             role: Some(role),
             position,
         }
@@ -490,13 +490,17 @@
             outcome,
             Outcome::Served | Outcome::Misrouted | Outcome::Error | Outcome::Rejected
         );
-        let note = if told { self.note(to) } else { Note::default() };
+        let note = if told {
+            self.note(to)
+        } else {
+            MemberReport::default()
+        };
         let served = outcome == Outcome::Served;
         let owed = !self.open[&request].answered;
         let standing = if served || !owed {
-            Standing::Finished
+            AnswerStatus::Finished
         } else {
-            Standing::Owed
+            AnswerStatus::Owed
         };
         if served && owed {
             self.answer(request)?;
@@ -507,7 +511,7 @@
             }
         }
         let note = if served && consistency == ConsistencyLevel::Write {
-            Note {
+            MemberReport {
                 position: Some(now),
                 ..note
             }
@@ -519,9 +523,9 @@
             attempt: AttemptNo(at as u32),
             outcome,
             latency: now - sent,
-            note,
-            report: Note::default(),
-            standing,
+            answer_report: note,
+            load_report: MemberReport::default(),
+            answer: standing,
         };
         if told && !primary {
             self.members
@@ -680,7 +684,7 @@
                     let report = if outcome == Outcome::Served {
                         self.note(id)
                     } else {
-                        Note::default()
+                        MemberReport::default()
                     };
                     self.feed(Event::Probed(MemberId(id), outcome, report))?;
                 }
