--- a/src/bin/asterreel-adapter/wire.rs
+++ b/src/bin/asterreel-adapter/wire.rs
@@ -289,9 +289,9 @@
         let mut actions = Vec::new();
         let event = match event {
             // The wire tells of a watch that ended as of a call that failed; only the latter had said nothing yet.
-            Event::ListLost(_) => {
-                let unheard = self.called_at.take().map_or(0, |at| now.saturating_sub(at));
-                Event::ListLost(ListLoss::after(unheard))
+            Event::WatchLost(_) => {
+                let staleness = self.called_at.take().map_or(0, |at| now.saturating_sub(at));
+                Event::WatchLost(WatchLoss::after_silence(staleness))
             }
             event => event,
         };
@@ -490,25 +490,25 @@
         tables: &HashMap<u32, Arc<Vec<Item>>>,
     ) -> Result<Event, String> {
         let kind = match view.how.as_str() {
-            "incr" => ListKind::Changes,
-            "total" => ListKind::Full,
-            "warm_copy" => ListKind::WarmCopy,
-            "lost" => return Ok(Event::ListLost(ListLoss::default())),
+            "incr" => UpdateKind::Delta,
+            "total" => UpdateKind::Snapshot,
+            "warm_copy" => UpdateKind::CachedSnapshot,
+            "lost" => return Ok(Event::WatchLost(WatchLoss::default())),
             other => return Err(format!("VIEW: unknown kind {other}")),
         };
-        if kind != ListKind::WarmCopy {
+        if kind != UpdateKind::CachedSnapshot {
             self.called_at = None;
         }
         let number = view.table.unwrap_or(0);
         let items = tables
             .get(&number)
             .ok_or(format!("VIEW: unknown table {number}"))?;
-        let entries: Result<Vec<Entry>, String> =
+        let entries: Result<Vec<Endpoint>, String> =
             items.iter().map(|item| self.entry(item)).collect();
-        Ok(Event::Listed(kind, entries?.into()))
+        Ok(Event::EndpointsUpdated(kind, entries?.into()))
     }
 
-    fn entry(&mut self, item: &Item) -> Result<Entry, String> {
+    fn entry(&mut self, item: &Item) -> Result<Endpoint, String> {
         let member = self.member(&item.store);
         item.entry(member, &self.zones)
             .map_err(|fault| format!("DEFINE_LIST: {fault}"))
--- a/src/bin/asterreel/client/tests.rs
+++ b/src/bin/asterreel/client/tests.rs
@@ -39,7 +39,7 @@
         let ((probes, asked), (watches, _watched)) = (channel(), channel());
         let core =
             Arc::new(Core::new(&config, clock, timer.clone(), probes, watches).expect("good"));
-        core.listed(ListKind::WarmCopy, &config.known)
+        core.listed(UpdateKind::CachedSnapshot, &config.known)
             .expect("good");
         let primary = MemberReport {
             role: Some(Role::Primary),
--- a/src/bin/asterreel/core.rs
+++ b/src/bin/asterreel/core.rs
@@ -189,8 +189,8 @@
         self.feed(Event::Probed(member, outcome, report));
     }
 
-    pub(crate) fn list_lost(&self, loss: ListLoss) {
-        self.feed(Event::ListLost(loss));
+    pub(crate) fn list_lost(&self, loss: WatchLoss) {
+        self.feed(Event::WatchLost(loss));
     }
 
     pub(crate) fn wake(&self) {
@@ -203,10 +203,10 @@
     }
 
     /// Takes in a list; one with an entry that makes no sense changes nothing.
-    pub(crate) fn listed(&self, kind: ListKind, listing: &Listing) -> Result<(), String> {
+    pub(crate) fn listed(&self, kind: UpdateKind, listing: &Listing) -> Result<(), String> {
         self.with(|state| {
             let entries = state.entries(listing)?;
-            state.feed(self, Event::Listed(kind, entries.into()));
+            state.feed(self, Event::EndpointsUpdated(kind, entries.into()));
             state.forget_members();
             Ok(())
         })
@@ -214,7 +214,7 @@
 }
 
 impl State {
-    fn entries(&mut self, listing: &Listing) -> Result<Vec<Entry>, String> {
+    fn entries(&mut self, listing: &Listing) -> Result<Vec<Endpoint>, String> {
         let mut entries = Vec::with_capacity(listing.members.len());
         let mut addresses = Vec::with_capacity(listing.members.len());
         for item in &listing.members {
@@ -223,7 +223,7 @@
                 .map_err(|f| format!("{}: {f}", item.store))?;
             let address = match item.address.parse() {
                 Ok(address) => Some(address),
-                Err(_) if entry.state != EntryState::On => None,
+                Err(_) if entry.state != EndpointState::Ready => None,
                 Err(_) => return Err(format!("{}: bad address {:?}", item.store, item.address)),
             };
             entries.push(entry);
--- a/src/bin/asterreel/core/tests.rs
+++ b/src/bin/asterreel/core/tests.rs
@@ -34,7 +34,7 @@
 fn a_list_with_one_bad_entry_leaves_the_old_one_standing() {
     let (core, config, (asked, watched)) = core_asking();
     let clock = core.clock;
-    core.listed(ListKind::WarmCopy, &config.known)
+    core.listed(UpdateKind::CachedSnapshot, &config.known)
         .expect("good");
     assert!(watched.try_recv().is_ok());
     let probed: Vec<(MemberId, SocketAddr)> = asked.try_iter().collect();
@@ -49,7 +49,7 @@
         bad.members.remove(0);
         bad.members.push(bad.members[0].clone());
         spoil(&mut bad);
-        assert!(core.listed(ListKind::Full, &bad).is_err());
+        assert!(core.listed(UpdateKind::Snapshot, &bad).is_err());
     }
     // The primary, which those lists left out, still gets a write.
     let primary = MemberReport {
@@ -83,7 +83,7 @@
     for round in 0..5 {
         let mut list = config.known.clone();
         list.members[1].store = format!("s-{round}");
-        core.listed(ListKind::Full, &list).expect("good");
+        core.listed(UpdateKind::Snapshot, &list).expect("good");
         core.with(|state| assert_eq!((state.members.len(), state.places.len()), (2, 2)));
     }
     let mut gone = Listing {
@@ -93,6 +93,6 @@
     gone.members
         .iter_mut()
         .for_each(|member| member.state = "gone".into());
-    core.listed(ListKind::Changes, &gone).expect("good");
+    core.listed(UpdateKind::Delta, &gone).expect("good");
     core.with(|state| assert_eq!((state.members.len(), state.places.len()), (1, 1)));
 }
--- a/src/bin/asterreel/discovery.rs
+++ b/src/bin/asterreel/discovery.rs
@@ -10,7 +10,7 @@
 use crate::core::Core;
 use crate::net::Stream;
 use asterreel::config::Listing;
-use asterreel::interface::{ListKind, ListLoss, Micros};
+use asterreel::interface::{Micros, UpdateKind, WatchLoss};
 use asterreel::watch::Watch;
 use may::sync::mpsc::Receiver;
 use reader::{Reader, Unread};
@@ -115,14 +115,14 @@
 }
 
 /// What is lost with a watch that ended now with this fault.
-fn loss(source: &Source, fault: &Fault, watch: &Watch, now: Micros) -> ListLoss {
+fn loss(source: &Source, fault: &Fault, watch: &Watch, now: Micros) -> WatchLoss {
     let (lost, heard_at) = match fault {
         Fault::Ended(_) => watch.ended(now),
         _ => watch.given_up(now),
     };
-    ListLoss {
-        unheard: now.saturating_sub(source.missed_since(heard_at)),
-        cut: lost.cut || matches!(fault, Fault::List(_)),
+    WatchLoss {
+        staleness: now.saturating_sub(source.missed_since(heard_at)),
+        truncated: lost.truncated || matches!(fault, Fault::List(_)),
     }
 }
 
@@ -196,9 +196,9 @@
 
 fn told(core: &Core, listing: &Listing, record: &mut Record) -> Result<(), String> {
     let kind = if listing.complete {
-        ListKind::Full
+        UpdateKind::Snapshot
     } else {
-        ListKind::Changes
+        UpdateKind::Delta
     };
     core.listed(kind, listing)?;
     let stale_ms = record.stale_ms(core.clock.now());
--- a/src/bin/asterreel/health/tests.rs
+++ b/src/bin/asterreel/health/tests.rs
@@ -4,7 +4,7 @@
 use crate::pool::Pool;
 use crate::timer::Timer;
 use asterreel::config::Config;
-use asterreel::interface::ListKind;
+use asterreel::interface::UpdateKind;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::Instant;
@@ -35,7 +35,8 @@
     let pool = Arc::new(Pool::new(clock, timer.clone(), 8, 15_000_000, 250_000));
     let woken = core.clone();
     std::thread::spawn(move || timer.run(|| woken.wake()));
-    core.listed(ListKind::Full, &config.known).expect("good");
+    core.listed(UpdateKind::Snapshot, &config.known)
+        .expect("good");
     // Free a moment ago; nothing else of this machine picks an address of its own there.
     let port = || {
         TcpListener::bind("127.83.7.1:0")
--- a/src/bin/asterreel/startup.rs
+++ b/src/bin/asterreel/startup.rs
@@ -7,7 +7,7 @@
 use crate::probe;
 use crate::timer::Timer;
 use asterreel::config::Config;
-use asterreel::interface::{Discovery, ListKind, MemberId};
+use asterreel::interface::{Discovery, MemberId, UpdateKind};
 use asterreel::operator::Operator;
 use asterreel_control::clock::Clock;
 use may::sync::mpsc::{self, Receiver};
@@ -94,7 +94,7 @@
         .spawn(move || timer.run(|| woken.wake()))?;
     let (probing, probing_pool) = (core.clone(), pool.clone());
     net::spawn(move || run_probes(&probing, &probing_pool, &probes_asked));
-    core.listed(ListKind::WarmCopy, &config.known)
+    core.listed(UpdateKind::CachedSnapshot, &config.known)
         .map_err(|fault| format!("configuration: known: {fault}"))?;
     let (watching, watched, revision) = (core.clone(), source.clone(), config.known.revision);
     let first_list = Arc::<FirstList>::default();
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -7,7 +7,7 @@
 //! within [`FIRST_CALL`]. Never decides what is done with a list, and does no input or output.
 
 use crate::fleet::Fleet;
-use crate::interface::{Discovery, ListLoss, Micros, Settings};
+use crate::interface::{Discovery, Micros, Settings, WatchLoss};
 
 /// First wait before a lost watch is renewed where a gateway is one of few, microseconds. Ours.
 const RENEW_FIRST: Micros = 200_000;
@@ -80,7 +80,7 @@
 
     /// The wait before the next call, after one failed or a watch was lost. Drawn anew each time, as watches of all
     /// gateways are lost together.
-    pub fn again(&mut self, loss: ListLoss, rng: &mut fastrand::Rng) -> Micros {
+    pub fn again(&mut self, loss: WatchLoss, rng: &mut fastrand::Rng) -> Micros {
         if self.discovery == Discovery::Push {
             return RENEW_AT_AGENT;
         }
@@ -95,19 +95,19 @@
     }
 
     /// The longest wait before the next call.
-    fn longest(&self, loss: ListLoss) -> Micros {
+    fn longest(&self, loss: WatchLoss) -> Micros {
         // What was written counts as told already: the next call hurries, unless each list is cut.
-        if loss.cut {
+        if loss.truncated {
             return (RENEW_FIRST << self.losses.min(4)).min(CYCLE);
         }
         let left = self
             .told_after
-            .saturating_sub(loss.unheard + CALL_TAKES)
+            .saturating_sub(loss.staleness + CALL_TAKES)
             .max(RENEW_FIRST);
         let apart = if self.losses == 0 && self.is_large {
             self.spread
         } else {
-            CYCLE.saturating_sub(loss.unheard).max(LEAST_SPREAD)
+            CYCLE.saturating_sub(loss.staleness).max(LEAST_SPREAD)
         };
         apart.min(left)
     }
--- a/src/health/observer.rs
+++ b/src/health/observer.rs
@@ -132,8 +132,8 @@
             Event::Ended(ended) => self.ended(now, ended),
             Event::Departed(id) => self.over(*id, Fate::Left),
             Event::Probed(member, outcome, _) => self.heard(*member, *outcome == Outcome::Served),
-            Event::Listed(kind, entries) => self.listed(now, *kind, entries),
-            Event::Started(_) | Event::ListLost(_) | Event::Wake => {}
+            Event::EndpointsUpdated(kind, entries) => self.listed(now, *kind, entries),
+            Event::Started(_) | Event::WatchLost(_) | Event::Wake => {}
         }
     }
 
@@ -155,14 +155,14 @@
         }
     }
 
-    fn listed(&mut self, now: Micros, kind: ListKind, entries: &[Entry]) {
-        self.told |= kind != ListKind::WarmCopy;
-        if kind != ListKind::Changes {
+    fn listed(&mut self, now: Micros, kind: UpdateKind, entries: &[Endpoint]) {
+        self.told |= kind != UpdateKind::CachedSnapshot;
+        if kind != UpdateKind::Delta {
             let named: HashSet<MemberId> = entries.iter().map(|entry| entry.member).collect();
             self.members.retain(|id, _| named.contains(id));
         }
         for entry in entries {
-            if entry.state != EntryState::On {
+            if entry.state != EndpointState::Ready {
                 self.members.remove(&entry.member);
                 continue;
             }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -304,21 +304,21 @@
     pub since_write: Option<Micros>,
 }
 
-/// The state of a list entry.
+/// The state of an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum EntryState {
-    /// In service.
+pub enum EndpointState {
+    /// It takes requests.
     #[default]
-    On,
-    /// Finishing what it has.
+    Ready,
+    /// It finishes what it has and takes nothing new.
     Draining,
     /// Withdrawn.
-    Gone,
+    Removed,
 }
 
-/// A line of the list of members.
+/// An entry of the endpoint list: a member, as discovery has it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Entry {
+pub struct Endpoint {
     /// The member.
     pub member: MemberId,
     /// Its group.
@@ -326,26 +326,26 @@
     /// Its zone.
     pub zone: ZoneId,
     /// Its state.
-    pub state: EntryState,
+    pub state: EndpointState,
     /// When its process last started; 0 is long ago.
     pub started: Micros,
     /// Its role as the list has it.
     pub role: Role,
     /// Its listed size.
     pub size: f64,
-    /// A number drawn from its name: the same at every front, and telling nothing else.
-    pub lot: u64,
+    /// A hash of its name, to break ties: the same at every gateway.
+    pub tie_break_hash: u64,
 }
 
-/// How a list is to be read.
+/// How an endpoint update is to be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
-    /// Only what changed.
-    Changes,
-    /// All members; those left out are gone.
-    Full,
-    /// All members as last seen; may be stale.
-    WarmCopy,
+pub enum UpdateKind {
+    /// Only the endpoints that changed.
+    Delta,
+    /// All endpoints; those left out were removed.
+    Snapshot,
+    /// All endpoints as last known; may be stale.
+    CachedSnapshot,
 }
 
 /// How an attempt of a request ended.
@@ -380,30 +380,30 @@
     Departed(RequestId),
     /// A probe came back, with what the member reported.
     Probed(MemberId, Outcome, MemberReport),
-    /// Word from the list.
-    Listed(ListKind, Arc<[Entry]>),
-    /// A call to the list failed, or the watch was lost: what changes meanwhile is missed, and counts as told some
-    /// seconds after it changed.
-    ListLost(ListLoss),
+    /// The endpoint list, or a change of it.
+    EndpointsUpdated(UpdateKind, Arc<[Endpoint]>),
+    /// A call to discovery failed, or the watch was lost: changes meanwhile are missed, and count as notified some
+    /// seconds after they were made.
+    WatchLost(WatchLoss),
     /// The timer asked for has come due.
     Wake,
 }
 
-/// How a call to the list failed, or a watch on it was lost.
+/// How a call to discovery failed, or a watch on it was lost.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct ListLoss {
-    /// For how long nothing was heard, microseconds; of a call that was not answered, since it began.
-    pub unheard: Micros,
-    /// A list had begun to come and did not come whole, or made no sense: what it holds counts as told already.
-    pub cut: bool,
+pub struct WatchLoss {
+    /// For how long there was no contact, microseconds; of a call that was not answered, since it began.
+    pub staleness: Micros,
+    /// An update had begun and did not come complete, or made no sense: what it holds counts as notified already.
+    pub truncated: bool,
 }
 
-impl ListLoss {
-    /// A loss after so many microseconds without a word, with no list begun.
-    pub fn after(unheard: Micros) -> ListLoss {
-        ListLoss {
-            unheard,
-            cut: false,
+impl WatchLoss {
+    /// A loss after so many microseconds without contact, with no update begun.
+    pub fn after_silence(staleness: Micros) -> WatchLoss {
+        WatchLoss {
+            staleness,
+            truncated: false,
         }
     }
 }
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -168,8 +168,8 @@
             }
             Event::Departed(id) => self.conclude(id),
             Event::Probed(id, outcome, report) => self.probed(id, outcome, report),
-            Event::Listed(kind, entries) => self.listed(kind, &entries),
-            Event::ListLost(loss) => {
+            Event::EndpointsUpdated(kind, entries) => self.listed(kind, &entries),
+            Event::WatchLost(loss) => {
                 let wait = self.calls.again(loss, &mut self.rng);
                 self.later(wait, Task::Renew);
             }
@@ -209,8 +209,8 @@
             .extend(self.agenda.next_wake(self.now).map(Action::WakeAfter));
     }
 
-    fn listed(&mut self, kind: ListKind, entries: &[Entry]) {
-        if kind == ListKind::WarmCopy && self.settings.discovery == Discovery::Ask {
+    fn listed(&mut self, kind: UpdateKind, entries: &[Endpoint]) {
+        if kind == UpdateKind::CachedSnapshot && self.settings.discovery == Discovery::Ask {
             match self.calls.begin(&mut self.rng) {
                 0 => self.out.push(Action::Watch),
                 wait => self.later(wait, Task::Renew),
@@ -218,22 +218,22 @@
         } else {
             self.calls.answered();
         }
-        if kind != ListKind::Changes {
+        if kind != UpdateKind::Delta {
             let named: BTreeSet<MemberId> = entries.iter().map(|entry| entry.member).collect();
             let known: Vec<MemberId> = self.members.keys().copied().collect();
             for id in known.into_iter().filter(|id| !named.contains(id)) {
-                self.leaving(id, EntryState::Gone);
+                self.leaving(id, EndpointState::Removed);
             }
         }
         for entry in entries {
             match entry.state {
-                EntryState::On => self.enter(entry),
+                EndpointState::Ready => self.enter(entry),
                 state => self.leaving(entry.member, state),
             }
         }
     }
 
-    fn enter(&mut self, entry: &Entry) {
+    fn enter(&mut self, entry: &Endpoint) {
         let (id, now) = (entry.member, self.now);
         let is_new = !self.members.contains_key(&id);
         if is_new {
@@ -255,7 +255,7 @@
         let Some(member) = self.members.get_mut(&id) else {
             return;
         };
-        member.state = EntryState::On;
+        member.state = EndpointState::Ready;
         member.seen_draining = false;
         if is_new || member.started < entry.started {
             // A process that has started anew is cold, excused, and holds no role we knew of.
@@ -275,12 +275,12 @@
             .and_modify(|member| member.listed_primary = listed);
     }
 
-    fn leaving(&mut self, id: MemberId, state: EntryState) {
+    fn leaving(&mut self, id: MemberId, state: EndpointState) {
         let Some(member) = self.members.get_mut(&id) else {
             return;
         };
         member.state = state;
-        member.seen_draining |= state == EntryState::Draining;
+        member.seen_draining |= state == EndpointState::Draining;
         if !member.drain_binds(&self.settings) {
             return;
         }
@@ -293,7 +293,7 @@
         let Some(member) = self.members.get(&id) else {
             return;
         };
-        let over = member.state == EntryState::Gone && member.in_flight == 0;
+        let over = member.state == EndpointState::Removed && member.in_flight == 0;
         if over && member.drain_binds(&self.settings) {
             let group = self.groups.entry(member.group);
             group.and_modify(|group| group.members.retain(|other| *other != id));
@@ -1117,7 +1117,7 @@
         }
         open.retain(|m| !m.probe_out);
         // Not where any-reads gather, as long as there is another.
-        open.sort_by_key(|m| m.lot);
+        open.sort_by_key(|m| m.tie_break_hash);
         let spare = usize::from(open.len() > 1);
         self.less_busy_of_two(&open[spare..])
     }
@@ -1139,7 +1139,7 @@
         let holds_up = self.holds_up(class);
         if self.fleet.is_large() && holds_up {
             // Fronts that see little of a group can't find out where the others gather: the lot says it.
-            behind.sort_by_key(|m| (self.is_cold(m), m.listed_primary, m.lot));
+            behind.sort_by_key(|m| (self.is_cold(m), m.listed_primary, m.tie_break_hash));
             return behind.into_iter().find(room).map(|m| m.id);
         }
         behind.sort_by_key(|m| (self.is_cold(m), Reverse(m.lag())));
@@ -1223,7 +1223,7 @@
     /// Drains are kept from the first word on; where only a draining entry binds, 'gone' alone does not.
     fn drain_binds(&self, settings: &Settings) -> bool {
         let gone_binds = settings.drain_binds == DrainBinds::DrainingAndGone;
-        self.state != EntryState::On && (gone_binds || self.seen_draining)
+        self.state != EndpointState::Ready && (gone_binds || self.seen_draining)
     }
 
     fn lag(&self) -> Micros {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -232,7 +232,7 @@
     /// # Errors
     ///
     /// The state of the endpoint is none that is known.
-    pub fn entry(&self, member: MemberId, zones: &[String]) -> Result<Entry, String> {
+    pub fn entry(&self, member: MemberId, zones: &[String]) -> Result<Endpoint, String> {
         let zone = match &self.campus {
             Place::Number(number) => *number,
             // A zone that the settings don't name is nobody's own.
@@ -242,13 +242,13 @@
                 .map_or(u32::MAX, |n| n as u32),
         };
         let state = match self.state.as_str() {
-            "on" | "ready" => EntryState::On,
-            "fading" | "draining" => EntryState::Draining,
-            "off" | "gone" => EntryState::Gone,
+            "on" | "ready" => EndpointState::Ready,
+            "fading" | "draining" => EndpointState::Draining,
+            "off" | "gone" => EndpointState::Removed,
             other => return Err(format!("unknown state {other}")),
         };
         let primary = self.writer > 0.5 || self.access == "writer";
-        Ok(Entry {
+        Ok(Endpoint {
             member,
             group: GroupId(self.cell),
             zone: ZoneId(zone),
@@ -260,7 +260,7 @@
                 Role::Replica
             },
             size: self.size,
-            lot: xxh3_64(self.store.as_bytes()),
+            tie_break_hash: xxh3_64(self.store.as_bytes()),
         })
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -43,8 +43,8 @@
     pub group: GroupId,
     pub zone: ZoneId,
     /// The same at every front.
-    pub lot: u64,
-    pub state: EntryState,
+    pub tie_break_hash: u64,
+    pub state: EndpointState,
     pub seen_draining: bool,
     /// When its process last started, as the list has it; 0 is long ago.
     pub started: Micros,
@@ -81,12 +81,12 @@
 }
 
 impl Member {
-    pub(crate) fn new(entry: &Entry, now: Micros) -> Member {
+    pub(crate) fn new(entry: &Endpoint, now: Micros) -> Member {
         Member {
             id: entry.member,
             group: entry.group,
             zone: entry.zone,
-            lot: entry.lot,
+            tie_break_hash: entry.tie_break_hash,
             started: entry.started,
             quiet_since: now,
             ..Member::default()
--- a/src/watch.rs
+++ b/src/watch.rs
@@ -5,7 +5,7 @@
 //! knows them. Time is an argument; it does no input or output.
 
 use crate::calls::SILENCE;
-use crate::interface::{ListLoss, Micros};
+use crate::interface::{Micros, WatchLoss};
 
 /// How long a call may go without the head of its answer, microseconds; discovery itself gives up on one after 2 s.
 pub const CALL: Micros = 2_500_000;
@@ -79,7 +79,7 @@
     }
 
     /// What is lost with it where its connection ends now: up to its end an answered watch has told all there was.
-    pub fn ended(mut self, now: Micros) -> (ListLoss, Micros) {
+    pub fn ended(mut self, now: Micros) -> (WatchLoss, Micros) {
         if self.latest.answered && !self.latest.within_list {
             self.heard_at = now;
         }
@@ -87,12 +87,12 @@
     }
 
     /// What is lost with it where it is given up now, and since when.
-    pub fn given_up(self, now: Micros) -> (ListLoss, Micros) {
-        let unheard = now.saturating_sub(self.heard_at);
+    pub fn given_up(self, now: Micros) -> (WatchLoss, Micros) {
+        let staleness = now.saturating_sub(self.heard_at);
         (
-            ListLoss {
-                unheard,
-                cut: self.latest.within_list,
+            WatchLoss {
+                staleness,
+                truncated: self.latest.within_list,
             },
             self.heard_at,
         )
--- a/src/watch/tests.rs
+++ b/src/watch/tests.rs
@@ -18,7 +18,10 @@
     watch.receive(11 * SECOND, Received::default());
     assert_eq!(watch.broken_at(), 10 * SECOND + CALL);
     for (loss, since) in [watch.ended(12 * SECOND), watch.given_up(12 * SECOND)] {
-        assert_eq!((loss, since), (ListLoss::after(2 * SECOND), 10 * SECOND));
+        assert_eq!(
+            (loss, since),
+            (WatchLoss::after_silence(2 * SECOND), 10 * SECOND)
+        );
     }
 }
 
@@ -29,10 +32,10 @@
         watch.receive(beat * 2 * SECOND, received(false, 100));
         assert_eq!(watch.broken_at(), beat * 2 * SECOND + SILENCE);
     }
-    assert_eq!(watch.ended(19 * SECOND).0, ListLoss::after(0));
+    assert_eq!(watch.ended(19 * SECOND).0, WatchLoss::after_silence(0));
     assert_eq!(
         watch.given_up(21 * SECOND).0,
-        ListLoss::after(3 * SECOND),
+        WatchLoss::after_silence(3 * SECOND),
         "it fell silent"
     );
 }
@@ -49,15 +52,15 @@
     assert_eq!(watch.heard_at(), SECOND);
     assert_eq!(
         watch.ended(4 * SECOND).0,
-        ListLoss {
-            unheard: 3 * SECOND,
-            cut: true
+        WatchLoss {
+            staleness: 3 * SECOND,
+            truncated: true
         }
     );
     watch.receive(4 * SECOND, received(false, 70));
     assert_eq!(
         watch.ended(4 * SECOND).0,
-        ListLoss::after(0),
+        WatchLoss::after_silence(0),
         "it came whole after all"
     );
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -96,8 +96,8 @@
     pub next: u64,
 }
 
-pub(crate) fn entry(member: u32, state: EntryState, started: Micros) -> Entry {
-    Entry {
+pub(crate) fn entry(member: u32, state: EndpointState, started: Micros) -> Endpoint {
+    Endpoint {
         member: MemberId(member),
         group: GROUP,
         zone: ZoneId(0),
@@ -105,7 +105,7 @@
         started,
         role: Role::Replica,
         size: 1.0,
-        lot: u64::from(member),
+        tie_break_hash: u64::from(member),
     }
 }
 
@@ -131,8 +131,10 @@
             now: START,
             next: 0,
         };
-        let list = (0..members).map(|m| entry(m, EntryState::On, 0)).collect();
-        let actions = front.event(Event::Listed(ListKind::WarmCopy, list));
+        let list = (0..members)
+            .map(|m| entry(m, EndpointState::Ready, 0))
+            .collect();
+        let actions = front.event(Event::EndpointsUpdated(UpdateKind::CachedSnapshot, list));
         (front, actions)
     }
 
@@ -174,9 +176,9 @@
     }
 
     /// Word from the list on one member.
-    pub(crate) fn change(&mut self, m: u32, state: EntryState, started: Micros) -> Vec<Action> {
+    pub(crate) fn change(&mut self, m: u32, state: EndpointState, started: Micros) -> Vec<Action> {
         let entries = [entry(m, state, started)].into();
-        self.event(Event::Listed(ListKind::Changes, entries))
+        self.event(Event::EndpointsUpdated(UpdateKind::Delta, entries))
     }
 
     pub(crate) fn pass(&mut self, span: Micros) -> Vec<Action> {
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -106,7 +106,7 @@
     for seed in 0..fleet {
         let mut front = Front::seeded(settings.clone(), 2, seed);
         front.tell(0, Role::Primary);
-        front.change(2, EntryState::On, front.now - 1);
+        front.change(2, EndpointState::Ready, front.now - 1);
         front.tell(2, Role::Replica);
         // The only other standby fails, so that all reads would go to the cold one.
         for _ in 0..4 {
@@ -184,12 +184,12 @@
     assert!((50..190).contains(&refusals), "{refusals} of 200");
 }
 
-fn list(kind: ListKind, members: &[u32]) -> Event {
+fn list(kind: UpdateKind, members: &[u32]) -> Event {
     let entries = members
         .iter()
-        .map(|m| entry(*m, EntryState::On, 0))
+        .map(|m| entry(*m, EndpointState::Ready, 0))
         .collect();
-    Event::Listed(kind, entries)
+    Event::EndpointsUpdated(kind, entries)
 }
 
 fn only_draining_binds() -> Settings {
@@ -204,12 +204,12 @@
 fn a_shrunk_or_empty_list_stops_no_service_where_only_draining_binds() {
     for named in [&[1][..], &[]] {
         let mut front = Front::ready(only_draining_binds(), 3);
-        front.event(list(ListKind::Full, named));
+        front.event(list(UpdateKind::Snapshot, named));
         let (write, actions) = front.arrive(WRITE);
         assert_eq!(sends(&actions), [(write, 0)]);
         let (_, actions) = front.arrive(BOUNDED);
         assert_ne!(sends(&actions)[0].1, 0);
-        let back = front.event(list(ListKind::Full, &[0, 1, 2]));
+        let back = front.event(list(UpdateKind::Snapshot, &[0, 1, 2]));
         let probes = back
             .iter()
             .filter(|a| matches!(a, Action::Probe(_)))
@@ -222,10 +222,10 @@
 #[test]
 fn a_shrunk_or_empty_list_binds_where_gone_binds() {
     let mut front = Front::ready(settings(), 3);
-    front.event(list(ListKind::Full, &[1]));
+    front.event(list(UpdateKind::Snapshot, &[1]));
     let (_, actions) = front.arrive(BOUNDED);
     assert!(sends(&actions).iter().all(|(_, m)| *m == 1));
-    front.event(list(ListKind::Full, &[]));
+    front.event(list(UpdateKind::Snapshot, &[]));
     let (read, mut actions) = front.arrive(BOUNDED);
     actions.extend(front.pass(2_000 * MS));
     assert!(sends(&actions).is_empty() && refused(&actions, read));
@@ -235,9 +235,9 @@
 #[test]
 fn an_old_list_neither_unmarks_nor_chills_a_member() {
     let mut front = Front::ready(only_draining_binds(), 3);
-    front.change(2, EntryState::On, front.now - 20_000 * MS);
+    front.change(2, EndpointState::Ready, front.now - 20_000 * MS);
     front.tell(2, Role::Primary);
-    front.event(list(ListKind::Full, &[0, 1, 2]));
+    front.event(list(UpdateKind::Snapshot, &[0, 1, 2]));
     let (write, actions) = front.arrive(WRITE);
     assert_eq!(sends(&actions), [(write, 2)]);
 }
@@ -247,7 +247,7 @@
 fn ghosts_earn_no_trust() {
     for settings in [settings(), only_draining_binds()] {
         let mut front = Front::ready(settings, 3);
-        let mut all = front.event(list(ListKind::Full, &[0, 1, 2, 8, 9]));
+        let mut all = front.event(list(UpdateKind::Snapshot, &[0, 1, 2, 8, 9]));
         for _ in 0..20 {
             let (read, actions) = front.arrive(BOUNDED);
             all.extend(actions);
@@ -378,7 +378,7 @@
         .may_write(front.now + 301 * MS, read, MemberId(0)));
     let (any, _) = front.arrive(ANY);
     assert!(front.router.may_write(front.now + 301 * MS, any, member));
-    front.change(to, EntryState::Draining, 0);
+    front.change(to, EndpointState::Draining, 0);
     assert!(!front.router.may_write(front.now, any, member));
 }
 
@@ -716,7 +716,7 @@
             }
         }
         front.pass(1_200 * MS);
-        front.change(1, EntryState::On, front.now);
+        front.change(1, EndpointState::Ready, front.now);
         let mut sent = 0;
         for _ in 0..200 {
             front.pass(5 * MS);
@@ -757,7 +757,7 @@
     let mut front = Front::ready(settings(), 3);
     let (write, actions) = front.arrive(WRITE);
     assert_eq!(sends(&actions), [(write, 0)]);
-    front.change(0, EntryState::Gone, 0);
+    front.change(0, EndpointState::Removed, 0);
     assert!(front.router.knows(MemberId(0)), "it still owes an answer");
     front.ends(write, 0, Outcome::Served, MemberReport::default());
     assert!(!front.router.knows(MemberId(0)));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -60,10 +60,10 @@
     }
 
     fn with(settings: Settings, fronts: u32, groups: u32, seed: u64) -> World {
-        let list: std::sync::Arc<[Entry]> = (0..groups * MEMBERS)
-            .map(|m| Entry {
+        let list: std::sync::Arc<[Endpoint]> = (0..groups * MEMBERS)
+            .map(|m| Endpoint {
                 role: role(m),
-                ..listed(m, EntryState::On, 0)
+                ..listed(m, EndpointState::Ready, 0)
             })
             .collect();
         let settings = Settings {
@@ -95,13 +95,16 @@
         };
         world.later(1, Next::Arrival);
         for front in 0..world.fronts.len() {
-            world.feed(front, Event::Listed(ListKind::WarmCopy, list.clone()));
+            world.feed(
+                front,
+                Event::EndpointsUpdated(UpdateKind::CachedSnapshot, list.clone()),
+            );
         }
         world
     }
 
     /// All fronts start anew, with this list.
-    fn restart(&mut self, settings: &Settings, list: &std::sync::Arc<[Entry]>, seed: u64) {
+    fn restart(&mut self, settings: &Settings, list: &std::sync::Arc<[Endpoint]>, seed: u64) {
         for front in 0..self.fronts.len() {
             let settings = Settings {
                 fleet: self.fronts.len() as u32,
@@ -111,7 +114,10 @@
             };
             let router = Router::new(settings, seed * 1_000 + front as u64, self.now);
             self.fronts[front] = router.expect("good settings");
-            self.feed(front, Event::Listed(ListKind::WarmCopy, list.clone()));
+            self.feed(
+                front,
+                Event::EndpointsUpdated(UpdateKind::CachedSnapshot, list.clone()),
+            );
         }
     }
 
@@ -177,7 +183,9 @@
                     self.arrive();
                 }
                 Next::Wake(front) => self.feed(front, Event::Wake),
-                Next::CallFailed(front) => self.feed(front, Event::ListLost(ListLoss::after(CALL))),
+                Next::CallFailed(front) => {
+                    self.feed(front, Event::WatchLost(WatchLoss::after_silence(CALL)))
+                }
                 Next::Answer(front, request, member) => {
                     let attempt = self.attempts[&(front, request)] - 1;
                     let class = self.classes[&request];
@@ -229,10 +237,13 @@
     }
 
     /// All fronts hear of a member at once.
-    fn change(&mut self, member: u32, state: EntryState, started: Micros) {
-        let entries: std::sync::Arc<[Entry]> = [listed(member, state, started)].into();
+    fn change(&mut self, member: u32, state: EndpointState, started: Micros) {
+        let entries: std::sync::Arc<[Endpoint]> = [listed(member, state, started)].into();
         for front in 0..self.fronts.len() {
-            self.feed(front, Event::Listed(ListKind::Changes, entries.clone()));
+            self.feed(
+                front,
+                Event::EndpointsUpdated(UpdateKind::Delta, entries.clone()),
+            );
         }
     }
 
@@ -258,11 +269,11 @@
 }
 
 /// A line of the list.
-fn listed(member: u32, state: EntryState, started: Micros) -> Entry {
+fn listed(member: u32, state: EndpointState, started: Micros) -> Endpoint {
     let group = GroupId(u64::from(member / MEMBERS));
-    Entry {
+    Endpoint {
         group,
-        lot: u64::from(member).wrapping_mul(0x9E37_79B9),
+        tie_break_hash: u64::from(member).wrapping_mul(0x9E37_79B9),
         ..entry(member, state, started)
     }
 }
@@ -363,7 +374,7 @@
         world.play(10 * SECOND, rate);
         let began = world.now;
         for member in (0..4 * MEMBERS).filter(|member| member % MEMBERS > 1) {
-            world.change(member, EntryState::On, began);
+            world.change(member, EndpointState::Ready, began);
         }
         world.play(10 * SECOND, rate);
         let settings = settings();
@@ -477,7 +488,7 @@
 fn a_call_after_any_loss_is_made_in_time_to_be_answered_whatever_the_fleet_and_how_often() {
     // A watch that ended, a call refused at once, a place that can't be reached, a call that was refused out of a
     // queue, one that was given up, a watch that fell silent.
-    for unheard in [
+    for staleness in [
         0,
         20 * MS,
         SECOND,
@@ -500,14 +511,14 @@
                 };
                 let told = ask_every
                     .min(6 * SECOND)
-                    .saturating_sub(unheard + CALL)
+                    .saturating_sub(staleness + CALL)
                     .max(200 * MS);
                 let mut front = Front::seeded(settings, 2, seed);
                 for count in 0..30 {
-                    let waited = wait_after_loss(&mut front, unheard);
+                    let waited = wait_after_loss(&mut front, staleness);
                     assert!(
                         waited <= told + 10 * MS,
-                        "fleet {fleet}, asked every {ask_every}, number {count} after {unheard}: {waited} us"
+                        "fleet {fleet}, asked every {ask_every}, number {count} after {staleness}: {waited} us"
                     );
                 }
             }
@@ -549,7 +560,7 @@
                     &format!("after a start, {what}"),
                 );
 
-                front.event(Event::Listed(ListKind::Changes, [].into()));
+                front.event(Event::EndpointsUpdated(UpdateKind::Delta, [].into()));
                 let first = wait_after_loss(&mut front, 0);
                 assert_calls(
                     &calls_from(&mut front, first, takes),
@@ -584,8 +595,8 @@
 }
 
 /// How long a front waits with its next call after a loss.
-fn wait_after_loss(front: &mut Front, unheard: Micros) -> Micros {
-    front.event(Event::ListLost(ListLoss::after(unheard)));
+fn wait_after_loss(front: &mut Front, staleness: Micros) -> Micros {
+    front.event(Event::WatchLost(WatchLoss::after_silence(staleness)));
     let lost_at = front.now;
     while !front.event(Event::Wake).contains(&Action::Watch) {
         front.now += 10 * MS;
@@ -600,7 +611,7 @@
 #[test]
 fn an_agent_that_pushes_lists_is_asked_again_at_once_however_large_the_fleet() {
     for fleet in [1, 30, 300] {
-        for unheard in [0, CALL, asterreel::calls::SILENCE] {
+        for staleness in [0, CALL, asterreel::calls::SILENCE] {
             let settings = Settings {
                 fleet,
                 discovery: Discovery::Push,
@@ -608,7 +619,7 @@
             };
             let mut front = Front::seeded(settings, 2, 7);
             for count in 0..30 {
-                let waited = wait_after_loss(&mut front, unheard);
+                let waited = wait_after_loss(&mut front, staleness);
                 assert!(
                     waited <= 60 * MS,
                     "fleet {fleet}, number {count}: {waited} us"
@@ -632,7 +643,7 @@
             .map(|seed| started(&settings, 100 + seed).0)
             .collect();
         for front in &mut fronts {
-            front.event(Event::Listed(ListKind::Changes, [].into()));
+            front.event(Event::EndpointsUpdated(UpdateKind::Delta, [].into()));
         }
         for round in 0..8 {
             let mut waits: Vec<Micros> = fronts
@@ -804,17 +815,17 @@
     let stays_warm = |member: &u32| scene != Scene::All && member % MEMBERS < 2;
     let (warm, cold): (Vec<u32>, Vec<u32>) = (0..groups * MEMBERS).partition(stays_warm);
     cold.iter()
-        .for_each(|member| world.change(*member, EntryState::On, began));
+        .for_each(|member| world.change(*member, EndpointState::Ready, began));
     match scene {
         Scene::WarmDie => world.dead = warm,
         Scene::FrontsStart => {
             world.play(3 * SECOND, rate);
             let started = |member| if cold.contains(&member) { began } else { 0 };
-            let entry = |m| Entry {
+            let entry = |m| Endpoint {
                 role: role(m),
-                ..listed(m, EntryState::On, started(m))
+                ..listed(m, EndpointState::Ready, started(m))
             };
-            let list: std::sync::Arc<[Entry]> = (0..groups * MEMBERS).map(entry).collect();
+            let list: std::sync::Arc<[Endpoint]> = (0..groups * MEMBERS).map(entry).collect();
             world.restart(settings, &list, seed * 77);
         }
         Scene::Some | Scene::All => {}
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -5,7 +5,7 @@
 mod golden;
 
 use asterreel::config::{Config, Listing};
-use asterreel::interface::{EntryState, MemberId, Role};
+use asterreel::interface::{EndpointState, MemberId, Role};
 use asterreel::operator;
 use asterreel::settings::Item;
 use serde_json::{json, Value};
@@ -210,16 +210,16 @@
             .entry(MemberId(number as u32), &zones)
             .expect("an entry");
         let state = match read.state {
-            EntryState::On => "on",
-            EntryState::Draining => "draining",
-            EntryState::Gone => "gone",
+            EndpointState::Ready => "on",
+            EndpointState::Draining => "draining",
+            EndpointState::Removed => "gone",
         };
         let role = if read.role == Role::Primary {
             "primary"
         } else {
             "replica"
         };
-        let (group, zone, hash) = (read.group.0, read.zone.0, read.lot);
+        let (group, zone, hash) = (read.group.0, read.zone.0, read.tie_break_hash);
         seen += &format!(
             "{} at {:?}: {state} {role}, group {group}, zone {zone}, size {}, started {}, hash {hash:016x}\n",
             item.store, item.address, read.size, read.started
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -496,11 +496,11 @@
             .for_each(|action| observer.action(front.now, action));
         actions
     };
-    let list = (0..3).map(|m| entry(m, EntryState::On, 0)).collect();
+    let list = (0..3).map(|m| entry(m, EndpointState::Ready, 0)).collect();
     feed(
         &mut observer,
         &mut front,
-        Told::Listed(ListKind::Full, list),
+        Told::EndpointsUpdated(UpdateKind::Snapshot, list),
     );
     assert_eq!(
         observer.report(front.now).groups[0].usable,
@@ -628,7 +628,7 @@
     feed(
         &mut observer,
         &mut front,
-        Told::Listed(ListKind::Full, [].into()),
+        Told::EndpointsUpdated(UpdateKind::Snapshot, [].into()),
     );
     assert_eq!(observer.report(front.now).groups, []);
 }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -222,7 +222,7 @@
     assert!(actions.contains(&Action::Watch));
     let mut calls = 0;
     for _ in 0..20 {
-        front.event(Event::ListLost(ListLoss::default()));
+        front.event(Event::WatchLost(WatchLoss::default()));
         for _ in 0..40 {
             let actions = front.pass(100 * MS);
             if actions.contains(&Action::Watch) {
@@ -232,7 +232,7 @@
         }
     }
     assert_eq!(calls, 20, "each loss is followed by a call");
-    front.event(Event::ListLost(ListLoss::default()));
+    front.event(Event::WatchLost(WatchLoss::default()));
     let early = front.pass(900 * MS);
     assert!(
         !early.contains(&Action::Watch),
@@ -257,7 +257,7 @@
 /// A connection may take long to come up: what was told or happened meanwhile holds for the write as well.
 #[test]
 fn a_send_decided_on_is_not_written_once_its_member_drains_or_its_client_has_gone() {
-    for ending in [EntryState::Draining, EntryState::Gone] {
+    for ending in [EndpointState::Draining, EndpointState::Removed] {
         let mut front = Front::ready(settings(), 3);
         let (write, actions) = front.arrive(WRITE);
         let (_, to) = sends(&actions)[0];
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -48,7 +48,7 @@
 
 #[test]
 fn nothing_goes_to_a_member_told_draining_or_gone() {
-    for state in [EntryState::Draining, EntryState::Gone] {
+    for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut front = Front::ready(settings(), 3);
         front.change(1, state, 0);
         for _ in 0..20 {
@@ -63,10 +63,10 @@
     let mut settings = settings();
     settings.drain_binds = DrainBinds::DrainingOnly;
     let mut front = Front::ready(settings, 2);
-    front.change(1, EntryState::Gone, 0);
+    front.change(1, EndpointState::Removed, 0);
     let (_, actions) = front.arrive(ANY);
     assert_eq!(sends(&actions)[0].1, 1);
-    front.change(1, EntryState::Draining, 0);
+    front.change(1, EndpointState::Draining, 0);
     let (_, actions) = front.arrive(ANY);
     assert_eq!(sends(&actions)[0].1, 0);
 }
@@ -74,7 +74,7 @@
 #[test]
 fn a_cold_member_gets_little_at_first() {
     let mut front = Front::ready(settings(), 2);
-    front.change(1, EntryState::On, START);
+    front.change(1, EndpointState::Ready, START);
     front.tell(1, Role::Replica);
     let mut sent = 0;
     for _ in 0..100 {
@@ -276,9 +276,13 @@
             }
             6 if b % 4 == 0 => {
                 let m = u32::from(a) % 4;
-                let state = [EntryState::On, EntryState::Draining, EntryState::Gone];
+                let state = [
+                    EndpointState::Ready,
+                    EndpointState::Draining,
+                    EndpointState::Removed,
+                ];
                 let state = state[usize::from(a / 4) % 3];
-                if state == EntryState::On {
+                if state == EndpointState::Ready {
                     watcher.drained.remove(&m);
                 } else {
                     watcher.drained.entry(m).or_insert(front.now);
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -142,7 +142,7 @@
 struct Member {
     group: u64,
     zone: u32,
-    state: EntryState,
+    state: EndpointState,
     lag: Micros,
     /// All up to here is applied for certain: a position never goes back.
     floor: Micros,
@@ -208,7 +208,7 @@
                 let id = members.len() as u32;
                 let (zone, work) = (rng.u32(0..2), rng.u64(2..60) * MS);
                 let lag = if place == 0 { 0 } else { rng.u64(1..400) * MS };
-                let (state, alive) = (EntryState::On, true);
+                let (state, alive) = (EndpointState::Ready, true);
                 let excused = place == 0;
                 let floor = START - lag;
                 let member = Member {
@@ -250,11 +250,11 @@
             .push(Reverse((self.now + after, self.number, next)));
     }
 
-    fn entry(&self, id: u32) -> Entry {
+    fn entry(&self, id: u32) -> Endpoint {
         let member = &self.members[&id];
         let primary = self.primaries.get(&member.group) == Some(&id);
         let told = primary && self.settings.listed_role != ListedRole::Never;
-        Entry {
+        Endpoint {
             member: MemberId(id),
             group: GroupId(member.group),
             zone: ZoneId(member.zone),
@@ -262,7 +262,7 @@
             started: 0,
             role: if told { Role::Primary } else { Role::Replica },
             size: 1.0,
-            lot: u64::from(id).wrapping_mul(0x9E37_79B9),
+            tie_break_hash: u64::from(id).wrapping_mul(0x9E37_79B9),
         }
     }
 
@@ -604,12 +604,12 @@
             3 => self.members.entry(id).and_modify(|member| member.lag /= 2),
             4 | 5 => {
                 let state = if self.rng.bool() {
-                    EntryState::Draining
+                    EndpointState::Draining
                 } else {
-                    EntryState::Gone
+                    EndpointState::Removed
                 };
                 let binds = self.settings.drain_binds == DrainBinds::DrainingAndGone
-                    || state == EntryState::Draining;
+                    || state == EndpointState::Draining;
                 let now = self.now;
                 self.members.entry(id).and_modify(|member| {
                     member.state = state;
@@ -617,18 +617,25 @@
                         member.bound_at.get_or_insert(now);
                     }
                 });
-                return self.feed(Event::Listed(ListKind::Changes, [self.entry(id)].into()));
+                return self.feed(Event::EndpointsUpdated(
+                    UpdateKind::Delta,
+                    [self.entry(id)].into(),
+                ));
             }
             6 => {
                 self.members.entry(id).and_modify(|member| {
-                    (member.state, member.bound_at, member.alive) = (EntryState::On, None, true);
+                    (member.state, member.bound_at, member.alive) =
+                        (EndpointState::Ready, None, true);
                 });
-                return self.feed(Event::Listed(ListKind::Changes, [self.entry(id)].into()));
+                return self.feed(Event::EndpointsUpdated(
+                    UpdateKind::Delta,
+                    [self.entry(id)].into(),
+                ));
             }
             _ => {
                 self.calls_due += 1;
-                let unheard = [3 * SECOND, 0, 2 * SECOND][self.rng.usize(0..3)];
-                return self.feed(Event::ListLost(ListLoss::after(unheard)));
+                let staleness = [3 * SECOND, 0, 2 * SECOND][self.rng.usize(0..3)];
+                return self.feed(Event::WatchLost(WatchLoss::after_silence(staleness)));
             }
         };
         Ok(())
@@ -650,9 +657,12 @@
     }
 
     fn play(&mut self) -> Broken {
-        let list: Vec<Entry> = self.members.keys().map(|id| self.entry(*id)).collect();
+        let list: Vec<Endpoint> = self.members.keys().map(|id| self.entry(*id)).collect();
         self.calls_due = u32::from(self.settings.discovery == Discovery::Ask);
-        self.feed(Event::Listed(ListKind::WarmCopy, list.into()))?;
+        self.feed(Event::EndpointsUpdated(
+            UpdateKind::CachedSnapshot,
+            list.into(),
+        ))?;
         self.later(1, Next::Arrive);
         self.later(300 * MS, Next::Trouble);
         let end = START + SPAN;
@@ -688,7 +698,9 @@
                     };
                     self.feed(Event::Probed(MemberId(id), outcome, report))?;
                 }
-                Next::Watched => self.feed(Event::Listed(ListKind::Changes, [].into()))?,
+                Next::Watched => {
+                    self.feed(Event::EndpointsUpdated(UpdateKind::Delta, [].into()))?
+                }
             }
             self.overdue()?;
             self.open
