--- a/src/bin/asterreel-adapter/wire.rs
+++ b/src/bin/asterreel-adapter/wire.rs
@@ -385,19 +385,23 @@
         tables: &HashMap<u32, Arc<Vec<Item>>>,
     ) -> Result<Option<Event>, String> {
         Ok(match event {
-            Input::Accept(accept) => Some(Event::Arrive(self.arrival(accept))),
+            Input::Accept(accept) => Some(Event::RequestArrived(self.arrival(accept))),
             Input::Reply(reply) => self.reply(reply)?,
             Input::TimedOutClient(gone) => self.ids.get(&gone.job).copied().map(|request| {
                 self.finish(request);
-                Event::Departed(request)
+                Event::ClientGone(request)
             }),
-            Input::Accepted(begun) => self.ids.get(&begun.job).copied().map(Event::Started),
+            Input::Accepted(begun) => self.ids.get(&begun.job).copied().map(Event::StreamStarted),
             Input::Health(health) => {
                 let report = self.report(health.feedback.as_deref());
                 let member = self.member(&health.store);
-                Some(Event::Probed(member, outcome(health.result)?, report))
+                Some(Event::HealthChecked(
+                    member,
+                    outcome(health.result)?,
+                    report,
+                ))
             }
-            Input::Due(_) => Some(Event::Wake),
+            Input::Due(_) => Some(Event::TimerFired),
             Input::View(view) => Some(self.view(&view, tables)?),
             Input::Datagram(_)
             | Input::NewInstance(_)
@@ -441,7 +445,7 @@
             self.finish(request);
         }
         self.forget(request);
-        Ok(Some(Event::Ended(Ended {
+        Ok(Some(Event::AttemptEnded(AttemptEnded {
             request,
             attempt: AttemptNo(reply.round_no),
             outcome,
--- a/src/bin/asterreel/client/request.rs
+++ b/src/bin/asterreel/client/request.rs
@@ -443,7 +443,7 @@
             ?role,
             latency
         );
-        core.ended(Ended {
+        core.ended(AttemptEnded {
             request: request.id,
             attempt: number,
             outcome,
@@ -472,8 +472,8 @@
 }
 
 /// How an attempt ended that was ordered and never begun, with its request.
-fn never_sent(request: RequestId, attempt: AttemptNo) -> Ended {
-    Ended {
+fn never_sent(request: RequestId, attempt: AttemptNo) -> AttemptEnded {
+    AttemptEnded {
         request,
         attempt,
         outcome: Outcome::NotSent,
--- a/src/bin/asterreel/core.rs
+++ b/src/bin/asterreel/core.rs
@@ -167,13 +167,13 @@
             state.requests += 1;
             arrival.request = RequestId(state.requests);
             state.inboxes.insert(arrival.request, (inbox, arrival.due));
-            state.feed(self, Event::Arrive(arrival));
+            state.feed(self, Event::RequestArrived(arrival));
             arrival.request
         })
     }
 
-    pub(crate) fn ended(&self, ended: Ended) {
-        self.feed(Event::Ended(ended));
+    pub(crate) fn ended(&self, ended: AttemptEnded) {
+        self.feed(Event::AttemptEnded(ended));
     }
 
     /// Whether an attempt that was ordered earlier may be written now.
@@ -182,11 +182,11 @@
     }
 
     pub(crate) fn departed(&self, request: RequestId) {
-        self.feed(Event::Departed(request));
+        self.feed(Event::ClientGone(request));
     }
 
     pub(crate) fn probed(&self, member: MemberId, outcome: Outcome, report: MemberReport) {
-        self.feed(Event::Probed(member, outcome, report));
+        self.feed(Event::HealthChecked(member, outcome, report));
     }
 
     pub(crate) fn list_lost(&self, loss: WatchLoss) {
@@ -194,7 +194,7 @@
     }
 
     pub(crate) fn wake(&self) {
-        self.feed(Event::Wake);
+        self.feed(Event::TimerFired);
     }
 
     /// No orders are wanted any more.
--- a/src/health/observer.rs
+++ b/src/health/observer.rs
@@ -128,12 +128,14 @@
     /// Sees an event, before the router does.
     pub fn event(&mut self, now: Micros, event: &Event) {
         match event {
-            Event::Arrive(arrival) => self.arrives(now, arrival),
-            Event::Ended(ended) => self.ended(now, ended),
-            Event::Departed(id) => self.over(*id, Fate::Left),
-            Event::Probed(member, outcome, _) => self.heard(*member, *outcome == Outcome::Served),
+            Event::RequestArrived(arrival) => self.arrives(now, arrival),
+            Event::AttemptEnded(ended) => self.ended(now, ended),
+            Event::ClientGone(id) => self.over(*id, Fate::Left),
+            Event::HealthChecked(member, outcome, _) => {
+                self.heard(*member, *outcome == Outcome::Served)
+            }
             Event::EndpointsUpdated(kind, entries) => self.listed(now, *kind, entries),
-            Event::Started(_) | Event::WatchLost(_) | Event::Wake => {}
+            Event::StreamStarted(_) | Event::WatchLost(_) | Event::TimerFired => {}
         }
     }
 
@@ -251,7 +253,7 @@
         self.open.insert(arrival.request, open);
     }
 
-    fn ended(&mut self, now: Micros, ended: &Ended) {
+    fn ended(&mut self, now: Micros, ended: &AttemptEnded) {
         let Some(open) = self.open.get_mut(&ended.request) else {
             return;
         };
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -350,7 +350,7 @@
 
 /// How an attempt of a request ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ended {
+pub struct AttemptEnded {
     /// The request.
     pub request: RequestId,
     /// Which of its attempts.
@@ -371,22 +371,22 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A request came in.
-    Arrive(Arrival),
+    RequestArrived(Arrival),
     /// An attempt ended.
-    Ended(Ended),
+    AttemptEnded(AttemptEnded),
     /// A streamed answer has begun; the attempt belongs to the client now.
-    Started(RequestId),
+    StreamStarted(RequestId),
     /// The client has left; nothing is owed.
-    Departed(RequestId),
+    ClientGone(RequestId),
     /// A probe came back, with what the member reported.
-    Probed(MemberId, Outcome, MemberReport),
+    HealthChecked(MemberId, Outcome, MemberReport),
     /// The endpoint list, or a change of it.
     EndpointsUpdated(UpdateKind, Arc<[Endpoint]>),
     /// A call to discovery failed, or the watch was lost: changes meanwhile are missed, and count as notified some
     /// seconds after they were made.
     WatchLost(WatchLoss),
     /// The timer asked for has come due.
-    Wake,
+    TimerFired,
 }
 
 /// How a call to discovery failed, or a watch on it was lost.
@@ -436,7 +436,7 @@
     Watch,
     /// Write a line for the people on call.
     Remark(MemberId, Remark),
-    /// Ask for a [`Event::Wake`] after this long.
+    /// Ask for a [`Event::TimerFired`] after this long.
     WakeAfter(Micros),
 }
 
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -159,21 +159,21 @@
                 .for_each(|member| member.quiet_since = now);
         }
         match event {
-            Event::Arrive(arrival) => self.arrive(arrival),
-            Event::Ended(ended) => self.ended(ended),
-            Event::Started(id) => {
+            Event::RequestArrived(arrival) => self.arrive(arrival),
+            Event::AttemptEnded(ended) => self.ended(ended),
+            Event::StreamStarted(id) => {
                 self.requests
                     .entry(id)
                     .and_modify(|request| request.streaming = true);
             }
-            Event::Departed(id) => self.conclude(id),
-            Event::Probed(id, outcome, report) => self.probed(id, outcome, report),
+            Event::ClientGone(id) => self.conclude(id),
+            Event::HealthChecked(id, outcome, report) => self.probed(id, outcome, report),
             Event::EndpointsUpdated(kind, entries) => self.listed(kind, &entries),
             Event::WatchLost(loss) => {
                 let wait = self.calls.again(loss, &mut self.rng);
                 self.later(wait, Task::Renew);
             }
-            Event::Wake => {}
+            Event::TimerFired => {}
         }
         self.run_agenda();
         actions.append(&mut self.out);
@@ -370,7 +370,7 @@
     }
 
     /// What an attempt's outcome says of the member's health and room.
-    fn judge(&mut self, id: MemberId, class: usize, ended: &Ended) {
+    fn judge(&mut self, id: MemberId, class: usize, ended: &AttemptEnded) {
         let now = self.now;
         let ratio =
             ended.latency as f64 / self.settings.classes[class].latency_objective.max(1) as f64;
@@ -670,7 +670,7 @@
         }
     }
 
-    fn ended(&mut self, ended: Ended) {
+    fn ended(&mut self, ended: AttemptEnded) {
         let number = ended.attempt.0 as usize;
         let request = self.requests.get_mut(&ended.request);
         let Some(request) = request.filter(|request| request.attempt_out(number)) else {
@@ -745,7 +745,7 @@
     }
 
     /// A further attempt, within limit, time and what outcomes prove; budgeted unless the last was cheap.
-    fn try_again(&mut self, id: RequestId, ended: &Ended) {
+    fn try_again(&mut self, id: RequestId, ended: &AttemptEnded) {
         let request = &self.requests[&id];
         let usual = self.paces[request.class()].mean;
         let left =
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -166,13 +166,13 @@
     /// A good probe that reports a role and a position so far behind the present.
     pub(crate) fn tell_behind(&mut self, m: u32, role: Role, lag: Micros) -> Vec<Action> {
         let report = note(role, self.now - lag);
-        self.event(Event::Probed(MemberId(m), Outcome::Served, report))
+        self.event(Event::HealthChecked(MemberId(m), Outcome::Served, report))
     }
 
     /// A probe that is not answered.
     pub(crate) fn probe_fails(&mut self, m: u32) -> Vec<Action> {
         let none = MemberReport::default();
-        self.event(Event::Probed(MemberId(m), Outcome::TimedOut, none))
+        self.event(Event::HealthChecked(MemberId(m), Outcome::TimedOut, none))
     }
 
     /// Word from the list on one member.
@@ -186,7 +186,7 @@
         let end = self.now + span;
         while self.now < end {
             self.now = end.min(self.now + 5 * MS);
-            actions.extend(self.event(Event::Wake));
+            actions.extend(self.event(Event::TimerFired));
         }
         actions
     }
@@ -203,7 +203,7 @@
     ) -> (RequestId, Vec<Action>) {
         let request = RequestId(self.next);
         self.next += 1;
-        let actions = self.event(Event::Arrive(Arrival {
+        let actions = self.event(Event::RequestArrived(Arrival {
             request,
             class: ClassId(class),
             tenant: TenantId(0),
@@ -223,7 +223,7 @@
         outcome: Outcome,
         answer_report: MemberReport,
     ) -> Vec<Action> {
-        self.event(Event::Ended(ended(
+        self.event(Event::AttemptEnded(ended(
             request,
             attempt,
             outcome,
@@ -241,7 +241,7 @@
             latency,
             MemberReport::default(),
         );
-        self.event(Event::Ended(Ended {
+        self.event(Event::AttemptEnded(AttemptEnded {
             answer: AnswerStatus::Finished,
             ..late
         }))
@@ -255,8 +255,8 @@
     outcome: Outcome,
     latency: Micros,
     answer_report: MemberReport,
-) -> Ended {
-    Ended {
+) -> AttemptEnded {
+    AttemptEnded {
         request,
         attempt: AttemptNo(attempt),
         outcome,
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -28,7 +28,7 @@
     let mut wakes = 0;
     for n in 0..50 {
         front.arrive(n % 5);
-        let actions = front.event(Event::Wake);
+        let actions = front.event(Event::TimerFired);
         wakes += actions
             .iter()
             .filter(|a| matches!(a, Action::WakeAfter(_)))
@@ -164,7 +164,7 @@
             }
             if !sends(&actions).is_empty() {
                 let replica = note(Role::Replica, front.now);
-                front.event(Event::Ended(ended(
+                front.event(Event::AttemptEnded(ended(
                     read,
                     0,
                     Outcome::Served,
@@ -267,7 +267,7 @@
     let (read, _) = front.arrive(ANY);
     front.pass(350 * MS);
     let replica = note(Role::Replica, front.now);
-    front.event(Event::Ended(ended(
+    front.event(Event::AttemptEnded(ended(
         read,
         0,
         Outcome::Served,
@@ -324,7 +324,7 @@
         while more {
             front.now += MS;
             let quick = ended(read, attempt, Outcome::Error, MS, MemberReport::default());
-            let next = front.event(Event::Ended(quick));
+            let next = front.event(Event::AttemptEnded(quick));
             (attempt, more) = (attempt + 1, !sends(&next).is_empty());
             actions.extend(next);
         }
@@ -405,7 +405,7 @@
             latency,
             note(Role::Replica, front.now - 350 * MS),
         );
-        front.event(Event::Ended(late));
+        front.event(Event::AttemptEnded(late));
     }
     (front, false)
 }
@@ -478,7 +478,7 @@
             sent[to as usize] += u32::from(round >= 40);
             front.now += latency;
             let behind = note(Role::Replica, front.now - lag - u64::from(to) * 10 * MS);
-            front.event(Event::Ended(ended(
+            front.event(Event::AttemptEnded(ended(
                 read,
                 0,
                 Outcome::Served,
@@ -705,7 +705,7 @@
                 let (read, actions) = front.arrive(class);
                 assert_eq!(sends(&actions).len(), 1);
                 let replica = note(Role::Replica, front.now);
-                front.event(Event::Ended(ended(
+                front.event(Event::AttemptEnded(ended(
                     read,
                     0,
                     Outcome::Served,
@@ -733,7 +733,7 @@
                 };
                 let answer = note(role, front.now);
                 let latency = if class == ANY { 200 * MS } else { 20 * MS };
-                front.event(Event::Ended(ended(
+                front.event(Event::AttemptEnded(ended(
                     read,
                     0,
                     Outcome::Served,
@@ -784,7 +784,7 @@
                 attempt += 1;
             } else {
                 front.now += 5 * MS;
-                actions = front.event(Event::Wake);
+                actions = front.event(Event::TimerFired);
             }
             assert!(
                 front.now < over_at + 100 * MS,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -182,7 +182,7 @@
                     self.later(wait as Micros + 1 + rest, Next::Arrival);
                     self.arrive();
                 }
-                Next::Wake(front) => self.feed(front, Event::Wake),
+                Next::Wake(front) => self.feed(front, Event::TimerFired),
                 Next::CallFailed(front) => {
                     self.feed(front, Event::WatchLost(WatchLoss::after_silence(CALL)))
                 }
@@ -193,11 +193,14 @@
                     let behind = if class == ANY { REPORT } else { 5 * MS };
                     let (outcome, note) = self.reply(member, behind);
                     let ended = ended(RequestId(request), attempt, outcome, work(class), note);
-                    self.feed(front, Event::Ended(ended));
+                    self.feed(front, Event::AttemptEnded(ended));
                 }
                 Next::Report(front, member) => {
                     let (outcome, report) = self.reply(member, REPORT_AGE);
-                    self.feed(front, Event::Probed(MemberId(member), outcome, report));
+                    self.feed(
+                        front,
+                        Event::HealthChecked(MemberId(member), outcome, report),
+                    );
                 }
             }
         }
@@ -223,7 +226,7 @@
         self.classes.insert(request, class);
         self.feed(
             front,
-            Event::Arrive(Arrival {
+            Event::RequestArrived(Arrival {
                 request: RequestId(request),
                 class: ClassId(class),
                 tenant: TenantId(0),
@@ -532,7 +535,7 @@
     let start = front.now;
     while !actions.contains(&Action::Watch) {
         front.now += 10 * MS;
-        actions = front.event(Event::Wake);
+        actions = front.event(Event::TimerFired);
         assert!(front.now < start + 60 * SECOND, "never called");
     }
     let waited = front.now - start;
@@ -598,7 +601,7 @@
 fn wait_after_loss(front: &mut Front, staleness: Micros) -> Micros {
     front.event(Event::WatchLost(WatchLoss::after_silence(staleness)));
     let lost_at = front.now;
-    while !front.event(Event::Wake).contains(&Action::Watch) {
+    while !front.event(Event::TimerFired).contains(&Action::Watch) {
         front.now += 10 * MS;
         assert!(front.now < lost_at + 60 * SECOND, "never called again");
     }
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -516,7 +516,7 @@
         feed(
             &mut observer,
             &mut front,
-            Told::Probed(MemberId(m), Outcome::Served, note),
+            Told::HealthChecked(MemberId(m), Outcome::Served, note),
         );
     }
     let report = observer.report(front.now);
@@ -525,7 +525,7 @@
 
     let arrive = |front: &mut Front, class: usize| {
         front.next += 1;
-        Told::Arrive(Arrival {
+        Told::RequestArrived(Arrival {
             request: RequestId(front.next),
             class: ClassId(class),
             tenant: TenantId(0),
@@ -552,7 +552,7 @@
             took,
             common::note(Role::Primary, front.now),
         );
-        feed(&mut observer, &mut front, Told::Ended(served));
+        feed(&mut observer, &mut front, Told::AttemptEnded(served));
     }
     let group = &observer.report(front.now).groups[0];
     assert!(group.strained == 0 && group.ended >= 10, "{group:?}");
@@ -561,7 +561,7 @@
     feed(
         &mut observer,
         &mut front,
-        Told::Probed(MemberId(0), Outcome::Served, common::note(Role::Replica, 0)),
+        Told::HealthChecked(MemberId(0), Outcome::Served, common::note(Role::Replica, 0)),
     );
     assert!(!observer.report(front.now).groups[0].primary);
     // Some of them seek the primary; every member turns them away.
@@ -580,7 +580,7 @@
     let end = front.now + 3 * S;
     while front.now < end {
         front.now += 20 * MS;
-        let mut actions = feed(&mut observer, &mut front, Told::Wake);
+        let mut actions = feed(&mut observer, &mut front, Told::TimerFired);
         let mut answered = 0;
         while answered < asked.len() {
             let request = asked[answered];
@@ -595,7 +595,7 @@
                 MS,
                 common::note(Role::Replica, front.now),
             );
-            actions.extend(feed(&mut observer, &mut front, Told::Ended(miss)));
+            actions.extend(feed(&mut observer, &mut front, Told::AttemptEnded(miss)));
             asked.extend(common::sends(&actions).iter().map(|(request, _)| *request));
             actions.clear();
             answered += 1;
@@ -614,7 +614,7 @@
     );
     // A client that names a group that does not exist leaves nothing behind.
     let mut stranger = arrive(&mut front, common::WRITE);
-    if let Told::Arrive(arrival) = &mut stranger {
+    if let Told::RequestArrived(arrival) = &mut stranger {
         arrival.group = GroupId(99);
     }
     feed(&mut observer, &mut front, stranger);
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -271,6 +271,6 @@
     let mut front = Front::ready(settings(), 3);
     let (write, actions) = front.arrive(WRITE);
     let (_, to) = sends(&actions)[0];
-    front.event(Event::Departed(write));
+    front.event(Event::ClientGone(write));
     assert!(!front.router.may_write(front.now, write, MemberId(to)));
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -130,8 +130,8 @@
         Outcome::Served,
         MemberReport::default(),
     );
-    front.event(Event::Departed(RequestId(777)));
-    front.event(Event::Probed(
+    front.event(Event::ClientGone(RequestId(777)));
+    front.event(Event::HealthChecked(
         MemberId(99),
         Outcome::Served,
         MemberReport::default(),
@@ -291,7 +291,7 @@
                 watcher.check(&settings, front.now, &actions);
             }
             _ => {
-                let actions = front.event(Event::Wake);
+                let actions = front.event(Event::TimerFired);
                 watcher.check(&settings, front.now, &actions);
             }
         }
@@ -300,7 +300,7 @@
     for _ in 0..500 {
         front.now += 5 * MS;
         expire(&mut watcher, &mut front, &settings);
-        let actions = front.event(Event::Wake);
+        let actions = front.event(Event::TimerFired);
         watcher.check(&settings, front.now, &actions);
     }
     assert!(watcher.requests.values().all(|seen| seen.done));
@@ -361,7 +361,7 @@
         AnswerStatus::Owed
     };
     hear(watcher, m, said);
-    let actions = front.event(Event::Ended(Ended {
+    let actions = front.event(Event::AttemptEnded(AttemptEnded {
         answer,
         ..ended(id, number, outcome, 60 * MS, said)
     }));
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -518,7 +518,7 @@
         } else {
             note
         };
-        let ended = Ended {
+        let ended = AttemptEnded {
             request: RequestId(request),
             attempt: AttemptNo(at as u32),
             outcome,
@@ -532,7 +532,7 @@
                 .entry(to)
                 .and_modify(|member| member.excused = false);
         }
-        self.feed(Event::Ended(ended))
+        self.feed(Event::AttemptEnded(ended))
     }
 
     fn arrive(&mut self) -> Broken {
@@ -563,7 +563,7 @@
                 answered,
             },
         );
-        self.feed(Event::Arrive(Arrival {
+        self.feed(Event::RequestArrived(Arrival {
             request: RequestId(request),
             class: ClassId(class),
             tenant: TenantId(0),
@@ -683,7 +683,7 @@
                     self.trouble()?;
                 }
                 Next::Arrive | Next::Trouble => {}
-                Next::Wake => self.feed(Event::Wake)?,
+                Next::Wake => self.feed(Event::TimerFired)?,
                 Next::End(request, attempt) => self.end(request, attempt)?,
                 Next::Report(id) => {
                     let outcome = if self.members[&id].alive {
@@ -696,7 +696,7 @@
                     } else {
                         MemberReport::default()
                     };
-                    self.feed(Event::Probed(MemberId(id), outcome, report))?;
+                    self.feed(Event::HealthChecked(MemberId(id), outcome, report))?;
                 }
                 Next::Watched => {
                     self.feed(Event::EndpointsUpdated(UpdateKind::Delta, [].into()))?
