--- a/src/bin/asterreel-adapter/wire.rs
+++ b/src/bin/asterreel-adapter/wire.rs
@@ -319,7 +319,7 @@
         let mut finished = None;
         let mut sent = None;
         let output = match action {
-            Action::Send(request, member, timeout_us) => {
+            Action::Dispatch(request, member, timeout_us) => {
                 sent = Some(request);
                 let names = job(request).zip(store(member));
                 names.map(|(job, store)| Output::Route {
@@ -328,11 +328,11 @@
                     store,
                 })
             }
-            Action::Cancel(request, attempt) => job(request).map(|job| Output::Withdraw {
+            Action::CancelAttempt(request, attempt) => job(request).map(|job| Output::Withdraw {
                 job,
                 round_no: attempt.0,
             }),
-            Action::Refuse(request, come_back_us) => {
+            Action::Reject(request, come_back_us) => {
                 finished = Some(request);
                 job(request).map(|job| Output::TurnAway { job, come_back_us })
             }
@@ -340,15 +340,17 @@
                 finished = Some(request);
                 job(request).map(|job| Output::FinishError { job })
             }
-            Action::Probe(member) => store(member).map(|store| Output::Test { store }),
+            Action::CheckHealth(member) => store(member).map(|store| Output::Test { store }),
             Action::Watch => Some(Output::Track { active: true }),
-            Action::WakeAfter(after) => Some(Output::Sleep {
+            Action::SetTimer(after) => Some(Output::Sleep {
                 from_now_us: after,
                 cookie: 0,
             }),
-            Action::Remark(member, remark) => store(member).map(|store| Output::NoteDown {
-                text: format!("{store}: {remark:?}").to_lowercase(),
-            }),
+            Action::ReportTransition(member, transition) => {
+                store(member).map(|store| Output::NoteDown {
+                    text: format!("{store}: {}", transition_word(transition)),
+                })
+            }
         };
         if let Some(output) = output {
             append(written, &output)?;
@@ -537,6 +539,15 @@
     Ok(())
 }
 
+/// The simulator's word for a transition.
+fn transition_word(transition: MemberTransition) -> &'static str {
+    match transition {
+        MemberTransition::Promoted => "active",
+        MemberTransition::Demoted => "unmarked",
+        MemberTransition::Failed => "failed",
+    }
+}
+
 fn micros(milliseconds: f64) -> Micros {
     (milliseconds * 1000.0) as Micros
 }
--- a/src/bin/asterreel/core.rs
+++ b/src/bin/asterreel/core.rs
@@ -271,7 +271,7 @@
 
     fn carry_out(&mut self, core: &Core, now: Micros, action: Action) {
         match action {
-            Action::Send(request, member, timeout) => {
+            Action::Dispatch(request, member, timeout) => {
                 let Some(address) = self.places.get(&member).and_then(|place| place.1) else {
                     return warn!("a send to a member without an address");
                 };
@@ -285,10 +285,10 @@
                     until,
                 });
             }
-            Action::Cancel(request, attempt) => self.order(request, Order::Cancel(attempt)),
-            Action::Refuse(request, come_back) => self.order(request, Order::Refuse(come_back)),
+            Action::CancelAttempt(request, attempt) => self.order(request, Order::Cancel(attempt)),
+            Action::Reject(request, come_back) => self.order(request, Order::Refuse(come_back)),
             Action::Fail(request) => self.order(request, Order::Fail),
-            Action::Probe(member) => {
+            Action::CheckHealth(member) => {
                 if let Some(address) = self.places.get(&member).and_then(|place| place.1) {
                     let _ = self.probes.send((member, address));
                 }
@@ -296,14 +296,14 @@
             Action::Watch => {
                 let _ = self.watches.send(());
             }
-            Action::Remark(member, remark) => {
+            Action::ReportTransition(member, transition) => {
                 let name = self
                     .places
                     .get(&member)
                     .map_or("?", |place| place.0.as_str());
-                info!(member = name, "{remark:?}");
+                info!(member = name, "{transition:?}");
             }
-            Action::WakeAfter(after) => core.timer.wake_at(now.saturating_add(after)),
+            Action::SetTimer(after) => core.timer.wake_at(now.saturating_add(after)),
         }
     }
 
--- a/src/health/observer.rs
+++ b/src/health/observer.rs
@@ -142,7 +142,7 @@
     /// Sees an action of the router.
     pub fn action(&mut self, now: Micros, action: &Action) {
         match action {
-            Action::Send(id, ..) => {
+            Action::Dispatch(id, ..) => {
                 if let Some(open) = self.open.get_mut(id) {
                     open.out += 1;
                     let first = !std::mem::replace(&mut open.sent, true);
@@ -151,9 +151,12 @@
                     group.held -= u32::from(first && group.held > 0);
                 }
             }
-            Action::Refuse(id, _) | Action::Fail(id) => self.over(*id, Fate::NotServed(now)),
-            Action::Remark(id, remark) => self.remark(now, *id, *remark),
-            Action::Cancel(..) | Action::Probe(_) | Action::Watch | Action::WakeAfter(_) => {}
+            Action::Reject(id, _) | Action::Fail(id) => self.over(*id, Fate::NotServed(now)),
+            Action::ReportTransition(id, remark) => self.remark(now, *id, *remark),
+            Action::CancelAttempt(..)
+            | Action::CheckHealth(_)
+            | Action::Watch
+            | Action::SetTimer(_) => {}
         }
     }
 
@@ -197,7 +200,7 @@
         }
     }
 
-    fn remark(&mut self, now: Micros, id: MemberId, remark: Remark) {
+    fn remark(&mut self, now: Micros, id: MemberId, remark: MemberTransition) {
         let Some(member) = self.members.get_mut(&id) else {
             // It left the list, and so leaves its mark, too.
             for group in self
@@ -209,17 +212,17 @@
             }
             return;
         };
-        member.failed |= remark == Remark::Failed;
+        member.failed |= remark == MemberTransition::Failed;
         let group = self.groups.entry(member.group).or_default();
         match remark {
-            Remark::Active => {
+            MemberTransition::Promoted => {
                 let had = group.primary.replace(id).is_some();
                 group.primary_since = if had { group.primary_since } else { now };
             }
-            Remark::Unmarked if group.primary == Some(id) => {
+            MemberTransition::Demoted if group.primary == Some(id) => {
                 (group.primary, group.primary_since) = (None, now);
             }
-            Remark::Unmarked | Remark::Failed => {}
+            MemberTransition::Demoted | MemberTransition::Failed => {}
         }
     }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -408,14 +408,14 @@
     }
 }
 
-/// A remark for the people on call.
+/// A change of what a router knows of a member, for the people on call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Remark {
-    /// The member is marked active.
-    Active,
-    /// The member is no longer marked active.
-    Unmarked,
-    /// The member reached the fail point.
+pub enum MemberTransition {
+    /// It is the known primary of its group now.
+    Promoted,
+    /// It is not the known primary any more.
+    Demoted,
+    /// It reached the failure threshold.
     Failed,
 }
 
@@ -423,21 +423,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send an attempt to a member, to be waited for this long; attempts count from 0 in the order sent.
-    Send(RequestId, MemberId, Micros),
+    Dispatch(RequestId, MemberId, Micros),
     /// Call an attempt off.
-    Cancel(RequestId, AttemptNo),
+    CancelAttempt(RequestId, AttemptNo),
     /// Final answer: refused, with a time to come back where it helps; trying again is harmless.
-    Refuse(RequestId, Option<Micros>),
+    Reject(RequestId, Option<Micros>),
     /// Final answer: failed, without a promise.
     Fail(RequestId),
     /// Probe a member.
-    Probe(MemberId),
+    CheckHealth(MemberId),
     /// Ask for the list's changes from now on.
     Watch,
-    /// Write a line for the people on call.
-    Remark(MemberId, Remark),
+    /// Log a transition for the people on call.
+    ReportTransition(MemberId, MemberTransition),
     /// Ask for a [`Event::TimerFired`] after this long.
-    WakeAfter(Micros),
+    SetTimer(Micros),
 }
 
 /// Why settings were not accepted.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -206,7 +206,7 @@
             self.later(BEAT, Task::Beat);
         }
         self.out
-            .extend(self.agenda.next_wake(self.now).map(Action::WakeAfter));
+            .extend(self.agenda.next_wake(self.now).map(Action::SetTimer));
     }
 
     fn listed(&mut self, kind: UpdateKind, entries: &[Endpoint]) {
@@ -314,7 +314,7 @@
         };
         member.probe_out = true;
         member.probed_at = self.now;
-        self.out.push(Action::Probe(id));
+        self.out.push(Action::CheckHealth(id));
     }
 
     /// About once a second: a probe.
@@ -364,7 +364,8 @@
         member.trial_at = trial_at;
         member.errors = member.errors.saturating_add(1);
         if member.errors == FAIL_POINT {
-            self.out.push(Action::Remark(id, Remark::Failed));
+            self.out
+                .push(Action::ReportTransition(id, MemberTransition::Failed));
             self.unmark(id);
         }
     }
@@ -511,7 +512,8 @@
         if let Some(group) = group.filter(|group| group.active != Some(id)) {
             group.active = Some(id);
             member.limit.lower(RAMP_START);
-            self.out.push(Action::Remark(id, Remark::Active));
+            self.out
+                .push(Action::ReportTransition(id, MemberTransition::Promoted));
         }
     }
 
@@ -526,7 +528,8 @@
             .filter(|group| group.active == Some(id))
         {
             group.active = None;
-            self.out.push(Action::Remark(id, Remark::Unmarked));
+            self.out
+                .push(Action::ReportTransition(id, MemberTransition::Demoted));
         }
     }
 
@@ -536,7 +539,7 @@
         let group = group.filter(|group| !group.members.is_empty());
         let known = class < self.settings.classes.len() && !self.requests.contains_key(&id);
         let (Some(group), true) = (group, known) else {
-            self.out.push(Action::Refuse(id, None));
+            self.out.push(Action::Reject(id, None));
             return;
         };
         let in_turn = group.waiting[class].is_empty();
@@ -627,7 +630,7 @@
                 }
         );
         let harmless = repeatable || request.first_may_have_run().is_none();
-        let refusal = Action::Refuse(id, self.come_back(request));
+        let refusal = Action::Reject(id, self.come_back(request));
         self.out
             .push(if harmless { refusal } else { Action::Fail(id) });
         self.conclude(id);
@@ -656,7 +659,7 @@
         let all = (0..request.attempts.len()).filter(|_| cancels && !request.streaming);
         let out = all.filter(|number| request.attempt_out(*number));
         self.out
-            .extend(out.map(|number| Action::Cancel(id, AttemptNo(number as u32))));
+            .extend(out.map(|number| Action::CancelAttempt(id, AttemptNo(number as u32))));
         self.forget(id);
     }
 
@@ -1215,7 +1218,7 @@
             let group = self.groups.entry(member.group);
             group.and_modify(|group| group.in_flight += 1);
         }
-        self.out.push(Action::Send(id, to, timeout));
+        self.out.push(Action::Dispatch(id, to, timeout));
     }
 }
 
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -132,7 +132,7 @@
         self.fronts[front].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send(request, member, _) => {
+                Action::Dispatch(request, member, _) => {
                     let class = self.classes[&request.0];
                     *self.sends.entry((class, member.0)).or_default() += 1;
                     self.times
@@ -142,17 +142,17 @@
                     *self.attempts.entry((front, request.0)).or_default() += 1;
                     self.later(work(class), Next::Answer(front, request.0, member.0));
                 }
-                Action::Probe(member) => {
+                Action::CheckHealth(member) => {
                     *self.probes.entry(member.0).or_default() += 1;
                     self.later(TRIP, Next::Report(front, member.0));
                 }
-                Action::WakeAfter(after) => self.later(after, Next::Wake(front)),
-                Action::Refuse(..) | Action::Fail(_) => self.refused += 1,
+                Action::SetTimer(after) => self.later(after, Next::Wake(front)),
+                Action::Reject(..) | Action::Fail(_) => self.refused += 1,
                 Action::Watch => {
                     self.calls.push(self.now);
                     self.later(CALL, Next::CallFailed(front));
                 }
-                Action::Cancel(..) | Action::Remark(..) => {}
+                Action::CancelAttempt(..) | Action::ReportTransition(..) => {}
             }
         }
     }
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -7,13 +7,13 @@
 fn members_are_probed_before_the_first_send_and_about_every_second() {
     let (mut front, first) = Front::new(settings(), 2);
     for m in 0..2 {
-        assert!(first.contains(&Action::Probe(MemberId(m))));
+        assert!(first.contains(&Action::CheckHealth(MemberId(m))));
         front.tell(m, Role::Replica);
     }
     let mut probes = 0;
     for _ in 0..5 {
         for action in front.pass(1_000 * MS) {
-            if let Action::Probe(MemberId(m)) = action {
+            if let Action::CheckHealth(MemberId(m)) = action {
                 probes += 1;
                 front.tell(m, Role::Replica);
             }
@@ -31,7 +31,7 @@
     settings.probes = Permit::Forbidden;
     let (mut front, mut actions) = Front::new(settings, 3);
     actions.extend(front.pass(3_000 * MS));
-    assert!(!actions.iter().any(|a| matches!(a, Action::Probe(_))));
+    assert!(!actions.iter().any(|a| matches!(a, Action::CheckHealth(_))));
     let (_, actions) = front.arrive(ANY);
     assert_eq!(sends(&actions).len(), 1, "unproven members serve then");
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -94,7 +94,7 @@
     let mut front = Front::ready(settings, 3);
     front.now += 400 * MS;
     let (read, mut actions) = front.arrive(BOUNDED);
-    assert!(actions.iter().any(|a| matches!(a, Action::Probe(_))));
+    assert!(actions.iter().any(|a| matches!(a, Action::CheckHealth(_))));
     assert_eq!(
         sends(&actions),
         [],
@@ -164,7 +164,7 @@
     fn check(&mut self, settings: &Settings, now: Micros, actions: &[Action]) {
         for action in actions {
             match *action {
-                Action::Send(id, MemberId(m), timeout) => {
+                Action::Dispatch(id, MemberId(m), timeout) => {
                     let seen = self.requests.get_mut(&id).expect("a known request");
                     assert!(!seen.done, "a send after the final answer");
                     assert!(seen.sends < settings.max_attempts);
@@ -192,10 +192,10 @@
                     seen.out.push(number);
                     self.out.push((id, number, m, now + timeout));
                 }
-                Action::Refuse(id, _) | Action::Fail(id) => {
+                Action::Reject(id, _) | Action::Fail(id) => {
                     let seen = self.requests.get_mut(&id).expect("a known request");
                     assert!(!seen.done, "two final answers");
-                    if matches!(action, Action::Refuse(..)) {
+                    if matches!(action, Action::Reject(..)) {
                         let idempotency = settings.classes[seen.class].idempotency;
                         let safe = idempotency == Idempotency::Idempotent;
                         assert!(safe || (!seen.may_have_run && seen.out.is_empty()));
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -302,8 +302,8 @@
 
     fn act(&mut self, action: Action) -> Broken {
         match action {
-            Action::Send(request, to, timeout) => self.send(request.0, to.0, timeout),
-            Action::Refuse(request, come_back) => {
+            Action::Dispatch(request, to, timeout) => self.send(request.0, to.0, timeout),
+            Action::Reject(request, come_back) => {
                 if come_back.is_some_and(|wait| wait > self.settings.max_come_back)
                     || come_back.is_some() && !self.settings.come_back.granted()
                 {
@@ -328,7 +328,7 @@
                 self.answer(request.0)
             }
             Action::Fail(request) => self.answer(request.0),
-            Action::Cancel(request, attempt) => {
+            Action::CancelAttempt(request, attempt) => {
                 if !self.settings.cancel.granted() {
                     return Err("called off where that is not allowed".into());
                 }
@@ -336,7 +336,7 @@
                 self.later(MS, Next::End(request.0, attempt.0 as usize));
                 Ok(())
             }
-            Action::Probe(member) => {
+            Action::CheckHealth(member) => {
                 if !self.settings.probes.granted() {
                     return Err("probed where that is not allowed".into());
                 }
@@ -352,11 +352,11 @@
                 self.calls_due = self.calls_due.saturating_sub(1);
                 Ok(())
             }
-            Action::WakeAfter(after) => {
+            Action::SetTimer(after) => {
                 self.later(after, Next::Wake);
                 Ok(())
             }
-            Action::Remark(..) => Ok(()),
+            Action::ReportTransition(..) => Ok(()),
         }
     }
 
