--- a/rig/src/health/changes.rs
+++ b/rig/src/health/changes.rs
@@ -76,7 +76,7 @@
             if self.leads {
                 self.fleet.elect(None);
             }
-            let lost = gateway.logged(line, PATIENCE, |fields| fields["message"] == "Unmarked");
+            let lost = gateway.logged(line, PATIENCE, |fields| fields["message"] == "Demoted");
             note(
                 "no primary",
                 from,
@@ -89,7 +89,7 @@
             if self.leads {
                 self.fleet.elect(Some(0));
             }
-            let found = gateway.logged(line, PATIENCE, |fields| fields["message"] == "Active");
+            let found = gateway.logged(line, PATIENCE, |fields| fields["message"] == "Promoted");
             note(
                 "primary again",
                 from,
--- a/src/bin/asterreel-adapter/wire.rs
+++ b/src/bin/asterreel-adapter/wire.rs
@@ -319,7 +319,11 @@
         let mut finished = None;
         let mut sent = None;
         let output = match action {
-            Action::Dispatch(request, member, timeout_us) => {
+            Action::Dispatch {
+                request,
+                member,
+                timeout: timeout_us,
+            } => {
                 sent = Some(request);
                 let names = job(request).zip(store(member));
                 names.map(|(job, store)| Output::Route {
@@ -328,11 +332,16 @@
                     store,
                 })
             }
-            Action::CancelAttempt(request, attempt) => job(request).map(|job| Output::Withdraw {
-                job,
-                round_no: attempt.0,
-            }),
-            Action::Reject(request, come_back_us) => {
+            Action::CancelAttempt { request, attempt } => {
+                job(request).map(|job| Output::Withdraw {
+                    job,
+                    round_no: attempt.0,
+                })
+            }
+            Action::Reject {
+                request,
+                retry_after: come_back_us,
+            } => {
                 finished = Some(request);
                 job(request).map(|job| Output::TurnAway { job, come_back_us })
             }
@@ -346,7 +355,7 @@
                 from_now_us: after,
                 cookie: 0,
             }),
-            Action::ReportTransition(member, transition) => {
+            Action::ReportTransition { member, transition } => {
                 store(member).map(|store| Output::NoteDown {
                     text: format!("{store}: {}", transition_word(transition)),
                 })
--- a/src/bin/asterreel/core.rs
+++ b/src/bin/asterreel/core.rs
@@ -271,7 +271,11 @@
 
     fn carry_out(&mut self, core: &Core, now: Micros, action: Action) {
         match action {
-            Action::Dispatch(request, member, timeout) => {
+            Action::Dispatch {
+                request,
+                member,
+                timeout,
+            } => {
                 let Some(address) = self.places.get(&member).and_then(|place| place.1) else {
                     return warn!("a send to a member without an address");
                 };
@@ -285,8 +289,13 @@
                     until,
                 });
             }
-            Action::CancelAttempt(request, attempt) => self.order(request, Order::Cancel(attempt)),
-            Action::Reject(request, come_back) => self.order(request, Order::Refuse(come_back)),
+            Action::CancelAttempt { request, attempt } => {
+                self.order(request, Order::Cancel(attempt))
+            }
+            Action::Reject {
+                request,
+                retry_after: come_back,
+            } => self.order(request, Order::Refuse(come_back)),
             Action::Fail(request) => self.order(request, Order::Fail),
             Action::CheckHealth(member) => {
                 if let Some(address) = self.places.get(&member).and_then(|place| place.1) {
@@ -296,7 +305,7 @@
             Action::Watch => {
                 let _ = self.watches.send(());
             }
-            Action::ReportTransition(member, transition) => {
+            Action::ReportTransition { member, transition } => {
                 let name = self
                     .places
                     .get(&member)
--- a/src/health/observer.rs
+++ b/src/health/observer.rs
@@ -142,7 +142,7 @@
     /// Sees an action of the router.
     pub fn action(&mut self, now: Micros, action: &Action) {
         match action {
-            Action::Dispatch(id, ..) => {
+            Action::Dispatch { request: id, .. } => {
                 if let Some(open) = self.open.get_mut(id) {
                     open.out += 1;
                     let first = !std::mem::replace(&mut open.sent, true);
@@ -151,9 +151,14 @@
                     group.held -= u32::from(first && group.held > 0);
                 }
             }
-            Action::Reject(id, _) | Action::Fail(id) => self.over(*id, Fate::NotServed(now)),
-            Action::ReportTransition(id, remark) => self.remark(now, *id, *remark),
-            Action::CancelAttempt(..)
+            Action::Reject { request: id, .. } | Action::Fail(id) => {
+                self.over(*id, Fate::NotServed(now))
+            }
+            Action::ReportTransition {
+                member: id,
+                transition: remark,
+            } => self.remark(now, *id, *remark),
+            Action::CancelAttempt { .. }
             | Action::CheckHealth(_)
             | Action::Watch
             | Action::SetTimer(_) => {}
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -422,21 +422,43 @@
 /// What a router wants done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send an attempt to a member, to be waited for this long; attempts count from 0 in the order sent.
-    Dispatch(RequestId, MemberId, Micros),
+    /// Send an attempt of a request; attempts count from 0 in the order sent.
+    Dispatch {
+        /// The request.
+        request: RequestId,
+        /// Where to.
+        member: MemberId,
+        /// How long its answer is to be waited for.
+        timeout: Micros,
+    },
     /// Call an attempt off.
-    CancelAttempt(RequestId, AttemptNo),
-    /// Final answer: refused, with a time to come back where it helps; trying again is harmless.
-    Reject(RequestId, Option<Micros>),
+    CancelAttempt {
+        /// The request.
+        request: RequestId,
+        /// Which of its attempts.
+        attempt: AttemptNo,
+    },
+    /// Final answer: rejected; nothing ran, so that a retry is harmless.
+    Reject {
+        /// The request.
+        request: RequestId,
+        /// When to retry, where it helps to say.
+        retry_after: Option<Micros>,
+    },
     /// Final answer: failed, without a promise.
     Fail(RequestId),
-    /// Probe a member.
+    /// Check a member's health, and have it report its load.
     CheckHealth(MemberId),
-    /// Ask for the list's changes from now on.
+    /// Watch the endpoint list from now on.
     Watch,
     /// Log a transition for the people on call.
-    ReportTransition(MemberId, MemberTransition),
-    /// Ask for a [`Event::TimerFired`] after this long.
+    ReportTransition {
+        /// The member.
+        member: MemberId,
+        /// What has changed.
+        transition: MemberTransition,
+    },
+    /// Ask for an [`Event::TimerFired`] after this long.
     SetTimer(Micros),
 }
 
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -364,8 +364,10 @@
         member.trial_at = trial_at;
         member.errors = member.errors.saturating_add(1);
         if member.errors == FAIL_POINT {
-            self.out
-                .push(Action::ReportTransition(id, MemberTransition::Failed));
+            self.out.push(Action::ReportTransition {
+                member: id,
+                transition: MemberTransition::Failed,
+            });
             self.unmark(id);
         }
     }
@@ -512,8 +514,10 @@
         if let Some(group) = group.filter(|group| group.active != Some(id)) {
             group.active = Some(id);
             member.limit.lower(RAMP_START);
-            self.out
-                .push(Action::ReportTransition(id, MemberTransition::Promoted));
+            self.out.push(Action::ReportTransition {
+                member: id,
+                transition: MemberTransition::Promoted,
+            });
         }
     }
 
@@ -528,8 +532,10 @@
             .filter(|group| group.active == Some(id))
         {
             group.active = None;
-            self.out
-                .push(Action::ReportTransition(id, MemberTransition::Demoted));
+            self.out.push(Action::ReportTransition {
+                member: id,
+                transition: MemberTransition::Demoted,
+            });
         }
     }
 
@@ -539,7 +545,10 @@
         let group = group.filter(|group| !group.members.is_empty());
         let known = class < self.settings.classes.len() && !self.requests.contains_key(&id);
         let (Some(group), true) = (group, known) else {
-            self.out.push(Action::Reject(id, None));
+            self.out.push(Action::Reject {
+                request: id,
+                retry_after: None,
+            });
             return;
         };
         let in_turn = group.waiting[class].is_empty();
@@ -630,7 +639,10 @@
                 }
         );
         let harmless = repeatable || request.first_may_have_run().is_none();
-        let refusal = Action::Reject(id, self.come_back(request));
+        let refusal = Action::Reject {
+            request: id,
+            retry_after: self.come_back(request),
+        };
         self.out
             .push(if harmless { refusal } else { Action::Fail(id) });
         self.conclude(id);
@@ -658,8 +670,10 @@
         request.waiting = false;
         let all = (0..request.attempts.len()).filter(|_| cancels && !request.streaming);
         let out = all.filter(|number| request.attempt_out(*number));
-        self.out
-            .extend(out.map(|number| Action::CancelAttempt(id, AttemptNo(number as u32))));
+        self.out.extend(out.map(|number| Action::CancelAttempt {
+            request: id,
+            attempt: AttemptNo(number as u32),
+        }));
         self.forget(id);
     }
 
@@ -1218,7 +1232,11 @@
             let group = self.groups.entry(member.group);
             group.and_modify(|group| group.in_flight += 1);
         }
-        self.out.push(Action::Dispatch(id, to, timeout));
+        self.out.push(Action::Dispatch {
+            request: id,
+            member: to,
+            timeout,
+        });
     }
 }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -273,7 +273,9 @@
 
 pub(crate) fn sends(actions: &[Action]) -> Vec<(RequestId, u32)> {
     let send = |action: &Action| match action {
-        Action::Dispatch(request, member, _) => Some((*request, member.0)),
+        Action::Dispatch {
+            request, member, ..
+        } => Some((*request, member.0)),
         _ => None,
     };
     actions.iter().filter_map(send).collect()
@@ -282,7 +284,7 @@
 pub(crate) fn refused(actions: &[Action], request: RequestId) -> bool {
     actions
         .iter()
-        .any(|a| matches!(a, Action::Reject(id, _) if *id == request))
+        .any(|a| matches!(a, Action::Reject { request: id, .. } if *id == request))
 }
 
 pub(crate) fn failed(actions: &[Action], request: RequestId) -> bool {
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -16,7 +16,10 @@
         front.ends(quick, 0, Outcome::Served, replica);
         front.now += MS;
         let actions = front.times_out(slow, 311 * MS);
-        let failed = Action::ReportTransition(MemberId(1), MemberTransition::Failed);
+        let failed = Action::ReportTransition {
+            member: MemberId(1),
+            transition: MemberTransition::Failed,
+        };
         assert!(!actions.contains(&failed));
     }
 }
@@ -90,7 +93,10 @@
         settings.parallel = parallel;
         let mut front = Front::ready(settings, 3);
         let (read, _) = front.arrive(ANY);
-        let off = Action::CancelAttempt(read, AttemptNo(0));
+        let off = Action::CancelAttempt {
+            request: read,
+            attempt: AttemptNo(0),
+        };
         let actions = front.pass(390 * MS);
         assert!(!actions.contains(&off) && sends(&actions).is_empty());
     }
@@ -142,7 +148,7 @@
     actions.extend(front.times_out(write, 1_900 * MS));
     assert!(!actions
         .iter()
-        .any(|a| matches!(a, Action::ReportTransition(..))));
+        .any(|a| matches!(a, Action::ReportTransition { .. })));
     let (read, actions) = front.arrive(ANY);
     assert!(sends(&actions).iter().any(|(r, m)| *r == read && *m != 0));
     let (write, actions) = front.arrive(WRITE);
@@ -337,7 +343,15 @@
         "a quick error is tried again: {}",
         sends(&actions).len()
     );
-    let failed = |a: &&Action| matches!(a, Action::ReportTransition(_, MemberTransition::Failed));
+    let failed = |a: &&Action| {
+        matches!(
+            a,
+            Action::ReportTransition {
+                transition: MemberTransition::Failed,
+                ..
+            }
+        )
+    };
     assert_eq!(actions.iter().filter(failed).count(), 0);
 }
 
@@ -357,10 +371,10 @@
         let replica = note(Role::Replica, front.now);
         actions.extend(front.ends(read, 0, outcome, replica));
     }
-    assert!(actions.contains(&Action::ReportTransition(
-        MemberId(2),
-        MemberTransition::Failed
-    )));
+    assert!(actions.contains(&Action::ReportTransition {
+        member: MemberId(2),
+        transition: MemberTransition::Failed
+    }));
 }
 
 #[test]
@@ -527,16 +541,16 @@
     front.now += MS;
     let primary = note(Role::Primary, front.now);
     let actions = front.ends(old, 0, Outcome::Served, primary);
-    assert!(!actions.contains(&Action::ReportTransition(
-        MemberId(0),
-        MemberTransition::Promoted
-    )));
+    assert!(!actions.contains(&Action::ReportTransition {
+        member: MemberId(0),
+        transition: MemberTransition::Promoted
+    }));
     // A probe from before the miss tells no more; one from long enough after it does.
     let actions = front.tell(0, Role::Primary);
-    assert!(!actions.contains(&Action::ReportTransition(
-        MemberId(0),
-        MemberTransition::Promoted
-    )));
+    assert!(!actions.contains(&Action::ReportTransition {
+        member: MemberId(0),
+        transition: MemberTransition::Promoted
+    }));
     for _ in 0..3 {
         let actions = front.pass(1_500 * MS);
         assert!(actions.contains(&Action::CheckHealth(MemberId(0))));
@@ -561,10 +575,10 @@
         front.now += MS;
         let primary = note(Role::Primary, front.now);
         actions.extend(front.ends(read, 0, Outcome::Served, primary));
-        assert!(!actions.contains(&Action::ReportTransition(
-            MemberId(0),
-            MemberTransition::Promoted
-        )));
+        assert!(!actions.contains(&Action::ReportTransition {
+            member: MemberId(0),
+            transition: MemberTransition::Promoted
+        }));
         // Writes look for the primary, there too.
         actions.extend(front.arrive(WRITE).1);
         asked.extend(sends(&actions).into_iter().filter(|(id, _)| *id != read));
@@ -572,10 +586,10 @@
     let (found, _) = *asked.last().expect("a write looks for the primary there");
     let primary = note(Role::Primary, front.now);
     let actions = front.ends(found, 0, Outcome::Served, primary);
-    assert!(actions.contains(&Action::ReportTransition(
-        MemberId(0),
-        MemberTransition::Promoted
-    )));
+    assert!(actions.contains(&Action::ReportTransition {
+        member: MemberId(0),
+        transition: MemberTransition::Promoted
+    }));
 }
 
 /// Passes time until a member is probed, for two seconds at most.
@@ -604,18 +618,18 @@
     assert_eq!(sends(&actions), [(read, 0)]);
     front.now += MS;
     let actions = front.ends(read, 0, Outcome::Served, note(Role::Replica, stood));
-    assert!(actions.contains(&Action::ReportTransition(
-        MemberId(0),
-        MemberTransition::Demoted
-    )));
+    assert!(actions.contains(&Action::ReportTransition {
+        member: MemberId(0),
+        transition: MemberTransition::Demoted
+    }));
     pass_until_probed(&mut front, 0);
     let lag = front.now - stood;
     let actions = front.tell_behind(0, Role::Primary, lag);
     assert!(
-        !actions.contains(&Action::ReportTransition(
-            MemberId(0),
-            MemberTransition::Promoted
-        )),
+        !actions.contains(&Action::ReportTransition {
+            member: MemberId(0),
+            transition: MemberTransition::Promoted
+        }),
         "{actions:?}"
     );
     // The other one is 0.8 s behind and more: 300 ms are allowed.
@@ -624,10 +638,10 @@
     // It has been elected again since: a report that was asked for later says so in time.
     pass_until_probed(&mut front, 0);
     let actions = front.tell(0, Role::Primary);
-    assert!(actions.contains(&Action::ReportTransition(
-        MemberId(0),
-        MemberTransition::Promoted
-    )));
+    assert!(actions.contains(&Action::ReportTransition {
+        member: MemberId(0),
+        transition: MemberTransition::Promoted
+    }));
 }
 
 /// A standby that answers reads all the time is elected: the next answer that says so marks it, and a write that goes through.
@@ -645,10 +659,10 @@
         front.now += MS;
         let actions = front.ends(second, 0, Outcome::Served, note(Role::Primary, front.now));
         assert!(
-            actions.contains(&Action::ReportTransition(
-                MemberId(0),
-                MemberTransition::Promoted
-            )),
+            actions.contains(&Action::ReportTransition {
+                member: MemberId(0),
+                transition: MemberTransition::Promoted
+            }),
             "class {class}"
         );
     }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -132,7 +132,9 @@
         self.fronts[front].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Dispatch(request, member, _) => {
+                Action::Dispatch {
+                    request, member, ..
+                } => {
                     let class = self.classes[&request.0];
                     *self.sends.entry((class, member.0)).or_default() += 1;
                     self.times
@@ -147,12 +149,12 @@
                     self.later(TRIP, Next::Report(front, member.0));
                 }
                 Action::SetTimer(after) => self.later(after, Next::Wake(front)),
-                Action::Reject(..) | Action::Fail(_) => self.refused += 1,
+                Action::Reject { .. } | Action::Fail(_) => self.refused += 1,
                 Action::Watch => {
                     self.calls.push(self.now);
                     self.later(CALL, Next::CallFailed(front));
                 }
-                Action::CancelAttempt(..) | Action::ReportTransition(..) => {}
+                Action::CancelAttempt { .. } | Action::ReportTransition { .. } => {}
             }
         }
     }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -164,7 +164,11 @@
     fn check(&mut self, settings: &Settings, now: Micros, actions: &[Action]) {
         for action in actions {
             match *action {
-                Action::Dispatch(id, MemberId(m), timeout) => {
+                Action::Dispatch {
+                    request: id,
+                    member: MemberId(m),
+                    timeout,
+                } => {
                     let seen = self.requests.get_mut(&id).expect("a known request");
                     assert!(!seen.done, "a send after the final answer");
                     assert!(seen.sends < settings.max_attempts);
@@ -192,10 +196,10 @@
                     seen.out.push(number);
                     self.out.push((id, number, m, now + timeout));
                 }
-                Action::Reject(id, _) | Action::Fail(id) => {
+                Action::Reject { request: id, .. } | Action::Fail(id) => {
                     let seen = self.requests.get_mut(&id).expect("a known request");
                     assert!(!seen.done, "two final answers");
-                    if matches!(action, Action::Reject(..)) {
+                    if matches!(action, Action::Reject { .. }) {
                         let idempotency = settings.classes[seen.class].idempotency;
                         let safe = idempotency == Idempotency::Idempotent;
                         assert!(safe || (!seen.may_have_run && seen.out.is_empty()));
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -302,8 +302,15 @@
 
     fn act(&mut self, action: Action) -> Broken {
         match action {
-            Action::Dispatch(request, to, timeout) => self.send(request.0, to.0, timeout),
-            Action::Reject(request, come_back) => {
+            Action::Dispatch {
+                request,
+                member: to,
+                timeout,
+            } => self.send(request.0, to.0, timeout),
+            Action::Reject {
+                request,
+                retry_after: come_back,
+            } => {
                 if come_back.is_some_and(|wait| wait > self.settings.max_come_back)
                     || come_back.is_some() && !self.settings.come_back.granted()
                 {
@@ -328,7 +335,7 @@
                 self.answer(request.0)
             }
             Action::Fail(request) => self.answer(request.0),
-            Action::CancelAttempt(request, attempt) => {
+            Action::CancelAttempt { request, attempt } => {
                 if !self.settings.cancel.granted() {
                     return Err("called off where that is not allowed".into());
                 }
@@ -356,7 +363,7 @@
                 self.later(after, Next::Wake);
                 Ok(())
             }
-            Action::ReportTransition(..) => Ok(()),
+            Action::ReportTransition { .. } => Ok(()),
         }
     }
 
