--- a/src/bin/asterreel/client/request.rs
+++ b/src/bin/asterreel/client/request.rs
@@ -37,10 +37,10 @@
 
 impl Denial {
     fn write(&self, out: &mut Vec<u8>) {
-        let (code, text, come_back) = match self {
+        let (code, text, retry_after) = match self {
             Denial::Invalid(text) => ("08P01", *text, None),
             Denial::Unknown(text) => ("28000", *text, None),
-            Denial::Refused(text, come_back) => ("53300", *text, *come_back),
+            Denial::Refused(text, retry_after) => ("53300", *text, *retry_after),
             Denial::Failed(text) => ("58000", *text, None),
             Denial::Cancelled => ("57014", "cancelled as its client asked", None),
         };
@@ -49,7 +49,7 @@
             Severity::Error,
             code,
             text,
-            come_back.map(|wait| wait.div_ceil(1_000)),
+            retry_after.map(|wait| wait.div_ceil(1_000)),
         );
     }
 }
@@ -58,7 +58,7 @@
     fn from(refusal: Refusal) -> Denial {
         match (refusal.told(), refusal == Refusal::Nobody) {
             ((text, _), true) => Denial::Unknown(text),
-            ((text, come_back), false) => Denial::Refused(text, come_back),
+            ((text, retry_after), false) => Denial::Refused(text, retry_after),
         }
     }
 }
@@ -200,8 +200,8 @@
                     self.send(&mut request, (member, address, until), out);
                 }
                 Notice::Order(Order::Cancel(number)) => request.attempts.call_off(number),
-                Notice::Order(Order::Refuse(come_back)) => {
-                    request.deny(&Denial::Refused("refused, try again", come_back), out);
+                Notice::Order(Order::Refuse(retry_after)) => {
+                    request.deny(&Denial::Refused("refused, try again", retry_after), out);
                 }
                 Notice::Order(Order::Fail) => request.deny(&Denial::Failed("failed"), out),
                 Notice::Ended(number, end) => self.attempt_ended(&mut request, number, end, out),
--- a/src/bin/asterreel/core.rs
+++ b/src/bin/asterreel/core.rs
@@ -294,8 +294,8 @@
             }
             Action::Reject {
                 request,
-                retry_after: come_back,
-            } => self.order(request, Order::Refuse(come_back)),
+                retry_after,
+            } => self.order(request, Order::Refuse(retry_after)),
             Action::Fail(request) => self.order(request, Order::Fail),
             Action::CheckHealth(member) => {
                 if let Some(address) = self.places.get(&member).and_then(|place| place.1) {
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -55,9 +55,9 @@
     pub fn new(settings: &Settings) -> Calls {
         Calls {
             discovery: settings.discovery,
-            is_large: Fleet::new(settings.fleet).is_large(),
-            spread: (SPREAD_EACH * Micros::from(settings.fleet)).min(FIRST_CALL),
-            told_after: MISSED_TOLD.min(settings.ask_every),
+            is_large: Fleet::new(settings.fleet_size).is_large(),
+            spread: (SPREAD_EACH * Micros::from(settings.fleet_size)).min(FIRST_CALL),
+            told_after: MISSED_TOLD.min(settings.poll_interval),
             losses: 1,
             wait: RENEW_FIRST,
         }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -43,8 +43,8 @@
     /// where little is, its part of what a member of one core could do, up to a request for each span of each front that
     /// keeps a pace of its own.
     pub fn cold_rate(self, settings: &Settings, warmth: f64, carried: f64, lightest: f64) -> f64 {
-        let share = COLD_SAFETY * settings.fall_multiple * warmth;
-        let span = settings.fall_for.max(1) as f64;
+        let share = COLD_SAFETY * settings.overload_multiple * warmth;
+        let span = settings.overload_duration.max(1) as f64;
         let core = (share / lightest.max(1.0)).max(CHANCE / span);
         let least = (core / self.fronts).min(1.0 / (span * self.sharing()));
         (share * carried).max(least)
@@ -59,11 +59,11 @@
 /// The share of its capacity that a member started at a time, 0 for long ago, has at least.
 pub fn warmth(settings: &Settings, started: Micros, now: Micros) -> f64 {
     let age = now.saturating_sub(started);
-    if started == 0 || age >= settings.cold_for {
+    if started == 0 || age >= settings.slow_start_duration {
         return 1.0;
     }
-    let ramp = age as f64 / settings.cold_for.max(1) as f64;
-    (settings.cold_share + (1.0 - settings.cold_share) * ramp).min(1.0)
+    let ramp = age as f64 / settings.slow_start_duration.max(1) as f64;
+    (settings.slow_start_initial_share + (1.0 - settings.slow_start_initial_share) * ramp).min(1.0)
 }
 
 /// Over what time the work that a group carries is averaged, microseconds: long beside a release of servers, in
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -35,9 +35,9 @@
 /// What repeating a request does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Nothing: it may be repeated and refused freely.
+    /// No harm: it may be repeated and rejected freely.
     Idempotent,
-    /// Repeats are discarded within a scope and for a time.
+    /// Members discard repeats by its key, within a scope and for a time.
     IdempotencyKey {
         /// The members that discard each other's repeats.
         scope: DeduplicationScope,
@@ -79,22 +79,22 @@
 pub struct Class {
     /// What repeating does.
     pub idempotency: Idempotency,
-    /// An answer inside this time earns the full worth.
+    /// An answer within this time has the full weight.
     pub latency_objective: Micros,
-    /// The aim grows by this many times the request's own work.
+    /// The objective grows by this many times the request's own cost.
     pub objective_work_factor: f64,
-    /// How long a client waits over all its tries.
+    /// How long a client waits over all its attempts.
     pub deadline: Micros,
-    /// The worth of one request.
+    /// What one request weighs beside others.
     pub priority_weight: f64,
-    /// The share of the worth that a late answer earns.
+    /// The share of its weight that a late answer has.
     pub late_weight: f64,
 }
 
 /// A tenant and its share.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second over all fronts inside its share.
+    /// Requests a second over all gateways within its share.
     pub quota: f64,
 }
 
@@ -172,11 +172,11 @@
     pub staleness_bounds: Vec<Micros>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The share of its worth that a request past its tenant's quota keeps.
+    /// The share of its weight that a request beyond its tenant's quota keeps.
     pub over_quota_weight: f64,
-    /// How many fronts there are.
-    pub fleet: u32,
-    /// This front's zone.
+    /// How many gateways there are.
+    pub fleet_size: u32,
+    /// This gateway's zone.
     pub zone: ZoneId,
     /// How the list is had.
     pub discovery: Discovery,
@@ -194,30 +194,30 @@
     pub cancel: Permit,
     /// Whether a request may have two attempts out together.
     pub parallel: Permit,
-    /// Whether clients hear when to come back.
-    pub come_back: Permit,
-    /// The longest wait that a client follows.
-    pub max_come_back: Micros,
+    /// Whether rejected clients are told when to retry.
+    pub retry_after: Permit,
+    /// The longest Retry-After that clients follow.
+    pub max_retry_after: Micros,
     /// The most attempts a request may have.
     pub max_attempts: u32,
-    /// Batches come no more often than this.
-    pub period: Micros,
+    /// Batches of events come no more often than this.
+    pub batch_period: Micros,
     /// How late after the client's deadline a final answer still counts.
     pub answer_slack: Micros,
-    /// How long after word of a drain new sends may still go out.
+    /// How long after notice of a drain attempts may still be dispatched.
     pub drain_grace: Micros,
     /// Which entries bind as a drain.
     pub drain_binds: DrainBinds,
-    /// An unwatched list counts as told after this long.
-    pub ask_every: Micros,
-    /// The share of its capacity that a started member begins with.
-    pub cold_share: f64,
-    /// How long a started member stays cold at most.
-    pub cold_for: Micros,
-    /// A cold member falls over at this multiple of its capacity.
-    pub fall_multiple: f64,
-    /// ... sustained for this long.
-    pub fall_for: Micros,
+    /// Changes of a list that is not watched count as notified after this long.
+    pub poll_interval: Micros,
+    /// The share of its capacity that a started member has at first.
+    pub slow_start_initial_share: f64,
+    /// How long a started member is warming up at most.
+    pub slow_start_duration: Micros,
+    /// A member that is warming up fails at this multiple of its present capacity.
+    pub overload_multiple: f64,
+    /// How long that load must last for it to fail.
+    pub overload_duration: Micros,
 }
 
 /// A member's role as told by an answer or a report.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -111,19 +111,24 @@
     pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Router, BadSettings> {
         let count = settings.classes.len();
         let bad = |fault: &str| Err(BadSettings(fault.into()));
-        let none = settings.fleet == 0 || settings.max_attempts == 0;
+        let none = settings.fleet_size == 0 || settings.max_attempts == 0;
         if none
             || settings.consistency_levels.len() != count
             || settings.staleness_bounds.len() != count
         {
             return bad("no fronts, no attempts, or class arrays of unequal length");
         }
-        let shares = settings.cold_share + settings.fall_multiple;
-        if !shares.is_finite() || settings.cold_share.min(settings.fall_multiple) < 0.0 {
+        let shares = settings.slow_start_initial_share + settings.overload_multiple;
+        if !shares.is_finite()
+            || settings
+                .slow_start_initial_share
+                .min(settings.overload_multiple)
+                < 0.0
+        {
             return bad("a share below zero");
         }
         Ok(Router {
-            fleet: Fleet::new(settings.fleet),
+            fleet: Fleet::new(settings.fleet_size),
             rng: fastrand::Rng::with_seed(seed),
             now,
             out: Vec::new(),
@@ -604,7 +609,7 @@
         let (priority_weight, latency_objective) =
             (self.useful_until(request), self.objective_deadline(request));
         let usual = (self.paces[request.class()].mean / 2.0) as Micros;
-        let usual = usual.max(2 * self.settings.period);
+        let usual = usual.max(2 * self.settings.batch_period);
         let end = if lasting {
             priority_weight
         } else {
@@ -641,23 +646,23 @@
         let harmless = repeatable || request.first_may_have_run().is_none();
         let refusal = Action::Reject {
             request: id,
-            retry_after: self.come_back(request),
+            retry_after: self.retry_after(request),
         };
         self.out
             .push(if harmless { refusal } else { Action::Fail(id) });
         self.conclude(id);
     }
 
-    fn come_back(&self, request: &Request) -> Option<Micros> {
+    fn retry_after(&self, request: &Request) -> Option<Micros> {
         let group = self.groups.get(&request.arrival.group)?;
         let usual = self.paces[request.class()].mean as Micros;
-        let most = self.settings.max_come_back;
+        let most = self.settings.max_retry_after;
         let wait = if group.active.is_some() {
             usual.min(most)
         } else {
             most / 2
         };
-        self.settings.come_back.granted().then_some(wait)
+        self.settings.retry_after.granted().then_some(wait)
     }
 
     /// Nothing is owed any more: what is still out is called off.
@@ -1048,7 +1053,7 @@
             .cold_rate(&self.settings, warmth, carried, self.lightest());
         member
             .cold
-            .saved(self.now, rate, self.settings.fall_for.max(1))
+            .saved(self.now, rate, self.settings.overload_duration.max(1))
     }
 
     fn is_cold(&self, member: &Member) -> bool {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -303,7 +303,7 @@
                 })
                 .collect(),
             over_quota_weight: setup.over_share_worth,
-            fleet: setup.fleet_size,
+            fleet_size: setup.fleet_size,
             zone: ZoneId(setup.zone),
             discovery: match setup.discovery.as_str() {
                 "automatic" => Discovery::Push,
@@ -330,10 +330,10 @@
             probes: permit(setup.allowed.may_probe),
             cancel: permit(setup.allowed.cancel),
             parallel: permit(setup.allowed.parallel_tries),
-            come_back: permit(setup.allowed.retry_after),
-            max_come_back: setup.allowed.max_retry_after_us,
+            retry_after: permit(setup.allowed.retry_after),
+            max_retry_after: setup.allowed.max_retry_after_us,
             max_attempts: setup.allowed.max_attempts,
-            period: setup.period_us,
+            batch_period: setup.period_us,
             answer_slack: setup.rules.answer_slack_us,
             drain_grace: setup.rules.drain_grace_us,
             drain_binds: if setup.rules.dropped_stay_open {
@@ -341,11 +341,11 @@
             } else {
                 DrainBinds::DrainingAndGone
             },
-            ask_every: setup.rules.ask_every_us,
-            cold_share: setup.rules.start_capacity,
-            cold_for: setup.rules.cold_us,
-            fall_multiple: setup.rules.fall_multiple,
-            fall_for: setup.rules.fall_us,
+            poll_interval: setup.rules.ask_every_us,
+            slow_start_initial_share: setup.rules.start_capacity,
+            slow_start_duration: setup.rules.cold_us,
+            overload_multiple: setup.rules.fall_multiple,
+            overload_duration: setup.rules.fall_us,
         })
     }
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -106,8 +106,8 @@
 #[test]
 fn many_fronts_together_send_a_cold_member_few_requests() {
     let mut settings = settings();
-    settings.fleet = 200;
-    let (fleet, span) = (200, settings.fall_for);
+    settings.fleet_size = 200;
+    let (fleet, span) = (200, settings.overload_duration);
     let mut at_cold = 0;
     for seed in 0..fleet {
         let mut front = Front::seeded(settings.clone(), 2, seed);
@@ -159,7 +159,7 @@
 #[test]
 fn a_thin_front_of_a_large_fleet_refuses_a_share_when_answers_come_late() {
     let mut settings = settings();
-    settings.fleet = 100;
+    settings.fleet_size = 100;
     let late_and_refused = |latency: Micros| {
         let mut front = Front::ready(settings.clone(), 4);
         let mut refusals = 0;
@@ -293,7 +293,7 @@
 #[test]
 fn many_fronts_give_a_hung_member_few_trials() {
     let mut settings = settings();
-    settings.fleet = 80;
+    settings.fleet_size = 80;
     let mut trials = 0;
     for seed in 0..80 {
         let mut front = Front::seeded(settings.clone(), 3, seed);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -67,7 +67,7 @@
             })
             .collect();
         let settings = Settings {
-            fleet: fronts,
+            fleet_size: fronts,
             checks: Checks::None,
             discovery: Discovery::Ask,
             ..settings
@@ -107,7 +107,7 @@
     fn restart(&mut self, settings: &Settings, list: &std::sync::Arc<[Endpoint]>, seed: u64) {
         for front in 0..self.fronts.len() {
             let settings = Settings {
-                fleet: self.fronts.len() as u32,
+                fleet_size: self.fronts.len() as u32,
                 checks: Checks::None,
                 discovery: Discovery::Ask,
                 ..settings.clone()
@@ -383,7 +383,7 @@
         }
         world.play(10 * SECOND, rate);
         let settings = settings();
-        let span = settings.fall_for;
+        let span = settings.overload_duration;
         let carried = rate as f64 / f64::from(4 * MEMBERS);
         let mut used = 0;
         for (member, times) in world
@@ -403,7 +403,7 @@
                     .take_while(|other| **other < at + span)
                     .count();
                 let warmth = asterreel::fleet::warmth(&settings, began, at + span);
-                let room = settings.fall_multiple * warmth * carried * span as f64 / 1e6;
+                let room = settings.overload_multiple * warmth * carried * span as f64 / 1e6;
                 // Capacity is well above what is carried on the mean; the rest is chance in small numbers.
                 let most = room + 3.0 * room.sqrt();
                 assert!(
@@ -502,19 +502,19 @@
         asterreel::calls::SILENCE,
     ] {
         for fleet in [1, 3, 8, 9, 30, 100, 300, 5_000] {
-            for (ask_every, seed) in [
+            for (poll_interval, seed) in [
                 (3 * SECOND, 1),
                 (10 * SECOND, 2),
                 (60 * SECOND, 3),
                 (600 * SECOND, 4),
             ] {
                 let settings = Settings {
-                    fleet,
+                    fleet_size: fleet,
                     discovery: Discovery::Ask,
-                    ask_every,
+                    poll_interval,
                     ..settings()
                 };
-                let told = ask_every
+                let told = poll_interval
                     .min(6 * SECOND)
                     .saturating_sub(staleness + CALL)
                     .max(200 * MS);
@@ -523,7 +523,7 @@
                     let waited = wait_after_loss(&mut front, staleness);
                     assert!(
                         waited <= told + 10 * MS,
-                        "fleet {fleet}, asked every {ask_every}, number {count} after {staleness}: {waited} us"
+                        "fleet {fleet}, asked every {poll_interval}, number {count} after {staleness}: {waited} us"
                     );
                 }
             }
@@ -552,7 +552,7 @@
 fn three_calls_are_made_before_what_a_start_or_a_loss_misses_binds_whatever_the_fleet() {
     for fleet in [1, 3, 8, 9, 30, 100, 312, 900] {
         let settings = Settings {
-            fleet,
+            fleet_size: fleet,
             discovery: Discovery::Ask,
             ..settings()
         };
@@ -618,7 +618,7 @@
     for fleet in [1, 30, 300] {
         for staleness in [0, CALL, asterreel::calls::SILENCE] {
             let settings = Settings {
-                fleet,
+                fleet_size: fleet,
                 discovery: Discovery::Push,
                 ..settings()
             };
@@ -639,7 +639,7 @@
 fn calls_of_many_fronts_after_a_common_loss_are_spread() {
     for fleet in [3, 30, 300] {
         let settings = Settings {
-            fleet,
+            fleet_size: fleet,
             discovery: Discovery::Ask,
             ..settings()
         };
@@ -674,7 +674,7 @@
     for (fleet, shuns) in [(100, true), (3, false)] {
         let mut front = Front::ready(
             Settings {
-                fleet,
+                fleet_size: fleet,
                 checks: Checks::None,
                 ..settings()
             },
@@ -727,7 +727,7 @@
         let sends = world.times.get(member).unwrap_or(&none);
         let sends: Vec<_> = sends.iter().filter(|(at, _)| *at >= began).collect();
         for (n, (at, _)) in sends.iter().enumerate() {
-            let end = at + settings.fall_for;
+            let end = at + settings.overload_duration;
             let warmth = asterreel::fleet::warmth(settings, began, end);
             if warmth >= 1.0 {
                 continue;
@@ -736,7 +736,9 @@
             let load: f64 = within
                 .map(|(_, class)| work(*class) as f64 / MEAN_WORK)
                 .sum();
-            let room = settings.fall_multiple * warmth * capacity * settings.fall_for as f64 / 1e6;
+            let room =
+                settings.overload_multiple * warmth * capacity * settings.overload_duration as f64
+                    / 1e6;
             all += 1;
             over += usize::from(load > room + 2.0 * room.sqrt() + 2.0);
             worst = worst.max(load / (room + 2.0 * room.sqrt() + 2.0));
@@ -764,14 +766,14 @@
 #[test]
 fn no_window_of_a_cold_member_gets_more_than_its_budget_and_chance_from_all_fronts_together() {
     let narrow = Settings {
-        fall_multiple: 2.0,
-        fall_for: 2_500 * MS,
+        overload_multiple: 2.0,
+        overload_duration: 2_500 * MS,
         ..reports()
     };
     let platform = Settings {
-        fall_multiple: 2.5,
-        fall_for: 2 * SECOND,
-        cold_share: 0.16,
+        overload_multiple: 2.5,
+        overload_duration: 2 * SECOND,
+        slow_start_initial_share: 0.16,
         ..reports()
     };
     let mut plays = Vec::new();
@@ -841,7 +843,7 @@
     let (over, all, worst) = windows_over(&world, settings, began, &cold, capacity);
     let what = format!(
         "{fronts} fronts, {rate} a second, multiple {}, {scene:?}",
-        settings.fall_multiple
+        settings.overload_multiple
     );
     assert_eq!(
         over, 0,
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -108,14 +108,14 @@
     );
     (classes, modes, permits, figures, cold).prop_map(|(classes, modes, permits, figures, cold)| {
         let (discovery, checks, tokens, listed_role, drain_binds) = modes;
-        let (probes, cancel, come_back, positions) = permits;
-        let (fleet, max_attempts, max_come_back, ask_every) = figures;
+        let (probes, cancel, retry_after, positions) = permits;
+        let (fleet, max_attempts, max_retry_after, poll_interval) = figures;
         let base = common::settings();
         Settings {
             consistency_levels: classes.iter().map(|class| class.1).collect(),
             staleness_bounds: classes.iter().map(|class| class.2).collect(),
             classes: classes.into_iter().map(|class| class.0).collect(),
-            fleet,
+            fleet_size: fleet,
             discovery,
             checks,
             tokens,
@@ -123,15 +123,15 @@
             listed_role,
             probes,
             cancel,
-            come_back,
-            max_come_back: max_come_back * MS,
+            retry_after,
+            max_retry_after: max_retry_after * MS,
             max_attempts,
-            ask_every: ask_every * MS,
+            poll_interval: poll_interval * MS,
             drain_binds,
-            cold_share: cold.0,
-            cold_for: cold.1 * MS,
-            fall_multiple: cold.2,
-            fall_for: cold.3 * MS,
+            slow_start_initial_share: cold.0,
+            slow_start_duration: cold.1 * MS,
+            overload_multiple: cold.2,
+            overload_duration: cold.3 * MS,
             ..base
         }
     })
@@ -309,12 +309,12 @@
             } => self.send(request.0, to.0, timeout),
             Action::Reject {
                 request,
-                retry_after: come_back,
+                retry_after,
             } => {
-                if come_back.is_some_and(|wait| wait > self.settings.max_come_back)
-                    || come_back.is_some() && !self.settings.come_back.granted()
+                if retry_after.is_some_and(|wait| wait > self.settings.max_retry_after)
+                    || retry_after.is_some() && !self.settings.retry_after.granted()
                 {
-                    return Err(format!("come back after {come_back:?}"));
+                    return Err(format!("come back after {retry_after:?}"));
                 }
                 let Some(open) = self.open.get(&request.0) else {
                     return Ok(());
