--- a/src/bin/asterreel/core.rs
+++ b/src/bin/asterreel/core.rs
@@ -84,7 +84,7 @@
         timer: Arc<Timer>,
         probes: Sender<(MemberId, SocketAddr)>,
         watches: Sender<()>,
-    ) -> Result<Core, BadSettings> {
+    ) -> Result<Core, SettingsError> {
         let router = Router::new(config.settings.clone(), config.seed, clock.now())?;
         let state = State {
             router,
--- a/src/bin/asterreel/startup.rs
+++ b/src/bin/asterreel/startup.rs
@@ -7,7 +7,7 @@
 use crate::probe;
 use crate::timer::Timer;
 use asterreel::config::Config;
-use asterreel::interface::{Discovery, MemberId, UpdateKind};
+use asterreel::interface::{DiscoveryMode, MemberId, UpdateKind};
 use asterreel::operator::Operator;
 use asterreel_control::clock::Clock;
 use may::sync::mpsc::{self, Receiver};
@@ -71,7 +71,7 @@
     let source = Arc::new(Source::new(config.discovery, clock, watches.clone()));
     // A pushing agent is watched from the start: the module asks for watches only where discovery must be called,
     // and what the agent holds counts as told whether it is watched or not.
-    if config.settings.discovery == Discovery::Push {
+    if config.settings.discovery == DiscoveryMode::Push {
         let _ = watches.send(());
     }
     let core = Arc::new(Core::new(config, clock, timer.clone(), probes, watches)?);
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -7,7 +7,7 @@
 //! within [`FIRST_CALL`]. Never decides what is done with a list, and does no input or output.
 
 use crate::fleet::Fleet;
-use crate::interface::{Discovery, Micros, Settings, WatchLoss};
+use crate::interface::{DiscoveryMode, Micros, Settings, WatchLoss};
 
 /// First wait before a lost watch is renewed where a gateway is one of few, microseconds. Ours.
 const RENEW_FIRST: Micros = 200_000;
@@ -37,7 +37,7 @@
 /// The calls of one gateway to discovery.
 #[derive(Clone, Copy, Debug)]
 pub struct Calls {
-    discovery: Discovery,
+    discovery: DiscoveryMode,
     /// Each gateway of a small fleet waits as it would alone.
     is_large: bool,
     /// What the first calls of all gateways are spread over.
@@ -81,7 +81,7 @@
     /// The wait before the next call, after one failed or a watch was lost. Drawn anew each time, as watches of all
     /// gateways are lost together.
     pub fn again(&mut self, loss: WatchLoss, rng: &mut fastrand::Rng) -> Micros {
-        if self.discovery == Discovery::Push {
+        if self.discovery == DiscoveryMode::Push {
             return RENEW_AT_AGENT;
         }
         let longest = self.longest(loss);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -100,16 +100,16 @@
 
 /// What a member does with a read that it is too far behind for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Checks {
+pub enum ReplicaChecks {
     /// It answers from what it has.
     None,
     /// It turns the read away, at once or after a short wait.
-    TurnsAway,
+    RejectStale,
 }
 
 /// How session reads know what they must see.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Tokens {
+pub enum SessionTokens {
     /// The request says how long ago its session last wrote.
     Carried,
     /// This router remembers the commits it was answered with.
@@ -120,20 +120,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedRole {
     /// Some seconds late.
-    Late,
+    Delayed,
     /// As it was at the start.
-    Start,
+    AtStart,
     /// Not at all.
     Never,
 }
 
 /// How the list of members is had.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Discovery {
+pub enum DiscoveryMode {
     /// Changes arrive unprompted.
     Push,
     /// It must be watched.
-    Ask,
+    Watch,
 }
 
 /// What the deployment permits.
@@ -154,9 +154,9 @@
 
 /// Which list entries bind as a drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DrainBinds {
+pub enum DrainSignal {
     /// Draining and gone alike.
-    DrainingAndGone,
+    DrainingOrRemoved,
     /// Only an entry seen as draining.
     DrainingOnly,
 }
@@ -179,11 +179,11 @@
     /// This gateway's zone.
     pub zone: ZoneId,
     /// How the list is had.
-    pub discovery: Discovery,
+    pub discovery: DiscoveryMode,
     /// Whether members check reads themselves.
-    pub checks: Checks,
+    pub replica_checks: ReplicaChecks,
     /// How session reads know their token.
-    pub tokens: Tokens,
+    pub session_tokens: SessionTokens,
     /// Whether answers carry positions.
     pub positions: Permit,
     /// Whether the list names the primary.
@@ -207,7 +207,7 @@
     /// How long after notice of a drain attempts may still be dispatched.
     pub drain_grace: Micros,
     /// Which entries bind as a drain.
-    pub drain_binds: DrainBinds,
+    pub drain_signal: DrainSignal,
     /// Changes of a list that is not watched count as notified after this long.
     pub poll_interval: Micros,
     /// The share of its capacity that a started member has at first.
@@ -462,14 +462,7 @@
     SetTimer(Micros),
 }
 
-/// Why settings were not accepted.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BadSettings(pub String);
-
-impl std::fmt::Display for BadSettings {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "settings: {}", self.0)
-    }
-}
-
-impl std::error::Error for BadSettings {}
+/// Settings that contradict themselves.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("settings: {0}")]
+pub struct SettingsError(pub String);
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -107,10 +107,10 @@
     ///
     /// # Errors
     ///
-    /// [`BadSettings`], where the settings contradict themselves.
-    pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Router, BadSettings> {
+    /// [`SettingsError`], where the settings contradict themselves.
+    pub fn new(settings: Settings, seed: u64, now: Micros) -> Result<Router, SettingsError> {
         let count = settings.classes.len();
-        let bad = |fault: &str| Err(BadSettings(fault.into()));
+        let bad = |fault: &str| Err(SettingsError(fault.into()));
         let none = settings.fleet_size == 0 || settings.max_attempts == 0;
         if none
             || settings.consistency_levels.len() != count
@@ -215,7 +215,7 @@
     }
 
     fn listed(&mut self, kind: UpdateKind, entries: &[Endpoint]) {
-        if kind == UpdateKind::CachedSnapshot && self.settings.discovery == Discovery::Ask {
+        if kind == UpdateKind::CachedSnapshot && self.settings.discovery == DiscoveryMode::Watch {
             match self.calls.begin(&mut self.rng) {
                 0 => self.out.push(Action::Watch),
                 wait => self.later(wait, Task::Renew),
@@ -574,10 +574,10 @@
 
     /// The position that a session read must see.
     fn token(&self, arrival: &Arrival) -> Micros {
-        match (self.settings.tokens, arrival.since_write) {
-            (Tokens::Carried, Some(ago)) => self.now.saturating_sub(ago),
-            (Tokens::Carried, None) => 0,
-            (Tokens::Remembered, _) => self.commits.of(arrival.session),
+        match (self.settings.session_tokens, arrival.since_write) {
+            (SessionTokens::Carried, Some(ago)) => self.now.saturating_sub(ago),
+            (SessionTokens::Carried, None) => 0,
+            (SessionTokens::Remembered, _) => self.commits.of(arrival.session),
         }
     }
 
@@ -946,7 +946,7 @@
         request.waiting
             && request.attempts.len() < spare
             && (request.consistency == ConsistencyLevel::Write
-                || self.settings.checks == Checks::TurnsAway)
+                || self.settings.replica_checks == ReplicaChecks::RejectStale)
             && self.may_go(request, member)
     }
 
@@ -1004,7 +1004,7 @@
             ConsistencyLevel::Strong | ConsistencyLevel::Write => return false,
         };
         let known = needed == 0 || member.position >= needed;
-        if known || self.settings.checks == Checks::None {
+        if known || self.settings.replica_checks == ReplicaChecks::None {
             return known;
         }
         if !self.settings.positions.granted() {
@@ -1025,7 +1025,9 @@
         };
         let bound = self.settings.staleness_bounds[request.class()].saturating_sub(WRITE_TAKES);
         let recent = match request.consistency {
-            ConsistencyLevel::BoundedStaleness if self.settings.checks == Checks::None => {
+            ConsistencyLevel::BoundedStaleness
+                if self.settings.replica_checks == ReplicaChecks::None =>
+            {
                 let group = self.groups.get(&member.group);
                 let active = group.is_some_and(|group| group.active == Some(to));
                 active || member.position >= now.saturating_sub(bound)
@@ -1075,7 +1077,7 @@
             .members_of(group)
             .filter(|m| !request.tried(m.id) && self.may_go(request, m));
         let first = request.idempotency == Idempotency::Idempotent && request.attempts.is_empty();
-        let checked = self.settings.checks == Checks::TurnsAway;
+        let checked = self.settings.replica_checks == ReplicaChecks::RejectStale;
         let harmless = |m: &&Member| first && (checked || self.in_sync(request, m, true));
         if let Some(trial) = open.clone().filter(harmless).find(|m| self.on_trial(m)) {
             return Some(trial.id);
@@ -1116,7 +1118,7 @@
     fn asks(&self, request: &Request) -> Option<MemberId> {
         let group = self.groups.get(&request.arrival.group)?;
         let unchecked = request.consistency == ConsistencyLevel::BoundedStaleness
-            && self.settings.checks == Checks::None;
+            && self.settings.replica_checks == ReplicaChecks::None;
         let patient = self.now < request.received.saturating_add(ASK_PATIENCE);
         if !unchecked || !patient || !self.settings.probes.granted() {
             return None;
@@ -1248,7 +1250,7 @@
 impl Member {
     /// Drains are kept from the first word on; where only a draining entry binds, 'gone' alone does not.
     fn drain_binds(&self, settings: &Settings) -> bool {
-        let gone_binds = settings.drain_binds == DrainBinds::DrainingAndGone;
+        let gone_binds = settings.drain_signal == DrainSignal::DrainingOrRemoved;
         self.state != EndpointState::Ready && (gone_binds || self.seen_draining)
     }
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -306,24 +306,24 @@
             fleet_size: setup.fleet_size,
             zone: ZoneId(setup.zone),
             discovery: match setup.discovery.as_str() {
-                "automatic" => Discovery::Push,
-                "subscribe" => Discovery::Ask,
+                "automatic" => DiscoveryMode::Push,
+                "subscribe" => DiscoveryMode::Watch,
                 other => return Err(unknown("discovery", other)),
             },
-            checks: match family.checks.as_str() {
-                "none" => Checks::None,
-                "bounce" | "await" => Checks::TurnsAway,
+            replica_checks: match family.checks.as_str() {
+                "none" => ReplicaChecks::None,
+                "bounce" | "await" => ReplicaChecks::RejectStale,
                 other => return Err(unknown("checks", other)),
             },
-            tokens: match family.session_marks.as_str() {
-                "brought" => Tokens::Carried,
-                "kept" => Tokens::Remembered,
+            session_tokens: match family.session_marks.as_str() {
+                "brought" => SessionTokens::Carried,
+                "kept" => SessionTokens::Remembered,
                 other => return Err(unknown("session marks", other)),
             },
             positions: permit(family.progress_told),
             listed_role: match family.role_listed.as_str() {
-                "trailing" => ListedRole::Late,
-                "static" => ListedRole::Start,
+                "trailing" => ListedRole::Delayed,
+                "static" => ListedRole::AtStart,
                 "none" => ListedRole::Never,
                 other => return Err(unknown("listed role", other)),
             },
@@ -336,10 +336,10 @@
             batch_period: setup.period_us,
             answer_slack: setup.rules.answer_slack_us,
             drain_grace: setup.rules.drain_grace_us,
-            drain_binds: if setup.rules.dropped_stay_open {
-                DrainBinds::DrainingOnly
+            drain_signal: if setup.rules.dropped_stay_open {
+                DrainSignal::DrainingOnly
             } else {
-                DrainBinds::DrainingAndGone
+                DrainSignal::DrainingOrRemoved
             },
             poll_interval: setup.rules.ask_every_us,
             slow_start_initial_share: setup.rules.start_capacity,
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -202,7 +202,7 @@
 
 fn only_draining_binds() -> Settings {
     Settings {
-        drain_binds: DrainBinds::DrainingOnly,
+        drain_signal: DrainSignal::DrainingOnly,
         ..settings()
     }
 }
@@ -380,7 +380,7 @@
 #[test]
 fn a_send_held_up_by_its_connection_is_not_written_on_old_data_or_into_a_drain() {
     let mut settings = settings();
-    settings.checks = Checks::None;
+    settings.replica_checks = ReplicaChecks::None;
     let mut front = Front::ready(settings, 3);
     let (read, actions) = front.arrive(BOUNDED);
     let to = sends(&actions)[0].1;
@@ -608,7 +608,7 @@
 #[test]
 fn a_report_made_before_an_answer_showed_it_to_be_a_replica_does_not_mark_a_member() {
     let mut settings = settings();
-    settings.checks = Checks::None;
+    settings.replica_checks = ReplicaChecks::None;
     let mut front = Front::ready(settings, 2);
     pass_until_probed(&mut front, 0);
     let stood = front.now;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -68,8 +68,8 @@
             .collect();
         let settings = Settings {
             fleet_size: fronts,
-            checks: Checks::None,
-            discovery: Discovery::Ask,
+            replica_checks: ReplicaChecks::None,
+            discovery: DiscoveryMode::Watch,
             ..settings
         };
         let router =
@@ -108,8 +108,8 @@
         for front in 0..self.fronts.len() {
             let settings = Settings {
                 fleet_size: self.fronts.len() as u32,
-                checks: Checks::None,
-                discovery: Discovery::Ask,
+                replica_checks: ReplicaChecks::None,
+                discovery: DiscoveryMode::Watch,
                 ..settings.clone()
             };
             let router = Router::new(settings, seed * 1_000 + front as u64, self.now);
@@ -510,7 +510,7 @@
             ] {
                 let settings = Settings {
                     fleet_size: fleet,
-                    discovery: Discovery::Ask,
+                    discovery: DiscoveryMode::Watch,
                     poll_interval,
                     ..settings()
                 };
@@ -553,7 +553,7 @@
     for fleet in [1, 3, 8, 9, 30, 100, 312, 900] {
         let settings = Settings {
             fleet_size: fleet,
-            discovery: Discovery::Ask,
+            discovery: DiscoveryMode::Watch,
             ..settings()
         };
         for seed in 0..40 {
@@ -619,7 +619,7 @@
         for staleness in [0, CALL, asterreel::calls::SILENCE] {
             let settings = Settings {
                 fleet_size: fleet,
-                discovery: Discovery::Push,
+                discovery: DiscoveryMode::Push,
                 ..settings()
             };
             let mut front = Front::seeded(settings, 2, 7);
@@ -640,7 +640,7 @@
     for fleet in [3, 30, 300] {
         let settings = Settings {
             fleet_size: fleet,
-            discovery: Discovery::Ask,
+            discovery: DiscoveryMode::Watch,
             ..settings()
         };
         // Each has made its first call, and has a list.
@@ -675,7 +675,7 @@
         let mut front = Front::ready(
             Settings {
                 fleet_size: fleet,
-                checks: Checks::None,
+                replica_checks: ReplicaChecks::None,
                 ..settings()
             },
             4,
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -178,8 +178,8 @@
 #[test]
 fn remembered_sessions_must_see_the_commit_they_were_answered_with() {
     let mut settings = settings();
-    settings.tokens = Tokens::Remembered;
-    settings.checks = Checks::None;
+    settings.session_tokens = SessionTokens::Remembered;
+    settings.replica_checks = ReplicaChecks::None;
     let mut front = Front::ready(settings, 2);
     let (write, _) = front.arrive_with(WRITE, Some(9), None);
     let commit = START + 40 * MS;
@@ -217,7 +217,7 @@
 #[test]
 fn a_lost_watch_is_renewed_with_backoff() {
     let mut settings = settings();
-    settings.discovery = Discovery::Ask;
+    settings.discovery = DiscoveryMode::Watch;
     let (mut front, actions) = Front::new(settings, 2);
     assert!(actions.contains(&Action::Watch));
     let mut calls = 0;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -61,7 +61,7 @@
 #[test]
 fn where_gone_does_not_bind_a_gone_member_stays_in_use() {
     let mut settings = settings();
-    settings.drain_binds = DrainBinds::DrainingOnly;
+    settings.drain_signal = DrainSignal::DrainingOnly;
     let mut front = Front::ready(settings, 2);
     front.change(1, EndpointState::Removed, 0);
     let (_, actions) = front.arrive(ANY);
@@ -90,7 +90,7 @@
 #[test]
 fn without_checks_no_read_goes_to_a_replica_not_known_in_sync() {
     let mut settings = settings();
-    settings.checks = Checks::None;
+    settings.replica_checks = ReplicaChecks::None;
     let mut front = Front::ready(settings, 3);
     front.now += 400 * MS;
     let (read, mut actions) = front.arrive(BOUNDED);
@@ -181,7 +181,9 @@
                     if let Some(told) = self.drained.get(&m) {
                         assert!(now <= told + settings.drain_grace, "a drain not kept");
                     }
-                    if settings.checks == Checks::None && !self.been_primary.contains(&m) {
+                    if settings.replica_checks == ReplicaChecks::None
+                        && !self.been_primary.contains(&m)
+                    {
                         let position = self.position.get(&m).copied().unwrap_or(0);
                         match settings.consistency_levels[seen.class] {
                             ConsistencyLevel::BoundedStaleness => {
@@ -218,9 +220,9 @@
     }
 }
 
-fn run(steps: Vec<(u8, u8, u8)>, checks: Checks, parallel: Permit, probes: Permit) {
+fn run(steps: Vec<(u8, u8, u8)>, checks: ReplicaChecks, parallel: Permit, probes: Permit) {
     let mut settings = settings();
-    settings.checks = checks;
+    settings.replica_checks = checks;
     settings.parallel = parallel;
     settings.probes = probes;
     let (mut front, actions) = Front::new(settings.clone(), 4);
@@ -387,7 +389,7 @@
         probes in any::<bool>(),
     ) {
         let permit = |allowed| if allowed { Permit::Allowed } else { Permit::Forbidden };
-        let checks = if checks { Checks::None } else { Checks::TurnsAway };
+        let checks = if checks { ReplicaChecks::None } else { ReplicaChecks::RejectStale };
         run(steps, checks, permit(parallel), permit(probes));
     }
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -80,17 +80,20 @@
 fn settings() -> impl Strategy<Value = Settings> {
     let classes = prop::collection::vec(class(), 1..5);
     let modes = (
-        prop_oneof![Just(Discovery::Push), Just(Discovery::Ask)],
-        prop_oneof![Just(Checks::None), Just(Checks::TurnsAway)],
-        prop_oneof![Just(Tokens::Carried), Just(Tokens::Remembered)],
+        prop_oneof![Just(DiscoveryMode::Push), Just(DiscoveryMode::Watch)],
+        prop_oneof![Just(ReplicaChecks::None), Just(ReplicaChecks::RejectStale)],
         prop_oneof![
-            Just(ListedRole::Late),
-            Just(ListedRole::Start),
+            Just(SessionTokens::Carried),
+            Just(SessionTokens::Remembered)
+        ],
+        prop_oneof![
+            Just(ListedRole::Delayed),
+            Just(ListedRole::AtStart),
             Just(ListedRole::Never)
         ],
         prop_oneof![
-            Just(DrainBinds::DrainingAndGone),
-            Just(DrainBinds::DrainingOnly)
+            Just(DrainSignal::DrainingOrRemoved),
+            Just(DrainSignal::DrainingOnly)
         ],
     );
     let permits = (permit(), permit(), permit(), permit());
@@ -117,8 +120,8 @@
             classes: classes.into_iter().map(|class| class.0).collect(),
             fleet_size: fleet,
             discovery,
-            checks,
-            tokens,
+            replica_checks: checks,
+            session_tokens: tokens,
             positions,
             listed_role,
             probes,
@@ -127,7 +130,7 @@
             max_retry_after: max_retry_after * MS,
             max_attempts,
             poll_interval: poll_interval * MS,
-            drain_binds,
+            drain_signal: drain_binds,
             slow_start_initial_share: cold.0,
             slow_start_duration: cold.1 * MS,
             overload_multiple: cold.2,
@@ -353,7 +356,7 @@
             }
             Action::Watch => {
                 self.later(5 * MS, Next::Watched);
-                if self.settings.discovery == Discovery::Push && self.calls_due == 0 {
+                if self.settings.discovery == DiscoveryMode::Push && self.calls_due == 0 {
                     return Err("watched where lists are pushed and none was lost".into());
                 }
                 self.calls_due = self.calls_due.saturating_sub(1);
@@ -435,7 +438,11 @@
             ConsistencyLevel::Eventual | ConsistencyLevel::Write => 0,
         };
         let told = settings.positions.granted();
-        if settings.checks == Checks::None && told && !member.excused && position < must_see {
+        if settings.replica_checks == ReplicaChecks::None
+            && told
+            && !member.excused
+            && position < must_see
+        {
             return Err(format!(
                 "{request} ({consistency:?}) is sent to {to}, {} us behind",
                 now - position
@@ -465,7 +472,7 @@
         let consistency = self.settings.consistency_levels[open.class];
         let primary = self.primaries.get(&member.group) == Some(&to);
         let session = open.session;
-        let checked = self.settings.checks == Checks::TurnsAway;
+        let checked = self.settings.replica_checks == ReplicaChecks::RejectStale;
         let behind = consistency == ConsistencyLevel::BoundedStaleness
             && member.lag > self.settings.staleness_bounds[open.class]
             || consistency == ConsistencyLevel::Strong && !primary
@@ -549,7 +556,7 @@
         let group = self.rng.u64(0..groups);
         let due = self.now + self.settings.classes[class].deadline * self.rng.u64(4..=10) / 10;
         let session = Some(self.rng.u64(0..20));
-        let carried = self.settings.tokens == Tokens::Carried;
+        let carried = self.settings.session_tokens == SessionTokens::Carried;
         // What a session carries is how long ago it last wrote.
         let wrote = session
             .and_then(|session| self.commits.get(&session))
@@ -615,7 +622,7 @@
                 } else {
                     EndpointState::Removed
                 };
-                let binds = self.settings.drain_binds == DrainBinds::DrainingAndGone
+                let binds = self.settings.drain_signal == DrainSignal::DrainingOrRemoved
                     || state == EndpointState::Draining;
                 let now = self.now;
                 self.members.entry(id).and_modify(|member| {
@@ -665,7 +672,7 @@
 
     fn play(&mut self) -> Broken {
         let list: Vec<Endpoint> = self.members.keys().map(|id| self.entry(*id)).collect();
-        self.calls_due = u32::from(self.settings.discovery == Discovery::Ask);
+        self.calls_due = u32::from(self.settings.discovery == DiscoveryMode::Watch);
         self.feed(Event::EndpointsUpdated(
             UpdateKind::CachedSnapshot,
             list.into(),
