--- a/control/src/frame.rs
+++ b/control/src/frame.rs
@@ -221,7 +221,7 @@
 
 fn decode(frame: &[u8]) -> Result<Payload, BadFrame> {
     let frame = Frame::decode(frame).map_err(|fault| BadFrame::Damaged(fault.to_string()))?;
-    let damaged = |fault: crate::agreed::BadEntry| BadFrame::Damaged(fault.to_string());
+    let damaged = |fault: crate::state_machine::DecodeError| BadFrame::Damaged(fault.to_string());
     match frame.kind.ok_or(BadFrame::Unknown)? {
         Kind::Hello(hello) => Ok(Payload::Hello(hello)),
         Kind::Raft(bytes) => {
--- a/control/src/golden_tests.rs
+++ b/control/src/golden_tests.rs
@@ -4,10 +4,10 @@
 //! anew to get a pass: a member of the former build reads what this one writes, and the other way round, only as long as
 //! they are the same. Where a format is to change, its number changes, and files of the new format are added.
 
-use crate::agreed::{self, Action, Agreed, Command, Event};
 use crate::frame::{self, Hello, Payload};
 use crate::lease::{self, Duty, Holder, Index, Timing, Token};
 use crate::node::Node;
+use crate::state_machine::{self, Action, Command, Event, StateMachine};
 use crate::store::Store;
 use crate::versions::{
     self, Content, Formats, Refusal, Span, ToControl, ToGateway, Topic, TopicState,
@@ -185,8 +185,8 @@
 
 #[test]
 fn log_entries_match_record() {
-    assert_matches("entries.txt", commands(), agreed::encode, |bytes| {
-        agreed::decode(bytes).expect("an entry")
+    assert_matches("entries.txt", commands(), state_machine::encode, |bytes| {
+        state_machine::decode(bytes).expect("an entry")
     });
 }
 
@@ -348,7 +348,7 @@
     let entry = eraftpb::Entry {
         index: 41,
         term: 7,
-        data: agreed::encode(&command).into(),
+        data: state_machine::encode(&command).into(),
         ..Default::default()
     };
     raft.set_entries(vec![entry].into());
@@ -419,7 +419,7 @@
             };
             store.begin(1, &alone).expect("begun");
         }
-        let node = Node::new(1, store, Agreed::new(MEMBER, TIMING), 20, 1).expect("a node");
+        let node = Node::new(1, store, StateMachine::new(MEMBER, TIMING), 20, 1).expect("a node");
         let mut member = Member { node, now: 1 };
         member.drive();
         member
@@ -446,7 +446,7 @@
 
     fn token(&self, who: Holder) -> Token {
         self.node
-            .agreed()
+            .state_machine()
             .versions()
             .seat(who)
             .expect("a seat")
@@ -454,7 +454,7 @@
     }
 
     fn heartbeat(&mut self, who: Holder) {
-        let versions = self.node.agreed().versions();
+        let versions = self.node.state_machine().versions();
         let (token, seen) = (
             versions.seat(who).map(|seat| seat.token),
             versions.changed(),
@@ -495,7 +495,7 @@
             seen,
             content: content(),
         });
-        self.node.agreed().versions().applied().0
+        self.node.state_machine().versions().applied().0
     }
 
     fn accept(&mut self, who: Holder, topic: Topic, number: u64) {
@@ -550,7 +550,7 @@
     let entries = store
         .entries(1, last + 1, None, GetEntriesContext::empty(false))
         .expect("read");
-    let read = |data: &[u8]| agreed::decode(data).expect("an entry");
+    let read = |data: &[u8]| state_machine::decode(data).expect("an entry");
     entries
         .iter()
         .map(|entry| {
@@ -562,10 +562,14 @@
 }
 
 /// The state that a recorded log leads to: its snapshot, where there is one, and each entry after it.
-fn replayed(folder: &Path) -> Agreed {
+fn replayed(folder: &Path) -> StateMachine {
     let store = Store::open(folder, MEMBER.gateway.into()).expect("opened");
-    let mut agreed = Agreed::new(MEMBER, TIMING);
-    let mut apply = |event: Event| agreed.handle(1, event, &mut Vec::new()).expect("applied");
+    let mut state_machine = StateMachine::new(MEMBER, TIMING);
+    let mut apply = |event: Event| {
+        state_machine
+            .handle(1, event, &mut Vec::new())
+            .expect("applied")
+    };
     if !store.latest().is_empty() {
         apply(Event::Restored(store.latest().get_data()));
     }
@@ -579,30 +583,36 @@
     entries
         .iter()
         .for_each(|entry| apply(Event::Committed(&entry.data)));
-    agreed
+    state_machine
 }
 
 /// Both duties are the member's, and the gateways' seats have these tokens.
-fn assert_held(agreed: &Agreed, tokens: [Token; 2]) {
+fn assert_held(state_machine: &StateMachine, tokens: [Token; 2]) {
     for duty in [Duty(0), Duty(1)] {
-        let entry = agreed.leases().table().entry(duty);
+        let entry = state_machine.leases().table().entry(duty);
         assert_eq!(
             (entry.holder, entry.token),
             (Some(MEMBER), Token(u64::from(duty.0) + 1)),
             "{duty:?}"
         );
     }
-    let seats = agreed.versions().seats().map(|seat| (seat.who, seat.token));
+    let seats = state_machine
+        .versions()
+        .seats()
+        .map(|seat| (seat.who, seat.token));
     assert!(seats.eq(SERVED.into_iter().zip(tokens)));
-    assert_eq!(agreed.versions().audit().last(SERVED[1]), 1);
-    assert_eq!(agreed.versions().audit().count(Topic::Operator, 5), 12);
+    assert_eq!(state_machine.versions().audit().last(SERVED[1]), 1);
+    assert_eq!(
+        state_machine.versions().audit().count(Topic::Operator, 5),
+        12
+    );
 }
 
 #[test]
 fn log_with_entries_matches_record() {
-    let agreed = replayed(recorded("entries.redb").path());
-    assert_held(&agreed, [Token(2), Token(3)]);
-    let standing = agreed
+    let state_machine = replayed(recorded("entries.redb").path());
+    assert_held(&state_machine, [Token(2), Token(3)]);
+    let standing = state_machine
         .versions()
         .topic(Topic::Operator)
         .expect("it was offered");
@@ -617,7 +627,7 @@
     );
     assert!(open.accepted.iter().eq([&300]));
     let snapshot = std::fs::read(file("entries-snapshot.bin")).expect("a record");
-    assert_eq!(agreed.snapshot(), snapshot);
+    assert_eq!(state_machine.snapshot(), snapshot);
 }
 
 #[test]
@@ -626,7 +636,7 @@
     let mut member = Member::open(folder.path());
     member.play();
     let snapshot = std::fs::read(file("entries-snapshot.bin")).expect("a record");
-    assert_eq!(member.node.agreed().snapshot(), snapshot);
+    assert_eq!(member.node.state_machine().snapshot(), snapshot);
     assert_eq!(replayed_entries(&recorded("entries.redb")), {
         drop(member);
         replayed_entries(&folder)
@@ -640,10 +650,10 @@
     let member = Member::open(folder.path());
     assert_eq!(member.node.latest_snapshot(), stored);
     drop(member);
-    let agreed = replayed(folder.path());
+    let state_machine = replayed(folder.path());
     // The version that one gateway did not judge came in force once that one had lost its seat.
-    assert_held(&agreed, [Token(11), Token(3)]);
-    let standing = agreed
+    assert_held(&state_machine, [Token(11), Token(3)]);
+    let standing = state_machine
         .versions()
         .topic(Topic::Operator)
         .expect("it was offered");
@@ -652,9 +662,9 @@
         (8, 4, &None)
     );
     let last = std::fs::read(file("last-snapshot.bin")).expect("a record");
-    assert_eq!(agreed.snapshot(), last);
+    assert_eq!(state_machine.snapshot(), last);
     assert_ne!(stored, last, "entries follow the snapshot");
-    let mut restored = Agreed::new(MEMBER, TIMING);
+    let mut restored = StateMachine::new(MEMBER, TIMING);
     restored
         .handle(1, Event::Restored(&stored), &mut Vec::new())
         .expect("restored");
--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -1,12 +1,11 @@
 //! What a fleet of gateways agrees on, and how: the log at its control members, and the gateways that are their clients.
 //!
-//! [`lease`], [`versions`] and [`agreed`] decide, free of input and output: events in, actions out, time an argument.
+//! [`lease`], [`versions`] and [`state_machine`] decide, free of input and output: events in, actions out, time an argument.
 //! [`service`] runs them: the replicated log with its store, the links between gateways, and one loop on a thread of its
 //! own. The gateway starts it with [`service::start`]; so do the experiments that play many gateways in one process.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod agreed;
 pub mod clock;
 mod frame;
 #[cfg(test)]
@@ -20,6 +19,7 @@
 mod node;
 pub mod service;
 pub mod settings;
+pub mod state_machine;
 mod store;
 pub mod traffic;
 pub mod versions;
--- a/control/src/node.rs
+++ b/control/src/node.rs
@@ -1,7 +1,7 @@
 //! The consensus of this control member: what comes from other members and timers goes in, what must be stored, sent and
 //! applied comes out. It owns the store and the agreed state; it knows no sockets.
 
-use crate::agreed::{Action, Agreed, Diverged, Event};
+use crate::state_machine::{Action, ApplyError, Event, StateMachine};
 use crate::store::{Store, StoreError};
 use crate::Micros;
 use raft::eraftpb::{
@@ -31,7 +31,7 @@
     #[error(transparent)]
     Store(#[from] StoreError),
     #[error(transparent)]
-    Diverged(#[from] Diverged),
+    ApplyError(#[from] ApplyError),
     #[error("the consensus stopped: {0}; report it, and remove the log's folder to learn it from the peers")]
     Raft(#[from] raft::Error),
 }
@@ -51,7 +51,7 @@
 
 pub(crate) struct Node {
     raw: RawNode<Store>,
-    agreed: Agreed,
+    state_machine: StateMachine,
     place: Place,
     /// To be proposed once the consensus has nothing ready: in between it takes nothing in.
     proposals: Vec<Vec<u8>>,
@@ -86,7 +86,7 @@
     pub(crate) fn new(
         id: u64,
         store: Store,
-        agreed: Agreed,
+        state_machine: StateMachine,
         election: usize,
         now: Micros,
     ) -> Result<Node, NodeError> {
@@ -115,7 +115,7 @@
         let (proposals, rounds, confirmed) = (Vec::new(), Vec::new(), Vec::new());
         let mut node = Node {
             raw,
-            agreed,
+            state_machine,
             place,
             proposals,
             rounds,
@@ -124,7 +124,7 @@
             kept_from: applied,
         };
         if !data.is_empty() {
-            node.agreed
+            node.state_machine
                 .handle(now, Event::Restored(&data), &mut Vec::new())?;
         }
         Ok(node)
@@ -141,8 +141,8 @@
 
     /// What is agreed, as far as it was applied here.
     #[cfg(test)]
-    pub(crate) fn agreed(&self) -> &Agreed {
-        &self.agreed
+    pub(crate) fn state_machine(&self) -> &StateMachine {
+        &self.state_machine
     }
 
     /// The latest snapshot that was stored, encoded; empty where there is none.
@@ -261,7 +261,7 @@
         out: &mut Vec<Action>,
     ) -> Result<(), NodeError> {
         let mut actions = Vec::new();
-        self.agreed.handle(now, event, &mut actions)?;
+        self.state_machine.handle(now, event, &mut actions)?;
         for action in actions {
             match action {
                 Action::Propose(bytes) => self.proposals.push(bytes),
@@ -380,7 +380,7 @@
         let over =
             self.place.applied - self.kept_from >= ENTRIES_KEPT || self.kept_bytes >= BYTES_KEPT;
         if over {
-            let data = self.agreed.snapshot();
+            let data = self.state_machine.snapshot();
             self.raw.mut_store().compact(self.place.applied, data)?;
             (self.kept_from, self.kept_bytes) = (self.place.applied, 0);
         }
--- a/control/src/service/gateway.rs
+++ b/control/src/service/gateway.rs
@@ -1,12 +1,12 @@
 //! A gateway's part of the loop: its seat at the control member that leads, and what it hears of versions.
 
 use super::{digest, Notice};
-use crate::agreed::FORMAT;
 use crate::clock::Clock;
 use crate::frame::Hello;
 use crate::lease::Holder;
 use crate::link::gateway::{Link, LinkEvent, Search};
 use crate::settings::Lease;
+use crate::state_machine::FORMAT;
 use crate::traffic::Traffic;
 use crate::versions::client::{Action, Event};
 use crate::versions::{Client, Formats};
--- a/control/src/service/member.rs
+++ b/control/src/service/member.rs
@@ -2,7 +2,6 @@
 
 use super::gateway::loopback;
 use super::{digest, PeerError};
-use crate::agreed::{Action, Agreed, Event};
 use crate::clock::Clock;
 use crate::frame::{self, Hello, Payload};
 use crate::lease::{self, Holder, Timing};
@@ -10,6 +9,7 @@
 use crate::link::{self, member::Link, SharedHello};
 use crate::node::{self, Node, NodeError, Place};
 use crate::settings::Lease;
+use crate::state_machine::{Action, Event, StateMachine};
 use crate::store::Store;
 use crate::traffic::MemberTraffic;
 use crate::versions::ToGateway;
@@ -104,8 +104,14 @@
     asked: &Lease,
     now: Micros,
 ) -> Result<Box<Node>, NodeError> {
-    let agreed = Agreed::new(me, asked.timing());
-    Ok(Box::new(Node::new(id, store, agreed, ELECTION_TICKS, now)?))
+    let state_machine = StateMachine::new(me, asked.timing());
+    Ok(Box::new(Node::new(
+        id,
+        store,
+        state_machine,
+        ELECTION_TICKS,
+        now,
+    )?))
 }
 
 impl Member {
--- a/control/src/agreed/entry.rs
+++ b/control/src/state_machine/entry.rs
@@ -11,7 +11,7 @@
 
 /// Why an entry was not understood. Nothing of it was applied.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadEntry {
+pub enum DecodeError {
     /// Written by a newer build.
     #[error(
         "it has format {found}, this build reads up to {FORMAT}; start a build that understands it"
@@ -240,21 +240,21 @@
 ///
 /// # Errors
 ///
-/// [`BadEntry`], where it is not understood whole.
-pub fn decode(bytes: &[u8]) -> Result<Command, BadEntry> {
+/// [`DecodeError`], where it is not understood whole.
+pub fn decode(bytes: &[u8]) -> Result<Command, DecodeError> {
     use versions::Command as V;
-    let entry = Entry::decode(bytes).map_err(|fault| BadEntry::Damaged(fault.to_string()))?;
+    let entry = Entry::decode(bytes).map_err(|fault| DecodeError::Damaged(fault.to_string()))?;
     if entry.format > FORMAT {
-        return Err(BadEntry::Newer {
+        return Err(DecodeError::Newer {
             found: entry.format,
         });
     }
     if entry.format < FORMAT {
-        return Err(BadEntry::Older {
+        return Err(DecodeError::Older {
             found: entry.format,
         });
     }
-    Ok(match entry.body.ok_or(BadEntry::Unknown("kind"))? {
+    Ok(match entry.body.ok_or(DecodeError::Unknown("kind"))? {
         Body::Claim(l) => Command::Lease(lease::Command::Claim {
             duty: duty(l.duty)?,
             holder: l.who.holder(),
@@ -323,11 +323,11 @@
     })
 }
 
-fn duty(number: u32) -> Result<Duty, BadEntry> {
+fn duty(number: u32) -> Result<Duty, DecodeError> {
     let known = usize::try_from(number).is_ok_and(|place| place < lease::DUTIES.len());
     known
         .then_some(Duty(number as u16))
-        .ok_or(BadEntry::Unknown("duty"))
+        .ok_or(DecodeError::Unknown("duty"))
 }
 
 #[cfg(test)]
--- a/control/src/agreed/entry/tests.rs
+++ b/control/src/state_machine/entry/tests.rs
@@ -122,7 +122,7 @@
     }
     .encode_to_vec();
     let fault = decode(&older).expect_err("an older build's");
-    assert_eq!(fault, BadEntry::Older { found: FORMAT - 1 });
+    assert_eq!(fault, DecodeError::Older { found: FORMAT - 1 });
     assert!(
         fault.to_string().contains("remove the log's folder"),
         "{fault}"
@@ -132,5 +132,8 @@
         body,
     }
     .encode_to_vec();
-    assert_eq!(decode(&newer), Err(BadEntry::Newer { found: FORMAT + 1 }));
+    assert_eq!(
+        decode(&newer),
+        Err(DecodeError::Newer { found: FORMAT + 1 })
+    );
 }
--- a/control/src/agreed/mod.rs
+++ b/control/src/state_machine/mod.rs
@@ -2,14 +2,14 @@
 //!
 //! It decides what an entry of the log does, entry by entry and alike at every member, and keeps the one copy of what is
 //! agreed: who holds which duty ([`crate::lease`]), and which versions are in force and who may act on them
-//! ([`crate::versions`]). [`Agreed`] is the one door: events in, actions out, time an argument. The log beneath
+//! ([`crate::versions`]). [`StateMachine`] is the one door: events in, actions out, time an argument. The log beneath
 //! (consensus, disk, peers) is the caller's; it hands over the bytes of entries in log order, and takes back those to
 //! propose. Entries and snapshots are encoded here, with a format of their own, so that what an older or newer build
 //! wrote is either understood whole or refused whole.
 
 mod entry;
 
-pub use entry::{decode, encode, BadEntry, FORMAT};
+pub use entry::{decode, encode, DecodeError, FORMAT};
 
 use crate::lease::{self, Duty, Holder, Index, Leases, Timing};
 use crate::versions::{self, coordinator, Coordinator, Span, ToControl, ToGateway};
@@ -79,10 +79,10 @@
 
 /// Why a gateway can't follow the log any further: what it would apply next it does not understand whole.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Diverged {
+pub enum ApplyError {
     /// An entry.
     #[error("an entry of the fleet's log can't be applied: {0}")]
-    Entry(#[from] BadEntry),
+    Entry(#[from] DecodeError),
     /// A snapshot written by another build.
     #[error(
         "a snapshot has format {found}, this build reads {FORMAT}; where the log was written by an older build, stop all \
@@ -117,15 +117,15 @@
 }
 
 /// One control member's copy of what is agreed.
-pub struct Agreed {
+pub struct StateMachine {
     leases: Leases,
     coordinator: Coordinator,
 }
 
-impl Agreed {
+impl StateMachine {
     /// A control member in its life `me`, that knows nothing of the log yet.
-    pub fn new(me: Holder, timing: Timing) -> Agreed {
-        Agreed {
+    pub fn new(me: Holder, timing: Timing) -> StateMachine {
+        StateMachine {
             leases: Leases::new(me, timing),
             coordinator: Coordinator::new(me, timing),
         }
@@ -155,14 +155,14 @@
         bytes
     }
 
-    fn restore(&mut self, now: Micros, bytes: &[u8]) -> Result<(), Diverged> {
-        let damaged = |why: &str| Diverged::SnapshotDamaged(why.to_owned());
+    fn restore(&mut self, now: Micros, bytes: &[u8]) -> Result<(), ApplyError> {
+        let damaged = |why: &str| ApplyError::SnapshotDamaged(why.to_owned());
         let (format, rest) = bytes
             .split_first_chunk::<4>()
             .ok_or_else(|| damaged("too short"))?;
         let found = u32::from_le_bytes(*format);
         if found != FORMAT {
-            return Err(Diverged::SnapshotFormat { found });
+            return Err(ApplyError::SnapshotFormat { found });
         }
         let (sum, text) = rest
             .split_first_chunk::<8>()
@@ -181,13 +181,13 @@
     ///
     /// # Errors
     ///
-    /// [`Diverged`], after which nothing more may be applied; the state stays as it was before the event.
+    /// [`ApplyError`], after which nothing more may be applied; the state stays as it was before the event.
     pub fn handle(
         &mut self,
         now: Micros,
         event: Event,
         out: &mut Vec<Action>,
-    ) -> Result<(), Diverged> {
+    ) -> Result<(), ApplyError> {
         match event {
             Event::Committed([]) => Ok(()),
             Event::Committed(bytes) => self.commit(now, decode(bytes)?, out),
@@ -228,7 +228,7 @@
         now: Micros,
         command: Command,
         out: &mut Vec<Action>,
-    ) -> Result<(), Diverged> {
+    ) -> Result<(), ApplyError> {
         match command {
             Command::Lease(command) => {
                 let index = Index(self.leases.table().applied().0 + 1);
@@ -247,7 +247,7 @@
         now: Micros,
         event: lease::Event,
         out: &mut Vec<Action>,
-    ) -> Result<(), Diverged> {
+    ) -> Result<(), ApplyError> {
         let mut actions = Vec::new();
         self.leases.handle(now, event, &mut actions);
         for action in actions {
@@ -258,7 +258,7 @@
                 lease::Action::Wake(at) => out.push(Action::Wake(at)),
                 lease::Action::Replay { from } => {
                     let came = self.leases.table().applied().0 + 1;
-                    return Err(Diverged::Gap { due: from.0, came });
+                    return Err(ApplyError::Gap { due: from.0, came });
                 }
                 other => out.push(Action::Lease(other)),
             }
--- a/control/src/versions/wire.rs
+++ b/control/src/versions/wire.rs
@@ -7,8 +7,8 @@
     reason_up_to_longest, Content, Formats, Refusal, Span, ToControl, ToGateway, Topic, TopicState,
     LONGEST_CONTENT,
 };
-use crate::agreed::BadEntry;
 use crate::lease::{Holder, Index, Token};
+use crate::state_machine::DecodeError;
 use prost::Message;
 
 /// The longest message, bytes: the open versions of all topics, and room for what else it says.
@@ -73,10 +73,10 @@
     ///
     /// # Errors
     ///
-    /// [`BadEntry`], where they are not understood whole.
-    pub fn decode(bytes: &[u8]) -> Result<ToControl, BadEntry> {
+    /// [`DecodeError`], where they are not understood whole.
+    pub fn decode(bytes: &[u8]) -> Result<ToControl, DecodeError> {
         let message: ControlMessage = read(bytes)?;
-        Ok(match message.body.ok_or(BadEntry::Unknown("kind"))? {
+        Ok(match message.body.ok_or(DecodeError::Unknown("kind"))? {
             FromGateway::Heartbeat(heartbeat) => ToControl::Heartbeat {
                 who: heartbeat.who.holder(),
                 formats: Formats {
@@ -170,10 +170,10 @@
     ///
     /// # Errors
     ///
-    /// [`BadEntry`], where they are not understood whole.
-    pub fn decode(bytes: &[u8]) -> Result<ToGateway, BadEntry> {
+    /// [`DecodeError`], where they are not understood whole.
+    pub fn decode(bytes: &[u8]) -> Result<ToGateway, DecodeError> {
         let message: GatewayMessage = read(bytes)?;
-        Ok(match message.body.ok_or(BadEntry::Unknown("kind"))? {
+        Ok(match message.body.ok_or(DecodeError::Unknown("kind"))? {
             FromControl::Kept(kept) => ToGateway::Kept {
                 who: kept.who.holder(),
                 token: Token(kept.token),
@@ -183,13 +183,13 @@
             },
             FromControl::State(state) => {
                 if state.topics.len() > Topic::ALL.len() {
-                    return Err(BadEntry::TooLong("list of topics"));
+                    return Err(DecodeError::TooLong("list of topics"));
                 }
                 let topics = state.topics.into_iter().map(Standing::state);
                 ToGateway::State {
                     as_of: Index(state.as_of),
                     since: Index(state.since),
-                    topics: topics.collect::<Result<_, BadEntry>>()?,
+                    topics: topics.collect::<Result<_, DecodeError>>()?,
                 }
             }
             FromControl::Gone(seat) => ToGateway::Gone {
@@ -217,21 +217,21 @@
     }
 }
 
-fn read<M: Message + Default>(bytes: &[u8]) -> Result<M, BadEntry> {
+fn read<M: Message + Default>(bytes: &[u8]) -> Result<M, DecodeError> {
     if bytes.len() > LONGEST {
-        return Err(BadEntry::TooLong("length"));
+        return Err(DecodeError::TooLong("length"));
     }
-    M::decode(bytes).map_err(|fault| BadEntry::Damaged(fault.to_string()))
+    M::decode(bytes).map_err(|fault| DecodeError::Damaged(fault.to_string()))
 }
 
 /// The topic at a place.
-pub(crate) fn topic(number: u32) -> Result<Topic, BadEntry> {
-    Topic::numbered(number).ok_or(BadEntry::Unknown("topic"))
+pub(crate) fn topic(number: u32) -> Result<Topic, DecodeError> {
+    Topic::numbered(number).ok_or(DecodeError::Unknown("topic"))
 }
 
-fn content(format: u32, bytes: Vec<u8>) -> Result<Content, BadEntry> {
+fn content(format: u32, bytes: Vec<u8>) -> Result<Content, DecodeError> {
     if bytes.len() > LONGEST_CONTENT {
-        return Err(BadEntry::TooLong("content"));
+        return Err(DecodeError::TooLong("content"));
     }
     Ok(Content { format, bytes })
 }
@@ -306,9 +306,9 @@
     }
 
     /// What it says was done.
-    pub(crate) fn spans(&self) -> Result<Vec<Span>, BadEntry> {
+    pub(crate) fn spans(&self) -> Result<Vec<Span>, DecodeError> {
         if self.spans.len() > SPANS {
-            return Err(BadEntry::TooLong("list of spans"));
+            return Err(DecodeError::TooLong("list of spans"));
         }
         let span = |acted: &Acted| {
             Ok(Span {
@@ -492,7 +492,7 @@
         }
     }
 
-    fn state(self) -> Result<TopicState, BadEntry> {
+    fn state(self) -> Result<TopicState, DecodeError> {
         let open = |open: Open| Ok((open.number, content(open.format, open.content)?));
         Ok(TopicState {
             topic: topic(self.topic)?,
@@ -533,12 +533,13 @@
         }
     }
 
-    fn refusal(&self) -> Result<Refusal, BadEntry> {
+    fn refusal(&self) -> Result<Refusal, DecodeError> {
         Ok(match self.why {
             1 => Refusal::Stale,
             2 => Refusal::Occupied,
             3 => {
-                let needed = u32::try_from(self.number).map_err(|_| BadEntry::Unknown("format"))?;
+                let needed =
+                    u32::try_from(self.number).map_err(|_| DecodeError::Unknown("format"))?;
                 Refusal::Format { needed }
             }
             4 => Refusal::Epoch,
@@ -546,7 +547,7 @@
             6 => Refusal::Behind(self.number),
             7 => Refusal::TooLong,
             8 => Refusal::Settled,
-            _ => return Err(BadEntry::Unknown("refusal")),
+            _ => return Err(DecodeError::Unknown("refusal")),
         })
     }
 }
--- a/control/src/versions/wire/tests.rs
+++ b/control/src/versions/wire/tests.rs
@@ -138,7 +138,7 @@
 /// Garbage is an error of a type, or a message that is written and read alike: nothing panics.
 fn survives<M: PartialEq + std::fmt::Debug>(
     bytes: &[u8],
-    decode: impl Fn(&[u8]) -> Result<M, BadEntry>,
+    decode: impl Fn(&[u8]) -> Result<M, DecodeError>,
     encode: impl Fn(&M) -> Vec<u8>,
 ) {
     let again = |spoilt: &[u8]| {
@@ -164,7 +164,7 @@
         assert_eq!(ToGateway::decode(&message.encode()), Ok(message.clone()));
         survives(&message.encode(), ToGateway::decode, ToGateway::encode);
     }
-    assert_eq!(ToControl::decode(&[]), Err(BadEntry::Unknown("kind")));
+    assert_eq!(ToControl::decode(&[]), Err(DecodeError::Unknown("kind")));
 }
 
 #[test]
@@ -182,7 +182,7 @@
     };
     assert_eq!(
         ToControl::decode(&offer.encode()),
-        Err(BadEntry::TooLong("content"))
+        Err(DecodeError::TooLong("content"))
     );
     let span = Span {
         topic: Topic::Catalog,
@@ -198,7 +198,7 @@
     };
     assert_eq!(
         ToControl::decode(&report.encode()),
-        Err(BadEntry::TooLong("list of spans"))
+        Err(DecodeError::TooLong("list of spans"))
     );
     let state = TopicState {
         topic: Topic::Catalog,
@@ -214,11 +214,11 @@
     };
     assert_eq!(
         ToGateway::decode(&state.encode()),
-        Err(BadEntry::TooLong("list of topics"))
+        Err(DecodeError::TooLong("list of topics"))
     );
     assert_eq!(
         ToGateway::decode(&vec![0; LONGEST + 1]),
-        Err(BadEntry::TooLong("length"))
+        Err(DecodeError::TooLong("length"))
     );
     // Cut at a whole character.
     let reason = format!("a{}", "ü".repeat(LONGEST_REASON));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -26,4 +26,4 @@
 pub mod statements;
 pub mod watch;
 
-pub use asterreel_control::{agreed, lease, versions};
+pub use asterreel_control::{lease, state_machine, versions};
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -5,8 +5,8 @@
 
 mod golden;
 
-use asterreel::agreed;
 use asterreel::lease::{Action, Command, Duty, Event, Fence, Holder, Index, Leases, Timing, Token};
+use asterreel::state_machine;
 use xxhash_rust::xxh3::Xxh3;
 
 const TIMING: Timing = Timing {
@@ -236,7 +236,9 @@
 fn log_digest(log: &[(Command, u64)]) -> u64 {
     let mut digest = Xxh3::new();
     for (command, at) in log {
-        digest.update(&agreed::encode(&agreed::Command::Lease(*command)));
+        digest.update(&state_machine::encode(&state_machine::Command::Lease(
+            *command,
+        )));
         digest.update(&at.to_le_bytes());
     }
     digest.digest()
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -9,8 +9,8 @@
 
 mod golden;
 
-use asterreel::agreed;
 use asterreel::lease::{Holder, Index, Timing, Token};
+use asterreel::state_machine;
 use asterreel::versions::{
     client, coordinator, Client, Command, Content, Coordinator, Formats, Outcome,
 };
@@ -863,7 +863,9 @@
     fn log_digest(&self) -> u64 {
         let mut digest = Xxh3::new();
         for (command, at) in &self.log {
-            digest.update(&agreed::encode(&agreed::Command::Version(command.clone())));
+            digest.update(&state_machine::encode(&state_machine::Command::Version(
+                command.clone(),
+            )));
             digest.update(&at.to_le_bytes());
         }
         digest.digest()
