--- a/control/src/frame.rs
+++ b/control/src/frame.rs
@@ -1,7 +1,7 @@
 //! What control members and gateways say to each other: frames of a length and a `prost` message, with the formats that
 //! each side speaks.
 
-use crate::lease::Holder;
+use crate::lease::NodeIdentity;
 use crate::traffic::Traffic;
 use crate::versions::{ToControl, ToGateway};
 use bytes::{Bytes, BytesMut};
@@ -69,14 +69,14 @@
     /// The sender is a gateway that wants to be served on this link; it says nothing here of a log.
     #[prost(bool, tag = "7")]
     pub client: bool,
-    /// The life of the sender's process; see [`Holder`].
+    /// The incarnation of the sender's process; see [`NodeIdentity`].
     #[prost(uint32, tag = "8")]
-    pub life: u32,
+    pub incarnation: u32,
 }
 
 impl Hello {
     /// What a gateway says first that wants to be served.
-    pub(crate) fn of_client(me: Holder, fleet: u64) -> Hello {
+    pub(crate) fn of_client(me: NodeIdentity, fleet: u64) -> Hello {
         let (oldest, newest, gateway) = (OLDEST, NEWEST, u64::from(me.gateway));
         Hello {
             oldest,
@@ -86,7 +86,7 @@
             id: 0,
             fresh: false,
             client: true,
-            life: me.life,
+            incarnation: me.incarnation,
         }
     }
 
@@ -104,15 +104,15 @@
         }
     }
 
-    /// The gateway that sent it, in its present life; a number that no gateway can have is an error.
-    pub(crate) fn holder(&self) -> Result<Holder, BadFrame> {
+    /// The gateway that sent it, in its present incarnation; a number that no gateway can have is an error.
+    pub(crate) fn identity(&self) -> Result<NodeIdentity, BadFrame> {
         let gateway = u16::try_from(self.gateway)
             .ok()
             .filter(|gateway| *gateway > 0);
         let gateway = gateway.ok_or(BadFrame::Identity(self.gateway))?;
-        Ok(Holder {
+        Ok(NodeIdentity {
             gateway: gateway.into(),
-            life: self.life,
+            incarnation: self.incarnation,
         })
     }
 }
--- a/control/src/frame/tests.rs
+++ b/control/src/frame/tests.rs
@@ -3,9 +3,9 @@
 use crate::lease::{Index, Token};
 use crate::versions::{Content, Formats, Topic};
 
-const ME: Holder = Holder {
+const ME: NodeIdentity = NodeIdentity {
     gateway: 2,
-    life: 77,
+    incarnation: 77,
 };
 
 fn frames() -> (Vec<u8>, usize) {
@@ -17,7 +17,7 @@
         id: 2,
         fresh: true,
         client: false,
-        life: 5,
+        incarnation: 5,
     };
     let mut message = eraftpb::Message {
         from: 2,
@@ -185,14 +185,14 @@
     );
     assert!(matches!(good.check(8, None), Err(BadFrame::Fleet)));
     assert!(matches!(good.check(9, Some(3)), Err(BadFrame::Identity(2))));
-    assert_eq!(good.holder().ok(), Some(ME));
+    assert_eq!(good.identity().ok(), Some(ME));
     for gateway in [0, 65_536] {
         let none = Hello {
             gateway,
             ..good.clone()
         };
         assert!(
-            matches!(none.holder(), Err(BadFrame::Identity(_))),
+            matches!(none.identity(), Err(BadFrame::Identity(_))),
             "no gateway has {gateway}"
         );
     }
--- a/control/src/golden_tests.rs
+++ b/control/src/golden_tests.rs
@@ -5,7 +5,7 @@
 //! they are the same. Where a format is to change, its number changes, and files of the new format are added.
 
 use crate::frame::{self, Hello, Payload};
-use crate::lease::{self, Duty, Holder, Index, Timing, Token};
+use crate::lease::{self, Duty, Index, NodeIdentity, Timing, Token};
 use crate::node::Node;
 use crate::state_machine::{self, Action, Command, Event, StateMachine};
 use crate::store::Store;
@@ -17,9 +17,9 @@
 use raft::{GetEntriesContext, Storage};
 use std::path::{Path, PathBuf};
 
-const GATEWAY: Holder = Holder {
+const GATEWAY: NodeIdentity = NodeIdentity {
     gateway: 300,
-    life: 70_000,
+    incarnation: 70_000,
 };
 const TOKEN: Token = Token(17);
 
@@ -85,9 +85,9 @@
 fn commands() -> Vec<(&'static str, Command)> {
     use versions::Command as V;
     let (duty, topic, number) = (Duty(1), Topic::Catalog, 20);
-    let other = Holder {
+    let other = NodeIdentity {
         gateway: 4,
-        life: 1,
+        incarnation: 1,
     };
     let lease = |command| Command::Lease(command);
     let version = |command| Command::Version(command);
@@ -332,7 +332,7 @@
         id: 70_000 << 16 | 2,
         fresh: true,
         client: false,
-        life: 70_000,
+        incarnation: 70_000,
     };
     let mut raft = eraftpb::Message {
         from: 2,
@@ -388,18 +388,18 @@
     drift_ppm: 1_000,
     margin_us: 50_000,
 };
-const MEMBER: Holder = Holder {
+const MEMBER: NodeIdentity = NodeIdentity {
     gateway: 1,
-    life: 9,
+    incarnation: 9,
 };
-const SERVED: [Holder; 2] = [
-    Holder {
+const SERVED: [NodeIdentity; 2] = [
+    NodeIdentity {
         gateway: 7,
-        life: 3,
+        incarnation: 3,
     },
-    Holder {
+    NodeIdentity {
         gateway: 300,
-        life: 4,
+        incarnation: 4,
     },
 ];
 
@@ -444,7 +444,7 @@
         self.event(Event::Received(message));
     }
 
-    fn token(&self, who: Holder) -> Token {
+    fn token(&self, who: NodeIdentity) -> Token {
         self.node
             .state_machine()
             .versions()
@@ -453,7 +453,7 @@
             .token
     }
 
-    fn heartbeat(&mut self, who: Holder) {
+    fn heartbeat(&mut self, who: NodeIdentity) {
         let versions = self.node.state_machine().versions();
         let (token, seen) = (
             versions.seat(who).map(|seat| seat.token),
@@ -498,7 +498,7 @@
         self.node.state_machine().versions().applied().0
     }
 
-    fn accept(&mut self, who: Holder, topic: Topic, number: u64) {
+    fn accept(&mut self, who: NodeIdentity, topic: Topic, number: u64) {
         let token = self.token(who);
         self.tell(ToControl::Verdict {
             who,
--- a/control/src/lease/member.rs
+++ b/control/src/lease/member.rs
@@ -1,6 +1,6 @@
 //! One gateway among those that share duties: when it asks for a lease, when it may act, when it must stop.
 
-use super::{Command, Duty, Holder, Index, Outcome, Refusal, Table, Timing, Token};
+use super::{Command, Duty, Index, NodeIdentity, Outcome, Refusal, Table, Timing, Token};
 use crate::Micros;
 use std::collections::BTreeMap;
 
@@ -67,7 +67,7 @@
     /// Another holds it, and may still act.
     Held {
         /// Who.
-        holder: Holder,
+        holder: NodeIdentity,
         /// Its lease.
         token: Token,
     },
@@ -90,15 +90,15 @@
 /// The leases of one gateway: the one door (see the module's page).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Leases {
-    me: Holder,
+    me: NodeIdentity,
     timing: Timing,
     table: Table,
     duties: BTreeMap<Duty, Local>,
 }
 
 impl Leases {
-    /// A gateway in its life `me`, that knows nothing of the log yet.
-    pub fn new(me: Holder, timing: Timing) -> Leases {
+    /// A gateway in its incarnation `me`, that knows nothing of the log yet.
+    pub fn new(me: NodeIdentity, timing: Timing) -> Leases {
         Leases {
             me,
             timing,
--- a/control/src/lease/member/tests.rs
+++ b/control/src/lease/member/tests.rs
@@ -10,9 +10,9 @@
 
 fn gateway(number: u32) -> Leases {
     Leases::new(
-        Holder {
+        NodeIdentity {
             gateway: number,
-            life: 1,
+            incarnation: 1,
         },
         TIMING,
     )
@@ -66,9 +66,9 @@
     assert_eq!(
         all[1].status(DUTY, 20),
         Status::Held {
-            holder: Holder {
+            holder: NodeIdentity {
                 gateway: 1,
-                life: 1
+                incarnation: 1
             },
             token: Token(1)
         }
@@ -83,9 +83,9 @@
         claim,
         [Command::Claim {
             duty: DUTY,
-            holder: Holder {
+            holder: NodeIdentity {
                 gateway: 2,
-                life: 1
+                incarnation: 1
             },
             seen: Index(1),
             at: 3_120
@@ -208,9 +208,9 @@
     let mut out = Vec::new();
     let claim = Command::Claim {
         duty: DUTY,
-        holder: Holder {
+        holder: NodeIdentity {
             gateway: 2,
-            life: 1,
+            incarnation: 1,
         },
         seen: Index(0),
         at: 0,
--- a/control/src/lease/mod.rs
+++ b/control/src/lease/mod.rs
@@ -45,14 +45,15 @@
     }
 }
 
-/// One life of a gateway: its number in the fleet, and a number drawn when it starts. What a gateway asked for before
+/// One incarnation of a gateway: its number in the fleet, and a number drawn when it starts. What a gateway asked for before
 /// a restart is then not taken for its own after it: it can't know when that was asked, on a clock that began anew.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Holder {
+pub struct NodeIdentity {
     /// Its number in the fleet, as the operator's file gives it.
     pub gateway: u32,
     /// Drawn at the start of the process.
-    pub life: u32,
+    #[serde(rename = "life")]
+    pub incarnation: u32,
 }
 
 /// The place of an entry in the log, counted from 1; 0 is before the first.
@@ -78,7 +79,7 @@
         /// The duty.
         duty: Duty,
         /// Who claims.
-        holder: Holder,
+        holder: NodeIdentity,
         /// The entry that last changed the duty when the claimer decided, [`Index`] 0 where none had.
         seen: Index,
         /// When it asked, microseconds on its own clock; the others ignore it.
@@ -89,7 +90,7 @@
         /// The duty.
         duty: Duty,
         /// Who holds it.
-        holder: Holder,
+        holder: NodeIdentity,
         /// The lease it holds.
         token: Token,
         /// When it asked, microseconds on its own clock; the others ignore it.
@@ -100,7 +101,7 @@
         /// The duty.
         duty: Duty,
         /// Who held it.
-        holder: Holder,
+        holder: NodeIdentity,
         /// The lease it held.
         token: Token,
     },
@@ -117,7 +118,7 @@
     }
 
     /// Who wrote it.
-    pub fn holder(&self) -> Holder {
+    pub fn holder(&self) -> NodeIdentity {
         match *self {
             Command::Claim { holder, .. }
             | Command::Renew { holder, .. }
--- a/control/src/lease/table.rs
+++ b/control/src/lease/table.rs
@@ -1,6 +1,6 @@
 //! What the log says of each duty: applied entry by entry, alike on every gateway.
 
-use super::{Command, Duty, Holder, Index, Token};
+use super::{Command, Duty, Index, NodeIdentity, Token};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
     /// Who holds it, if anybody; whether that lease still runs is a matter of clocks, not of the log.
-    pub holder: Option<Holder>,
+    pub holder: Option<NodeIdentity>,
     /// The lease that was granted last; 0 before the first.
     pub token: Token,
     /// The entry that last granted, renewed or released it: a claim must have seen it.
@@ -23,7 +23,7 @@
         /// The duty.
         duty: Duty,
         /// Who holds it now.
-        holder: Holder,
+        holder: NodeIdentity,
         /// The new lease.
         token: Token,
     },
@@ -32,7 +32,7 @@
         /// The duty.
         duty: Duty,
         /// Who holds it.
-        holder: Holder,
+        holder: NodeIdentity,
         /// Its lease.
         token: Token,
     },
@@ -41,14 +41,14 @@
         /// The duty.
         duty: Duty,
         /// Who held it.
-        holder: Holder,
+        holder: NodeIdentity,
     },
     /// The entry took no effect.
     Refused {
         /// The duty.
         duty: Duty,
         /// Who wrote it.
-        holder: Holder,
+        holder: NodeIdentity,
         /// Why.
         why: Refusal,
     },
--- a/control/src/lease/table/tests.rs
+++ b/control/src/lease/table/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 
 const DUTY: Duty = Duty(0);
-const A: Holder = Holder {
+const A: NodeIdentity = NodeIdentity {
     gateway: 1,
-    life: 7,
+    incarnation: 7,
 };
-const B: Holder = Holder {
+const B: NodeIdentity = NodeIdentity {
     gateway: 2,
-    life: 9,
+    incarnation: 9,
 };
 
-fn claim(holder: Holder, seen: u64) -> Command {
+fn claim(holder: NodeIdentity, seen: u64) -> Command {
     Command::Claim {
         duty: DUTY,
         holder,
@@ -94,7 +94,10 @@
 fn only_the_holder_releases_and_a_new_life_is_another_holder() {
     let mut table = Table::default();
     table.apply(Index(1), &claim(A, 0)).unwrap();
-    let reborn = Holder { life: 8, ..A };
+    let reborn = NodeIdentity {
+        incarnation: 8,
+        ..A
+    };
     let release = |holder| Command::Release {
         duty: DUTY,
         holder,
--- a/control/src/link/accept.rs
+++ b/control/src/link/accept.rs
@@ -2,7 +2,7 @@
 
 use super::{write, Established, SharedHello, HANDSHAKE_TIMEOUT, RETRY_FIRST};
 use crate::frame::{self, BadFrame, Frames, Hello, Payload};
-use crate::lease::Holder;
+use crate::lease::NodeIdentity;
 use crate::node::gateway_of;
 use crate::traffic::MemberTraffic;
 use crate::versions::ToControl;
@@ -49,13 +49,13 @@
     /// A gateway that is served said something.
     GatewayMessage(ToControl),
     /// The link of a gateway, by its number, has ended.
-    GatewayDisconnected(Holder, u64),
+    GatewayDisconnected(NodeIdentity, u64),
 }
 
 /// The link of a gateway that is served, as the loop knows it. Dropped, it is closed.
 pub(crate) struct GatewayLink {
     /// Who it is.
-    pub who: Holder,
+    pub who: NodeIdentity,
     /// Tells this link from others of the same gateway.
     pub link: u64,
     queue: mpsc::Sender<Bytes>,
@@ -214,7 +214,7 @@
 
     /// Serves a gateway until its link breaks, it falls silent, or the loop drops it.
     async fn serve(&self, established: Established, number: u64) -> Result<(), BadFrame> {
-        let who = established.hello.holder()?;
+        let who = established.hello.identity()?;
         let (queue, queued) = mpsc::channel(GATEWAY_QUEUE);
         let connected = LinkEvent::GatewayConnected(GatewayLink {
             who,
@@ -235,7 +235,7 @@
     async fn serve_on(
         &self,
         established: Established,
-        who: Holder,
+        who: NodeIdentity,
         mut queued: mpsc::Receiver<Bytes>,
     ) -> Result<(), BadFrame> {
         let Established {
@@ -255,7 +255,7 @@
                 received = tokio::time::timeout_at(silent_at, frames.next()) => received,
             };
             match received.map_err(|_| BadFrame::Silent)?? {
-                // A gateway speaks for itself alone, in the life that it greeted with.
+                // A gateway speaks for itself alone, in the incarnation that it greeted with.
                 Payload::ToControl(message) if message.who() == who => {
                     silent_at = tokio::time::Instant::now() + self.silence;
                     if self
--- a/control/src/link/tests.rs
+++ b/control/src/link/tests.rs
@@ -4,7 +4,7 @@
 use super::gateway::{self, Link, Search};
 use super::SharedHello;
 use crate::frame::{self, BadFrame, Frames, Hello, Payload};
-use crate::lease::{Holder, Index, Timing, Token};
+use crate::lease::{Index, NodeIdentity, Timing, Token};
 use crate::traffic::{MemberTraffic, Traffic, TrafficTotals};
 use crate::versions::{Content, Formats, ToControl, ToGateway, Topic, TopicState};
 use std::future::Future;
@@ -24,9 +24,9 @@
     drift_ppm: 1_000,
     margin_us: 50_000,
 };
-const ME: Holder = Holder {
+const ME: NodeIdentity = NodeIdentity {
     gateway: 17,
-    life: 3,
+    incarnation: 3,
 };
 
 fn played(test: impl Future<Output = ()>) {
@@ -114,7 +114,7 @@
     (frames, write)
 }
 
-fn heartbeat(who: Holder) -> ToControl {
+fn heartbeat(who: NodeIdentity) -> ToControl {
     let formats = Formats {
         oldest: 1,
         newest: 2,
@@ -218,14 +218,20 @@
     played(async {
         let mut member = member(1, LONG).await;
         let own = Hello::of_client(ME, FLEET);
-        for other in [Holder { gateway: 18, ..ME }, Holder { life: 4, ..ME }] {
+        for other in [
+            NodeIdentity { gateway: 18, ..ME },
+            NodeIdentity {
+                incarnation: 4,
+                ..ME
+            },
+        ] {
             let (mut frames, mut write) = connect(member.address, &own).await;
             let served = member.came().await;
             say(&mut write, &heartbeat(other)).await;
             assert_eq!(
                 member.left().await,
                 served.link,
-                "for another gateway or life"
+                "for another gateway or incarnation"
             );
             assert!(frames.next().await.is_err());
         }
--- a/control/src/node.rs
+++ b/control/src/node.rs
@@ -77,8 +77,8 @@
 }
 
 /// A number for gateway `gateway` with a log that it never had before.
-pub(crate) fn another(gateway: u64, life: u32) -> u64 {
-    u64::from(life) << 16 | gateway
+pub(crate) fn another(gateway: u64, incarnation: u32) -> u64 {
+    u64::from(incarnation) << 16 | gateway
 }
 
 impl Node {
--- a/control/src/service/gateway.rs
+++ b/control/src/service/gateway.rs
@@ -3,7 +3,7 @@
 use super::{digest, Notice};
 use crate::clock::Clock;
 use crate::frame::Hello;
-use crate::lease::Holder;
+use crate::lease::NodeIdentity;
 use crate::link::gateway::{Link, LinkEvent, Search};
 use crate::settings::Lease;
 use crate::state_machine::FORMAT;
@@ -57,7 +57,7 @@
 /// A gateway that wants a seat.
 pub(super) struct Gateway {
     clock: Clock,
-    me: Holder,
+    me: NodeIdentity,
     client: Client,
     link: Link,
     /// The link on which it is served.
@@ -71,13 +71,13 @@
     pub(super) fn start(
         asked: &Lease,
         clock: Clock,
-        me: Holder,
+        me: NodeIdentity,
         notices: Sender<Notice>,
         events: mpsc::Sender<LinkEvent>,
         traffic: Traffic,
     ) -> Gateway {
         let timing = asked.timing();
-        let seed = u64::from(me.gateway) << 32 | u64::from(me.life);
+        let seed = u64::from(me.gateway) << 32 | u64::from(me.incarnation);
         let own = Hello::of_client(me, digest(asked));
         let link = Link::start(Search {
             members: members(asked),
--- a/control/src/service/member.rs
+++ b/control/src/service/member.rs
@@ -4,7 +4,7 @@
 use super::{digest, PeerError};
 use crate::clock::Clock;
 use crate::frame::{self, Hello, Payload};
-use crate::lease::{self, Holder, Timing};
+use crate::lease::{self, NodeIdentity, Timing};
 use crate::link::accept::{self, Acceptor, GatewayLink, LinkEvent};
 use crate::link::{self, member::Link, SharedHello};
 use crate::node::{self, Node, NodeError, Place};
@@ -62,7 +62,7 @@
 pub(super) struct Member {
     asked: Lease,
     clock: Clock,
-    me: Holder,
+    me: NodeIdentity,
     /// See [`digest`].
     digest: u64,
     stage: Stage,
@@ -71,8 +71,8 @@
     /// What each other member said last.
     hellos: BTreeMap<u64, Hello>,
     own_hello: SharedHello,
-    /// The newest link of each life of a gateway that is served.
-    gateways: BTreeMap<Holder, GatewayLink>,
+    /// The newest link of each incarnation of a gateway that is served.
+    gateways: BTreeMap<NodeIdentity, GatewayLink>,
     /// What was logged last.
     logged_place: Place,
     /// Ticks since this process began to drain.
@@ -96,11 +96,11 @@
     sent
 }
 
-/// This member's part in the consensus, in its life `me`, on a store that has a number.
+/// This member's part in the consensus, in its incarnation `me`, on a store that has a number.
 fn node(
     id: u64,
     store: Store,
-    me: Holder,
+    me: NodeIdentity,
     asked: &Lease,
     now: Micros,
 ) -> Result<Box<Node>, NodeError> {
@@ -116,7 +116,7 @@
 
 impl Member {
     /// Opens this member's store.
-    pub(super) fn open(asked: &Lease, clock: Clock, me: Holder) -> Result<Member, PeerError> {
+    pub(super) fn open(asked: &Lease, clock: Clock, me: NodeIdentity) -> Result<Member, PeerError> {
         let store = Store::open(&asked.store, asked.me.into())?;
         let stage = match store.id() {
             Some(id) => Stage::Runs(node(id, store, me, asked, clock.now())?),
@@ -195,7 +195,7 @@
             Stage::Waits(_) | Stage::Starts => (0, true),
         };
         let (oldest, newest, fleet) = (frame::OLDEST, frame::NEWEST, self.digest);
-        let (gateway, life) = (self.me.gateway.into(), self.me.life);
+        let (gateway, incarnation) = (self.me.gateway.into(), self.me.incarnation);
         Hello {
             oldest,
             newest,
@@ -204,7 +204,7 @@
             id,
             fresh,
             client: false,
-            life,
+            incarnation,
         }
     }
 
@@ -254,7 +254,7 @@
             return Ok(());
         };
         let id = if learn {
-            node::another(me, self.me.life)
+            node::another(me, self.me.incarnation)
         } else {
             me
         };
@@ -395,8 +395,8 @@
         Ok(())
     }
 
-    /// Sends a gateway something on its newest link; nothing where it has another life or no link.
-    fn send(&mut self, who: Holder, message: &ToGateway) {
+    /// Sends a gateway something on its newest link; nothing where it has another incarnation or no link.
+    fn send(&mut self, who: NodeIdentity, message: &ToGateway) {
         let Some(gateway) = self.gateways.get(&who) else {
             return;
         };
@@ -449,11 +449,11 @@
                 for span in spans {
                     let (topic, number, count) = (span.topic, span.number, span.count);
                     let (from, until) = (span.from, span.until);
-                    let (gateway, life) = (who.gateway, who.life);
+                    let (gateway, incarnation) = (who.gateway, who.incarnation);
                     info!(
                         at,
                         gateway,
-                        life,
+                        incarnation,
                         ?topic,
                         number,
                         from,
--- a/control/src/service/mod.rs
+++ b/control/src/service/mod.rs
@@ -10,7 +10,7 @@
 mod member;
 
 use crate::clock::Clock;
-use crate::lease::{self, Holder};
+use crate::lease::{self, NodeIdentity};
 use crate::link;
 use crate::node::NodeError;
 use crate::settings::Lease;
@@ -153,10 +153,10 @@
     clock: Clock,
     seated: bool,
 ) -> Result<(Handle, Receiver<Notice>), PeerError> {
-    // A number of its own for this life: what an earlier one asked for is not this one's.
-    let me = Holder {
+    // A number of its own for this incarnation: what an earlier one asked for is not this one's.
+    let me = NodeIdentity {
         gateway: asked.me,
-        life: fastrand::u32(1..),
+        incarnation: fastrand::u32(1..),
     };
     let traffic = Traffic::default();
     let member = if asked.votes() {
@@ -236,7 +236,7 @@
 struct Plan {
     asked: Lease,
     clock: Clock,
-    me: Holder,
+    me: NodeIdentity,
     /// Whether this process has a seat.
     seated: bool,
     traffic: Traffic,
@@ -281,7 +281,7 @@
         info!(
             at = clock.now(),
             gateway = me.gateway,
-            life = me.life,
+            incarnation = me.incarnation,
             "log: started"
         );
         parts
--- a/control/src/state_machine/entry.rs
+++ b/control/src/state_machine/entry.rs
@@ -1,7 +1,7 @@
 //! How entries of the log are written: `prost` messages, one kind each, with the format they need.
 
 use super::Command;
-use crate::lease::{self, Duty, Holder, Index, Token};
+use crate::lease::{self, Duty, Index, NodeIdentity, Token};
 use crate::versions::{self, topic, Content, Formats, Report, Who};
 use prost::Message;
 
@@ -226,7 +226,7 @@
     }
 }
 
-fn seat(who: Holder, token: Token) -> Seat {
+fn seat(who: NodeIdentity, token: Token) -> Seat {
     Seat {
         who: Who::of(who),
         token: token.0,
@@ -257,40 +257,42 @@
     Ok(match entry.body.ok_or(DecodeError::Unknown("kind"))? {
         Body::Claim(l) => Command::Lease(lease::Command::Claim {
             duty: duty(l.duty)?,
-            holder: l.who.holder(),
+            holder: l.who.identity(),
             seen: Index(l.number),
             at: l.at,
         }),
         Body::Renew(l) => Command::Lease(lease::Command::Renew {
             duty: duty(l.duty)?,
-            holder: l.who.holder(),
+            holder: l.who.identity(),
             token: Token(l.number),
             at: l.at,
         }),
         Body::Release(l) => Command::Lease(lease::Command::Release {
             duty: duty(l.duty)?,
-            holder: l.who.holder(),
+            holder: l.who.identity(),
             token: Token(l.number),
         }),
-        Body::Lead(who) => Command::Version(V::Lead { who: who.holder() }),
+        Body::Lead(who) => Command::Version(V::Lead {
+            who: who.identity(),
+        }),
         Body::Join(s) => Command::Version(V::Join {
-            who: s.who.holder(),
+            who: s.who.identity(),
             formats: Formats {
                 oldest: s.oldest,
                 newest: s.newest,
             },
         }),
         Body::Leave(s) => Command::Version(V::Leave {
-            who: s.who.holder(),
+            who: s.who.identity(),
             token: Token(s.token),
         }),
         Body::Expel(s) => Command::Version(V::Expel {
-            who: s.who.holder(),
+            who: s.who.identity(),
             token: Token(s.token),
             epoch: Index(s.epoch),
         }),
         Body::Offer(c) => Command::Version(V::Offer {
-            who: c.who.holder(),
+            who: c.who.identity(),
             token: Token(c.token),
             topic: topic(c.topic)?,
             seen: c.number,
@@ -305,18 +307,18 @@
             by: a
                 .by
                 .iter()
-                .map(|seat| (seat.who.holder(), Token(seat.token)))
+                .map(|seat| (seat.who.identity(), Token(seat.token)))
                 .collect(),
         }),
         Body::Refuse(c) => Command::Version(V::Refuse {
-            who: c.who.holder(),
+            who: c.who.identity(),
             token: Token(c.token),
             topic: topic(c.topic)?,
             number: c.number,
             reason: c.reason,
         }),
         Body::Report(r) => Command::Version(V::Report {
-            who: r.who.holder(),
+            who: r.who.identity(),
             sequence: r.sequence,
             spans: r.spans()?,
         }),
--- a/control/src/state_machine/entry/tests.rs
+++ b/control/src/state_machine/entry/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::fuzz;
 
-const A: Holder = Holder {
+const A: NodeIdentity = NodeIdentity {
     gateway: 3,
-    life: 9,
+    incarnation: 9,
 };
 const TOKEN: Token = Token(17);
 
@@ -71,9 +71,9 @@
             by: vec![
                 (A, TOKEN),
                 (
-                    Holder {
+                    NodeIdentity {
                         gateway: 4,
-                        life: 1,
+                        incarnation: 1,
                     },
                     Token(18),
                 ),
--- a/control/src/state_machine/mod.rs
+++ b/control/src/state_machine/mod.rs
@@ -11,7 +11,7 @@
 
 pub use entry::{decode, encode, DecodeError, FORMAT};
 
-use crate::lease::{self, Duty, Holder, Index, Leases, Timing};
+use crate::lease::{self, Duty, Index, Leases, NodeIdentity, Timing};
 use crate::versions::{self, coordinator, Coordinator, Span, ToControl, ToGateway};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
@@ -40,7 +40,7 @@
     /// A gateway says something.
     Received(ToControl),
     /// A gateway has a new link to this control member: nothing is known of what it has been told.
-    Connected(Holder),
+    Connected(NodeIdentity),
     /// A quorum has confirmed, after this round was asked for, that this control member leads; and every entry that was
     /// committed when the round was asked for has been handed over before.
     Confirmed(u64),
@@ -63,13 +63,13 @@
     /// be lost.
     Confirm(u64),
     /// Tell a gateway. It may be lost.
-    Send(Holder, ToGateway),
+    Send(NodeIdentity, ToGateway),
     /// Tell every gateway that is connected. It may be lost.
     Broadcast(ToGateway),
     /// A gateway's report was counted.
     Counted {
         /// Whose.
-        who: Holder,
+        who: NodeIdentity,
         /// What it did.
         spans: Vec<Span>,
     },
@@ -123,8 +123,8 @@
 }
 
 impl StateMachine {
-    /// A control member in its life `me`, that knows nothing of the log yet.
-    pub fn new(me: Holder, timing: Timing) -> StateMachine {
+    /// A control member in its incarnation `me`, that knows nothing of the log yet.
+    pub fn new(me: NodeIdentity, timing: Timing) -> StateMachine {
         StateMachine {
             leases: Leases::new(me, timing),
             coordinator: Coordinator::new(me, timing),
--- a/control/src/versions/audit.rs
+++ b/control/src/versions/audit.rs
@@ -1,12 +1,12 @@
-//! Who acted on which version: sums by gateway, life, topic and version, from reports that count once.
+//! Who acted on which version: sums by gateway, incarnation, topic and version, from reports that count once.
 
-use super::{Holder, Topic};
+use super::{NodeIdentity, Topic};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Lives of one gateway whose reports are told apart; a report of an older life is refused. Ours.
-const LIVES: usize = 8;
+/// Lives of one gateway whose reports are told apart; a report of an older incarnation is refused. Ours.
+const INCARNATIONS_KEPT: usize = 8;
 /// Rows kept; the oldest versions' go first. About 80 bytes each, so 320 KiB. Ours.
 const ROWS: usize = 4_096;
 /// Spans that one report may hold. Ours: four topics, and three versions each while it could not be sent.
@@ -36,11 +36,11 @@
     }
 }
 
-/// What one life of a gateway did under one version, by all of its reports.
+/// What one incarnation of a gateway did under one version, by all of its reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Row {
     /// Who.
-    pub who: Holder,
+    pub who: NodeIdentity,
     /// What it did.
     pub span: Span,
 }
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Audit {
     rows: Vec<Row>,
-    /// By gateway, the last report of each of its latest lives, the latest last.
+    /// By gateway, the last report of each of its latest incarnations, the latest last.
     reports: BTreeMap<u32, Vec<(u32, u64)>>,
 }
 
@@ -59,26 +59,33 @@
         &self.rows
     }
 
-    /// The last report of a life that was counted; 0 before the first.
-    pub fn last(&self, who: Holder) -> u64 {
-        let lives = self.reports.get(&who.gateway);
-        let life = lives.and_then(|lives| lives.iter().find(|(life, _)| *life == who.life));
-        life.map_or(0, |(_, last)| *last)
+    /// The last report of an incarnation that was counted; 0 before the first.
+    pub fn last(&self, who: NodeIdentity) -> u64 {
+        let incarnations = self.reports.get(&who.gateway);
+        let incarnation = incarnations.and_then(|incarnations| {
+            incarnations
+                .iter()
+                .find(|(incarnation, _)| *incarnation == who.incarnation)
+        });
+        incarnation.map_or(0, |(_, last)| *last)
     }
 
-    /// Counts a report; false where it is not the next one of its life, or too long, and nothing changes.
-    pub fn report(&mut self, who: Holder, sequence: u64, spans: &[Span]) -> bool {
+    /// Counts a report; false where it is not the next one of its incarnation, or too long, and nothing changes.
+    pub fn report(&mut self, who: NodeIdentity, sequence: u64, spans: &[Span]) -> bool {
         if sequence != self.last(who) + 1 || spans.len() > SPANS {
             return false;
         }
-        let lives = self.reports.entry(who.gateway).or_default();
-        match lives.iter_mut().find(|(life, _)| *life == who.life) {
+        let incarnations = self.reports.entry(who.gateway).or_default();
+        match incarnations
+            .iter_mut()
+            .find(|(incarnation, _)| *incarnation == who.incarnation)
+        {
             Some((_, last)) => *last = sequence,
             None => {
-                if lives.len() == LIVES {
-                    lives.remove(0);
+                if incarnations.len() == INCARNATIONS_KEPT {
+                    incarnations.remove(0);
                 }
-                lives.push((who.life, sequence));
+                incarnations.push((who.incarnation, sequence));
             }
         }
         for span in spans {
--- a/control/src/versions/audit/tests.rs
+++ b/control/src/versions/audit/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-const A: Holder = Holder {
+const A: NodeIdentity = NodeIdentity {
     gateway: 1,
-    life: 7,
+    incarnation: 7,
 };
 
 fn span(number: u64, from: Micros, until: Micros, count: u64) -> Span {
@@ -33,8 +33,11 @@
         (7, 1)
     );
     assert_eq!(audit.rows()[0].span, span(1, 10, 30, 7));
-    // Another life counts anew, and the former one's late report still counts once.
-    let reborn = Holder { life: 9, ..A };
+    // Another incarnation counts anew, and the former one's late report still counts once.
+    let reborn = NodeIdentity {
+        incarnation: 9,
+        ..A
+    };
     assert!(audit.report(reborn, 1, &[span(2, 1, 2, 5)]));
     assert!(audit.report(A, 3, &[span(2, 32, 33, 2)]));
     assert_eq!(audit.count(Topic::Catalog, 2), 8);
@@ -43,21 +46,24 @@
 #[test]
 fn rows_and_lives_are_bounded() {
     let mut audit = Audit::default();
-    for life in 0..20 {
-        let who = Holder { gateway: 1, life };
+    for incarnation in 0..20 {
+        let who = NodeIdentity {
+            gateway: 1,
+            incarnation,
+        };
         for sequence in 1..=300 {
-            let number = u64::from(life) * 300 + sequence;
+            let number = u64::from(incarnation) * 300 + sequence;
             assert!(audit.report(who, sequence, &[span(number, 0, 1, 1)]));
         }
     }
     assert_eq!(audit.rows().len(), ROWS);
     assert_eq!(audit.rows()[ROWS - 1].span.number, 6_000, "the newest stay");
-    assert_eq!(audit.reports[&1].len(), LIVES);
+    assert_eq!(audit.reports[&1].len(), INCARNATIONS_KEPT);
     let many = vec![span(1, 0, 1, 1); SPANS + 1];
     assert!(!audit.report(
-        Holder {
+        NodeIdentity {
             gateway: 2,
-            life: 0
+            incarnation: 0
         },
         1,
         &many
--- a/control/src/versions/client.rs
+++ b/control/src/versions/client.rs
@@ -2,8 +2,8 @@
 
 use super::audit::SPANS;
 use super::{
-    Content, Formats, Holder, Index, Micros, Refusal, Span, ToControl, ToGateway, Token, Topic,
-    TopicState,
+    Content, Formats, Index, Micros, NodeIdentity, Refusal, Span, ToControl, ToGateway, Token,
+    Topic, TopicState,
 };
 use crate::lease::Timing;
 use std::collections::BTreeMap;
@@ -131,7 +131,7 @@
         /// The version.
         number: u64,
         /// Who refused it.
-        by: Holder,
+        by: NodeIdentity,
         /// Why.
         reason: String,
     },
@@ -177,7 +177,7 @@
 /// The versions of one gateway: the one door there (see the module's page).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Client {
-    me: Holder,
+    me: NodeIdentity,
     timing: Timing,
     formats: Formats,
     seed: u64,
@@ -210,8 +210,8 @@
 }
 
 impl Client {
-    /// A gateway in its life `me`, that knows nothing yet. The seed spreads the gateways' heartbeats over time.
-    pub fn new(me: Holder, timing: Timing, formats: Formats, seed: u64) -> Client {
+    /// A gateway in its incarnation `me`, that knows nothing yet. The seed spreads the gateways' heartbeats over time.
+    pub fn new(me: NodeIdentity, timing: Timing, formats: Formats, seed: u64) -> Client {
         Client {
             me,
             timing,
--- a/control/src/versions/client/tests.rs
+++ b/control/src/versions/client/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-const ME: Holder = Holder {
+const ME: NodeIdentity = NodeIdentity {
     gateway: 4,
-    life: 2,
+    incarnation: 2,
 };
 const TOPIC: Topic = Topic::Catalog;
 const RENEW: Micros = 1_000_000;
@@ -288,7 +288,10 @@
         waits.push((gateway.now - lost_at) / RENEW);
     }
     assert_eq!(waits, [1, 2, 4, 8]);
-    let other = Holder { life: 3, ..ME };
+    let other = NodeIdentity {
+        incarnation: 3,
+        ..ME
+    };
     gateway.kept(Token(12), gateway.now, 1);
     assert_eq!(
         gateway.hear(ToGateway::Gone {
--- a/control/src/versions/coordinator.rs
+++ b/control/src/versions/coordinator.rs
@@ -1,7 +1,7 @@
 //! A control member's part: who keeps its seat and who loses it, what gateways are told, what goes into the log.
 
 use super::{
-    Command, Content, Formats, Holder, Index, Micros, Outcome, Refusal, Seat, Span, Table,
+    Command, Content, Formats, Index, Micros, NodeIdentity, Outcome, Refusal, Seat, Span, Table,
     ToControl, ToGateway, Token, Topic, TopicState,
 };
 use crate::lease::Timing;
@@ -38,7 +38,7 @@
     /// A gateway says something.
     Received(ToControl),
     /// A gateway has a new link to this control member: nothing is known of what it has been told.
-    Connected(Holder),
+    Connected(NodeIdentity),
     /// A quorum has confirmed, after this round was asked for, that it knows of no later leader.
     Confirmed(u64),
     /// A timer fired, or any moment worth a look.
@@ -54,13 +54,13 @@
     /// be lost.
     Confirm(u64),
     /// Tell a gateway. It may be lost.
-    Send(Holder, ToGateway),
+    Send(NodeIdentity, ToGateway),
     /// Tell every gateway that is connected. It may be lost.
     Broadcast(ToGateway),
     /// A gateway's report was counted.
     Counted {
         /// Whose.
-        who: Holder,
+        who: NodeIdentity,
         /// What it did.
         spans: Vec<Span>,
     },
@@ -71,7 +71,7 @@
 /// A heartbeat that waits until a quorum has confirmed that this member led when it came.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Waiting {
-    who: Holder,
+    who: NodeIdentity,
     token: Option<Token>,
     sent: Micros,
     came_at: Micros,
@@ -101,7 +101,7 @@
 /// A gateway that accepted a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Accepted {
-    who: Holder,
+    who: NodeIdentity,
     token: Token,
     came_at: Micros,
     proposed_at: Option<Micros>,
@@ -189,7 +189,7 @@
 /// The versions at one control member: the one door there (see the module's page).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Coordinator {
-    me: Holder,
+    me: NodeIdentity,
     timing: Timing,
     table: Table,
     leading: bool,
@@ -205,8 +205,8 @@
 }
 
 impl Coordinator {
-    /// A control member in its life `me`, that knows nothing of the log yet.
-    pub fn new(me: Holder, timing: Timing) -> Coordinator {
+    /// A control member in its incarnation `me`, that knows nothing of the log yet.
+    pub fn new(me: NodeIdentity, timing: Timing) -> Coordinator {
         Coordinator {
             me,
             timing,
@@ -268,7 +268,7 @@
         }
     }
 
-    fn connect(&mut self, now: Micros, who: Holder) {
+    fn connect(&mut self, now: Micros, who: NodeIdentity) {
         if let Some(epoch) = &mut self.epoch {
             epoch.links.insert(
                 who.gateway,
@@ -462,7 +462,7 @@
     }
 
     /// Says who leads, where that is somebody else. While this member is about to begin its own epoch it says nothing.
-    fn turn_away(&self, who: Holder, out: &mut Vec<Action>) {
+    fn turn_away(&self, who: NodeIdentity, out: &mut Vec<Action>) {
         if !self.leading {
             let leader = self.leader.filter(|leader| *leader != self.me.gateway);
             out.push(Action::Send(who, ToGateway::Elsewhere { leader }));
@@ -470,7 +470,7 @@
     }
 
     /// Sends what a gateway has missed, unless it is on its way.
-    fn repair(&mut self, now: Micros, who: Holder, seen: Index, out: &mut Vec<Action>) {
+    fn repair(&mut self, now: Micros, who: NodeIdentity, seen: Index, out: &mut Vec<Action>) {
         let (as_of, soon) = (self.table.changed(), self.timing.renew_us / 2);
         let Some(epoch) = &mut self.epoch else { return };
         let link = epoch.links.entry(who.gateway).or_default();
@@ -484,7 +484,7 @@
     }
 
     /// Notes that a gateway was heard; it is answered once a quorum has confirmed that this member leads.
-    fn note(&mut self, now: Micros, who: Holder, token: Option<Token>, sent: Micros) {
+    fn note(&mut self, now: Micros, who: NodeIdentity, token: Option<Token>, sent: Micros) {
         let wait = self.timing.wait_us();
         let Some(epoch) = &mut self.epoch else { return };
         let expelling = epoch.expelling.contains_key(&who.gateway);
@@ -508,7 +508,7 @@
     }
 
     /// Asks for a seat on behalf of a gateway that has none, where the log would give one.
-    fn join(&mut self, now: Micros, who: Holder, formats: Formats, out: &mut Vec<Action>) {
+    fn join(&mut self, now: Micros, who: NodeIdentity, formats: Formats, out: &mut Vec<Action>) {
         let (refused, soon) = (
             self.table.joinable(who, formats).err(),
             self.timing.renew_us / 2,
@@ -534,7 +534,7 @@
     }
 
     /// Keeps an acceptance until it is written.
-    fn gather(&mut self, now: Micros, who: Holder, token: Token, topic: Topic, number: u64) {
+    fn gather(&mut self, now: Micros, who: NodeIdentity, token: Token, topic: Topic, number: u64) {
         let Some(epoch) = &mut self.epoch else { return };
         let gathered = epoch.gathered.entry(topic).or_default();
         if gathered.number != number {
@@ -560,7 +560,7 @@
 
     fn offer(
         &mut self,
-        who: Holder,
+        who: NodeIdentity,
         token: Token,
         topic: Topic,
         seen: u64,
@@ -579,7 +579,13 @@
         }
     }
 
-    fn report(&mut self, who: Holder, sequence: u64, spans: Vec<Span>, out: &mut Vec<Action>) {
+    fn report(
+        &mut self,
+        who: NodeIdentity,
+        sequence: u64,
+        spans: Vec<Span>,
+        out: &mut Vec<Action>,
+    ) {
         if sequence <= self.table.audit().last(who) {
             out.push(Action::Send(who, ToGateway::Reported { who, sequence }));
         } else {
--- a/control/src/versions/coordinator/tests.rs
+++ b/control/src/versions/coordinator/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
-const ME: Holder = Holder {
+const ME: NodeIdentity = NodeIdentity {
     gateway: 1,
-    life: 5,
+    incarnation: 5,
 };
-const OTHER: Holder = Holder {
+const OTHER: NodeIdentity = NodeIdentity {
     gateway: 2,
-    life: 5,
+    incarnation: 5,
 };
 const TOPIC: Topic = Topic::Catalog;
 const RENEW: Micros = 1_000_000;
@@ -17,10 +17,10 @@
     margin_us: 50_000,
 };
 
-fn gateway(number: u32) -> Holder {
-    Holder {
+fn gateway(number: u32) -> NodeIdentity {
+    NodeIdentity {
         gateway: number,
-        life: 7,
+        incarnation: 7,
     }
 }
 
@@ -396,7 +396,7 @@
     member.feed(Event::Confirmed(round));
     assert_eq!(member.kept(), [1, 2]);
     member.pass(TIMING.wait_us(), &[1, 2, 3]);
-    let expelled: Vec<Holder> = member
+    let expelled: Vec<NodeIdentity> = member
         .proposed()
         .into_iter()
         .filter_map(|command| match command {
--- a/control/src/versions/message.rs
+++ b/control/src/versions/message.rs
@@ -1,7 +1,7 @@
 //! What gateways and the control member that leads say to each other; `wire` says how it is written.
 
 use super::{Content, Formats, Refusal, Span, Topic};
-use crate::lease::{Holder, Index, Token};
+use crate::lease::{Index, NodeIdentity, Token};
 use crate::Micros;
 
 /// What a gateway says to a control member.
@@ -10,7 +10,7 @@
     /// Keep my seat for another lease, or give me one.
     Heartbeat {
         /// Who.
-        who: Holder,
+        who: NodeIdentity,
         /// What it understands.
         formats: Formats,
         /// Its seat, once it has one.
@@ -23,7 +23,7 @@
     /// I accept this version, or refuse it for a reason.
     Verdict {
         /// Who judges.
-        who: Holder,
+        who: NodeIdentity,
         /// Its seat.
         token: Token,
         /// Of what.
@@ -36,7 +36,7 @@
     /// Put this version in force once all accept it.
     Offer {
         /// Who offers.
-        who: Holder,
+        who: NodeIdentity,
         /// Its seat.
         token: Token,
         /// Of what.
@@ -46,11 +46,11 @@
         /// What it says.
         content: Content,
     },
-    /// What I did under which version; reports of a life count from 1, and each counts once.
+    /// What I did under which version; reports of an incarnation count from 1, and each counts once.
     Report {
         /// Who reports.
-        who: Holder,
-        /// Its place among this life's reports.
+        who: NodeIdentity,
+        /// Its place among this incarnation's reports.
         sequence: u64,
         /// What it did.
         spans: Vec<Span>,
@@ -58,7 +58,7 @@
     /// Take my seat: I have stopped acting.
     Leave {
         /// Who.
-        who: Holder,
+        who: NodeIdentity,
         /// Its seat.
         token: Token,
     },
@@ -83,7 +83,7 @@
     /// You may act for another lease, counted from when you asked.
     Kept {
         /// Who.
-        who: Holder,
+        who: NodeIdentity,
         /// Its seat.
         token: Token,
         /// When it asked, as its heartbeat said.
@@ -105,14 +105,14 @@
     /// That seat is not yours any more: stop, and join again later.
     Gone {
         /// Whose.
-        who: Holder,
+        who: NodeIdentity,
         /// The seat.
         token: Token,
     },
     /// What a gateway asked for, a seat or a version, was refused.
     Refused {
         /// Who asked.
-        who: Holder,
+        who: NodeIdentity,
         /// Why.
         why: Refusal,
     },
@@ -123,15 +123,15 @@
         /// The version.
         number: u64,
         /// Who refused it.
-        by: Holder,
+        by: NodeIdentity,
         /// Why.
         reason: String,
     },
     /// A report was counted.
     Reported {
         /// Whose.
-        who: Holder,
-        /// Its place among that life's reports.
+        who: NodeIdentity,
+        /// Its place among that incarnation's reports.
         sequence: u64,
     },
     /// This control member does not lead.
@@ -143,7 +143,7 @@
 
 impl ToControl {
     /// Who says it.
-    pub fn who(&self) -> Holder {
+    pub fn who(&self) -> NodeIdentity {
         match self {
             ToControl::Heartbeat { who, .. }
             | ToControl::Verdict { who, .. }
--- a/control/src/versions/mod.rs
+++ b/control/src/versions/mod.rs
@@ -36,7 +36,7 @@
 pub use table::{Open, Outcome, Refusal, Seat, Standing, Table, Version};
 pub(crate) use wire::{topic, Report, Who};
 
-use crate::lease::{Holder, Index, Token};
+use crate::lease::{Index, NodeIdentity, Token};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
@@ -121,26 +121,26 @@
     /// I lead the log: from here on seats are kept and taken away by my word.
     Lead {
         /// The control member.
-        who: Holder,
+        who: NodeIdentity,
     },
     /// Give this gateway a seat.
     Join {
         /// Which.
-        who: Holder,
+        who: NodeIdentity,
         /// What it understands.
         formats: Formats,
     },
     /// Take the seat of a gateway that has stopped acting.
     Leave {
         /// Whose.
-        who: Holder,
+        who: NodeIdentity,
         /// The seat.
         token: Token,
     },
     /// Take the seat of a gateway whose right has run out.
     Expel {
         /// Whose.
-        who: Holder,
+        who: NodeIdentity,
         /// The seat.
         token: Token,
         /// The epoch in which this was decided: in a later one it has no effect.
@@ -149,7 +149,7 @@
     /// Put this version in force once all accept it.
     Offer {
         /// Who offers.
-        who: Holder,
+        who: NodeIdentity,
         /// Its seat.
         token: Token,
         /// Of what.
@@ -166,12 +166,12 @@
         /// The version.
         number: u64,
         /// Who, and their seats.
-        by: Vec<(Holder, Token)>,
+        by: Vec<(NodeIdentity, Token)>,
     },
     /// A gateway refuses a version.
     Refuse {
         /// Who.
-        who: Holder,
+        who: NodeIdentity,
         /// Its seat.
         token: Token,
         /// Of what.
@@ -181,11 +181,11 @@
         /// Why, up to [`LONGEST_REASON`] bytes.
         reason: String,
     },
-    /// What a gateway did under which version; reports of a life count from 1, and each counts once.
+    /// What a gateway did under which version; reports of an incarnation count from 1, and each counts once.
     Report {
         /// Who reports.
-        who: Holder,
-        /// Its place among this life's reports.
+        who: NodeIdentity,
+        /// Its place among this incarnation's reports.
         sequence: u64,
         /// What it did.
         spans: Vec<Span>,
--- a/control/src/versions/table.rs
+++ b/control/src/versions/table.rs
@@ -1,7 +1,7 @@
 //! What the log says of versions and seats: applied entry by entry, alike at every control member.
 
 use super::{
-    reason_up_to_longest, Audit, Command, Content, Formats, Holder, Index, Token, Topic,
+    reason_up_to_longest, Audit, Command, Content, Formats, Index, NodeIdentity, Token, Topic,
     LONGEST_CONTENT,
 };
 use crate::lease::Gap;
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Seat {
     /// Whose.
-    pub who: Holder,
+    pub who: NodeIdentity,
     /// The entry that gave it: goes with every action, and an older one is refused.
     pub token: Token,
     /// What its gateway understands.
@@ -34,7 +34,7 @@
     /// What is offered.
     pub version: Version,
     /// By whom.
-    pub by: Holder,
+    pub by: NodeIdentity,
     /// The gateways that have accepted it.
     pub accepted: BTreeSet<u32>,
 }
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
     /// A control member began an epoch, which has the index of this entry.
-    Leads(Holder),
+    Leads(NodeIdentity),
     /// A gateway has a seat.
     Seated(Seat),
     /// It gave it back.
@@ -107,14 +107,14 @@
         /// The version.
         number: u64,
         /// Who refused it.
-        by: Holder,
+        by: NodeIdentity,
         /// Why.
         reason: String,
     },
     /// A report was counted.
     Reported {
         /// Whose.
-        who: Holder,
+        who: NodeIdentity,
         /// Which.
         sequence: u64,
     },
@@ -128,8 +128,8 @@
     /// A seat that is not the gateway's, or not any more.
     #[error("its seat was taken away; it has to join again")]
     Stale,
-    /// The gateway has a seat, from an earlier life perhaps, whose right may still run.
-    #[error("an earlier life of this gateway may still act; it may join once that one's right has run out")]
+    /// The gateway has a seat, from an earlier incarnation perhaps, whose right may still run.
+    #[error("an earlier incarnation of this gateway may still act; it may join once that one's right has run out")]
     Occupied,
     /// A version in force, or offered, that the gateway does not understand.
     #[error("format {needed} is needed; start a build that understands it")]
@@ -171,8 +171,8 @@
         self.seats.values()
     }
 
-    /// The seat of a gateway in this life.
-    pub fn seat(&self, who: Holder) -> Option<&Seat> {
+    /// The seat of a gateway in this incarnation.
+    pub fn seat(&self, who: NodeIdentity) -> Option<&Seat> {
         self.seats.get(&who.gateway).filter(|seat| seat.who == who)
     }
 
@@ -227,7 +227,7 @@
     /// # Errors
     ///
     /// The reason why not.
-    pub fn joinable(&self, who: Holder, formats: Formats) -> Result<(), Refusal> {
+    pub fn joinable(&self, who: NodeIdentity, formats: Formats) -> Result<(), Refusal> {
         if self.seats.contains_key(&who.gateway) {
             return Err(Refusal::Occupied);
         }
@@ -253,7 +253,7 @@
     /// The reason why not.
     pub fn offerable(
         &self,
-        who: Holder,
+        who: NodeIdentity,
         token: Token,
         topic: Topic,
         seen: u64,
@@ -363,7 +363,7 @@
     }
 
     /// The seat that goes by this token.
-    fn seated(&self, who: Holder, token: Token) -> Result<Seat, Refusal> {
+    fn seated(&self, who: NodeIdentity, token: Token) -> Result<Seat, Refusal> {
         let seat = self.seat(who).filter(|seat| seat.token == token);
         seat.copied().ok_or(Refusal::Stale)
     }
@@ -380,7 +380,12 @@
         });
     }
 
-    fn join(&mut self, index: Index, who: Holder, formats: Formats) -> Result<Outcome, Refusal> {
+    fn join(
+        &mut self,
+        index: Index,
+        who: NodeIdentity,
+        formats: Formats,
+    ) -> Result<Outcome, Refusal> {
         self.joinable(who, formats)?;
         let seat = Seat {
             who,
@@ -391,7 +396,13 @@
         Ok(Outcome::Seated(seat))
     }
 
-    fn offer(&mut self, index: Index, by: Holder, topic: Topic, content: &Content) -> Outcome {
+    fn offer(
+        &mut self,
+        index: Index,
+        by: NodeIdentity,
+        topic: Topic,
+        content: &Content,
+    ) -> Outcome {
         let version = Version {
             number: index.0,
             content: content.clone(),
@@ -422,7 +433,7 @@
         &mut self,
         topic: Topic,
         number: u64,
-        by: &[(Holder, Token)],
+        by: &[(NodeIdentity, Token)],
     ) -> Result<Outcome, Refusal> {
         let seated = by
             .iter()
@@ -440,7 +451,7 @@
     fn refuse(
         &mut self,
         index: Index,
-        by: Holder,
+        by: NodeIdentity,
         topic: Topic,
         number: u64,
         reason: &str,
--- a/control/src/versions/table/tests.rs
+++ b/control/src/versions/table/tests.rs
@@ -6,8 +6,11 @@
     newest: 1,
 };
 
-fn who(gateway: u32) -> Holder {
-    Holder { gateway, life: 1 }
+fn who(gateway: u32) -> NodeIdentity {
+    NodeIdentity {
+        gateway,
+        incarnation: 1,
+    }
 }
 
 #[derive(Default)]
--- a/control/src/versions/wire.rs
+++ b/control/src/versions/wire.rs
@@ -7,7 +7,7 @@
     reason_up_to_longest, Content, Formats, Refusal, Span, ToControl, ToGateway, Topic, TopicState,
     LONGEST_CONTENT,
 };
-use crate::lease::{Holder, Index, Token};
+use crate::lease::{Index, NodeIdentity, Token};
 use crate::state_machine::DecodeError;
 use prost::Message;
 
@@ -78,7 +78,7 @@
         let message: ControlMessage = read(bytes)?;
         Ok(match message.body.ok_or(DecodeError::Unknown("kind"))? {
             FromGateway::Heartbeat(heartbeat) => ToControl::Heartbeat {
-                who: heartbeat.who.holder(),
+                who: heartbeat.who.identity(),
                 formats: Formats {
                     oldest: heartbeat.oldest,
                     newest: heartbeat.newest,
@@ -88,7 +88,7 @@
                 seen: Index(heartbeat.seen),
             },
             FromGateway::Verdict(verdict) => ToControl::Verdict {
-                who: verdict.who.holder(),
+                who: verdict.who.identity(),
                 token: Token(verdict.token),
                 topic: topic(verdict.topic)?,
                 number: verdict.number,
@@ -97,19 +97,19 @@
                     .map_or(Ok(()), |reason| Err(reason_up_to_longest(&reason))),
             },
             FromGateway::Offer(offer) => ToControl::Offer {
-                who: offer.who.holder(),
+                who: offer.who.identity(),
                 token: Token(offer.token),
                 topic: topic(offer.topic)?,
                 seen: offer.seen,
                 content: content(offer.format, offer.content)?,
             },
             FromGateway::Report(report) => ToControl::Report {
-                who: report.who.holder(),
+                who: report.who.identity(),
                 sequence: report.sequence,
                 spans: report.spans()?,
             },
             FromGateway::Leave(seat) => ToControl::Leave {
-                who: seat.who.holder(),
+                who: seat.who.identity(),
                 token: Token(seat.token),
             },
         })
@@ -175,7 +175,7 @@
         let message: GatewayMessage = read(bytes)?;
         Ok(match message.body.ok_or(DecodeError::Unknown("kind"))? {
             FromControl::Kept(kept) => ToGateway::Kept {
-                who: kept.who.holder(),
+                who: kept.who.identity(),
                 token: Token(kept.token),
                 sent: kept.sent,
                 required: Index(kept.required),
@@ -193,21 +193,21 @@
                 }
             }
             FromControl::Gone(seat) => ToGateway::Gone {
-                who: seat.who.holder(),
+                who: seat.who.identity(),
                 token: Token(seat.token),
             },
             FromControl::Refused(refused) => ToGateway::Refused {
-                who: refused.who.holder(),
+                who: refused.who.identity(),
                 why: refused.refusal()?,
             },
             FromControl::Dropped(dropped) => ToGateway::Dropped {
                 topic: topic(dropped.topic)?,
                 number: dropped.number,
-                by: dropped.by.holder(),
+                by: dropped.by.identity(),
                 reason: reason_up_to_longest(&dropped.reason),
             },
             FromControl::Reported(reported) => ToGateway::Reported {
-                who: reported.who.holder(),
+                who: reported.who.identity(),
                 sequence: reported.sequence,
             },
             FromControl::Elsewhere(elsewhere) => ToGateway::Elsewhere {
@@ -236,29 +236,29 @@
     Ok(Content { format, bytes })
 }
 
-/// The life of a gateway, as it is written.
+/// The incarnation of a gateway, as it is written.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct Who {
     #[prost(uint32, tag = "1")]
     gateway: u32,
     #[prost(uint32, tag = "2")]
-    life: u32,
+    incarnation: u32,
 }
 
 impl Who {
     /// How it is written.
-    pub(crate) fn of(holder: Holder) -> Who {
+    pub(crate) fn of(holder: NodeIdentity) -> Who {
         Who {
             gateway: holder.gateway,
-            life: holder.life,
+            incarnation: holder.incarnation,
         }
     }
 
     /// What it says.
-    pub(crate) fn holder(&self) -> Holder {
-        Holder {
+    pub(crate) fn identity(&self) -> NodeIdentity {
+        NodeIdentity {
             gateway: self.gateway,
-            life: self.life,
+            incarnation: self.incarnation,
         }
     }
 }
@@ -290,7 +290,7 @@
 
 impl Report {
     /// How it is written.
-    pub(crate) fn of(who: Holder, sequence: u64, spans: &[Span]) -> Report {
+    pub(crate) fn of(who: NodeIdentity, sequence: u64, spans: &[Span]) -> Report {
         let acted = |span: &Span| Acted {
             topic: span.topic.number(),
             number: span.number,
@@ -399,7 +399,7 @@
 }
 
 impl Seat {
-    fn of(who: Holder, token: Token) -> Seat {
+    fn of(who: NodeIdentity, token: Token) -> Seat {
         Seat {
             who: Who::of(who),
             token: token.0,
@@ -515,7 +515,7 @@
 }
 
 impl Refused {
-    fn of(who: Holder, why: Refusal) -> Refused {
+    fn of(who: NodeIdentity, why: Refusal) -> Refused {
         let (why, number) = match why {
             Refusal::Stale => (1, 0),
             Refusal::Occupied => (2, 0),
--- a/control/src/versions/wire/tests.rs
+++ b/control/src/versions/wire/tests.rs
@@ -2,9 +2,9 @@
 use crate::fuzz;
 use crate::versions::LONGEST_REASON;
 
-const A: Holder = Holder {
+const A: NodeIdentity = NodeIdentity {
     gateway: 3,
-    life: 9,
+    incarnation: 9,
 };
 const TOKEN: Token = Token(17);
 
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -1,11 +1,13 @@
 //! Leases of five gateways on one virtual clock, from seeds: clocks that start apart and run at other rates, proposals
-//! lost and late, entries applied late, stalls, crashes and restarts with a new life, and actions that arrive long after
+//! lost and late, entries applied late, stalls, crashes and restarts with a new incarnation, and actions that arrive long after
 //! they were decided. After every step no two gateways may act under one duty; at the end of a run, with the faults
 //! over, a holder must be there within a bound computed from the timing.
 
 mod golden;
 
-use asterreel::lease::{Action, Command, Duty, Event, Fence, Holder, Index, Leases, Timing, Token};
+use asterreel::lease::{
+    Action, Command, Duty, Event, Fence, Index, Leases, NodeIdentity, Timing, Token,
+};
 use asterreel::state_machine;
 use xxhash_rust::xxh3::Xxh3;
 
@@ -43,7 +45,7 @@
     /// Cut off from the log (both ways) before this.
     cut_until: u64,
     applied: usize,
-    life: u32,
+    incarnation: u32,
     number: u32,
 }
 
@@ -79,9 +81,9 @@
     let mut gateways: Vec<Gateway> = (0..GATEWAYS as u32)
         .map(|number| Gateway {
             leases: Leases::new(
-                Holder {
+                NodeIdentity {
                     gateway: number,
-                    life: 0,
+                    incarnation: 0,
                 },
                 run.timing,
             ),
@@ -91,7 +93,7 @@
             stalled_until: 0,
             cut_until: 0,
             applied: 0,
-            life: 0,
+            incarnation: 0,
             number,
         })
         .collect();
@@ -128,16 +130,16 @@
             }
         }
         for gateway in gateways.iter_mut().filter(|gateway| !gateway.alive) {
-            // Restarted with its disk, in a new life; its clock begins anew, further on.
+            // Restarted with its disk, in a new incarnation; its clock begins anew, further on.
             if rng.u32(0..200) == 0 || !faulty {
-                gateway.life += 1;
+                gateway.incarnation += 1;
                 gateway.alive = true;
                 gateway.applied = 0;
                 gateway.offset = rng.u64(0..500_000);
                 gateway.leases = Leases::new(
-                    Holder {
+                    NodeIdentity {
                         gateway: gateway.number,
-                        life: gateway.life,
+                        incarnation: gateway.incarnation,
                     },
                     run.timing,
                 );
@@ -211,7 +213,7 @@
                 .filter_map(|g| {
                     g.leases
                         .acting(duty, g.clock(real))
-                        .map(|token| (g.number, g.life, token))
+                        .map(|token| (g.number, g.incarnation, token))
                 })
                 .collect();
             if acting.len() > 1 {
--- a/tests/lease_model.rs
+++ b/tests/lease_model.rs
@@ -3,7 +3,7 @@
 //! log is a list that all apply in order. A proposal that travels long is not modelled apart: in the log it is one
 //! decided on older knowledge, which late application gives.
 
-use asterreel::lease::{Action, Command, Duty, Event, Holder, Index, Leases, Timing};
+use asterreel::lease::{Action, Command, Duty, Event, Index, Leases, NodeIdentity, Timing};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const DUTY: Duty = Duty(0);
@@ -38,7 +38,7 @@
     applied: usize,
     /// Looked at the time since it moved on; kept on fair paths only.
     looked: bool,
-    life: u32,
+    incarnation: u32,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -75,10 +75,10 @@
         }
     }
 
-    fn born(&self, number: usize, life: u32, now: u64) -> Gateway {
-        let holder = Holder {
+    fn born(&self, number: usize, incarnation: u32, now: u64) -> Gateway {
+        let holder = NodeIdentity {
             gateway: number as u32,
-            life,
+            incarnation,
         };
         let mut leases = Leases::new(holder, self.timing(number));
         // It wants the duty from its start; what it proposes then comes with its first look.
@@ -87,7 +87,7 @@
             leases,
             applied: 0,
             looked: false,
-            life,
+            incarnation,
         }
     }
 }
@@ -194,9 +194,9 @@
                 world.owe(out, self.log, true);
             }
             Do::Crash(number) => {
-                // Restarted at once with its disk, in a new life: it applies the log from its start.
-                let life = world.gateways[number].life + 1;
-                world.gateways[number] = self.born(number, life, world.now);
+                // Restarted at once with its disk, in a new incarnation: it applies the log from its start.
+                let incarnation = world.gateways[number].incarnation + 1;
+                world.gateways[number] = self.born(number, incarnation, world.now);
                 world.crashes += 1;
                 world.acted_since = false;
             }
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -1,7 +1,7 @@
 //! Versions of six gateways and three control members on one virtual clock, from seeds. Clocks run at other rates; frames
 //! between gateways and control members, proposals, entries and confirmations are lost, doubled, late and swapped;
 //! leaders change, two believe that they lead at once, they stall and wake with queued heartbeats, are killed, cut off
-//! from all, from each other alone, or hear nothing while what they write still arrives; gateways stall, crash with a new life, are cut off
+//! from all, from each other alone, or hear nothing while what they write still arrives; gateways stall, crash with a new incarnation, are cut off
 //! from all or from one control member alone; contents are refused, not understood or never judged. After every step no
 //! gateway may act on a version that is neither the newest that any acts on nor the one before it, nor under a seat that
 //! the log does not give it; reports count each action once; at the end, with the faults over, a version that is offered
@@ -9,7 +9,7 @@
 
 mod golden;
 
-use asterreel::lease::{Holder, Index, Timing, Token};
+use asterreel::lease::{Index, NodeIdentity, Timing, Token};
 use asterreel::state_machine;
 use asterreel::versions::{
     client, coordinator, Client, Command, Content, Coordinator, Formats, Outcome,
@@ -59,7 +59,7 @@
 struct Gateway {
     client: Client,
     clock: Clock,
-    life: u32,
+    incarnation: u32,
     wake_at: u64,
     stalled_until: u64,
     cut_until: u64,
@@ -73,7 +73,7 @@
 struct Member {
     coordinator: Coordinator,
     clock: Clock,
-    life: u32,
+    incarnation: u32,
     wake_at: u64,
     stalled_until: u64,
     cut_until: u64,
@@ -107,7 +107,7 @@
 #[derive(Clone)]
 enum Parcel {
     ToControl(usize, ToControl),
-    Hello(usize, Holder),
+    Hello(usize, NodeIdentity),
     ToGateway(usize, ToGateway),
     Proposal(Command),
     /// A confirmation round on its way to a quorum, with the entries that were committed when it was asked for.
@@ -148,7 +148,7 @@
 /// A gateway that holds up a change, and does nothing else wrong.
 #[derive(Clone, Copy, PartialEq)]
 enum Unhelpful {
-    /// It lives, and judges nothing.
+    /// It incarnations, and judges nothing.
     Silent(usize),
     /// It stands still from the offer on.
     Dead(usize),
@@ -174,8 +174,8 @@
     agreed_after: Option<u64>,
     /// Of all entries of the log, and when each was committed.
     log_digest: u64,
-    /// By life of a gateway: what it did, what the audit has of it, and whether it lived to the end.
-    counts: Vec<(Holder, u64, u64, bool)>,
+    /// By incarnation of a gateway: what it did, what the audit has of it, and whether it lived to the end.
+    counts: Vec<(NodeIdentity, u64, u64, bool)>,
 }
 
 struct World {
@@ -196,14 +196,14 @@
     before: BTreeMap<u64, u64>,
     /// By version, when its offer was committed.
     offered: BTreeMap<u64, u64>,
-    done: BTreeMap<Holder, u64>,
+    done: BTreeMap<NodeIdentity, u64>,
     seen: Seen,
 }
 
-fn gateway_holder(number: usize, life: u32) -> Holder {
-    Holder {
+fn gateway_holder(number: usize, incarnation: u32) -> NodeIdentity {
+    NodeIdentity {
         gateway: number as u32 + 1,
-        life,
+        incarnation,
     }
 }
 
@@ -243,12 +243,12 @@
         world
     }
 
-    fn member(number: usize, life: u32, clock: Clock) -> Member {
-        let coordinator = Coordinator::new(gateway_holder(number, life), TIMING);
+    fn member(number: usize, incarnation: u32, clock: Clock) -> Member {
+        let coordinator = Coordinator::new(gateway_holder(number, incarnation), TIMING);
         Member {
             coordinator,
             clock,
-            life,
+            incarnation,
             wake_at: 0,
             stalled_until: 0,
             cut_until: 0,
@@ -259,13 +259,18 @@
         }
     }
 
-    fn gateway(&self, number: usize, life: u32, clock: Clock) -> Gateway {
+    fn gateway(&self, number: usize, incarnation: u32, clock: Clock) -> Gateway {
         let timing = if number == 0 { self.play.first } else { TIMING };
-        let client = Client::new(gateway_holder(number, life), timing, FORMATS, number as u64);
+        let client = Client::new(
+            gateway_holder(number, incarnation),
+            timing,
+            FORMATS,
+            number as u64,
+        );
         Gateway {
             client,
             clock,
-            life,
+            incarnation,
             wake_at: 0,
             stalled_until: 0,
             cut_until: 0,
@@ -406,7 +411,7 @@
             return self.dial(number, other);
         }
         self.gateways[number].link = Some(member);
-        let who = gateway_holder(number, self.gateways[number].life);
+        let who = gateway_holder(number, self.gateways[number].incarnation);
         self.parcels.push((self.real, Parcel::Hello(member, who)));
         self.gateway_event(number, client::Event::Connected);
     }
@@ -437,7 +442,7 @@
 
     fn act(&mut self, number: usize) {
         if let Some((version, _)) = self.acting(number) {
-            let who = gateway_holder(number, self.gateways[number].life);
+            let who = gateway_holder(number, self.gateways[number].incarnation);
             *self.done.entry(who).or_default() += 1;
             self.gateway_event(
                 number,
@@ -733,13 +738,13 @@
     }
 
     fn restart_gateway(&mut self, number: usize) {
-        let (life, rate_ppm) = (
-            self.gateways[number].life + 1,
+        let (incarnation, rate_ppm) = (
+            self.gateways[number].incarnation + 1,
             self.gateways[number].clock.rate_ppm,
         );
         self.gateways[number] = self.gateway(
             number,
-            life,
+            incarnation,
             Clock {
                 born: self.real,
                 rate_ppm,
@@ -750,13 +755,13 @@
 
     /// A control member is killed and comes back later, with the log's entries or with a snapshot of them.
     fn restart_member(&mut self, number: usize) {
-        let (life, rate_ppm) = (
-            self.members[number].life + 1,
+        let (incarnation, rate_ppm) = (
+            self.members[number].incarnation + 1,
             self.members[number].clock.rate_ppm,
         );
         let former = World::member(
             number,
-            life,
+            incarnation,
             Clock {
                 born: self.real,
                 rate_ppm,
@@ -769,7 +774,7 @@
             self.members[number].coordinator.restore(1_000_000, table);
         }
         self.members[number].cut_until = self.real + self.rng.u64(0..4_000_000);
-        // A confirmation or a word that was meant for the former life does not reach this one.
+        // A confirmation or a word that was meant for the former incarnation does not reach this one.
         self.members[number].heard_of = self.elections.len();
         self.parcels.retain(|(_, parcel)| {
             !matches!(parcel,
@@ -817,7 +822,7 @@
             }
         }
         for (number, (_, token)) in acting {
-            let who = gateway_holder(number, self.gateways[number].life);
+            let who = gateway_holder(number, self.gateways[number].incarnation);
             if self.truth.seat(who).is_none_or(|seat| seat.token != token) {
                 let breach = format!(
                     "{}: {who:?} acts under {token:?}, which is not its seat",
@@ -875,10 +880,14 @@
         let audit = self.truth.audit();
         for (who, done) in &self.done {
             let rows = audit.rows().iter().filter(|row| row.who == *who);
-            let lives = self.gateways[who.gateway as usize - 1].life == who.life;
-            self.seen
-                .counts
-                .push((*who, *done, rows.map(|row| row.span.count).sum(), lives));
+            let incarnations =
+                self.gateways[who.gateway as usize - 1].incarnation == who.incarnation;
+            self.seen.counts.push((
+                *who,
+                *done,
+                rows.map(|row| row.span.count).sum(),
+                incarnations,
+            ));
         }
     }
 }
@@ -929,9 +938,9 @@
             seen.agreed_after
                 .unwrap_or_else(|| panic!("seed {seed}: nothing agreed in the calm")),
         );
-        for (who, done, counted, lives) in seen.counts {
+        for (who, done, counted, incarnations) in seen.counts {
             // What a gateway did last before it crashed is not told any more; nothing counts twice.
-            let told = if lives {
+            let told = if incarnations {
                 counted == done
             } else {
                 counted <= done
--- a/tests/versions_model.rs
+++ b/tests/versions_model.rs
@@ -2,7 +2,7 @@
 //! that are late, swapped or lost, entries applied late, elections of which members hear late, looks and crashes at any
 //! point. The machines are the program's own ([`Client`], [`Coordinator`]).
 
-use asterreel::lease::{Holder, Index, Timing, Token};
+use asterreel::lease::{Index, NodeIdentity, Timing, Token};
 use asterreel::versions::{client, coordinator, Client, Command, Content, Coordinator, Formats};
 use asterreel::versions::{Outcome, Table, ToControl, ToGateway, Topic};
 use stateright::{Checker, Model, Property};
@@ -74,7 +74,7 @@
     truth: Table,
     before: BTreeMap<u64, u64>,
     gateways: Vec<Client>,
-    lives: Vec<u32>,
+    incarnations: Vec<u32>,
     members: Vec<Coordinator>,
     /// Who was elected, in order, and by member the last election that it heard of.
     elections: Vec<usize>,
@@ -104,10 +104,10 @@
     Round,
 }
 
-fn holder(number: usize, life: u32) -> Holder {
-    Holder {
+fn holder(number: usize, incarnation: u32) -> NodeIdentity {
+    NodeIdentity {
         gateway: number as u32,
-        life,
+        incarnation,
     }
 }
 
@@ -122,7 +122,7 @@
             truth: Table::default(),
             before: BTreeMap::new(),
             gateways: Vec::new(),
-            lives: vec![0; explored.gateways],
+            incarnations: vec![0; explored.gateways],
             members: members.collect(),
             elections: vec![0],
             heard_of: vec![0; explored.members],
@@ -155,8 +155,8 @@
         world
     }
 
-    fn born(explored: &Explored, number: usize, life: u32, now: u64) -> Client {
-        let mut client = Client::new(holder(number, life), explored.timing(), FORMATS, 0);
+    fn born(explored: &Explored, number: usize, incarnation: u32, now: u64) -> Client {
+        let mut client = Client::new(holder(number, incarnation), explored.timing(), FORMATS, 0);
         client.handle(now, client::Event::Serve, &mut Vec::new());
         client
     }
@@ -343,7 +343,7 @@
 
     /// Whether a gateway acts under no seat, or under the one that the log gives it.
     fn seated(&self, number: usize) -> bool {
-        let seat = self.truth.seat(holder(number, self.lives[number]));
+        let seat = self.truth.seat(holder(number, self.incarnations[number]));
         self.acting(number)
             .is_none_or(|(_, token)| seat.is_some_and(|seat| seat.token == token))
     }
@@ -420,9 +420,10 @@
             }
             Do::Elect(member) => world.elections.push(member),
             Do::Crash(number) => {
-                world.lives[number] += 1;
+                world.incarnations[number] += 1;
                 world.offerers.remove(&number);
-                world.gateways[number] = World::born(self, number, world.lives[number], world.now);
+                world.gateways[number] =
+                    World::born(self, number, world.incarnations[number], world.now);
                 world.crashes += 1;
             }
             Do::Round => {
