--- a/control/src/frame/tests.rs
+++ b/control/src/frame/tests.rs
@@ -66,7 +66,7 @@
             token: Token(4),
             sent: 1,
             required: Index(3),
-            seats: 7,
+            registrations: 7,
         }),
         to_gateway(&ToGateway::Elsewhere { leader: Some(3) }),
     ];
--- a/control/src/golden_tests.rs
+++ b/control/src/golden_tests.rs
@@ -279,7 +279,7 @@
                 token: TOKEN,
                 sent: 5,
                 required: Index(9),
-                seats: 410,
+                registrations: 410,
             },
         ),
         (
@@ -448,15 +448,17 @@
         self.node
             .state_machine()
             .versions()
-            .seat(who)
-            .expect("a seat")
+            .registration(who)
+            .expect("a registration")
             .token
     }
 
     fn heartbeat(&mut self, who: NodeIdentity) {
         let versions = self.node.state_machine().versions();
         let (token, seen) = (
-            versions.seat(who).map(|seat| seat.token),
+            versions
+                .registration(who)
+                .map(|registration| registration.token),
             versions.changed(),
         );
         let (formats, sent) = (
@@ -475,7 +477,7 @@
         });
     }
 
-    /// Lets renewals pass, in which both gateways keep their seats.
+    /// Lets renewals pass, in which both gateways keep their registrations.
     fn pass(&mut self, renewals: u64) {
         for _ in 0..renewals {
             for _ in 0..5 {
@@ -510,7 +512,7 @@
         self.pass(1);
     }
 
-    /// It leads, holds both duties, has given seats to two gateways, put a version in force and another one up for
+    /// It leads, holds both duties, has given registrations to two gateways, put a version in force and another one up for
     /// verdicts, of which one has come.
     fn play(&mut self) {
         while !self.node.place().leads {
@@ -586,7 +588,7 @@
     state_machine
 }
 
-/// Both duties are the member's, and the gateways' seats have these tokens.
+/// Both duties are the member's, and the gateways' registrations have these tokens.
 fn assert_held(state_machine: &StateMachine, tokens: [Token; 2]) {
     for duty in [Duty(0), Duty(1)] {
         let entry = state_machine.leases().table().entry(duty);
@@ -596,11 +598,11 @@
             "{duty:?}"
         );
     }
-    let seats = state_machine
+    let registrations = state_machine
         .versions()
-        .seats()
-        .map(|seat| (seat.who, seat.token));
-    assert!(seats.eq(SERVED.into_iter().zip(tokens)));
+        .registrations()
+        .map(|registration| (registration.who, registration.token));
+    assert!(registrations.eq(SERVED.into_iter().zip(tokens)));
     assert_eq!(state_machine.versions().audit().last(SERVED[1]), 1);
     assert_eq!(
         state_machine.versions().audit().count(Topic::Operator, 5),
@@ -651,7 +653,7 @@
     assert_eq!(member.node.latest_snapshot(), stored);
     drop(member);
     let state_machine = replayed(folder.path());
-    // The version that one gateway did not judge came in force once that one had lost its seat.
+    // The version that one gateway did not judge came in force once that one had lost its registration.
     assert_held(&state_machine, [Token(11), Token(3)]);
     let standing = state_machine
         .versions()
--- a/control/src/link/tests.rs
+++ b/control/src/link/tests.rs
@@ -190,7 +190,7 @@
             token: Token(1),
             sent: 1,
             required: Index(0),
-            seats: 1,
+            registrations: 1,
         };
         assert!(client.send(frame::to_gateway(&kept).expect("short")));
         assert!(
@@ -341,7 +341,7 @@
             token: Token(1),
             sent: 1,
             required: Index(0),
-            seats: 1,
+            registrations: 1,
         };
         let kept = frame::to_gateway(&kept).expect("short");
         assert!(client.send(kept.clone()));
--- a/control/src/service/gateway.rs
+++ b/control/src/service/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway's part of the loop: its seat at the control member that leads, and what it hears of versions.
+//! A gateway's part of the loop: its registration at the control member that leads, and what it hears of versions.
 
 use super::{digest, Notice};
 use crate::clock::Clock;
@@ -54,7 +54,7 @@
         .collect()
 }
 
-/// A gateway that wants a seat.
+/// A gateway that wants a registration.
 pub(super) struct Gateway {
     clock: Clock,
     me: NodeIdentity,
@@ -157,10 +157,10 @@
                     gateway,
                     token = right.token.0,
                     until = right.until,
-                    "seat: acting"
+                    "registration: acting"
                 );
             }
-            Action::Stop(why) => warn!(at, gateway, "seat: stopped: {why}"),
+            Action::Stop(why) => warn!(at, gateway, "registration: stopped: {why}"),
             Action::Judge {
                 topic,
                 number,
--- a/control/src/service/mod.rs
+++ b/control/src/service/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! One loop on one thread of its own, beside the request path, owns the links, the store and the timers. The request path
 //! never waits for it: it reads what it needs from a [`View`] that the loop publishes. The loop has up to two parts. A
-//! control member (`member`) holds the log with the other members and serves gateways. A gateway (`gateway`) keeps its seat
+//! control member (`member`) holds the log with the other members and serves gateways. A gateway (`gateway`) keeps its registration
 //! at the member that leads. A process that votes and serves clients has both, and its gateway dials the members as any
 //! other does, itself over loopback.
 
@@ -57,8 +57,8 @@
 pub struct View {
     /// This gateway's right to act on what has versions.
     right: Option<versions::Right>,
-    /// How many gateways have a seat.
-    pub seats: u32,
+    /// How many gateways have a registration.
+    pub registrations: u32,
     /// The versions in force.
     in_force: BTreeMap<Topic, u64>,
     /// Whether this process is the control member that leads.
@@ -136,7 +136,7 @@
     begin(asked, clock, true)
 }
 
-/// Starts the loop of a control member that serves no clients of its own: it has no seat and acts on no version.
+/// Starts the loop of a control member that serves no clients of its own: it has no registration and acts on no version.
 ///
 /// # Errors
 ///
@@ -151,7 +151,7 @@
 fn begin(
     asked: &Lease,
     clock: Clock,
-    seated: bool,
+    registered: bool,
 ) -> Result<(Handle, Receiver<Notice>), PeerError> {
     // A number of its own for this incarnation: what an earlier one asked for is not this one's.
     let me = NodeIdentity {
@@ -184,7 +184,7 @@
         asked: asked.clone(),
         clock,
         me,
-        seated,
+        registered,
         traffic,
     };
     let run = move || {
@@ -207,7 +207,7 @@
 }
 
 /// The same at every gateway of a fleet: who votes, and how long rights last. One that waits for a shorter time than another
-/// acts would take its seat too early.
+/// acts would take its registration too early.
 fn digest(asked: &Lease) -> u64 {
     let mut voters: Vec<u32> = asked.voters().map(|peer| peer.id).collect();
     voters.sort_unstable();
@@ -237,8 +237,8 @@
     asked: Lease,
     clock: Clock,
     me: NodeIdentity,
-    /// Whether this process has a seat.
-    seated: bool,
+    /// Whether this process has a registration.
+    registered: bool,
     traffic: Traffic,
 }
 
@@ -254,7 +254,7 @@
             asked,
             clock,
             me,
-            seated,
+            registered,
             traffic,
         } = self;
         let (mut from_members, mut ticks) = (None, None);
@@ -267,7 +267,7 @@
             None => None,
         };
         let (mut from_control, mut gateway) = (None, None);
-        if seated {
+        if registered {
             let (events, received) = mpsc::channel(link::EVENT_QUEUE);
             from_control = Some(received);
             gateway = Some(Gateway::start(&asked, clock, me, notices, events, traffic));
@@ -396,7 +396,7 @@
         if let Some(gateway) = &self.gateway {
             let client = gateway.client();
             view.right = client.right(self.clock.now());
-            view.seats = client.seats();
+            view.registrations = client.registrations();
             view.in_force = client.in_force().collect();
         }
         *self.view.lock().unwrap_or_else(PoisonError::into_inner) = Arc::new(view);
--- a/control/src/state_machine/entry.rs
+++ b/control/src/state_machine/entry.rs
@@ -5,7 +5,7 @@
 use crate::versions::{self, topic, Content, Formats, Report, Who};
 use prost::Message;
 
-/// The format of entries and snapshots that this build writes, and the only one that it reads: format 1 kept seats by
+/// The format of entries and snapshots that this build writes, and the only one that it reads: format 1 kept registrations by
 /// entries of gateways that were all members of the log.
 pub const FORMAT: u32 = 2;
 
@@ -57,11 +57,11 @@
     #[prost(message, tag = "4")]
     Release(Lease),
     #[prost(message, tag = "5")]
-    Join(Seat),
+    Join(Registration),
     #[prost(message, tag = "7")]
-    Leave(Seat),
+    Leave(Registration),
     #[prost(message, tag = "8")]
-    Expel(Seat),
+    Expel(Registration),
     #[prost(message, tag = "9")]
     Offer(Change),
     #[prost(message, tag = "11")]
@@ -88,7 +88,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct Seat {
+struct Registration {
     #[prost(message, required, tag = "1")]
     who: Who,
     #[prost(uint64, tag = "2")]
@@ -128,7 +128,7 @@
     #[prost(uint64, tag = "2")]
     number: u64,
     #[prost(message, repeated, tag = "3")]
-    by: Vec<Seat>,
+    by: Vec<Registration>,
 }
 
 /// The bytes of an entry.
@@ -173,15 +173,15 @@
     use versions::Command as V;
     match command {
         V::Lead { who } => Body::Lead(Who::of(*who)),
-        V::Join { who, formats } => Body::Join(Seat {
+        V::Join { who, formats } => Body::Join(Registration {
             oldest: formats.oldest,
             newest: formats.newest,
-            ..seat(*who, Token(0))
+            ..registration(*who, Token(0))
         }),
-        V::Leave { who, token } => Body::Leave(seat(*who, *token)),
-        V::Expel { who, token, epoch } => Body::Expel(Seat {
+        V::Leave { who, token } => Body::Leave(registration(*who, *token)),
+        V::Expel { who, token, epoch } => Body::Expel(Registration {
             epoch: epoch.0,
-            ..seat(*who, *token)
+            ..registration(*who, *token)
         }),
         V::Offer {
             who,
@@ -201,7 +201,10 @@
         V::Accept { topic, number, by } => Body::Accept(Accepted {
             topic: topic.number(),
             number: *number,
-            by: by.iter().map(|(who, token)| seat(*who, *token)).collect(),
+            by: by
+                .iter()
+                .map(|(who, token)| registration(*who, *token))
+                .collect(),
         }),
         V::Refuse {
             who,
@@ -226,8 +229,8 @@
     }
 }
 
-fn seat(who: NodeIdentity, token: Token) -> Seat {
-    Seat {
+fn registration(who: NodeIdentity, token: Token) -> Registration {
+    Registration {
         who: Who::of(who),
         token: token.0,
         epoch: 0,
@@ -307,7 +310,7 @@
             by: a
                 .by
                 .iter()
-                .map(|seat| (seat.who.identity(), Token(seat.token)))
+                .map(|registration| (registration.who.identity(), Token(registration.token)))
                 .collect(),
         }),
         Body::Refuse(c) => Command::Version(V::Refuse {
--- a/control/src/versions/client.rs
+++ b/control/src/versions/client.rs
@@ -1,4 +1,4 @@
-//! One gateway's part: when it asks for its seat, what it may act on and until when, what it judges and reports.
+//! One gateway's part: when it asks for its registration, what it may act on and until when, what it judges and reports.
 
 use super::audit::SPANS;
 use super::{
@@ -9,11 +9,11 @@
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Waits before a gateway that lost its seat joins again: the first, and the most, in renewals. A gateway that comes
+/// Waits before a gateway that lost its registration joins again: the first, and the most, in renewals. A gateway that comes
 /// and goes would otherwise hold up every version that is offered meanwhile. Ours.
 const REJOIN_FIRST: u64 = 1;
 const REJOIN_MOST: u64 = 32;
-/// Leases that a seat must have been kept for until earlier losses are forgotten. Ours.
+/// Leases that a registration must have been kept for until earlier losses are forgotten. Ours.
 const STEADY: u64 = 10;
 /// Renewals between two reports of one gateway: the log's share of the audit stays small. Ours.
 const REPORT_EVERY: u64 = 10;
@@ -27,7 +27,7 @@
 /// What a gateway's client of control is told.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// This gateway should have a seat whenever it can.
+    /// This gateway should have a registration whenever it can.
     Serve,
     /// A link to a control member is up.
     Connected,
@@ -60,7 +60,7 @@
     },
     /// A timer fired, or any moment worth a look.
     Tick,
-    /// The gateway drains: it stops acting and gives its seat back.
+    /// The gateway drains: it stops acting and gives its registration back.
     Drain,
 }
 
@@ -83,11 +83,13 @@
 /// Why a gateway may not act any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum Why {
-    /// Its seat could not be kept in time.
+    /// Its registration could not be kept in time.
     #[error("the fleet's log could not be reached in time; look at the links to its voters and how many of them run")]
     Lapsed,
-    /// The others took its seat away.
-    #[error("the others took its seat away after hearing nothing; it joins again by itself")]
+    /// The others took its registration away.
+    #[error(
+        "the others took its registration away after hearing nothing; it joins again by itself"
+    )]
     Expelled,
     /// It drains.
     #[error("it drains")]
@@ -182,18 +184,18 @@
     formats: Formats,
     seed: u64,
     wanted: bool,
-    /// Its seat, as far as it knows.
+    /// Its registration, as far as it knows.
     token: Option<Token>,
-    /// Seats below were lost: word of them is late.
+    /// Registrations below were lost: word of them is late.
     oldest: Token,
     right: Option<Right>,
-    seated_at: Option<Micros>,
+    registered_at: Option<Micros>,
     /// The entry up to which it knows how the topics stand.
     seen: Index,
     topics: BTreeMap<Topic, Known>,
     judged: BTreeMap<Topic, Judgement>,
     offered: Option<Offered>,
-    seats: u32,
+    registrations: u32,
     /// When the next heartbeat is due, whether it is the first on its link, and since when one waits for an answer.
     beat_at: Micros,
     connected: bool,
@@ -221,12 +223,12 @@
             token: None,
             oldest: Token(0),
             right: None,
-            seated_at: None,
+            registered_at: None,
             seen: Index(0),
             topics: BTreeMap::new(),
             judged: BTreeMap::new(),
             offered: None,
-            seats: 0,
+            registrations: 0,
             beat_at: 0,
             connected: false,
             asked_at: None,
@@ -261,9 +263,9 @@
         known.filter(|(_, number)| *number > 0)
     }
 
-    /// How many gateways had a seat when this one's was last kept.
-    pub fn seats(&self) -> u32 {
-        self.seats
+    /// How many gateways had a registration when this one's was last kept.
+    pub fn registrations(&self) -> u32 {
+        self.registrations
     }
 
     /// The number of the version in force; 0 is none.
@@ -329,7 +331,7 @@
         }
     }
 
-    /// A seat is not its own any more, nor any older one.
+    /// A registration is not its own any more, nor any older one.
     fn forget(&mut self, token: Token) {
         self.token = None;
         self.oldest = Token(token.0.saturating_add(1));
@@ -382,10 +384,10 @@
                 token,
                 sent,
                 required,
-                seats,
+                registrations,
             } => {
                 if who == self.me && required <= self.seen {
-                    self.keep(now, token, sent, seats, out);
+                    self.keep(now, token, sent, registrations, out);
                 }
             }
             ToGateway::State {
@@ -434,16 +436,23 @@
         }
     }
 
-    /// Its seat is kept for another lease, counted from before it asked: the leader heard it only later.
-    fn keep(&mut self, now: Micros, token: Token, sent: Micros, seats: u32, out: &mut Vec<Action>) {
+    /// Its registration is kept for another lease, counted from before it asked: the leader heard it only later.
+    fn keep(
+        &mut self,
+        now: Micros,
+        token: Token,
+        sent: Micros,
+        registrations: u32,
+        out: &mut Vec<Action>,
+    ) {
         let late = token < self.oldest || self.token.is_some_and(|mine| token < mine);
         if late || !self.wanted || sent > now {
             return;
         }
-        self.seats = seats;
+        self.registrations = registrations;
         if self.token != Some(token) {
             self.token = Some(token);
-            self.seated_at = Some(now);
+            self.registered_at = Some(now);
         }
         let until = sent.saturating_add(self.timing.lease_us);
         let longer = self
@@ -519,7 +528,7 @@
         );
     }
 
-    /// The seat is gone: it stops, and joins again after a wait that grows with every loss.
+    /// The registration is gone: it stops, and joins again after a wait that grows with every loss.
     fn lose(&mut self, now: Micros, token: Token, out: &mut Vec<Action>) {
         self.stop(Why::Expelled, out);
         self.forget(token);
@@ -532,7 +541,7 @@
     fn rejoin_later(&mut self, now: Micros) {
         let steady = STEADY * self.timing.lease_us;
         if self
-            .seated_at
+            .registered_at
             .take()
             .is_some_and(|at| now.saturating_sub(at) >= steady)
         {
@@ -542,7 +551,7 @@
         self.rejoin_wait = (self.rejoin_wait * 2).min(REJOIN_MOST);
     }
 
-    /// A seat or an offer was refused. One that is doubled, or late, says nothing new.
+    /// A registration or an offer was refused. One that is doubled, or late, says nothing new.
     fn refused(&mut self, now: Micros, why: Refusal, out: &mut Vec<Action>) {
         let joins = matches!(why, Refusal::Format { .. }) && self.token.is_none();
         if joins {
@@ -567,7 +576,7 @@
 
     fn step(&mut self, now: Micros, out: &mut Vec<Action>) {
         if self.right.is_some_and(|right| !right.runs(now)) {
-            // It may still have its seat in the log: keeping that is all it takes to act again.
+            // It may still have its registration in the log: keeping that is all it takes to act again.
             self.stop(Why::Lapsed, out);
         }
         if !self.wanted {
--- a/control/src/versions/client/tests.rs
+++ b/control/src/versions/client/tests.rs
@@ -35,7 +35,7 @@
         gateway
     }
 
-    /// One that has a seat, and knows of this version in force.
+    /// One that has a registration, and knows of this version in force.
     fn acting(in_force: u64) -> Gateway {
         let mut gateway = Gateway::serving();
         gateway.state(1, 0, in_force, None);
@@ -66,7 +66,7 @@
             token,
             sent,
             required,
-            seats: 3,
+            registrations: 3,
         })
     }
 
@@ -125,7 +125,10 @@
             until
         })]
     );
-    assert_eq!((gateway.acts_on(), gateway.client.seats()), (Some(1), 3));
+    assert_eq!(
+        (gateway.acts_on(), gateway.client.registrations()),
+        (Some(1), 3)
+    );
     assert_eq!(gateway.kept(TOKEN, sent, 1), [], "doubled");
     assert_eq!(
         gateway.kept(TOKEN, sent + LEASE, 1),
@@ -268,7 +271,7 @@
 }
 
 #[test]
-fn a_lost_seat_stops_it_and_it_joins_again_after_a_wait_that_grows() {
+fn a_lost_registration_stops_it_and_it_joins_again_after_a_wait_that_grows() {
     let mut gateway = Gateway::acting(1);
     let mut waits = Vec::new();
     for token in [8, 9, 10, 11] {
@@ -281,7 +284,7 @@
         assert_eq!(
             gateway.kept(Token(token), gateway.now, 1),
             [],
-            "late word of the lost seat"
+            "late word of the lost registration"
         );
         let lost_at = gateway.now;
         while beats(&gateway.tick(RENEW / 4)) == 0 {}
@@ -375,7 +378,7 @@
 }
 
 #[test]
-fn one_that_drains_stops_first_and_gives_its_seat_back() {
+fn one_that_drains_stops_first_and_gives_its_registration_back() {
     let mut gateway = Gateway::acting(1);
     let leave = Action::Send(ToControl::Leave {
         who: ME,
--- a/control/src/versions/coordinator.rs
+++ b/control/src/versions/coordinator.rs
@@ -1,8 +1,8 @@
-//! A control member's part: who keeps its seat and who loses it, what gateways are told, what goes into the log.
+//! A control member's part: who keeps its registration and who loses it, what gateways are told, what goes into the log.
 
 use super::{
-    Command, Content, Formats, Index, Micros, NodeIdentity, Outcome, Refusal, Seat, Span, Table,
-    ToControl, ToGateway, Token, Topic, TopicState,
+    Command, Content, Formats, Index, Micros, NodeIdentity, Outcome, Refusal, Registration, Span,
+    Table, ToControl, ToGateway, Token, Topic, TopicState,
 };
 use crate::lease::Timing;
 use std::collections::BTreeMap;
@@ -14,11 +14,11 @@
 const LOST_ROUNDS: u64 = 4;
 /// Verdicts are gathered for this part of a renewal at most before they are written. Ours.
 const GATHERINGS: u64 = 8;
-/// Looks at all seats, for those whose wait is over, in each renewal. Ours.
+/// Looks at all registrations, for those whose wait is over, in each renewal. Ours.
 const LOOKS: u64 = 8;
 /// Ticks in each renewal while it leads. Ours: well above one, so that a missing one shows that this member stood still.
 const TICKS: u64 = 4;
-/// Leases after which a gateway that says nothing is forgotten, but for its seat. Ours.
+/// Leases after which a gateway that says nothing is forgotten, but for its registration. Ours.
 const FORGET: u64 = 10;
 
 /// What a control member's coordinator is told.
@@ -77,7 +77,7 @@
     came_at: Micros,
     /// The first round that was asked for, or will be, after it came.
     round: u64,
-    /// Whether its seat may be kept by it.
+    /// Whether its registration may be kept by it.
     grantable: bool,
 }
 
@@ -94,7 +94,7 @@
     heard_at: Micros,
     /// The last change of a topic that it was sent, and when.
     told: Option<(Index, Micros)>,
-    /// When a seat was last asked for on its behalf.
+    /// When a registration was last asked for on its behalf.
     joined_at: Option<Micros>,
 }
 
@@ -119,9 +119,9 @@
 struct Epoch {
     /// The entry that began it.
     number: Index,
-    /// By seat, when its gateway was last heard in a way that may keep it.
+    /// By registration, when its gateway was last heard in a way that may keep it.
     heard: BTreeMap<u32, Micros>,
-    /// By seat that is being taken away, when that was last proposed. Such a seat is not kept any more.
+    /// By registration that is being taken away, when that was last proposed. Such a registration is not kept any more.
     expelling: BTreeMap<u32, Micros>,
     /// Since when each open version is known to be open.
     opened: BTreeMap<Topic, Micros>,
@@ -134,14 +134,17 @@
 
 impl Epoch {
     /// An epoch that begins: what gateways were told before, and until when they may act, is not known, so that every
-    /// seat counts as heard just now.
+    /// registration counts as heard just now.
     fn begin(number: Index, now: Micros, table: &Table) -> Epoch {
         let open = table
             .topics()
             .filter(|(_, standing)| standing.open.is_some());
         Epoch {
             number,
-            heard: table.seats().map(|seat| (seat.who.gateway, now)).collect(),
+            heard: table
+                .registrations()
+                .map(|registration| (registration.who.gateway, now))
+                .collect(),
             expelling: BTreeMap::new(),
             opened: open.map(|(topic, _)| (topic, now)).collect(),
             waiting: Vec::new(),
@@ -166,7 +169,7 @@
         written || gathered.is_some_and(|gathered| gathered.by.contains_key(&gateway))
     }
 
-    /// Whether a seat holds up a version for longer than a right lasts.
+    /// Whether a registration holds up a version for longer than a right lasts.
     fn straggles(&self, table: &Table, gateway: u32, now: Micros, wait: Micros) -> bool {
         let overdue = self
             .opened
@@ -177,12 +180,12 @@
             .any(|(topic, _)| !self.accepts(table, *topic, gateway))
     }
 
-    /// Whether all seats that are to stay accept a version.
+    /// Whether all registrations that are to stay accept a version.
     fn complete(&self, table: &Table, topic: Topic) -> bool {
         let mut staying = table
-            .seats()
-            .filter(|seat| !self.expelling.contains_key(&seat.who.gateway));
-        staying.all(|seat| self.accepts(table, topic, seat.who.gateway))
+            .registrations()
+            .filter(|registration| !self.expelling.contains_key(&registration.who.gateway));
+        staying.all(|registration| self.accepts(table, topic, registration.who.gateway))
     }
 }
 
@@ -321,13 +324,13 @@
         let Some(epoch) = &mut self.epoch else { return };
         match outcome {
             Outcome::Leads(_) | Outcome::Accepted { .. } => {}
-            Outcome::Seated(Seat { who, .. }) => {
+            Outcome::Registered(Registration { who, .. }) => {
                 epoch.heard.insert(who.gateway, now);
                 // Given under an open version only where no other is there to judge it: it has its time for that.
                 epoch.opened.values_mut().for_each(|at| *at = now);
             }
-            Outcome::Left(Seat { who, .. }) => epoch.vacate(who.gateway),
-            Outcome::Expelled(Seat { who, token, .. }) => {
+            Outcome::Left(Registration { who, .. }) => epoch.vacate(who.gateway),
+            Outcome::Expelled(Registration { who, token, .. }) => {
                 epoch.vacate(who.gateway);
                 out.push(Action::Send(who, ToGateway::Gone { who, token }));
             }
@@ -425,9 +428,12 @@
                     .table
                     .topic(topic)
                     .is_some_and(|standing| standing.opened(number));
-                let seated = self.table.seat(who).is_some_and(|seat| seat.token == token);
+                let registered = self
+                    .table
+                    .registration(who)
+                    .is_some_and(|registration| registration.token == token);
                 match verdict {
-                    _ if !(opened && seated) => {}
+                    _ if !(opened && registered) => {}
                     Ok(()) => self.gather(now, who, token, topic, number),
                     Err(reason) => {
                         let refuse = Command::Refuse {
@@ -489,11 +495,11 @@
         let Some(epoch) = &mut self.epoch else { return };
         let expelling = epoch.expelling.contains_key(&who.gateway);
         let grantable = !expelling && !epoch.straggles(&self.table, who.gateway, now, wait);
-        let seat = self
+        let registration = self
             .table
-            .seat(who)
-            .filter(|seat| token.is_none_or(|token| token == seat.token));
-        if grantable && seat.is_some() {
+            .registration(who)
+            .filter(|registration| token.is_none_or(|token| token == registration.token));
+        if grantable && registration.is_some() {
             epoch.heard.insert(who.gateway, now);
         }
         let round = self.round + 1;
@@ -507,7 +513,7 @@
         });
     }
 
-    /// Asks for a seat on behalf of a gateway that has none, where the log would give one.
+    /// Asks for a registration on behalf of a gateway that has none, where the log would give one.
     fn join(&mut self, now: Micros, who: NodeIdentity, formats: Formats, out: &mut Vec<Action>) {
         let (refused, soon) = (
             self.table.joinable(who, formats).err(),
@@ -611,29 +617,34 @@
             .partition(|waiting| waiting.round <= round);
         epoch.waiting = waiting;
         let covered: Vec<Waiting> = covered;
-        let seats = u32::try_from(self.table.seats().count()).unwrap_or(u32::MAX);
+        let registrations = u32::try_from(self.table.registrations().count()).unwrap_or(u32::MAX);
         for heartbeat in covered {
-            out.push(Action::Send(heartbeat.who, self.answer(&heartbeat, seats)));
+            out.push(Action::Send(
+                heartbeat.who,
+                self.answer(&heartbeat, registrations),
+            ));
         }
     }
 
-    fn answer(&self, heartbeat: &Waiting, seats: u32) -> ToGateway {
+    fn answer(&self, heartbeat: &Waiting, registrations: u32) -> ToGateway {
         let Waiting {
             who, token, sent, ..
         } = *heartbeat;
         let required = self.table.changed();
         let expelling = |epoch: &Epoch| epoch.expelling.contains_key(&who.gateway);
         let grantable = heartbeat.grantable && !self.epoch.as_ref().is_some_and(expelling);
-        match (token, self.table.seat(who)) {
-            (Some(token), seat) if seat.is_none_or(|seat| seat.token != token) => {
+        match (token, self.table.registration(who)) {
+            (Some(token), registration)
+                if registration.is_none_or(|registration| registration.token != token) =>
+            {
                 ToGateway::Gone { who, token }
             }
-            (_, Some(seat)) if grantable => ToGateway::Kept {
+            (_, Some(registration)) if grantable => ToGateway::Kept {
                 who,
-                token: seat.token,
+                token: registration.token,
                 sent,
                 required,
-                seats,
+                registrations,
             },
             // This member leads, that is all.
             _ => ToGateway::State {
@@ -649,7 +660,7 @@
     fn step(&mut self, now: Micros, out: &mut Vec<Action>) {
         if self.epoch.is_some() {
             self.write_verdicts(now, out);
-            self.look_at_seats(now, out);
+            self.look_at_registrations(now, out);
             self.ask_for_confirmation(now, out);
         } else if self.leading {
             self.propose_epoch(now, out);
@@ -706,8 +717,8 @@
         }
     }
 
-    /// Takes away the seats of gateways whose right has certainly run out.
-    fn look_at_seats(&mut self, now: Micros, out: &mut Vec<Action>) {
+    /// Takes away the registrations of gateways whose right has certainly run out.
+    fn look_at_registrations(&mut self, now: Micros, out: &mut Vec<Action>) {
         let Timing {
             renew_us, lease_us, ..
         } = self.timing;
@@ -720,7 +731,7 @@
             return;
         }
         epoch.looked_at = Some(now);
-        for Seat { who, token, .. } in self.table.seats().copied() {
+        for Registration { who, token, .. } in self.table.registrations().copied() {
             let heard_at = *epoch.heard.entry(who.gateway).or_insert(now);
             let proposed_at = epoch.expelling.get(&who.gateway);
             let again = proposed_at.is_none_or(|at| now >= at.saturating_add(renew_us));
@@ -793,7 +804,7 @@
 }
 
 impl Epoch {
-    /// A seat is gone.
+    /// A registration is gone.
     fn vacate(&mut self, gateway: u32) {
         self.heard.remove(&gateway);
         self.expelling.remove(&gateway);
--- a/control/src/versions/coordinator/tests.rs
+++ b/control/src/versions/coordinator/tests.rs
@@ -32,7 +32,7 @@
 }
 
 impl Member {
-    /// One that leads, with seats of these gateways.
+    /// One that leads, with registrations of these gateways.
     fn leading(gateways: std::ops::RangeInclusive<u32>) -> Member {
         let coordinator = Coordinator::new(ME, TIMING);
         let mut member = Member {
@@ -121,15 +121,15 @@
     fn token(&self, number: u32) -> Token {
         self.coordinator
             .table()
-            .seat(gateway(number))
-            .expect("a seat")
+            .registration(gateway(number))
+            .expect("a registration")
             .token
     }
 
     fn beat(&mut self, number: u32) {
-        let seat = self.coordinator.table().seat(gateway(number));
+        let registration = self.coordinator.table().registration(gateway(number));
         let (token, seen) = (
-            seat.map(|seat| seat.token),
+            registration.map(|registration| registration.token),
             self.coordinator.table().changed(),
         );
         let formats = Formats {
@@ -286,7 +286,7 @@
 }
 
 #[test]
-fn a_new_leader_waits_a_whole_wait_before_it_takes_a_seat_away() {
+fn a_new_leader_waits_a_whole_wait_before_it_takes_a_registration_away() {
     let mut member = Member::leading(1..=2);
     member.pass(10 * RENEW, &[1, 2]);
     member.feed(Event::Leading(false));
--- a/control/src/versions/message.rs
+++ b/control/src/versions/message.rs
@@ -7,13 +7,13 @@
 /// What a gateway says to a control member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ToControl {
-    /// Keep my seat for another lease, or give me one.
+    /// Keep my registration for another lease, or give me one.
     Heartbeat {
         /// Who.
         who: NodeIdentity,
         /// What it understands.
         formats: Formats,
-        /// Its seat, once it has one.
+        /// Its registration, once it has one.
         token: Option<Token>,
         /// When it asked, microseconds on its own clock; it counts its right from then.
         sent: Micros,
@@ -24,7 +24,7 @@
     Verdict {
         /// Who judges.
         who: NodeIdentity,
-        /// Its seat.
+        /// Its registration.
         token: Token,
         /// Of what.
         topic: Topic,
@@ -37,7 +37,7 @@
     Offer {
         /// Who offers.
         who: NodeIdentity,
-        /// Its seat.
+        /// Its registration.
         token: Token,
         /// Of what.
         topic: Topic,
@@ -55,11 +55,11 @@
         /// What it did.
         spans: Vec<Span>,
     },
-    /// Take my seat: I have stopped acting.
+    /// Take my registration: I have stopped acting.
     Leave {
         /// Who.
         who: NodeIdentity,
-        /// Its seat.
+        /// Its registration.
         token: Token,
     },
 }
@@ -84,14 +84,14 @@
     Kept {
         /// Who.
         who: NodeIdentity,
-        /// Its seat.
+        /// Its registration.
         token: Token,
         /// When it asked, as its heartbeat said.
         sent: Micros,
         /// The entry that last changed a topic: the right holds only for who has seen it.
         required: Index,
-        /// How many gateways have a seat.
-        seats: u32,
+        /// How many gateways have a registration.
+        registrations: u32,
     },
     /// How the topics stand that changed after `since`.
     State {
@@ -102,14 +102,14 @@
         /// The topics that changed in between.
         topics: Vec<TopicState>,
     },
-    /// That seat is not yours any more: stop, and join again later.
+    /// That registration is not yours any more: stop, and join again later.
     Gone {
         /// Whose.
         who: NodeIdentity,
-        /// The seat.
+        /// The registration.
         token: Token,
     },
-    /// What a gateway asked for, a seat or a version, was refused.
+    /// What a gateway asked for, a registration or a version, was refused.
     Refused {
         /// Who asked.
         who: NodeIdentity,
--- a/control/src/versions/mod.rs
+++ b/control/src/versions/mod.rs
@@ -1,22 +1,22 @@
 //! Which version of what the fleet shares is in force, who may act on it, and who acted on which.
 //!
 //! A *topic* has versions: the operator's file, the placement of cells, the catalog of statements, the program's own
-//! format. A new version is **offered** by an entry of the log, every gateway that holds a **seat** judges it, and it
-//! comes **in force** at the entry that completes their verdicts: each has accepted it, or has lost its seat. One refusal
-//! drops it, with its reason, and the former one stays. A seat is a right to act.
+//! format. A new version is **offered** by an entry of the log, every gateway that holds a **registration** judges it, and it
+//! comes **in force** at the entry that completes their verdicts: each has accepted it, or has lost its registration. One refusal
+//! drops it, with its reason, and the former one stays. A registration is a right to act.
 //!
 //! There are two roles. **Control members** hold the log. The one that leads it opens an **epoch** by an entry
-//! ([`Command::Lead`]); its [`Coordinator`] keeps seats in memory, tells gateways how the topics stand, and writes what
+//! ([`Command::Lead`]); its [`Coordinator`] keeps registrations in memory, tells gateways how the topics stand, and writes what
 //! they decide. **Gateways** hold no log: the [`Client`] of each sends **heartbeats** to the control member that leads. A
 //! heartbeat is answered only once a quorum has confirmed, after it came, that no later leader was elected; its gateway
-//! may then act for a lease, counted from when it sent the heartbeat. A seat is taken away ([`Command::Expel`]) only when
+//! may then act for a lease, counted from when it sent the heartbeat. A registration is taken away ([`Command::Expel`]) only when
 //! a whole wait has passed since the last heartbeat that may have kept it, and since the epoch began; and only by the
-//! epoch that is the last in the log. So a gateway stops by itself before its seat is gone.
+//! epoch that is the last in the log. So a gateway stops by itself before its registration is gone.
 //!
 //! Why no gateway ever acts on a third version: a verdict on version `n` comes from a gateway that was told that `n` is
 //! offered and its predecessor in force, and that ignores older word from then on; `n` comes in force only with the
-//! verdicts of all seats; a newcomer acts only once it has seen the last change of any topic. So whoever has a right to
-//! act then acts on `n` or on its predecessor. It rests on the log's order and, for seats that are taken away, on clock
+//! verdicts of all registrations; a newcomer acts only once it has seen the last change of any topic. So whoever has a right to
+//! act then acts on `n` or on its predecessor. It rests on the log's order and, for registrations that are taken away, on clock
 //! rates alone (`docs/design/control.md`).
 //!
 //! [`Coordinator`] and [`Client`] are the doors of the two roles: events in, actions out, time an argument. Nothing here
@@ -33,7 +33,7 @@
 pub use client::{Client, Right, Why};
 pub use coordinator::Coordinator;
 pub use message::{ToControl, ToGateway, TopicState};
-pub use table::{Open, Outcome, Refusal, Seat, Standing, Table, Version};
+pub use table::{Open, Outcome, Refusal, Registration, Standing, Table, Version};
 pub(crate) use wire::{topic, Report, Who};
 
 use crate::lease::{Index, NodeIdentity, Token};
@@ -118,30 +118,30 @@
 /// What control members write into the log about versions. Whether one takes effect depends on the log alone.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Command {
-    /// I lead the log: from here on seats are kept and taken away by my word.
+    /// I lead the log: from here on registrations are kept and taken away by my word.
     Lead {
         /// The control member.
         who: NodeIdentity,
     },
-    /// Give this gateway a seat.
+    /// Give this gateway a registration.
     Join {
         /// Which.
         who: NodeIdentity,
         /// What it understands.
         formats: Formats,
     },
-    /// Take the seat of a gateway that has stopped acting.
+    /// Take the registration of a gateway that has stopped acting.
     Leave {
         /// Whose.
         who: NodeIdentity,
-        /// The seat.
+        /// The registration.
         token: Token,
     },
-    /// Take the seat of a gateway whose right has run out.
+    /// Take the registration of a gateway whose right has run out.
     Expel {
         /// Whose.
         who: NodeIdentity,
-        /// The seat.
+        /// The registration.
         token: Token,
         /// The epoch in which this was decided: in a later one it has no effect.
         epoch: Index,
@@ -150,7 +150,7 @@
     Offer {
         /// Who offers.
         who: NodeIdentity,
-        /// Its seat.
+        /// Its registration.
         token: Token,
         /// Of what.
         topic: Topic,
@@ -165,14 +165,14 @@
         topic: Topic,
         /// The version.
         number: u64,
-        /// Who, and their seats.
+        /// Who, and their registrations.
         by: Vec<(NodeIdentity, Token)>,
     },
     /// A gateway refuses a version.
     Refuse {
         /// Who.
         who: NodeIdentity,
-        /// Its seat.
+        /// Its registration.
         token: Token,
         /// Of what.
         topic: Topic,
--- a/control/src/versions/table.rs
+++ b/control/src/versions/table.rs
@@ -1,4 +1,4 @@
-//! What the log says of versions and seats: applied entry by entry, alike at every control member.
+//! What the log says of versions and registrations: applied entry by entry, alike at every control member.
 
 use super::{
     reason_up_to_longest, Audit, Command, Content, Formats, Index, NodeIdentity, Token, Topic,
@@ -10,7 +10,7 @@
 
 /// A gateway's right to act.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Seat {
+pub struct Registration {
     /// Whose.
     pub who: NodeIdentity,
     /// The entry that gave it: goes with every action, and an older one is refused.
@@ -71,12 +71,12 @@
 pub enum Outcome {
     /// A control member began an epoch, which has the index of this entry.
     Leads(NodeIdentity),
-    /// A gateway has a seat.
-    Seated(Seat),
+    /// A gateway has a registration.
+    Registered(Registration),
     /// It gave it back.
-    Left(Seat),
+    Left(Registration),
     /// It lost it.
-    Expelled(Seat),
+    Expelled(Registration),
     /// A version was offered.
     Offered {
         /// Of what.
@@ -125,10 +125,10 @@
 /// Why an entry took no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum Refusal {
-    /// A seat that is not the gateway's, or not any more.
-    #[error("its seat was taken away; it has to join again")]
+    /// A registration that is not the gateway's, or not any more.
+    #[error("its registration was taken away; it has to join again")]
     Stale,
-    /// The gateway has a seat, from an earlier incarnation perhaps, whose right may still run.
+    /// The gateway has a registration, from an earlier incarnation perhaps, whose right may still run.
     #[error("an earlier incarnation of this gateway may still act; it may join once that one's right has run out")]
     Occupied,
     /// A version in force, or offered, that the gateway does not understand.
@@ -138,7 +138,7 @@
         needed: u32,
     },
     /// Decided by a control member that leads no more.
-    #[error("another control member leads since; that one decides who keeps its seat")]
+    #[error("another control member leads since; that one decides who keeps its registration")]
     Epoch,
     /// Another version is offered already.
     #[error("version {0} is being agreed on; ask again once it is in force or refused")]
@@ -157,7 +157,8 @@
 /// All that is agreed on versions. Deterministic: the same entries give the same table on every gateway.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Table {
-    seats: BTreeMap<u32, Seat>,
+    #[serde(rename = "seats")]
+    registrations: BTreeMap<u32, Registration>,
     topics: BTreeMap<Topic, Standing>,
     audit: Audit,
     applied: Index,
@@ -167,13 +168,15 @@
 
 impl Table {
     /// Who may act, by gateway.
-    pub fn seats(&self) -> impl Iterator<Item = &Seat> {
-        self.seats.values()
+    pub fn registrations(&self) -> impl Iterator<Item = &Registration> {
+        self.registrations.values()
     }
 
-    /// The seat of a gateway in this incarnation.
-    pub fn seat(&self, who: NodeIdentity) -> Option<&Seat> {
-        self.seats.get(&who.gateway).filter(|seat| seat.who == who)
+    /// The registration of a gateway in this incarnation.
+    pub fn registration(&self, who: NodeIdentity) -> Option<&Registration> {
+        self.registrations
+            .get(&who.gateway)
+            .filter(|registration| registration.who == who)
     }
 
     /// How a topic stands; one that was never offered has nothing in force.
@@ -212,23 +215,23 @@
             .unwrap_or_default()
     }
 
-    /// The version that a newcomer has to wait for: the seats that decide on it are those that there are.
+    /// The version that a newcomer has to wait for: the registrations that decide on it are those that there are.
     pub fn awaited(&self) -> Option<u64> {
         let open = self
             .topics
             .values()
             .find_map(|standing| standing.open.as_ref());
-        open.filter(|_| !self.seats.is_empty())
+        open.filter(|_| !self.registrations.is_empty())
             .map(|open| open.version.number)
     }
 
-    /// Whether a gateway may have a seat now, that it has none.
+    /// Whether a gateway may have a registration now, that it has none.
     ///
     /// # Errors
     ///
     /// The reason why not.
     pub fn joinable(&self, who: NodeIdentity, formats: Formats) -> Result<(), Refusal> {
-        if self.seats.contains_key(&who.gateway) {
+        if self.registrations.contains_key(&who.gateway) {
             return Err(Refusal::Occupied);
         }
         if let Some(number) = self.awaited() {
@@ -259,7 +262,7 @@
         seen: u64,
         content: &Content,
     ) -> Result<(), Refusal> {
-        self.seated(who, token)?;
+        self.registered(who, token)?;
         let standing = self.topics.get(&topic);
         if let Some(open) = standing.and_then(|standing| standing.open.as_ref()) {
             return Err(Refusal::Busy(open.version.number));
@@ -274,11 +277,11 @@
         Ok(())
     }
 
-    /// Whether a late action is to be refused: its seat is not the one that its gateway has now.
+    /// Whether a late action is to be refused: its registration is not the one that its gateway has now.
     pub fn refuses(&self, gateway: u32, token: Token) -> bool {
-        self.seats
+        self.registrations
             .get(&gateway)
-            .is_none_or(|seat| seat.token != token)
+            .is_none_or(|registration| registration.token != token)
     }
 
     /// Applies the entry at `index`, which must be the next one (or one applied before, which is left alone).
@@ -314,17 +317,17 @@
             }
             Command::Join { who, formats } => self.join(index, *who, *formats),
             Command::Leave { who, token } => {
-                let seat = self.seated(*who, *token)?;
-                self.vacate(seat);
-                Ok(Outcome::Left(seat))
+                let registration = self.registered(*who, *token)?;
+                self.vacate(registration);
+                Ok(Outcome::Left(registration))
             }
             Command::Expel { who, token, epoch } => {
-                let seat = self.seated(*who, *token)?;
+                let registration = self.registered(*who, *token)?;
                 if *epoch != self.epoch {
                     return Err(Refusal::Epoch);
                 }
-                self.vacate(seat);
-                Ok(Outcome::Expelled(seat))
+                self.vacate(registration);
+                Ok(Outcome::Expelled(registration))
             }
             Command::Offer {
                 who,
@@ -344,7 +347,7 @@
                 number,
                 reason,
             } => {
-                self.seated(*who, *token)?;
+                self.registered(*who, *token)?;
                 self.refuse(index, *who, *topic, *number, reason)
             }
             Command::Report {
@@ -362,15 +365,17 @@
         }
     }
 
-    /// The seat that goes by this token.
-    fn seated(&self, who: NodeIdentity, token: Token) -> Result<Seat, Refusal> {
-        let seat = self.seat(who).filter(|seat| seat.token == token);
-        seat.copied().ok_or(Refusal::Stale)
+    /// The registration that goes by this token.
+    fn registered(&self, who: NodeIdentity, token: Token) -> Result<Registration, Refusal> {
+        let registration = self
+            .registration(who)
+            .filter(|registration| registration.token == token);
+        registration.copied().ok_or(Refusal::Stale)
     }
 
-    fn vacate(&mut self, seat: Seat) {
-        let gateway = seat.who.gateway;
-        self.seats.remove(&gateway);
+    fn vacate(&mut self, registration: Registration) {
+        let gateway = registration.who.gateway;
+        self.registrations.remove(&gateway);
         let open = self
             .topics
             .values_mut()
@@ -387,13 +392,13 @@
         formats: Formats,
     ) -> Result<Outcome, Refusal> {
         self.joinable(who, formats)?;
-        let seat = Seat {
+        let registration = Registration {
             who,
             token: Token(index.0),
             formats,
         };
-        self.seats.insert(who.gateway, seat);
-        Ok(Outcome::Seated(seat))
+        self.registrations.insert(who.gateway, registration);
+        Ok(Outcome::Registered(registration))
     }
 
     fn offer(
@@ -435,10 +440,10 @@
         number: u64,
         by: &[(NodeIdentity, Token)],
     ) -> Result<Outcome, Refusal> {
-        let seated = by
+        let registered = by
             .iter()
-            .filter(|(who, token)| self.seated(*who, *token).is_ok());
-        let accepted: Vec<u32> = seated.map(|(who, _)| who.gateway).collect();
+            .filter(|(who, token)| self.registered(*who, *token).is_ok());
+        let accepted: Vec<u32> = registered.map(|(who, _)| who.gateway).collect();
         if accepted.is_empty() {
             return Err(Refusal::Stale);
         }
@@ -470,12 +475,16 @@
 
     /// Puts in force what all who may act have accepted.
     fn complete(&mut self, index: Index, out: &mut Vec<Outcome>) {
-        let seats = &self.seats;
-        if seats.is_empty() {
+        let registrations = &self.registrations;
+        if registrations.is_empty() {
             return;
         }
         for (topic, standing) in &mut self.topics {
-            let all = |open: &mut Open| seats.keys().all(|gateway| open.accepted.contains(gateway));
+            let all = |open: &mut Open| {
+                registrations
+                    .keys()
+                    .all(|gateway| open.accepted.contains(gateway))
+            };
             if let Some(open) = standing.open.take_if(all) {
                 let (number, before) = (open.version.number, standing.number());
                 standing.before = before;
--- a/control/src/versions/table/tests.rs
+++ b/control/src/versions/table/tests.rs
@@ -40,7 +40,10 @@
             who: who(gateway),
             formats: FORMATS,
         });
-        self.table.seat(who(gateway)).expect("a seat").token
+        self.table
+            .registration(who(gateway))
+            .expect("a registration")
+            .token
     }
 
     fn offer(&mut self, gateway: u32, token: Token) -> u64 {
@@ -73,7 +76,7 @@
 }
 
 #[test]
-fn a_seat_is_taken_away_by_the_last_epoch_alone() {
+fn a_registration_is_taken_away_by_the_last_epoch_alone() {
     let mut log = Log::default();
     log.apply(Command::Lead { who: who(1) });
     let (first, token) = (log.table.epoch(), log.join(2));
@@ -92,16 +95,17 @@
         epoch: second,
     };
     assert_eq!(log.refused(other), Refusal::Stale);
-    assert_eq!(log.table.seats().count(), 1);
+    assert_eq!(log.table.registrations().count(), 1);
     assert!(
-        matches!(log.apply(expel(second))[..], [Outcome::Expelled(seat)] if seat.token == token)
+        matches!(log.apply(expel(second))[..], [Outcome::Expelled(registration)] if registration.token == token)
     );
-    assert_eq!(log.table.seats().count(), 0);
+    assert_eq!(log.table.registrations().count(), 0);
     assert_eq!(log.refused(expel(second)), Refusal::Stale, "doubled");
 }
 
 #[test]
-fn a_version_is_in_force_once_every_seat_accepted_it_and_each_seat_counts_by_its_token() {
+fn a_version_is_in_force_once_every_registration_accepted_it_and_each_registration_counts_by_its_token(
+) {
     let mut log = Log::default();
     let (one, two) = (log.join(1), log.join(2));
     let number = log.offer(1, one);
@@ -131,7 +135,7 @@
         }
     );
     assert_eq!(log.table.changed(), log.table.applied());
-    // The seat that holds up the next one goes, and the others' acceptances decide.
+    // The registration that holds up the next one goes, and the others' acceptances decide.
     let next = log.offer(2, two);
     log.accept(next, &[(1, one)]);
     let left = log.apply(Command::Leave {
@@ -175,7 +179,7 @@
 }
 
 #[test]
-fn nobody_joins_under_an_open_version_but_where_no_seat_is_left() {
+fn nobody_joins_under_an_open_version_but_where_no_registration_is_left() {
     let mut log = Log::default();
     let one = log.join(1);
     let number = log.offer(1, one);
@@ -203,7 +207,7 @@
             before: 0
         }
     );
-    assert!(matches!(log.apply(third)[..], [Outcome::Seated(_)]));
+    assert!(matches!(log.apply(third)[..], [Outcome::Registered(_)]));
     assert_eq!(log.refused(join), Refusal::Occupied);
     let old = Command::Join {
         who: who(4),
--- a/control/src/versions/wire.rs
+++ b/control/src/versions/wire.rs
@@ -64,7 +64,7 @@
                 sequence,
                 spans,
             } => FromGateway::Report(Report::of(*who, *sequence, spans)),
-            ToControl::Leave { who, token } => FromGateway::Leave(Seat::of(*who, *token)),
+            ToControl::Leave { who, token } => FromGateway::Leave(Registration::of(*who, *token)),
         };
         ControlMessage { body: Some(body) }.encode_to_vec()
     }
@@ -108,9 +108,9 @@
                 sequence: report.sequence,
                 spans: report.spans()?,
             },
-            FromGateway::Leave(seat) => ToControl::Leave {
-                who: seat.who.identity(),
-                token: Token(seat.token),
+            FromGateway::Leave(registration) => ToControl::Leave {
+                who: registration.who.identity(),
+                token: Token(registration.token),
             },
         })
     }
@@ -125,13 +125,13 @@
                 token,
                 sent,
                 required,
-                seats,
+                registrations,
             } => FromControl::Kept(Kept {
                 who: Who::of(*who),
                 token: token.0,
                 sent: *sent,
                 required: required.0,
-                seats: *seats,
+                registrations: *registrations,
             }),
             ToGateway::State {
                 as_of,
@@ -142,7 +142,7 @@
                 since: since.0,
                 topics: topics.iter().map(Standing::of).collect(),
             }),
-            ToGateway::Gone { who, token } => FromControl::Gone(Seat::of(*who, *token)),
+            ToGateway::Gone { who, token } => FromControl::Gone(Registration::of(*who, *token)),
             ToGateway::Refused { who, why } => FromControl::Refused(Refused::of(*who, *why)),
             ToGateway::Dropped {
                 topic,
@@ -179,7 +179,7 @@
                 token: Token(kept.token),
                 sent: kept.sent,
                 required: Index(kept.required),
-                seats: kept.seats,
+                registrations: kept.registrations,
             },
             FromControl::State(state) => {
                 if state.topics.len() > Topic::ALL.len() {
@@ -192,9 +192,9 @@
                     topics: topics.collect::<Result<_, DecodeError>>()?,
                 }
             }
-            FromControl::Gone(seat) => ToGateway::Gone {
-                who: seat.who.identity(),
-                token: Token(seat.token),
+            FromControl::Gone(registration) => ToGateway::Gone {
+                who: registration.who.identity(),
+                token: Token(registration.token),
             },
             FromControl::Refused(refused) => ToGateway::Refused {
                 who: refused.who.identity(),
@@ -340,7 +340,7 @@
     #[prost(message, tag = "4")]
     Report(Report),
     #[prost(message, tag = "5")]
-    Leave(Seat),
+    Leave(Registration),
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -391,16 +391,16 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct Seat {
+struct Registration {
     #[prost(message, required, tag = "1")]
     who: Who,
     #[prost(uint64, tag = "2")]
     token: u64,
 }
 
-impl Seat {
-    fn of(who: NodeIdentity, token: Token) -> Seat {
-        Seat {
+impl Registration {
+    fn of(who: NodeIdentity, token: Token) -> Registration {
+        Registration {
             who: Who::of(who),
             token: token.0,
         }
@@ -420,7 +420,7 @@
     #[prost(message, tag = "2")]
     State(State),
     #[prost(message, tag = "3")]
-    Gone(Seat),
+    Gone(Registration),
     #[prost(message, tag = "4")]
     Refused(Refused),
     #[prost(message, tag = "5")]
@@ -442,7 +442,7 @@
     #[prost(uint64, tag = "4")]
     required: u64,
     #[prost(uint32, tag = "5")]
-    seats: u32,
+    registrations: u32,
 }
 
 #[derive(Clone, PartialEq, Message)]
--- a/control/src/versions/wire/tests.rs
+++ b/control/src/versions/wire/tests.rs
@@ -102,7 +102,7 @@
             token: TOKEN,
             sent: 5,
             required: Index(9),
-            seats: 410,
+            registrations: 410,
         },
         ToGateway::State {
             as_of: Index(9),
--- a/rig/src/cluster/history.rs
+++ b/rig/src/cluster/history.rs
@@ -123,15 +123,20 @@
             .or_default();
         of.push((number(line, "at"), version));
     }
-    let seats = spans(lines.iter(), "seat: acting", "seat: stopped", |_| true);
+    let registrations = spans(
+        lines.iter(),
+        "registration: acting",
+        "registration: stopped",
+        |_| true,
+    );
     for (topic, gateways) in &steps {
         let moments = gateways.values().flatten().map(|(at, _)| *at);
-        for at in moments.chain(seats.iter().map(|seat| seat.from)) {
-            let acted = seats
+        for at in moments.chain(registrations.iter().map(|registration| registration.from)) {
+            let acted = registrations
                 .iter()
-                .filter(|seat| (seat.from..seat.until).contains(&at))
-                .filter_map(|seat| {
-                    let steps = gateways.get(&seat.gateway)?;
+                .filter(|registration| (registration.from..registration.until).contains(&at))
+                .filter_map(|registration| {
+                    let steps = gateways.get(&registration.gateway)?;
                     steps
                         .iter()
                         .rev()
--- a/rig/src/cluster/history/tests.rs
+++ b/rig/src/cluster/history/tests.rs
@@ -10,10 +10,10 @@
     line(gateway, fields)
 }
 
-fn seat(gateway: u64, at: u64, until: u64) -> Line {
+fn registration(gateway: u64, at: u64, until: u64) -> Line {
     line(
         gateway,
-        json!({"message": "seat: acting", "at": at, "token": 1, "until": until}),
+        json!({"message": "registration: acting", "at": at, "token": 1, "until": until}),
     )
 }
 
@@ -42,8 +42,8 @@
 #[test]
 fn a_third_version_or_another_order_is_found() {
     let good = [
-        seat(1, 0, 100),
-        seat(2, 0, 100),
+        registration(1, 0, 100),
+        registration(2, 0, 100),
         force(1, 10, 3, 0),
         force(2, 20, 3, 0),
         force(1, 30, 7, 3),
@@ -58,8 +58,8 @@
     // One that was killed starts again and learns the versions anew, while its former life's right would still run.
     let killed = line(2, json!({"message": KILLED, "at": 25}));
     let reborn = [
-        seat(1, 0, 100),
-        seat(2, 0, 100),
+        registration(1, 0, 100),
+        registration(2, 0, 100),
         force(2, 5, 3, 0),
         killed,
         force(2, 30, 3, 0),
@@ -71,8 +71,8 @@
     );
     // One whose right has run out acts on nothing.
     let lapsed = [
-        seat(1, 0, 100),
-        seat(2, 0, 35),
+        registration(1, 0, 100),
+        registration(2, 0, 35),
         force(2, 20, 3, 0),
         force(1, 30, 7, 3),
         force(1, 40, 9, 7),
--- a/rig/src/cluster/mod.rs
+++ b/rig/src/cluster/mod.rs
@@ -52,8 +52,8 @@
         matches!(self, Role::Voter | Role::Member)
     }
 
-    /// Whether it has a seat, and puts versions in force.
-    fn seated(self) -> bool {
+    /// Whether it has a registration, and puts versions in force.
+    fn registered(self) -> bool {
         self != Role::Member
     }
 }
@@ -312,10 +312,10 @@
         ended
     }
 
-    /// Processes that have a seat.
-    fn seated(&self) -> Vec<usize> {
+    /// Processes that have a registration.
+    fn registered(&self) -> Vec<usize> {
         (0..self.roles.len())
-            .filter(|gateway| self.roles[*gateway].seated())
+            .filter(|gateway| self.roles[*gateway].registered())
             .collect()
     }
 
@@ -476,17 +476,17 @@
     /// A file could not be written, or a process could not be signalled.
     pub fn agree_without(&mut self, within: Duration, gone: usize) -> io::Result<Option<Duration>> {
         let began = Instant::now();
-        let seated = self.seated();
+        let registered = self.registered();
         let newest = self.newest();
         for round in 0.. {
             if began.elapsed() >= within {
                 return Ok(None);
             }
-            // Who offers may have no seat yet: each in turn.
-            self.offer(seated[round % seated.len()], None)?;
+            // Who offers may have no registration yet: each in turn.
+            self.offer(registered[round % registered.len()], None)?;
             let everywhere = |cluster: &Cluster| {
                 let (all, now) = (cluster.standings(), crate::now());
-                let there = seated.iter().filter(|gateway| **gateway != gone);
+                let there = registered.iter().filter(|gateway| **gateway != gone);
                 let there: Vec<Standing> = there.map(|gateway| all[*gateway]).collect();
                 let number = there[0].in_force;
                 number > newest
--- a/rig/src/scale/fleet.rs
+++ b/rig/src/scale/fleet.rs
@@ -22,7 +22,7 @@
 const LOOK: Duration = Duration::from_millis(100);
 /// How long a real gateway may take to start.
 const START: Duration = Duration::from_secs(20);
-/// Time after which a version that is not in force is offered again: more than it takes to judge one, or to take a seat away.
+/// Time after which a version that is not in force is offered again: more than it takes to judge one, or to take a registration away.
 const AGAIN: Duration = Duration::from_secs(5);
 /// How long gateways that were told to drain are given to tell the others.
 const DRAIN: Duration = Duration::from_millis(500);
@@ -309,7 +309,7 @@
             .max()
             .unwrap_or(0);
         while began.elapsed() < within {
-            // Who offers may just have lost its seat: each in turn.
+            // Who offers may just have lost its registration: each in turn.
             self.offer(self.edition as u32 % VOTERS + 1)?;
             let left = within.saturating_sub(began.elapsed()).min(AGAIN);
             let (done, all) =
--- a/rig/src/standing.rs
+++ b/rig/src/standing.rs
@@ -29,8 +29,8 @@
                 "version: in force" => {
                     (found.in_force, found.since) = (number("number"), number("at"))
                 }
-                "seat: acting" => found.until = number("until"),
-                message if message.starts_with("seat: stopped") => found.until = 0,
+                "registration: acting" => found.until = number("until"),
+                message if message.starts_with("registration: stopped") => found.until = 0,
                 _ => {}
             }
         }
@@ -38,7 +38,7 @@
     }
 
     /// Whether it may act at this time. A gateway that has just connected may know of a version in force before it has a
-    /// seat: it does not act on it yet.
+    /// registration: it does not act on it yet.
     pub fn acts(&self, at: u64) -> bool {
         self.until > at
     }
--- a/rig/tests/member_traffic.rs
+++ b/rig/tests/member_traffic.rs
@@ -24,7 +24,7 @@
     let log = [
         traffic(1, 1),
         traffic(2_000_001, 5),
-        line(json!({"message": "seat: acting"})),
+        line(json!({"message": "registration: acting"})),
     ];
     let last = MemberTotals::logged(&log).expect("it is there");
     assert_eq!(
--- a/rig/tests/standing.rs
+++ b/rig/tests/standing.rs
@@ -22,11 +22,11 @@
 }
 
 fn acting(at: u64, until: u64) -> Value {
-    json!({"message": "seat: acting", "at": at, "token": 6, "until": until})
+    json!({"message": "registration: acting", "at": at, "token": 6, "until": until})
 }
 
 #[test]
-fn a_version_that_is_known_without_a_seat_is_not_acted_on() {
+fn a_version_that_is_known_without_a_registration_is_not_acted_on() {
     let told = logged(&[json!("no JSON"), in_force(5, 3)]);
     assert_eq!(
         told,
@@ -42,14 +42,14 @@
 
 #[test]
 fn a_right_counts_from_its_heartbeat_and_ends_by_time_or_by_word() {
-    let seated = logged(&[
+    let registered = logged(&[
         in_force(5, 3),
         acting(8, 37),
         acting(20, 49),
         in_force(21, 7),
     ]);
     assert_eq!(
-        seated,
+        registered,
         Standing {
             gateway: 4,
             in_force: 7,
@@ -57,8 +57,8 @@
             until: 49
         }
     );
-    assert!(seated.acts(48) && !seated.acts(49));
-    assert_eq!(seated.asked_at(LEASE_US), 19);
-    let stopped = json!({"message": "seat: stopped: it drains", "at": 22});
+    assert!(registered.acts(48) && !registered.acts(49));
+    assert_eq!(registered.asked_at(LEASE_US), 19);
+    let stopped = json!({"message": "registration: stopped: it drains", "at": 22});
     assert!(!logged(&[in_force(5, 3), acting(20, 49), stopped]).acts(23));
 }
--- a/src/bin/asterreel/control.rs
+++ b/src/bin/asterreel/control.rs
@@ -1,4 +1,4 @@
-//! A control member on its own: it shares the log and serves gateways, and has no clients, databases or seat.
+//! A control member on its own: it shares the log and serves gateways, and has no clients, databases or registration.
 
 use crate::cli::{Control, Files, EVALUATION};
 use asterreel_control::clock::Clock;
--- a/src/bin/asterreel/fleetwide.rs
+++ b/src/bin/asterreel/fleetwide.rs
@@ -19,7 +19,7 @@
     counted: u64,
     /// How many there are by the operator's file or the platform's settings.
     gateways: u32,
-    /// Whether it had no seat when it was looked at last.
+    /// Whether it had no registration when it was looked at last.
     shut_out: Option<bool>,
 }
 
@@ -97,12 +97,16 @@
             .map(|(_, evaluated)| evaluated)
     }
 
-    /// Divides what the fleet may admit among those who have a seat; among all that there are where this gateway can't
+    /// Divides what the fleet may admit among those who have a registration; among all that there are where this gateway can't
     /// tell, so that one that is cut off takes its own part and no more. Says whether it is shut out, where that is news.
     pub(crate) fn share(&mut self, gateway: &Gateway) -> Option<bool> {
         let view = self.peers.view();
         let sure = view.right(gateway.core.clock.now()).is_some();
-        gateway.share(if sure { view.seats } else { self.gateways });
+        gateway.share(if sure {
+            view.registrations
+        } else {
+            self.gateways
+        });
         (self.shut_out.replace(!sure) != Some(!sure)).then_some(!sure)
     }
 
--- a/src/bin/asterreel/health/mod.rs
+++ b/src/bin/asterreel/health/mod.rs
@@ -64,7 +64,7 @@
         let _ = self.words.send(Word::Stopping);
     }
 
-    /// Whether the gateway has no seat in the fleet's log.
+    /// Whether the gateway has no registration in the fleet's log.
     pub(crate) fn shut_out(&self, shut_out: bool) {
         let _ = self.words.send(Word::ShutOut(shut_out));
     }
--- a/src/health/mod.rs
+++ b/src/health/mod.rs
@@ -64,7 +64,7 @@
     NoMember,
     /// Fresh connections are not accepted; those that are open are served.
     Accept,
-    /// The fleet's log can't be reached, or the others took the gateway's seat away: it may not act on what they agree.
+    /// The fleet's log can't be reached, or the others took the gateway's registration away: it may not act on what they agree.
     ShutOut,
     /// The operator's file says so.
     Maintenance,
@@ -169,7 +169,7 @@
     Terminate,
     /// Connections are being closed.
     Stopping,
-    /// Whether the gateway has no seat in the fleet's log, where there is one.
+    /// Whether the gateway has no registration in the fleet's log, where there is one.
     ShutOut(bool),
     /// The operator's file was read again.
     Configured(Knobs),
--- a/src/readmission/mod.rs
+++ b/src/readmission/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! When a gateway dies or restarts, its clients arrive at it or at the others together, and each costs a handshake and
 //! connections at databases that all gateways share. A fleet has a budget of new sessions a second; each gateway takes
-//! its part, by how many have a seat in the fleet's log just now, or by how many there are at all where it can't tell.
+//! its part, by how many have a registration in the fleet's log just now, or by how many there are at all where it can't tell.
 //! Within it a client is admitted at once. Beyond it, it is told at once when to come again, at a time of its own: the
 //! next free one of a row that is as dense as the budget allows, so that returns come spread. It never holds a client
 //! back silently, never admits none, and never more than the budget and one burst.
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -25,11 +25,11 @@
     let stopped = |gateway: u64| {
         move |cluster: &Cluster| {
             let own = cluster.history();
-            let seats = own.iter().filter(|line| line.gateway == gateway);
-            let last = seats
+            let registrations = own.iter().filter(|line| line.gateway == gateway);
+            let last = registrations
                 .filter_map(|line| line.fields["message"].as_str())
-                .rfind(|m| m.starts_with("seat: "));
-            last.is_some_and(|message| message.starts_with("seat: stopped"))
+                .rfind(|m| m.starts_with("registration: "));
+            last.is_some_and(|message| message.starts_with("registration: stopped"))
         }
     };
     for gateway in [1, 2] {
@@ -109,7 +109,7 @@
     .expect("started");
     assert!(cluster.agree(LONG).expect("played").is_some());
     cluster.kill(0);
-    // Two are left once the dead one's seat is taken away: each admits 45 a second.
+    // Two are left once the dead one's registration is taken away: each admits 45 a second.
     assert!(cluster.agree_without(LONG, 0).expect("played").is_some());
     let storm = cluster.storm(1, 200, Duration::from_secs(20));
     let mut admitted = storm.admitted.clone();
@@ -135,7 +135,7 @@
     let _alone = alone();
     let mut cluster = agreed(3, 3);
     cluster.signal(0, Signal::SIGSTOP);
-    // A version that all others act on without its verdict: its seat is taken away by then.
+    // A version that all others act on without its verdict: its registration is taken away by then.
     assert!(
         cluster.agree_without(LONG, 0).expect("played").is_some(),
         "{:?}",
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -28,8 +28,8 @@
     cluster
 }
 
-/// What a gateway said of its seat, in order: when, the seat, and whether it may act.
-fn seats(cluster: &Cluster, gateway: usize) -> Vec<(u64, u64, bool)> {
+/// What a gateway said of its registration, in order: when, the registration, and whether it may act.
+fn registrations(cluster: &Cluster, gateway: usize) -> Vec<(u64, u64, bool)> {
     let own = cluster
         .history()
         .into_iter()
@@ -38,8 +38,8 @@
         let message = line.fields["message"].as_str()?;
         let at = line.fields["at"].as_u64()?;
         match message {
-            "seat: acting" => Some((at, line.fields["token"].as_u64()?, true)),
-            _ if message.starts_with("seat: stopped") => Some((at, 0, false)),
+            "registration: acting" => Some((at, line.fields["token"].as_u64()?, true)),
+            _ if message.starts_with("registration: stopped") => Some((at, 0, false)),
             _ => None,
         }
     });
@@ -49,39 +49,39 @@
 /// Whether a gateway's right was renewed after some moment.
 fn renewed(gateway: usize, after: u64) -> impl Fn(&Cluster) -> bool {
     move |cluster| {
-        let last = seats(cluster, gateway).last().copied();
+        let last = registrations(cluster, gateway).last().copied();
         last.is_some_and(|(at, _, acting)| acting && at > after)
     }
 }
 
-/// Has a leader fall in some way; gateways go on under the seats that they had, and a version comes in force after that.
+/// Has a leader fall in some way; gateways go on under the registrations that they had, and a version comes in force after that.
 fn outlives(cluster: &mut Cluster, served: &[usize], fall: impl FnOnce(&mut Cluster, usize)) {
-    let seated: Vec<_> = served
+    let registered: Vec<_> = served
         .iter()
-        .map(|gateway| seats(cluster, *gateway))
+        .map(|gateway| registrations(cluster, *gateway))
         .collect();
-    let all_act = seated
+    let all_act = registered
         .iter()
         .all(|said| said.last().is_some_and(|(_, _, acting)| *acting));
-    assert!(all_act, "before the fall: {seated:?}");
+    assert!(all_act, "before the fall: {registered:?}");
     let leader = cluster.leader().expect("one leads");
     let at = asterreel_rig::now();
     fall(cluster, leader);
-    for (gateway, before) in served.iter().zip(&seated) {
+    for (gateway, before) in served.iter().zip(&registered) {
         let kept = cluster.wait(ELECTIONS, renewed(*gateway, at + ON_ITS_WAY_MS * 1_000));
         assert!(
             kept.is_some(),
             "gateway {gateway}: {:?}",
-            seats(cluster, *gateway).last()
+            registrations(cluster, *gateway).last()
         );
-        let since = seats(cluster, *gateway);
+        let since = registrations(cluster, *gateway);
         let token = before.last().map(|(_, token, _)| *token);
         let same = since[before.len()..]
             .iter()
             .all(|(_, now, acting)| *acting && Some(*now) == token);
         assert!(
             same,
-            "gateway {gateway} has had another seat than {token:?}: {:?}",
+            "gateway {gateway} has had another registration than {token:?}: {:?}",
             &since[before.len()..]
         );
     }
@@ -98,10 +98,15 @@
     );
     let served = 3;
     let before = cluster.in_force()[served];
-    assert!(before > 0 && seats(&cluster, served).iter().any(|(_, _, acting)| *acting));
+    assert!(
+        before > 0
+            && registrations(&cluster, served)
+                .iter()
+                .any(|(_, _, acting)| *acting)
+    );
     cluster.part(&[served], true);
     let stopped = |cluster: &Cluster| {
-        seats(cluster, served)
+        registrations(cluster, served)
             .last()
             .is_some_and(|(_, _, acting)| !acting)
     };
@@ -171,14 +176,14 @@
     // It asks the others meanwhile, who send it to the leader again; on a busy machine another may lead by then.
     let stopped = |cluster: &Cluster| {
         cluster.part_two(cluster.leader().expect("one leads"), 3);
-        seats(cluster, 3)
+        registrations(cluster, 3)
             .last()
             .is_some_and(|(_, _, acting)| !acting)
     };
     assert!(
         cluster.wait(LONG, stopped).is_some(),
         "{:?}",
-        seats(&cluster, 3).last()
+        registrations(&cluster, 3).last()
     );
     assert!(
         cluster.agree_without(LONG, 3).expect("played").is_some(),
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -389,7 +389,7 @@
     assert_eq!(subject.told().0, State::Hung);
 }
 
-/// One without its seat serves clients on, but others are better; when all are, they are alike.
+/// One without its registration serves clients on, but others are better; when all are, they are alike.
 #[test]
 fn one_that_is_shut_out_of_the_fleet_is_worth_the_floor_until_it_is_back() {
     let mut subject = Subject::up();
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -14,7 +14,7 @@
 const LONG: Duration = Duration::from_secs(120);
 /// How long messages are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Frames that a gateway sends and receives a second at rest, at most, whatever the fleet's size: it keeps its seat once a
+/// Frames that a gateway sends and receives a second at rest, at most, whatever the fleet's size: it keeps its registration once a
 /// second and is answered once; as much again for what is asked anew on a busy machine, and a little over.
 const FRAMES: u64 = 3;
 /// Bytes of such a frame, at most.
@@ -77,14 +77,14 @@
     }
 }
 
-/// Each hollow gateway says and hears what keeps its seat, and no more.
-fn gateways_keep_their_seats_and_say_no_more(before: &Sample, after: &Sample) {
+/// Each hollow gateway says and hears what keeps its registration, and no more.
+fn gateways_keep_their_registrations_and_say_no_more(before: &Sample, after: &Sample) {
     let counts = counts(before, after);
     assert_eq!(counts.len(), (GATEWAYS - VOTERS) as usize);
     // A sample is taken of one process after another: a second over.
     let most = FRAMES * (WINDOW.as_secs() + 1);
     for [frames_in, frames_out, bytes_in, bytes_out] in counts {
-        // A seat that lasts three seconds is kept at least every other one.
+        // A registration that lasts three seconds is kept at least every other one.
         let least = WINDOW.as_secs() / 2;
         assert!(
             (least..=most).contains(&frames_in) && (least..=most).contains(&frames_out),
@@ -187,7 +187,7 @@
         )
         .expect("looked");
     assert!(lapsed, "a third that is cut off stops by itself");
-    // Their seats are taken away a moment after their rights ran out: an offer waits for that.
+    // Their registrations are taken away a moment after their rights ran out: an offer waits for that.
     let moved = fleet.agree(LONG, &[Part::Third]).expect("played").is_some();
     assert!(moved, "the others go on: {:?}", in_force(fleet));
     let behind = in_force(fleet)
@@ -220,7 +220,7 @@
         "all act on one version"
     );
     let (leader, before, after) = rest(&mut fleet);
-    gateways_keep_their_seats_and_say_no_more(&before, &after);
+    gateways_keep_their_registrations_and_say_no_more(&before, &after);
     members_say_no_more_than_they_must(leader, &before, &after);
     sockets_are_the_leaders(leader, &after);
     a_third_is_cut_off_and_comes_back(&mut fleet);
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -3,7 +3,7 @@
 //! leaders change, two believe that they lead at once, they stall and wake with queued heartbeats, are killed, cut off
 //! from all, from each other alone, or hear nothing while what they write still arrives; gateways stall, crash with a new incarnation, are cut off
 //! from all or from one control member alone; contents are refused, not understood or never judged. After every step no
-//! gateway may act on a version that is neither the newest that any acts on nor the one before it, nor under a seat that
+//! gateway may act on a version that is neither the newest that any acts on nor the one before it, nor under a registration that
 //! the log does not give it; reports count each action once; at the end, with the faults over, a version that is offered
 //! is in force everywhere within a bound.
 
@@ -36,7 +36,7 @@
 const LATE_ONE_IN: u32 = 50;
 const LATE_US: u64 = 6_000_000;
 const FAULTS_US: u64 = 60_000_000;
-/// With the faults over: the wait for seats, a rejoin that is damped as far as a run of this length takes it, an offer,
+/// With the faults over: the wait for registrations, a rejoin that is damped as far as a run of this length takes it, an offer,
 /// the verdicts, and the travels of each.
 const CALM_US: u64 = 60_000_000;
 /// Time for the last reports to be counted: a rejoin that is damped, and a report.
@@ -139,7 +139,7 @@
     faults_us: u64,
     /// Every round of confirmation is answered at once, whoever asked.
     unconfirmed: bool,
-    /// Whoever expels a seat is taken for the last leader.
+    /// Whoever expels a registration is taken for the last leader.
     any_epoch: bool,
     /// Nothing is lost, doubled or later than [`TRAVEL_US`], and all gateways but this one judge.
     orderly: Option<Unhelpful>,
@@ -823,9 +823,13 @@
         }
         for (number, (_, token)) in acting {
             let who = gateway_holder(number, self.gateways[number].incarnation);
-            if self.truth.seat(who).is_none_or(|seat| seat.token != token) {
+            if self
+                .truth
+                .registration(who)
+                .is_none_or(|registration| registration.token != token)
+            {
                 let breach = format!(
-                    "{}: {who:?} acts under {token:?}, which is not its seat",
+                    "{}: {who:?} acts under {token:?}, which is not its registration",
                     self.real
                 );
                 self.seen.breaches.push(breach);
@@ -956,7 +960,7 @@
     took.sort_unstable();
     let (median, worst) = (took[took.len() / 2], took[took.len() - 1]);
     println!(
-        "{} runs, {elections} elections, {in_force} versions in force, {refused} refusals heard, {expelled} seats lost",
+        "{} runs, {elections} elections, {in_force} versions in force, {refused} refusals heard, {expelled} registrations lost",
         took.len()
     );
     println!(
@@ -1008,9 +1012,9 @@
     );
 }
 
-/// The check can fail: a former leader goes on to keep seats that a later one has taken away.
+/// The check can fail: a former leader goes on to keep registrations that a later one has taken away.
 #[test]
-fn a_seat_that_is_kept_without_confirmation_is_caught() {
+fn a_registration_that_is_kept_without_confirmation_is_caught() {
     assert!(
         breaching(Play {
             unconfirmed: true,
@@ -1021,9 +1025,9 @@
     );
 }
 
-/// The check can fail: a former leader takes away seats that a later one keeps.
+/// The check can fail: a former leader takes away registrations that a later one keeps.
 #[test]
-fn a_seat_that_a_former_leader_takes_away_is_caught() {
+fn a_registration_that_a_former_leader_takes_away_is_caught() {
     assert!(
         breaching(Play {
             any_epoch: true,
@@ -1034,7 +1038,7 @@
     );
 }
 
-/// How long a change takes that one gateway does not help with, and how many seats it costs.
+/// How long a change takes that one gateway does not help with, and how many registrations it costs.
 fn held_up(seed: u64, unhelpful: Unhelpful) -> (u64, usize) {
     let mut world = World::new(
         seed,
@@ -1043,11 +1047,12 @@
             ..SOUND
         },
     );
-    let everyone =
-        |world: &World| (0..GATEWAYS).all(|number| world.gateways[number].client.seats() == 6);
+    let everyone = |world: &World| {
+        (0..GATEWAYS).all(|number| world.gateways[number].client.registrations() == 6)
+    };
     while !everyone(&world) {
         world.step();
-        assert!(world.real < 20_000_000, "seed {seed}: no seats");
+        assert!(world.real < 20_000_000, "seed {seed}: no registrations");
     }
     // The one that does not help is another than the one that offers, which may have no link at the moment.
     let mut offered_at = None;
@@ -1083,7 +1088,7 @@
     )
 }
 
-/// The longest that a change took in twenty runs. It costs the seat that held it up, and no other.
+/// The longest that a change took in twenty runs. It costs the registration that held it up, and no other.
 fn held_up_at_most(unhelpful: Unhelpful) -> u64 {
     let runs = (1..=20).map(|seed| {
         let (took, expelled) = held_up(seed, unhelpful);
@@ -1097,7 +1102,7 @@
 /// reaches the log.
 const ON_TOP_US: u64 = 2 * TRAVEL_US + TIMING.renew_us / 4 + 50_000;
 
-/// `wait_us` until it counts as a straggler, and `wait_us` from the last heartbeat that may have kept its seat.
+/// `wait_us` until it counts as a straggler, and `wait_us` from the last heartbeat that may have kept its registration.
 #[test]
 fn a_straggler_that_lives_holds_a_change_up_for_two_waits_at_most() {
     let (took, bound) = (
--- a/tests/versions_model.rs
+++ b/tests/versions_model.rs
@@ -1,4 +1,4 @@
-//! All interleavings of gateways with seats and the control members that share a log: frames, proposals and confirmations
+//! All interleavings of gateways with registrations and the control members that share a log: frames, proposals and confirmations
 //! that are late, swapped or lost, entries applied late, elections of which members hear late, looks and crashes at any
 //! point. The machines are the program's own ([`Client`], [`Coordinator`]).
 
@@ -68,7 +68,7 @@
 struct World {
     now: u64,
     log: Vec<Command>,
-    /// Entries that it began with: an epoch, the seats, an offer and the verdicts on it.
+    /// Entries that it began with: an epoch, the registrations, an offer and the verdicts on it.
     begun: usize,
     /// The whole log applied, and by version the one before it.
     truth: Table,
@@ -137,7 +137,7 @@
         for member in 0..explored.members {
             world.tell(member);
         }
-        // The first version is in force, all have seats and act on it: the next is the second, the one after a third.
+        // The first version is in force, all have registrations and act on it: the next is the second, the one after a third.
         world.settle();
         world.now += TICK;
         world.settle();
@@ -341,11 +341,14 @@
             .collect()
     }
 
-    /// Whether a gateway acts under no seat, or under the one that the log gives it.
-    fn seated(&self, number: usize) -> bool {
-        let seat = self.truth.seat(holder(number, self.incarnations[number]));
-        self.acting(number)
-            .is_none_or(|(_, token)| seat.is_some_and(|seat| seat.token == token))
+    /// Whether a gateway acts under no registration, or under the one that the log gives it.
+    fn registered(&self, number: usize) -> bool {
+        let registration = self
+            .truth
+            .registration(holder(number, self.incarnations[number]));
+        self.acting(number).is_none_or(|(_, token)| {
+            registration.is_some_and(|registration| registration.token == token)
+        })
     }
 }
 
@@ -451,8 +454,8 @@
                     .all(|version| version == newest || *version == before)
             }),
             Property::always(
-                "nobody acts under a seat that is not its own",
-                |_, world: &World| (0..world.gateways.len()).all(|number| world.seated(number)),
+                "nobody acts under a registration that is not its own",
+                |_, world: &World| (0..world.gateways.len()).all(|number| world.registered(number)),
             ),
             Property::eventually(
                 "every offer ends and all act on the newest",
@@ -482,9 +485,9 @@
                 world.acted_on().len() == 2
             }),
             Property::sometimes(
-                "a seat is taken away",
+                "a registration is taken away",
                 |explored: &Explored, world: &World| {
-                    world.truth.seats().count() < explored.gateways
+                    world.truth.registrations().count() < explored.gateways
                 },
             ),
         ]
@@ -538,7 +541,7 @@
         "{found:?}"
     );
     assert!(
-        !found.contains(&"nobody acts under a seat that is not its own"),
+        !found.contains(&"nobody acts under a registration that is not its own"),
         "{found:?}"
     );
     assert!(found.contains(&seen), "{found:?}");
@@ -590,8 +593,8 @@
 }
 
 #[test]
-fn in_no_interleaving_does_a_gateway_act_after_a_leader_took_its_seat_away() {
-    let states = is_safe(LED_BY_TWO, "a seat is taken away");
+fn in_no_interleaving_does_a_gateway_act_after_a_leader_took_its_registration_away() {
+    let states = is_safe(LED_BY_TWO, "a registration is taken away");
     assert!(
         states > 20_000,
         "{states} states are too few to mean anything"
@@ -607,14 +610,14 @@
             mail: 2,
             ..LED_BY_TWO
         },
-        "a seat is taken away",
+        "a registration is taken away",
     );
     is_safe(
         Explored {
             ticks: 3,
             ..LED_BY_TWO
         },
-        "a seat is taken away",
+        "a registration is taken away",
     );
     let more = Explored {
         gateways: 2,
@@ -644,7 +647,7 @@
             "{found:?}"
         );
         assert!(
-            !found.contains(&"nobody acts under a seat that is not its own"),
+            !found.contains(&"nobody acts under a registration that is not its own"),
             "{found:?}"
         );
     }
