--- a/control/src/frame/tests.rs
+++ b/control/src/frame/tests.rs
@@ -47,28 +47,28 @@
             sent: 1_000_000,
             seen,
         }),
-        to_control(&ToControl::Offer {
+        to_control(&ToControl::ProposeVersion {
             who: ME,
             token: Token(4),
             topic,
             seen: 3,
             content,
         }),
-        to_control(&ToControl::Verdict {
+        to_control(&ToControl::ValidationResult {
             who: ME,
             token: Token(4),
             topic,
             number: 9,
             verdict: refused,
         }),
-        to_gateway(&ToGateway::Kept {
+        to_gateway(&ToGateway::RegistrationRenewed {
             who: ME,
             token: Token(4),
             sent: 1,
             required: Index(3),
             registrations: 7,
         }),
-        to_gateway(&ToGateway::Elsewhere { leader: Some(3) }),
+        to_gateway(&ToGateway::NotLeader { leader: Some(3) }),
     ];
     let count = all.len();
     (
--- a/control/src/golden_tests.rs
+++ b/control/src/golden_tests.rs
@@ -118,7 +118,7 @@
                 token: TOKEN,
             }),
         ),
-        ("lead", version(V::Lead { who: GATEWAY })),
+        ("lead", version(V::BeginEpoch { who: GATEWAY })),
         (
             "join",
             version(V::Join {
@@ -138,7 +138,7 @@
         ),
         (
             "expel",
-            version(V::Expel {
+            version(V::Expire {
                 who: GATEWAY,
                 token: TOKEN,
                 epoch: Index(12),
@@ -146,7 +146,7 @@
         ),
         (
             "offer",
-            version(V::Offer {
+            version(V::ProposeVersion {
                 who: GATEWAY,
                 token: TOKEN,
                 topic,
@@ -156,7 +156,7 @@
         ),
         (
             "accept",
-            version(V::Accept {
+            version(V::Ack {
                 topic,
                 number,
                 by: vec![(GATEWAY, TOKEN), (other, Token(18))],
@@ -164,7 +164,7 @@
         ),
         (
             "refuse",
-            version(V::Refuse {
+            version(V::Nack {
                 who: GATEWAY,
                 token: TOKEN,
                 topic,
@@ -196,7 +196,7 @@
         oldest: 1,
         newest: 2,
     };
-    let verdict = |verdict| ToControl::Verdict {
+    let verdict = |verdict| ToControl::ValidationResult {
         who,
         token: TOKEN,
         topic: Topic::Operator,
@@ -228,7 +228,7 @@
         ("refuses", verdict(Err("not good".into()))),
         (
             "offer",
-            ToControl::Offer {
+            ToControl::ProposeVersion {
                 who,
                 token: TOKEN,
                 topic: Topic::Program,
@@ -250,7 +250,7 @@
 
 fn to_gateway() -> Vec<(&'static str, ToGateway)> {
     let who = GATEWAY;
-    let refused = |why| ToGateway::Refused { who, why };
+    let refused = |why| ToGateway::RequestRejected { who, why };
     let topics = vec![
         TopicState {
             topic: Topic::Catalog,
@@ -265,7 +265,7 @@
             open: None,
         },
     ];
-    let dropped = ToGateway::Dropped {
+    let dropped = ToGateway::ProposalRejected {
         topic: Topic::Catalog,
         number: 4,
         by: who,
@@ -274,7 +274,7 @@
     vec![
         (
             "kept",
-            ToGateway::Kept {
+            ToGateway::RegistrationRenewed {
                 who,
                 token: TOKEN,
                 sent: 5,
@@ -284,7 +284,7 @@
         ),
         (
             "state",
-            ToGateway::State {
+            ToGateway::TopicStates {
                 as_of: Index(9),
                 since: Index(2),
                 topics,
@@ -292,17 +292,17 @@
         ),
         (
             "state, nothing new",
-            ToGateway::State {
+            ToGateway::TopicStates {
                 as_of: Index(9),
                 since: Index(9),
                 topics: Vec::new(),
             },
         ),
-        ("gone", ToGateway::Gone { who, token: TOKEN }),
+        ("gone", ToGateway::RegistrationExpired { who, token: TOKEN }),
         ("dropped", dropped),
-        ("reported", ToGateway::Reported { who, sequence: 3 }),
-        ("elsewhere, unknown", ToGateway::Elsewhere { leader: None }),
-        ("elsewhere", ToGateway::Elsewhere { leader: Some(2) }),
+        ("reported", ToGateway::ReportCounted { who, sequence: 3 }),
+        ("elsewhere, unknown", ToGateway::NotLeader { leader: None }),
+        ("elsewhere", ToGateway::NotLeader { leader: Some(2) }),
         ("refused 1", refused(Refusal::Stale)),
         ("refused 2", refused(Refusal::Occupied)),
         ("refused 3", refused(Refusal::Format { needed: 3 })),
@@ -344,7 +344,7 @@
         ..Default::default()
     };
     raft.set_msg_type(eraftpb::MessageType::MsgAppend);
-    let command = Command::Version(versions::Command::Lead { who: GATEWAY });
+    let command = Command::Version(versions::Command::BeginEpoch { who: GATEWAY });
     let entry = eraftpb::Entry {
         index: 41,
         term: 7,
@@ -490,7 +490,7 @@
 
     fn offer(&mut self, topic: Topic, seen: u64) -> u64 {
         let token = self.token(SERVED[0]);
-        self.tell(ToControl::Offer {
+        self.tell(ToControl::ProposeVersion {
             who: SERVED[0],
             token,
             topic,
@@ -502,7 +502,7 @@
 
     fn accept(&mut self, who: NodeIdentity, topic: Topic, number: u64) {
         let token = self.token(who);
-        self.tell(ToControl::Verdict {
+        self.tell(ToControl::ValidationResult {
             who,
             token,
             topic,
--- a/control/src/link/gateway.rs
+++ b/control/src/link/gateway.rs
@@ -203,7 +203,7 @@
                         Ok(_) => return End::Broke(BadFrame::Unknown),
                         Err(fault) => return End::Broke(fault),
                     };
-                    if matches!(message, ToGateway::Kept { .. }) {
+                    if matches!(message, ToGateway::RegistrationRenewed { .. }) {
                         self.renewed();
                     }
                     if self.search.events.send(LinkEvent::Received(self.number, message)).await.is_err() {
--- a/control/src/link/tests.rs
+++ b/control/src/link/tests.rs
@@ -185,7 +185,7 @@
         assert!(
             matches!(said, Some(accept::LinkEvent::GatewayMessage(message)) if message == heartbeat(ME))
         );
-        let kept = ToGateway::Kept {
+        let kept = ToGateway::RegistrationRenewed {
             who: ME,
             token: Token(1),
             sent: 1,
@@ -310,7 +310,7 @@
             before: 0,
             open: Some((2, content)),
         };
-        let state = ToGateway::State {
+        let state = ToGateway::TopicStates {
             as_of: Index(2),
             since: Index(0),
             topics: vec![topic],
@@ -336,7 +336,7 @@
             member.events.recv().await,
             Some(accept::LinkEvent::GatewayMessage(_))
         ));
-        let kept = ToGateway::Kept {
+        let kept = ToGateway::RegistrationRenewed {
             who: ME,
             token: Token(1),
             sent: 1,
--- a/control/src/service/gateway.rs
+++ b/control/src/service/gateway.rs
@@ -1,6 +1,6 @@
 //! A gateway's part of the loop: its registration at the control member that leads, and what it hears of versions.
 
-use super::{digest, Notice};
+use super::{digest, ControlEvent};
 use crate::clock::Clock;
 use crate::frame::Hello;
 use crate::lease::NodeIdentity;
@@ -64,7 +64,7 @@
     up: Option<u64>,
     /// When something is due next.
     wake: Option<Micros>,
-    notices: Sender<Notice>,
+    notices: Sender<ControlEvent>,
 }
 
 impl Gateway {
@@ -72,7 +72,7 @@
         asked: &Lease,
         clock: Clock,
         me: NodeIdentity,
-        notices: Sender<Notice>,
+        notices: Sender<ControlEvent>,
         events: mpsc::Sender<LinkEvent>,
         traffic: Traffic,
     ) -> Gateway {
@@ -161,22 +161,24 @@
                 );
             }
             Action::Stop(why) => warn!(at, gateway, "registration: stopped: {why}"),
-            Action::Judge {
+            Action::Validate {
                 topic,
                 number,
                 content,
             } => {
-                let _ = self.notices.send(Notice::Judge(topic, number, content));
+                let _ = self
+                    .notices
+                    .send(ControlEvent::Validate(topic, number, content));
             }
-            Action::Enforce {
+            Action::Activate {
                 topic,
                 number,
                 before,
             } => {
                 info!(at, gateway, ?topic, number, before, "version: in force");
-                let _ = self.notices.send(Notice::Enforce(topic, number));
+                let _ = self.notices.send(ControlEvent::Activated(topic, number));
             }
-            Action::Dropped {
+            Action::ProposalRejected {
                 topic,
                 number,
                 by,
--- a/control/src/service/member.rs
+++ b/control/src/service/member.rs
@@ -353,7 +353,7 @@
             }
             // No log here yet: another member may know who leads.
             (LinkEvent::GatewayMessage(message), _) => {
-                self.send(message.who(), &ToGateway::Elsewhere { leader: None })
+                self.send(message.who(), &ToGateway::NotLeader { leader: None })
             }
             (
                 LinkEvent::Raft(_) | LinkEvent::PeerLost(_) | LinkEvent::SnapshotSent(..),
--- a/control/src/service/mod.rs
+++ b/control/src/service/mod.rs
@@ -78,11 +78,11 @@
 }
 
 /// What the program asks of the loop.
-pub enum Request {
+pub enum ControlRequest {
     /// Offer a version to the fleet.
-    Offer(Topic, Content),
+    ProposeVersion(Topic, Content),
     /// A version was judged.
-    Judged(Topic, u64, Result<(), String>),
+    Validated(Topic, u64, Result<(), String>),
     /// Actions were begun under a version.
     Acted(Topic, u64, u64),
     /// The gateway drains: give back what is held.
@@ -93,14 +93,14 @@
 
 /// Speaks to the loop.
 pub struct Handle {
-    requests: mpsc::UnboundedSender<Request>,
+    requests: mpsc::UnboundedSender<ControlRequest>,
     view: Published,
     traffic: Traffic,
 }
 
 impl Handle {
     /// Requests something of the loop; it is dropped where the loop has ended.
-    pub fn request(&self, request: Request) {
+    pub fn request(&self, request: ControlRequest) {
         let _ = self.requests.send(request);
     }
 
@@ -120,11 +120,11 @@
 
 /// What the loop asks of the program, or tells it.
 #[derive(Debug)]
-pub enum Notice {
-    /// Judge a version, and answer with [`Request::Judged`].
-    Judge(Topic, u64, Content),
+pub enum ControlEvent {
+    /// Judge a version, and answer with [`ControlRequest::Validated`].
+    Validate(Topic, u64, Content),
     /// A version is in force.
-    Enforce(Topic, u64),
+    Activated(Topic, u64),
 }
 
 /// Starts the loop of a gateway on a thread of its own; where the settings let it vote, it is a control member as well.
@@ -132,7 +132,7 @@
 /// # Errors
 ///
 /// [`PeerError`], where the log cannot be opened, or the listener cannot be bound.
-pub fn start(asked: &Lease, clock: Clock) -> Result<(Handle, Receiver<Notice>), PeerError> {
+pub fn start(asked: &Lease, clock: Clock) -> Result<(Handle, Receiver<ControlEvent>), PeerError> {
     begin(asked, clock, true)
 }
 
@@ -152,7 +152,7 @@
     asked: &Lease,
     clock: Clock,
     registered: bool,
-) -> Result<(Handle, Receiver<Notice>), PeerError> {
+) -> Result<(Handle, Receiver<ControlEvent>), PeerError> {
     // A number of its own for this incarnation: what an earlier one asked for is not this one's.
     let me = NodeIdentity {
         gateway: asked.me,
@@ -246,9 +246,9 @@
     async fn run(
         self,
         member: Option<(Member, std::net::TcpListener)>,
-        notices: Sender<Notice>,
+        notices: Sender<ControlEvent>,
         view: Published,
-        requested: mpsc::UnboundedReceiver<Request>,
+        requested: mpsc::UnboundedReceiver<ControlRequest>,
     ) -> Result<(), PeerError> {
         let Plan {
             asked,
@@ -304,7 +304,7 @@
         mut ticks: Option<tokio::time::Interval>,
         mut from_members: Option<mpsc::Receiver<link::accept::LinkEvent>>,
         mut from_control: Option<mpsc::Receiver<link::gateway::LinkEvent>>,
-        mut requested: mpsc::UnboundedReceiver<Request>,
+        mut requested: mpsc::UnboundedReceiver<ControlRequest>,
     ) -> Result<(), PeerError> {
         let mut requests_come = true;
         loop {
@@ -359,21 +359,23 @@
         }
     }
 
-    fn on_request(&mut self, request: Request) -> Result<(), PeerError> {
+    fn on_request(&mut self, request: ControlRequest) -> Result<(), PeerError> {
         use versions::client::Event;
         let event = match request {
-            Request::Offer(topic, content) => Event::Offer { topic, content },
-            Request::Judged(topic, number, verdict) => Event::Judged {
+            ControlRequest::ProposeVersion(topic, content) => {
+                Event::ProposeVersion { topic, content }
+            }
+            ControlRequest::Validated(topic, number, verdict) => Event::Validated {
                 topic,
                 number,
                 verdict,
             },
-            Request::Acted(topic, number, count) => Event::Acted {
+            ControlRequest::Acted(topic, number, count) => Event::Acted {
                 topic,
                 number,
                 count,
             },
-            Request::Drain => Event::Drain,
+            ControlRequest::Drain => Event::Drain,
         };
         if event == Event::Drain {
             if let Some(member) = &mut self.member {
--- a/control/src/state_machine/entry.rs
+++ b/control/src/state_machine/entry.rs
@@ -172,18 +172,18 @@
 fn version_body(command: &versions::Command) -> Body {
     use versions::Command as V;
     match command {
-        V::Lead { who } => Body::Lead(Who::of(*who)),
+        V::BeginEpoch { who } => Body::Lead(Who::of(*who)),
         V::Join { who, formats } => Body::Join(Registration {
             oldest: formats.oldest,
             newest: formats.newest,
             ..registration(*who, Token(0))
         }),
         V::Leave { who, token } => Body::Leave(registration(*who, *token)),
-        V::Expel { who, token, epoch } => Body::Expel(Registration {
+        V::Expire { who, token, epoch } => Body::Expel(Registration {
             epoch: epoch.0,
             ..registration(*who, *token)
         }),
-        V::Offer {
+        V::ProposeVersion {
             who,
             token,
             topic,
@@ -198,7 +198,7 @@
             content: content.bytes.clone(),
             reason: String::new(),
         }),
-        V::Accept { topic, number, by } => Body::Accept(Accepted {
+        V::Ack { topic, number, by } => Body::Accept(Accepted {
             topic: topic.number(),
             number: *number,
             by: by
@@ -206,7 +206,7 @@
                 .map(|(who, token)| registration(*who, *token))
                 .collect(),
         }),
-        V::Refuse {
+        V::Nack {
             who,
             token,
             topic,
@@ -275,7 +275,7 @@
             holder: l.who.identity(),
             token: Token(l.number),
         }),
-        Body::Lead(who) => Command::Version(V::Lead {
+        Body::Lead(who) => Command::Version(V::BeginEpoch {
             who: who.identity(),
         }),
         Body::Join(s) => Command::Version(V::Join {
@@ -289,12 +289,12 @@
             who: s.who.identity(),
             token: Token(s.token),
         }),
-        Body::Expel(s) => Command::Version(V::Expel {
+        Body::Expel(s) => Command::Version(V::Expire {
             who: s.who.identity(),
             token: Token(s.token),
             epoch: Index(s.epoch),
         }),
-        Body::Offer(c) => Command::Version(V::Offer {
+        Body::Offer(c) => Command::Version(V::ProposeVersion {
             who: c.who.identity(),
             token: Token(c.token),
             topic: topic(c.topic)?,
@@ -304,7 +304,7 @@
                 bytes: c.content,
             },
         }),
-        Body::Accept(a) => Command::Version(V::Accept {
+        Body::Accept(a) => Command::Version(V::Ack {
             topic: topic(a.topic)?,
             number: a.number,
             by: a
@@ -313,7 +313,7 @@
                 .map(|registration| (registration.who.identity(), Token(registration.token)))
                 .collect(),
         }),
-        Body::Refuse(c) => Command::Version(V::Refuse {
+        Body::Refuse(c) => Command::Version(V::Nack {
             who: c.who.identity(),
             token: Token(c.token),
             topic: topic(c.topic)?,
--- a/control/src/state_machine/entry/tests.rs
+++ b/control/src/state_machine/entry/tests.rs
@@ -41,7 +41,7 @@
         },
     ];
     let versions = [
-        V::Lead { who: A },
+        V::BeginEpoch { who: A },
         V::Join {
             who: A,
             formats: Formats {
@@ -53,19 +53,19 @@
             who: A,
             token: TOKEN,
         },
-        V::Expel {
+        V::Expire {
             who: A,
             token: TOKEN,
             epoch: Index(12),
         },
-        V::Offer {
+        V::ProposeVersion {
             who: A,
             token: TOKEN,
             topic,
             seen: 4,
             content,
         },
-        V::Accept {
+        V::Ack {
             topic,
             number: 20,
             by: vec![
@@ -79,7 +79,7 @@
                 ),
             ],
         },
-        V::Refuse {
+        V::Nack {
             who: A,
             token: TOKEN,
             topic,
--- a/control/src/versions/client.rs
+++ b/control/src/versions/client.rs
@@ -34,7 +34,7 @@
     /// A control member says something.
     Received(ToGateway),
     /// The caller has judged a version.
-    Judged {
+    Validated {
         /// Of what.
         topic: Topic,
         /// The version.
@@ -43,7 +43,7 @@
         verdict: Result<(), String>,
     },
     /// The operator has a new version here.
-    Offer {
+    ProposeVersion {
         /// Of what.
         topic: Topic,
         /// What it says.
@@ -109,7 +109,7 @@
     /// It may not act any more, from now on.
     Stop(Why),
     /// Judge this version, and say so.
-    Judge {
+    Validate {
         /// Of what.
         topic: Topic,
         /// The version.
@@ -118,7 +118,7 @@
         content: Content,
     },
     /// A version is in force: what is begun from now on is begun under it.
-    Enforce {
+    Activate {
         /// Of what.
         topic: Topic,
         /// The version.
@@ -127,7 +127,7 @@
         before: u64,
     },
     /// A version was refused; the former stays.
-    Dropped {
+    ProposalRejected {
         /// Of what.
         topic: Topic,
         /// The version.
@@ -279,12 +279,12 @@
             Event::Serve => self.wanted = true,
             Event::Connected => self.connect(now),
             Event::Received(message) => self.receive(now, message, out),
-            Event::Judged {
+            Event::Validated {
                 topic,
                 number,
                 verdict,
             } => self.decide(topic, number, verdict),
-            Event::Offer { topic, content } => self.offer(now, topic, content, out),
+            Event::ProposeVersion { topic, content } => self.offer(now, topic, content, out),
             Event::Acted {
                 topic,
                 number,
@@ -379,7 +379,7 @@
     fn receive(&mut self, now: Micros, message: ToGateway, out: &mut Vec<Action>) {
         self.asked_at = None;
         match message {
-            ToGateway::Kept {
+            ToGateway::RegistrationRenewed {
                 who,
                 token,
                 sent,
@@ -390,7 +390,7 @@
                     self.keep(now, token, sent, registrations, out);
                 }
             }
-            ToGateway::State {
+            ToGateway::TopicStates {
                 as_of,
                 since,
                 topics,
@@ -400,17 +400,17 @@
                     topics.into_iter().for_each(|state| self.learn(state, out));
                 }
             }
-            ToGateway::Gone { who, token } => {
+            ToGateway::RegistrationExpired { who, token } => {
                 if who == self.me && self.token == Some(token) {
                     self.lose(now, token, out);
                 }
             }
-            ToGateway::Refused { who, why } => {
+            ToGateway::RequestRejected { who, why } => {
                 if who == self.me {
                     self.refused(now, why, out);
                 }
             }
-            ToGateway::Dropped {
+            ToGateway::ProposalRejected {
                 topic,
                 number,
                 by,
@@ -419,7 +419,7 @@
                 let known = self.topics.entry(topic).or_default();
                 if number > known.dropped {
                     known.dropped = number;
-                    out.push(Action::Dropped {
+                    out.push(Action::ProposalRejected {
                         topic,
                         number,
                         by,
@@ -427,12 +427,12 @@
                     });
                 }
             }
-            ToGateway::Reported { who, sequence } => {
+            ToGateway::ReportCounted { who, sequence } => {
                 if who == self.me && sequence == self.sequence {
                     self.report = None;
                 }
             }
-            ToGateway::Elsewhere { leader } => self.redirect(now, leader, out),
+            ToGateway::NotLeader { leader } => self.redirect(now, leader, out),
         }
     }
 
@@ -476,7 +476,7 @@
         let known = self.topics.entry(topic).or_default();
         if known.in_force != number {
             known.in_force = number;
-            out.push(Action::Enforce {
+            out.push(Action::Activate {
                 topic,
                 number,
                 before,
@@ -512,7 +512,7 @@
             ))
         });
         if verdict.is_none() {
-            out.push(Action::Judge {
+            out.push(Action::Validate {
                 topic,
                 number,
                 content,
@@ -636,7 +636,7 @@
             if let Some(verdict) = judged.verdict.clone().filter(|_| due) {
                 judged.told_at = Some(now);
                 let (topic, number) = (*topic, judged.number);
-                out.push(Action::Send(ToControl::Verdict {
+                out.push(Action::Send(ToControl::ValidationResult {
                     who,
                     token,
                     topic,
@@ -659,7 +659,7 @@
         {
             offered.told_at = Some(now);
             let (topic, seen, content) = (offered.topic, offered.follows, offered.content.clone());
-            out.push(Action::Send(ToControl::Offer {
+            out.push(Action::Send(ToControl::ProposeVersion {
                 who,
                 token,
                 topic,
--- a/control/src/versions/client/tests.rs
+++ b/control/src/versions/client/tests.rs
@@ -61,7 +61,7 @@
 
     fn kept(&mut self, token: Token, sent: Micros, required: u64) -> Vec<Action> {
         let required = Index(required);
-        self.hear(ToGateway::Kept {
+        self.hear(ToGateway::RegistrationRenewed {
             who: ME,
             token,
             sent,
@@ -92,7 +92,7 @@
             before: 0,
             open,
         }];
-        self.hear(ToGateway::State {
+        self.hear(ToGateway::TopicStates {
             as_of: Index(as_of),
             since: Index(since),
             topics,
@@ -173,17 +173,17 @@
     let mut gateway = Gateway::acting(1);
     let asked = gateway.state(2, 1, 1, Some((2, 1)));
     assert!(
-        matches!(asked[..], [Action::Judge { number: 2, .. }]),
+        matches!(asked[..], [Action::Validate { number: 2, .. }]),
         "{asked:?}"
     );
-    let verdict = Action::Send(ToControl::Verdict {
+    let verdict = Action::Send(ToControl::ValidationResult {
         who: ME,
         token: TOKEN,
         topic: TOPIC,
         number: 2,
         verdict: Ok(()),
     });
-    let judged = Event::Judged {
+    let judged = Event::Validated {
         topic: TOPIC,
         number: 2,
         verdict: Ok(()),
@@ -196,7 +196,7 @@
     );
     let enforced = gateway.state(3, 2, 2, None);
     assert!(
-        matches!(enforced[..], [Action::Enforce { number: 2, .. }]),
+        matches!(enforced[..], [Action::Activate { number: 2, .. }]),
         "{enforced:?}"
     );
     assert!(!gateway.tick(RENEW).contains(&verdict));
@@ -205,7 +205,7 @@
     let says = |action: &Action| {
         matches!(
             action,
-            Action::Send(ToControl::Verdict {
+            Action::Send(ToControl::ValidationResult {
                 number: 5,
                 verdict: Err(_),
                 ..
@@ -219,10 +219,10 @@
 fn silence_and_word_of_another_leader_redirect_it() {
     let mut gateway = Gateway::acting(1);
     assert_eq!(
-        gateway.hear(ToGateway::Elsewhere { leader: Some(2) }),
+        gateway.hear(ToGateway::NotLeader { leader: Some(2) }),
         [Action::Redirect(Some(2))]
     );
-    let lately = gateway.hear(ToGateway::Elsewhere { leader: Some(3) });
+    let lately = gateway.hear(ToGateway::NotLeader { leader: Some(3) });
     assert_eq!(
         lately,
         [Action::Redirect(None)],
@@ -237,7 +237,7 @@
     );
     // One that is answered stays, whatever the answer says.
     gateway.feed(Event::Connected);
-    gateway.hear(ToGateway::State {
+    gateway.hear(ToGateway::TopicStates {
         as_of: Index(1),
         since: Index(1),
         topics: Vec::new(),
@@ -276,7 +276,7 @@
     let mut waits = Vec::new();
     for token in [8, 9, 10, 11] {
         gateway.kept(Token(token), gateway.now, 1);
-        let gone = gateway.hear(ToGateway::Gone {
+        let gone = gateway.hear(ToGateway::RegistrationExpired {
             who: ME,
             token: Token(token),
         });
@@ -297,7 +297,7 @@
     };
     gateway.kept(Token(12), gateway.now, 1);
     assert_eq!(
-        gateway.hear(ToGateway::Gone {
+        gateway.hear(ToGateway::RegistrationExpired {
             who: other,
             token: Token(12)
         }),
@@ -330,12 +330,12 @@
         [(1, 3)],
         "again, and the same"
     );
-    gateway.hear(ToGateway::Reported {
+    gateway.hear(ToGateway::ReportCounted {
         who: ME,
         sequence: 7,
     });
     assert_eq!(reports(gateway.tick(RENEW)), [(1, 3)]);
-    gateway.hear(ToGateway::Reported {
+    gateway.hear(ToGateway::ReportCounted {
         who: ME,
         sequence: 1,
     });
@@ -347,15 +347,19 @@
 fn an_offer_is_made_again_until_it_is_open_or_refused_once() {
     let mut gateway = Gateway::acting(1);
     let offers = |actions: &[Action]| {
-        let offer =
-            |action: &&Action| matches!(action, Action::Send(ToControl::Offer { seen: 1, .. }));
+        let offer = |action: &&Action| {
+            matches!(
+                action,
+                Action::Send(ToControl::ProposeVersion { seen: 1, .. })
+            )
+        };
         actions.iter().filter(offer).count()
     };
     let content = Content {
         format: 1,
         bytes: vec![1],
     };
-    let offer = Event::Offer {
+    let offer = Event::ProposeVersion {
         topic: TOPIC,
         content,
     };
@@ -365,7 +369,7 @@
     assert_eq!(offers(&gateway.tick(RENEW)), 0);
     gateway.state(3, 2, 1, None);
     gateway.feed(offer);
-    let busy = ToGateway::Refused {
+    let busy = ToGateway::RequestRejected {
         who: ME,
         why: Refusal::Busy(7),
     };
--- a/control/src/versions/coordinator.rs
+++ b/control/src/versions/coordinator.rs
@@ -309,7 +309,7 @@
         outcome: Outcome,
         out: &mut Vec<Action>,
     ) {
-        if let Outcome::Leads(who) = outcome {
+        if let Outcome::EpochBegun(who) = outcome {
             let mine = who == self.me && self.leading;
             self.epoch = mine.then(|| Epoch::begin(index, now, &self.table));
             return;
@@ -323,29 +323,32 @@
         }
         let Some(epoch) = &mut self.epoch else { return };
         match outcome {
-            Outcome::Leads(_) | Outcome::Accepted { .. } => {}
+            Outcome::EpochBegun(_) | Outcome::Acked { .. } => {}
             Outcome::Registered(Registration { who, .. }) => {
                 epoch.heard.insert(who.gateway, now);
                 // Given under an open version only where no other is there to judge it: it has its time for that.
                 epoch.opened.values_mut().for_each(|at| *at = now);
             }
             Outcome::Left(Registration { who, .. }) => epoch.vacate(who.gateway),
-            Outcome::Expelled(Registration { who, token, .. }) => {
+            Outcome::Expired(Registration { who, token, .. }) => {
                 epoch.vacate(who.gateway);
-                out.push(Action::Send(who, ToGateway::Gone { who, token }));
+                out.push(Action::Send(
+                    who,
+                    ToGateway::RegistrationExpired { who, token },
+                ));
             }
-            Outcome::Offered { topic, .. } => {
+            Outcome::VersionProposed { topic, .. } => {
                 epoch.opened.insert(topic, now);
             }
-            Outcome::InForce { topic, .. } => epoch.close(topic),
-            Outcome::Dropped {
+            Outcome::Activated { topic, .. } => epoch.close(topic),
+            Outcome::ProposalRejected {
                 topic,
                 number,
                 by,
                 reason,
             } => {
                 epoch.close(topic);
-                out.push(Action::Broadcast(ToGateway::Dropped {
+                out.push(Action::Broadcast(ToGateway::ProposalRejected {
                     topic,
                     number,
                     by,
@@ -353,11 +356,17 @@
                 }));
             }
             Outcome::Reported { who, sequence } => {
-                out.push(Action::Send(who, ToGateway::Reported { who, sequence }));
+                out.push(Action::Send(
+                    who,
+                    ToGateway::ReportCounted { who, sequence },
+                ));
             }
             Outcome::Refused(why) => {
-                if let Command::Offer { who, .. } = command {
-                    out.push(Action::Send(*who, ToGateway::Refused { who: *who, why }));
+                if let Command::ProposeVersion { who, .. } = command {
+                    out.push(Action::Send(
+                        *who,
+                        ToGateway::RequestRejected { who: *who, why },
+                    ));
                 }
             }
         }
@@ -389,7 +398,7 @@
                 .as_ref()
                 .map(|open| (open.version.number, open.version.content.clone())),
         });
-        ToGateway::State {
+        ToGateway::TopicStates {
             as_of: self.table.changed(),
             since,
             topics: topics.collect(),
@@ -417,7 +426,7 @@
                     self.join(now, who, formats, out);
                 }
             }
-            ToControl::Verdict {
+            ToControl::ValidationResult {
                 who,
                 token,
                 topic,
@@ -436,7 +445,7 @@
                     _ if !(opened && registered) => {}
                     Ok(()) => self.gather(now, who, token, topic, number),
                     Err(reason) => {
-                        let refuse = Command::Refuse {
+                        let refuse = Command::Nack {
                             who,
                             token,
                             topic,
@@ -447,7 +456,7 @@
                     }
                 }
             }
-            ToControl::Offer {
+            ToControl::ProposeVersion {
                 who,
                 token,
                 topic,
@@ -471,7 +480,7 @@
     fn turn_away(&self, who: NodeIdentity, out: &mut Vec<Action>) {
         if !self.leading {
             let leader = self.leader.filter(|leader| *leader != self.me.gateway);
-            out.push(Action::Send(who, ToGateway::Elsewhere { leader }));
+            out.push(Action::Send(who, ToGateway::NotLeader { leader }));
         }
     }
 
@@ -522,7 +531,7 @@
         let Some(epoch) = &mut self.epoch else { return };
         match refused {
             Some(why @ Refusal::Format { .. }) => {
-                out.push(Action::Send(who, ToGateway::Refused { who, why }));
+                out.push(Action::Send(who, ToGateway::RequestRejected { who, why }));
             }
             // It asks again by itself.
             Some(_) => {}
@@ -574,14 +583,14 @@
         out: &mut Vec<Action>,
     ) {
         match self.table.offerable(who, token, topic, seen, &content) {
-            Ok(()) => out.push(Action::Propose(Command::Offer {
+            Ok(()) => out.push(Action::Propose(Command::ProposeVersion {
                 who,
                 token,
                 topic,
                 seen,
                 content,
             })),
-            Err(why) => out.push(Action::Send(who, ToGateway::Refused { who, why })),
+            Err(why) => out.push(Action::Send(who, ToGateway::RequestRejected { who, why })),
         }
     }
 
@@ -593,7 +602,10 @@
         out: &mut Vec<Action>,
     ) {
         if sequence <= self.table.audit().last(who) {
-            out.push(Action::Send(who, ToGateway::Reported { who, sequence }));
+            out.push(Action::Send(
+                who,
+                ToGateway::ReportCounted { who, sequence },
+            ));
         } else {
             out.push(Action::Propose(Command::Report {
                 who,
@@ -637,9 +649,9 @@
             (Some(token), registration)
                 if registration.is_none_or(|registration| registration.token != token) =>
             {
-                ToGateway::Gone { who, token }
+                ToGateway::RegistrationExpired { who, token }
             }
-            (_, Some(registration)) if grantable => ToGateway::Kept {
+            (_, Some(registration)) if grantable => ToGateway::RegistrationRenewed {
                 who,
                 token: registration.token,
                 sent,
@@ -647,7 +659,7 @@
                 registrations,
             },
             // This member leads, that is all.
-            _ => ToGateway::State {
+            _ => ToGateway::TopicStates {
                 as_of: required,
                 since: required,
                 topics: Vec::new(),
@@ -673,7 +685,7 @@
             .is_none_or(|at| now >= at.saturating_add(self.timing.renew_us))
         {
             self.led_at = Some(now);
-            out.push(Action::Propose(Command::Lead { who: self.me }));
+            out.push(Action::Propose(Command::BeginEpoch { who: self.me }));
         }
     }
 
@@ -709,7 +721,7 @@
                 (accepted.who, accepted.token)
             });
             let by = by.collect();
-            out.push(Action::Propose(Command::Accept {
+            out.push(Action::Propose(Command::Ack {
                 topic,
                 number: gathered.number,
                 by,
@@ -737,7 +749,7 @@
             let again = proposed_at.is_none_or(|at| now >= at.saturating_add(renew_us));
             if now >= heard_at.saturating_add(wait) && again {
                 epoch.expelling.insert(who.gateway, now);
-                out.push(Action::Propose(Command::Expel {
+                out.push(Action::Propose(Command::Expire {
                     who,
                     token,
                     epoch: epoch.number,
--- a/control/src/versions/coordinator/tests.rs
+++ b/control/src/versions/coordinator/tests.rs
@@ -156,7 +156,9 @@
     }
 
     fn kept(&mut self) -> Vec<u32> {
-        let kept = |(number, message)| matches!(message, ToGateway::Kept { .. }).then_some(number);
+        let kept = |(number, message)| {
+            matches!(message, ToGateway::RegistrationRenewed { .. }).then_some(number)
+        };
         self.sent().into_iter().filter_map(kept).collect()
     }
 
@@ -166,7 +168,7 @@
             bytes: Vec::new(),
         };
         let (who, token) = (gateway(number), self.token(number));
-        self.apply(Command::Offer {
+        self.apply(Command::ProposeVersion {
             who,
             token,
             topic: TOPIC,
@@ -178,7 +180,7 @@
 
     fn accept(&mut self, number: u32, version: u64) {
         let (who, token) = (gateway(number), self.token(number));
-        let verdict = ToControl::Verdict {
+        let verdict = ToControl::ValidationResult {
             who,
             token,
             topic: TOPIC,
@@ -243,18 +245,18 @@
     member.beat(1);
     assert_eq!(
         member.sent(),
-        [(1, ToGateway::Elsewhere { leader: Some(2) })]
+        [(1, ToGateway::NotLeader { leader: Some(2) })]
     );
     member.feed(Event::Leader(Some(ME.gateway)));
     member.beat(1);
     assert_eq!(
         member.sent(),
-        [(1, ToGateway::Elsewhere { leader: None })],
+        [(1, ToGateway::NotLeader { leader: None })],
         "late word of itself"
     );
     member.feed(Event::Leading(true));
     member.beat(1);
-    assert_eq!(member.proposed(), [Command::Lead { who: ME }]);
+    assert_eq!(member.proposed(), [Command::BeginEpoch { who: ME }]);
     assert_eq!(member.sent(), []);
 }
 
@@ -263,16 +265,16 @@
     let mut member = Member::leading(1..=1);
     member.beat(1);
     let round = member.asked().expect("a round");
-    member.apply(Command::Lead { who: OTHER });
+    member.apply(Command::BeginEpoch { who: OTHER });
     member.feed(Event::Confirmed(round));
     assert_eq!(member.kept(), Vec::<u32>::new());
     member.tick(RENEW);
-    assert_eq!(member.proposed(), [Command::Lead { who: ME }]);
+    assert_eq!(member.proposed(), [Command::BeginEpoch { who: ME }]);
     member.tick(RENEW / 2);
     assert_eq!(member.proposed(), [], "each renewal");
     member.tick(RENEW / 2);
-    assert_eq!(member.proposed(), [Command::Lead { who: ME }]);
-    member.apply(Command::Lead { who: ME });
+    assert_eq!(member.proposed(), [Command::BeginEpoch { who: ME }]);
+    member.apply(Command::BeginEpoch { who: ME });
     member.feed(Event::Confirmed(round));
     assert_eq!(
         member.kept(),
@@ -302,7 +304,7 @@
         }
     };
     let waited = member.now - began;
-    assert_eq!(expel, Command::Expel { who, token, epoch });
+    assert_eq!(expel, Command::Expire { who, token, epoch });
     assert!(
         (TIMING.wait_us()..TIMING.wait_us() + RENEW / 4).contains(&waited),
         "{waited}"
@@ -316,8 +318,11 @@
     assert!(!member.kept().contains(&2));
     member.tick(RENEW - RENEW / LOST_ROUNDS);
     assert_eq!(member.proposed(), [expel]);
-    member.apply(Command::Expel { who, token, epoch });
-    assert_eq!(member.sent(), [(2, ToGateway::Gone { who, token })]);
+    member.apply(Command::Expire { who, token, epoch });
+    assert_eq!(
+        member.sent(),
+        [(2, ToGateway::RegistrationExpired { who, token })]
+    );
 }
 
 #[test]
@@ -335,7 +340,7 @@
     let expelled = member
         .proposed()
         .into_iter()
-        .all(|command| matches!(command, Command::Expel { who, .. } if who == gateway(2)));
+        .all(|command| matches!(command, Command::Expire { who, .. } if who == gateway(2)));
     assert!(expelled, "the one that is silent still, and nobody else");
 }
 
@@ -349,7 +354,7 @@
     member.tick(RENEW / GATHERINGS);
     let accepted = member.proposed();
     assert!(
-        matches!(&accepted[..], [Command::Accept { by, .. }] if by.len() == 2),
+        matches!(&accepted[..], [Command::Ack { by, .. }] if by.len() == 2),
         "{accepted:?}"
     );
     member.accept(2, version);
@@ -358,13 +363,13 @@
     member.accept(3, version);
     let accepted = member.proposed();
     assert!(
-        matches!(&accepted[..], [Command::Accept { by, .. }] if by.len() == 1),
+        matches!(&accepted[..], [Command::Ack { by, .. }] if by.len() == 1),
         "{accepted:?}"
     );
     member.tick(RENEW);
     let accepted = member.proposed();
     assert!(
-        matches!(&accepted[..], [Command::Accept { by, .. }] if by.len() == 3),
+        matches!(&accepted[..], [Command::Ack { by, .. }] if by.len() == 3),
         "{accepted:?}"
     );
     accepted
@@ -400,7 +405,7 @@
         .proposed()
         .into_iter()
         .filter_map(|command| match command {
-            Command::Expel { who, .. } => Some(who),
+            Command::Expire { who, .. } => Some(who),
             _ => None,
         })
         .collect();
@@ -414,7 +419,8 @@
 fn a_gateway_that_missed_a_change_is_sent_it_once_and_again_on_a_new_link() {
     let mut member = Member::leading(1..=1);
     member.offer(1);
-    let published = |action: &Action| matches!(action, Action::Broadcast(ToGateway::State { .. }));
+    let published =
+        |action: &Action| matches!(action, Action::Broadcast(ToGateway::TopicStates { .. }));
     assert!(member.out.iter().any(published));
     member.out.clear();
     let formats = Formats {
@@ -432,7 +438,7 @@
     let states = |member: &mut Member| {
         let sent = member.sent();
         sent.iter()
-            .filter(|(_, message)| matches!(message, ToGateway::State { .. }))
+            .filter(|(_, message)| matches!(message, ToGateway::TopicStates { .. }))
             .count()
     };
     member.feed(Event::Received(behind.clone()));
--- a/control/src/versions/message.rs
+++ b/control/src/versions/message.rs
@@ -21,7 +21,7 @@
         seen: Index,
     },
     /// I accept this version, or refuse it for a reason.
-    Verdict {
+    ValidationResult {
         /// Who judges.
         who: NodeIdentity,
         /// Its registration.
@@ -34,7 +34,7 @@
         verdict: Result<(), String>,
     },
     /// Put this version in force once all accept it.
-    Offer {
+    ProposeVersion {
         /// Who offers.
         who: NodeIdentity,
         /// Its registration.
@@ -81,7 +81,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ToGateway {
     /// You may act for another lease, counted from when you asked.
-    Kept {
+    RegistrationRenewed {
         /// Who.
         who: NodeIdentity,
         /// Its registration.
@@ -94,7 +94,7 @@
         registrations: u32,
     },
     /// How the topics stand that changed after `since`.
-    State {
+    TopicStates {
         /// The entry up to which this is complete.
         as_of: Index,
         /// Only for who has seen the entries up to this one.
@@ -103,21 +103,21 @@
         topics: Vec<TopicState>,
     },
     /// That registration is not yours any more: stop, and join again later.
-    Gone {
+    RegistrationExpired {
         /// Whose.
         who: NodeIdentity,
         /// The registration.
         token: Token,
     },
     /// What a gateway asked for, a registration or a version, was refused.
-    Refused {
+    RequestRejected {
         /// Who asked.
         who: NodeIdentity,
         /// Why.
         why: Refusal,
     },
     /// A version was refused; the former stays.
-    Dropped {
+    ProposalRejected {
         /// Of what.
         topic: Topic,
         /// The version.
@@ -128,14 +128,14 @@
         reason: String,
     },
     /// A report was counted.
-    Reported {
+    ReportCounted {
         /// Whose.
         who: NodeIdentity,
         /// Its place among that incarnation's reports.
         sequence: u64,
     },
     /// This control member does not lead.
-    Elsewhere {
+    NotLeader {
         /// The gateway number of the one that does, where that is known.
         leader: Option<u32>,
     },
@@ -146,8 +146,8 @@
     pub fn who(&self) -> NodeIdentity {
         match self {
             ToControl::Heartbeat { who, .. }
-            | ToControl::Verdict { who, .. }
-            | ToControl::Offer { who, .. }
+            | ToControl::ValidationResult { who, .. }
+            | ToControl::ProposeVersion { who, .. }
             | ToControl::Report { who, .. }
             | ToControl::Leave { who, .. } => *who,
         }
--- a/control/src/versions/mod.rs
+++ b/control/src/versions/mod.rs
@@ -6,10 +6,10 @@
 //! drops it, with its reason, and the former one stays. A registration is a right to act.
 //!
 //! There are two roles. **Control members** hold the log. The one that leads it opens an **epoch** by an entry
-//! ([`Command::Lead`]); its [`Coordinator`] keeps registrations in memory, tells gateways how the topics stand, and writes what
+//! ([`Command::BeginEpoch`]); its [`Coordinator`] keeps registrations in memory, tells gateways how the topics stand, and writes what
 //! they decide. **Gateways** hold no log: the [`Client`] of each sends **heartbeats** to the control member that leads. A
 //! heartbeat is answered only once a quorum has confirmed, after it came, that no later leader was elected; its gateway
-//! may then act for a lease, counted from when it sent the heartbeat. A registration is taken away ([`Command::Expel`]) only when
+//! may then act for a lease, counted from when it sent the heartbeat. A registration is taken away ([`Command::Expire`]) only when
 //! a whole wait has passed since the last heartbeat that may have kept it, and since the epoch began; and only by the
 //! epoch that is the last in the log. So a gateway stops by itself before its registration is gone.
 //!
@@ -119,7 +119,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Command {
     /// I lead the log: from here on registrations are kept and taken away by my word.
-    Lead {
+    BeginEpoch {
         /// The control member.
         who: NodeIdentity,
     },
@@ -138,7 +138,7 @@
         token: Token,
     },
     /// Take the registration of a gateway whose right has run out.
-    Expel {
+    Expire {
         /// Whose.
         who: NodeIdentity,
         /// The registration.
@@ -147,7 +147,7 @@
         epoch: Index,
     },
     /// Put this version in force once all accept it.
-    Offer {
+    ProposeVersion {
         /// Who offers.
         who: NodeIdentity,
         /// Its registration.
@@ -160,7 +160,7 @@
         content: Content,
     },
     /// These gateways accept a version.
-    Accept {
+    Ack {
         /// Of what.
         topic: Topic,
         /// The version.
@@ -169,7 +169,7 @@
         by: Vec<(NodeIdentity, Token)>,
     },
     /// A gateway refuses a version.
-    Refuse {
+    Nack {
         /// Who.
         who: NodeIdentity,
         /// Its registration.
--- a/control/src/versions/table.rs
+++ b/control/src/versions/table.rs
@@ -70,29 +70,29 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
     /// A control member began an epoch, which has the index of this entry.
-    Leads(NodeIdentity),
+    EpochBegun(NodeIdentity),
     /// A gateway has a registration.
     Registered(Registration),
     /// It gave it back.
     Left(Registration),
     /// It lost it.
-    Expelled(Registration),
+    Expired(Registration),
     /// A version was offered.
-    Offered {
+    VersionProposed {
         /// Of what.
         topic: Topic,
         /// The version.
         number: u64,
     },
     /// Gateways accepted a version, which waits for others.
-    Accepted {
+    Acked {
         /// Of what.
         topic: Topic,
         /// The version.
         number: u64,
     },
     /// A version is in force.
-    InForce {
+    Activated {
         /// Of what.
         topic: Topic,
         /// The version.
@@ -101,7 +101,7 @@
         before: u64,
     },
     /// A version was refused; the former stays.
-    Dropped {
+    ProposalRejected {
         /// Of what.
         topic: Topic,
         /// The version.
@@ -311,9 +311,9 @@
 
     fn settle(&mut self, index: Index, command: &Command) -> Result<Outcome, Refusal> {
         match command {
-            Command::Lead { who } => {
+            Command::BeginEpoch { who } => {
                 self.epoch = index;
-                Ok(Outcome::Leads(*who))
+                Ok(Outcome::EpochBegun(*who))
             }
             Command::Join { who, formats } => self.join(index, *who, *formats),
             Command::Leave { who, token } => {
@@ -321,15 +321,15 @@
                 self.vacate(registration);
                 Ok(Outcome::Left(registration))
             }
-            Command::Expel { who, token, epoch } => {
+            Command::Expire { who, token, epoch } => {
                 let registration = self.registered(*who, *token)?;
                 if *epoch != self.epoch {
                     return Err(Refusal::Epoch);
                 }
                 self.vacate(registration);
-                Ok(Outcome::Expelled(registration))
+                Ok(Outcome::Expired(registration))
             }
-            Command::Offer {
+            Command::ProposeVersion {
                 who,
                 token,
                 topic,
@@ -339,8 +339,8 @@
                 self.offerable(*who, *token, *topic, *seen, content)?;
                 Ok(self.offer(index, *who, *topic, content))
             }
-            Command::Accept { topic, number, by } => self.accept(*topic, *number, by),
-            Command::Refuse {
+            Command::Ack { topic, number, by } => self.accept(*topic, *number, by),
+            Command::Nack {
                 who,
                 token,
                 topic,
@@ -419,7 +419,7 @@
             accepted: BTreeSet::new(),
         });
         standing.changed = index;
-        Outcome::Offered {
+        Outcome::VersionProposed {
             topic,
             number: index.0,
         }
@@ -450,7 +450,7 @@
         let standing = self.standing(topic, number)?;
         let open = standing.open.as_mut().ok_or(Refusal::Settled)?;
         open.accepted.extend(accepted);
-        Ok(Outcome::Accepted { topic, number })
+        Ok(Outcome::Acked { topic, number })
     }
 
     fn refuse(
@@ -465,7 +465,7 @@
         standing.open = None;
         standing.changed = index;
         let reason = reason_up_to_longest(reason);
-        Ok(Outcome::Dropped {
+        Ok(Outcome::ProposalRejected {
             topic,
             number,
             by,
@@ -490,7 +490,7 @@
                 standing.before = before;
                 standing.in_force = Some(open.version);
                 standing.changed = index;
-                out.push(Outcome::InForce {
+                out.push(Outcome::Activated {
                     topic: *topic,
                     number,
                     before,
--- a/control/src/versions/table/tests.rs
+++ b/control/src/versions/table/tests.rs
@@ -52,7 +52,7 @@
             format: 1,
             bytes: Vec::new(),
         };
-        self.apply(Command::Offer {
+        self.apply(Command::ProposeVersion {
             who: who(gateway),
             token,
             topic: TOPIC,
@@ -67,7 +67,7 @@
             .iter()
             .map(|(gateway, token)| (who(*gateway), *token))
             .collect();
-        self.apply(Command::Accept {
+        self.apply(Command::Ack {
             topic: TOPIC,
             number,
             by,
@@ -78,18 +78,18 @@
 #[test]
 fn a_registration_is_taken_away_by_the_last_epoch_alone() {
     let mut log = Log::default();
-    log.apply(Command::Lead { who: who(1) });
+    log.apply(Command::BeginEpoch { who: who(1) });
     let (first, token) = (log.table.epoch(), log.join(2));
-    let expel = |epoch| Command::Expel {
+    let expel = |epoch| Command::Expire {
         who: who(2),
         token,
         epoch,
     };
-    log.apply(Command::Lead { who: who(3) });
+    log.apply(Command::BeginEpoch { who: who(3) });
     let second = log.table.epoch();
     assert!(second > first);
     assert_eq!(log.refused(expel(first)), Refusal::Epoch);
-    let other = Command::Expel {
+    let other = Command::Expire {
         who: who(2),
         token: Token(token.0 + 1),
         epoch: second,
@@ -97,7 +97,7 @@
     assert_eq!(log.refused(other), Refusal::Stale);
     assert_eq!(log.table.registrations().count(), 1);
     assert!(
-        matches!(log.apply(expel(second))[..], [Outcome::Expelled(registration)] if registration.token == token)
+        matches!(log.apply(expel(second))[..], [Outcome::Expired(registration)] if registration.token == token)
     );
     assert_eq!(log.table.registrations().count(), 0);
     assert_eq!(log.refused(expel(second)), Refusal::Stale, "doubled");
@@ -116,7 +116,7 @@
     );
     assert_eq!(
         log.accept(number, &[(1, one)]),
-        [Outcome::Accepted {
+        [Outcome::Acked {
             topic: TOPIC,
             number
         }]
@@ -128,7 +128,7 @@
     let done = log.accept(number, &[(1, one), (2, two)]);
     assert_eq!(
         done[1],
-        Outcome::InForce {
+        Outcome::Activated {
             topic: TOPIC,
             number,
             before: 0
@@ -144,7 +144,7 @@
     });
     assert_eq!(
         left[1],
-        Outcome::InForce {
+        Outcome::Activated {
             topic: TOPIC,
             number: next,
             before: number
@@ -157,7 +157,7 @@
     let mut log = Log::default();
     let (one, two) = (log.join(1), log.join(2));
     let number = log.offer(1, one);
-    let refuse = |token| Command::Refuse {
+    let refuse = |token| Command::Nack {
         who: who(2),
         token,
         topic: TOPIC,
@@ -166,7 +166,7 @@
     };
     assert_eq!(log.refused(refuse(one)), Refusal::Stale);
     let by = who(2);
-    let dropped = Outcome::Dropped {
+    let dropped = Outcome::ProposalRejected {
         topic: TOPIC,
         number,
         by,
@@ -201,7 +201,7 @@
     let done = log.accept(number, &[(2, two)]);
     assert_eq!(
         done[1],
-        Outcome::InForce {
+        Outcome::Activated {
             topic: TOPIC,
             number,
             before: 0
--- a/control/src/versions/wire.rs
+++ b/control/src/versions/wire.rs
@@ -32,7 +32,7 @@
                 sent: *sent,
                 seen: seen.0,
             }),
-            ToControl::Verdict {
+            ToControl::ValidationResult {
                 who,
                 token,
                 topic,
@@ -45,7 +45,7 @@
                 number: *number,
                 refused: verdict.as_ref().err().cloned(),
             }),
-            ToControl::Offer {
+            ToControl::ProposeVersion {
                 who,
                 token,
                 topic,
@@ -87,7 +87,7 @@
                 sent: heartbeat.sent,
                 seen: Index(heartbeat.seen),
             },
-            FromGateway::Verdict(verdict) => ToControl::Verdict {
+            FromGateway::Verdict(verdict) => ToControl::ValidationResult {
                 who: verdict.who.identity(),
                 token: Token(verdict.token),
                 topic: topic(verdict.topic)?,
@@ -96,7 +96,7 @@
                     .refused
                     .map_or(Ok(()), |reason| Err(reason_up_to_longest(&reason))),
             },
-            FromGateway::Offer(offer) => ToControl::Offer {
+            FromGateway::Offer(offer) => ToControl::ProposeVersion {
                 who: offer.who.identity(),
                 token: Token(offer.token),
                 topic: topic(offer.topic)?,
@@ -120,7 +120,7 @@
     /// Its bytes.
     pub fn encode(&self) -> Vec<u8> {
         let body = match self {
-            ToGateway::Kept {
+            ToGateway::RegistrationRenewed {
                 who,
                 token,
                 sent,
@@ -133,7 +133,7 @@
                 required: required.0,
                 registrations: *registrations,
             }),
-            ToGateway::State {
+            ToGateway::TopicStates {
                 as_of,
                 since,
                 topics,
@@ -142,9 +142,13 @@
                 since: since.0,
                 topics: topics.iter().map(Standing::of).collect(),
             }),
-            ToGateway::Gone { who, token } => FromControl::Gone(Registration::of(*who, *token)),
-            ToGateway::Refused { who, why } => FromControl::Refused(Refused::of(*who, *why)),
-            ToGateway::Dropped {
+            ToGateway::RegistrationExpired { who, token } => {
+                FromControl::Gone(Registration::of(*who, *token))
+            }
+            ToGateway::RequestRejected { who, why } => {
+                FromControl::Refused(Refused::of(*who, *why))
+            }
+            ToGateway::ProposalRejected {
                 topic,
                 number,
                 by,
@@ -155,11 +159,11 @@
                 by: Who::of(*by),
                 reason: reason.clone(),
             }),
-            ToGateway::Reported { who, sequence } => FromControl::Reported(Reported {
+            ToGateway::ReportCounted { who, sequence } => FromControl::Reported(Reported {
                 who: Who::of(*who),
                 sequence: *sequence,
             }),
-            ToGateway::Elsewhere { leader } => {
+            ToGateway::NotLeader { leader } => {
                 FromControl::Elsewhere(Elsewhere { leader: *leader })
             }
         };
@@ -174,7 +178,7 @@
     pub fn decode(bytes: &[u8]) -> Result<ToGateway, DecodeError> {
         let message: GatewayMessage = read(bytes)?;
         Ok(match message.body.ok_or(DecodeError::Unknown("kind"))? {
-            FromControl::Kept(kept) => ToGateway::Kept {
+            FromControl::Kept(kept) => ToGateway::RegistrationRenewed {
                 who: kept.who.identity(),
                 token: Token(kept.token),
                 sent: kept.sent,
@@ -186,31 +190,31 @@
                     return Err(DecodeError::TooLong("list of topics"));
                 }
                 let topics = state.topics.into_iter().map(Standing::state);
-                ToGateway::State {
+                ToGateway::TopicStates {
                     as_of: Index(state.as_of),
                     since: Index(state.since),
                     topics: topics.collect::<Result<_, DecodeError>>()?,
                 }
             }
-            FromControl::Gone(registration) => ToGateway::Gone {
+            FromControl::Gone(registration) => ToGateway::RegistrationExpired {
                 who: registration.who.identity(),
                 token: Token(registration.token),
             },
-            FromControl::Refused(refused) => ToGateway::Refused {
+            FromControl::Refused(refused) => ToGateway::RequestRejected {
                 who: refused.who.identity(),
                 why: refused.refusal()?,
             },
-            FromControl::Dropped(dropped) => ToGateway::Dropped {
+            FromControl::Dropped(dropped) => ToGateway::ProposalRejected {
                 topic: topic(dropped.topic)?,
                 number: dropped.number,
                 by: dropped.by.identity(),
                 reason: reason_up_to_longest(&dropped.reason),
             },
-            FromControl::Reported(reported) => ToGateway::Reported {
+            FromControl::Reported(reported) => ToGateway::ReportCounted {
                 who: reported.who.identity(),
                 sequence: reported.sequence,
             },
-            FromControl::Elsewhere(elsewhere) => ToGateway::Elsewhere {
+            FromControl::Elsewhere(elsewhere) => ToGateway::NotLeader {
                 leader: elsewhere.leader,
             },
         })
--- a/control/src/versions/wire/tests.rs
+++ b/control/src/versions/wire/tests.rs
@@ -24,7 +24,7 @@
         oldest: 1,
         newest: 2,
     };
-    let judge = |verdict| ToControl::Verdict {
+    let judge = |verdict| ToControl::ValidationResult {
         who: A,
         token: TOKEN,
         topic: Topic::Operator,
@@ -48,7 +48,7 @@
         },
         judge(Ok(())),
         judge(Err("spoilt".into())),
-        ToControl::Offer {
+        ToControl::ProposeVersion {
             who: A,
             token: TOKEN,
             topic: Topic::Program,
@@ -97,41 +97,41 @@
         },
     ];
     let mut all = vec![
-        ToGateway::Kept {
+        ToGateway::RegistrationRenewed {
             who: A,
             token: TOKEN,
             sent: 5,
             required: Index(9),
             registrations: 410,
         },
-        ToGateway::State {
+        ToGateway::TopicStates {
             as_of: Index(9),
             since: Index(2),
             topics,
         },
-        ToGateway::State {
+        ToGateway::TopicStates {
             as_of: Index(9),
             since: Index(9),
             topics: Vec::new(),
         },
-        ToGateway::Gone {
+        ToGateway::RegistrationExpired {
             who: A,
             token: TOKEN,
         },
-        ToGateway::Dropped {
+        ToGateway::ProposalRejected {
             topic: Topic::Catalog,
             number: 4,
             by: A,
             reason: "spoilt".into(),
         },
-        ToGateway::Reported {
+        ToGateway::ReportCounted {
             who: A,
             sequence: 3,
         },
-        ToGateway::Elsewhere { leader: None },
-        ToGateway::Elsewhere { leader: Some(2) },
+        ToGateway::NotLeader { leader: None },
+        ToGateway::NotLeader { leader: Some(2) },
     ];
-    all.extend(refusals.map(|why| ToGateway::Refused { who: A, why }));
+    all.extend(refusals.map(|why| ToGateway::RequestRejected { who: A, why }));
     all
 }
 
@@ -173,7 +173,7 @@
         format: 1,
         bytes: vec![0; LONGEST_CONTENT + 1],
     };
-    let offer = ToControl::Offer {
+    let offer = ToControl::ProposeVersion {
         who: A,
         token: TOKEN,
         topic: Topic::Catalog,
@@ -207,7 +207,7 @@
         open: None,
     };
     let topics = vec![state; Topic::ALL.len() + 1];
-    let state = ToGateway::State {
+    let state = ToGateway::TopicStates {
         as_of: Index(2),
         since: Index(1),
         topics,
@@ -242,7 +242,7 @@
         open: Some((u64::MAX, content.clone())),
     };
     let topics = Topic::ALL.map(state).to_vec();
-    let state = ToGateway::State {
+    let state = ToGateway::TopicStates {
         as_of: Index(u64::MAX),
         since: Index(u64::MAX),
         topics,
--- a/rig/src/scale/hollow.rs
+++ b/rig/src/scale/hollow.rs
@@ -9,7 +9,7 @@
 use crate::process::{self, Usage};
 use crate::standing::Standing;
 use asterreel_control::clock::Clock;
-use asterreel_control::service::{self, Handle, Notice, Request};
+use asterreel_control::service::{self, ControlEvent, ControlRequest, Handle};
 use asterreel_control::settings::Lease;
 use asterreel_control::traffic::TrafficTotals;
 use asterreel_control::versions::{Content, Topic};
@@ -163,16 +163,18 @@
             Order::Offer(by) => {
                 for gateway in by.iter().filter_map(|gateway| self.gateways.get(gateway)) {
                     let judged = lock(&gateway.known).judged.clone();
-                    judged
-                        .into_iter()
-                        .for_each(|c| gateway.handle.request(Request::Offer(Topic::Operator, c)));
+                    judged.into_iter().for_each(|c| {
+                        gateway
+                            .handle
+                            .request(ControlRequest::ProposeVersion(Topic::Operator, c))
+                    });
                 }
                 Ok(Answer::Done)
             }
             Order::Drain => {
                 self.gateways
                     .values()
-                    .for_each(|gateway| gateway.handle.request(Request::Drain));
+                    .for_each(|gateway| gateway.handle.request(ControlRequest::Drain));
                 Ok(Answer::Done)
             }
             Order::Cut(is_cut) => {
@@ -236,20 +238,25 @@
 }
 
 /// Finds every version good, and remembers which is in force since when.
-fn take_notices(notices: &Receiver<Notice>, handle: &Handle, known: &Mutex<Known>, clock: Clock) {
+fn take_notices(
+    notices: &Receiver<ControlEvent>,
+    handle: &Handle,
+    known: &Mutex<Known>,
+    clock: Clock,
+) {
     for notice in notices {
         match notice {
-            Notice::Judge(topic, number, content) => {
-                handle.request(Request::Judged(topic, number, Ok(())));
+            ControlEvent::Validate(topic, number, content) => {
+                handle.request(ControlRequest::Validated(topic, number, Ok(())));
                 if topic == Topic::Operator {
                     lock(known).judged = Some(content);
                 }
             }
-            Notice::Enforce(Topic::Operator, number) => {
+            ControlEvent::Activated(Topic::Operator, number) => {
                 let mut known = lock(known);
                 (known.in_force, known.since) = (number, clock.now());
             }
-            Notice::Enforce(..) => {}
+            ControlEvent::Activated(..) => {}
         }
     }
 }
--- a/src/bin/asterreel/control.rs
+++ b/src/bin/asterreel/control.rs
@@ -2,7 +2,7 @@
 
 use crate::cli::{Control, Files, EVALUATION};
 use asterreel_control::clock::Clock;
-use asterreel_control::service::{self, Handle, Request};
+use asterreel_control::service::{self, ControlRequest, Handle};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use std::error::Error;
@@ -40,7 +40,7 @@
 fn end(handle: &Handle) {
     let began = Instant::now();
     info!("draining");
-    handle.request(Request::Drain);
+    handle.request(ControlRequest::Drain);
     while began.elapsed() < GIVE_BACK || (handle.view().leads && began.elapsed() < HAND_OVER) {
         std::thread::sleep(LOOK);
     }
--- a/src/bin/asterreel/fleetwide.rs
+++ b/src/bin/asterreel/fleetwide.rs
@@ -3,7 +3,7 @@
 use crate::client::Gateway;
 use asterreel::operator::{Evaluated, Operator};
 use asterreel::versions::{Content, Topic};
-use asterreel_control::service::{Handle, Notice, Request};
+use asterreel_control::service::{ControlEvent, ControlRequest, Handle};
 use std::sync::mpsc::Receiver;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -12,7 +12,7 @@
 
 pub(crate) struct Fleetwide {
     pub peers: Handle,
-    pub notices: Receiver<Notice>,
+    pub notices: Receiver<ControlEvent>,
     /// Judged good, to be put in force when the fleet agrees.
     candidate: Option<(u64, Evaluated)>,
     /// Requests that were counted already.
@@ -49,7 +49,7 @@
 }
 
 impl Fleetwide {
-    pub(crate) fn new(peers: Handle, notices: Receiver<Notice>, gateways: u32) -> Fleetwide {
+    pub(crate) fn new(peers: Handle, notices: Receiver<ControlEvent>, gateways: u32) -> Fleetwide {
         Fleetwide {
             peers,
             notices,
@@ -62,8 +62,10 @@
 
     /// Offers the operator's file as it is here.
     pub(crate) fn offer(&self, operator: &Operator) {
-        self.peers
-            .request(Request::Offer(Topic::Operator, digest(operator)));
+        self.peers.request(ControlRequest::ProposeVersion(
+            Topic::Operator,
+            digest(operator),
+        ));
     }
 
     /// Whether this gateway could act on a version. `evaluated` reads the operator's file as it is here.
@@ -120,7 +122,7 @@
             .acting(Topic::Operator, gateway.core.clock.now());
         if let Some((number, _)) = acting.filter(|_| count > 0) {
             self.peers
-                .request(Request::Acted(Topic::Operator, number, count));
+                .request(ControlRequest::Acted(Topic::Operator, number, count));
         }
     }
 }
--- a/src/bin/asterreel/running.rs
+++ b/src/bin/asterreel/running.rs
@@ -8,7 +8,7 @@
 use asterreel::config::Config;
 use asterreel::health::drain::{Timetable, LAST_ANSWERS};
 use asterreel::operator::Evaluated;
-use asterreel_control::service::{Notice, Request};
+use asterreel_control::service::{ControlEvent, ControlRequest};
 use signal_hook::consts::SIGHUP;
 use signal_hook::iterator::Signals;
 use std::time::Duration;
@@ -124,13 +124,13 @@
         }
         while let Ok(notice) = agreed.notices.try_recv() {
             match notice {
-                Notice::Judge(topic, number, content) => {
+                ControlEvent::Validate(topic, number, content) => {
                     let verdict = agreed.judge(topic, number, &content, || self.evaluated());
                     agreed
                         .peers
-                        .request(Request::Judged(topic, number, verdict));
+                        .request(ControlRequest::Validated(topic, number, verdict));
                 }
-                Notice::Enforce(topic, number) => {
+                ControlEvent::Activated(topic, number) => {
                     if let Some(evaluated) = agreed.take(topic, number) {
                         self.enforce(evaluated);
                     }
@@ -147,7 +147,7 @@
             health.terminate();
         }
         if let Some(agreed) = &self.agreed {
-            agreed.peers.request(Request::Drain);
+            agreed.peers.request(ControlRequest::Drain);
         }
         let longest = self
             .config
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -339,7 +339,7 @@
                 let other = self.rng.usize(0..MEMBERS);
                 self.dial(number, other);
             }
-            client::Action::Judge {
+            client::Action::Validate {
                 number: version,
                 content,
                 ..
@@ -361,7 +361,7 @@
                 };
                 self.gateways[number].judging.push((version, at, verdict));
             }
-            client::Action::Enforce {
+            client::Action::Activate {
                 number: version,
                 before,
                 ..
@@ -372,7 +372,7 @@
                     "the same order everywhere"
                 );
             }
-            client::Action::Dropped { .. } => self.seen.refused += 1,
+            client::Action::ProposalRejected { .. } => self.seen.refused += 1,
             client::Action::Wake(at) => self.gateways[number].wake_at = at,
             client::Action::Act(_) | client::Action::Stop(_) | client::Action::Refused(_) => {}
         }
@@ -428,7 +428,7 @@
         for (version, _, verdict) in done {
             self.gateway_event(
                 number,
-                client::Event::Judged {
+                client::Event::Validated {
                     topic: TOPIC,
                     number: version,
                     verdict,
@@ -669,7 +669,7 @@
     }
 
     fn commit(&mut self, mut command: Command) {
-        if let (true, Command::Expel { epoch, .. }) = (self.play.any_epoch, &mut command) {
+        if let (true, Command::Expire { epoch, .. }) = (self.play.any_epoch, &mut command) {
             *epoch = self.truth.epoch();
         }
         self.log.push((command.clone(), self.real));
@@ -680,14 +680,14 @@
             .expect("the next entry");
         for outcome in outcomes {
             match outcome {
-                Outcome::Offered { number, .. } => {
+                Outcome::VersionProposed { number, .. } => {
                     self.offered.insert(number, self.real);
                 }
-                Outcome::InForce { number, before, .. } => {
+                Outcome::Activated { number, before, .. } => {
                     self.before.insert(number, before);
                     self.seen.in_force += 1;
                 }
-                Outcome::Expelled(_) => self.seen.expelled += 1,
+                Outcome::Expired(_) => self.seen.expelled += 1,
                 _ => {}
             }
         }
@@ -797,7 +797,7 @@
             let content = Content { format, bytes };
             self.gateway_event(
                 one,
-                client::Event::Offer {
+                client::Event::ProposeVersion {
                     topic: TOPIC,
                     content,
                 },
@@ -1065,7 +1065,7 @@
             };
             world.gateway_event(
                 0,
-                client::Event::Offer {
+                client::Event::ProposeVersion {
                     topic: TOPIC,
                     content,
                 },
--- a/tests/versions_model.rs
+++ b/tests/versions_model.rs
@@ -169,8 +169,8 @@
         while let Some(action) = out.pop() {
             match action {
                 client::Action::Send(message) => self.mail.push(Parcel::ToControl(member, message)),
-                client::Action::Judge { number, .. } => {
-                    let judged = client::Event::Judged {
+                client::Action::Validate { number, .. } => {
+                    let judged = client::Event::Validated {
                         topic: TOPIC,
                         number,
                         verdict: Ok(()),
@@ -229,7 +229,7 @@
         self.gateway(
             number,
             member,
-            client::Event::Offer {
+            client::Event::ProposeVersion {
                 topic: TOPIC,
                 content,
             },
@@ -262,7 +262,7 @@
             .apply(index, &command, &mut outcomes)
             .expect("the next entry");
         for outcome in outcomes {
-            if let Outcome::InForce { number, before, .. } = outcome {
+            if let Outcome::Activated { number, before, .. } = outcome {
                 self.before.insert(number, before);
             }
         }
@@ -417,7 +417,10 @@
                 world.offer(number);
                 // One without a right offers nothing.
                 let offer = |parcel: &Parcel| {
-                    matches!(parcel, Parcel::ToControl(_, ToControl::Offer { .. }))
+                    matches!(
+                        parcel,
+                        Parcel::ToControl(_, ToControl::ProposeVersion { .. })
+                    )
                 };
                 world.mail.iter().any(offer).then_some(())?;
             }
