--- a/control/src/golden_tests.rs
+++ b/control/src/golden_tests.rs
@@ -254,13 +254,13 @@
     let topics = vec![
         TopicState {
             topic: Topic::Catalog,
-            in_force: 4,
+            active: 4,
             before: 2,
             open: Some((9, content())),
         },
         TopicState {
             topic: Topic::Placement,
-            in_force: 7,
+            active: 7,
             before: 0,
             open: None,
         },
@@ -614,13 +614,13 @@
 fn log_with_entries_matches_record() {
     let state_machine = replayed(recorded("entries.redb").path());
     assert_held(&state_machine, [Token(2), Token(3)]);
-    let standing = state_machine
+    let status = state_machine
         .versions()
         .topic(Topic::Operator)
         .expect("it was offered");
-    let open = standing.open.as_ref().expect("one is open");
+    let open = status.proposal.as_ref().expect("one is open");
     assert_eq!(
-        (standing.number(), standing.before, open.by),
+        (status.number(), status.previous, open.by),
         (4, 0, SERVED[0])
     );
     assert_eq!(
@@ -655,12 +655,12 @@
     let state_machine = replayed(folder.path());
     // The version that one gateway did not judge came in force once that one had lost its registration.
     assert_held(&state_machine, [Token(11), Token(3)]);
-    let standing = state_machine
+    let status = state_machine
         .versions()
         .topic(Topic::Operator)
         .expect("it was offered");
     assert_eq!(
-        (standing.number(), standing.before, &standing.open),
+        (status.number(), status.previous, &status.proposal),
         (8, 4, &None)
     );
     let last = std::fs::read(file("last-snapshot.bin")).expect("a record");
--- a/control/src/link/tests.rs
+++ b/control/src/link/tests.rs
@@ -306,7 +306,7 @@
         };
         let topic = TopicState {
             topic: Topic::Operator,
-            in_force: 1,
+            active: 1,
             before: 0,
             open: Some((2, content)),
         };
--- a/control/src/service/mod.rs
+++ b/control/src/service/mod.rs
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct View {
     /// This gateway's right to act on what has versions.
-    right: Option<versions::Right>,
+    right: Option<versions::Permission>,
     /// How many gateways have a registration.
     pub registrations: u32,
     /// The versions in force.
@@ -72,7 +72,7 @@
     }
 
     /// This gateway's right, where it still runs.
-    pub fn right(&self, now: Micros) -> Option<versions::Right> {
+    pub fn right(&self, now: Micros) -> Option<versions::Permission> {
         self.right.filter(|right| right.runs(now))
     }
 }
@@ -399,7 +399,7 @@
             let client = gateway.client();
             view.right = client.right(self.clock.now());
             view.registrations = client.registrations();
-            view.in_force = client.in_force().collect();
+            view.in_force = client.active_versions().collect();
         }
         *self.view.lock().unwrap_or_else(PoisonError::into_inner) = Arc::new(view);
         Ok(())
--- a/control/src/versions/client.rs
+++ b/control/src/versions/client.rs
@@ -66,14 +66,14 @@
 
 /// A right to act.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Right {
+pub struct Permission {
     /// To go with every action under it.
     pub token: Token,
     /// Begin nothing at or after this, microseconds on this gateway's clock.
     pub until: Micros,
 }
 
-impl Right {
+impl Permission {
     /// Whether something may be begun under it at a time.
     pub fn runs(&self, now: Micros) -> bool {
         now < self.until
@@ -82,7 +82,7 @@
 
 /// Why a gateway may not act any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
-pub enum Why {
+pub enum StopReason {
     /// Its registration could not be kept in time.
     #[error("the fleet's log could not be reached in time; look at the links to its voters and how many of them run")]
     Lapsed,
@@ -105,9 +105,9 @@
     /// after a wait where it does not know.
     Redirect(Option<u32>),
     /// It may act on what is in force.
-    Act(Right),
+    Act(Permission),
     /// It may not act any more, from now on.
-    Stop(Why),
+    Stop(StopReason),
     /// Judge this version, and say so.
     Validate {
         /// Of what.
@@ -146,7 +146,7 @@
 /// How a topic stands, as far as this gateway was told.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Known {
-    in_force: u64,
+    active: u64,
     /// The last version of which it was told that it was refused.
     dropped: u64,
 }
@@ -188,7 +188,7 @@
     token: Option<Token>,
     /// Registrations below were lost: word of them is late.
     oldest: Token,
-    right: Option<Right>,
+    right: Option<Permission>,
     registered_at: Option<Micros>,
     /// The entry up to which it knows how the topics stand.
     seen: Index,
@@ -243,7 +243,7 @@
     }
 
     /// This gateway's right to act now, if it has one.
-    pub fn right(&self, now: Micros) -> Option<Right> {
+    pub fn right(&self, now: Micros) -> Option<Permission> {
         self.right.filter(|right| right.runs(now))
     }
 
@@ -255,11 +255,11 @@
     }
 
     /// The versions in force, as far as this gateway was told.
-    pub fn in_force(&self) -> impl Iterator<Item = (Topic, u64)> + '_ {
+    pub fn active_versions(&self) -> impl Iterator<Item = (Topic, u64)> + '_ {
         let known = self
             .topics
             .iter()
-            .map(|(topic, known)| (*topic, known.in_force));
+            .map(|(topic, known)| (*topic, known.active));
         known.filter(|(_, number)| *number > 0)
     }
 
@@ -270,7 +270,7 @@
 
     /// The number of the version in force; 0 is none.
     fn number(&self, topic: Topic) -> u64 {
-        self.topics.get(&topic).map_or(0, |known| known.in_force)
+        self.topics.get(&topic).map_or(0, |known| known.active)
     }
 
     /// Takes an event at `now` (microseconds on this gateway's monotonic clock) and says what to do.
@@ -315,7 +315,7 @@
 
     fn drain(&mut self, out: &mut Vec<Action>) {
         self.wanted = false;
-        self.stop(Why::Drained, out);
+        self.stop(StopReason::Drained, out);
         if let Some(token) = self.token {
             self.forget(token);
             out.push(Action::Send(ToControl::Leave {
@@ -325,7 +325,7 @@
         }
     }
 
-    fn stop(&mut self, why: Why, out: &mut Vec<Action>) {
+    fn stop(&mut self, why: StopReason, out: &mut Vec<Action>) {
         if self.right.take().is_some() {
             out.push(Action::Stop(why));
         }
@@ -459,7 +459,7 @@
             .right
             .is_none_or(|right| right.token != token || right.until < until);
         if until > now && longer {
-            let right = Right { token, until };
+            let right = Permission { token, until };
             self.right = Some(right);
             out.push(Action::Act(right));
         }
@@ -469,13 +469,13 @@
     fn learn(&mut self, state: TopicState, out: &mut Vec<Action>) {
         let TopicState {
             topic,
-            in_force: number,
+            active: number,
             before,
             open,
         } = state;
         let known = self.topics.entry(topic).or_default();
-        if known.in_force != number {
-            known.in_force = number;
+        if known.active != number {
+            known.active = number;
             out.push(Action::Activate {
                 topic,
                 number,
@@ -530,7 +530,7 @@
 
     /// The registration is gone: it stops, and joins again after a wait that grows with every loss.
     fn lose(&mut self, now: Micros, token: Token, out: &mut Vec<Action>) {
-        self.stop(Why::Expelled, out);
+        self.stop(StopReason::Expelled, out);
         self.forget(token);
         if self.offered.take().is_some() {
             out.push(Action::Refused(Refusal::Stale));
@@ -577,7 +577,7 @@
     fn step(&mut self, now: Micros, out: &mut Vec<Action>) {
         if self.right.is_some_and(|right| !right.runs(now)) {
             // It may still have its registration in the log: keeping that is all it takes to act again.
-            self.stop(Why::Lapsed, out);
+            self.stop(StopReason::Lapsed, out);
         }
         if !self.wanted {
             return;
--- a/control/src/versions/client/tests.rs
+++ b/control/src/versions/client/tests.rs
@@ -36,9 +36,9 @@
     }
 
     /// One that has a registration, and knows of this version in force.
-    fn acting(in_force: u64) -> Gateway {
+    fn acting(active: u64) -> Gateway {
         let mut gateway = Gateway::serving();
-        gateway.state(1, 0, in_force, None);
+        gateway.state(1, 0, active, None);
         gateway.kept(TOKEN, gateway.now, 1);
         gateway
     }
@@ -74,7 +74,7 @@
         &mut self,
         as_of: u64,
         since: u64,
-        in_force: u64,
+        active: u64,
         open: Option<(u64, u32)>,
     ) -> Vec<Action> {
         let open = open.map(|(number, format)| {
@@ -88,7 +88,7 @@
         });
         let topics = vec![TopicState {
             topic: TOPIC,
-            in_force,
+            active,
             before: 0,
             open,
         }];
@@ -120,7 +120,7 @@
     let until = sent + LEASE;
     assert_eq!(
         gateway.kept(TOKEN, sent, 1),
-        [Action::Act(Right {
+        [Action::Act(Permission {
             token: TOKEN,
             until
         })]
@@ -139,7 +139,7 @@
     assert_eq!(gateway.acts_on(), Some(1));
     gateway.now = until;
     assert_eq!(gateway.acts_on(), None);
-    assert!(gateway.tick(0).contains(&Action::Stop(Why::Lapsed)));
+    assert!(gateway.tick(0).contains(&Action::Stop(StopReason::Lapsed)));
 }
 
 #[test]
@@ -165,7 +165,7 @@
     assert_eq!(gateway.state(4, 0, 3, None), [], "late");
     assert_eq!(gateway.state(9, 7, 8, None), [], "it has not seen 7");
     assert_eq!(gateway.acts_on(), Some(5));
-    assert!(gateway.client.in_force().eq([(TOPIC, 5)]));
+    assert!(gateway.client.active_versions().eq([(TOPIC, 5)]));
 }
 
 #[test]
@@ -280,7 +280,7 @@
             who: ME,
             token: Token(token),
         });
-        assert_eq!(gone, [Action::Stop(Why::Expelled)]);
+        assert_eq!(gone, [Action::Stop(StopReason::Expelled)]);
         assert_eq!(
             gateway.kept(Token(token), gateway.now, 1),
             [],
@@ -390,7 +390,7 @@
     });
     assert_eq!(
         gateway.feed(Event::Drain),
-        [Action::Stop(Why::Drained), leave]
+        [Action::Stop(StopReason::Drained), leave]
     );
     assert_eq!(
         gateway.kept(TOKEN, gateway.now, 1),
--- a/control/src/versions/coordinator.rs
+++ b/control/src/versions/coordinator.rs
@@ -138,7 +138,7 @@
     fn begin(number: Index, now: Micros, table: &Table) -> Epoch {
         let open = table
             .topics()
-            .filter(|(_, standing)| standing.open.is_some());
+            .filter(|(_, status)| status.proposal.is_some());
         Epoch {
             number,
             heard: table
@@ -159,7 +159,7 @@
     fn accepts(&self, table: &Table, topic: Topic, gateway: u32) -> bool {
         let open = table
             .topic(topic)
-            .and_then(|standing| standing.open.as_ref());
+            .and_then(|status| status.proposal.as_ref());
         let written = open.is_some_and(|open| open.accepted.contains(&gateway));
         let number = open.map(|open| open.version.number);
         let gathered = self
@@ -388,13 +388,13 @@
         let changed = self
             .table
             .topics()
-            .filter(|(_, standing)| standing.changed > since);
-        let topics = changed.map(|(topic, standing)| TopicState {
+            .filter(|(_, status)| status.changed > since);
+        let topics = changed.map(|(topic, status)| TopicState {
             topic,
-            in_force: standing.number(),
-            before: standing.before,
-            open: standing
-                .open
+            active: status.number(),
+            before: status.previous,
+            open: status
+                .proposal
                 .as_ref()
                 .map(|open| (open.version.number, open.version.content.clone())),
         });
@@ -436,7 +436,7 @@
                 let opened = self
                     .table
                     .topic(topic)
-                    .is_some_and(|standing| standing.opened(number));
+                    .is_some_and(|status| status.opened(number));
                 let registered = self
                     .table
                     .registration(who)
@@ -698,7 +698,7 @@
             let complete = epoch.complete(table, topic);
             let open = table
                 .topic(topic)
-                .and_then(|standing| standing.open.as_ref());
+                .and_then(|status| status.proposal.as_ref());
             let Some(gathered) = epoch.gathered.get_mut(&topic) else {
                 continue;
             };
--- a/control/src/versions/coordinator/tests.rs
+++ b/control/src/versions/coordinator/tests.rs
@@ -380,7 +380,7 @@
             .coordinator
             .table()
             .topic(TOPIC)
-            .map(|standing| standing.number()),
+            .map(|status| status.number()),
         Some(version)
     );
 }
--- a/control/src/versions/message.rs
+++ b/control/src/versions/message.rs
@@ -70,7 +70,7 @@
     /// Of what.
     pub topic: Topic,
     /// The version in force; 0 is none.
-    pub in_force: u64,
+    pub active: u64,
     /// The one before it; 0 is none.
     pub before: u64,
     /// The version that is offered, and what it says.
--- a/control/src/versions/mod.rs
+++ b/control/src/versions/mod.rs
@@ -30,10 +30,10 @@
 mod wire;
 
 pub use audit::{Audit, Row, Span};
-pub use client::{Client, Right, Why};
+pub use client::{Client, Permission, StopReason};
 pub use coordinator::Coordinator;
 pub use message::{ToControl, ToGateway, TopicState};
-pub use table::{Open, Outcome, Refusal, Registration, Standing, Table, Version};
+pub use table::{Outcome, Proposal, Refusal, Registration, Table, TopicStatus, Version};
 pub(crate) use wire::{topic, Report, Who};
 
 use crate::lease::{Index, NodeIdentity, Token};
--- a/control/src/versions/table.rs
+++ b/control/src/versions/table.rs
@@ -30,7 +30,7 @@
 
 /// A version that was offered and is not in force yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Open {
+pub struct Proposal {
     /// What is offered.
     pub version: Version,
     /// By whom.
@@ -41,26 +41,29 @@
 
 /// How a topic stands.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Standing {
+pub struct TopicStatus {
     /// The version in force, once there is one.
-    pub in_force: Option<Version>,
+    #[serde(rename = "in_force")]
+    pub active: Option<Version>,
     /// The number of the one before it; 0 is none.
-    pub before: u64,
+    #[serde(rename = "before")]
+    pub previous: u64,
     /// The one that is offered.
-    pub open: Option<Open>,
+    #[serde(rename = "open")]
+    pub proposal: Option<Proposal>,
     /// The entry that last changed any of these.
     pub changed: Index,
 }
 
-impl Standing {
+impl TopicStatus {
     /// The number of the version in force; 0 is none.
     pub fn number(&self) -> u64 {
-        self.in_force.as_ref().map_or(0, |version| version.number)
+        self.active.as_ref().map_or(0, |version| version.number)
     }
 
     /// Whether the version of this number is offered.
     pub fn opened(&self, number: u64) -> bool {
-        self.open
+        self.proposal
             .as_ref()
             .is_some_and(|open| open.version.number == number)
     }
@@ -159,7 +162,7 @@
 pub struct Table {
     #[serde(rename = "seats")]
     registrations: BTreeMap<u32, Registration>,
-    topics: BTreeMap<Topic, Standing>,
+    topics: BTreeMap<Topic, TopicStatus>,
     audit: Audit,
     applied: Index,
     /// The entry by which the last leader began; 0 before the first.
@@ -180,15 +183,13 @@
     }
 
     /// How a topic stands; one that was never offered has nothing in force.
-    pub fn topic(&self, topic: Topic) -> Option<&Standing> {
+    pub fn topic(&self, topic: Topic) -> Option<&TopicStatus> {
         self.topics.get(&topic)
     }
 
     /// The topics that were ever offered.
-    pub fn topics(&self) -> impl Iterator<Item = (Topic, &Standing)> {
-        self.topics
-            .iter()
-            .map(|(topic, standing)| (*topic, standing))
+    pub fn topics(&self) -> impl Iterator<Item = (Topic, &TopicStatus)> {
+        self.topics.iter().map(|(topic, status)| (*topic, status))
     }
 
     /// Who acted on which version.
@@ -210,7 +211,7 @@
     pub fn changed(&self) -> Index {
         self.topics
             .values()
-            .map(|standing| standing.changed)
+            .map(|status| status.changed)
             .max()
             .unwrap_or_default()
     }
@@ -220,7 +221,7 @@
         let open = self
             .topics
             .values()
-            .find_map(|standing| standing.open.as_ref());
+            .find_map(|status| status.proposal.as_ref());
         open.filter(|_| !self.registrations.is_empty())
             .map(|open| open.version.number)
     }
@@ -237,11 +238,11 @@
         if let Some(number) = self.awaited() {
             return Err(Refusal::Busy(number));
         }
-        let mut in_force = self
+        let mut active = self
             .topics
             .values()
-            .filter_map(|standing| standing.in_force.as_ref());
-        match in_force.find(|version| !formats.understand(version.content.format)) {
+            .filter_map(|status| status.active.as_ref());
+        match active.find(|version| !formats.understand(version.content.format)) {
             Some(version) => Err(Refusal::Format {
                 needed: version.content.format,
             }),
@@ -263,11 +264,11 @@
         content: &Content,
     ) -> Result<(), Refusal> {
         self.registered(who, token)?;
-        let standing = self.topics.get(&topic);
-        if let Some(open) = standing.and_then(|standing| standing.open.as_ref()) {
+        let status = self.topics.get(&topic);
+        if let Some(open) = status.and_then(|status| status.proposal.as_ref()) {
             return Err(Refusal::Busy(open.version.number));
         }
-        let number = standing.map_or(0, Standing::number);
+        let number = status.map_or(0, TopicStatus::number);
         if number != seen {
             return Err(Refusal::Behind(number));
         }
@@ -379,7 +380,7 @@
         let open = self
             .topics
             .values_mut()
-            .filter_map(|standing| standing.open.as_mut());
+            .filter_map(|status| status.proposal.as_mut());
         open.for_each(|open| {
             open.accepted.remove(&gateway);
         });
@@ -412,13 +413,13 @@
             number: index.0,
             content: content.clone(),
         };
-        let standing = self.topics.entry(topic).or_default();
-        standing.open = Some(Open {
+        let status = self.topics.entry(topic).or_default();
+        status.proposal = Some(Proposal {
             version,
             by,
             accepted: BTreeSet::new(),
         });
-        standing.changed = index;
+        status.changed = index;
         Outcome::VersionProposed {
             topic,
             number: index.0,
@@ -426,12 +427,12 @@
     }
 
     /// How a topic stands whose open version has this number.
-    fn standing(&mut self, topic: Topic, number: u64) -> Result<&mut Standing, Refusal> {
-        let standing = self
+    fn status(&mut self, topic: Topic, number: u64) -> Result<&mut TopicStatus, Refusal> {
+        let status = self
             .topics
             .get_mut(&topic)
-            .filter(|standing| standing.opened(number));
-        standing.ok_or(Refusal::Settled)
+            .filter(|status| status.opened(number));
+        status.ok_or(Refusal::Settled)
     }
 
     fn accept(
@@ -447,8 +448,8 @@
         if accepted.is_empty() {
             return Err(Refusal::Stale);
         }
-        let standing = self.standing(topic, number)?;
-        let open = standing.open.as_mut().ok_or(Refusal::Settled)?;
+        let status = self.status(topic, number)?;
+        let open = status.proposal.as_mut().ok_or(Refusal::Settled)?;
         open.accepted.extend(accepted);
         Ok(Outcome::Acked { topic, number })
     }
@@ -461,9 +462,9 @@
         number: u64,
         reason: &str,
     ) -> Result<Outcome, Refusal> {
-        let standing = self.standing(topic, number)?;
-        standing.open = None;
-        standing.changed = index;
+        let status = self.status(topic, number)?;
+        status.proposal = None;
+        status.changed = index;
         let reason = reason_up_to_longest(reason);
         Ok(Outcome::ProposalRejected {
             topic,
@@ -479,17 +480,17 @@
         if registrations.is_empty() {
             return;
         }
-        for (topic, standing) in &mut self.topics {
-            let all = |open: &mut Open| {
+        for (topic, status) in &mut self.topics {
+            let all = |open: &mut Proposal| {
                 registrations
                     .keys()
                     .all(|gateway| open.accepted.contains(gateway))
             };
-            if let Some(open) = standing.open.take_if(all) {
-                let (number, before) = (open.version.number, standing.number());
-                standing.before = before;
-                standing.in_force = Some(open.version);
-                standing.changed = index;
+            if let Some(open) = status.proposal.take_if(all) {
+                let (number, before) = (open.version.number, status.number());
+                status.previous = before;
+                status.active = Some(open.version);
+                status.changed = index;
                 out.push(Outcome::Activated {
                     topic: *topic,
                     number,
--- a/control/src/versions/table/tests.rs
+++ b/control/src/versions/table/tests.rs
@@ -47,7 +47,7 @@
     }
 
     fn offer(&mut self, gateway: u32, token: Token) -> u64 {
-        let seen = self.table.topic(TOPIC).map_or(0, Standing::number);
+        let seen = self.table.topic(TOPIC).map_or(0, TopicStatus::number);
         let content = Content {
             format: 1,
             bytes: Vec::new(),
@@ -175,7 +175,7 @@
     assert_eq!(log.apply(refuse(two)), [dropped]);
     assert_eq!(log.table.changed(), log.table.applied());
     assert_eq!(log.refused(refuse(two)), Refusal::Settled);
-    assert_eq!(log.table.topic(TOPIC).map(Standing::number), Some(0));
+    assert_eq!(log.table.topic(TOPIC).map(TopicStatus::number), Some(0));
 }
 
 #[test]
--- a/control/src/versions/wire.rs
+++ b/control/src/versions/wire.rs
@@ -140,7 +140,7 @@
             } => FromControl::State(State {
                 as_of: as_of.0,
                 since: since.0,
-                topics: topics.iter().map(Standing::of).collect(),
+                topics: topics.iter().map(TopicStatus::of).collect(),
             }),
             ToGateway::RegistrationExpired { who, token } => {
                 FromControl::Gone(Registration::of(*who, *token))
@@ -189,7 +189,7 @@
                 if state.topics.len() > Topic::ALL.len() {
                     return Err(DecodeError::TooLong("list of topics"));
                 }
-                let topics = state.topics.into_iter().map(Standing::state);
+                let topics = state.topics.into_iter().map(TopicStatus::state);
                 ToGateway::TopicStates {
                     as_of: Index(state.as_of),
                     since: Index(state.since),
@@ -456,23 +456,23 @@
     #[prost(uint64, tag = "2")]
     since: u64,
     #[prost(message, repeated, tag = "3")]
-    topics: Vec<Standing>,
+    topics: Vec<TopicStatus>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct Standing {
+struct TopicStatus {
     #[prost(uint32, tag = "1")]
     topic: u32,
     #[prost(uint64, tag = "2")]
-    in_force: u64,
+    active: u64,
     #[prost(uint64, tag = "3")]
     before: u64,
     #[prost(message, optional, tag = "4")]
-    open: Option<Open>,
+    open: Option<Proposal>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct Open {
+struct Proposal {
     #[prost(uint64, tag = "1")]
     number: u64,
     #[prost(uint32, tag = "2")]
@@ -481,26 +481,26 @@
     content: Vec<u8>,
 }
 
-impl Standing {
-    fn of(state: &TopicState) -> Standing {
-        let open = |(number, content): &(u64, Content)| Open {
+impl TopicStatus {
+    fn of(state: &TopicState) -> TopicStatus {
+        let open = |(number, content): &(u64, Content)| Proposal {
             number: *number,
             format: content.format,
             content: content.bytes.clone(),
         };
-        Standing {
+        TopicStatus {
             topic: state.topic.number(),
-            in_force: state.in_force,
+            active: state.active,
             before: state.before,
             open: state.open.as_ref().map(open),
         }
     }
 
     fn state(self) -> Result<TopicState, DecodeError> {
-        let open = |open: Open| Ok((open.number, content(open.format, open.content)?));
+        let open = |open: Proposal| Ok((open.number, content(open.format, open.content)?));
         Ok(TopicState {
             topic: topic(self.topic)?,
-            in_force: self.in_force,
+            active: self.active,
             before: self.before,
             open: self.open.map(open).transpose()?,
         })
--- a/control/src/versions/wire/tests.rs
+++ b/control/src/versions/wire/tests.rs
@@ -85,13 +85,13 @@
     let topics = vec![
         TopicState {
             topic: Topic::Catalog,
-            in_force: 4,
+            active: 4,
             before: 2,
             open: Some((9, content)),
         },
         TopicState {
             topic: Topic::Operator,
-            in_force: 0,
+            active: 0,
             before: 0,
             open: None,
         },
@@ -202,7 +202,7 @@
     );
     let state = TopicState {
         topic: Topic::Catalog,
-        in_force: 1,
+        active: 1,
         before: 0,
         open: None,
     };
@@ -237,7 +237,7 @@
     };
     let state = |topic| TopicState {
         topic,
-        in_force: u64::MAX,
+        active: u64::MAX,
         before: u64::MAX,
         open: Some((u64::MAX, content.clone())),
     };
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -166,7 +166,7 @@
 #[derive(Debug, Default)]
 struct Seen {
     breaches: Vec<String>,
-    in_force: usize,
+    active: usize,
     refused: usize,
     expelled: usize,
     elections: usize,
@@ -685,7 +685,7 @@
                 }
                 Outcome::Activated { number, before, .. } => {
                     self.before.insert(number, before);
-                    self.seen.in_force += 1;
+                    self.seen.active += 1;
                 }
                 Outcome::Expired(_) => self.seen.expelled += 1,
                 _ => {}
@@ -862,10 +862,7 @@
 
     /// Whether the version in force was offered since a time.
     fn settled(&self, since: u64) -> bool {
-        let newest = self
-            .truth
-            .topic(TOPIC)
-            .map_or(0, |standing| standing.number());
+        let newest = self.truth.topic(TOPIC).map_or(0, |status| status.number());
         self.offered.get(&newest).is_some_and(|at| *at >= since)
     }
 
@@ -934,7 +931,7 @@
 
 fn check(seeds: std::ops::RangeInclusive<u64>) {
     let mut took = Vec::new();
-    let (mut in_force, mut refused, mut expelled, mut elections) = (0, 0, 0, 0);
+    let (mut active, mut refused, mut expelled, mut elections) = (0, 0, 0, 0);
     for seed in seeds {
         let seen = play(seed, SOUND);
         assert_eq!(seen.breaches, Vec::<String>::new(), "seed {seed}");
@@ -954,19 +951,19 @@
                 "seed {seed}: {who:?} did {done}, and the audit has {counted}"
             );
         }
-        (in_force, refused) = (in_force + seen.in_force, refused + seen.refused);
+        (active, refused) = (active + seen.active, refused + seen.refused);
         (expelled, elections) = (expelled + seen.expelled, elections + seen.elections);
     }
     took.sort_unstable();
     let (median, worst) = (took[took.len() / 2], took[took.len() - 1]);
     println!(
-        "{} runs, {elections} elections, {in_force} versions in force, {refused} refusals heard, {expelled} registrations lost",
+        "{} runs, {elections} elections, {active} versions in force, {refused} refusals heard, {expelled} registrations lost",
         took.len()
     );
     println!(
         "in the calm, from offer to in force everywhere: median {median} us, worst {worst} us"
     );
-    assert!(in_force > took.len() && refused > 0 && expelled > 0 && elections > took.len());
+    assert!(active > took.len() && refused > 0 && expelled > 0 && elections > took.len());
 }
 
 #[test]
@@ -1076,7 +1073,7 @@
     if let Unhelpful::Dead(number) = unhelpful {
         world.gateways[number].stalled_until = u64::MAX;
     }
-    while world.seen.in_force == 0 {
+    while world.seen.active == 0 {
         world.step();
         world.check();
         assert!(world.real < 60_000_000, "seed {seed}: not in force");
--- a/tests/versions_model.rs
+++ b/tests/versions_model.rs
@@ -470,7 +470,7 @@
                     let open = world
                         .truth
                         .topic(TOPIC)
-                        .is_some_and(|standing| standing.open.is_some());
+                        .is_some_and(|status| status.proposal.is_some());
                     // A path that makes no offer stays with the version that it began with. So does one whose offer
                     // came to a former leader, if the gateway that offered crashed before it could offer again.
                     let one_leader = world.elections.len() == 1;
