--- a/rig/src/cells.rs
+++ b/rig/src/cells.rs
@@ -1,43 +1,93 @@
-//! Experiments on cells: how far a poisoned tenant reaches.
+//! The experiment on cells: how far the queries of one poisoned tenant reach.
 
 use crate::health::{plan, recorded, Setting, PATIENCE};
 use anyhow::ensure;
 use asterreel_rig::balancer::{Balancer, Check, Pace};
 use asterreel_rig::fleet::{self, Fleet};
 use asterreel_rig::gateway::Gateway;
-use asterreel_rig::load::{self, goodput};
+use asterreel_rig::load::{self, goodput, Record};
 use asterreel_rig::{chart, now};
+use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
-use std::thread;
+use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
 const TENANTS: usize = 24;
 const CELLS: usize = 6;
+/// The tenant whose reads kill the database that runs them, where a run has one.
+const POISONED_TENANT: usize = 0;
 /// A database that died is started again after this long.
-const DOWN: Duration = Duration::from_secs(3);
-
-/// Twenty-four tenants over six groups, one of them poisoned, with cells and without, on the same schedule.
-#[expect(
-    clippy::too_many_lines,
-    reason = "to be split: one experiment from its processes to its chart"
-)]
-pub(crate) fn blast(setting: &Setting) -> anyhow::Result<()> {
+const RESTART_DELAY: Duration = Duration::from_secs(3);
+const RESTART_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// From the gateway's full weight to the first request.
+const SETTLE_TIME: Duration = Duration::from_secs(1);
+
+/// What a run on the common schedule differs in.
+struct Arm {
+    name: &'static str,
+    poison: Option<usize>,
+    /// More arguments of `health(...)`, and further calls, in the operator's file.
+    operator: String,
+}
+
+/// What a run showed.
+struct Measured {
+    name: &'static str,
+    deaths: usize,
+    /// By tenant, the share of the weight of its requests that was served.
+    goodput: Vec<f64>,
+}
+
+/// Plays 24 tenants over six groups, one of them poisoned, with cells and without, on the same schedule; writes the table
+/// and the chart.
+pub(crate) fn blast_radius(setting: &Setting) -> anyhow::Result<()> {
     let folder = tempfile::tempdir()?;
-    let (source, placement) = (
-        folder.path().join("source.json"),
-        folder.path().join("placement"),
+    let placement = publish_placement(setting, folder.path())?;
+    let all = arms(&placement)
+        .into_iter()
+        .map(|arm| play(setting, &arm))
+        .collect::<anyhow::Result<Vec<Measured>>>()?;
+    write_table(&setting.out.join("cells-blast.csv"), &all)?;
+    all.iter().for_each(print_worst);
+    draw(&setting.out.join("cells-blast.svg"), &all)
+}
+
+fn arms(placement: &Path) -> [Arm; 3] {
+    let cells = format!(
+        "notify = False)\ncells(placement = '{}', who = ['user']",
+        placement.display()
     );
-    // Tenants are dealt out, four to a cell.
+    [
+        Arm {
+            name: "calm",
+            poison: None,
+            operator: String::new(),
+        },
+        Arm {
+            name: "without cells",
+            poison: Some(POISONED_TENANT),
+            operator: String::new(),
+        },
+        Arm {
+            name: "with cells",
+            poison: Some(POISONED_TENANT),
+            operator: cells,
+        },
+    ]
+}
+
+/// Publishes a placement that deals the tenants out over the cells, and says where it is.
+fn publish_placement(setting: &Setting, folder: &Path) -> anyhow::Result<PathBuf> {
+    let source = folder.join("source.json");
+    let placement = folder.join("placement");
     let cells: Vec<String> = (0..CELLS)
         .map(|cell| format!("{{\"name\":\"cell-{cell}\",\"groups\":[{cell}]}}"))
         .collect();
     let home = |tenant| {
-        format!(
-            "[\"tenant-{tenant}\",{{\"cell\":{},\"epoch\":1}}]",
-            tenant % CELLS
-        )
+        let cell = tenant % CELLS;
+        format!("[\"tenant-{tenant}\",{{\"cell\":{cell},\"epoch\":1}}]")
     };
     let homes: Vec<String> = (0..TENANTS).map(home).collect();
     let text = format!(
@@ -52,116 +102,125 @@
         .arg(&placement)
         .status()?;
     ensure!(published.success(), "the placement was not published");
-    let on = format!(
-        "notify = False)\ncells(placement = '{}', who = ['user']",
-        placement.display()
-    );
-    let mut arms = Vec::new();
-    for (arm, poison, extra) in [
-        ("calm", None, ""),
-        ("without cells", Some(0), ""),
-        ("with cells", Some(0), on.as_str()),
-    ] {
-        let shape = fleet::Shape {
-            groups: CELLS,
-            members: 3,
-            ..fleet::Shape::default()
-        };
-        let fleet = Fleet::start(shape)?;
-        let plan = plan(setting, &fleet, 0, true, extra)?;
-        let _gateway = Gateway::start(&plan)?;
-        let balancer = Balancer::start(
-            vec![Check::Http(plan.http, "/livez".into())],
-            Pace::default(),
-        );
-        ensure!(
-            recorded(&balancer, 0, 0, |change| change.weight == 100).is_some(),
-            "it never came up"
-        );
-        thread::sleep(Duration::from_secs(1));
-        let ending = Arc::new(AtomicBool::new(false));
-        let (reviving, over) = (fleet.clone(), ending.clone());
-        let reviver = thread::spawn(move || {
-            while !over.load(Ordering::Acquire) {
-                reviving.revive(DOWN);
-                thread::sleep(Duration::from_millis(50));
+    Ok(placement)
+}
+
+/// Plays one arm on databases and a gateway of its own.
+fn play(setting: &Setting, arm: &Arm) -> anyhow::Result<Measured> {
+    let shape = fleet::Shape {
+        groups: CELLS,
+        members: 3,
+        ..fleet::Shape::default()
+    };
+    let fleet = Fleet::start(shape)?;
+    let plan = plan(setting, &fleet, 0, true, &arm.operator)?;
+    let _gateway = Gateway::start(&plan)?;
+    let check = Check::Http(plan.http, "/livez".into());
+    let balancer = Balancer::start(vec![check], Pace::default());
+    let ready = recorded(&balancer, 0, 0, |change| change.weight == 100);
+    ensure!(ready.is_some(), "it never came up");
+    thread::sleep(SETTLE_TIME);
+    let restarter = Restarter::start(&fleet);
+    let started_at = now();
+    let records = load::play(load_shape(setting, arm), &balancer, &[plan.client]);
+    restarter.stop()?;
+    let took = now() - started_at;
+    ensure!(took < PATIENCE.as_micros() as u64 * 10, "it hung");
+    balancer.stop();
+    let deaths = fleet.revive(RESTART_DELAY);
+    let all = goodput(records.iter());
+    println!("{}: {deaths} deaths, {all:.4} in all", arm.name);
+    Ok(Measured {
+        name: arm.name,
+        deaths,
+        goodput: (0..TENANTS)
+            .map(|tenant| tenant_goodput(&records, tenant))
+            .collect(),
+    })
+}
+
+fn load_shape(setting: &Setting, arm: &Arm) -> load::Shape {
+    load::Shape {
+        rate: 300.0,
+        writes: 0.15,
+        span: Duration::from_secs(20),
+        clients: 8 * TENANTS,
+        seed: setting.seed,
+        tenants: TENANTS,
+        clusters: CELLS as u64,
+        poison: arm.poison,
+    }
+}
+
+fn tenant_goodput(records: &[Record], tenant: usize) -> f64 {
+    goodput(records.iter().filter(|record| record.tenant == tenant))
+}
+
+/// Starts databases that died again, on a thread of its own.
+struct Restarter {
+    stopping: Arc<AtomicBool>,
+    thread: JoinHandle<()>,
+}
+
+impl Restarter {
+    fn start(fleet: &Arc<Fleet>) -> Restarter {
+        let stopping = Arc::new(AtomicBool::new(false));
+        let (fleet, stop) = (fleet.clone(), stopping.clone());
+        let thread = thread::spawn(move || {
+            while !stop.load(Ordering::Acquire) {
+                fleet.revive(RESTART_DELAY);
+                thread::sleep(RESTART_CHECK_INTERVAL);
             }
         });
-        let begun = now();
-        let load = load::Shape {
-            rate: 300.0,
-            writes: 0.15,
-            span: Duration::from_secs(20),
-            clients: 8 * TENANTS,
-            seed: setting.seed,
-            tenants: TENANTS,
-            clusters: CELLS as u64,
-            poison,
-        };
-        let records = load::play(load, &balancer, &[plan.client]);
-        ending.store(true, Ordering::Release);
-        ensure!(
-            reviver.join().is_ok() && now() - begun < PATIENCE.as_micros() as u64 * 10,
-            "it hung"
-        );
-        balancer.stop();
-        let by_tenant: Vec<f64> = (0..TENANTS)
-            .map(|tenant| goodput(records.iter().filter(|record| record.tenant == tenant)))
-            .collect();
-        println!(
-            "{arm}: {} deaths, {:.4} in all",
-            fleet.revive(DOWN),
-            goodput(records.iter())
-        );
-        arms.push((arm, fleet.revive(DOWN), by_tenant));
+        Restarter { stopping, thread }
+    }
+
+    fn stop(self) -> anyhow::Result<()> {
+        self.stopping.store(true, Ordering::Release);
+        ensure!(self.thread.join().is_ok(), "restarting databases panicked");
+        Ok(())
     }
-    let mut table = csv::Writer::from_path(setting.out.join("cells-blast.csv"))?;
-    let arms_named = |arm: &(&str, usize, Vec<f64>)| format!("{} ({} deaths)", arm.0, arm.1);
-    table.write_record(
-        ["tenant".to_owned(), "cell".to_owned()]
-            .into_iter()
-            .chain(arms.iter().map(arms_named)),
-    )?;
+}
+
+fn write_table(path: &Path, all: &[Measured]) -> anyhow::Result<()> {
+    let mut table = csv::Writer::from_path(path)?;
+    let columns = all
+        .iter()
+        .map(|one| format!("{} ({} deaths)", one.name, one.deaths));
+    let fixed = ["tenant".to_owned(), "cell".to_owned()];
+    table.write_record(fixed.into_iter().chain(columns))?;
     for tenant in 0..TENANTS {
-        let goods = arms.iter().map(|arm| format!("{:.4}", arm.2[tenant]));
-        table.write_record(
-            [tenant.to_string(), (tenant % CELLS).to_string()]
-                .into_iter()
-                .chain(goods),
-        )?;
+        let values = all.iter().map(|one| format!("{:.4}", one.goodput[tenant]));
+        let fixed = [tenant.to_string(), (tenant % CELLS).to_string()];
+        table.write_record(fixed.into_iter().chain(values))?;
     }
     table.flush()?;
-    for (arm, _, goods) in &arms {
-        let elsewhere = goods
-            .iter()
-            .enumerate()
-            .filter(|(tenant, _)| tenant % CELLS != 0)
-            .map(|(_, good)| *good);
-        let beside = goods
-            .iter()
-            .enumerate()
-            .filter(|(tenant, _)| tenant % CELLS == 0 && *tenant != 0);
-        let worst = elsewhere.fold(1.0, f64::min);
-        let worst_beside = beside.map(|(_, good)| *good).fold(1.0, f64::min);
-        println!(
-            "{arm}: worst of other cells {worst:.4}, worst in the poisoned one's cell {worst_beside:.4}"
-        );
-    }
-    let line = |arm: &(&str, usize, Vec<f64>)| {
-        let points = arm
-            .2
-            .iter()
-            .enumerate()
-            .map(|(tenant, good)| (tenant as f64, *good))
-            .collect();
-        (arm.0.to_owned(), points)
+    Ok(())
+}
+
+/// Prints the worst goodput outside the poisoned tenant's cell, and of its neighbours within.
+fn print_worst(measured: &Measured) {
+    let worst = |is_counted: &dyn Fn(usize) -> bool| {
+        let counted = measured.goodput.iter().enumerate();
+        let counted = counted.filter(|(tenant, _)| is_counted(*tenant));
+        counted.map(|(_, goodput)| *goodput).fold(1.0, f64::min)
+    };
+    let same_cell = |tenant: usize| tenant % CELLS == POISONED_TENANT % CELLS;
+    let elsewhere = worst(&|tenant| !same_cell(tenant));
+    let beside = worst(&|tenant| same_cell(tenant) && tenant != POISONED_TENANT);
+    println!(
+        "{}: worst of other cells {elsewhere:.4}, worst in the poisoned one's cell {beside:.4}",
+        measured.name
+    );
+}
+
+fn draw(path: &Path, all: &[Measured]) -> anyhow::Result<()> {
+    let line = |one: &Measured| {
+        let points = one.goodput.iter().enumerate();
+        let points = points.map(|(tenant, goodput)| (tenant as f64, *goodput));
+        (one.name.to_owned(), points.collect())
     };
-    let lines: Vec<chart::Line> = arms.iter().map(line).collect();
+    let lines: Vec<chart::Line> = all.iter().map(line).collect();
     let title = "Worth served by tenant, tenant 0 poisoned; tenants 0, 6, 12 and 18 share a cell";
-    chart::lines(
-        &setting.out.join("cells-blast.svg"),
-        title,
-        ("tenant", "share of worth served"),
-        &lines,
-    )
+    chart::lines(path, title, ("tenant", "share of worth served"), &lines)
 }
--- a/rig/src/main.rs
+++ b/rig/src/main.rs
@@ -196,6 +196,6 @@
     };
     match health {
         Some((experiment, rounds)) => experiment.play(&setting, rounds),
-        None => cells::blast(&setting),
+        None => cells::blast_radius(&setting),
     }
 }
