--- a/src/bin/asterreel/client/gateway.rs
+++ b/src/bin/asterreel/client/gateway.rs
@@ -5,7 +5,7 @@
 use crate::core::Core;
 use crate::pg;
 use crate::pool::Pool;
-use asterreel::health::Room;
+use asterreel::health::Capacity;
 use asterreel::interface::{ClassId, ConsistencyLevel, Idempotency, Micros, Settings};
 use asterreel::readmission::{Answer, Readmission};
 use asterreel::settings::Setup;
@@ -170,12 +170,12 @@
     }
 
     /// How much of what clients may hold is held; nothing where a lock is held, as this never waits.
-    pub(crate) fn room(&self) -> Option<Room> {
-        Some(Room {
+    pub(crate) fn room(&self) -> Option<Capacity> {
+        Some(Capacity {
             sessions: self.sessions.try_lock().ok()?.len(),
-            most_sessions: self.most_sessions,
+            max_sessions: self.most_sessions,
             requests: self.open.try_lock().ok()?.len(),
-            most_requests: self.most_served,
+            max_requests: self.most_served,
         })
     }
 
--- a/src/bin/asterreel/health/fronts.rs
+++ b/src/bin/asterreel/health/fronts.rs
@@ -1,7 +1,8 @@
 //! The fronts of agent-check, HTTP and PostgreSQL's check: each serves one connection from its codec.
 
+use super::client::HealthClient;
 use super::{grpc, Shared};
-use asterreel::health::{agent, crowd, http, postgres, Scope};
+use asterreel::health::{agent, connection_limit, http, postgres, Scope};
 use nix::errno::Errno;
 use std::future::Future;
 use std::io;
@@ -12,11 +13,11 @@
 use tokio::time::{sleep, timeout};
 
 /// How long a check may take, from its first byte on where it has one.
-const CHECK: Duration = Duration::from_secs(1);
+const CHECK_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long a connection may rest between two checks; it makes room for others sooner.
-const REST: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Wait after accepting failed.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 const EMFILE: i32 = Errno::EMFILE as i32;
 const ENFILE: i32 = Errno::ENFILE as i32;
 
@@ -48,82 +49,55 @@
             Ok((stream, from)) => admit(&shared, stream, from.ip(), front),
             Err(error) if matches!(error.raw_os_error(), Some(EMFILE | ENFILE)) => {
                 // Others have taken what was set aside. One descriptor kept for this lets one check through.
-                if shared.spares.borrow_mut().pop().is_none() {
-                    sleep(ACCEPT_AGAIN).await;
+                if shared.reserved_descriptors.borrow_mut().pop().is_none() {
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
-            Err(_) => sleep(ACCEPT_AGAIN).await,
+            Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
 fn admit(shared: &Rc<Shared>, stream: TcpStream, from: std::net::IpAddr, front: Front) {
-    let verdict = shared.crowd.borrow_mut().comes(shared.clock.now(), from);
+    let verdict = shared
+        .connections
+        .borrow_mut()
+        .admit(shared.clock.now(), from);
     let (number, replaced) = match verdict {
-        crowd::Verdict::Take(number) => (number, None),
-        crowd::Verdict::Replace(number, old) => (number, Some(old)),
-        crowd::Verdict::TurnAway => return,
+        connection_limit::Admission::Admit(number) => (number, None),
+        connection_limit::Admission::Replace(number, old) => (number, Some(old)),
+        connection_limit::Admission::Reject => return,
     };
-    if let Some(guest) = replaced.and_then(|old| shared.guests.borrow_mut().remove(&old)) {
-        guest.abort();
+    if let Some(client) = replaced.and_then(|old| shared.clients.borrow_mut().remove(&old)) {
+        client.abort();
     }
-    let guest = Guest {
-        shared: shared.clone(),
-        number,
-    };
+    let client = HealthClient::new(shared.clone(), number);
     let task = tokio::task::spawn_local(async move {
         let _ = stream.set_nodelay(true);
         // A peer that closes or sends nonsense ends its own check and nothing else.
         let _ = match front {
-            Front::Agent => within(CHECK, agent(&guest, stream)).await,
-            Front::Http => http(&guest, stream).await,
-            Front::Postgres => within(CHECK, postgres(&guest, stream)).await,
-            Front::Grpc => grpc::serve(&guest, stream).await,
+            Front::Agent => within(CHECK_TIMEOUT, agent(&client, stream)).await,
+            Front::Http => http(&client, stream).await,
+            Front::Postgres => within(CHECK_TIMEOUT, postgres(&client, stream)).await,
+            Front::Grpc => grpc::serve(&client, stream).await,
         };
     });
     // It may not have run yet, so it has not taken itself off the list.
     shared
-        .guests
+        .clients
         .borrow_mut()
         .insert(number, task.abort_handle());
 }
 
-/// A connection's place in the crowd, which is free again once this is dropped.
-pub(super) struct Guest {
-    pub shared: Rc<Shared>,
-    number: u64,
-}
-
-impl Guest {
-    /// It asks something: it has not rested.
-    pub(super) fn asks(&self) {
-        self.shared
-            .crowd
-            .borrow_mut()
-            .asks(self.shared.clock.now(), self.number);
-    }
-}
-
-impl Drop for Guest {
-    fn drop(&mut self) {
-        self.shared.crowd.borrow_mut().leaves(self.number);
-        self.shared.guests.borrow_mut().remove(&self.number);
-        let mut spares = self.shared.spares.borrow_mut();
-        if spares.len() < super::SPARES {
-            spares.extend(std::fs::File::open("/dev/null"));
-        }
-    }
-}
-
 async fn within(span: Duration, work: impl Future<Output = io::Result<()>>) -> io::Result<()> {
     timeout(span, work)
         .await
         .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
 
-async fn agent(guest: &Guest, mut stream: TcpStream) -> io::Result<()> {
+async fn agent(client: &HealthClient, mut stream: TcpStream) -> io::Result<()> {
     let (wait, maxconn) = {
-        let settings = guest.shared.settings.borrow();
+        let settings = client.shared.settings.borrow();
         let agent = settings.agent.as_ref();
         (
             agent.map_or(0, |agent| agent.wait_ms),
@@ -152,27 +126,27 @@
             return stream.write_all(b"#unknown selector\n").await
         }
     };
-    let room = guest.shared.room.get();
+    let capacity = client.shared.capacity.get();
     let maxconn = maxconn
-        .then_some(room.most_sessions)
+        .then_some(capacity.max_sessions)
         .filter(|most| *most > 0);
-    let line = agent::line(guest.shared.status(scope), maxconn);
+    let line = agent::line(client.shared.status(scope), maxconn);
     stream.write_all(line.as_bytes()).await?;
     stream.shutdown().await
 }
 
-async fn http(guest: &Guest, mut stream: TcpStream) -> io::Result<()> {
+async fn http(client: &HealthClient, mut stream: TcpStream) -> io::Result<()> {
     let mut bytes = Vec::with_capacity(512);
     loop {
         if bytes.is_empty()
-            && timeout(REST, stream.read_buf(&mut bytes))
+            && timeout(IDLE_TIMEOUT, stream.read_buf(&mut bytes))
                 .await
                 .unwrap_or(Ok(0))?
                 == 0
         {
             return Ok(());
         }
-        guest.asks();
+        client.touch();
         let whole = async {
             loop {
                 match http::request(&bytes) {
@@ -183,7 +157,7 @@
                 }
             }
         };
-        let parsed = match timeout(CHECK, whole)
+        let parsed = match timeout(CHECK_TIMEOUT, whole)
             .await
             .unwrap_or(Ok(Err(http::Refused(408))))?
         {
@@ -194,8 +168,8 @@
         let used = parsed
             .as_ref()
             .map_or(bytes.len(), |request| request.length);
-        let (out, ends) = http::answer(&parsed, &guest.shared.facts());
-        within(CHECK, async { stream.write_all(&out).await }).await?;
+        let (out, ends) = http::answer(&parsed, &client.shared.facts());
+        within(CHECK_TIMEOUT, async { stream.write_all(&out).await }).await?;
         if ends {
             return stream.shutdown().await;
         }
@@ -203,7 +177,7 @@
     }
 }
 
-async fn postgres(guest: &Guest, mut stream: TcpStream) -> io::Result<()> {
+async fn postgres(client: &HealthClient, mut stream: TcpStream) -> io::Result<()> {
     let (mut check, mut bytes) = (postgres::Check::default(), Vec::with_capacity(256));
     loop {
         let mut out = Vec::new();
@@ -214,7 +188,7 @@
             postgres::Next::Close => true,
             postgres::Next::Greet(group) => {
                 let scope = group.map_or(Scope::Gateway, Scope::Group);
-                postgres::greet(guest.shared.status(scope), &mut out)
+                postgres::greet(client.shared.status(scope), &mut out)
             }
         };
         stream.write_all(&out).await?;
--- a/src/bin/asterreel/health/grpc.rs
+++ b/src/bin/asterreel/health/grpc.rs
@@ -1,6 +1,6 @@
 //! gRPC health v1 over HTTP/2: Check and Watch.
 
-use super::fronts::Guest;
+use super::client::HealthClient;
 use asterreel::health::grpc::{self, Response, Serving};
 use asterreel::health::Scope;
 use bytes::Bytes;
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 
 /// How long a handshake and one check may take.
-const CHECK: Duration = Duration::from_secs(1);
+const CHECK_TIMEOUT: Duration = Duration::from_secs(1);
 /// Streams of one connection at once.
 const STREAMS: u32 = 8;
 /// The window of one connection: no request is longer.
@@ -26,7 +26,7 @@
 const UNIMPLEMENTED: &str = "12";
 
 /// Serves one connection.
-pub(super) async fn serve(guest: &Guest, stream: TcpStream) -> io::Result<()> {
+pub(super) async fn serve(client: &HealthClient, stream: TcpStream) -> io::Result<()> {
     let mut builder = Builder::new();
     builder
         .max_concurrent_streams(STREAMS)
@@ -36,7 +36,7 @@
         .max_frame_size(WINDOW)
         .max_concurrent_reset_streams(STREAMS as usize)
         .max_send_buffer_size(WINDOW as usize);
-    let handshake = timeout(CHECK, builder.handshake::<_, Bytes>(stream)).await;
+    let handshake = timeout(CHECK_TIMEOUT, builder.handshake::<_, Bytes>(stream)).await;
     let mut connection = handshake
         .map_err(|_| io::ErrorKind::TimedOut)?
         .map_err(io::Error::other)?;
@@ -46,8 +46,8 @@
             request = connection.accept() => match request {
                 Some(request) => {
                     let (request, respond) = request.map_err(io::Error::other)?;
-                    guest.asks();
-                    let shared = guest.shared.clone();
+                    client.touch();
+                    let shared = client.shared.clone();
                     calls.spawn_local(async move { call(&shared, request, respond).await });
                 }
                 None => return Ok(()),
@@ -67,7 +67,7 @@
         "/grpc.health.v1.Health/Watch" => true,
         _ => return only_status(&mut respond, UNIMPLEMENTED),
     };
-    let read = timeout(CHECK, body(request.into_body())).await;
+    let read = timeout(CHECK_TIMEOUT, body(request.into_body())).await;
     let Some(asked) = read.unwrap_or(None) else {
         return only_status(&mut respond, INVALID);
     };
--- a/src/bin/asterreel/health/beat.rs
+++ b/src/bin/asterreel/health/heartbeat.rs
@@ -5,7 +5,7 @@
 
 use super::Shared;
 use crate::pg;
-use asterreel::health::{Beat, Event};
+use asterreel::health::{Event, Heartbeat};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,43 +16,43 @@
 use tokio::time::{sleep, timeout};
 
 /// Time between two fresh connections.
-const KNOCK_EVERY: Duration = Duration::from_millis(1_000);
+const CONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Wait after a connection failed.
-const AGAIN: Duration = Duration::from_millis(50);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 /// When a connection that got no answer is given up for another; what it waits for counts on.
-const GIVE_UP: Duration = Duration::from_secs(10);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(10);
 /// The longest answer to an empty query or a startup message.
 const LONGEST: usize = 4096;
 
 /// Starts both halves.
 pub(super) fn start(shared: &Rc<Shared>, address: SocketAddr) {
     let (entered, sessions) = mpsc::channel(1);
-    tokio::task::spawn_local(knock(shared.clone(), address, entered));
+    tokio::task::spawn_local(connect_check(shared.clone(), address, entered));
     tokio::task::spawn_local(beat(shared.clone(), sessions));
 }
 
-async fn knock(shared: Rc<Shared>, address: SocketAddr, entered: mpsc::Sender<TcpStream>) {
+async fn connect_check(shared: Rc<Shared>, address: SocketAddr, entered: mpsc::Sender<TcpStream>) {
     while !shared.ending.get() {
-        shared.event(Event::Beat(Beat::Knocked));
-        match timeout(GIVE_UP, enter(address)).await {
+        shared.event(Event::Heartbeat(Heartbeat::ConnectStarted));
+        match timeout(CONNECT_TIMEOUT, connect(address)).await {
             Ok(Ok(stream)) => {
-                shared.event(Event::Beat(Beat::Entered));
+                shared.event(Event::Heartbeat(Heartbeat::Connected));
                 if entered.send(stream).await.is_err() {
                     return;
                 }
                 tokio::select! {
-                    () = sleep(KNOCK_EVERY) => {}
-                    () = shared.knock.notified() => {}
+                    () = sleep(CONNECT_CHECK_INTERVAL) => {}
+                    () = shared.connect_check.notified() => {}
                 }
             }
             // Refused or closed: the knock that is out counts on.
-            Ok(Err(_)) => sleep(AGAIN).await,
+            Ok(Err(_)) => sleep(RETRY_DELAY).await,
             Err(_) => {}
         }
     }
 }
 
-async fn enter(address: SocketAddr) -> io::Result<TcpStream> {
+async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let mut stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     stream.write_all(&pg::startup()).await?;
@@ -97,21 +97,21 @@
         let Some(stream) = &mut session else {
             tokio::select! {
                 newer = sessions.recv() => session = newer,
-                () = shared.knock.notified() => {}
+                () = shared.connect_check.notified() => {}
             }
             continue;
         };
-        shared.event(Event::Beat(Beat::Sent));
+        shared.event(Event::Heartbeat(Heartbeat::Sent));
         let answered = tokio::select! {
             answered = ask(stream) => answered.is_ok(),
             () = ended(&shared) => false,
         };
         if answered {
-            shared.event(Event::Beat(Beat::Answered));
+            shared.event(Event::Heartbeat(Heartbeat::Answered));
         } else {
             session = None;
-            shared.event(Event::Beat(Beat::Lost));
-            shared.knock.notify_waiters();
+            shared.event(Event::Heartbeat(Heartbeat::SessionLost));
+            shared.connect_check.notify_waiters();
         }
         let every = Duration::from_millis(shared.settings.borrow().knobs.beat_every_ms);
         sleep(every).await;
@@ -121,6 +121,6 @@
 /// Returns once the program ends.
 async fn ended(shared: &Shared) {
     while !shared.ending.get() {
-        shared.knock.notified().await;
+        shared.connect_check.notified().await;
     }
 }
--- a/src/bin/asterreel/health/mod.rs
+++ b/src/bin/asterreel/health/mod.rs
@@ -1,20 +1,21 @@
-//! Tells balancers what this gateway is worth.
+//! Tells balancers how fit this gateway is for clients.
 //!
 //! All of it runs on one plain thread with an event loop of its own, beside `may`'s worker: what answers health must
 //! not stand still when the worker does, and must not wait for any lock that the request path holds. It never writes
 //! a log line itself, as a full pipe would stop it; another thread does.
 
-mod beat;
+mod client;
 mod fronts;
 mod grpc;
+mod heartbeat;
 mod notify;
 #[cfg(test)]
 mod tests;
 
 use crate::client::Gateway;
-use asterreel::health::crowd::Crowd;
+use asterreel::health::connection_limit::ConnectionLimiter;
 use asterreel::health::{
-    http::Facts, Action, Event, Machine, OrderAge, Room, Scope, State, Status,
+    http::Facts, Action, Capacity, CommandAge, Event, Machine, Scope, State, Status,
 };
 use asterreel::operator::Health;
 use asterreel_control::clock::Clock;
@@ -31,24 +32,24 @@
 use tokio::task::{AbortHandle, LocalSet};
 use tracing::info;
 
-/// Time between two looks: the most that a change waits before it is told.
+/// Time between two observations: the longest that a change waits before it is announced.
 const TICK: Duration = Duration::from_millis(25);
-/// Changes that may wait to be logged; more are dropped, as the next tells the same.
+/// Changes that may wait to be logged; more are dropped, as the next one says the same.
 const LOG_AHEAD: usize = 256;
-/// Descriptors kept to be given up when accepting finds none.
-const SPARES: usize = 2;
+/// Descriptors held in reserve, given up when accepting finds none.
+const RESERVED_DESCRIPTORS: usize = 2;
 
-/// Word from the program.
-enum Word {
+/// What the program asks of the health thread.
+enum Command {
     Terminate,
     Stopping,
     ShutOut(bool),
     Again(Box<Health>),
 }
 
-/// Speaks to the health thread.
+/// Sends commands to the health thread.
 pub(crate) struct Handle {
-    words: mpsc::UnboundedSender<Word>,
+    commands: mpsc::UnboundedSender<Command>,
     /// What was set when it started.
     settings: Health,
 }
@@ -56,17 +57,17 @@
 impl Handle {
     /// SIGTERM came: told to balancers from now on.
     pub(crate) fn terminate(&self) {
-        let _ = self.words.send(Word::Terminate);
+        let _ = self.commands.send(Command::Terminate);
     }
 
     /// Connections are being closed.
     pub(crate) fn stopping(&self) {
-        let _ = self.words.send(Word::Stopping);
+        let _ = self.commands.send(Command::Stopping);
     }
 
     /// Whether the gateway has no registration in the fleet's log.
     pub(crate) fn shut_out(&self, shut_out: bool) {
-        let _ = self.words.send(Word::ShutOut(shut_out));
+        let _ = self.commands.send(Command::ShutOut(shut_out));
     }
 
     /// Puts what was read again into force; the keys that have to wait for the next start.
@@ -86,7 +87,7 @@
                 (&before.balancer, &before.drain) != (&settings.balancer, &settings.drain)
             }),
         ];
-        let _ = self.words.send(Word::Again(Box::new(settings)));
+        let _ = self.commands.send(Command::Again(Box::new(settings)));
         later
             .into_iter()
             .filter(|(_, changed)| *changed)
@@ -103,17 +104,17 @@
     settings: RefCell<Health>,
     machine: RefCell<Machine>,
     started: Cell<bool>,
-    room: Cell<Room>,
-    crowd: RefCell<Crowd>,
-    guests: RefCell<HashMap<u64, AbortHandle>>,
-    spares: RefCell<Vec<File>>,
+    capacity: Cell<Capacity>,
+    connections: RefCell<ConnectionLimiter>,
+    clients: RefCell<HashMap<u64, AbortHandle>>,
+    reserved_descriptors: RefCell<Vec<File>>,
     /// The heartbeat rests: the program ends, and its sessions must not hold that up.
     ending: Cell<bool>,
-    knock: Notify,
+    connect_check: Notify,
     /// Counts changes, for those that watch.
     changes: watch::Sender<u64>,
     log: SyncSender<(Scope, Option<Status>)>,
-    notify: Option<SyncSender<notify::Word>>,
+    notify: Option<SyncSender<notify::Command>>,
 }
 
 impl Shared {
@@ -131,7 +132,7 @@
                 self.started
                     .set(self.started.get() || status.state != State::Starting);
                 if let Some(notify) = &self.notify {
-                    let _ = notify.try_send(notify::Word::Changed(status));
+                    let _ = notify.try_send(notify::Command::Changed(status));
                 }
             }
             let _ = self.log.try_send((scope, status));
@@ -152,7 +153,7 @@
             name: self.name.clone(),
             version: env!("CARGO_PKG_VERSION"),
             statuses: machine.statuses().collect(),
-            room: self.room.get(),
+            capacity: self.capacity.get(),
             retry_after: settings.balancer.interval_ms.div_ceil(1000).max(1),
             started: self.started.get(),
             groups: machine
@@ -198,7 +199,7 @@
     } else {
         None
     };
-    let (words, told) = mpsc::unbounded_channel();
+    let (commands, told) = mpsc::unbounded_channel();
     let (clock, own) = (gateway.core.clock, settings.clone());
     let name = name.to_owned();
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -212,15 +213,18 @@
                 name,
                 clock,
                 machine: RefCell::new(Machine::new(own.knobs.clone(), clock.now())),
-                crowd: RefCell::new(Crowd::new(own.allow.clone(), own.connections)),
+                connections: RefCell::new(ConnectionLimiter::new(
+                    own.allow.clone(),
+                    own.connections,
+                )),
                 settings: RefCell::new(own),
                 gateway,
                 started: Cell::default(),
-                room: Cell::default(),
-                guests: RefCell::default(),
-                spares: RefCell::default(),
+                capacity: Cell::default(),
+                clients: RefCell::default(),
+                reserved_descriptors: RefCell::default(),
                 ending: Cell::default(),
-                knock: Notify::new(),
+                connect_check: Notify::new(),
                 changes: watch::Sender::new(0),
                 log,
                 notify,
@@ -229,7 +233,7 @@
             set.block_on(&runtime, run(shared, listeners, told, client));
         })?;
     Ok(Handle {
-        words,
+        commands,
         settings: settings.clone(),
     })
 }
@@ -254,13 +258,13 @@
 async fn run(
     shared: Rc<Shared>,
     listeners: Vec<(&'static str, TcpListener)>,
-    mut words: mpsc::UnboundedReceiver<Word>,
+    mut commands: mpsc::UnboundedReceiver<Command>,
     client: SocketAddr,
 ) {
     shared
-        .spares
+        .reserved_descriptors
         .borrow_mut()
-        .extend((0..SPARES).filter_map(|_| File::open("/dev/null").ok()));
+        .extend((0..RESERVED_DESCRIPTORS).filter_map(|_| File::open("/dev/null").ok()));
     for (key, listener) in listeners {
         // Registering fails only where the process has no descriptors at all, which the start has shown otherwise.
         let Ok(listener) = tokio::net::TcpListener::from_std(listener) else {
@@ -279,23 +283,23 @@
         }
         address => address,
     };
-    beat::start(&shared, client);
+    heartbeat::start(&shared, client);
     let mut ticks = tokio::time::interval(TICK);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let (mut age, mut look) = (OrderAge::default(), true);
+    let (mut age, mut look) = (CommandAge::default(), true);
     loop {
         tokio::select! {
             biased;
-            word = words.recv() => match word {
-                Some(Word::Terminate) => {
+            word = commands.recv() => match word {
+                Some(Command::Terminate) => {
                     shared.ending.set(true);
-                    shared.knock.notify_waiters();
+                    shared.connect_check.notify_waiters();
                     shared.event(Event::Terminate);
                 }
-                Some(Word::Stopping) => shared.event(Event::Stopping),
-                Some(Word::ShutOut(shut_out)) => shared.event(Event::ShutOut(shut_out)),
-                Some(Word::Again(settings)) => {
-                    shared.crowd.borrow_mut().allow(settings.allow.clone());
+                Some(Command::Stopping) => shared.event(Event::Stopping),
+                Some(Command::ShutOut(shut_out)) => shared.event(Event::RegistrationLost(shut_out)),
+                Some(Command::Again(settings)) => {
+                    shared.connections.borrow_mut().allow(settings.allow.clone());
                     shared.event(Event::Configured(settings.knobs.clone()));
                     let mut own = shared.settings.borrow_mut();
                     (own.knobs, own.allow) = (settings.knobs, settings.allow);
@@ -305,18 +309,18 @@
             },
             _ = ticks.tick() => {
                 let (given, taken) = shared.gateway.core.orders.counts();
-                shared.event(Event::Orders(age.look(shared.clock.now(), given, taken)));
+                shared.event(Event::OldestCommandAge(age.sample(shared.clock.now(), given, taken)));
                 // Every other tick: a look takes the core's lock, if only for some microseconds.
                 look = !look;
                 if look {
-                    let room = shared.gateway.room().unwrap_or(shared.room.get());
-                    shared.room.set(room);
+                    let capacity = shared.gateway.room().unwrap_or(shared.capacity.get());
+                    shared.capacity.set(capacity);
                     let seen = shared.gateway.core.look();
-                    shared.event(seen.map_or(Event::Unseen, |report| Event::Seen(report, room)));
+                    shared.event(seen.map_or(Event::ObservationMissed, |report| Event::Observed(report, capacity)));
                 }
                 if let Some(notify) = &shared.notify {
                     if shared.machine.borrow().moves() {
-                        let _ = notify.try_send(notify::Word::Moves);
+                        let _ = notify.try_send(notify::Command::Moves);
                     }
                 }
             }
--- a/src/bin/asterreel/health/notify.rs
+++ b/src/bin/asterreel/health/notify.rs
@@ -11,21 +11,21 @@
 const AHEAD: usize = 64;
 
 /// What is to be told.
-pub(super) enum Word {
+pub(super) enum Command {
     Changed(Status),
     /// The request path moves.
     Moves,
 }
 
 /// Starts the thread that tells; nothing without `NOTIFY_SOCKET`.
-pub(super) fn start() -> io::Result<Option<SyncSender<Word>>> {
+pub(super) fn start() -> io::Result<Option<SyncSender<Command>>> {
     if std::env::var_os("NOTIFY_SOCKET").is_none() {
         warn!("health.notify: NOTIFY_SOCKET is not set: nobody is told");
         return Ok(None);
     }
     // Half of what the watchdog allows, as sd_watchdog_enabled(3) advises.
     let every = sd_notify::watchdog_enabled().map(|allowed: Duration| allowed / 2);
-    let (words, told) = sync_channel(AHEAD);
+    let (commands, told) = sync_channel(AHEAD);
     std::thread::Builder::new()
         .name("health-notify".into())
         .spawn(move || {
@@ -34,7 +34,7 @@
                 let (mut states, text);
                 states = Vec::new();
                 match word {
-                    Word::Changed(status) => {
+                    Command::Changed(status) => {
                         let serves = matches!(status.state, State::Up | State::Degraded);
                         if serves && !std::mem::replace(&mut ready, true) {
                             states.push(NotifyState::Ready);
@@ -52,7 +52,7 @@
                         );
                         states.push(NotifyState::Status(&text));
                     }
-                    Word::Moves => {
+                    Command::Moves => {
                         if every
                             .is_some_and(|every| last.is_none_or(|last| last.elapsed() >= every))
                         {
@@ -67,5 +67,5 @@
                 }
             }
         })?;
-    Ok(Some(words))
+    Ok(Some(commands))
 }
--- a/src/health/drain.rs
+++ b/src/health/drain.rs
@@ -7,7 +7,7 @@
 
 /// Nothing is sent to a gateway later than this after its drain was announced.
 const LIMIT_MS: u64 = 2_000;
-/// What the status needs to reach the checks, and a client that was sent at the last moment to arrive. Ours.
+/// What the status needs to reach the checks, and a client that was sent at the last moment to arrive.
 const MARGIN_MS: u64 = 150;
 /// A gateway keeps serving for this long in any case: the platform's front sends new connections for 0.4 s, and
 /// what comes after 0.7 s must be answered before the process may be killed.
--- a/src/health/http.rs
+++ b/src/health/http.rs
@@ -4,7 +4,7 @@
 //! `x-envoy-immediate-health-check-fail`) and the load report of ORCA (`endpoint-load-metrics`, JSON form); the body
 //! of `/health` is `application/health+json` (draft-inadarei-api-health-check). No input or output.
 
-use super::{Reason, Room, Scope, State, Status};
+use super::{Capacity, Reason, Scope, State, Status};
 use crate::interface::GroupId;
 use serde_json::{json, Value};
 
@@ -96,7 +96,7 @@
     /// All that is told.
     pub statuses: Vec<(Scope, Status)>,
     /// The room taken.
-    pub room: Room,
+    pub capacity: Capacity,
     /// How often balancers should come again, seconds.
     pub retry_after: u64,
     /// Whether the start is over.
@@ -134,7 +134,7 @@
             !request.keep_alive,
         );
     }
-    let whole = facts.status(Scope::Gateway);
+    let gateway = facts.status(Scope::Gateway);
     let group = request
         .path
         .strip_prefix("/health/groups/")
@@ -142,11 +142,11 @@
     let (status, good) = match (request.path.as_str(), &group) {
         // A process that drains is alive; to end it for that would lose what it owes.
         ("/livez", _) => (
-            whole,
-            whole.is_none_or(|status| status.state != State::Hung),
+            gateway,
+            gateway.is_none_or(|status| status.state != State::Hung),
         ),
-        ("/startupz", _) => (whole, facts.started),
-        ("/readyz" | "/health", _) => (whole, whole.is_some_and(|status| status.ready())),
+        ("/startupz", _) => (gateway, facts.started),
+        ("/readyz" | "/health", _) => (gateway, gateway.is_some_and(|status| status.ready())),
         (_, Some(Ok(group))) if facts.status(Scope::Group(*group)).is_some() => {
             let status = facts.status(Scope::Group(*group));
             (status, status.is_some_and(|status| status.ready()))
@@ -172,11 +172,14 @@
         ) {
             headers.push(("x-envoy-immediate-health-check-fail", "true".to_owned()));
         }
-        headers.push(("endpoint-load-metrics", load_report(status, &facts.room)));
+        headers.push((
+            "endpoint-load-metrics",
+            load_report(status, &facts.capacity),
+        ));
         headers.push(("x-asterreel-weight", status.weight.to_string()));
     }
     let (kind, body) = match (request.path.as_str(), &group) {
-        ("/health", _) => ("application/health+json", whole_body(facts)),
+        ("/health", _) => ("application/health+json", gateway_body(facts)),
         (_, Some(Ok(id))) => {
             let body = status
                 .map(|status| group_body(facts, *id, status))
@@ -206,8 +209,8 @@
 }
 
 /// ORCA's report: utilization of the application as this gateway sees it, and its weight as a named metric.
-fn load_report(status: Status, room: &Room) -> String {
-    let used = room.taken().clamp(0.0, 1.0);
+fn load_report(status: Status, capacity: &Capacity) -> String {
+    let used = capacity.utilization().clamp(0.0, 1.0);
     let report = json!({
         "application_utilization": used,
         "named_metrics": {"weight": f64::from(status.weight) / f64::from(super::FULL)},
@@ -215,7 +218,7 @@
     format!("JSON {report}")
 }
 
-fn verdict(status: Status) -> &'static str {
+fn check_status(status: Status) -> &'static str {
     match status.state {
         State::Up => "pass",
         State::Degraded if status.weight > 0 => "warn",
@@ -224,7 +227,7 @@
 }
 
 fn entry(status: Status) -> Value {
-    json!({"status": verdict(status), "state": status.state, "weight": status.weight, "reason": status.reason})
+    json!({"status": check_status(status), "state": status.state, "weight": status.weight, "reason": status.reason})
 }
 
 fn group_value(facts: &Facts, id: GroupId, status: Status) -> Value {
@@ -244,17 +247,17 @@
     group_value(facts, id, status).to_string()
 }
 
-fn whole_body(facts: &Facts) -> String {
-    let whole = facts.status(Scope::Gateway);
-    let whole = whole.unwrap_or(Status {
+fn gateway_body(facts: &Facts) -> String {
+    let gateway = facts.status(Scope::Gateway);
+    let gateway = gateway.unwrap_or(Status {
         state: State::Starting,
         weight: 0,
         reason: Reason::Start,
     });
-    let mut value = entry(whole);
+    let mut value = entry(gateway);
     value["serviceId"] = json!(facts.name);
     value["version"] = json!(facts.version);
-    value["room"] = json!(facts.room);
+    value["room"] = json!(facts.capacity);
     let checks: serde_json::Map<String, Value> = facts
         .statuses
         .iter()
--- a/src/health/http/tests.rs
+++ b/src/health/http/tests.rs
@@ -11,11 +11,11 @@
         name: "one".into(),
         version: "0",
         statuses: vec![(Scope::Gateway, status), (Scope::Group(GroupId(3)), status)],
-        room: Room {
+        capacity: Capacity {
             sessions: 1,
-            most_sessions: 10,
+            max_sessions: 10,
             requests: 2,
-            most_requests: 4,
+            max_requests: 4,
         },
         retry_after: 1,
         started: state != State::Starting,
--- a/src/health/mod.rs
+++ b/src/health/mod.rs
@@ -6,20 +6,20 @@
 //! delays a request, and does no input or output; `docs/design/health.md` says why it decides as it does.
 
 pub mod agent;
-pub mod crowd;
+pub mod connection_limit;
 pub mod drain;
 pub mod grpc;
 pub mod http;
 pub mod knobs;
-mod load;
+mod liveness;
 mod observer;
 pub mod postgres;
-mod pulse;
+mod weight;
 
 pub use knobs::Knobs;
-pub use load::{Ladder, Mover};
+pub use liveness::{CommandAge, Heartbeat, Liveness};
 pub use observer::{GroupReport, Observer, Report};
-pub use pulse::{Beat, OrderAge, Pulse};
+pub use weight::{WeightRamp, WeightSteps};
 
 use crate::interface::{GroupId, Micros};
 use serde::{Deserialize, Serialize};
@@ -122,21 +122,23 @@
 
 /// How much of what it may hold the gateway holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Room {
+pub struct Capacity {
     /// Client connections that are open, and the most there may be.
     pub sessions: usize,
     /// See `sessions`.
-    pub most_sessions: usize,
+    #[serde(rename = "most_sessions")]
+    pub max_sessions: usize,
     /// Requests that are open, and the most that descriptors allow.
     pub requests: usize,
     /// See `requests`.
-    pub most_requests: usize,
+    #[serde(rename = "most_requests")]
+    pub max_requests: usize,
 }
 
-impl Room {
+impl Capacity {
     /// The share that is taken, of whatever is nearest its limit; idle sessions make room for others, so they
     /// count only once not even that helps.
-    fn taken(&self) -> f64 {
+    fn utilization(&self) -> f64 {
         let share = |held: usize, most: usize| {
             if most == 0 {
                 0.0
@@ -144,13 +146,13 @@
                 held as f64 / most as f64
             }
         };
-        let sessions = share(self.sessions, self.most_sessions);
-        share(self.requests, self.most_requests).max(if sessions >= 0.99 { sessions } else { 0.0 })
+        let sessions = share(self.sessions, self.max_sessions);
+        share(self.requests, self.max_requests).max(if sessions >= 0.99 { sessions } else { 0.0 })
     }
 
     /// No further session can be accepted.
-    pub fn full(&self) -> bool {
-        self.most_sessions > 0 && self.sessions >= self.most_sessions
+    pub fn is_full(&self) -> bool {
+        self.max_sessions > 0 && self.sessions >= self.max_sessions
     }
 }
 
@@ -158,19 +160,19 @@
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The core was asked, and said this.
-    Seen(Report, Room),
+    Observed(Report, Capacity),
     /// The core could not be asked: its lock is held.
-    Unseen,
+    ObservationMissed,
     /// Word of the heartbeat.
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     /// The age of the oldest order that no session has taken.
-    Orders(Micros),
+    OldestCommandAge(Micros),
     /// The program was told to end.
     Terminate,
     /// Connections are being closed.
     Stopping,
     /// Whether the gateway has no registration in the fleet's log, where there is one.
-    ShutOut(bool),
+    RegistrationLost(bool),
     /// The operator's file was read again.
     Configured(Knobs),
     /// Time passed.
@@ -198,8 +200,8 @@
 struct Group {
     /// The share of its worth that needs the primary, as it was when the primary was lost.
     lost: Option<f64>,
-    ladder: Ladder,
-    mover: Mover,
+    steps: WeightSteps,
+    ramp: WeightRamp,
     /// The last that was seen of it.
     seen: GroupReport,
 }
@@ -207,14 +209,14 @@
 /// The state machine; see the module.
 pub struct Machine {
     knobs: Knobs,
-    began: Micros,
+    started_at: Micros,
     now: Micros,
     phase: Phase,
-    pulse: Pulse,
+    liveness: Liveness,
     groups: BTreeMap<GroupId, Group>,
-    ladder: Ladder,
-    mover: Mover,
-    told: bool,
+    steps: WeightSteps,
+    ramp: WeightRamp,
+    list_received: bool,
     shut_out: bool,
     announced: BTreeMap<Scope, Status>,
 }
@@ -223,15 +225,15 @@
     /// A gateway that has just started; `knobs` must have passed [`Knobs::check`].
     pub fn new(knobs: Knobs, now: Micros) -> Machine {
         Machine {
-            pulse: Pulse::new(now),
+            liveness: Liveness::new(now),
             knobs,
-            began: now,
+            started_at: now,
             now,
             phase: Phase::Starting,
             groups: BTreeMap::new(),
-            ladder: Ladder::default(),
-            mover: Mover::new(0, now),
-            told: false,
+            steps: WeightSteps::default(),
+            ramp: WeightRamp::new(0, now),
+            list_received: false,
             shut_out: false,
             announced: BTreeMap::new(),
         }
@@ -240,23 +242,23 @@
     /// Takes in one event and appends what is to be done. Time never goes back.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        self.pulse.passes(self.now);
+        self.liveness.advance(self.now);
         match event {
-            Event::Seen(report, room) => self.seen(report, room),
-            Event::Unseen => self.pulse.unseen(self.now),
-            Event::Beat(beat) => self.pulse.beat(self.now, beat),
-            Event::Orders(age) => self.pulse.orders(age),
+            Event::Observed(report, capacity) => self.seen(report, capacity),
+            Event::ObservationMissed => self.liveness.observation_missed(self.now),
+            Event::Heartbeat(beat) => self.liveness.heartbeat(self.now, beat),
+            Event::OldestCommandAge(age) => self.liveness.oldest_command_age(age),
             // A second signal changes nothing, and nothing leads back.
             Event::Terminate if self.phase < Phase::Draining => self.phase = Phase::Draining,
             Event::Stopping => self.phase = Phase::Stopping,
             Event::Configured(knobs) => self.knobs = knobs,
-            Event::ShutOut(shut_out) => self.shut_out = shut_out,
+            Event::RegistrationLost(shut_out) => self.shut_out = shut_out,
             Event::Terminate | Event::Tick => {}
         }
-        self.pulse.judge(self.now, &self.knobs);
+        self.liveness.evaluate(self.now, &self.knobs);
         self.leave_start();
         self.move_weights();
-        self.tell(actions);
+        self.announce(actions);
     }
 
     /// What is told of a scope now.
@@ -273,7 +275,7 @@
 
     /// Whether the request path is taken to move: what a watchdog may be told.
     pub fn moves(&self) -> bool {
-        !self.pulse.is_hung()
+        !self.liveness.is_hung()
     }
 
     /// The last that was seen of the groups.
@@ -281,17 +283,17 @@
         self.groups.values().map(|group| &group.seen)
     }
 
-    fn seen(&mut self, report: Report, room: Room) {
+    fn seen(&mut self, report: Report, capacity: Capacity) {
         let (now, knobs) = (self.now, &self.knobs);
-        self.pulse.seen(room.full());
-        self.told |= report.told;
+        self.liveness.observed(capacity.is_full());
+        self.list_received |= report.list_received;
         self.groups
             .retain(|id, _| report.groups.iter().any(|group| group.group == *id));
         for seen in report.groups {
             let group = self.groups.entry(seen.group).or_insert_with(|| Group {
                 lost: None,
-                ladder: Ladder::default(),
-                mover: Mover::new(0, 0),
+                steps: WeightSteps::default(),
+                ramp: WeightRamp::new(0, 0),
                 seen: seen.clone(),
             });
             // Frozen when it is lost: without a primary, what clients ask again would count over and over.
@@ -300,30 +302,30 @@
                 (false, None) => Some(seen.needs_primary),
                 (false, lost) => lost,
             };
-            group.ladder.strain(now, seen.strain(), 0.0, knobs);
+            group.steps.update(now, seen.overload_share(), 0.0, knobs);
             group.seen = seen;
         }
-        self.ladder.strain(now, None, room.taken(), knobs);
+        self.steps.update(now, None, capacity.utilization(), knobs);
     }
 
     fn leave_start(&mut self) {
-        if self.phase != Phase::Starting || !self.pulse.has_answered() {
+        if self.phase != Phase::Starting || !self.liveness.has_answered() {
             return;
         }
         let usable =
             !self.groups.is_empty() && self.groups.values().all(|group| group.seen.usable > 0);
-        let waited = self.now.saturating_sub(self.began) >= self.knobs.start_wait();
-        if (self.told && usable) || waited {
+        let waited = self.now.saturating_sub(self.started_at) >= self.knobs.start_wait();
+        if (self.list_received && usable) || waited {
             self.phase = Phase::Serving;
             // A new gateway is not worth all at once.
-            self.mover = Mover::new(self.knobs.floor, self.now);
+            self.ramp = WeightRamp::new(self.knobs.floor, self.now);
             for group in self.groups.values_mut() {
                 let floor = if group.seen.usable > 0 {
                     self.knobs.floor
                 } else {
                     0
                 };
-                group.mover = Mover::new(floor, self.now);
+                group.ramp = WeightRamp::new(floor, self.now);
             }
         }
     }
@@ -333,7 +335,7 @@
         if group.seen.usable == 0 {
             return (0, Reason::NoMember);
         }
-        let level = group.ladder.weight(&self.knobs);
+        let level = group.steps.weight(&self.knobs);
         let served = f64::from(level) * (1.0 - group.lost.unwrap_or(0.0));
         // Reads can be served: never 0, or the last gateways of a group would be taken out with it.
         let weight = (served.round() as u8).clamp(self.knobs.floor, FULL);
@@ -346,20 +348,20 @@
 
     /// The weight of the whole gateway: its groups' by the worth they carry, less what it lacks room for.
     fn target(&self) -> (u8, Reason) {
-        let (mut worth, mut sum, mut reason) = (0.0, 0.0, Reason::Fine);
+        let (mut weight_sum, mut sum, mut reason) = (0.0, 0.0, Reason::Fine);
         for group in self.groups.values() {
             let (weight, why) = self.group_target(group);
-            worth += group.seen.worth;
-            sum += group.seen.worth * f64::from(weight);
+            weight_sum += group.seen.recent_weight;
+            sum += group.seen.recent_weight * f64::from(weight);
             reason = reason.max(why);
         }
-        if worth <= 0.0 || sum <= 0.0 {
+        if weight_sum <= 0.0 || sum <= 0.0 {
             return (0, Reason::NoMember);
         }
-        let level = self.ladder.weight(&self.knobs);
-        let weight = sum / worth * f64::from(level) / f64::from(FULL);
+        let level = self.steps.weight(&self.knobs);
+        let weight = sum / weight_sum * f64::from(level) / f64::from(FULL);
         let weight = (weight.round() as u8).clamp(self.knobs.floor, FULL);
-        let accepts = self.pulse.accepts();
+        let accepts = self.liveness.accepts();
         // Never 0 for one that is shut out: it serves clients on, and if all are, there is no one better.
         let weight = if accepts && !self.shut_out {
             weight
@@ -376,7 +378,7 @@
     }
 
     fn move_weights(&mut self) {
-        let (now, hung) = (self.now, self.pulse.is_hung());
+        let (now, hung) = (self.now, self.liveness.is_hung());
         let targets: Vec<(GroupId, u8)> = self
             .groups
             .iter()
@@ -394,11 +396,11 @@
                 } else {
                     target
                 };
-                group.mover.aim(now, target, &self.knobs);
+                group.ramp.move_towards(now, target, &self.knobs);
             }
         }
         if self.phase == Phase::Serving {
-            self.mover.aim(now, whole, &self.knobs);
+            self.ramp.move_towards(now, whole, &self.knobs);
         }
     }
 
@@ -414,7 +416,7 @@
         match self.phase {
             Phase::Stopping => status(State::Stopping, Reason::Drain),
             Phase::Draining => status(State::Draining, Reason::Drain),
-            _ if self.pulse.is_hung() => status(State::Hung, Reason::Hung),
+            _ if self.liveness.is_hung() => status(State::Hung, Reason::Hung),
             Phase::Starting => status(State::Starting, Reason::Start),
             Phase::Serving if self.knobs.maintenance => {
                 status(State::Draining, Reason::Maintenance)
@@ -423,7 +425,7 @@
         }
     }
 
-    fn tell(&mut self, actions: &mut Vec<Action>) {
+    fn announce(&mut self, actions: &mut Vec<Action>) {
         let overriding = self.overriding();
         let shown = |weight: u8, (target, reason): (u8, Reason)| {
             let reason = if reason == Reason::Fine && weight < target {
@@ -442,11 +444,11 @@
                 reason,
             })
         };
-        let mut now = vec![(Scope::Gateway, shown(self.mover.weight(), self.target()))];
+        let mut now = vec![(Scope::Gateway, shown(self.ramp.weight(), self.target()))];
         now.extend(self.groups.iter().map(|(id, group)| {
             (
                 Scope::Group(*id),
-                shown(group.mover.weight(), self.group_target(group)),
+                shown(group.ramp.weight(), self.group_target(group)),
             )
         }));
         let gone = |scope: &&Scope| !now.iter().any(|(told, _)| told == *scope);
--- a/src/health/observer.rs
+++ b/src/health/observer.rs
@@ -1,6 +1,6 @@
-//! What a front's requests and members tell of each group, from the decision module's own events and actions.
+//! Statistics of each group for health, from the router's own events and actions.
 //!
-//! Only looks on: it is given each event before the module and each action after it, and changes neither.
+//! It observes only: it is given each event before the router and each action after it, and changes neither.
 
 use crate::interface::*;
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -8,50 +8,50 @@
 /// The window over which fates are counted, in slots.
 const SLOT: Micros = 100_000;
 const SLOTS: usize = 10;
-/// Fewest ended requests in the window that tell anything of strain. Ours.
-const TELLING: u32 = 10;
-/// Half-life of the observed mix of classes. Ours: long enough that a quiet moment does not tip it.
-const MIX_HALF: f64 = 10e6;
+/// Fewest ended requests in the window from which an overload share is computed.
+const MIN_SAMPLES: u32 = 10;
+/// Half-life of the mix of classes, microseconds: long enough that a quiet moment does not change it.
+const MIX_HALF_LIFE_US: f64 = 10e6;
 
 /// What is seen of one group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GroupReport {
     /// The group.
     pub group: GroupId,
-    /// A member is marked primary.
+    /// The primary is known.
     pub primary: bool,
     /// Since when one is, or none is.
     pub primary_since: Micros,
-    /// Members in service that were heard from and have not failed, and all in service.
+    /// Members that serve: reachable and not failed; and all that are listed as ready.
     pub usable: u32,
     /// See `usable`.
     pub members: u32,
     /// Attempts that are out.
     pub in_flight: u32,
-    /// Requests that wait for their first send.
+    /// Requests that are queued: not dispatched yet.
     pub held: u32,
-    /// Requests that ended within the last second, and those of them that were refused, failed or late.
+    /// Requests that ended within the last second, and those of them that were rejected, failed or late.
     pub ended: u32,
     /// See `ended`.
-    pub strained: u32,
-    /// The share of the worth asked for lately that only the primary can serve.
+    pub overloaded: u32,
+    /// The share of the recent weight that only the primary can serve.
     pub needs_primary: f64,
-    /// The worth asked for lately.
-    pub worth: f64,
+    /// The priority weight of recent requests, decaying.
+    pub recent_weight: f64,
 }
 
 impl GroupReport {
-    /// The share of requests that fared badly, where enough ended to tell.
-    pub fn strain(&self) -> Option<f64> {
-        (self.ended >= TELLING).then(|| f64::from(self.strained) / f64::from(self.ended))
+    /// The share of requests that were rejected, failed or late, where enough ended to tell.
+    pub fn overload_share(&self) -> Option<f64> {
+        (self.ended >= MIN_SAMPLES).then(|| f64::from(self.overloaded) / f64::from(self.ended))
     }
 }
 
 /// What is seen of all groups.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Discovery has told its list.
-    pub told: bool,
+    /// A list of discovery has been received.
+    pub list_received: bool,
     /// By group.
     pub groups: Vec<GroupReport>,
 }
@@ -60,7 +60,7 @@
 struct Member {
     group: GroupId,
     started: Micros,
-    heard: bool,
+    reachable: bool,
     failed: bool,
 }
 
@@ -71,7 +71,7 @@
     in_flight: u32,
     held: u32,
     /// By slot: its number, and the ended and strained requests of it.
-    fates: [(u64, u32, u32); SLOTS],
+    outcomes: [(u64, u32, u32); SLOTS],
     mix: f64,
     mix_primary: f64,
     mix_at: Micros,
@@ -89,7 +89,7 @@
 
 /// How a request ended, and when.
 #[derive(Clone, Copy)]
-enum Fate {
+enum RequestOutcome {
     Served(Micros),
     /// Refused or failed.
     NotServed(Micros),
@@ -101,7 +101,7 @@
 pub struct Observer {
     classes: Vec<(Class, ConsistencyLevel)>,
     probes: Permit,
-    told: bool,
+    list_received: bool,
     members: BTreeMap<MemberId, Member>,
     groups: BTreeMap<GroupId, Group>,
     open: HashMap<RequestId, Open>,
@@ -118,7 +118,7 @@
         Observer {
             classes: classes.collect(),
             probes: settings.probes,
-            told: false,
+            list_received: false,
             members: BTreeMap::new(),
             groups: BTreeMap::new(),
             open: HashMap::new(),
@@ -130,9 +130,9 @@
         match event {
             Event::RequestArrived(arrival) => self.arrives(now, arrival),
             Event::AttemptEnded(ended) => self.ended(now, ended),
-            Event::ClientGone(id) => self.over(*id, Fate::Left),
+            Event::ClientGone(id) => self.over(*id, RequestOutcome::Left),
             Event::HealthChecked(member, outcome, _) => {
-                self.heard(*member, *outcome == Outcome::Served)
+                self.health_checked(*member, *outcome == Outcome::Served)
             }
             Event::EndpointsUpdated(kind, entries) => self.listed(now, *kind, entries),
             Event::StreamStarted(_) | Event::WatchLost(_) | Event::TimerFired => {}
@@ -152,12 +152,12 @@
                 }
             }
             Action::Reject { request: id, .. } | Action::Fail(id) => {
-                self.over(*id, Fate::NotServed(now))
+                self.over(*id, RequestOutcome::NotServed(now))
             }
             Action::ReportTransition {
                 member: id,
-                transition: remark,
-            } => self.remark(now, *id, *remark),
+                transition,
+            } => self.transition(now, *id, *transition),
             Action::CancelAttempt { .. }
             | Action::CheckHealth(_)
             | Action::Watch
@@ -166,7 +166,7 @@
     }
 
     fn listed(&mut self, now: Micros, kind: UpdateKind, entries: &[Endpoint]) {
-        self.told |= kind != UpdateKind::CachedSnapshot;
+        self.list_received |= kind != UpdateKind::CachedSnapshot;
         if kind != UpdateKind::Delta {
             let named: HashSet<MemberId> = entries.iter().map(|entry| entry.member).collect();
             self.members.retain(|id, _| named.contains(id));
@@ -180,7 +180,7 @@
                 group: entry.group,
                 started: entry.started,
                 // Where probes are forbidden nothing is heard before a first request.
-                heard: !self.probes.granted(),
+                reachable: !self.probes.granted(),
                 failed: false,
             };
             let member = self.members.entry(entry.member).or_insert(fresh);
@@ -199,13 +199,13 @@
             .retain(|id, _| members.values().any(|member| member.group == *id));
     }
 
-    fn heard(&mut self, id: MemberId, good: bool) {
+    fn health_checked(&mut self, id: MemberId, good: bool) {
         if let Some(member) = self.members.get_mut(&id).filter(|_| good) {
-            (member.heard, member.failed) = (true, false);
+            (member.reachable, member.failed) = (true, false);
         }
     }
 
-    fn remark(&mut self, now: Micros, id: MemberId, remark: MemberTransition) {
+    fn transition(&mut self, now: Micros, id: MemberId, transition: MemberTransition) {
         let Some(member) = self.members.get_mut(&id) else {
             // It left the list, and so leaves its mark, too.
             for group in self
@@ -217,9 +217,9 @@
             }
             return;
         };
-        member.failed |= remark == MemberTransition::Failed;
+        member.failed |= transition == MemberTransition::Failed;
         let group = self.groups.entry(member.group).or_default();
-        match remark {
+        match transition {
             MemberTransition::Promoted => {
                 let had = group.primary.replace(id).is_some();
                 group.primary_since = if had { group.primary_since } else { now };
@@ -274,9 +274,9 @@
             self.over(
                 ended.request,
                 if served {
-                    Fate::Served(now)
+                    RequestOutcome::Served(now)
                 } else {
-                    Fate::Left
+                    RequestOutcome::Left
                 },
             );
         }
@@ -284,7 +284,7 @@
     }
 
     /// A request has its final answer, or nobody waits for one.
-    fn over(&mut self, id: RequestId, fate: Fate) {
+    fn over(&mut self, id: RequestId, outcome: RequestOutcome) {
         let Some(open) = self.open.get_mut(&id).filter(|open| !open.over) else {
             return;
         };
@@ -298,13 +298,13 @@
                     consistency,
                     ConsistencyLevel::Write | ConsistencyLevel::Strong
                 );
-            match fate {
-                Fate::Served(now) => group.count(
+            match outcome {
+                RequestOutcome::Served(now) => group.count(
                     now,
                     now.saturating_sub(open.arrived) > class.latency_objective,
                 ),
-                Fate::NotServed(now) if !excused => group.count(now, true),
-                Fate::NotServed(_) | Fate::Left => {}
+                RequestOutcome::NotServed(now) if !excused => group.count(now, true),
+                RequestOutcome::NotServed(_) | RequestOutcome::Left => {}
             }
         }
         self.settle(id);
@@ -334,7 +334,7 @@
         let mut members: BTreeMap<GroupId, (u32, u32)> = BTreeMap::new();
         for member in self.members.values() {
             let (usable, all) = members.entry(member.group).or_default();
-            *usable += u32::from(member.heard && !member.failed);
+            *usable += u32::from(member.reachable && !member.failed);
             *all += 1;
         }
         // Before anything was asked for, each class counts for one request.
@@ -353,7 +353,7 @@
         let groups = self.groups.iter_mut().map(|(id, group)| {
             group.decay(now);
             let (usable, all) = members.get(id).copied().unwrap_or_default();
-            let (ended, strained) = group.fates(now);
+            let (ended, overloaded) = group.outcomes(now);
             GroupReport {
                 group: *id,
                 primary: group.primary.is_some(),
@@ -363,14 +363,14 @@
                 in_flight: group.in_flight,
                 held: group.held,
                 ended,
-                strained,
+                overloaded,
                 needs_primary: (group.mix_primary + prior_primary)
                     / (group.mix + prior).max(f64::MIN_POSITIVE),
-                worth: group.mix + prior.max(f64::MIN_POSITIVE),
+                recent_weight: group.mix + prior.max(f64::MIN_POSITIVE),
             }
         });
         Report {
-            told: self.told,
+            list_received: self.list_received,
             groups: groups.collect(),
         }
     }
@@ -383,24 +383,24 @@
 
 impl Group {
     fn decay(&mut self, now: Micros) {
-        let share = 0.5_f64.powf(now.saturating_sub(self.mix_at) as f64 / MIX_HALF);
+        let share = 0.5_f64.powf(now.saturating_sub(self.mix_at) as f64 / MIX_HALF_LIFE_US);
         (self.mix, self.mix_primary, self.mix_at) =
             (self.mix * share, self.mix_primary * share, now);
     }
 
-    fn count(&mut self, now: Micros, strained: bool) {
+    fn count(&mut self, now: Micros, overloaded: bool) {
         let number = now / SLOT;
-        let slot = &mut self.fates[number as usize % SLOTS];
+        let slot = &mut self.outcomes[number as usize % SLOTS];
         if slot.0 != number {
             *slot = (number, 0, 0);
         }
         slot.1 += 1;
-        slot.2 += u32::from(strained);
+        slot.2 += u32::from(overloaded);
     }
 
-    fn fates(&self, now: Micros) -> (u32, u32) {
+    fn outcomes(&self, now: Micros) -> (u32, u32) {
         let oldest = (now / SLOT).saturating_sub(SLOTS as u64 - 1);
-        let recent = self.fates.iter().filter(|slot| slot.0 >= oldest);
+        let recent = self.outcomes.iter().filter(|slot| slot.0 >= oldest);
         recent.fold((0, 0), |sum, slot| (sum.0 + slot.1, sum.1 + slot.2))
     }
 }
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -2,8 +2,8 @@
 mod common;
 
 use asterreel::health::{
-    Action, Beat, Event, GroupReport, Knobs, Ladder, Machine, Mover, Observer, Reason, Report,
-    Room, Scope, State, Status, FULL,
+    Action, Capacity, Event, GroupReport, Heartbeat, Knobs, Machine, Observer, Reason, Report,
+    Scope, State, Status, WeightRamp, WeightSteps, FULL,
 };
 use asterreel::interface::{Event as Told, *};
 use common::{ended, entry, settings, Front, GROUP, MS, START};
@@ -21,7 +21,7 @@
     answers: bool,
     sees: bool,
     enters: bool,
-    room: Room,
+    room: Capacity,
 }
 
 fn group_report() -> GroupReport {
@@ -34,9 +34,9 @@
         in_flight: 0,
         held: 0,
         ended: 100,
-        strained: 0,
+        overloaded: 0,
         needs_primary: 0.4,
-        worth: 10.0,
+        recent_weight: 10.0,
     }
 }
 
@@ -51,15 +51,15 @@
             answers: true,
             sees: true,
             enters: true,
-            room: Room {
+            room: Capacity {
                 sessions: 5,
-                most_sessions: 100,
+                max_sessions: 100,
                 requests: 1,
-                most_requests: 50,
+                max_requests: 50,
             },
         };
-        subject.event(Event::Beat(Beat::Knocked));
-        subject.event(Event::Beat(Beat::Entered));
+        subject.event(Event::Heartbeat(Heartbeat::ConnectStarted));
+        subject.event(Event::Heartbeat(Heartbeat::Connected));
         subject
     }
 
@@ -88,22 +88,22 @@
         while self.now < end {
             self.now += 25 * MS;
             let report = Report {
-                told: true,
+                list_received: true,
                 groups: vec![self.group.clone()],
             };
             self.event(if self.sees {
-                Event::Seen(report, self.room)
+                Event::Observed(report, self.room)
             } else {
-                Event::Unseen
+                Event::ObservationMissed
             });
-            self.event(Event::Beat(Beat::Sent));
+            self.event(Event::Heartbeat(Heartbeat::Sent));
             if self.answers {
-                self.event(Event::Beat(Beat::Answered));
+                self.event(Event::Heartbeat(Heartbeat::Answered));
             }
             if self.now % S < 25 * MS {
-                self.event(Event::Beat(Beat::Knocked));
+                self.event(Event::Heartbeat(Heartbeat::ConnectStarted));
                 if self.enters {
-                    self.event(Event::Beat(Beat::Entered));
+                    self.event(Event::Heartbeat(Heartbeat::Connected));
                 }
             }
             self.event(Event::Tick);
@@ -152,12 +152,16 @@
             usable,
             ..group_report()
         };
-        machine.handle(at, Event::Beat(Beat::Entered), &mut actions);
+        machine.handle(at, Event::Heartbeat(Heartbeat::Connected), &mut actions);
         let report = Report {
-            told: false,
+            list_received: false,
             groups: vec![group],
         };
-        machine.handle(at, Event::Seen(report, Room::default()), &mut actions);
+        machine.handle(
+            at,
+            Event::Observed(report, Capacity::default()),
+            &mut actions,
+        );
         machine.status(Scope::Gateway).expect("told").state
     };
     assert_eq!(look(&mut machine, START + 2_900 * MS, 2), State::Starting);
@@ -202,13 +206,13 @@
         ..group_report()
     };
     let report = Report {
-        told: true,
+        list_received: true,
         groups: vec![lost, other],
     };
     subject.now += 25 * MS;
-    subject.event(Event::Seen(report.clone(), subject.room));
+    subject.event(Event::Observed(report.clone(), subject.room));
     subject.now += 25 * MS;
-    subject.event(Event::Seen(report, subject.room));
+    subject.event(Event::Observed(report, subject.room));
     assert_eq!(
         subject.told_of_group(),
         Status {
@@ -220,12 +224,14 @@
     assert_eq!((subject.told().0, subject.told().1), (State::Degraded, 50));
     let mut actions = Vec::new();
     let report = Report {
-        told: true,
+        list_received: true,
         groups: vec![group_report()],
     };
-    subject
-        .machine
-        .handle(subject.now, Event::Seen(report, subject.room), &mut actions);
+    subject.machine.handle(
+        subject.now,
+        Event::Observed(report, subject.room),
+        &mut actions,
+    );
     assert!(
         actions.contains(&Action::Withdraw(Scope::Group(GroupId(8)))),
         "{actions:?}"
@@ -235,7 +241,7 @@
 #[test]
 fn overload_lowers_the_weight_in_steps_to_the_floor_and_never_says_down() {
     let mut subject = Subject::up();
-    subject.group.strained = 60;
+    subject.group.overloaded = 60;
     subject.pass(10 * S);
     assert_eq!(subject.told(), (State::Degraded, 10, Reason::Overload));
     let weights: Vec<u8> = subject
@@ -245,10 +251,10 @@
         .collect();
     assert_eq!(weights, [75, 50, 25, 10]);
     // Between the thresholds it stays; calm, it rises.
-    subject.group.strained = 10;
+    subject.group.overloaded = 10;
     subject.pass(5 * S);
     assert_eq!(subject.told().1, 10);
-    subject.group.strained = 0;
+    subject.group.overloaded = 0;
     subject.pass(15 * S);
     assert_eq!(subject.told(), (State::Up, FULL, Reason::Fine));
 }
@@ -258,8 +264,8 @@
     let mut gateways = [Subject::up(), Subject::up(), Subject::up()];
     for _ in 0..400 {
         for gateway in &mut gateways {
-            gateway.group.strained = 100;
-            gateway.room.requests = gateway.room.most_requests;
+            gateway.group.overloaded = 100;
+            gateway.room.requests = gateway.room.max_requests;
             gateway.pass(25 * MS);
         }
         let statuses: Vec<_> = gateways.iter().map(Subject::told).collect();
@@ -283,7 +289,7 @@
             let now = subject.now;
             for age in (0..400).step_by(25) {
                 subject.now = now + age * MS;
-                subject.event(Event::Orders(age * MS));
+                subject.event(Event::OldestCommandAge(age * MS));
             }
         },
     ];
@@ -332,7 +338,7 @@
 #[test]
 fn a_process_that_was_stopped_as_a_whole_does_not_wake_up_hung() {
     let mut subject = Subject::up();
-    subject.event(Event::Beat(Beat::Sent));
+    subject.event(Event::Heartbeat(Heartbeat::Sent));
     subject.now += 20 * S;
     subject.event(Event::Tick);
     assert_eq!(subject.told().0, State::Up);
@@ -349,7 +355,7 @@
     for back in [S, 60 * S, now] {
         subject
             .machine
-            .handle(now - back, Event::Beat(Beat::Sent), &mut actions);
+            .handle(now - back, Event::Heartbeat(Heartbeat::Sent), &mut actions);
         subject
             .machine
             .handle(now - back, Event::Tick, &mut actions);
@@ -366,26 +372,26 @@
     subject.pass(2 * S);
     assert_eq!(subject.told(), (State::Degraded, 10, Reason::Accept));
     // Its own session lost as well, for lack of room: load, not a hang.
-    subject.room.sessions = subject.room.most_sessions;
-    subject.event(Event::Beat(Beat::Lost));
+    subject.room.sessions = subject.room.max_sessions;
+    subject.event(Event::Heartbeat(Heartbeat::SessionLost));
     subject.answers = true;
     for _ in 0..80 {
         subject.now += 25 * MS;
         let report = Report {
-            told: true,
+            list_received: true,
             groups: vec![subject.group.clone()],
         };
-        subject.event(Event::Seen(report, subject.room));
-        subject.event(Event::Beat(Beat::Knocked));
+        subject.event(Event::Observed(report, subject.room));
+        subject.event(Event::Heartbeat(Heartbeat::ConnectStarted));
     }
     assert_eq!(subject.told().0, State::Degraded);
     // With room to spare and nothing open, a path that lets nobody in is hung.
     subject.room.sessions = 1;
     let report = Report {
-        told: true,
+        list_received: true,
         groups: vec![subject.group.clone()],
     };
-    subject.event(Event::Seen(report, subject.room));
+    subject.event(Event::Observed(report, subject.room));
     assert_eq!(subject.told().0, State::Hung);
 }
 
@@ -393,7 +399,7 @@
 #[test]
 fn one_that_is_shut_out_of_the_fleet_is_worth_the_floor_until_it_is_back() {
     let mut subject = Subject::up();
-    subject.event(Event::ShutOut(true));
+    subject.event(Event::RegistrationLost(true));
     subject.pass(2 * S);
     assert_eq!(subject.told(), (State::Degraded, 10, Reason::ShutOut));
     assert!(
@@ -403,7 +409,7 @@
             .is_some_and(|status| status.ready()),
         "never 0"
     );
-    subject.event(Event::ShutOut(false));
+    subject.event(Event::RegistrationLost(false));
     subject.pass(10 * S);
     assert_eq!(subject.told(), (State::Up, FULL, Reason::Fine));
 }
@@ -478,159 +484,141 @@
     times.iter().map(within).max().unwrap_or(0)
 }
 
-#[test]
-#[expect(
-    clippy::too_many_lines,
-    reason = "to be split: one long script of a machine"
-)]
-fn the_observer_sees_the_primary_the_mix_and_what_fared_badly_and_forgets_what_ended() {
-    let settings = settings();
-    let mut observer = Observer::new(&settings);
-    let mut front = Front::new(settings.clone(), 0).0;
-    // As the core does: the observer is given each event, then the router's actions.
-    let feed = |observer: &mut Observer, front: &mut Front, event: Told| {
-        observer.event(front.now, &event);
-        let actions = front.event(event);
-        actions
-            .iter()
-            .for_each(|action| observer.action(front.now, action));
-        actions
-    };
-    let list = (0..3).map(|m| entry(m, EndpointState::Ready, 0)).collect();
-    feed(
-        &mut observer,
-        &mut front,
-        Told::EndpointsUpdated(UpdateKind::Snapshot, list),
-    );
-    assert_eq!(
-        observer.report(front.now).groups[0].usable,
-        0,
-        "nobody was heard from"
-    );
-    for m in 0..3 {
-        let role = if m == 0 { Role::Primary } else { Role::Replica };
-        let note = MemberReport {
-            role: Some(role),
-            position: Some(front.now),
-        };
-        feed(
-            &mut observer,
-            &mut front,
-            Told::HealthChecked(MemberId(m), Outcome::Served, note),
-        );
+/// A router with an observer beside it, fed as the program feeds both.
+struct Observed {
+    observer: Observer,
+    front: Front,
+}
+
+impl Observed {
+    fn new() -> Observed {
+        let settings = settings();
+        Observed {
+            observer: Observer::new(&settings),
+            front: Front::new(settings, 0).0,
+        }
     }
-    let report = observer.report(front.now);
-    assert!(report.told && report.groups[0].primary);
-    assert_eq!((report.groups[0].usable, report.groups[0].members), (3, 3));
 
-    let arrive = |front: &mut Front, class: usize| {
-        front.next += 1;
-        Told::RequestArrived(Arrival {
-            request: RequestId(front.next),
-            class: ClassId(class),
+    /// The observer is given each event first, then the router's actions. Where attempts go out by them.
+    fn feed(&mut self, event: Told) -> Vec<RequestId> {
+        self.observer.event(self.front.now, &event);
+        let actions = self.front.event(event);
+        for action in &actions {
+            self.observer.action(self.front.now, action);
+        }
+        let sent = common::sends(&actions);
+        sent.iter().map(|(request, _)| *request).collect()
+    }
+
+    /// The only group, as it is seen now.
+    fn group(&mut self) -> GroupReport {
+        self.observer.report(self.front.now).groups[0].clone()
+    }
+
+    fn list(&mut self, members: u32) {
+        let list = (0..members).map(|m| entry(m, EndpointState::Ready, 0));
+        let list = list.collect();
+        self.feed(Told::EndpointsUpdated(UpdateKind::Snapshot, list));
+    }
+
+    fn healthy(&mut self, member: u32, report: MemberReport) {
+        let member = MemberId(member);
+        self.feed(Told::HealthChecked(member, Outcome::Served, report));
+    }
+
+    /// A write for a group arrives; the attempts that go out.
+    fn write(&mut self, group: GroupId) -> Vec<RequestId> {
+        self.front.next += 1;
+        self.feed(Told::RequestArrived(Arrival {
+            request: RequestId(self.front.next),
+            class: ClassId(common::WRITE),
             tenant: TenantId(0),
             session: None,
-            due: front.now + 2 * S,
+            due: self.front.now + 2 * S,
             estimate: None,
-            group: GROUP,
+            group,
             since_write: None,
-        })
-    };
-    // Twenty writes, one after the other: half of them late.
-    for round in 0..20 {
-        let event = arrive(&mut front, common::WRITE);
-        let actions = feed(&mut observer, &mut front, event);
-        assert_eq!(common::sends(&actions).len(), 1);
-        assert_eq!(observer.report(front.now).groups[0].in_flight, 1);
-        let took = if round % 2 == 0 { 10 * MS } else { 60 * MS };
-        front.now += took;
-        let request = RequestId(front.next);
-        let served = ended(
-            request,
-            0,
-            Outcome::Served,
-            took,
-            common::note(Role::Primary, front.now),
-        );
-        feed(&mut observer, &mut front, Told::AttemptEnded(served));
+        }))
     }
-    let group = &observer.report(front.now).groups[0];
-    assert!(group.strained == 0 && group.ended >= 10, "{group:?}");
-    assert!(group.needs_primary > 0.8, "{group:?}");
-    // The primary answers as a replica: it is unmarked, writes are held and then refused, which is no load.
-    feed(
-        &mut observer,
-        &mut front,
-        Told::HealthChecked(MemberId(0), Outcome::Served, common::note(Role::Replica, 0)),
-    );
-    assert!(!observer.report(front.now).groups[0].primary);
-    // Some of them seek the primary; every member turns them away.
-    let mut asked: Vec<RequestId> = Vec::new();
-    for _ in 0..10 {
-        let event = arrive(&mut front, common::WRITE);
-        let actions = feed(&mut observer, &mut front, event);
-        asked.extend(common::sends(&actions).iter().map(|(request, _)| *request));
+
+    /// A write that is dispatched at once and served after so long.
+    fn write_served_after(&mut self, took: Micros) {
+        assert_eq!(self.write(GROUP).len(), 1);
+        assert_eq!(self.group().in_flight, 1);
+        self.front.now += took;
+        let request = RequestId(self.front.next);
+        let report = common::note(Role::Primary, self.front.now);
+        let served = ended(request, 0, Outcome::Served, took, report);
+        self.feed(Told::AttemptEnded(served));
     }
-    let group = observer.report(front.now).groups[0].clone();
-    assert_eq!(
-        group.held + group.in_flight,
-        10,
-        "one of them may seek the primary"
-    );
-    let end = front.now + 3 * S;
-    while front.now < end {
-        front.now += 20 * MS;
-        let mut actions = feed(&mut observer, &mut front, Told::TimerFired);
-        let mut answered = 0;
-        while answered < asked.len() {
-            let request = asked[answered];
-            let number = asked[..answered]
-                .iter()
-                .filter(|other| **other == request)
-                .count() as u32;
-            let miss = ended(
-                request,
-                number,
-                Outcome::Misrouted,
-                MS,
-                common::note(Role::Replica, front.now),
-            );
-            actions.extend(feed(&mut observer, &mut front, Told::AttemptEnded(miss)));
-            asked.extend(common::sends(&actions).iter().map(|(request, _)| *request));
-            actions.clear();
-            answered += 1;
+
+    /// Time passes in which every attempt is misrouted, these that are out first.
+    fn misroute_attempts(&mut self, mut attempts: Vec<RequestId>, time: Micros) {
+        let end = self.front.now + time;
+        while self.front.now < end {
+            self.front.now += 20 * MS;
+            attempts.extend(self.feed(Told::TimerFired));
+            let mut ended_attempts = 0;
+            while ended_attempts < attempts.len() {
+                let request = attempts[ended_attempts];
+                let earlier = attempts[..ended_attempts].iter();
+                let number = earlier.filter(|other| **other == request).count() as u32;
+                let report = common::note(Role::Replica, self.front.now);
+                let misrouted = ended(request, number, Outcome::Misrouted, MS, report);
+                attempts.extend(self.feed(Told::AttemptEnded(misrouted)));
+                ended_attempts += 1;
+            }
         }
-        asked.extend(common::sends(&actions).iter().map(|(request, _)| *request));
     }
-    let group = observer.report(front.now).groups[0].clone();
-    assert_eq!(
-        (group.held, group.in_flight, observer.open_requests()),
-        (0, 0, 0)
-    );
-    assert_eq!(
-        group.strain(),
-        None,
-        "refused for want of a primary: {group:?}"
-    );
-    // A client that names a group that does not exist leaves nothing behind.
-    let mut stranger = arrive(&mut front, common::WRITE);
-    if let Told::RequestArrived(arrival) = &mut stranger {
-        arrival.group = GroupId(99);
+}
+
+#[test]
+fn observer_follows_members_and_requests() {
+    let mut observed = Observed::new();
+    observed.list(3);
+    assert_eq!(observed.group().usable, 0, "no health check yet");
+    for member in 0..3 {
+        let role = if member == 0 {
+            Role::Primary
+        } else {
+            Role::Replica
+        };
+        let report = common::note(role, observed.front.now);
+        observed.healthy(member, report);
     }
-    feed(&mut observer, &mut front, stranger);
-    assert_eq!(
-        (
-            observer.open_requests(),
-            observer.report(front.now).groups.len()
-        ),
-        (0, 1)
-    );
-    feed(
-        &mut observer,
-        &mut front,
-        Told::EndpointsUpdated(UpdateKind::Snapshot, [].into()),
-    );
-    assert_eq!(observer.report(front.now).groups, []);
+    let report = observed.observer.report(observed.front.now);
+    assert!(report.list_received && report.groups[0].primary);
+    assert_eq!((report.groups[0].usable, report.groups[0].members), (3, 3));
+
+    // Twenty writes, one after the other: all within the objective.
+    for round in 0..20 {
+        let took = if round % 2 == 0 { 10 * MS } else { 60 * MS };
+        observed.write_served_after(took);
+    }
+    let group = observed.group();
+    assert!(group.overloaded == 0 && group.ended >= 10, "{group:?}");
+    assert!(group.needs_primary > 0.8, "{group:?}");
+
+    // The primary reports as a replica: it is demoted, writes are queued and then rejected, which is no overload.
+    observed.healthy(0, common::note(Role::Replica, 0));
+    assert!(!observed.group().primary);
+    let attempts: Vec<RequestId> = (0..10).flat_map(|_| observed.write(GROUP)).collect();
+    let group = observed.group();
+    let open = group.held + group.in_flight;
+    assert_eq!(open, 10, "one of them may seek the primary");
+    observed.misroute_attempts(attempts, 3 * S);
+    let group = observed.group();
+    let open = observed.observer.open_requests();
+    assert_eq!((group.held, group.in_flight, open), (0, 0, 0));
+    let share = group.overload_share();
+    assert_eq!(share, None, "rejected for lack of a primary: {group:?}");
+
+    // A client that names a group that does not exist leaves nothing behind.
+    observed.write(GroupId(99));
+    let groups = observed.observer.report(observed.front.now).groups.len();
+    assert_eq!((observed.observer.open_requests(), groups), (0, 1));
+    observed.list(0);
+    assert_eq!(observed.observer.report(observed.front.now).groups, []);
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -677,7 +665,7 @@
         for (step, ticks) in steps {
             match step {
                 Step::Primary(there) => subject.group.primary = there,
-                Step::Strain(strained) => subject.group.strained = strained,
+                Step::Strain(overloaded) => subject.group.overloaded = overloaded,
                 Step::Usable(usable) => subject.group.usable = usable,
                 Step::Answers(answers) => subject.answers = answers,
                 Step::Sees(sees) => subject.sees = sees,
@@ -708,12 +696,12 @@
         flaps in 1u32..10,
     ) {
         let knobs = Knobs { flaps_per_minute: flaps, ..Knobs::default() };
-        let (mut mover, mut now, mut history) = (Mover::new(100, 0), 0, Vec::new());
+        let (mut ramp, mut now, mut history) = (WeightRamp::new(100, 0), 0, Vec::new());
         for (target, wait) in targets {
             now += wait * MS;
-            let before = mover.weight();
-            mover.aim(now, target, &knobs);
-            let after = mover.weight();
+            let before = ramp.weight();
+            ramp.move_towards(now, target, &knobs);
+            let after = ramp.weight();
             let step = knobs.rise_step.max(knobs.floor);
             prop_assert!(after <= FULL && after <= before.saturating_add(step));
             prop_assert!(target.min(FULL) >= before || after == target);
@@ -730,11 +718,11 @@
         floor in 1u8..=50,
     ) {
         let knobs = Knobs { floor, ..Knobs::default() };
-        let (mut ladder, mut now) = (Ladder::default(), 0);
+        let (mut steps, mut now) = (WeightSteps::default(), 0);
         for (share, taken, wait) in strains {
             now += wait * MS;
-            ladder.strain(now, share, taken, &knobs);
-            prop_assert!(ladder.weight(&knobs) >= floor);
+            steps.update(now, share, taken, &knobs);
+            prop_assert!(steps.weight(&knobs) >= floor);
         }
     }
 }
