--- a/src/bin/asterreel/cli/probe.rs
+++ b/src/bin/asterreel/cli/probe.rs
@@ -2,7 +2,7 @@
 
 use super::exchange::{exchange, get, Fault};
 use super::say;
-use crate::pg;
+use crate::postgres as pg;
 use asterreel::health::{agent, grpc};
 use clap::{Args, ValueEnum};
 use serde_json::json;
--- a/src/bin/asterreel/fleetwide.rs
+++ b/src/bin/asterreel/control/client.rs
@@ -1,6 +1,6 @@
 //! What this gateway does with what its fleet agrees on: judges versions, puts them in force, says what it did under them.
 
-use crate::client::Gateway;
+use crate::front::Gateway;
 use asterreel::operator::{Evaluated, Operator};
 use asterreel::versions::{Content, Topic};
 use asterreel_control::service::{ControlEvent, ControlRequest, Handle};
--- a/src/bin/asterreel/core.rs
+++ b/src/bin/asterreel/core.rs
@@ -2,7 +2,7 @@
 //!
 //! Nothing here knows the protocol that clients or members speak. The lock is never held over a wait.
 
-use crate::timer::Timer;
+use crate::runtime::timer::Timer;
 use asterreel::config::{Config, Listing};
 use asterreel::health::{Observer, Report};
 use asterreel::interface::*;
--- a/src/bin/asterreel/discovery.rs
+++ b/src/bin/asterreel/discovery.rs
@@ -8,7 +8,7 @@
 pub(crate) use source::Source;
 
 use crate::core::Core;
-use crate::net::Stream;
+use crate::runtime::net::Stream;
 use asterreel::config::Listing;
 use asterreel::interface::{Micros, UpdateKind, WatchLoss};
 use asterreel::watch::Watch;
--- a/src/bin/asterreel/client/accept.rs
+++ b/src/bin/asterreel/front/accept.rs
@@ -2,7 +2,7 @@
 
 use super::gateway::Gateway;
 use super::session::Session;
-use crate::net::{spawn, Stream};
+use crate::runtime::net::{spawn, Stream};
 use asterreel::interface::Micros;
 use may::io::WaitIo;
 use may::net::TcpListener;
--- a/src/bin/asterreel/client/gateway.rs
+++ b/src/bin/asterreel/front/gateway.rs
@@ -3,8 +3,8 @@
 use super::mailbox::{Mailbox, Notice};
 use crate::cells::Cells;
 use crate::core::Core;
-use crate::pg;
-use crate::pool::Pool;
+use crate::postgres as pg;
+use crate::request::pool::Pool;
 use asterreel::health::Room;
 use asterreel::interface::{ClassId, ConsistencyLevel, Idempotency, Micros, Settings};
 use asterreel::readmission::{Answer, Readmission};
--- a/src/bin/asterreel/client/mailbox.rs
+++ b/src/bin/asterreel/front/mailbox.rs
@@ -1,7 +1,7 @@
 //! What others have for a session, and what they may see of it.
 
-use crate::attempt::End;
 use crate::core::{Inbox, Order, Orders};
+use crate::request::attempt::End;
 use asterreel::interface::{AttemptNo, Micros};
 use may::io::WaitIoWaker;
 use std::collections::VecDeque;
--- a/src/bin/asterreel/client/request.rs
+++ b/src/bin/asterreel/front/request.rs
@@ -5,11 +5,11 @@
 use super::gateway::Name;
 use super::mailbox::Notice;
 use super::session::{Ending, Session};
-use crate::attempt::{self, End, Stop};
 use crate::cells::Placed;
 use crate::core::Order;
-use crate::net::spawn;
-use crate::pg::{self, Severity, Statement};
+use crate::postgres::{self as pg, Severity, Statement};
+use crate::request::attempt::{self, End, Stop};
+use crate::runtime::net::spawn;
 use asterreel::cells::quarantine::Verdict;
 use asterreel::cells::who::Caller;
 use asterreel::cells::{Refusal, LOST};
--- a/src/bin/asterreel/client/session.rs
+++ b/src/bin/asterreel/front/session.rs
@@ -2,8 +2,8 @@
 
 use super::gateway::Gateway;
 use super::mailbox::{Mailbox, Stage};
-use crate::net::Stream;
-use crate::pg::{self, Malformed, Message, Opening, Severity, Statement};
+use crate::postgres::{self as pg, Malformed, Message, Opening, Severity, Statement};
+use crate::runtime::net::Stream;
 use asterreel::cells::who;
 use asterreel::interface::Micros;
 use asterreel::readmission::Answer;
--- a/src/bin/asterreel/client/tests.rs
+++ b/src/bin/asterreel/front/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::core::{Core, Inbox, Order};
-use crate::net::spawn;
-use crate::pg;
-use crate::pool::Pool;
-use crate::timer::Timer;
+use crate::postgres as pg;
+use crate::request::pool::Pool;
+use crate::runtime::net::spawn;
+use crate::runtime::timer::Timer;
 use asterreel::config::Config;
 use asterreel::interface::*;
 use asterreel_control::clock::Clock;
--- a/src/bin/asterreel/health/beat.rs
+++ b/src/bin/asterreel/health/beat.rs
@@ -4,7 +4,7 @@
 //! about once a second a fresh connection shows that clients are accepted, and takes the session's place.
 
 use super::Shared;
-use crate::pg;
+use crate::postgres as pg;
 use asterreel::health::{Beat, Event};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
--- a/src/bin/asterreel/health/mod.rs
+++ b/src/bin/asterreel/health/mod.rs
@@ -11,7 +11,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::client::Gateway;
+use crate::front::Gateway;
 use asterreel::health::crowd::Crowd;
 use asterreel::health::{
     http::Facts, Action, Event, Machine, OrderAge, Room, Scope, State, Status,
--- a/src/bin/asterreel/main.rs
+++ b/src/bin/asterreel/main.rs
@@ -2,30 +2,28 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod attempt;
 mod cells;
 mod cli;
-mod client;
 mod control;
 mod core;
 mod discovery;
-mod fleetwide;
+mod front;
 #[cfg(test)]
 mod fuzz;
 mod health;
-mod net;
-mod pg;
-mod pool;
+mod postgres;
 mod probe;
-mod running;
+mod request;
+mod runtime;
+mod server;
 mod startup;
-mod timer;
 
 use crate::cells::Cells;
 use crate::cli::{Cli, Command, Files, LogFormat};
-use crate::client::Gateway;
-use crate::fleetwide::Fleetwide;
-use crate::running::Running;
+use crate::control::client::Fleetwide;
+use crate::front::Gateway;
+use crate::runtime::net;
+use crate::server::Running;
 use crate::startup::{Decisions, Descriptors};
 use asterreel::config::Config;
 use asterreel::readmission::Readmission;
@@ -59,7 +57,7 @@
     let done = match cli.command.unwrap_or(Command::Run(Files::default())) {
         Command::Run(files) => run(&files),
         Command::Check(files) => cli::check::run(&files),
-        Command::Control(control) => control::run(&control),
+        Command::Control(control) => control::member::run(&control),
         Command::Cells(command) => cli::cells::run(&command),
         Command::Probe(probe) => return cli::probe::run(&probe),
         Command::Health(health) => return cli::health::run(&health),
@@ -171,6 +169,6 @@
     let listener =
         TcpListener::bind(listen).map_err(|error| format!("listen: {listen}: {error}"))?;
     let accepting = gateway.clone();
-    net::spawn(move || client::accept(&accepting, &listener));
+    net::spawn(move || front::accept(&accepting, &listener));
     Ok(())
 }
--- a/src/bin/asterreel/probe.rs
+++ b/src/bin/asterreel/probe.rs
@@ -1,8 +1,8 @@
 //! Probes: a question for a database's load report.
 
-use crate::attempt::{exchange, finish, unconnected, Broken, Stop};
-use crate::pg::{self, Answer, Verdict};
-use crate::pool::Pool;
+use crate::postgres::{self as pg, Answer, Verdict};
+use crate::request::attempt::{exchange, finish, unconnected, Broken, Stop};
+use crate::request::pool::Pool;
 use asterreel::interface::{MemberReport, Outcome};
 use std::net::SocketAddr;
 
--- a/src/bin/asterreel/attempt.rs
+++ b/src/bin/asterreel/request/attempt.rs
@@ -1,8 +1,8 @@
 //! One attempt at a database, from its connection to its outcome.
 
-use crate::net::Stream;
-use crate::pg::{self, Answer, Statement, Verdict};
-use crate::pool::{Connection, NoConnection, Pool};
+use crate::postgres::{self as pg, Answer, Statement, Verdict};
+use crate::request::pool::{Connection, NoConnection, Pool};
+use crate::runtime::net::Stream;
 use asterreel::interface::{MemberReport, Micros, Outcome};
 use asterreel_control::clock::Clock;
 use may::io::WaitIoWaker;
--- a/src/bin/asterreel/pool.rs
+++ b/src/bin/asterreel/request/pool.rs
@@ -1,9 +1,9 @@
 //! Connections to databases: opened, kept while idle, and never more than the descriptors allow.
 
-use crate::attempt::{exchange, Stop};
-use crate::net::Stream;
-use crate::pg::{self, Answer, Verdict};
-use crate::timer::Timer;
+use crate::postgres::{self as pg, Answer, Verdict};
+use crate::request::attempt::{exchange, Stop};
+use crate::runtime::net::Stream;
+use crate::runtime::timer::Timer;
 use asterreel::interface::Micros;
 use asterreel_control::clock::Clock;
 use nix::errno::Errno;
--- /dev/null
+++ b/src/bin/asterreel/runtime/mod.rs
@@ -0,0 +1,4 @@
+//! What all connections run on: sockets with one buffer each, coroutines, and timers.
+
+pub(crate) mod net;
+pub(crate) mod timer;
--- a/src/bin/asterreel/net.rs
+++ b/src/bin/asterreel/runtime/net.rs
@@ -1,6 +1,6 @@
 //! What every connection is made of: a socket, its one buffer, waits and coroutines.
 
-use crate::timer::Timer;
+use crate::runtime::timer::Timer;
 use asterreel::interface::Micros;
 use asterreel_control::clock::Clock;
 use may::io::{WaitIo, WaitIoWaker};
--- a/src/bin/asterreel/running.rs
+++ b/src/bin/asterreel/server.rs
@@ -1,9 +1,9 @@
 //! A gateway that serves: what its signals do, what it does for the fleet meanwhile, and how it ends.
 
 use crate::cli::{self, Files};
-use crate::client::Gateway;
+use crate::control::client::Fleetwide;
 use crate::discovery::Source;
-use crate::fleetwide::Fleetwide;
+use crate::front::Gateway;
 use crate::health;
 use asterreel::config::Config;
 use asterreel::health::drain::{Timetable, LAST_ANSWERS};
--- a/src/bin/asterreel/startup.rs
+++ b/src/bin/asterreel/startup.rs
@@ -2,10 +2,10 @@
 
 use crate::core::Core;
 use crate::discovery::{self, FirstList, Source};
-use crate::net;
-use crate::pool::Pool;
 use crate::probe;
-use crate::timer::Timer;
+use crate::request::pool::Pool;
+use crate::runtime::net;
+use crate::runtime::timer::Timer;
 use asterreel::config::Config;
 use asterreel::interface::{DiscoveryMode, MemberId, UpdateKind};
 use asterreel::operator::Operator;
