--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -484,7 +484,7 @@
         .expect("logged");
     let arrived = lines
         .iter()
-        .filter(|line| line.contains("Arrive(Arrival"))
+        .filter(|line| line.contains("RequestArrived(Arrival"))
         .count();
     let over = lines
         .iter()
