--- a/src/bin/asterreel/front/gateway.rs
+++ b/src/bin/asterreel/front/gateway.rs
@@ -202,15 +202,15 @@
     }
 
     /// The key of a session: whoever sees one can't tell another's from it.
-    pub(super) fn key(&self, session: u32) -> pg::Key {
-        pg::Key {
+    pub(super) fn key(&self, session: u32) -> pg::CancelKey {
+        pg::CancelKey {
             session,
             secret: self.secrets.hash_one(session) as u32,
         }
     }
 
     /// Cancels what the session with this key is doing, if it is doing something; a wrong key does nothing.
-    pub(super) fn cancel(&self, key: pg::Key) {
+    pub(super) fn cancel(&self, key: pg::CancelKey) {
         if key == self.key(key.session) {
             let mailbox = self.sessions(|sessions| sessions.get(&key.session).cloned());
             mailbox
--- a/src/bin/asterreel/front/request.rs
+++ b/src/bin/asterreel/front/request.rs
@@ -7,7 +7,7 @@
 use super::session::{Ending, Session};
 use crate::cells::Placed;
 use crate::core::Order;
-use crate::postgres::{self as pg, Severity, Statement};
+use crate::postgres::{self as pg, sqlstate, Severity, Statement};
 use crate::request::attempt::{self, End, Stop};
 use crate::runtime::net::spawn;
 use asterreel::cells::quarantine::Verdict;
@@ -38,11 +38,17 @@
 impl Denial {
     fn write(&self, out: &mut Vec<u8>) {
         let (code, text, retry_after) = match self {
-            Denial::Invalid(text) => ("08P01", *text, None),
-            Denial::Unknown(text) => ("28000", *text, None),
-            Denial::Refused(text, retry_after) => ("53300", *text, *retry_after),
-            Denial::Failed(text) => ("58000", *text, None),
-            Denial::Cancelled => ("57014", "cancelled as its client asked", None),
+            Denial::Invalid(text) => (sqlstate::PROTOCOL_VIOLATION, *text, None),
+            Denial::Unknown(text) => (sqlstate::INVALID_AUTHORIZATION, *text, None),
+            Denial::Refused(text, retry_after) => {
+                (sqlstate::TOO_MANY_CONNECTIONS, *text, *retry_after)
+            }
+            Denial::Failed(text) => (sqlstate::SYSTEM_ERROR, *text, None),
+            Denial::Cancelled => (
+                sqlstate::QUERY_CANCELED,
+                "cancelled as its client asked",
+                None,
+            ),
         };
         pg::error(
             out,
@@ -365,7 +371,7 @@
     /// Reads on, but not in a drain, and says whether the client has closed its connection or sending on it.
     fn client_has_left(&mut self) -> bool {
         let draining = self.gateway.is_draining();
-        while !draining && self.stream.buffer.data().len() < pg::LONGEST {
+        while !draining && self.stream.buffer.data().len() < pg::MAX_MESSAGE_BYTES {
             match self.stream.read_now() {
                 Ok(Some(0)) | Err(_) => return true,
                 Ok(Some(_)) => {}
--- a/src/bin/asterreel/front/session.rs
+++ b/src/bin/asterreel/front/session.rs
@@ -2,7 +2,7 @@
 
 use super::gateway::Gateway;
 use super::mailbox::{Mailbox, Stage};
-use crate::postgres::{self as pg, Malformed, Message, Opening, Severity, Statement};
+use crate::postgres::{self as pg, sqlstate, Malformed, Message, Opening, Severity, Statement};
 use crate::runtime::net::Stream;
 use asterreel::cells::who;
 use asterreel::interface::Micros;
@@ -97,7 +97,7 @@
             return Ok(());
         }
         let mut out = Vec::new();
-        pg::welcome(&mut out, self.gateway.key(self.number));
+        pg::session_started(&mut out, self.gateway.key(self.number));
         self.write(&out)?;
         while let Some(message) = self.next_message()? {
             if message.tag == b'X' {
@@ -178,7 +178,13 @@
                 self.stream.buffer.consume(message.body.end);
                 if !std::mem::replace(&mut self.skipping, true) {
                     let text = "only simple queries are served here";
-                    pg::error(&mut out, Severity::Error, "0A000", text, None);
+                    pg::error(
+                        &mut out,
+                        Severity::Error,
+                        sqlstate::FEATURE_NOT_SUPPORTED,
+                        text,
+                        None,
+                    );
                 }
             }
             _ => return Err(self.fatal(Malformed("unknown message"))),
@@ -202,9 +208,13 @@
             }
             Ok((Some(Plain::Session(tag)), _)) => pg::command_complete(out, tag),
             Ok((None, Ok(statement))) => self.request(statement, received, out)?,
-            Ok((None, Err(Malformed(fault)))) => {
-                pg::error(out, Severity::Error, "08P01", fault, None)
-            }
+            Ok((None, Err(Malformed(fault)))) => pg::error(
+                out,
+                Severity::Error,
+                sqlstate::PROTOCOL_VIOLATION,
+                fault,
+                None,
+            ),
             Err(fault) => return Err(self.fatal(fault)),
         }
         Ok(())
@@ -233,7 +243,7 @@
         }
         let one = draining && opening.is_none();
         let most = if one {
-            pg::missing(self.stream.buffer.data())
+            pg::missing_bytes(self.stream.buffer.data())
         } else {
             usize::MAX
         };
@@ -276,7 +286,13 @@
     /// Framing is lost: says so, and how the session ends.
     fn fatal(&mut self, fault: Malformed) -> Ending {
         let mut out = Vec::new();
-        pg::error(&mut out, Severity::Fatal, "08P01", fault.0, None);
+        pg::error(
+            &mut out,
+            Severity::Fatal,
+            sqlstate::PROTOCOL_VIOLATION,
+            fault.0,
+            None,
+        );
         self.write(&out)
             .map_or_else(|left| left, |()| Ending::Malformed)
     }
@@ -288,7 +304,7 @@
         pg::error(
             &mut out,
             Severity::Fatal,
-            "53300",
+            sqlstate::TOO_MANY_CONNECTIONS,
             "too many come at once, come again",
             Some(wait_ms),
         );
--- /dev/null
+++ b/src/bin/asterreel/postgres/report.rs
@@ -0,0 +1,44 @@
+//! Load reports of servers, and the decimal numbers in them.
+
+use asterreel::interface::{MemberReport, Role};
+
+/// A decimal number times ten to a power, rounded down; exact where a float would not be.
+pub(super) fn decimal(text: &[u8], power: usize) -> Option<u64> {
+    let text = std::str::from_utf8(text).ok()?.trim();
+    let (whole, part) = text.split_once('.').unwrap_or((text, ""));
+    let mut value: u64 = whole.parse().ok()?;
+    let digits = part.bytes().chain(std::iter::repeat(b'0'));
+    for digit in digits.take(power) {
+        let digit = char::from(digit).to_digit(10)?;
+        value = value.checked_mul(10)?.checked_add(u64::from(digit))?;
+    }
+    Some(value)
+}
+
+/// Decimal digits between a report's numbers and the integers they become: seconds to microseconds.
+const MICRO_DIGITS: usize = 6;
+/// `x1` at and above which a server is the primary, in millionths.
+const PRIMARY_THRESHOLD: u64 = 500_000;
+
+/// What a load report says: `x0` is the position in Unix seconds, `x1` whether it is the primary.
+pub(crate) fn load_report(value: &[u8]) -> MemberReport {
+    let mut report = MemberReport::default();
+    for pair in value.split(|byte| *byte == b',') {
+        let Some(equals) = pair.iter().position(|byte| *byte == b'=') else {
+            continue;
+        };
+        let (name, value) = (pair[..equals].trim_ascii(), &pair[equals + 1..]);
+        match (name, decimal(value, MICRO_DIGITS)) {
+            (b"x0", position) => report.position = position,
+            (b"x1", Some(primary)) => {
+                report.role = Some(if primary >= PRIMARY_THRESHOLD {
+                    Role::Primary
+                } else {
+                    Role::Replica
+                });
+            }
+            _ => {}
+        }
+    }
+    report
+}
--- a/src/bin/asterreel/postgres/tests.rs
+++ b/src/bin/asterreel/postgres/tests.rs
@@ -1,5 +1,8 @@
+use super::framing::put;
+use super::report::decimal;
 use super::*;
 use crate::fuzz;
+use asterreel::interface::{MemberReport, Role};
 
 const READ: &[u8] =
     b"SELECT payload FROM entries WHERE ref = '7f' /* id=9b,c=basket,d=480,cluster=2,after=17 */";
@@ -69,11 +72,11 @@
             used += read(&bytes[used..*end], &mut answer).expect("valid");
             assert_eq!(answer.ready, *end == bytes.len());
         }
-        assert_eq!(answer.verdict, Some(Verdict::Row));
+        assert_eq!(answer.result, Some(QueryResult::Row));
         assert_eq!(answer.value(), Some(&b"\x9f\0Z"[..]));
         let position = Some(1_767_225_600_123_000);
         assert_eq!(
-            answer.note,
+            answer.report,
             MemberReport {
                 role: Some(Role::Primary),
                 position
@@ -94,7 +97,7 @@
         bytes[at..at + by.len()].copy_from_slice(by);
         let mut answer = Answer::default();
         let read = read(&bytes, &mut answer);
-        (read.is_ok(), answer.verdict, answer.note.position)
+        (read.is_ok(), answer.result, answer.report.position)
     };
     let cases: [(&[u8], &[u8]); 5] = [
         (b"\0\0\0\x03\x9f", b"\0\0\0\x02\x9f"),
@@ -108,10 +111,10 @@
     }
     assert_eq!(
         spoilt(b"commit_clock\x0017", b"commit_clock\x00?7"),
-        (true, Some(Verdict::Row), None)
+        (true, Some(QueryResult::Row), None)
     );
     let unended = spoilt(b"5600123\0", b"5600123x");
-    assert_eq!(unended, (true, Some(Verdict::Row), None));
+    assert_eq!(unended, (true, Some(QueryResult::Row), None));
 }
 
 #[test]
@@ -134,7 +137,7 @@
             bad += usize::from(read.is_err()) + usize::from(parsed.is_err());
             let shown = parsed.map(|statement| statement.forward(1).len() <= bytes.len() + 7);
             assert!(shown.unwrap_or(true));
-            report(bytes);
+            load_report(bytes);
         });
     }
     assert!(bad > 1000, "most garbage is found out: {bad}");
@@ -179,7 +182,7 @@
 fn positions_are_rounded_down_exactly() {
     assert_eq!(decimal(b"1767225600.123999", 3), Some(1_767_225_600_123));
     assert_eq!(decimal(b"1767225600123", 3), Some(1_767_225_600_123_000));
-    let note = report(b"x0=1767225600.5,x1=0,util=0.61");
+    let note = load_report(b"x0=1767225600.5,x1=0,util=0.61");
     assert_eq!(
         note,
         MemberReport {
@@ -187,16 +190,25 @@
             position: Some(1_767_225_600_500_000)
         }
     );
-    assert_eq!(report(b"x0=soon,x1,=1"), MemberReport::default());
+    assert_eq!(load_report(b"x0=soon,x1,=1"), MemberReport::default());
 }
 
 #[test]
 fn an_error_is_read_by_its_code_and_a_refusal_says_when_to_come_back() {
     let mut out = Vec::new();
-    error(&mut out, Severity::Error, "53300", "later", Some(250));
+    error(
+        &mut out,
+        Severity::Error,
+        sqlstate::TOO_MANY_CONNECTIONS,
+        "later",
+        Some(250),
+    );
     let mut answer = Answer::default();
     read(&out, &mut answer).expect("valid");
-    assert_eq!(answer.verdict, Some(Verdict::Error(*b"53300")));
+    assert_eq!(
+        answer.result,
+        Some(QueryResult::Error(sqlstate::TOO_MANY_CONNECTIONS))
+    );
     assert!(out.windows(5).any(|field| field == b"D250\0"));
 }
 
@@ -204,19 +216,22 @@
 fn a_message_lacks_its_head_then_its_body_and_never_less_than_a_byte() {
     let whole = simple_query("SELECT 1");
     let lacks: Vec<usize> = (0..=whole.len())
-        .map(|end| missing(&whole[..end]))
+        .map(|end| missing_bytes(&whole[..end]))
         .collect();
     assert_eq!(lacks[..5], [5, 4, 3, 2, 1]);
     assert!((5..whole.len()).all(|end| lacks[end] == whole.len() - end));
-    assert_eq!((lacks[whole.len()], missing(b"Q\xff\xff\xff\xff")), (1, 1));
+    assert_eq!(
+        (lacks[whole.len()], missing_bytes(b"Q\xff\xff\xff\xff")),
+        (1, 1)
+    );
     fuzz::garbage(&whole, |bytes| {
-        assert!((1..=LONGEST + 1).contains(&missing(bytes)))
+        assert!((1..=MAX_MESSAGE_BYTES + 1).contains(&missing_bytes(bytes)))
     });
 }
 
 #[test]
 fn a_cancel_request_holds_a_key_and_nothing_else() {
-    let key = Key {
+    let key = CancelKey {
         session: 7,
         secret: 0xfeed_beef,
     };
@@ -235,7 +250,7 @@
     assert!(opening(&request(20, b"\0\0\0\x07\xfe\xed\xbe\xef\0\0\0\0")).is_err());
     // The key is the one that a session is welcomed with.
     let mut out = Vec::new();
-    welcome(&mut out, key);
+    session_started(&mut out, key);
     assert!(out
         .windows(13)
         .any(|bytes| bytes == b"K\0\0\0\x0c\0\0\0\x07\xfe\xed\xbe\xef"));
--- a/src/bin/asterreel/probe.rs
+++ b/src/bin/asterreel/probe.rs
@@ -1,6 +1,6 @@
 //! Probes: a question for a database's load report.
 
-use crate::postgres::{self as pg, Answer, Verdict};
+use crate::postgres::{self as pg, sqlstate, Answer, QueryResult};
 use crate::request::attempt::{exchange, finish, unconnected, Broken, Stop};
 use crate::request::pool::Pool;
 use asterreel::interface::{MemberReport, Outcome};
@@ -30,12 +30,17 @@
         pool.clock,
     );
     finish(pool, address, connection, end, &answer);
-    match (&answer.verdict, end) {
-        (Some(Verdict::Row), _) => (
+    match (&answer.result, end) {
+        (Some(QueryResult::Row), _) => (
             Outcome::Served,
-            answer.value().map(pg::report).unwrap_or_default(),
+            answer.value().map(pg::load_report).unwrap_or_default(),
         ),
-        (Some(Verdict::Error(code)), _) if code == b"53300" || code == b"57P03" => {
+        (Some(QueryResult::Error(code)), _)
+            if matches!(
+                *code,
+                sqlstate::TOO_MANY_CONNECTIONS | sqlstate::CANNOT_CONNECT_NOW
+            ) =>
+        {
             (Outcome::Rejected, MemberReport::default())
         }
         (_, Err(Broken::Stopped { .. })) => (Outcome::TimedOut, MemberReport::default()),
--- a/src/bin/asterreel/request/attempt.rs
+++ b/src/bin/asterreel/request/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt at a database, from its connection to its outcome.
 
-use crate::postgres::{self as pg, Answer, Statement, Verdict};
+use crate::postgres::{self as pg, sqlstate, Answer, QueryResult, Statement};
 use crate::request::pool::{Connection, NoConnection, Pool};
 use crate::runtime::net::Stream;
 use asterreel::interface::{MemberReport, Micros, Outcome};
@@ -108,7 +108,7 @@
             .buffer
             .data()
             .first()
-            .is_some_and(|tag| !pg::ANSWERS.contains(tag))
+            .is_some_and(|tag| !pg::ANSWER_TAGS.contains(tag))
         {
             return Err(Broken::Malformed);
         }
@@ -127,7 +127,7 @@
             }
             Ok(None) => {}
         }
-        if answer.verdict.is_some() && note_until == Micros::MAX {
+        if answer.result.is_some() && note_until == Micros::MAX {
             // The verdict stands; a database that falls silent before its note must not hold it back.
             note_until = clock.now() + NOTE_WAIT;
             alarm = stream.timer.alarm(note_until.min(stop.at), stream.waker());
@@ -190,10 +190,10 @@
         pool.clock,
     );
     finish(pool, address, connection, end, &answer);
-    let outcome = outcome(end, answer.verdict.as_ref(), stop.is_called_off());
+    let outcome = outcome(end, answer.result.as_ref(), stop.is_called_off());
     End {
         outcome,
-        answer_report: answer.note,
+        answer_report: answer.report,
         rows: answer.rows,
     }
 }
@@ -206,7 +206,7 @@
     end: Result<(), Broken>,
     answer: &Answer,
 ) {
-    if end.is_ok() && answer.verdict.is_some() && connection.stream.buffer.data().is_empty() {
+    if end.is_ok() && answer.result.is_some() && connection.stream.buffer.data().is_empty() {
         pool.keep(address, connection);
     }
 }
@@ -224,17 +224,17 @@
 /// The table of outcomes: what can have run, and what can't.
 pub(crate) fn outcome(
     end: Result<(), Broken>,
-    verdict: Option<&Verdict>,
+    verdict: Option<&QueryResult>,
     called_off: bool,
 ) -> Outcome {
     match (verdict, end) {
-        (Some(Verdict::Row), _) => Outcome::Served,
-        (Some(Verdict::Error(code)), _) => match code {
-            b"25006" | b"72000" => Outcome::Misrouted,
-            b"53300" => Outcome::Rejected,
+        (Some(QueryResult::Row), _) => Outcome::Served,
+        (Some(QueryResult::Error(code)), _) => match *code {
+            sqlstate::READ_ONLY_TRANSACTION | sqlstate::SNAPSHOT_TOO_OLD => Outcome::Misrouted,
+            sqlstate::TOO_MANY_CONNECTIONS => Outcome::Rejected,
             // A syntax error or a breach of protocol is the statement's: sent on, it would meet the same again
             // and count against each member it reached.
-            [b'4', b'2', ..] | b"08P01" => Outcome::InvalidRequest,
+            code if code.is_invalid_statement() => Outcome::InvalidRequest,
             _ => Outcome::Error,
         },
         // A database starts a query once its last byte has come: one not written whole never runs.
--- a/src/bin/asterreel/request/attempt/tests.rs
+++ b/src/bin/asterreel/request/attempt/tests.rs
@@ -1,7 +1,8 @@
 use super::*;
+use crate::postgres::sqlstate::SqlState;
 
-fn error(code: &[u8; 5]) -> Option<Verdict> {
-    Some(Verdict::Error(*code))
+fn error(code: &[u8; 5]) -> Option<QueryResult> {
+    Some(QueryResult::Error(SqlState(*code)))
 }
 
 #[test]
@@ -9,9 +10,9 @@
     let broken = |written| Err(Broken::Connection { written });
     let stopped = |written| Err(Broken::Stopped { written });
     let cases = [
-        (Ok(()), Some(Verdict::Row), false, Outcome::Served),
+        (Ok(()), Some(QueryResult::Row), false, Outcome::Served),
         // Served is served, even if the connection breaks before the note.
-        (broken(true), Some(Verdict::Row), false, Outcome::Served),
+        (broken(true), Some(QueryResult::Row), false, Outcome::Served),
         (Ok(()), error(b"25006"), false, Outcome::Misrouted),
         (Ok(()), error(b"72000"), false, Outcome::Misrouted),
         (Ok(()), error(b"XX000"), false, Outcome::Error),
--- a/src/bin/asterreel/request/pool.rs
+++ b/src/bin/asterreel/request/pool.rs
@@ -1,6 +1,6 @@
 //! Connections to databases: opened, kept while idle, and never more than the descriptors allow.
 
-use crate::postgres::{self as pg, Answer, Verdict};
+use crate::postgres::{self as pg, sqlstate, Answer, QueryResult};
 use crate::request::attempt::{exchange, Stop};
 use crate::runtime::net::Stream;
 use crate::runtime::timer::Timer;
@@ -155,9 +155,11 @@
             &stop,
             self.clock,
         );
-        match (end, answer.verdict) {
+        match (end, answer.result) {
             (Ok(()), None) => Ok(connection),
-            (_, Some(Verdict::Error(code))) if &code == b"53300" => Err(NoConnection::TurnedAway),
+            (_, Some(QueryResult::Error(code))) if code == sqlstate::TOO_MANY_CONNECTIONS => {
+                Err(NoConnection::TurnedAway)
+            }
             _ => Err(NoConnection::Failed),
         }
     }
