--- a/src/bin/asterreel/front/mailbox.rs
+++ b/src/bin/asterreel/front/mailbox.rs
@@ -1,7 +1,7 @@
 //! What others have for a session, and what they may see of it.
 
 use crate::core::{Inbox, Order, Orders};
-use crate::request::attempt::End;
+use crate::request::attempt::AttemptResult;
 use asterreel::interface::{AttemptNo, Micros};
 use may::io::WaitIoWaker;
 use std::collections::VecDeque;
@@ -11,7 +11,7 @@
 /// What a session waits for, beside its client.
 pub(super) enum Notice {
     Order(Order),
-    Ended(AttemptNo, End),
+    Ended(AttemptNo, AttemptResult),
     /// The client has closed its connection.
     Left,
     /// The client has asked to cancel its request.
--- a/src/bin/asterreel/front/request.rs
+++ b/src/bin/asterreel/front/request.rs
@@ -8,7 +8,8 @@
 use crate::cells::Placed;
 use crate::core::Order;
 use crate::postgres::{self as pg, sqlstate, Severity, Statement};
-use crate::request::attempt::{self, End, Stop};
+use crate::request::attempt::{self, AttemptResult};
+use crate::request::cancellation::CancellationToken;
 use crate::runtime::net::spawn;
 use asterreel::cells::quarantine::Verdict;
 use asterreel::cells::who::Caller;
@@ -85,7 +86,7 @@
 struct Attempt {
     ordered: Micros,
     member: MemberId,
-    stop: Arc<Stop>,
+    token: Arc<CancellationToken>,
 }
 
 /// The attempts of a request by number; nothing is kept of those that have ended or were never begun.
@@ -110,7 +111,7 @@
 
     fn call_off(&self, number: AttemptNo) {
         if let Some(Some(attempt)) = self.0.get(number.0 as usize) {
-            attempt.stop.call_off();
+            attempt.token.cancel();
         }
     }
 
@@ -407,23 +408,29 @@
             gateway.core.ended(never_sent(id, request.attempts.skip()));
             return;
         }
-        let stop = Arc::new(Stop::at(until));
+        let token = Arc::new(CancellationToken::new(until));
         let ordered = gateway.core.clock.now();
         let number = request.attempts.begin(Attempt {
             ordered,
             member,
-            stop: stop.clone(),
+            token: token.clone(),
         });
         let statement = request.statement.clone();
         spawn(move || {
             let may_write = || gateway.core.may_write(id, member);
-            let end = attempt::run(&gateway.pool, address, &statement, &stop, may_write);
+            let end = attempt::run(&gateway.pool, address, &statement, &token, may_write);
             mailbox.post(Notice::Ended(number, end));
         });
     }
 
     /// Takes an attempt's end in, and tells the module.
-    fn attempt_ended(&self, request: &mut Request, number: AttemptNo, end: End, out: &mut Vec<u8>) {
+    fn attempt_ended(
+        &self,
+        request: &mut Request,
+        number: AttemptNo,
+        end: AttemptResult,
+        out: &mut Vec<u8>,
+    ) {
         let Some(attempt) = request.attempts.end(number) else {
             return;
         };
--- a/src/bin/asterreel/probe.rs
+++ b/src/bin/asterreel/probe.rs
@@ -1,35 +1,34 @@
 //! Probes: a question for a database's load report.
 
 use crate::postgres::{self as pg, sqlstate, Answer, QueryResult};
-use crate::request::attempt::{exchange, finish, unconnected, Broken, Stop};
+use crate::request::cancellation::CancellationToken;
+use crate::request::outcome;
 use crate::request::pool::Pool;
+use crate::request::round_trip::{round_trip, ConnectionError};
 use asterreel::interface::{MemberReport, Outcome};
 use std::net::SocketAddr;
 
 /// Asks a database for its report. A probe that takes longer than a connection may has failed.
 pub(crate) fn run(pool: &Pool, address: SocketAddr) -> (Outcome, MemberReport) {
-    let stop = Stop::at(pool.clock.now() + pool.connect_timeout);
-    let mut connection = match pool
-        .take(address)
-        .map_or_else(|| pool.open(address, stop.at), Ok)
-    {
+    let token = CancellationToken::new(pool.clock.now() + pool.connect_timeout);
+    let mut connection = match pool.acquire(address, token.deadline) {
         Ok(connection) => connection,
         // Too few descriptors here tell nothing of the database.
-        Err(fault) => match unconnected(fault, false) {
+        Err(fault) => match outcome::without_connection(fault, false) {
             Outcome::NotSent => return (Outcome::Rejected, MemberReport::default()),
             outcome => return (outcome, MemberReport::default()),
         },
     };
     let mut answer = Answer::default();
     let query = pg::simple_query("SHOW usage");
-    let end = exchange(
+    let end = round_trip(
         &mut connection.stream,
         &query,
         &mut answer,
-        &stop,
+        &token,
         pool.clock,
     );
-    finish(pool, address, connection, end, &answer);
+    pool.release_if_complete(address, connection, end, &answer);
     match (&answer.result, end) {
         (Some(QueryResult::Row), _) => (
             Outcome::Served,
@@ -43,8 +42,8 @@
         {
             (Outcome::Rejected, MemberReport::default())
         }
-        (_, Err(Broken::Stopped { .. })) => (Outcome::TimedOut, MemberReport::default()),
-        (_, Err(Broken::Connection { .. })) => (Outcome::Reset, MemberReport::default()),
+        (_, Err(ConnectionError::Stopped { .. })) => (Outcome::TimedOut, MemberReport::default()),
+        (_, Err(ConnectionError::Lost { .. })) => (Outcome::Reset, MemberReport::default()),
         _ => (Outcome::Error, MemberReport::default()),
     }
 }
--- a/src/bin/asterreel/request/pool.rs
+++ b/src/bin/asterreel/request/pool.rs
@@ -1,7 +1,11 @@
-//! Connections to databases: opened, kept while idle, and never more than the descriptors allow.
+//! Connections to servers: opened, kept while idle, and never more than the descriptors allow.
+//!
+//! Whoever acquires a connection owns it. Only one whose last answer is complete may be released to the pool; dropping
+//! any other closes it, and its permit is free again. No lock is held over a wait.
 
 use crate::postgres::{self as pg, sqlstate, Answer, QueryResult};
-use crate::request::attempt::{exchange, Stop};
+use crate::request::cancellation::CancellationToken;
+use crate::request::round_trip::{round_trip, ConnectionError};
 use crate::runtime::net::Stream;
 use crate::runtime::timer::Timer;
 use asterreel::interface::Micros;
@@ -11,80 +15,107 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
+use thiserror::Error;
 
+/// Connections to all servers.
 pub(crate) struct Pool {
+    /// The clock of all times here.
     pub clock: Clock,
+    /// Wakes coroutines that wait for a server.
     pub timer: Arc<Timer>,
-    idle: Mutex<HashMap<SocketAddr, Vec<Idle>>>,
-    open: Arc<AtomicUsize>,
-    most: usize,
-    idle_for: Micros,
+    /// How long opening a connection may take.
     pub connect_timeout: Micros,
+    idle: Mutex<IdleConnections>,
+    open_connections: Arc<AtomicUsize>,
+    max_connections: usize,
+    max_idle_time: Micros,
 }
 
-/// A connection to a database that is ready for a query.
+/// Idle connections by server, the one that has been idle for longest first.
+type IdleConnections = HashMap<SocketAddr, Vec<IdleConnection>>;
+
+struct IdleConnection {
+    connection: Connection,
+    since: Micros,
+}
+
+/// A connection to a server that is ready for a query.
 pub(crate) struct Connection {
+    /// Its socket and buffer.
     pub stream: Stream,
-    _place: Place,
+    _permit: ConnectionPermit,
 }
 
-/// One of the descriptors set aside for databases.
-struct Place(Arc<AtomicUsize>);
+/// One of the descriptors reserved for servers; given back when dropped.
+struct ConnectionPermit(Arc<AtomicUsize>);
 
-impl Drop for Place {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-struct Idle {
-    connection: Connection,
-    since: Micros,
-}
-
 /// Why there is no connection. In every case nothing was sent.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NoConnection {
-    /// All descriptors set aside for databases are in use, or this machine is out of something that connections need.
-    NoRoom,
-    /// The database holds too many.
-    TurnedAway,
-    /// Refused, not up in time, or broken.
-    Failed,
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub(crate) enum AcquireError {
+    /// All descriptors reserved for servers are in use, or this machine lacks something that connections need.
+    #[error("no capacity for another connection")]
+    NoCapacity,
+    /// The server has too many connections.
+    #[error("the server has too many connections")]
+    Rejected,
+    /// Refused, not ready in time, or broken.
+    #[error("connecting failed")]
+    ConnectFailed,
 }
 
 impl Pool {
+    /// An empty pool of at most `max_connections` connections, idle ones included. `server_idle_timeout` is how long a
+    /// server keeps an idle connection open, `connect_timeout` how long opening one may take.
     pub(crate) fn new(
         clock: Clock,
         timer: Arc<Timer>,
-        most: usize,
-        closes: Micros,
-        connect: Micros,
+        max_connections: usize,
+        server_idle_timeout: Micros,
+        connect_timeout: Micros,
     ) -> Pool {
         Pool {
             clock,
             timer,
+            connect_timeout,
             idle: Mutex::default(),
-            open: Arc::default(),
-            most,
-            // The database closes an idle connection at the latest after `closes`, and what is written to a
-            // dying one may have run: retire it well before.
-            idle_for: closes * 2 / 3,
-            connect_timeout: connect,
+            open_connections: Arc::default(),
+            max_connections,
+            // A query written to a connection that the server is closing may have run: close it well before.
+            max_idle_time: server_idle_timeout * 2 / 3,
         }
     }
 
-    fn idle<T>(&self, work: impl FnOnce(&mut HashMap<SocketAddr, Vec<Idle>>) -> T) -> T {
+    fn with_idle<T>(&self, work: impl FnOnce(&mut IdleConnections) -> T) -> T {
         work(&mut self.idle.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// An idle connection that has not been closed from the other side.
-    pub(crate) fn take(&self, address: SocketAddr) -> Option<Connection> {
-        self.retire();
+    /// An idle connection to a server, or a new one that is ready by the connect timeout and by `deadline`.
+    ///
+    /// # Errors
+    ///
+    /// Why there is none.
+    pub(crate) fn acquire(
+        &self,
+        address: SocketAddr,
+        deadline: Micros,
+    ) -> Result<Connection, AcquireError> {
+        self.take_idle(address)
+            .map_or_else(|| self.open(address, deadline), Ok)
+    }
+
+    /// An idle connection that the server has not closed.
+    fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
+        self.close_idle();
         loop {
-            let idle = self.idle(|idle| idle.get_mut(&address).and_then(Vec::pop))?;
+            let idle = self.with_idle(|idle| idle.get_mut(&address).and_then(Vec::pop))?;
             let mut connection = idle.connection;
-            // An end, an error or bytes nobody asked for: a write into it would be a reset that may have run.
+            // A query written to one that has ended, failed or sent something unasked could be lost after it ran.
             if matches!(connection.stream.read_now(), Ok(None))
                 && connection.stream.buffer.data().is_empty()
             {
@@ -94,79 +125,91 @@
     }
 
     /// Keeps a connection for the next query.
-    pub(crate) fn keep(&self, address: SocketAddr, connection: Connection) {
+    pub(crate) fn release(&self, address: SocketAddr, connection: Connection) {
         let since = self.clock.now();
-        self.idle(|idle| {
+        self.with_idle(|idle| {
             idle.entry(address)
                 .or_default()
-                .push(Idle { connection, since })
+                .push(IdleConnection { connection, since })
         });
-        self.retire();
+        self.close_idle();
+    }
+
+    /// Keeps a connection whose answer is complete, and closes any other.
+    pub(crate) fn release_if_complete(
+        &self,
+        address: SocketAddr,
+        connection: Connection,
+        ended: Result<(), ConnectionError>,
+        answer: &Answer,
+    ) {
+        if ended.is_ok() && answer.result.is_some() && connection.stream.buffer.data().is_empty() {
+            self.release(address, connection);
+        }
     }
 
-    /// Closes what has been idle for too long.
-    pub(crate) fn retire(&self) {
+    /// Closes connections that have been idle for too long.
+    fn close_idle(&self) {
         let now = self.clock.now();
-        let old = |idle: &mut Idle| now.saturating_sub(idle.since) >= self.idle_for;
-        self.idle(|idle| {
+        let is_expired =
+            |idle: &mut IdleConnection| now.saturating_sub(idle.since) >= self.max_idle_time;
+        self.with_idle(|idle| {
             idle.values_mut()
-                .for_each(|kept| kept.retain_mut(|one| !old(one)));
-            idle.retain(|_, kept| !kept.is_empty());
+                .for_each(|connections| connections.retain_mut(|idle| !is_expired(idle)));
+            idle.retain(|_, connections| !connections.is_empty());
         });
     }
 
-    fn place(&self) -> Option<Place> {
-        if self.open.load(Ordering::Acquire) >= self.most {
-            // Room for a connection that is wanted now is made by one that nobody uses.
-            self.idle(|idle| {
-                let longest = idle.values_mut().filter(|kept| !kept.is_empty());
-                longest
-                    .min_by_key(|kept| kept[0].since)
-                    .map(|kept| kept.remove(0))
+    /// A permit for one more connection. Where all are in use, the connection that has been idle for longest is closed.
+    fn reserve(&self) -> Option<ConnectionPermit> {
+        if self.open_connections.load(Ordering::Acquire) >= self.max_connections {
+            self.with_idle(|idle| {
+                let servers = idle
+                    .values_mut()
+                    .filter(|connections| !connections.is_empty());
+                servers
+                    .min_by_key(|connections| connections[0].since)
+                    .map(|connections| connections.remove(0))
             });
         }
-        let taken = self.open.fetch_add(1, Ordering::AcqRel);
-        let place = Place(self.open.clone());
-        (taken < self.most).then_some(place)
+        let in_use = self.open_connections.fetch_add(1, Ordering::AcqRel);
+        let permit = ConnectionPermit(self.open_connections.clone());
+        (in_use < self.max_connections).then_some(permit)
     }
 
-    /// Opens a connection; it must be ready by the connect timeout, and by `until`.
-    pub(crate) fn open(
-        &self,
-        address: SocketAddr,
-        until: Micros,
-    ) -> Result<Connection, NoConnection> {
-        let place = self.place().ok_or(NoConnection::NoRoom)?;
+    /// Opens a connection; it must be ready by the connect timeout, and by `deadline`.
+    fn open(&self, address: SocketAddr, deadline: Micros) -> Result<Connection, AcquireError> {
+        let permit = self.reserve().ok_or(AcquireError::NoCapacity)?;
         let now = self.clock.now();
-        let until = until.min(now + self.connect_timeout);
-        let within = until.saturating_sub(now);
-        let stream =
-            Stream::connect(address, within, &self.timer).map_err(|error| blame(&error))?;
+        let deadline = deadline.min(now + self.connect_timeout);
+        let timeout = deadline.saturating_sub(now);
+        let stream = Stream::connect(address, timeout, &self.timer)
+            .map_err(|error| classify_error(&error))?;
         let mut connection = Connection {
             stream,
-            _place: place,
+            _permit: permit,
         };
         let mut answer = Answer::default();
-        let stop = Stop::at(until);
-        let end = exchange(
+        let token = CancellationToken::new(deadline);
+        let ended = round_trip(
             &mut connection.stream,
             &pg::startup(),
             &mut answer,
-            &stop,
+            &token,
             self.clock,
         );
-        match (end, answer.result) {
+        match (ended, answer.result) {
             (Ok(()), None) => Ok(connection),
-            (_, Some(QueryResult::Error(code))) if code == sqlstate::TOO_MANY_CONNECTIONS => {
-                Err(NoConnection::TurnedAway)
+            (_, Some(QueryResult::Error(sqlstate::TOO_MANY_CONNECTIONS))) => {
+                Err(AcquireError::Rejected)
             }
-            _ => Err(NoConnection::Failed),
+            _ => Err(AcquireError::ConnectFailed),
         }
     }
 }
 
 /// What `socket` and `connect` fail with where this machine has run out of something, or has no route for a moment.
-const OWN_ERRORS: [Errno; 8] = [
+const LOCAL_ERRORS: [Errno; 8] = [
     Errno::EMFILE,
     Errno::ENFILE,
     Errno::ENOBUFS,
@@ -177,12 +220,12 @@
     Errno::ENETUNREACH,
 ];
 
-/// Errors of this machine are not the database's.
-fn blame(error: &std::io::Error) -> NoConnection {
+/// Tells faults of this machine from those of the server.
+fn classify_error(error: &std::io::Error) -> AcquireError {
     let code = error.raw_os_error().map(Errno::from_raw);
     match code {
-        Some(code) if OWN_ERRORS.contains(&code) => NoConnection::NoRoom,
-        _ => NoConnection::Failed,
+        Some(code) if LOCAL_ERRORS.contains(&code) => AcquireError::NoCapacity,
+        _ => AcquireError::ConnectFailed,
     }
 }
 
--- a/src/bin/asterreel/request/pool/tests.rs
+++ b/src/bin/asterreel/request/pool/tests.rs
@@ -7,14 +7,20 @@
     may::go!(work).join().expect("no panic")
 }
 
-/// A pool of so many places, and a database that accepts one connection and closes it when told.
-fn pool(most: usize) -> (Arc<Pool>, SocketAddr, std::sync::mpsc::Sender<()>) {
+/// A pool of at most so many connections, and a server that accepts one and closes it when the sender is dropped.
+fn pool(max_connections: usize) -> (Arc<Pool>, SocketAddr, std::sync::mpsc::Sender<()>) {
     let clock = Clock::start();
     let timer = Timer::new(clock);
-    let pool = Arc::new(Pool::new(clock, timer, most, 15_000_000, 20_000_000));
+    let pool = Arc::new(Pool::new(
+        clock,
+        timer,
+        max_connections,
+        15_000_000,
+        20_000_000,
+    ));
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
-    let (close, told) = std::sync::mpsc::channel();
+    let (close, closed) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         use std::io::{Read, Write};
         let (mut client, _) = listener.accept().expect("a client");
@@ -23,32 +29,32 @@
         client
             .write_all(b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I")
             .expect("ready");
-        let _ = told.recv();
+        let _ = closed.recv();
     });
     (pool, address, close)
 }
 
 #[test]
-fn a_connection_that_the_database_has_closed_is_never_used_again() {
+fn connection_closed_by_server_is_not_reused() {
     let (pool, address, close) = pool(4);
     let again = in_coroutine(move || {
         let until = pool.clock.now() + 20_000_000;
         let connection = pool.open(address, until).expect("opened");
-        pool.keep(address, connection);
-        let mut kept = pool.take(address).expect("still good");
+        pool.release(address, connection);
+        let mut kept = pool.take_idle(address).expect("still good");
         drop(close);
         // The end has arrived once it can be read; only then is the connection given back.
         while matches!(kept.stream.read_now(), Ok(None)) {
             kept.stream.wait();
         }
-        pool.keep(address, kept);
-        pool.take(address).is_none()
+        pool.release(address, kept);
+        pool.take_idle(address).is_none()
     });
     assert!(again);
 }
 
 #[test]
-fn descriptors_in_use_are_counted_and_an_idle_connection_makes_room() {
+fn idle_connection_is_closed_at_the_limit() {
     let (pool, address, _close) = pool(1);
     let (elsewhere, other, _close_other) = super::tests::pool(1);
     drop(elsewhere);
@@ -56,18 +62,18 @@
         let until = pool.clock.now() + 20_000_000;
         let held = pool.open(address, until).expect("opened");
         let full = pool.open(other, until).err();
-        pool.keep(address, held);
+        pool.release(address, held);
         (
             full,
             pool.open(other, until).is_ok(),
-            pool.take(address).is_none(),
+            pool.take_idle(address).is_none(),
         )
     });
-    assert_eq!(outcomes, (Some(NoConnection::NoRoom), true, true));
+    assert_eq!(outcomes, (Some(AcquireError::NoCapacity), true, true));
 }
 
 #[test]
-fn what_this_machine_is_out_of_is_not_blamed_on_the_database() {
+fn local_errors_are_not_blamed_on_the_server() {
     let error = |code: Errno| std::io::Error::from_raw_os_error(code as i32);
     // As Linux documents socket(2) and connect(2).
     for code in [
@@ -80,7 +86,11 @@
         Errno::ENETDOWN,
         Errno::ENETUNREACH,
     ] {
-        assert_eq!(blame(&error(code)), NoConnection::NoRoom, "{code}");
+        assert_eq!(
+            classify_error(&error(code)),
+            AcquireError::NoCapacity,
+            "{code}"
+        );
     }
     for code in [
         Errno::ECONNREFUSED,
@@ -88,6 +98,10 @@
         Errno::ETIMEDOUT,
         Errno::EHOSTUNREACH,
     ] {
-        assert_eq!(blame(&error(code)), NoConnection::Failed, "{code}");
+        assert_eq!(
+            classify_error(&error(code)),
+            AcquireError::ConnectFailed,
+            "{code}"
+        );
     }
 }
