--- a/src/bin/asterreel/client/request.rs
+++ b/src/bin/asterreel/front/request.rs
@@ -5,11 +5,12 @@
 use super::gateway::Name;
 use super::mailbox::Notice;
 use super::session::{Ending, Session};
-use crate::attempt::{self, End, Stop};
 use crate::cells::Placed;
 use crate::core::Order;
-use crate::net::spawn;
-use crate::pg::{self, Severity, Statement};
+use crate::postgres::{self as pg, sqlstate, Severity, Statement};
+use crate::request::attempt::{self, AttemptResult};
+use crate::request::cancellation::CancellationToken;
+use crate::runtime::net::spawn;
 use asterreel::cells::quarantine::Verdict;
 use asterreel::cells::who::Caller;
 use asterreel::cells::{Refusal, LOST};
@@ -38,11 +39,17 @@
 impl Denial {
     fn write(&self, out: &mut Vec<u8>) {
         let (code, text, retry_after) = match self {
-            Denial::Invalid(text) => ("08P01", *text, None),
-            Denial::Unknown(text) => ("28000", *text, None),
-            Denial::Refused(text, retry_after) => ("53300", *text, *retry_after),
-            Denial::Failed(text) => ("58000", *text, None),
-            Denial::Cancelled => ("57014", "cancelled as its client asked", None),
+            Denial::Invalid(text) => (sqlstate::PROTOCOL_VIOLATION, *text, None),
+            Denial::Unknown(text) => (sqlstate::INVALID_AUTHORIZATION, *text, None),
+            Denial::Refused(text, retry_after) => {
+                (sqlstate::TOO_MANY_CONNECTIONS, *text, *retry_after)
+            }
+            Denial::Failed(text) => (sqlstate::SYSTEM_ERROR, *text, None),
+            Denial::Cancelled => (
+                sqlstate::QUERY_CANCELED,
+                "cancelled as its client asked",
+                None,
+            ),
         };
         pg::error(
             out,
@@ -79,7 +86,7 @@
 struct Attempt {
     ordered: Micros,
     member: MemberId,
-    stop: Arc<Stop>,
+    token: Arc<CancellationToken>,
 }
 
 /// The attempts of a request by number; nothing is kept of those that have ended or were never begun.
@@ -104,7 +111,7 @@
 
     fn call_off(&self, number: AttemptNo) {
         if let Some(Some(attempt)) = self.0.get(number.0 as usize) {
-            attempt.stop.call_off();
+            attempt.token.cancel();
         }
     }
 
@@ -365,7 +372,7 @@
     /// Reads on, but not in a drain, and says whether the client has closed its connection or sending on it.
     fn client_has_left(&mut self) -> bool {
         let draining = self.gateway.is_draining();
-        while !draining && self.stream.buffer.data().len() < pg::LONGEST {
+        while !draining && self.stream.buffer.data().len() < pg::MAX_MESSAGE_BYTES {
             match self.stream.read_now() {
                 Ok(Some(0)) | Err(_) => return true,
                 Ok(Some(_)) => {}
@@ -401,23 +408,29 @@
             gateway.core.ended(never_sent(id, request.attempts.skip()));
             return;
         }
-        let stop = Arc::new(Stop::at(until));
+        let token = Arc::new(CancellationToken::new(until));
         let ordered = gateway.core.clock.now();
         let number = request.attempts.begin(Attempt {
             ordered,
             member,
-            stop: stop.clone(),
+            token: token.clone(),
         });
         let statement = request.statement.clone();
         spawn(move || {
             let may_write = || gateway.core.may_write(id, member);
-            let end = attempt::run(&gateway.pool, address, &statement, &stop, may_write);
+            let end = attempt::run(&gateway.pool, address, &statement, &token, may_write);
             mailbox.post(Notice::Ended(number, end));
         });
     }
 
     /// Takes an attempt's end in, and tells the module.
-    fn attempt_ended(&self, request: &mut Request, number: AttemptNo, end: End, out: &mut Vec<u8>) {
+    fn attempt_ended(
+        &self,
+        request: &mut Request,
+        number: AttemptNo,
+        end: AttemptResult,
+        out: &mut Vec<u8>,
+    ) {
         let Some(attempt) = request.attempts.end(number) else {
             return;
         };
--- a/src/bin/asterreel/health/mod.rs
+++ b/src/bin/asterreel/health/mod.rs
@@ -12,7 +12,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::client::Gateway;
+use crate::front::Gateway;
 use asterreel::health::connection_limit::ConnectionLimiter;
 use asterreel::health::{
     http::Facts, Action, Capacity, CommandAge, Event, Machine, Scope, State, Status,
--- a/src/bin/asterreel/probe.rs
+++ b/src/bin/asterreel/probe.rs
@@ -1,45 +1,49 @@
 //! Probes: a question for a database's load report.
 
-use crate::attempt::{exchange, finish, unconnected, Broken, Stop};
-use crate::pg::{self, Answer, Verdict};
-use crate::pool::Pool;
+use crate::postgres::{self as pg, sqlstate, Answer, QueryResult};
+use crate::request::cancellation::CancellationToken;
+use crate::request::outcome;
+use crate::request::pool::Pool;
+use crate::request::round_trip::{round_trip, ConnectionError};
 use asterreel::interface::{MemberReport, Outcome};
 use std::net::SocketAddr;
 
 /// Asks a database for its report. A probe that takes longer than a connection may has failed.
 pub(crate) fn run(pool: &Pool, address: SocketAddr) -> (Outcome, MemberReport) {
-    let stop = Stop::at(pool.clock.now() + pool.connect_timeout);
-    let mut connection = match pool
-        .take(address)
-        .map_or_else(|| pool.open(address, stop.at), Ok)
-    {
+    let token = CancellationToken::new(pool.clock.now() + pool.connect_timeout);
+    let mut connection = match pool.acquire(address, token.deadline) {
         Ok(connection) => connection,
         // Too few descriptors here tell nothing of the database.
-        Err(fault) => match unconnected(fault, false) {
+        Err(fault) => match outcome::without_connection(fault, false) {
             Outcome::NotSent => return (Outcome::Rejected, MemberReport::default()),
             outcome => return (outcome, MemberReport::default()),
         },
     };
     let mut answer = Answer::default();
     let query = pg::simple_query("SHOW usage");
-    let end = exchange(
+    let end = round_trip(
         &mut connection.stream,
         &query,
         &mut answer,
-        &stop,
+        &token,
         pool.clock,
     );
-    finish(pool, address, connection, end, &answer);
-    match (&answer.verdict, end) {
-        (Some(Verdict::Row), _) => (
+    pool.release_if_complete(address, connection, end, &answer);
+    match (&answer.result, end) {
+        (Some(QueryResult::Row), _) => (
             Outcome::Served,
-            answer.value().map(pg::report).unwrap_or_default(),
+            answer.value().map(pg::load_report).unwrap_or_default(),
         ),
-        (Some(Verdict::Error(code)), _) if code == b"53300" || code == b"57P03" => {
+        (Some(QueryResult::Error(code)), _)
+            if matches!(
+                *code,
+                sqlstate::TOO_MANY_CONNECTIONS | sqlstate::CANNOT_CONNECT_NOW
+            ) =>
+        {
             (Outcome::Rejected, MemberReport::default())
         }
-        (_, Err(Broken::Stopped { .. })) => (Outcome::TimedOut, MemberReport::default()),
-        (_, Err(Broken::Connection { .. })) => (Outcome::Reset, MemberReport::default()),
+        (_, Err(ConnectionError::Stopped { .. })) => (Outcome::TimedOut, MemberReport::default()),
+        (_, Err(ConnectionError::Lost { .. })) => (Outcome::Reset, MemberReport::default()),
         _ => (Outcome::Error, MemberReport::default()),
     }
 }
