--- a/src/bin/asterreel-adapter/wire.rs
+++ b/src/bin/asterreel-adapter/wire.rs
@@ -6,7 +6,7 @@
 
 use asterreel::interface::*;
 use asterreel::policy::Router;
-use asterreel::settings::{Item, Setup};
+use asterreel::settings::{EndpointRecord, Setup};
 use serde::{Deserialize, Serialize};
 
 #[derive(Deserialize)]
@@ -60,7 +60,7 @@
 #[serde(rename_all = "PascalCase")]
 struct DefineList {
     table: u32,
-    items: Vec<Item>,
+    items: Vec<EndpointRecord>,
 }
 
 #[derive(Deserialize)]
@@ -183,7 +183,7 @@
 #[derive(Default)]
 pub(crate) struct Host {
     instances: BTreeMap<String, Instance>,
-    tables: HashMap<u32, Arc<Vec<Item>>>,
+    tables: HashMap<u32, Arc<Vec<EndpointRecord>>>,
 }
 
 impl Host {
@@ -393,7 +393,7 @@
     fn translate(
         &mut self,
         event: Input,
-        tables: &HashMap<u32, Arc<Vec<Item>>>,
+        tables: &HashMap<u32, Arc<Vec<EndpointRecord>>>,
     ) -> Result<Option<Event>, String> {
         Ok(match event {
             Input::Accept(accept) => Some(Event::RequestArrived(self.arrival(accept))),
@@ -502,7 +502,7 @@
     fn view(
         &mut self,
         view: &View,
-        tables: &HashMap<u32, Arc<Vec<Item>>>,
+        tables: &HashMap<u32, Arc<Vec<EndpointRecord>>>,
     ) -> Result<Event, String> {
         let kind = match view.how.as_str() {
             "incr" => UpdateKind::Delta,
@@ -523,9 +523,9 @@
         Ok(Event::EndpointsUpdated(kind, entries?.into()))
     }
 
-    fn entry(&mut self, item: &Item) -> Result<Endpoint, String> {
+    fn entry(&mut self, item: &EndpointRecord) -> Result<Endpoint, String> {
         let member = self.member(&item.store);
-        item.entry(member, &self.zones)
+        item.endpoint(member, &self.zones)
             .map_err(|fault| format!("DEFINE_LIST: {fault}"))
     }
 
--- a/src/bin/asterreel/core.rs
+++ b/src/bin/asterreel/core.rs
@@ -3,7 +3,7 @@
 //! Nothing here knows the protocol that clients or members speak. The lock is never held over a wait.
 
 use crate::timer::Timer;
-use asterreel::config::{Config, Listing};
+use asterreel::config::{Config, EndpointList};
 use asterreel::health::{Observer, Report};
 use asterreel::interface::*;
 use asterreel::policy::Router;
@@ -203,7 +203,7 @@
     }
 
     /// Takes in a list; one with an entry that makes no sense changes nothing.
-    pub(crate) fn listed(&self, kind: UpdateKind, listing: &Listing) -> Result<(), String> {
+    pub(crate) fn listed(&self, kind: UpdateKind, listing: &EndpointList) -> Result<(), String> {
         self.with(|state| {
             let entries = state.entries(listing)?;
             state.feed(self, Event::EndpointsUpdated(kind, entries.into()));
@@ -214,12 +214,12 @@
 }
 
 impl State {
-    fn entries(&mut self, listing: &Listing) -> Result<Vec<Endpoint>, String> {
+    fn entries(&mut self, listing: &EndpointList) -> Result<Vec<Endpoint>, String> {
         let mut entries = Vec::with_capacity(listing.members.len());
         let mut addresses = Vec::with_capacity(listing.members.len());
         for item in &listing.members {
             let entry = item
-                .entry(MemberId(0), &self.zones)
+                .endpoint(MemberId(0), &self.zones)
                 .map_err(|f| format!("{}: {f}", item.store))?;
             let address = match item.address.parse() {
                 Ok(address) => Some(address),
--- a/src/bin/asterreel/core/tests.rs
+++ b/src/bin/asterreel/core/tests.rs
@@ -40,7 +40,7 @@
     let probed: Vec<(MemberId, SocketAddr)> = asked.try_iter().collect();
     assert_eq!(probed.len(), 2, "both are probed before a first send");
 
-    let spoil: [fn(&mut Listing); 2] = [
+    let spoil: [fn(&mut EndpointList); 2] = [
         |list| list.members[1].state = "odd".into(),
         |list| list.members[1].address = "x".into(),
     ];
@@ -86,7 +86,7 @@
         core.listed(UpdateKind::Snapshot, &list).expect("good");
         core.with(|state| assert_eq!((state.members.len(), state.places.len()), (2, 2)));
     }
-    let mut gone = Listing {
+    let mut gone = EndpointList {
         complete: false,
         ..config.known.clone()
     };
--- a/src/bin/asterreel/discovery.rs
+++ b/src/bin/asterreel/discovery.rs
@@ -9,7 +9,7 @@
 
 use crate::core::Core;
 use crate::net::Stream;
-use asterreel::config::Listing;
+use asterreel::config::EndpointList;
 use asterreel::interface::{Micros, UpdateKind, WatchLoss};
 use asterreel::watch::Watch;
 use may::sync::mpsc::Receiver;
@@ -194,7 +194,7 @@
     }
 }
 
-fn told(core: &Core, listing: &Listing, record: &mut Record) -> Result<(), String> {
+fn told(core: &Core, listing: &EndpointList, record: &mut Record) -> Result<(), String> {
     let kind = if listing.complete {
         UpdateKind::Snapshot
     } else {
--- a/src/bin/asterreel/discovery/reader.rs
+++ b/src/bin/asterreel/discovery/reader.rs
@@ -1,6 +1,6 @@
 //! Takes discovery's HTTP answers apart into lists of members. No input or output.
 
-use asterreel::config::Listing;
+use asterreel::config::EndpointList;
 use asterreel::watch::Received;
 
 /// The longest head of an answer, and the longest list, that are taken in: 3,200 databases take 0.9 MB indented.
@@ -144,12 +144,13 @@
     /// The next whole list, or what makes it none. Lists may be indented, so that lines say nothing; the empty
     /// lines between them are white space. Decodes where a list ends, and what has doubled since it was looked at,
     /// so that nonsense is found early and a long list costs what its length does.
-    pub(super) fn listing(&mut self) -> Option<serde_json::Result<Listing>> {
+    pub(super) fn listing(&mut self) -> Option<serde_json::Result<EndpointList>> {
         if !self.nesting.has_closed && self.text.len() < self.look_again_at {
             return None;
         }
         self.decoded += self.text.len() as u64;
-        let mut lists = serde_json::Deserializer::from_slice(&self.text).into_iter::<Listing>();
+        let mut lists =
+            serde_json::Deserializer::from_slice(&self.text).into_iter::<EndpointList>();
         let next = lists.next();
         let used = lists.byte_offset();
         if next
--- a/src/bin/asterreel/discovery/tests.rs
+++ b/src/bin/asterreel/discovery/tests.rs
@@ -1,7 +1,7 @@
 use super::reader::{Reader, Unread, LONGEST_LIST};
 use super::Source;
 use crate::fuzz;
-use asterreel::config::Listing;
+use asterreel::config::EndpointList;
 use asterreel_control::clock::Clock;
 use std::net::SocketAddr;
 
@@ -85,7 +85,7 @@
         )
     };
     let lines = [line(100), line(100_000), nested(100_000)];
-    let parse = move || lines.map(|line| serde_json::from_str::<Listing>(&line).is_err());
+    let parse = move || lines.map(|line| serde_json::from_str::<EndpointList>(&line).is_err());
     // The first to start a coroutine sets the workers for all tests, some of which rely on there being one.
     may::config().set_workers(1).set_worker_pin(false);
     let parsed = may::go!(
--- a/src/config.rs
+++ b/src/config.rs
@@ -5,7 +5,7 @@
 //! gateway runs.
 
 use crate::interface::Settings;
-use crate::settings::{Item, Setup};
+use crate::settings::{EndpointRecord, Setup};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
@@ -25,7 +25,7 @@
     /// File descriptors that the process may hold.
     pub sockets: usize,
     /// The list of members as last had; may be old.
-    pub known: Listing,
+    pub known: EndpointList,
     /// The settings as they were told.
     pub setup: Setup,
     /// The settings in the module's words.
@@ -34,7 +34,7 @@
 
 /// A list of members, or the changes to it.
 #[derive(Clone, Debug, Default, Deserialize)]
-pub struct Listing {
+pub struct EndpointList {
     /// The version of the list.
     pub revision: u64,
     /// All members, not only those that changed.
@@ -42,25 +42,25 @@
     pub complete: bool,
     /// The entries.
     #[serde(default)]
-    pub members: Vec<Item>,
+    pub members: Vec<EndpointRecord>,
 }
 
 /// What is wrong with the configuration, and where.
 #[derive(Debug, PartialEq, Eq)]
-pub struct BadConfig {
+pub struct ConfigError {
     /// The key at fault.
     pub key: String,
     /// What is wrong with it.
     pub fault: String,
 }
 
-impl std::fmt::Display for BadConfig {
+impl std::fmt::Display for ConfigError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "configuration: {}: {}", self.key, self.fault)
     }
 }
 
-impl std::error::Error for BadConfig {}
+impl std::error::Error for ConfigError {}
 
 #[derive(Deserialize)]
 struct File {
@@ -71,7 +71,7 @@
     #[serde(default)]
     limits: Limits,
     #[serde(default)]
-    known: Listing,
+    known: EndpointList,
     settings: Setup,
 }
 
@@ -95,8 +95,8 @@
     ///
     /// # Errors
     ///
-    /// [`BadConfig`] names the key at fault.
-    pub fn from_env() -> Result<Config, BadConfig> {
+    /// [`ConfigError`] names the key at fault.
+    pub fn from_env() -> Result<Config, ConfigError> {
         Config::parse(&text_from_env()?, variable)
     }
 
@@ -104,8 +104,8 @@
     ///
     /// # Errors
     ///
-    /// [`BadConfig`] names the key at fault.
-    pub fn again_from_env(&self) -> Result<Config, BadConfig> {
+    /// [`ConfigError`] names the key at fault.
+    pub fn again_from_env(&self) -> Result<Config, ConfigError> {
         self.again(&text_from_env()?, variable)
     }
 
@@ -113,11 +113,11 @@
     ///
     /// # Errors
     ///
-    /// [`BadConfig`] names the key at fault.
+    /// [`ConfigError`] names the key at fault.
     pub fn parse(
         text: &[u8],
         variable: impl Fn(&str) -> Option<String>,
-    ) -> Result<Config, BadConfig> {
+    ) -> Result<Config, ConfigError> {
         Config::check(text, variable, None)
     }
 
@@ -125,12 +125,12 @@
     ///
     /// # Errors
     ///
-    /// [`BadConfig`] names the key at fault.
+    /// [`ConfigError`] names the key at fault.
     pub fn again(
         &self,
         text: &[u8],
         variable: impl Fn(&str) -> Option<String>,
-    ) -> Result<Config, BadConfig> {
+    ) -> Result<Config, ConfigError> {
         Config::check(text, variable, Some(self))
     }
 
@@ -138,7 +138,7 @@
         text: &[u8],
         variable: impl Fn(&str) -> Option<String>,
         before: Option<&Config>,
-    ) -> Result<Config, BadConfig> {
+    ) -> Result<Config, ConfigError> {
         let mut json = serde_json::Deserializer::from_slice(text);
         let file: File = serde_path_to_error::deserialize(&mut json)
             .map_err(|error| bad(&error.path().to_string(), &error.inner().to_string()))?;
@@ -211,19 +211,19 @@
     std::env::var(name).ok()
 }
 
-fn text_from_env() -> Result<Vec<u8>, BadConfig> {
+fn text_from_env() -> Result<Vec<u8>, ConfigError> {
     let path = variable("RELAY_CONFIG").ok_or_else(|| bad("RELAY_CONFIG", "is not set"))?;
     std::fs::read(&path)
         .map_err(|error| bad("RELAY_CONFIG", &format!("cannot read {path}: {error}")))
 }
 
-fn parse_address(key: &str, text: &str) -> Result<SocketAddr, BadConfig> {
+fn parse_address(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse()
         .map_err(|_| bad(key, &format!("{text:?} is not an address and port")))
 }
 
-fn bad(key: &str, fault: &str) -> BadConfig {
-    BadConfig {
+fn bad(key: &str, fault: &str) -> ConfigError {
+    ConfigError {
         key: key.into(),
         fault: fault.into(),
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -177,7 +177,7 @@
 /// An entry of the list of members, in the simulator's words or in discovery's.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Item {
+pub struct EndpointRecord {
     /// The zone.
     #[serde(alias = "locality", default)]
     pub campus: Place,
@@ -226,13 +226,13 @@
     }
 }
 
-impl Item {
+impl EndpointRecord {
     /// The entry in the module's words, for a member that goes by this number here.
     ///
     /// # Errors
     ///
     /// The state of the endpoint is none that is known.
-    pub fn entry(&self, member: MemberId, zones: &[String]) -> Result<Endpoint, String> {
+    pub fn endpoint(&self, member: MemberId, zones: &[String]) -> Result<Endpoint, String> {
         let zone = match &self.campus {
             Place::Number(number) => *number,
             // A zone that the settings don't name is nobody's own.
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -1,9 +1,9 @@
 //! Reading the configuration: errors name the key at fault.
-use asterreel::config::{BadConfig, Config};
+use asterreel::config::{Config, ConfigError};
 
 const EXAMPLE: &str = include_str!("../examples/config.json");
 
-fn parse(text: &str) -> Result<Config, BadConfig> {
+fn parse(text: &str) -> Result<Config, ConfigError> {
     Config::parse(text.as_bytes(), |_| None)
 }
 
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -4,10 +4,10 @@
 
 mod golden;
 
-use asterreel::config::{Config, Listing};
+use asterreel::config::{Config, EndpointList};
 use asterreel::interface::{EndpointState, MemberId, Role};
 use asterreel::operator;
-use asterreel::settings::Item;
+use asterreel::settings::EndpointRecord;
 use serde_json::{json, Value};
 use std::path::Path;
 use std::process::Command;
@@ -201,13 +201,13 @@
 
 #[test]
 fn discovery_list_matches_record() {
-    let list: Listing =
+    let list: EndpointList =
         serde_json::from_str(include_str!("golden/discovery-list.json")).expect("a list");
     let zones = ["east".to_owned(), "west".to_owned()];
     let mut seen = format!("revision {}, complete {}\n", list.revision, list.complete);
     for (number, item) in list.members.iter().enumerate() {
         let read = item
-            .entry(MemberId(number as u32), &zones)
+            .endpoint(MemberId(number as u32), &zones)
             .expect("an entry");
         let state = match read.state {
             EndpointState::Ready => "on",
@@ -226,11 +226,11 @@
         );
     }
     let unknown = r#"{"id": "s", "phase": "lost", "cell": 0}"#;
-    let unknown: Item = serde_json::from_str(unknown).expect("an item");
+    let unknown: EndpointRecord = serde_json::from_str(unknown).expect("an item");
     seen += &format!(
         "{}\n",
         unknown
-            .entry(MemberId(0), &zones)
+            .endpoint(MemberId(0), &zones)
             .expect_err("an unknown state")
     );
     golden::assert_matches("discovery-list.txt", &seen);
