--- a/src/config.rs
+++ b/src/config.rs
@@ -34,6 +34,8 @@
 
 /// A list of members, or the changes to it.
 #[derive(Clone, Debug, Default, Deserialize)]
+// The error message of a configuration names the type that it expected.
+#[serde(expecting = "struct Listing")]
 pub struct EndpointList {
     /// The version of the list.
     pub revision: u64,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -176,7 +176,8 @@
 
 /// An entry of the list of members, in the simulator's words or in discovery's.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(rename_all = "PascalCase")]
+// The error message of a configuration names the type that it expected.
+#[serde(rename_all = "PascalCase", expecting = "struct Item")]
 pub struct EndpointRecord {
     /// The zone.
     #[serde(alias = "locality", default)]
