--- a/src/bin/asterreel-operator/main.rs
+++ b/src/bin/asterreel-operator/main.rs
@@ -11,7 +11,8 @@
 use asterreel::health::drain::{Balancer, Drain};
 use asterreel::health::Knobs;
 use asterreel::operator::{
-    Agent, BadFile, CellBounds, Cells, Evaluated, Health, Lease, Listener, Peer, Place, Reply,
+    Agent, CellBounds, Cells, Evaluated, Health, Lease, Listener, OperatorFileError, Peer, Reply,
+    SourceLocation,
 };
 use asterreel::readmission;
 use serde::de::DeserializeOwned;
@@ -54,7 +55,7 @@
     let deadline = Instant::now() + Duration::from_millis(within);
     let path = PathBuf::from(path);
     let file = path.display().to_string();
-    let bad = |fault: String| BadFile {
+    let bad = |fault: String| OperatorFileError {
         file: file.clone(),
         at: None,
         key: None,
@@ -84,19 +85,19 @@
 /// What a script's calls leave behind; one script at a time is evaluated on a thread.
 #[derive(Default)]
 struct Collected {
-    health: Option<(Health, Place)>,
-    cells: Option<(Cells, Place)>,
-    lease: Option<(Lease, Place)>,
-    readmission: Option<(readmission::Knobs, Place)>,
+    health: Option<(Health, SourceLocation)>,
+    cells: Option<(Cells, SourceLocation)>,
+    lease: Option<(Lease, SourceLocation)>,
+    readmission: Option<(readmission::Knobs, SourceLocation)>,
     /// The first fault that one of our functions found: an error of the evaluation would lose the key.
-    fault: Option<BadFile>,
+    fault: Option<OperatorFileError>,
 }
 
 thread_local! {
     static COLLECTED: RefCell<Collected> = RefCell::default();
 }
 
-fn evaluate(path: &Path, deadline: Instant) -> Result<Evaluated, BadFile> {
+fn evaluate(path: &Path, deadline: Instant) -> Result<Evaluated, OperatorFileError> {
     let folder = path
         .parent()
         .filter(|folder| !folder.as_os_str().is_empty())
@@ -150,9 +151,9 @@
     Ok(evaluated)
 }
 
-fn place_of(span: &FileSpan) -> Place {
+fn place_of(span: &FileSpan) -> SourceLocation {
     let resolved = span.resolve();
-    Place {
+    SourceLocation {
         file: resolved.file,
         text: span.source_span().to_owned(),
         line: resolved.span.begin.line + 1,
@@ -161,7 +162,7 @@
 }
 
 /// Keeps the first fault.
-fn note(fault: BadFile) {
+fn note(fault: OperatorFileError) {
     COLLECTED.with_borrow_mut(|collected| {
         collected.fault.get_or_insert(fault);
     });
@@ -175,8 +176,8 @@
 }
 
 impl Loader {
-    fn run(&self, path: &Path, name: String) -> Result<FrozenModule, BadFile> {
-        let bad = |fault: String| BadFile {
+    fn run(&self, path: &Path, name: String) -> Result<FrozenModule, OperatorFileError> {
+        let bad = |fault: String| OperatorFileError {
             file: name.clone(),
             at: None,
             key: None,
@@ -201,7 +202,7 @@
         let text = std::fs::read_to_string(path).map_err(unreadable)?;
         if let Some(line) = too_deep(&text) {
             let fault = format!("brackets and operators go deeper than {DEEPEST}");
-            return Err(BadFile {
+            return Err(OperatorFileError {
                 at: Some((line, 1)),
                 ..bad(fault)
             });
@@ -297,11 +298,11 @@
     None
 }
 
-fn described(name: &str, error: &starlark::Error) -> BadFile {
+fn described(name: &str, error: &starlark::Error) -> OperatorFileError {
     let place = error.span().map(place_of);
     let fault = error.without_diagnostic().to_string();
     let fault = fault.lines().next().unwrap_or("error").to_owned();
-    BadFile {
+    OperatorFileError {
         file: place
             .as_ref()
             .map_or_else(|| name.to_owned(), |place| place.file.clone()),
@@ -355,11 +356,11 @@
     what: &str,
     arguments: &DictRef,
     evaluator: &Evaluator,
-) -> anyhow::Result<(T, Map<String, Json>, Place)> {
+) -> anyhow::Result<(T, Map<String, Json>, SourceLocation)> {
     let place = evaluator
         .call_stack_top_location()
         .map(|span| place_of(&span));
-    let place = place.unwrap_or(Place {
+    let place = place.unwrap_or(SourceLocation {
         file: "?".into(),
         text: String::new(),
         line: 0,
@@ -416,8 +417,8 @@
 fn once<T>(
     what: &str,
     value: T,
-    place: Place,
-    slot: impl Fn(&mut Collected) -> &mut Option<(T, Place)>,
+    place: SourceLocation,
+    slot: impl Fn(&mut Collected) -> &mut Option<(T, SourceLocation)>,
 ) {
     COLLECTED.with_borrow_mut(|collected| match slot(collected) {
         empty @ None => *empty = Some((value, place)),
--- a/src/bin/asterreel/cli/mod.rs
+++ b/src/bin/asterreel/cli/mod.rs
@@ -73,11 +73,14 @@
 
 impl Files {
     /// Has the operator's file evaluated, if there is one.
-    pub(crate) fn evaluate(&self, within: Duration) -> Result<Evaluated, operator::BadFile> {
+    pub(crate) fn evaluate(
+        &self,
+        within: Duration,
+    ) -> Result<Evaluated, operator::OperatorFileError> {
         let Some(path) = &self.operator else {
             return Ok(Evaluated::default());
         };
-        let evaluator = operator::evaluator().map_err(|error| operator::BadFile {
+        let evaluator = operator::evaluator().map_err(|error| operator::OperatorFileError {
             file: path.display().to_string(),
             at: None,
             key: None,
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -23,7 +23,7 @@
 
 /// What is wrong with an operator's file, and where.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BadFile {
+pub struct OperatorFileError {
     /// The file at fault; a loaded one, perhaps.
     pub file: String,
     /// Line and column, counted from 1, where one is known.
@@ -34,7 +34,7 @@
     pub fault: String,
 }
 
-impl std::fmt::Display for BadFile {
+impl std::fmt::Display for OperatorFileError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{}", self.file)?;
         if let Some((line, column)) = self.at {
@@ -47,7 +47,7 @@
     }
 }
 
-impl std::error::Error for BadFile {}
+impl std::error::Error for OperatorFileError {}
 
 /// A file that was evaluated, with what is needed to say where a key stands.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -57,15 +57,15 @@
     /// The file.
     pub file: String,
     /// Where it calls `health`.
-    pub health_at: Option<Place>,
+    pub health_at: Option<SourceLocation>,
     /// Where it calls `lease`.
     #[serde(default)]
-    pub lease_at: Option<Place>,
+    pub lease_at: Option<SourceLocation>,
 }
 
 /// A call in a file: its text and where it begins.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Place {
+pub struct SourceLocation {
     /// The file.
     pub file: String,
     /// The call, as it is written.
@@ -76,7 +76,7 @@
     pub column: usize,
 }
 
-impl Place {
+impl SourceLocation {
     /// Where the last part of a key is set within the call; the call itself where it is not.
     fn find(&self, key: &str) -> (usize, usize) {
         let leaf = key.rsplit('.').next().unwrap_or(key);
@@ -100,8 +100,8 @@
     }
 
     /// A fault of a key that the call sets, or should.
-    pub fn bad(&self, key: &str, fault: &str) -> BadFile {
-        BadFile {
+    pub fn bad(&self, key: &str, fault: &str) -> OperatorFileError {
+        OperatorFileError {
             file: self.file.clone(),
             at: Some(self.find(key)),
             key: Some(key.to_owned()),
@@ -115,8 +115,8 @@
     ///
     /// # Errors
     ///
-    /// [`BadFile`] names the file, the place and the key at fault.
-    pub fn beside(&self, config: &Config) -> Result<Option<Timetable>, BadFile> {
+    /// [`OperatorFileError`] names the file, the place and the key at fault.
+    pub fn beside(&self, config: &Config) -> Result<Option<Timetable>, OperatorFileError> {
         if let Some(lease) = &self.operator.lease {
             lease.beside(config.listen).map_err(|(key, fault)| {
                 self.bad_in(&self.lease_at, &format!("lease.{key}"), fault)
@@ -135,8 +135,8 @@
     ///
     /// # Errors
     ///
-    /// [`BadFile`] names the file, the place and the key at fault.
-    pub fn member(&self) -> Result<&Lease, BadFile> {
+    /// [`OperatorFileError`] names the file, the place and the key at fault.
+    pub fn member(&self) -> Result<&Lease, OperatorFileError> {
         let Some(lease) = &self.operator.lease else {
             let fault = "is not called: there is no control plane to be a member of";
             return Err(self.bad_in(&None, "lease", fault.to_owned()));
@@ -149,10 +149,15 @@
     }
 
     /// A fault of a key, placed in the call that sets it where that is known.
-    fn bad_in(&self, place: &Option<Place>, key: &str, fault: String) -> BadFile {
+    fn bad_in(
+        &self,
+        place: &Option<SourceLocation>,
+        key: &str,
+        fault: String,
+    ) -> OperatorFileError {
         match place {
             Some(place) => place.bad(key, &fault),
-            None => BadFile {
+            None => OperatorFileError {
                 file: self.file.clone(),
                 at: None,
                 key: Some(key.to_owned()),
@@ -176,7 +181,7 @@
     /// Of the evaluator: another's answer may mean something else.
     pub version: String,
     /// What the file sets, or what is wrong with it.
-    pub result: Result<Evaluated, BadFile>,
+    pub result: Result<Evaluated, OperatorFileError>,
 }
 
 /// The evaluator that stands beside this program.
@@ -192,10 +197,14 @@
 ///
 /// # Errors
 ///
-/// [`BadFile`]: the evaluator could not be run, ran too long, or found the file at fault.
-pub fn evaluate(evaluator: &Path, path: &Path, within: Duration) -> Result<Evaluated, BadFile> {
+/// [`OperatorFileError`]: the evaluator could not be run, ran too long, or found the file at fault.
+pub fn evaluate(
+    evaluator: &Path,
+    path: &Path,
+    within: Duration,
+) -> Result<Evaluated, OperatorFileError> {
     let file = path.display().to_string();
-    let bad = |fault: String| BadFile {
+    let bad = |fault: String| OperatorFileError {
         file: file.clone(),
         at: None,
         key: None,
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,15 +1,15 @@
 //! The operator's file: what it sets, and what is said of each wrong one.
 use asterreel::config::Config;
-use asterreel::operator::{self, BadFile, Evaluated};
+use asterreel::operator::{self, Evaluated, OperatorFileError};
 use std::path::Path;
 use std::time::Duration;
 
-fn evaluate(path: &Path) -> Result<Evaluated, BadFile> {
+fn evaluate(path: &Path) -> Result<Evaluated, OperatorFileError> {
     let evaluator = Path::new(env!("CARGO_BIN_EXE_asterreel-operator"));
     operator::evaluate(evaluator, path, Duration::from_secs(20))
 }
 
-fn fault(text: &str) -> BadFile {
+fn fault(text: &str) -> OperatorFileError {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("operator.star");
     std::fs::write(&path, text).expect("written");
