--- a/src/bin/asterreel/discovery/source.rs
+++ b/src/bin/asterreel/discovery/source.rs
@@ -1,4 +1,4 @@
-//! Where discovery is, and the moves that SIGHUP tells.
+//! Where discovery is, which SIGHUP may change while it is watched.
 
 use asterreel::interface::Micros;
 use asterreel_control::clock::Clock;
@@ -7,73 +7,85 @@
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
 
-/// Where discovery is, which may change while it is watched.
+/// How much sooner than otherwise an update of a discovery that moved counts as notified, microseconds: 4 s after the move.
+const MOVE_LEAD_US: Micros = 2_000_000;
+
+/// The address of discovery, shared by the thread that takes signals and the watch.
 pub(crate) struct Source {
     clock: Clock,
-    place: Mutex<Place>,
-    asks: Sender<()>,
+    location: Mutex<Location>,
+    /// Asks for a watch.
+    requests: Sender<()>,
 }
 
-pub(super) struct Place {
+struct Location {
     address: SocketAddr,
     /// Wakes the watch.
-    pub(super) watch: Option<WaitIoWaker>,
-    /// When it first moved since a list came, for as long as nothing has been heard from here.
+    waker: Option<WaitIoWaker>,
+    /// The first move since there was contact with discovery where it is now.
     moved_at: Option<Micros>,
 }
 
-/// How much sooner than otherwise what a new place has to tell counts as told, counted from the move: after 4 s.
-const MOVED_SOONER: Micros = 2_000_000;
-
 impl Source {
-    pub(crate) fn new(address: SocketAddr, clock: Clock, asks: Sender<()>) -> Source {
+    pub(crate) fn new(address: SocketAddr, clock: Clock, requests: Sender<()>) -> Source {
+        let location = Location {
+            address,
+            waker: None,
+            moved_at: None,
+        };
         Source {
             clock,
-            place: Mutex::new(Place {
-                address,
-                watch: None,
-                moved_at: None,
-            }),
-            asks,
+            location: Mutex::new(location),
+            requests,
         }
     }
 
-    pub(super) fn place<T>(&self, work: impl FnOnce(&mut Place) -> T) -> T {
-        work(&mut self.place.lock().unwrap_or_else(PoisonError::into_inner))
+    fn with_location<T>(&self, work: impl FnOnce(&mut Location) -> T) -> T {
+        work(&mut self.location.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
     pub(super) fn address(&self) -> SocketAddr {
-        self.place(|place| place.address)
+        self.with_location(|location| location.address)
+    }
+
+    /// A move wakes this watch from now on.
+    pub(super) fn set_waker(&self, waker: WaitIoWaker) {
+        self.with_location(|location| location.waker = Some(waker));
     }
 
     /// From now on discovery is watched here; a watch elsewhere ends at once.
     pub(crate) fn move_to(&self, address: SocketAddr) {
-        self.place(|place| {
-            place.address = address;
-            // A further move while nothing was heard gives no time anew: the first one counts until a list comes.
-            place.moved_at.get_or_insert(self.clock.now());
-            place.watch.iter().for_each(WaitIoWaker::wakeup);
+        self.with_location(|location| {
+            location.address = address;
+            // A further move without contact gives no time anew: the first one counts until a list comes.
+            location.moved_at.get_or_insert(self.clock.now());
+            location.waker.iter().for_each(WaitIoWaker::wakeup);
         });
-        // It may be between two watches, and what the new place tells counts as told soon: don't sit that out.
-        let _ = self.asks.send(());
+        // The watch may be in its backoff, and updates of the new place count as notified soon: call now. The channel is
+        // closed only where the watch has ended for good, with the process.
+        let _ = self.requests.send(());
     }
 
-    /// Whether discovery has moved from there. Drops what was asked for while it was watched there: that has been done,
-    /// and left, each would make one more watch for good. A move sets the address before it asks, so that the address
-    /// is looked at last: a move that comes after that leaves what it asks.
-    pub(super) fn has_moved(&self, from: SocketAddr, asked: &Receiver<()>) -> bool {
-        while asked.try_recv().is_ok() {}
+    /// Whether discovery has moved from there. Drops the watches requested while it was watched there: each that is left
+    /// would make one more watch for good. A move sets the address before it requests a watch, so the address is looked
+    /// at last: a move that comes after that leaves its request.
+    pub(super) fn has_moved(&self, from: SocketAddr, requested: &Receiver<()>) -> bool {
+        while requested.try_recv().is_ok() {}
         self.address() != from
     }
 
-    /// Something was heard from the place.
-    pub(super) fn heard(&self, from: SocketAddr) {
-        self.place(|place| place.moved_at = place.moved_at.filter(|_| place.address != from));
+    /// A list came from this address.
+    pub(super) fn contacted(&self, from: SocketAddr) {
+        self.with_location(|location| {
+            location.moved_at = location.moved_at.filter(|_| location.address != from);
+        });
     }
 
-    /// Since when what discovery has to tell may have been missed, where nothing was heard since a time.
-    pub(super) fn missed_since(&self, heard_at: Micros) -> Micros {
-        let moved = self.place(|place| place.moved_at);
-        moved.map_or(heard_at, |at| heard_at.min(at.saturating_sub(MOVED_SOONER)))
+    /// Since when updates may have been missed, with the last contact at this time.
+    pub(super) fn missed_since(&self, last_contact_at: Micros) -> Micros {
+        let moved_at = self.with_location(|location| location.moved_at);
+        moved_at.map_or(last_contact_at, |at| {
+            last_contact_at.min(at.saturating_sub(MOVE_LEAD_US))
+        })
     }
 }
--- a/src/bin/asterreel/discovery/tests.rs
+++ b/src/bin/asterreel/discovery/tests.rs
@@ -1,11 +1,11 @@
-use super::reader::{Reader, Unread, LONGEST_LIST};
+use super::reader::{AnswerError, AnswerReader, MAX_LIST_BYTES};
 use super::Source;
 use crate::fuzz;
 use asterreel::config::EndpointList;
 use asterreel_control::clock::Clock;
 use std::net::SocketAddr;
 
-/// Two lists, one of them indented, with a beat before, between and after, in chunks cut anywhere.
+/// Two lists, one of them indented, with a heartbeat before, between and after, in chunks cut anywhere.
 fn answer() -> Vec<u8> {
     let body = b"\n{\"revision\":1,\"members\":[{\"id\":\"}\",\"phase\":\"ready\"}]}\n\n\
         {\n  \"revision\": 2,\n  \"complete\": true,\n  \"members\": []\n}\n\n";
@@ -19,18 +19,18 @@
     answer
 }
 
-fn lists(reader: &mut Reader) -> Vec<(u64, bool, usize)> {
-    let lists = std::iter::from_fn(|| reader.listing()).map(|list| list.expect("a list"));
+fn lists(reader: &mut AnswerReader) -> Vec<(u64, bool, usize)> {
+    let lists = std::iter::from_fn(|| reader.next_list()).map(|list| list.expect("a list"));
     lists
         .map(|list| (list.revision, list.complete, list.members.len()))
         .collect()
 }
 
 #[test]
-fn lists_are_the_same_however_the_answer_is_indented_and_cut() {
+fn lists_do_not_depend_on_indentation_or_cuts() {
     let (answer, whole) = (answer(), [(1, false, 1), (2, true, 0)]);
     fuzz::cuts(&answer, |ends| {
-        let (mut reader, mut used, mut found) = (Reader::default(), 0, Vec::new());
+        let (mut reader, mut used, mut found) = (AnswerReader::default(), 0, Vec::new());
         for end in ends {
             used += reader.take(&answer[used..*end]).expect("valid");
             found.extend(lists(&mut reader));
@@ -38,7 +38,7 @@
         assert_eq!(found, whole);
     });
     // At every byte.
-    let (mut reader, mut used, mut found) = (Reader::default(), 0, Vec::new());
+    let (mut reader, mut used, mut found) = (AnswerReader::default(), 0, Vec::new());
     for end in 1..=answer.len() {
         used += reader.take(&answer[used..end]).expect("valid");
         found.extend(lists(&mut reader));
@@ -47,35 +47,35 @@
 }
 
 #[test]
-fn a_body_that_is_no_list_is_an_error_and_one_without_end_is_bounded() {
+fn body_without_list_is_an_error_and_length_is_bounded() {
     let plain = |body: &str| {
-        let mut reader = Reader::default();
+        let mut reader = AnswerReader::default();
         reader.take(b"HTTP/1.1 200 OK\r\n\r\n").expect("a head");
         reader
             .take(body.as_bytes())
-            .map(|_| reader.listing().map(|list| list.is_ok()))
+            .map(|_| reader.next_list().map(|list| list.is_ok()))
     };
     assert_eq!(plain("{\"members\":[]}"), Ok(Some(false)), "no revision");
     assert_eq!(plain("oops }"), Ok(Some(false)));
     assert_eq!(plain("{\"revision\":1}"), Ok(Some(true)));
     assert_eq!(
-        plain(&"[".repeat(LONGEST_LIST + 1)),
-        Err(Unread::TooLong(LONGEST_LIST))
+        plain(&"[".repeat(MAX_LIST_BYTES + 1)),
+        Err(AnswerError::TooLong(MAX_LIST_BYTES))
     );
 }
 
 #[test]
-fn garbage_is_an_error_or_incomplete_and_a_refused_call_is_an_error() {
+fn garbage_and_rejected_calls_are_errors() {
     fuzz::garbage(&answer(), |bytes| {
-        let used = Reader::default().take(bytes);
+        let used = AnswerReader::default().take(bytes);
         assert!(used.is_err() || used.is_ok_and(|used| used <= bytes.len()));
     });
-    let refused = Reader::default().take(b"HTTP/1.1 503 Busy\r\n\r\n");
-    assert_eq!(refused, Err(Unread::Status(503)));
+    let refused = AnswerReader::default().take(b"HTTP/1.1 503 Busy\r\n\r\n");
+    assert_eq!(refused, Err(AnswerError::Status(503)));
 }
 
 #[test]
-fn a_deeply_nested_list_is_an_error_and_fits_the_stack() {
+fn deeply_nested_list_is_an_error_within_the_stack() {
     // serde_json stops at 128 levels; a zone is buffered, which recurses.
     let nested = |depth| format!("{}{}", "[".repeat(depth), "]".repeat(depth));
     let line = |depth| {
@@ -98,16 +98,16 @@
     );
 }
 
-/// Without a length only the list itself tells whether it is whole: a reset in the middle of it is no end.
+/// Without a length only the list itself shows whether it is complete: a reset in the middle of it is no end.
 #[test]
-fn a_list_without_a_length_counts_once_it_is_whole_and_nothing_of_it_before() {
+fn list_without_length_counts_once_complete() {
     let body =
         "{\"revision\":3,\"complete\":true,\"members\":[{\"id\":\"}]\",\"phase\":\"ready\"}]}";
     let answer = [b"HTTP/1.1 200 OK\r\n\r\n", body.as_bytes()].concat();
     for end in 0..=answer.len() {
-        let mut reader = Reader::default();
+        let mut reader = AnswerReader::default();
         reader.take(&answer[..end]).expect("valid");
-        let found: Vec<_> = std::iter::from_fn(|| reader.listing()).collect();
+        let found: Vec<_> = std::iter::from_fn(|| reader.next_list()).collect();
         assert_eq!(
             found.len(),
             usize::from(end == answer.len()),
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn an_answer_has_begun_with_its_whole_head_and_is_over_with_its_last_chunk() {
+fn answer_spans_complete_head_to_last_chunk() {
     let answer = answer();
     let head = answer
         .windows(4)
@@ -126,17 +126,17 @@
         .expect("a head")
         + 4;
     for end in 0..=answer.len() {
-        let mut reader = Reader::default();
+        let mut reader = AnswerReader::default();
         reader.take(&answer[..end]).expect("valid");
-        assert_eq!(reader.has_begun(), end >= head, "cut at {end}");
+        assert_eq!(reader.is_answered(), end >= head, "cut at {end}");
         assert_eq!(reader.is_over(), end + 2 >= answer.len(), "cut at {end}");
     }
 }
 
-/// By reading: the address was looked at before what was asked for was dropped, so that a move in between was dropped with
-/// it, and the new place was called only seconds later, where 4 s after SIGHUP what it has counts as told.
+/// The address was once read before the requested watches were dropped, so that a move in between was dropped with them:
+/// the new place was called only seconds later, although 4 s after SIGHUP what it has counts as notified.
 #[test]
-fn a_move_in_the_moment_in_which_a_watch_ends_is_seen_or_still_asks() {
+fn move_as_a_watch_ends_is_never_lost() {
     let places: [SocketAddr; 2] =
         ["127.0.0.1:1", "127.0.0.1:2"].map(|place| place.parse().expect("a place"));
     for round in 0..300 {
@@ -171,10 +171,10 @@
     }
 }
 
-/// The class of fault of report ad44e2: a bound measured from the latest attempt. What the first new place had counts as told
-/// 4 s after the first move, however often discovery moves on before a list comes.
+/// The class of fault of report ad44e2: a bound measured from the latest attempt. What the first new place had counts as
+/// notified 4 s after the first move, however often discovery moves on before a list comes.
 #[test]
-fn moves_in_a_row_count_from_the_first_until_something_is_heard() {
+fn repeated_moves_count_from_the_first_until_contact() {
     let places: [SocketAddr; 3] =
         ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"].map(|place| place.parse().expect("a place"));
     let (asks, _asked) = may::sync::mpsc::channel();
@@ -190,13 +190,13 @@
         first,
         "the second move gives no time anew"
     );
-    source.heard(places[1]);
+    source.contacted(places[1]);
     assert_eq!(
         source.missed_since(u64::MAX),
         first,
         "an old place says nothing of the new one"
     );
-    source.heard(places[2]);
+    source.contacted(places[2]);
     assert_eq!(source.missed_since(7), 7);
 }
 
@@ -221,21 +221,21 @@
     .into_bytes()
 }
 
-/// The largest fleet has 3,200 databases; a gateway has part of a core. By reading: each piece of a list was decoded from the
+/// The largest fleet has 3,200 databases; a gateway has part of a core. Each piece of a list was once decoded from the
 /// list's beginning on, so that a list four times as long cost sixteen times as much.
 #[test]
-fn the_list_of_the_largest_fleet_is_taken_in_for_what_its_length_costs() {
+fn decoding_cost_is_linear_in_list_length() {
     let cost = |members: usize| {
         let list = large_list(members);
-        let mut reader = Reader::default();
+        let mut reader = AnswerReader::default();
         reader.take(b"HTTP/1.1 200 OK\r\n\r\n").expect("a head");
         let (mut found, mut decoded) = (Vec::new(), 0);
         for piece in list.chunks(8 * 1024) {
             reader.take(piece).expect("valid");
-            while let Some(list) = reader.listing() {
+            while let Some(list) = reader.next_list() {
                 found.push(list.expect("a list").members.len());
             }
-            decoded = reader.decoded();
+            decoded = reader.decoded_bytes();
         }
         assert_eq!(found, [members]);
         (list.len() as u64, decoded)
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,6 +10,7 @@
 pub mod calls;
 pub mod cells;
 pub mod config;
+pub mod discovery;
 pub mod fleet;
 /// The one helper of all parser tests; the program's share it.
 #[cfg(test)]
@@ -24,6 +25,5 @@
 pub mod settings;
 mod state;
 pub mod statements;
-pub mod watch;
 
 pub use asterreel_control::{lease, state_machine, versions};
