--- a/src/bin/asterreel/discovery/mod.rs
+++ b/src/bin/asterreel/discovery/mod.rs
@@ -7,7 +7,7 @@
 mod reader;
 mod source;
 
-pub(crate) use first_list::{FirstList, FIRST_LIST_TIMEOUT as FIRST_LIST_PATIENCE};
+pub(crate) use first_list::{FirstList, FIRST_LIST_TIMEOUT};
 pub(crate) use source::Source;
 
 use crate::core::Core;
--- a/src/bin/asterreel/main.rs
+++ b/src/bin/asterreel/main.rs
@@ -125,7 +125,7 @@
     if let Some(knobs) = operator.readmission.clone() {
         gateway.readmit(Readmission::new(knobs, gateways, config.seed));
     }
-    if !first_list.wait(discovery::FIRST_LIST_PATIENCE) {
+    if !first_list.wait(discovery::FIRST_LIST_TIMEOUT) {
         warn!(
             "no list from discovery yet: serving by the one in the configuration, which may be out of date"
         );
