--- a/control/src/golden_tests.rs
+++ b/control/src/golden_tests.rs
@@ -417,7 +417,7 @@
                 voters: vec![1],
                 ..Default::default()
             };
-            store.begin(1, &alone).expect("begun");
+            store.initialize(1, &alone).expect("begun");
         }
         let node = Node::new(1, store, StateMachine::new(MEMBER, TIMING), 20, 1).expect("a node");
         let mut member = Member { node, now: 1 };
@@ -428,14 +428,14 @@
     fn drive(&mut self) -> Vec<Action> {
         let mut out = Vec::new();
         self.node
-            .drive(self.now, &mut out, &mut |_| {})
+            .process_ready(self.now, &mut out, &mut |_| {})
             .expect("driven");
         out
     }
 
     fn event(&mut self, event: Event) {
         self.node
-            .event(self.now, event, &mut Vec::new())
+            .handle(self.now, event, &mut Vec::new())
             .expect("taken");
         self.drive();
     }
@@ -515,7 +515,7 @@
     /// It leads, holds both duties, has given registrations to two gateways, put a version in force and another one up for
     /// verdicts, of which one has come.
     fn play(&mut self) {
-        while !self.node.place().leads {
+        while !self.node.status().is_leader {
             self.node.tick();
             self.drive();
         }
@@ -572,8 +572,8 @@
             .handle(1, event, &mut Vec::new())
             .expect("applied")
     };
-    if !store.latest().is_empty() {
-        apply(Event::Restored(store.latest().get_data()));
+    if !store.latest_snapshot().is_empty() {
+        apply(Event::Restored(store.latest_snapshot().get_data()));
     }
     let (first, last) = (
         store.first_index().expect("read"),
--- a/control/src/link/accept.rs
+++ b/control/src/link/accept.rs
@@ -3,7 +3,7 @@
 use super::{write, Established, SharedHello, HANDSHAKE_TIMEOUT, RETRY_FIRST};
 use crate::frame::{self, BadFrame, Frames, Hello, Payload};
 use crate::lease::NodeIdentity;
-use crate::node::gateway_of;
+use crate::node::gateway_id_of;
 use crate::traffic::MemberTraffic;
 use crate::versions::ToControl;
 use bytes::Bytes;
@@ -194,7 +194,7 @@
                 .map_err(|_| BadFrame::Silent)??
             {
                 // A member speaks for itself alone.
-                Payload::Raft(message) if gateway_of(message.from) == peer => {
+                Payload::Raft(message) if gateway_id_of(message.from) == peer => {
                     if self.events.send(LinkEvent::Raft(message)).await.is_err() {
                         return Ok(());
                     }
--- a/control/src/node.rs
+++ b/control/src/node.rs
@@ -38,9 +38,9 @@
 
 /// Where the consensus stands, for those who look.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Place {
+pub(crate) struct RaftStatus {
     pub leader: u64,
-    pub leads: bool,
+    pub is_leader: bool,
     pub term: u64,
     pub applied: u64,
 }
@@ -52,7 +52,7 @@
 pub(crate) struct Node {
     raw: RawNode<Store>,
     state_machine: StateMachine,
-    place: Place,
+    status: RaftStatus,
     /// To be proposed once the consensus has nothing ready: in between it takes nothing in.
     proposals: Vec<Vec<u8>>,
     /// Rounds to be confirmed by a majority, which wait for the same.
@@ -72,12 +72,12 @@
 
 /// The gateway that takes part under a number: its own number is the lower part, and what is above tells apart the logs
 /// that it had. One that lost its log comes back under another number: by the old one it may have voted.
-pub(crate) fn gateway_of(id: u64) -> u64 {
+pub(crate) fn gateway_id_of(id: u64) -> u64 {
     id & 0xFFFF
 }
 
 /// A number for gateway `gateway` with a log that it never had before.
-pub(crate) fn another(gateway: u64, incarnation: u32) -> u64 {
+pub(crate) fn raft_id(gateway: u64, incarnation: u32) -> u64 {
     u64::from(incarnation) << 16 | gateway
 }
 
@@ -90,7 +90,7 @@
         election: usize,
         now: Micros,
     ) -> Result<Node, NodeError> {
-        let applied = store.latest().get_metadata().index;
+        let applied = store.latest_snapshot().get_metadata().index;
         let config = Config {
             id,
             election_tick: election,
@@ -105,18 +105,18 @@
             read_only_option: ReadOnlyOption::Safe,
             ..Config::default()
         };
-        let data = store.latest().get_data().to_vec();
+        let data = store.latest_snapshot().get_data().to_vec();
         let logger = slog::Logger::root(slog::Discard, slog::o!());
         let raw = RawNode::new(&config, store, &logger)?;
-        let place = Place {
+        let status = RaftStatus {
             applied,
-            ..Place::default()
+            ..RaftStatus::default()
         };
         let (proposals, rounds, confirmed) = (Vec::new(), Vec::new(), Vec::new());
         let mut node = Node {
             raw,
             state_machine,
-            place,
+            status,
             proposals,
             rounds,
             confirmed,
@@ -135,8 +135,8 @@
         self.raw.raft.id
     }
 
-    pub(crate) fn place(&self) -> Place {
-        self.place
+    pub(crate) fn status(&self) -> RaftStatus {
+        self.status
     }
 
     /// What is agreed, as far as it was applied here.
@@ -148,7 +148,7 @@
     /// The latest snapshot that was stored, encoded; empty where there is none.
     #[cfg(test)]
     pub(crate) fn latest_snapshot(&self) -> &[u8] {
-        self.raw.store().latest().get_data()
+        self.raw.store().latest_snapshot().get_data()
     }
 
     pub(crate) fn tick(&mut self) {
@@ -169,7 +169,7 @@
     }
 
     /// As leader, hands the leadership to the member that has most of the log: this one is about to end.
-    pub(crate) fn hand_over(&mut self) {
+    pub(crate) fn transfer_leadership(&mut self) {
         let own = self.raw.raft.id;
         let voters = self.members().voters;
         let matched = |id: &u64| {
@@ -184,7 +184,7 @@
             .filter(|id| *id != own)
             .max_by_key(matched)
         {
-            if self.place.leads {
+            if self.status.is_leader {
                 self.raw.transfer_leader(next);
             }
         }
@@ -197,14 +197,18 @@
 
     /// As leader, takes a gateway that has another log than it had out of the consensus and in again, first as one that
     /// learns, then, once it has caught up, as one that votes if it is to. One change at a time.
-    pub(crate) fn reconcile(&mut self, known: &BTreeMap<u64, u64>, voters: &BTreeSet<u64>) {
+    pub(crate) fn reconcile_membership(
+        &mut self,
+        known: &BTreeMap<u64, u64>,
+        voters: &BTreeSet<u64>,
+    ) {
         let members = self.members();
-        if !self.place.leads || !members.voters_outgoing.is_empty() {
+        if !self.status.is_leader || !members.voters_outgoing.is_empty() {
             return;
         }
         let of = |gateway: u64| {
             let all = members.voters.iter().chain(&members.learners).copied();
-            all.filter(move |id| gateway_of(*id) == gateway)
+            all.filter(move |id| gateway_id_of(*id) == gateway)
         };
         let single = |kind: ConfChangeType, id: u64| {
             let mut change = ConfChangeSingle {
@@ -216,7 +220,7 @@
         };
         for (&gateway, &id) in known
             .iter()
-            .filter(|(gateway, _)| **gateway != gateway_of(self.raw.raft.id))
+            .filter(|(gateway, _)| **gateway != gateway_id_of(self.raw.raft.id))
         {
             let mut changes: Vec<ConfChangeSingle> = Vec::new();
             if !of(gateway).any(|other| other == id) {
@@ -240,12 +244,12 @@
         }
     }
 
-    pub(crate) fn unreachable(&mut self, peer: u64) {
+    pub(crate) fn report_unreachable(&mut self, peer: u64) {
         self.raw.report_unreachable(peer);
     }
 
-    pub(crate) fn snapshot_sent(&mut self, peer: u64, whole: bool) {
-        let status = if whole {
+    pub(crate) fn report_snapshot(&mut self, peer: u64, complete: bool) {
+        let status = if complete {
             SnapshotStatus::Finish
         } else {
             SnapshotStatus::Failure
@@ -254,7 +258,7 @@
     }
 
     /// Feeds what is agreed with an event of this gateway's own.
-    pub(crate) fn event(
+    pub(crate) fn handle(
         &mut self,
         now: Micros,
         event: Event,
@@ -299,14 +303,14 @@
 
     /// Tells what is agreed of confirmed rounds, each once all that was committed when it began is applied.
     fn tell_confirmed(&mut self, now: Micros, out: &mut Vec<Action>) -> Result<(), NodeError> {
-        let applied = self.place.applied;
+        let applied = self.status.applied;
         let (due, wait) = std::mem::take(&mut self.confirmed)
             .into_iter()
             .partition(|c| c.index <= applied);
         self.confirmed = wait;
         let due: Vec<Confirmed> = due;
         due.into_iter()
-            .try_for_each(|confirmed| self.event(now, Event::Confirmed(confirmed.round), out))
+            .try_for_each(|confirmed| self.handle(now, Event::Confirmed(confirmed.round), out))
     }
 
     /// Tells what is agreed who leads, where that has changed.
@@ -317,24 +321,24 @@
         leads: bool,
         out: &mut Vec<Action>,
     ) -> Result<(), NodeError> {
-        if leader != self.place.leader {
-            self.place.leader = leader;
-            let gateway = u32::try_from(gateway_of(leader))
+        if leader != self.status.leader {
+            self.status.leader = leader;
+            let gateway = u32::try_from(gateway_id_of(leader))
                 .ok()
                 .filter(|gateway| *gateway != 0);
-            self.event(now, Event::Leader(gateway), out)?;
+            self.handle(now, Event::Leader(gateway), out)?;
         }
-        if leads != self.place.leads {
-            self.place.leads = leads;
+        if leads != self.status.is_leader {
+            self.status.is_leader = leads;
             self.rounds.clear();
             self.confirmed.clear();
-            self.event(now, Event::Leading(leads), out)?;
+            self.handle(now, Event::Leading(leads), out)?;
         }
         Ok(())
     }
 
     /// Stores, sends and applies what the consensus has ready.
-    pub(crate) fn drive(
+    pub(crate) fn process_ready(
         &mut self,
         now: Micros,
         out: &mut Vec<Action>,
@@ -349,9 +353,9 @@
                 .mut_store()
                 .write(snapshot.as_ref(), ready.entries(), ready.hs())?;
             if let Some(snapshot) = snapshot {
-                self.place.applied = snapshot.get_metadata().index;
-                (self.kept_from, self.kept_bytes) = (self.place.applied, 0);
-                self.event(now, Event::Restored(snapshot.get_data()), out)?;
+                self.status.applied = snapshot.get_metadata().index;
+                (self.kept_from, self.kept_bytes) = (self.status.applied, 0);
+                self.handle(now, Event::Restored(snapshot.get_data()), out)?;
             }
             self.apply(now, &ready.take_committed_entries(), out)?;
             ready
@@ -363,12 +367,12 @@
                 self.note_leader(now, leader, leads, out)?;
             }
             let states = ready.take_read_states();
-            if self.place.leads {
+            if self.status.is_leader {
                 self.note_confirmed(states);
             }
             let mut light = self.raw.advance(ready);
             if let Some(commit) = light.commit_index() {
-                self.raw.mut_store().committed(commit);
+                self.raw.mut_store().set_commit(commit);
             }
             light.take_messages().into_iter().for_each(&mut *send);
             self.apply(now, &light.take_committed_entries(), out)?;
@@ -376,13 +380,13 @@
             self.tell_confirmed(now, out)?;
             self.propose();
         }
-        self.place.term = self.raw.raft.term;
+        self.status.term = self.raw.raft.term;
         let over =
-            self.place.applied - self.kept_from >= ENTRIES_KEPT || self.kept_bytes >= BYTES_KEPT;
+            self.status.applied - self.kept_from >= ENTRIES_KEPT || self.kept_bytes >= BYTES_KEPT;
         if over {
             let data = self.state_machine.snapshot();
-            self.raw.mut_store().compact(self.place.applied, data)?;
-            (self.kept_from, self.kept_bytes) = (self.place.applied, 0);
+            self.raw.mut_store().compact(self.status.applied, data)?;
+            (self.kept_from, self.kept_bytes) = (self.status.applied, 0);
         }
         Ok(())
     }
@@ -394,11 +398,11 @@
         out: &mut Vec<Action>,
     ) -> Result<(), NodeError> {
         for entry in entries {
-            self.place.applied = entry.index;
+            self.status.applied = entry.index;
             self.kept_bytes += entry.data.len();
             let change = match entry.get_entry_type() {
                 EntryType::EntryNormal => {
-                    self.event(now, Event::Committed(&entry.data), out)?;
+                    self.handle(now, Event::Committed(&entry.data), out)?;
                     continue;
                 }
                 EntryType::EntryConfChange => read::<ConfChange>(&entry.data)?.into_v2(),
@@ -406,7 +410,7 @@
             };
             let members = self.raw.apply_conf_change(&change)?;
             info!(at = now, voters = ?members.voters, learners = ?members.learners, "log: members");
-            self.raw.mut_store().members(&members)?;
+            self.raw.mut_store().set_members(&members)?;
         }
         Ok(())
     }
--- a/control/src/service/member.rs
+++ b/control/src/service/member.rs
@@ -7,7 +7,7 @@
 use crate::lease::{self, NodeIdentity, Timing};
 use crate::link::accept::{self, Acceptor, GatewayLink, LinkEvent};
 use crate::link::{self, member::Link, SharedHello};
-use crate::node::{self, Node, NodeError, Place};
+use crate::node::{self, Node, NodeError, RaftStatus};
 use crate::settings::Lease;
 use crate::state_machine::{Action, Event, StateMachine};
 use crate::store::Store;
@@ -74,7 +74,7 @@
     /// The newest link of each incarnation of a gateway that is served.
     gateways: BTreeMap<NodeIdentity, GatewayLink>,
     /// What was logged last.
-    logged_place: Place,
+    logged_status: RaftStatus,
     /// Ticks since this process began to drain.
     drains: Option<usize>,
     /// To be carried out once all that is ready is stored and applied.
@@ -133,7 +133,7 @@
             hellos: BTreeMap::new(),
             own_hello: SharedHello::default(),
             gateways: BTreeMap::new(),
-            logged_place: Place::default(),
+            logged_status: RaftStatus::default(),
             drains: None,
             out: Vec::new(),
             traffic: MemberTraffic::default(),
@@ -186,12 +186,12 @@
 
     /// Whether it leads the log.
     pub(super) fn leads(&self) -> bool {
-        matches!(&self.stage, Stage::Runs(node) if node.place().leads)
+        matches!(&self.stage, Stage::Runs(node) if node.status().is_leader)
     }
 
     fn hello(&self) -> Hello {
         let (id, fresh) = match &self.stage {
-            Stage::Runs(node) => (node.id(), node.place().applied == 0),
+            Stage::Runs(node) => (node.id(), node.status().applied == 0),
             Stage::Waits(_) | Stage::Starts => (0, true),
         };
         let (oldest, newest, fleet) = (frame::OLDEST, frame::NEWEST, self.digest);
@@ -223,7 +223,7 @@
         let Stage::Runs(node) = &mut self.stage else {
             return Ok(());
         };
-        Ok(node.event(self.clock.now(), event, &mut self.out)?)
+        Ok(node.handle(self.clock.now(), event, &mut self.out)?)
     }
 
     /// Says which duties this member wants.
@@ -254,7 +254,7 @@
             return Ok(());
         };
         let id = if learn {
-            node::another(me, self.me.incarnation)
+            node::raft_id(me, self.me.incarnation)
         } else {
             me
         };
@@ -262,7 +262,7 @@
             voters: self.voters.iter().copied().collect(),
             ..Default::default()
         };
-        store.begin(id, &members)?;
+        store.initialize(id, &members)?;
         let now = self.clock.now();
         info!(at = now, gateway = me, id, learn, "log: begun");
         self.stage = Stage::Runs(node(id, store, self.me, &self.asked, now)?);
@@ -279,12 +279,12 @@
         let known: BTreeMap<u64, u64> = known.collect();
         if let Stage::Runs(node) = &mut self.stage {
             node.tick();
-            node.reconcile(&known, &self.voters);
+            node.reconcile_membership(&known, &self.voters);
             if let Some(ticks) = &mut self.drains {
                 *ticks += 1;
                 // What it gave back is in the log by then.
                 if *ticks % ELECTION_TICKS == ELECTION_TICKS / 2 {
-                    node.hand_over();
+                    node.transfer_leadership();
                 }
             }
         }
@@ -329,9 +329,9 @@
         match (event, &mut self.stage) {
             (LinkEvent::Hello(hello), _) => drop(self.hellos.insert(hello.gateway, hello)),
             (LinkEvent::Raft(message), Stage::Runs(node)) => node.step(*message),
-            (LinkEvent::PeerLost(peer), Stage::Runs(node)) => node.unreachable(peer),
+            (LinkEvent::PeerLost(peer), Stage::Runs(node)) => node.report_unreachable(peer),
             (LinkEvent::SnapshotSent(peer, whole), Stage::Runs(node)) => {
-                node.snapshot_sent(peer, whole)
+                node.report_snapshot(peer, whole)
             }
             (LinkEvent::GatewayConnected(gateway), _) => {
                 let who = gateway.who;
@@ -372,25 +372,25 @@
         };
         let links = &self.links;
         let mut send = |message: raft::eraftpb::Message| {
-            if let Some(link) = links.get(&node::gateway_of(message.to)) {
+            if let Some(link) = links.get(&node::gateway_id_of(message.to)) {
                 link.send(Payload::Raft(Box::new(message)));
             }
         };
-        node.drive(self.clock.now(), &mut self.out, &mut send)?;
-        let (now, place) = (self.clock.now(), node.place());
+        node.process_ready(self.clock.now(), &mut self.out, &mut send)?;
+        let (now, status) = (self.clock.now(), node.status());
         for action in std::mem::take(&mut self.out) {
-            self.carry_out(action, place.leads);
+            self.carry_out(action, status.is_leader);
         }
-        if (place.leader, place.term) != (self.logged_place.leader, self.logged_place.term) {
+        if (status.leader, status.term) != (self.logged_status.leader, self.logged_status.term) {
             info!(
                 at = now,
-                leader = place.leader,
-                term = place.term,
-                applied = place.applied,
+                leader = status.leader,
+                term = status.term,
+                applied = status.applied,
                 "log: leader"
             );
         }
-        self.logged_place = place;
+        self.logged_status = status;
         self.update_hello();
         Ok(())
     }
--- a/control/src/store.rs
+++ b/control/src/store.rs
@@ -35,7 +35,7 @@
     )]
     Format(u64),
     #[error("the log is another gateway's ({0}); look at `lease.store` and `lease.me`")]
-    Another(u64),
+    WrongGateway(u64),
 }
 
 impl From<redb::Error> for StoreError {
@@ -95,14 +95,14 @@
         Ok(store)
     }
 
-    /// Under which number this log takes part in the consensus; nothing before [`Store::begin`].
+    /// Under which number this log takes part in the consensus; nothing before [`Store::initialize`].
     pub(crate) fn id(&self) -> Option<u64> {
         self.id
     }
 
     /// Takes part from now on under a number that was never used with another log. These voted and learned where the
     /// log itself began: what its entries change starts from there.
-    pub(crate) fn begin(&mut self, id: u64, members: &ConfState) -> Result<(), StoreError> {
+    pub(crate) fn initialize(&mut self, id: u64, members: &ConfState) -> Result<(), StoreError> {
         let transaction = self.disk.begin_write().map_err(redb::Error::from)?;
         {
             let mut meta = transaction.open_table(META).map_err(redb::Error::from)?;
@@ -118,7 +118,7 @@
     }
 
     /// Who votes and who learns from now on.
-    pub(crate) fn members(&mut self, members: &ConfState) -> Result<(), StoreError> {
+    pub(crate) fn set_members(&mut self, members: &ConfState) -> Result<(), StoreError> {
         let transaction = self.disk.begin_write().map_err(redb::Error::from)?;
         {
             let mut meta = transaction.open_table(META).map_err(redb::Error::from)?;
@@ -149,7 +149,7 @@
                     ),
                     Some(Ok(found)) if found == mine => {}
                     Some(Ok(found)) if key == "format" => return Err(StoreError::Format(found)),
-                    Some(Ok(found)) => return Err(StoreError::Another(found)),
+                    Some(Ok(found)) => return Err(StoreError::WrongGateway(found)),
                     Some(Err(_)) => return Err(StoreError::Read(format!("{key} is no number"))),
                 }
             }
@@ -223,7 +223,7 @@
     }
 
     /// The latest snapshot; empty where there is none.
-    pub(crate) fn latest(&self) -> &Snapshot {
+    pub(crate) fn latest_snapshot(&self) -> &Snapshot {
         &self.snapshot
     }
 
@@ -284,7 +284,7 @@
     }
 
     /// Notes how far the log is committed; that can be learned again, so that it is not written at once.
-    pub(crate) fn committed(&mut self, index: u64) {
+    pub(crate) fn set_commit(&mut self, index: u64) {
         self.memory.wl().mut_hard_state().commit = index;
     }
 
--- a/control/src/store/tests.rs
+++ b/control/src/store/tests.rs
@@ -28,7 +28,7 @@
 fn opened(folder: &Path, me: u64) -> Store {
     let mut store = Store::open(folder, me).expect("opened");
     if store.id().is_none() {
-        store.begin(me, &members()).expect("begun");
+        store.initialize(me, &members()).expect("begun");
     }
     store
 }
@@ -68,7 +68,10 @@
     assert_eq!((state.hard_state.term, state.hard_state.commit), (2, 3));
     drop(store);
     let other = Store::open(folder.path(), 2).err();
-    assert!(matches!(other, Some(StoreError::Another(1))), "{other:?}");
+    assert!(
+        matches!(other, Some(StoreError::WrongGateway(1))),
+        "{other:?}"
+    );
 }
 
 #[test]
@@ -98,7 +101,7 @@
     drop(peer);
     let peer = opened(behind.path(), 2);
     assert_eq!(
-        (peer.latest().get_data(), log(&peer).len()),
+        (peer.latest_snapshot().get_data(), log(&peer).len()),
         (&b"agreed"[..], 0)
     );
 }
