--- a/control/src/state_machine/mod.rs
+++ b/control/src/state_machine/mod.rs
@@ -1,183 +1,124 @@
-//! What a fleet agrees on: one state machine over the entries of its log, at each control member.
+//! The replicated state machine of the control plane: what the entries of the fleet's log do, at each control member.
 //!
-//! It decides what an entry of the log does, entry by entry and alike at every member, and keeps the one copy of what is
-//! agreed: who holds which duty ([`crate::lease`]), and which versions are in force and who may act on them
-//! ([`crate::versions`]). [`StateMachine`] is the one door: events in, actions out, time an argument. The log beneath
-//! (consensus, disk, peers) is the caller's; it hands over the bytes of entries in log order, and takes back those to
-//! propose. Entries and snapshots are encoded here, with a format of their own, so that what an older or newer build
-//! wrote is either understood whole or refused whole.
+//! It decides what each committed entry changes, and holds the resulting state: who holds the lease of which duty
+//! ([`crate::lease`]), and which versions are active and who may act on them ([`crate::versions`]). Events go into
+//! [`StateMachine::handle`], and the actions that follow come out.
+//!
+//! Invariants:
+//!
+//! - Deterministic: members that applied the same entries have the same state, and the same snapshot of it. Whether an
+//!   entry takes effect depends on the entries before it alone, never on a member's clock.
+//! - Entries are applied once each, in log order. A missed entry is an [`ApplyError`], and so is an entry or a snapshot
+//!   that this build doesn't understand in full: nothing of it is applied.
+//! - A snapshot stands for all entries before it: restoring it and applying the rest gives the state of a member that
+//!   applied every entry.
+//!
+//! It never sends, stores, draws random numbers or reads a clock: time is an argument, and consensus, disk and links are
+//! the caller's. Proposals, confirmations and messages may be lost; whoever needs them asks again at a later event.
 
 mod entry;
+mod error;
+mod snapshot;
 
 pub use entry::{decode, encode, DecodeError, FORMAT};
+pub use error::ApplyError;
 
 use crate::lease::{self, Duty, Index, Leases, NodeIdentity, Timing};
 use crate::versions::{self, coordinator, Coordinator, Span, ToControl, ToGateway};
 use crate::Micros;
-use serde::{Deserialize, Serialize};
-use xxhash_rust::xxh3::xxh3_64;
 
-/// An entry of the log.
+/// A decoded entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
-    /// About the holder of a duty.
+    /// Claims, renews or releases the lease of a duty.
     Lease(lease::Command),
-    /// About versions and who may act on them.
+    /// Changes versions, or who may act on them.
     Version(versions::Command),
 }
 
 /// What happens at a control member.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
-    /// An entry was committed; empty ones, as a new leader writes, say nothing.
+    /// An entry was committed. A new leader's first entry is empty and changes nothing.
     Committed(&'a [u8]),
-    /// All that was agreed up to some entry, in place of the entries.
+    /// A snapshot replaces the state, and with it every entry that it stands for.
     Restored(&'a [u8]),
-    /// Whether this control member leads the log now.
+    /// Whether this control member is the leader now.
     Leading(bool),
-    /// The gateway number of the control member that leads, where that is known.
+    /// The gateway number of the leader, if it is known.
     Leader(Option<u32>),
-    /// A gateway says something.
+    /// A message from a gateway.
     Received(ToControl),
-    /// A gateway has a new link to this control member: nothing is known of what it has been told.
+    /// A gateway opened a new link to this control member: which messages reached it before is unknown.
     Connected(NodeIdentity),
-    /// A quorum has confirmed, after this round was asked for, that this control member leads; and every entry that was
-    /// committed when the round was asked for has been handed over before.
+    /// A quorum confirmed, after this round was requested, that this control member is the leader. Every entry that was
+    /// committed at the time of the request has been applied before this event.
     Confirmed(u64),
-    /// A timer fired, or any moment worth a look.
+    /// A timer fired, or something else makes a look at the time worthwhile.
     Tick,
-    /// The control member drains: it gives back the duties that it holds.
+    /// The control member shuts down gracefully: it releases the duties that it holds.
     Drain,
-    /// This control member should hold the duty whenever it can.
+    /// This control member is to hold the duty whenever it can.
     Want(Duty),
 }
 
-/// What a control member is to do.
+/// What the caller is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Ask the log to append these bytes; they may be lost.
+    /// Propose these bytes as an entry of the log. They may be lost.
     Propose(Vec<u8>),
-    /// About a duty.
+    /// A change of the duties that this control member acts on.
     Lease(lease::Action),
-    /// Ask a quorum whether this control member leads still, and answer with [`Event::Confirmed`] of this round. It may
-    /// be lost.
+    /// Ask a quorum whether this control member is still the leader, and answer with [`Event::Confirmed`] of this round.
+    /// The answer may be lost.
     Confirm(u64),
-    /// Tell a gateway. It may be lost.
+    /// Send a message to a gateway. It may be lost.
     Send(NodeIdentity, ToGateway),
-    /// Tell every gateway that is connected. It may be lost.
+    /// Send a message to every connected gateway. It may be lost.
     Broadcast(ToGateway),
-    /// A gateway's report was counted.
+    /// A gateway's report of what it did under which version was counted.
     Counted {
-        /// Whose.
+        /// The gateway.
         who: NodeIdentity,
-        /// What it did.
+        /// What it did, by version and time span.
         spans: Vec<Span>,
     },
-    /// Look again at this time at the latest.
+    /// Send [`Event::Tick`] at this time at the latest, microseconds on this member's monotonic clock.
     Wake(Micros),
 }
 
-/// Why a gateway can't follow the log any further: what it would apply next it does not understand whole.
-#[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ApplyError {
-    /// An entry.
-    #[error("an entry of the fleet's log can't be applied: {0}")]
-    Entry(#[from] DecodeError),
-    /// A snapshot written by another build.
-    #[error(
-        "a snapshot has format {found}, this build reads {FORMAT}; where the log was written by an older build, stop all \
-         control members, remove the log's folder at each, start them and offer the file again"
-    )]
-    SnapshotFormat {
-        /// Its format.
-        found: u32,
-    },
-    /// A snapshot that is not what was written.
-    #[error(
-        "a snapshot is damaged ({0}); remove the log's folder, so that this gateway learns it from its peers"
-    )]
-    SnapshotDamaged(String),
-    /// The part of the state that counts its own entries has missed one.
-    #[error(
-        "entry {due} was due and {came} came; remove the log's folder, so that this gateway learns it anew"
-    )]
-    Gap {
-        /// The entry due.
-        due: u64,
-        /// The one that came.
-        came: u64,
-    },
-}
-
-/// All that is agreed, as it goes into a snapshot.
-#[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-struct State {
-    leases: lease::Table,
-    versions: versions::Table,
-}
-
-/// One control member's copy of what is agreed.
+/// One control member's replica of the state.
 pub struct StateMachine {
     leases: Leases,
     coordinator: Coordinator,
 }
 
 impl StateMachine {
-    /// A control member in its incarnation `me`, that knows nothing of the log yet.
-    pub fn new(me: NodeIdentity, timing: Timing) -> StateMachine {
+    /// The state before the first entry, at the control member `identity`.
+    pub fn new(identity: NodeIdentity, timing: Timing) -> StateMachine {
         StateMachine {
-            leases: Leases::new(me, timing),
-            coordinator: Coordinator::new(me, timing),
+            leases: Leases::new(identity, timing),
+            coordinator: Coordinator::new(identity, timing),
         }
     }
 
-    /// Who holds which duty.
+    /// Who holds the lease of which duty.
     pub fn leases(&self) -> &Leases {
         &self.leases
     }
 
-    /// Which versions are in force, and who may act on them.
+    /// Which versions are active, and who may act on them.
     pub fn versions(&self) -> &versions::Table {
         self.coordinator.table()
     }
 
-    /// All that is agreed, encoded: a format, a checksum, and the state.
+    /// The state as bytes, for [`Event::Restored`] at any member.
     pub fn snapshot(&self) -> Vec<u8> {
-        let state = State {
-            leases: self.leases.table().clone(),
-            versions: self.versions().clone(),
-        };
-        // Maps with keys that are numbers and plain enums: nothing there that JSON can't write.
-        let text = serde_json::to_vec(&state).unwrap_or_default();
-        let mut bytes = FORMAT.to_le_bytes().to_vec();
-        bytes.extend(xxh3_64(&text).to_le_bytes());
-        bytes.extend(text);
-        bytes
+        snapshot::encode(self.leases.table(), self.versions())
     }
 
-    fn restore(&mut self, now: Micros, bytes: &[u8]) -> Result<(), ApplyError> {
-        let damaged = |why: &str| ApplyError::SnapshotDamaged(why.to_owned());
-        let (format, rest) = bytes
-            .split_first_chunk::<4>()
-            .ok_or_else(|| damaged("too short"))?;
-        let found = u32::from_le_bytes(*format);
-        if found != FORMAT {
-            return Err(ApplyError::SnapshotFormat { found });
-        }
-        let (sum, text) = rest
-            .split_first_chunk::<8>()
-            .ok_or_else(|| damaged("too short"))?;
-        if u64::from_le_bytes(*sum) != xxh3_64(text) {
-            return Err(damaged("its checksum differs"));
-        }
-        let state: State =
-            serde_json::from_slice(text).map_err(|fault| damaged(&fault.to_string()))?;
-        self.leases.restore(now, state.leases);
-        self.coordinator.restore(now, state.versions);
-        Ok(())
-    }
-
-    /// Takes an event at `now` (microseconds on this member's monotonic clock) and says what to do.
+    /// Takes an event at `now` (microseconds on this member's monotonic clock), and appends what is to be done to
+    /// `actions`.
     ///
     /// # Errors
     ///
@@ -186,98 +127,98 @@
         &mut self,
         now: Micros,
         event: Event,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> Result<(), ApplyError> {
-        match event {
-            Event::Committed([]) => Ok(()),
-            Event::Committed(bytes) => self.commit(now, decode(bytes)?, out),
-            Event::Restored(bytes) => self.restore(now, bytes),
+        use coordinator::Event as VersionEvent;
+        let version_event = match event {
+            Event::Committed([]) => return Ok(()),
+            Event::Committed(bytes) => return self.apply(now, decode(bytes)?, actions),
+            Event::Restored(bytes) => return self.restore(now, bytes),
+            Event::Drain => return self.handle_lease(now, lease::Event::Drain, actions),
+            Event::Want(duty) => return self.handle_lease(now, lease::Event::Want(duty), actions),
             Event::Tick => {
-                self.lease(now, lease::Event::Tick, out)?;
-                self.version(now, coordinator::Event::Tick, out);
-                Ok(())
-            }
-            Event::Drain => self.lease(now, lease::Event::Drain, out),
-            Event::Want(duty) => self.lease(now, lease::Event::Want(duty), out),
-            Event::Leading(leads) => {
-                self.version(now, coordinator::Event::Leading(leads), out);
-                Ok(())
+                self.handle_lease(now, lease::Event::Tick, actions)?;
+                VersionEvent::Tick
             }
-            Event::Leader(leader) => {
-                self.version(now, coordinator::Event::Leader(leader), out);
-                Ok(())
-            }
-            Event::Received(message) => {
-                self.version(now, coordinator::Event::Received(message), out);
-                Ok(())
-            }
-            Event::Connected(who) => {
-                self.version(now, coordinator::Event::Connected(who), out);
-                Ok(())
-            }
-            Event::Confirmed(round) => {
-                self.version(now, coordinator::Event::Confirmed(round), out);
-                Ok(())
-            }
-        }
+            Event::Leading(is_leader) => VersionEvent::Leading(is_leader),
+            Event::Leader(leader) => VersionEvent::Leader(leader),
+            Event::Received(message) => VersionEvent::Received(message),
+            Event::Connected(who) => VersionEvent::Connected(who),
+            Event::Confirmed(round) => VersionEvent::Confirmed(round),
+        };
+        self.handle_version(now, version_event, actions);
+        Ok(())
     }
 
-    /// Applies an entry. Indices are counted by the tables themselves, so that none is ever missed.
-    fn commit(
+    fn restore(&mut self, now: Micros, bytes: &[u8]) -> Result<(), ApplyError> {
+        let state = snapshot::decode(bytes)?;
+        self.leases.restore(now, state.leases);
+        self.coordinator.restore(now, state.versions);
+        Ok(())
+    }
+
+    /// Applies an entry. Each table counts the entries about it by itself, so the indices have no gaps.
+    fn apply(
         &mut self,
         now: Micros,
         command: Command,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> Result<(), ApplyError> {
         match command {
             Command::Lease(command) => {
                 let index = Index(self.leases.table().applied().0 + 1);
-                self.lease(now, lease::Event::Applied { index, command }, out)
+                let event = lease::Event::Applied { index, command };
+                self.handle_lease(now, event, actions)
             }
             Command::Version(command) => {
                 let index = Index(self.versions().applied().0 + 1);
-                self.version(now, coordinator::Event::Applied { index, command }, out);
+                let event = coordinator::Event::Applied { index, command };
+                self.handle_version(now, event, actions);
                 Ok(())
             }
         }
     }
 
-    fn lease(
+    fn handle_lease(
         &mut self,
         now: Micros,
         event: lease::Event,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> Result<(), ApplyError> {
-        let mut actions = Vec::new();
-        self.leases.handle(now, event, &mut actions);
-        for action in actions {
-            match action {
+        let mut lease_actions = Vec::new();
+        self.leases.handle(now, event, &mut lease_actions);
+        for action in lease_actions {
+            actions.push(match action {
                 lease::Action::Propose(command) => {
-                    out.push(Action::Propose(encode(&Command::Lease(command))));
+                    Action::Propose(encode(&Command::Lease(command)))
                 }
-                lease::Action::Wake(at) => out.push(Action::Wake(at)),
+                lease::Action::Wake(at) => Action::Wake(at),
                 lease::Action::Replay { from } => {
                     let came = self.leases.table().applied().0 + 1;
                     return Err(ApplyError::Gap { due: from.0, came });
                 }
-                other => out.push(Action::Lease(other)),
-            }
+                other => Action::Lease(other),
+            });
         }
         Ok(())
     }
 
-    fn version(&mut self, now: Micros, event: coordinator::Event, out: &mut Vec<Action>) {
-        let mut actions = Vec::new();
-        self.coordinator.handle(now, event, &mut actions);
-        out.extend(actions.into_iter().map(|action| match action {
-            coordinator::Action::Propose(command) => {
-                Action::Propose(encode(&Command::Version(command)))
-            }
-            coordinator::Action::Confirm(round) => Action::Confirm(round),
-            coordinator::Action::Send(who, message) => Action::Send(who, message),
-            coordinator::Action::Broadcast(message) => Action::Broadcast(message),
-            coordinator::Action::Counted { who, spans } => Action::Counted { who, spans },
-            coordinator::Action::Wake(at) => Action::Wake(at),
+    fn handle_version(
+        &mut self,
+        now: Micros,
+        event: coordinator::Event,
+        actions: &mut Vec<Action>,
+    ) {
+        use coordinator::Action as VersionAction;
+        let mut version_actions = Vec::new();
+        self.coordinator.handle(now, event, &mut version_actions);
+        actions.extend(version_actions.into_iter().map(|action| match action {
+            VersionAction::Propose(command) => Action::Propose(encode(&Command::Version(command))),
+            VersionAction::Confirm(round) => Action::Confirm(round),
+            VersionAction::Send(who, message) => Action::Send(who, message),
+            VersionAction::Broadcast(message) => Action::Broadcast(message),
+            VersionAction::Counted { who, spans } => Action::Counted { who, spans },
+            VersionAction::Wake(at) => Action::Wake(at),
         }));
     }
 }
