--- a/control/src/golden_tests.rs
+++ b/control/src/golden_tests.rs
@@ -591,7 +591,7 @@
 /// Both duties are the member's, and the gateways' registrations have these tokens.
 fn assert_held(state_machine: &StateMachine, tokens: [Token; 2]) {
     for duty in [Duty(0), Duty(1)] {
-        let entry = state_machine.leases().table().entry(duty);
+        let entry = state_machine.leases().table().duty(duty);
         assert_eq!(
             (entry.holder, entry.token),
             (Some(MEMBER), Token(u64::from(duty.0) + 1)),
--- a/control/src/lease/fence.rs
+++ b/control/src/lease/fence.rs
@@ -1,24 +1,32 @@
-//! What a receiver of actions under duties keeps, so that a holder that woke too late is not heard.
+//! Fencing at the receiver of actions: rejects what a holder sends after its lease passed to another.
 
 use super::{Duty, Token};
 use std::collections::BTreeMap;
 
-/// The newest token seen by duty. Bounded by the number of duties, which the operator's file lists.
+/// The newest token seen, by duty. Bounded by the number of duties.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Fence {
     newest: BTreeMap<Duty, Token>,
 }
 
+/// An action under a lease that has passed to another holder.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("the lease has passed on: its newest token is {}", newest.0)]
+pub struct StaleToken {
+    /// The newest token seen under the duty.
+    pub newest: Token,
+}
+
 impl Fence {
-    /// Takes an action under `duty` with `token`, or refuses it.
+    /// Admits an action under `duty` with `token`. An equal token is the same lease.
     ///
     /// # Errors
     ///
-    /// The newest token seen, where `token` is older. An equal token is the same lease, and is taken.
-    pub fn admit(&mut self, duty: Duty, token: Token) -> Result<(), Token> {
+    /// [`StaleToken`] where `token` is older than the newest seen; nothing changes then.
+    pub fn admit(&mut self, duty: Duty, token: Token) -> Result<(), StaleToken> {
         let newest = self.newest.entry(duty).or_default();
         if token < *newest {
-            return Err(*newest);
+            return Err(StaleToken { newest: *newest });
         }
         *newest = token;
         Ok(())
--- a/control/src/lease/fence/tests.rs
+++ b/control/src/lease/fence/tests.rs
@@ -6,7 +6,10 @@
     assert_eq!(fence.admit(duty, Token(4)), Ok(()));
     assert_eq!(fence.admit(duty, Token(4)), Ok(()));
     assert_eq!(fence.admit(duty, Token(9)), Ok(()));
-    assert_eq!(fence.admit(duty, Token(4)), Err(Token(9)));
+    assert_eq!(
+        fence.admit(duty, Token(4)),
+        Err(StaleToken { newest: Token(9) })
+    );
     // Another duty has a fence of its own.
     assert_eq!(fence.admit(Duty(1), Token(2)), Ok(()));
     assert_eq!(fence.newest(duty), Some(Token(9)));
--- a/control/src/lease/member/tests.rs
+++ b/control/src/lease/leases/tests.rs
@@ -65,7 +65,7 @@
     }));
     assert_eq!(
         all[1].status(DUTY, 20),
-        Status::Held {
+        Status::HeldByOther {
             holder: NodeIdentity {
                 gateway: 1,
                 incarnation: 1
@@ -131,7 +131,7 @@
         let mut other = Vec::new();
         all[1].handle(now + 60, Event::Tick, &mut other);
         assert!(proposed(&other).is_empty(), "{other:?}");
-        assert_eq!(all[0].acting(DUTY, now + 60), Some(Token(1)));
+        assert_eq!(all[0].active_token(DUTY, now + 60), Some(Token(1)));
     }
 }
 
@@ -147,7 +147,7 @@
             token: Token(1)
         }
     );
-    assert_eq!(all[0].acting(DUTY, 500), None);
+    assert_eq!(all[0].active_token(DUTY, 500), None);
     let outs = commit(&mut all, 510, &proposed(&out));
     let claim = proposed(&outs[1]);
     assert!(
@@ -224,5 +224,5 @@
         &mut out,
     );
     assert_eq!(out, [Action::Replay { from: Index(1) }]);
-    assert_eq!(leases.status(DUTY, 0), Status::Free);
+    assert_eq!(leases.status(DUTY, 0), Status::Available);
 }
--- a/control/src/lease/table.rs
+++ b/control/src/lease/table.rs
@@ -1,105 +1,106 @@
-//! What the log says of each duty: applied entry by entry, alike on every gateway.
+//! The leases as the log has them: applied entry by entry, with the same result on every gateway.
 
 use super::{Command, Duty, Index, NodeIdentity, Token};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The state of one duty after the entries applied so far.
+/// The lease of one duty after the entries applied so far. Its stored field names are part of snapshots.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Entry {
-    /// Who holds it, if anybody; whether that lease still runs is a matter of clocks, not of the log.
+pub struct DutyState {
+    /// The holder, if there is one. Whether its lease has expired is a matter of clocks, not of the log.
     pub holder: Option<NodeIdentity>,
-    /// The lease that was granted last; 0 before the first.
+    /// The token of the lease that was granted last; 0 before the first.
     pub token: Token,
-    /// The entry that last granted, renewed or released it: a claim must have seen it.
-    pub changed: Index,
+    /// The entry that last granted, renewed or released the lease: a claim must have seen it.
+    #[serde(rename = "changed")]
+    pub last_change: Index,
 }
 
 /// What an entry did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// A claim took effect: `token` is its own index.
+    /// A claim took effect.
     Granted {
         /// The duty.
         duty: Duty,
-        /// Who holds it now.
+        /// Its new holder.
         holder: NodeIdentity,
-        /// The new lease.
+        /// The new lease's token: the index of the entry.
         token: Token,
     },
     /// A renewal took effect.
     Renewed {
         /// The duty.
         duty: Duty,
-        /// Who holds it.
+        /// Its holder.
         holder: NodeIdentity,
-        /// Its lease.
+        /// The token of the lease, as before.
         token: Token,
     },
-    /// The duty is free.
+    /// A release took effect: the duty has no holder.
     Released {
         /// The duty.
         duty: Duty,
-        /// Who held it.
+        /// Its former holder.
         holder: NodeIdentity,
     },
     /// The entry took no effect.
-    Refused {
+    Rejected {
         /// The duty.
         duty: Duty,
-        /// Who wrote it.
+        /// The gateway that proposed the entry.
         holder: NodeIdentity,
         /// Why.
-        why: Refusal,
+        reason: Rejection,
     },
-    /// The entry was applied before: a log replayed from its start.
-    Again,
+    /// The entry was applied before: the log is replayed from an earlier entry.
+    AlreadyApplied,
 }
 
 /// Why an entry took no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Refusal {
-    /// A claim that did not see the last change of its duty: somebody renewed or took it meanwhile.
-    Changed,
-    /// A renewal or release of a lease that is not the current one, or not the writer's.
-    Stale,
+pub enum Rejection {
+    /// A claim that did not see the last change of its duty: another gateway renewed or claimed it meanwhile.
+    Outdated,
+    /// A renewal or release of a lease that is not the current one, or not the proposer's.
+    NotHolder,
 }
 
-/// Applying an entry that is not the next one.
+/// An entry that is not the next one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Gap {
-    /// The entry that was due.
+    /// The index expected next.
     pub due: Index,
-    /// The one that came.
+    /// The index that came.
     pub came: Index,
 }
 
-/// All duties, as the log has them. Deterministic: the same entries give the same table on every gateway.
+/// The leases of all duties. Deterministic: the same entries give the same table on every gateway.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Table {
-    duties: BTreeMap<Duty, Entry>,
+    duties: BTreeMap<Duty, DutyState>,
     applied: Index,
 }
 
 impl Table {
-    /// A duty as it stands; one that was never written of is free, changed at 0.
-    pub fn entry(&self, duty: Duty) -> Entry {
+    /// The lease of a duty; one that no entry was about has no holder, and its last change is 0.
+    pub fn duty(&self, duty: Duty) -> DutyState {
         self.duties.get(&duty).copied().unwrap_or_default()
     }
 
-    /// The last entry applied.
+    /// The index of the last entry applied.
     pub fn applied(&self) -> Index {
         self.applied
     }
 
-    /// Applies the entry at `index`, which must be the next one (or one applied before, which is left alone).
+    /// Applies the entry at `index`, which must be the next one. One applied before changes nothing.
     ///
     /// # Errors
     ///
     /// [`Gap`] where entries in between were not applied; nothing changes then.
     pub fn apply(&mut self, index: Index, command: &Command) -> Result<Outcome, Gap> {
         if index <= self.applied {
-            return Ok(Outcome::Again);
+            return Ok(Outcome::AlreadyApplied);
         }
         let due = Index(self.applied.0 + 1);
         if index != due {
@@ -107,49 +108,70 @@
         }
         self.applied = index;
         let (duty, holder) = (command.duty(), command.holder());
-        let entry = self.duties.entry(duty).or_default();
-        let refused = |why| Ok(Outcome::Refused { duty, holder, why });
+        let state = self.duties.entry(duty).or_default();
+        let outcome = state.apply(index, command);
+        Ok(outcome.unwrap_or_else(|reason| Outcome::Rejected {
+            duty,
+            holder,
+            reason,
+        }))
+    }
+}
+
+impl DutyState {
+    /// Applies an entry about this duty; a rejected one changes nothing.
+    fn apply(&mut self, index: Index, command: &Command) -> Result<Outcome, Rejection> {
         match *command {
-            Command::Claim { seen, .. } => {
-                if seen != entry.changed {
-                    return refused(Refusal::Changed);
+            Command::Claim {
+                duty, holder, seen, ..
+            } => {
+                if seen != self.last_change {
+                    return Err(Rejection::Outdated);
                 }
                 let token = Token(index.0);
-                *entry = Entry {
-                    holder: Some(holder),
-                    token,
-                    changed: index,
-                };
+                self.holder = Some(holder);
+                self.token = token;
+                self.last_change = index;
                 Ok(Outcome::Granted {
                     duty,
                     holder,
                     token,
                 })
             }
-            Command::Renew { token, .. } => {
-                if entry.holder != Some(holder) || entry.token != token {
-                    return refused(Refusal::Stale);
-                }
-                entry.changed = index;
+            Command::Renew {
+                duty,
+                holder,
+                token,
+                ..
+            } => {
+                self.require_holder(holder, token)?;
+                self.last_change = index;
                 Ok(Outcome::Renewed {
                     duty,
                     holder,
                     token,
                 })
             }
-            Command::Release { token, .. } => {
-                if entry.holder != Some(holder) || entry.token != token {
-                    return refused(Refusal::Stale);
-                }
-                *entry = Entry {
-                    holder: None,
-                    token,
-                    changed: index,
-                };
+            Command::Release {
+                duty,
+                holder,
+                token,
+            } => {
+                self.require_holder(holder, token)?;
+                // The token stays: the next grant's is larger.
+                self.holder = None;
+                self.last_change = index;
                 Ok(Outcome::Released { duty, holder })
             }
         }
     }
+
+    fn require_holder(&self, holder: NodeIdentity, token: Token) -> Result<(), Rejection> {
+        if self.holder == Some(holder) && self.token == token {
+            return Ok(());
+        }
+        Err(Rejection::NotHolder)
+    }
 }
 
 #[cfg(test)]
--- a/control/src/lease/table/tests.rs
+++ b/control/src/lease/table/tests.rs
@@ -34,10 +34,10 @@
     let late = table.apply(Index(2), &claim(B, 0));
     assert_eq!(
         late,
-        Ok(Outcome::Refused {
+        Ok(Outcome::Rejected {
             duty: DUTY,
             holder: B,
-            why: Refusal::Changed
+            reason: Rejection::Outdated
         })
     );
     let renew = Command::Renew {
@@ -54,10 +54,10 @@
     let waited = table.apply(Index(4), &claim(B, 1));
     assert_eq!(
         waited,
-        Ok(Outcome::Refused {
+        Ok(Outcome::Rejected {
             duty: DUTY,
             holder: B,
-            why: Refusal::Changed
+            reason: Rejection::Outdated
         })
     );
     // Having seen the renewal and waited it out, B takes it with a larger token.
@@ -74,18 +74,18 @@
     let stale = table.apply(Index(6), &renew);
     assert_eq!(
         stale,
-        Ok(Outcome::Refused {
+        Ok(Outcome::Rejected {
             duty: DUTY,
             holder: A,
-            why: Refusal::Stale
+            reason: Rejection::NotHolder
         })
     );
     assert_eq!(
-        table.entry(DUTY),
-        Entry {
+        table.duty(DUTY),
+        DutyState {
             holder: Some(B),
             token: Token(5),
-            changed: Index(5)
+            last_change: Index(5)
         }
     );
 }
@@ -106,10 +106,10 @@
     let refused = table.apply(Index(2), &release(reborn));
     assert_eq!(
         refused,
-        Ok(Outcome::Refused {
+        Ok(Outcome::Rejected {
             duty: DUTY,
             holder: reborn,
-            why: Refusal::Stale
+            reason: Rejection::NotHolder
         })
     );
     assert_eq!(
@@ -119,9 +119,9 @@
             holder: A
         })
     );
-    assert_eq!(table.entry(DUTY).holder, None);
+    assert_eq!(table.duty(DUTY).holder, None);
     // The token stays, so that the next grant's is larger.
-    assert_eq!(table.entry(DUTY).token, Token(1));
+    assert_eq!(table.duty(DUTY).token, Token(1));
 }
 
 #[test]
@@ -137,6 +137,9 @@
     assert_eq!(table, Table::default());
     table.apply(Index(1), &claim(A, 0)).unwrap();
     let before = table.clone();
-    assert_eq!(table.apply(Index(1), &claim(B, 0)), Ok(Outcome::Again));
+    assert_eq!(
+        table.apply(Index(1), &claim(B, 0)),
+        Ok(Outcome::AlreadyApplied)
+    );
     assert_eq!(table, before);
 }
--- /dev/null
+++ b/control/src/lease/timing.rs
@@ -0,0 +1,106 @@
+//! How long a lease lasts on the clocks of different gateways.
+
+use crate::Micros;
+use serde::{Deserialize, Serialize};
+
+/// Rates of clocks are in parts per million.
+const PARTS_PER_MILLION: u128 = 1_000_000;
+
+/// The drift from which on a clock counts as broken.
+pub const MAX_DRIFT_PPM: u32 = 100_000;
+
+/// How long leases last, and how far clocks may disagree. Microseconds.
+///
+/// Clocks are monotonic and may run at rates between `1 - drift` and `1 + drift` of real time; where they start does
+/// not matter. A holder acts for at most `lease_us` on its clock after its request, which is at most
+/// `lease_us / (1 - drift)` of real time. Another gateway takes the lease as expired [`Timing::wait_us`] on its own clock
+/// after it applied the grant, which is at least `wait_us / (1 + drift)` of real time, and it applied the grant only after
+/// the holder's request. `wait_us` is the least wait for which the first span is no longer than the second, plus
+/// `margin_us` for the granularity of timers.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct Timing {
+    /// How long a holder may act after it requested a lease or its renewal.
+    pub lease_us: Micros,
+    /// Time from one request of a gateway (claim or renewal) to its next.
+    pub renew_us: Micros,
+    /// How far a clock's rate may be from real time, parts per million; below [`MAX_DRIFT_PPM`].
+    pub drift_ppm: u32,
+    /// Added to every wait, for timers that fire late and clocks with a coarse resolution.
+    pub margin_us: Micros,
+}
+
+/// A contradiction between values of [`Timing`]; the text uses the operator's keys and units.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum TimingError {
+    /// The drift is too large for a clock that works.
+    #[error("{drift_ppm} is not below {MAX_DRIFT_PPM}: such a clock is broken")]
+    DriftTooLarge {
+        /// The configured drift, parts per million.
+        drift_ppm: u32,
+    },
+    /// The renewal interval is zero.
+    #[error("is 0: a holder would ask without end")]
+    NoRenewalInterval,
+    /// A lease expires before its renewal can be requested, committed and applied.
+    #[error(
+        "{lease_ms} ms is not longer than renew_ms and margin_ms together ({renewal_ms} ms): no renewal would come in time"
+    )]
+    LeaseTooShort {
+        /// The configured length of a lease, milliseconds.
+        lease_ms: u64,
+        /// The renewal interval and the margin together, milliseconds.
+        renewal_ms: u64,
+    },
+}
+
+impl TimingError {
+    /// The settings key with the value at fault.
+    pub fn key(&self) -> &'static str {
+        match self {
+            TimingError::DriftTooLarge { .. } => "drift_ppm",
+            TimingError::NoRenewalInterval => "renew_ms",
+            TimingError::LeaseTooShort { .. } => "lease_ms",
+        }
+    }
+}
+
+impl Timing {
+    /// How long after it applied the last grant or renewal a gateway takes another's lease as expired, microseconds.
+    pub fn wait_us(&self) -> Micros {
+        let drift = u128::from(self.drift_ppm.min(MAX_DRIFT_PPM));
+        let fastest = PARTS_PER_MILLION + drift;
+        let slowest = PARTS_PER_MILLION - drift;
+        let wait_us = (u128::from(self.lease_us) * fastest).div_ceil(slowest);
+        Micros::try_from(wait_us)
+            .unwrap_or(Micros::MAX)
+            .saturating_add(self.margin_us)
+    }
+
+    /// Whether the values are consistent.
+    ///
+    /// # Errors
+    ///
+    /// [`TimingError`] for the first contradiction.
+    pub fn check(&self) -> Result<(), TimingError> {
+        if self.drift_ppm >= MAX_DRIFT_PPM {
+            return Err(TimingError::DriftTooLarge {
+                drift_ppm: self.drift_ppm,
+            });
+        }
+        if self.renew_us == 0 {
+            return Err(TimingError::NoRenewalInterval);
+        }
+        // A renewal must be requested, committed and applied before the lease that it extends expires.
+        let renewal_us = self.renew_us.saturating_add(self.margin_us);
+        if self.lease_us <= renewal_us {
+            return Err(TimingError::LeaseTooShort {
+                lease_ms: self.lease_us / 1000,
+                renewal_ms: renewal_us / 1000,
+            });
+        }
+        Ok(())
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/control/src/lease/tests.rs
+++ b/control/src/lease/timing/tests.rs
@@ -39,15 +39,18 @@
         lease_us: 1_050_000,
         ..good
     };
-    assert_eq!(short.check().map_err(|(key, _)| key), Err("lease_ms"));
+    assert_eq!(short.check().map_err(|error| error.key()), Err("lease_ms"));
     let never = Timing {
         renew_us: 0,
         ..good
     };
-    assert_eq!(never.check().map_err(|(key, _)| key), Err("renew_ms"));
+    assert_eq!(never.check().map_err(|error| error.key()), Err("renew_ms"));
     let broken = Timing {
-        drift_ppm: DRIFT_MOST_PPM,
+        drift_ppm: MAX_DRIFT_PPM,
         ..good
     };
-    assert_eq!(broken.check().map_err(|(key, _)| key), Err("drift_ppm"));
+    assert_eq!(
+        broken.check().map_err(|error| error.key()),
+        Err("drift_ppm")
+    );
 }
--- a/control/src/settings.rs
+++ b/control/src/settings.rs
@@ -115,7 +115,7 @@
     pub fn duties(&self) -> Vec<Duty> {
         self.duties
             .iter()
-            .filter_map(|name| Duty::named(name))
+            .filter_map(|name| Duty::from_name(name))
             .collect()
     }
 
@@ -144,7 +144,9 @@
         within("lease_ms", self.lease_ms, 100, 600_000).map_err(owned)?;
         within("renew_ms", self.renew_ms, 10, 60_000).map_err(owned)?;
         within("margin_ms", self.margin_ms, 0, 10_000).map_err(owned)?;
-        self.timing().check().map_err(owned)
+        self.timing()
+            .check()
+            .map_err(|error| owned((error.key(), error.to_string())))
     }
 
     fn check_peers(&self) -> Result<(), KeyFault> {
@@ -251,7 +253,7 @@
             );
         }
         for (place, name) in self.duties.iter().enumerate() {
-            if Duty::named(name).is_none() {
+            if Duty::from_name(name).is_none() {
                 let known = lease::DUTIES.join(", ");
                 return fault(
                     format!("duties[{place}]"),
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -184,7 +184,7 @@
             }
             // An action decided now; a few arrive long after, as from a process that stopped between.
             for &duty in &DUTIES {
-                if let Some(token) = gateway.leases.acting(duty, now) {
+                if let Some(token) = gateway.leases.active_token(duty, now) {
                     let late = faulty && rng.u8(0..50) == 0;
                     let delay = if late {
                         rng.u64(0..10_000_000)
@@ -212,7 +212,7 @@
                 .filter(|gateway| gateway.alive)
                 .filter_map(|g| {
                     g.leases
-                        .acting(duty, g.clock(real))
+                        .active_token(duty, g.clock(real))
                         .map(|token| (g.number, g.incarnation, token))
                 })
                 .collect();
--- a/tests/lease_model.rs
+++ b/tests/lease_model.rs
@@ -110,7 +110,9 @@
 impl World {
     fn acting(&self) -> usize {
         let on = |(number, gateway): (usize, &Gateway)| {
-            gateway.leases.acting(DUTY, self.now + OFFSETS[number])
+            gateway
+                .leases
+                .active_token(DUTY, self.now + OFFSETS[number])
         };
         self.gateways.iter().enumerate().filter_map(on).count()
     }
@@ -225,7 +227,7 @@
                 world
                     .gateways
                     .iter()
-                    .any(|gateway| gateway.leases.table().entry(DUTY).token.0 > 1)
+                    .any(|gateway| gateway.leases.table().duty(DUTY).token.0 > 1)
             }),
         ]
     }
