--- /dev/null
+++ b/control/src/versions/coordinator/applied.rs
@@ -0,0 +1,149 @@
+//! What applied log entries mean for a coordinator: state of the epoch, messages to gateways.
+
+use super::{Action, Coordinator, Leadership};
+use crate::lease::Index;
+use crate::versions::{Command, Outcome, Registration, ToGateway, TopicState};
+use crate::Micros;
+
+impl Coordinator {
+    /// Applies an entry on versions.
+    pub(super) fn apply(
+        &mut self,
+        now: Micros,
+        index: Index,
+        command: &Command,
+        out: &mut Vec<Action>,
+    ) {
+        let changed_before = self.table.changed();
+        let mut outcomes = Vec::new();
+        // Entries are numbered by the table that counts them; a gap is the caller's fault and changes nothing.
+        if self.table.apply(index, command, &mut outcomes).is_err() {
+            return;
+        }
+        for outcome in outcomes {
+            self.handle_outcome(now, index, command, outcome, out);
+        }
+        if self.table.changed() > changed_before {
+            self.publish(now, changed_before, out);
+        }
+    }
+
+    fn handle_outcome(
+        &mut self,
+        now: Micros,
+        index: Index,
+        command: &Command,
+        outcome: Outcome,
+        out: &mut Vec<Action>,
+    ) {
+        if let Outcome::EpochBegun(who) = outcome {
+            let own = who == self.me && self.leading;
+            self.leadership = own.then(|| Leadership::begin(index, now, &self.table));
+            return;
+        }
+        if let (Outcome::Reported { who, .. }, Command::Report { spans, .. }) = (&outcome, command)
+        {
+            out.push(Action::Counted {
+                who: *who,
+                spans: spans.clone(),
+            });
+        }
+        if let Some(leadership) = &mut self.leadership {
+            leadership.observe(now, &outcome);
+            out.extend(notification(command, outcome));
+        }
+    }
+
+    /// Sends every gateway the topics that changed after an entry.
+    fn publish(&mut self, now: Micros, since: Index, out: &mut Vec<Action>) {
+        let as_of = self.table.changed();
+        let Some(leadership) = &mut self.leadership else {
+            return;
+        };
+        leadership.links.record_broadcast(as_of, now);
+        out.push(Action::Broadcast(self.topic_states(since)));
+    }
+
+    /// The states of the topics that changed after an entry.
+    pub(super) fn topic_states(&self, since: Index) -> ToGateway {
+        let changed = self
+            .table
+            .topics()
+            .filter(|(_, status)| status.changed > since);
+        let topics = changed.map(|(topic, status)| TopicState {
+            topic,
+            active: status.number(),
+            before: status.previous,
+            open: status
+                .proposal
+                .as_ref()
+                .map(|proposal| (proposal.version.number, proposal.version.content.clone())),
+        });
+        ToGateway::TopicStates {
+            as_of: self.table.changed(),
+            since,
+            topics: topics.collect(),
+        }
+    }
+}
+
+impl Leadership {
+    /// Follows what an entry did to registrations and proposals.
+    fn observe(&mut self, now: Micros, outcome: &Outcome) {
+        match outcome {
+            Outcome::Registered(Registration { who, .. }) => {
+                self.membership.record_contact(who.gateway, now);
+                // A gateway registers under a proposal only where no other is there to validate it: it has its time for that.
+                self.rollout.restart_waits(now);
+            }
+            Outcome::Left(Registration { who, .. })
+            | Outcome::Expired(Registration { who, .. }) => self.membership.remove(who.gateway),
+            Outcome::VersionProposed { topic, .. } => self.rollout.open(*topic, now),
+            Outcome::Activated { topic, .. } | Outcome::ProposalRejected { topic, .. } => {
+                self.rollout.close(*topic);
+            }
+            Outcome::EpochBegun(_)
+            | Outcome::Acked { .. }
+            | Outcome::Reported { .. }
+            | Outcome::Refused(_) => {}
+        }
+    }
+}
+
+/// What gateways are sent about an entry, apart from the states of topics.
+fn notification(command: &Command, outcome: Outcome) -> Option<Action> {
+    match outcome {
+        Outcome::Expired(Registration { who, token, .. }) => {
+            let expired = ToGateway::RegistrationExpired { who, token };
+            Some(Action::Send(who, expired))
+        }
+        Outcome::ProposalRejected {
+            topic,
+            number,
+            by,
+            reason,
+        } => Some(Action::Broadcast(ToGateway::ProposalRejected {
+            topic,
+            number,
+            by,
+            reason,
+        })),
+        Outcome::Reported { who, sequence } => {
+            let counted = ToGateway::ReportCounted { who, sequence };
+            Some(Action::Send(who, counted))
+        }
+        Outcome::Refused(why) => match command {
+            Command::ProposeVersion { who, .. } => {
+                let rejected = ToGateway::RequestRejected { who: *who, why };
+                Some(Action::Send(*who, rejected))
+            }
+            _ => None,
+        },
+        Outcome::EpochBegun(_)
+        | Outcome::Registered(_)
+        | Outcome::Left(_)
+        | Outcome::VersionProposed { .. }
+        | Outcome::Acked { .. }
+        | Outcome::Activated { .. } => None,
+    }
+}
--- /dev/null
+++ b/control/src/versions/coordinator/requests.rs
@@ -0,0 +1,251 @@
+//! What a coordinator does with the messages of gateways, and how it answers their heartbeats.
+
+use super::read_index::PendingHeartbeat;
+use super::{Action, Coordinator};
+use crate::lease::{Index, NodeIdentity, Token};
+use crate::versions::{Command, Formats, Refusal, Span, ToControl, ToGateway, Topic};
+use crate::Micros;
+
+impl Coordinator {
+    /// Handles a message of a gateway; where this member has no epoch of its own, redirects it to the leader.
+    pub(super) fn receive(&mut self, now: Micros, message: ToControl, out: &mut Vec<Action>) {
+        if self.leadership.is_none() {
+            self.redirect_to_leader(message.who(), out);
+            return;
+        }
+        match message {
+            ToControl::Heartbeat {
+                who,
+                formats,
+                token,
+                sent,
+                seen,
+            } => {
+                self.resend_states(now, who, seen, out);
+                self.record_heartbeat(now, who, token, sent);
+                if token.is_none() {
+                    self.propose_join(now, who, formats, out);
+                }
+            }
+            ToControl::ValidationResult {
+                who,
+                token,
+                topic,
+                number,
+                verdict,
+            } => {
+                if !self.awaits_validation(who, token, topic, number) {
+                    return;
+                }
+                match verdict {
+                    Ok(()) => self.collect_ack(now, who, token, topic, number),
+                    Err(reason) => out.push(Action::Propose(Command::Nack {
+                        who,
+                        token,
+                        topic,
+                        number,
+                        reason,
+                    })),
+                }
+            }
+            ToControl::ProposeVersion {
+                who,
+                token,
+                topic,
+                seen,
+                content,
+            } => {
+                let proposable = self.table.offerable(who, token, topic, seen, &content);
+                out.push(match proposable {
+                    Ok(()) => Action::Propose(Command::ProposeVersion {
+                        who,
+                        token,
+                        topic,
+                        seen,
+                        content,
+                    }),
+                    Err(why) => Action::Send(who, ToGateway::RequestRejected { who, why }),
+                });
+            }
+            ToControl::Report {
+                who,
+                sequence,
+                spans,
+            } => out.push(self.record_report(who, sequence, spans)),
+            ToControl::Leave { who, token } => {
+                out.push(Action::Propose(Command::Leave { who, token }));
+            }
+        }
+    }
+
+    /// Names the leader where that is another member. While this member is about to begin its own epoch it stays silent.
+    fn redirect_to_leader(&self, who: NodeIdentity, out: &mut Vec<Action>) {
+        if !self.leading {
+            let leader = self.leader.filter(|leader| *leader != self.me.gateway);
+            out.push(Action::Send(who, ToGateway::NotLeader { leader }));
+        }
+    }
+
+    /// Sends a gateway the topic states that it lacks, unless they are in flight.
+    fn resend_states(
+        &mut self,
+        now: Micros,
+        who: NodeIdentity,
+        known: Index,
+        out: &mut Vec<Action>,
+    ) {
+        let as_of = self.table.changed();
+        let Some(leadership) = &mut self.leadership else {
+            return;
+        };
+        let links = &mut leadership.links;
+        if links.must_resend(who.gateway, known, as_of, now, &self.timing) {
+            out.push(Action::Send(who, self.topic_states(known)));
+        }
+    }
+
+    /// Records a heartbeat, to be answered once a quorum has confirmed that this member leads.
+    fn record_heartbeat(
+        &mut self,
+        now: Micros,
+        who: NodeIdentity,
+        token: Option<Token>,
+        sent: Micros,
+    ) {
+        let wait_us = self.timing.wait_us();
+        let Some(leadership) = &mut self.leadership else {
+            return;
+        };
+        let rollout = &leadership.rollout;
+        let renewable = !leadership.membership.is_expiring(who.gateway)
+            && !rollout.is_straggler(&self.table, who.gateway, now, wait_us);
+        let registration = self
+            .table
+            .registration(who)
+            .filter(|registration| token.is_none_or(|token| token == registration.token));
+        if renewable && registration.is_some() {
+            leadership.membership.record_contact(who.gateway, now);
+        }
+        leadership.rounds.add(PendingHeartbeat {
+            who,
+            token,
+            sent,
+            received_at: now,
+            round: self.last_round + 1,
+            renewable,
+        });
+    }
+
+    /// Proposes a registration for a gateway that has none, where the log would grant one.
+    fn propose_join(
+        &mut self,
+        now: Micros,
+        who: NodeIdentity,
+        formats: Formats,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(leadership) = &mut self.leadership else {
+            return;
+        };
+        match self.table.joinable(who, formats) {
+            Err(why @ Refusal::Format { .. }) => {
+                out.push(Action::Send(who, ToGateway::RequestRejected { who, why }));
+            }
+            // The gateway retries by itself.
+            Err(_) => {}
+            Ok(()) => {
+                let links = &mut leadership.links;
+                if links.may_propose_join(who.gateway, now, &self.timing) {
+                    out.push(Action::Propose(Command::Join { who, formats }));
+                }
+            }
+        }
+    }
+
+    /// Whether a version is proposed that this registered gateway has to validate.
+    fn awaits_validation(
+        &self,
+        who: NodeIdentity,
+        token: Token,
+        topic: Topic,
+        number: u64,
+    ) -> bool {
+        let status = self.table.topic(topic);
+        let registration = self.table.registration(who);
+        status.is_some_and(|status| status.opened(number))
+            && registration.is_some_and(|registration| registration.token == token)
+    }
+
+    fn collect_ack(
+        &mut self,
+        now: Micros,
+        who: NodeIdentity,
+        token: Token,
+        topic: Topic,
+        number: u64,
+    ) {
+        if let Some(leadership) = &mut self.leadership {
+            let rollout = &mut leadership.rollout;
+            rollout.collect(now, who, token, topic, number);
+        }
+    }
+
+    /// Proposes a report to the log, or confirms one that was counted before.
+    fn record_report(&self, who: NodeIdentity, sequence: u64, spans: Vec<Span>) -> Action {
+        if sequence <= self.table.audit().last(who) {
+            return Action::Send(who, ToGateway::ReportCounted { who, sequence });
+        }
+        Action::Propose(Command::Report {
+            who,
+            sequence,
+            spans,
+        })
+    }
+
+    /// Answers the heartbeats that arrived before a round was requested.
+    pub(super) fn confirm_round(&mut self, round: u64, out: &mut Vec<Action>) {
+        let last_round = self.last_round;
+        let Some(leadership) = self.leadership.as_mut().filter(|_| round <= last_round) else {
+            return;
+        };
+        let covered = leadership.rounds.confirm(round, last_round);
+        let registrations = u32::try_from(self.table.registrations().count()).unwrap_or(u32::MAX);
+        for heartbeat in covered {
+            let answer = self.answer(&heartbeat, registrations);
+            out.push(Action::Send(heartbeat.who, answer));
+        }
+    }
+
+    fn answer(&self, heartbeat: &PendingHeartbeat, registrations: u32) -> ToGateway {
+        let PendingHeartbeat {
+            who, token, sent, ..
+        } = *heartbeat;
+        let required = self.table.changed();
+        let expiring = self
+            .leadership
+            .as_ref()
+            .is_some_and(|leadership| leadership.membership.is_expiring(who.gateway));
+        let registration = self.table.registration(who);
+        let current = registration.map(|registration| registration.token);
+        match (token, current) {
+            (Some(token), current) if current != Some(token) => {
+                ToGateway::RegistrationExpired { who, token }
+            }
+            (_, Some(token)) if heartbeat.renewable && !expiring => {
+                ToGateway::RegistrationRenewed {
+                    who,
+                    token,
+                    sent,
+                    required,
+                    registrations,
+                }
+            }
+            // Says no more than that this member leads.
+            _ => ToGateway::TopicStates {
+                as_of: required,
+                since: required,
+                topics: Vec::new(),
+            },
+        }
+    }
+}
--- a/control/src/versions/coordinator/tests.rs
+++ b/control/src/versions/coordinator/tests.rs
@@ -1,4 +1,8 @@
+use super::read_index::{ROUNDS_PER_RENEWAL, ROUND_RETRIES_PER_RENEWAL};
+use super::rollout::ACK_BATCHES_PER_RENEWAL;
 use super::*;
+use crate::lease::Token;
+use crate::versions::{Content, Formats, Topic};
 
 const ME: NodeIdentity = NodeIdentity {
     gateway: 1,
@@ -149,9 +153,9 @@
     /// Has all heartbeats answered that wait, and forgets the answers.
     fn settle(&mut self) {
         self.out.clear();
-        self.feed(Event::Confirmed(self.coordinator.round));
-        self.tick(RENEW / LOST_ROUNDS);
-        self.feed(Event::Confirmed(self.coordinator.round));
+        self.feed(Event::Confirmed(self.coordinator.last_round));
+        self.tick(RENEW / ROUND_RETRIES_PER_RENEWAL);
+        self.feed(Event::Confirmed(self.coordinator.last_round));
         self.out.clear();
     }
 
@@ -206,7 +210,7 @@
     );
     member.feed(Event::Confirmed(first));
     assert_eq!(member.kept(), [1]);
-    member.tick(RENEW / ROUNDS);
+    member.tick(RENEW / ROUNDS_PER_RENEWAL);
     let second = member.asked().expect("a round for the other");
     member.feed(Event::Confirmed(first));
     assert_eq!(member.kept(), Vec::<u32>::new(), "a doubled confirmation");
@@ -220,7 +224,7 @@
     member.beat(1);
     let first = member.asked().expect("a round");
     member.beat(2);
-    member.tick(RENEW / LOST_ROUNDS - 1);
+    member.tick(RENEW / ROUND_RETRIES_PER_RENEWAL - 1);
     assert_eq!(member.asked(), None);
     member.tick(1);
     let second = member.asked().expect("another round");
@@ -312,11 +316,11 @@
     // From now on it is not kept, even if it comes back before the log has the entry; and it is asked for again.
     member.settle();
     member.beat(2);
-    member.tick(RENEW / LOST_ROUNDS);
+    member.tick(RENEW / ROUND_RETRIES_PER_RENEWAL);
     let round = member.asked().expect("a round");
     member.feed(Event::Confirmed(round));
     assert!(!member.kept().contains(&2));
-    member.tick(RENEW - RENEW / LOST_ROUNDS);
+    member.tick(RENEW - RENEW / ROUND_RETRIES_PER_RENEWAL);
     assert_eq!(member.proposed(), [expel]);
     member.apply(Command::Expire { who, token, epoch });
     assert_eq!(
@@ -351,7 +355,7 @@
     member.accept(1, version);
     member.accept(2, version);
     assert_eq!(member.proposed(), []);
-    member.tick(RENEW / GATHERINGS);
+    member.tick(RENEW / ACK_BATCHES_PER_RENEWAL);
     let accepted = member.proposed();
     assert!(
         matches!(&accepted[..], [Command::Ack { by, .. }] if by.len() == 2),
@@ -396,7 +400,7 @@
     member.settle();
     member.accept(2, version);
     (1..=3).for_each(|number| member.beat(number));
-    member.tick(RENEW / LOST_ROUNDS);
+    member.tick(RENEW / ROUND_RETRIES_PER_RENEWAL);
     let round = member.asked().expect("a round");
     member.feed(Event::Confirmed(round));
     assert_eq!(member.kept(), [1, 2]);
