--- /dev/null
+++ b/control/src/versions/client/mod.rs
@@ -0,0 +1,464 @@
+//! A gateway's side of versions: it keeps its registration alive, validates proposed versions, proposes those of its
+//! operator, and reports its actions for the audit.
+//!
+//! Invariants: a gateway acts only under a [`Permission`], which ends by itself; it takes one only when it knows the latest
+//! state of every topic. Whatever it sends is repeated until it is known to have arrived. The caller validates contents;
+//! nothing here does I/O or reads a clock.
+//!
+//! `registration` holds the lease, `heartbeats` their times and redirections, `topics` the cached view, `validations` and
+//! `proposal` the two sides of a rollout, `reports` the audit.
+
+mod heartbeats;
+mod proposal;
+mod registration;
+mod reports;
+mod topics;
+mod validations;
+
+use super::{Content, Formats, Refusal, ToControl, ToGateway, Topic, TopicState};
+use crate::lease::{NodeIdentity, Timing, Token};
+use crate::Micros;
+use heartbeats::{Heartbeats, Redirects};
+use proposal::PendingProposal;
+use registration::RegistrationLease;
+use reports::Reports;
+use topics::CachedTopics;
+use validations::Validations;
+
+/// An input of a [`Client`].
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub enum Event {
+    /// Register this gateway whenever that is possible.
+    Serve,
+    /// A link to a control member is up.
+    Connected,
+    /// A message of the connected control member.
+    Received(ToGateway),
+    /// The caller has validated a version.
+    Validated {
+        /// The topic.
+        topic: Topic,
+        /// The number of the version.
+        number: u64,
+        /// Whether it is valid; if not, why.
+        verdict: Result<(), String>,
+    },
+    /// The operator has a new version here: propose it to the fleet.
+    ProposeVersion {
+        /// The topic.
+        topic: Topic,
+        /// Its content.
+        content: Content,
+    },
+    /// Actions were begun under a version.
+    Acted {
+        /// The topic.
+        topic: Topic,
+        /// The number of the version.
+        number: u64,
+        /// How many.
+        count: u64,
+    },
+    /// A timer fired. Harmless at any time.
+    Tick,
+    /// Graceful shutdown: the gateway stops acting and gives its registration back.
+    Drain,
+}
+
+/// Permission to act on the active versions, as a lease.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct Permission {
+    /// The registration, as the fencing token of every action under it.
+    pub token: Token,
+    /// When it ends: nothing may begin at or after this, microseconds on this gateway's monotonic clock.
+    pub until: Micros,
+}
+
+impl Permission {
+    /// Whether an action may begin under it at a time.
+    pub fn runs(&self, now: Micros) -> bool {
+        now < self.until
+    }
+}
+
+/// Why a gateway's permission to act ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
+pub enum StopReason {
+    /// Its registration could not be renewed in time.
+    #[error("the fleet's log could not be reached in time; look at the links to its voters and how many of them run")]
+    Lapsed,
+    /// Its registration expired in the log.
+    #[error(
+        "the others took its registration away after hearing nothing; it joins again by itself"
+    )]
+    Expelled,
+    /// It is shutting down gracefully.
+    #[error("it drains")]
+    Drained,
+}
+
+/// An output of a [`Client`], to be carried out by the caller.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub enum Action {
+    /// Send the connected control member a message. It may be lost.
+    Send(ToControl),
+    /// The connected control member does not lead, or does not answer: connect to the one with this gateway number, or to
+    /// another one after a backoff where the leader is unknown.
+    Redirect(Option<u32>),
+    /// It may act on the active versions.
+    Act(Permission),
+    /// It may not act from now on.
+    Stop(StopReason),
+    /// Validate this version, and answer with [`Event::Validated`].
+    Validate {
+        /// The topic.
+        topic: Topic,
+        /// The number of the version.
+        number: u64,
+        /// Its content.
+        content: Content,
+    },
+    /// A version is active: what begins from now on begins under it.
+    Activate {
+        /// The topic.
+        topic: Topic,
+        /// The number of the version.
+        number: u64,
+        /// The one before it, which others may act on for a moment still; 0 is none.
+        before: u64,
+    },
+    /// A proposed version was rejected; the active one stays.
+    ProposalRejected {
+        /// The topic.
+        topic: Topic,
+        /// The number of the version.
+        number: u64,
+        /// The gateway that rejected it.
+        by: NodeIdentity,
+        /// Why.
+        reason: String,
+    },
+    /// A registration or a proposal of this gateway was rejected.
+    Refused(Refusal),
+    /// Send [`Event::Tick`] at this time at the latest, microseconds on this gateway's monotonic clock.
+    Wake(Micros),
+}
+
+/// Whether a message that is repeated each renewal interval is to be sent (again).
+fn is_send_due(last_sent_at: Option<Micros>, now: Micros, renew_us: Micros) -> bool {
+    last_sent_at.is_none_or(|at| now >= at.saturating_add(renew_us))
+}
+
+/// The versions at one gateway: a state machine without I/O (see the module's documentation).
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct Client {
+    me: NodeIdentity,
+    timing: Timing,
+    formats: Formats,
+    /// Whether this gateway is to be registered.
+    serving: bool,
+    registration: RegistrationLease,
+    heartbeats: Heartbeats,
+    redirects: Redirects,
+    topics: CachedTopics,
+    validations: Validations,
+    proposal: Option<PendingProposal>,
+    reports: Reports,
+}
+
+impl Client {
+    /// A gateway with identity `me`, which knows nothing yet. The seed spreads the heartbeats of a fleet over time.
+    pub fn new(me: NodeIdentity, timing: Timing, formats: Formats, seed: u64) -> Client {
+        Client {
+            me,
+            timing,
+            formats,
+            serving: false,
+            registration: RegistrationLease::new(),
+            heartbeats: Heartbeats::new(seed),
+            redirects: Redirects::default(),
+            topics: CachedTopics::default(),
+            validations: Validations::default(),
+            proposal: None,
+            reports: Reports::default(),
+        }
+    }
+
+    /// This gateway's permission to act at `now`, if it has one.
+    pub fn right(&self, now: Micros) -> Option<Permission> {
+        let permission = self.registration.permission();
+        permission.filter(|permission| permission.runs(now))
+    }
+
+    /// The version of a topic that this gateway may act on at `now`, and the token that goes with each action.
+    pub fn acting(&self, topic: Topic, now: Micros) -> Option<(u64, Token)> {
+        let permission = self.right(now)?;
+        let number = self.topics.active(topic);
+        (number > 0).then_some((number, permission.token))
+    }
+
+    /// The active versions, as far as this gateway knows.
+    pub fn active_versions(&self) -> impl Iterator<Item = (Topic, u64)> + '_ {
+        self.topics.active_versions()
+    }
+
+    /// How many gateways were registered when this one's registration was last renewed.
+    pub fn registrations(&self) -> u32 {
+        self.registration.registrations()
+    }
+
+    /// Handles an event at `now` (microseconds on this gateway's monotonic clock) and adds what is to be done to `out`.
+    pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
+        match event {
+            Event::Serve => self.serving = true,
+            Event::Connected => self.connect(now),
+            Event::Received(message) => self.receive(now, message, out),
+            Event::Validated {
+                topic,
+                number,
+                verdict,
+            } => self.validations.record(topic, number, verdict),
+            Event::ProposeVersion { topic, content } => self.propose(now, topic, content, out),
+            Event::Acted {
+                topic,
+                number,
+                count,
+            } => self.reports.add(now, topic, number, count),
+            Event::Tick => {}
+            Event::Drain => self.drain(out),
+        }
+        self.run_due(now, out);
+        out.push(Action::Wake(self.next_wakeup(now)));
+    }
+
+    /// Messages on a former link may be lost: all that are repeated are due.
+    fn connect(&mut self, now: Micros) {
+        self.heartbeats.connect(now);
+        self.validations.connect();
+        self.reports.connect();
+        if let Some(proposal) = &mut self.proposal {
+            proposal.connect();
+        }
+    }
+
+    fn drain(&mut self, out: &mut Vec<Action>) {
+        self.serving = false;
+        self.stop(StopReason::Drained, out);
+        if let Some(token) = self.registration.release() {
+            out.push(Action::Send(ToControl::Leave {
+                who: self.me,
+                token,
+            }));
+        }
+    }
+
+    fn stop(&mut self, reason: StopReason, out: &mut Vec<Action>) {
+        if self.registration.revoke_permission() {
+            out.push(Action::Stop(reason));
+        }
+    }
+
+    fn propose(&mut self, now: Micros, topic: Topic, content: Content, out: &mut Vec<Action>) {
+        if self.right(now).is_none() {
+            out.push(Action::Refused(Refusal::Stale));
+            return;
+        }
+        let replaces = self.topics.active(topic);
+        self.proposal = Some(PendingProposal::new(topic, replaces, content));
+    }
+
+    /// Handles a message. One for another gateway or incarnation changes nothing.
+    fn receive(&mut self, now: Micros, message: ToGateway, out: &mut Vec<Action>) {
+        self.heartbeats.record_answer();
+        match message {
+            ToGateway::RegistrationRenewed {
+                who,
+                token,
+                sent,
+                required,
+                registrations,
+            } => {
+                if who == self.me && self.serving && required <= self.topics.as_of() {
+                    let registration = &mut self.registration;
+                    let permission =
+                        registration.renew(now, &self.timing, token, sent, registrations);
+                    out.extend(permission.map(Action::Act));
+                }
+            }
+            ToGateway::TopicStates {
+                as_of,
+                since,
+                topics,
+            } => {
+                if self.topics.advance(since, as_of) {
+                    for state in topics {
+                        self.update_topic(state, out);
+                    }
+                }
+            }
+            ToGateway::RegistrationExpired { who, token } => {
+                if who == self.me && self.registration.token() == Some(token) {
+                    self.lose_registration(now, out);
+                }
+            }
+            ToGateway::RequestRejected { who, why } => {
+                if who == self.me {
+                    self.handle_rejection(now, why, out);
+                }
+            }
+            ToGateway::ProposalRejected {
+                topic,
+                number,
+                by,
+                reason,
+            } => {
+                if self.topics.record_rejection(topic, number) {
+                    out.push(Action::ProposalRejected {
+                        topic,
+                        number,
+                        by,
+                        reason,
+                    });
+                }
+            }
+            ToGateway::ReportCounted { who, sequence } => {
+                if who == self.me {
+                    self.reports.acknowledge(sequence);
+                }
+            }
+            ToGateway::NotLeader { leader } => self.redirect(now, leader, out),
+        }
+    }
+
+    /// Takes the new state of a topic.
+    fn update_topic(&mut self, state: TopicState, out: &mut Vec<Action>) {
+        let TopicState {
+            topic,
+            active,
+            before,
+            open,
+        } = state;
+        if self.topics.set_active(topic, active) {
+            out.push(Action::Activate {
+                topic,
+                number: active,
+                before,
+            });
+        }
+        self.proposal
+            .take_if(|proposal| proposal.is_settled_by(topic, active, open.is_some()));
+        let Some((number, content)) = open else {
+            self.validations.close(topic);
+            return;
+        };
+        let validations = &mut self.validations;
+        if validations.begin(topic, number, &content, self.formats) {
+            out.push(Action::Validate {
+                topic,
+                number,
+                content,
+            });
+        }
+    }
+
+    /// The registration is gone: the gateway stops, and joins again after a backoff.
+    fn lose_registration(&mut self, now: Micros, out: &mut Vec<Action>) {
+        self.stop(StopReason::Expelled, out);
+        self.registration.release();
+        if self.proposal.take().is_some() {
+            out.push(Action::Refused(Refusal::Stale));
+        }
+        self.registration.back_off(now, &self.timing);
+    }
+
+    /// A registration or a proposal was rejected. A repeated or late rejection has no effect.
+    fn handle_rejection(&mut self, now: Micros, why: Refusal, out: &mut Vec<Action>) {
+        let unsupported = matches!(why, Refusal::Format { .. });
+        let joining = unsupported && self.registration.token().is_none();
+        if joining {
+            self.registration.back_off(now, &self.timing);
+        }
+        if joining || self.proposal.take().is_some() {
+            out.push(Action::Refused(why));
+        }
+    }
+
+    fn redirect(&mut self, now: Micros, leader: Option<u32>, out: &mut Vec<Action>) {
+        let target = self.redirects.follow(now, self.timing.renew_us, leader);
+        out.push(Action::Redirect(target));
+    }
+
+    fn run_due(&mut self, now: Micros, out: &mut Vec<Action>) {
+        let permission = self.registration.permission();
+        if permission.is_some_and(|permission| !permission.runs(now)) {
+            // The registration may still be in the log: once it is renewed, the gateway acts again.
+            self.stop(StopReason::Lapsed, out);
+        }
+        if !self.serving {
+            return;
+        }
+        self.send_heartbeat(now, out);
+        if let Some(token) = self.registration.token() {
+            self.send_due(now, token, out);
+        }
+    }
+
+    fn send_heartbeat(&mut self, now: Micros, out: &mut Vec<Action>) {
+        if now < self.next_heartbeat_at() {
+            return;
+        }
+        let renew_us = self.timing.renew_us;
+        if self.heartbeats.take_timeout(now, renew_us) {
+            self.redirect(now, None, out);
+        }
+        out.push(Action::Send(ToControl::Heartbeat {
+            who: self.me,
+            formats: self.formats,
+            token: self.registration.token(),
+            sent: now,
+            seen: self.topics.as_of(),
+        }));
+        self.heartbeats.record_sent(now, renew_us);
+    }
+
+    /// Sends what a registered gateway has to say and the leader may not have.
+    fn send_due(&mut self, now: Micros, token: Token, out: &mut Vec<Action>) {
+        let (renew_us, who) = (self.timing.renew_us, self.me);
+        let results = self.validations.take_due(now, renew_us, who, token);
+        out.extend(results.into_iter().map(Action::Send));
+        let proposal = self
+            .proposal
+            .as_mut()
+            .and_then(|proposal| proposal.take_due(now, renew_us, who, token));
+        out.extend(proposal.map(Action::Send));
+        let report = self.reports.take_due(now, renew_us, who);
+        out.extend(report.map(Action::Send));
+    }
+
+    fn next_heartbeat_at(&self) -> Micros {
+        let allowed_at = self.registration.heartbeat_allowed_at();
+        self.heartbeats.next_at().max(allowed_at)
+    }
+
+    /// The next moment at which something may be due.
+    fn next_wakeup(&self, now: Micros) -> Micros {
+        let renew_us = self.timing.renew_us;
+        let permission = self.registration.permission();
+        let permission_ends = permission.map(|permission| permission.until);
+        let heartbeat = self.serving.then(|| self.next_heartbeat_at());
+        let proposal = self.proposal.as_ref();
+        let repeat = self
+            .validations
+            .last_sent_at()
+            .chain(proposal.and_then(PendingProposal::last_sent_at))
+            .map(|at| at.saturating_add(renew_us))
+            .min();
+        let due = [permission_ends, heartbeat, repeat].into_iter().flatten();
+        due.filter(|at| *at > now)
+            .min()
+            .unwrap_or(now.saturating_add(renew_us))
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/control/src/versions/client/proposal.rs
@@ -0,0 +1,63 @@
+//! A version that this gateway proposes, sent until it is known to be proposed or rejected.
+
+use super::is_send_due;
+use crate::lease::{NodeIdentity, Token};
+use crate::versions::{Content, ToControl, Topic};
+use crate::Micros;
+
+/// A version that the operator has here.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(super) struct PendingProposal {
+    topic: Topic,
+    /// The active version that it is to replace; 0 is none.
+    replaces: u64,
+    content: Content,
+    last_sent_at: Option<Micros>,
+}
+
+impl PendingProposal {
+    pub(super) fn new(topic: Topic, replaces: u64, content: Content) -> PendingProposal {
+        PendingProposal {
+            topic,
+            replaces,
+            content,
+            last_sent_at: None,
+        }
+    }
+
+    /// Whether a topic's new state settles it: a version is proposed there, or another one is active.
+    pub(super) fn is_settled_by(&self, topic: Topic, active: u64, proposed: bool) -> bool {
+        self.topic == topic && (proposed || self.replaces != active)
+    }
+
+    /// Messages on a former link may be lost: it is due again.
+    pub(super) fn connect(&mut self) {
+        self.last_sent_at = None;
+    }
+
+    /// When it was last sent.
+    pub(super) fn last_sent_at(&self) -> Option<Micros> {
+        self.last_sent_at
+    }
+
+    /// The message, where it is to be sent now; it is repeated, as the leader may have changed.
+    pub(super) fn take_due(
+        &mut self,
+        now: Micros,
+        renew_us: Micros,
+        who: NodeIdentity,
+        token: Token,
+    ) -> Option<ToControl> {
+        if !is_send_due(self.last_sent_at, now, renew_us) {
+            return None;
+        }
+        self.last_sent_at = Some(now);
+        Some(ToControl::ProposeVersion {
+            who,
+            token,
+            topic: self.topic,
+            seen: self.replaces,
+            content: self.content.clone(),
+        })
+    }
+}
--- /dev/null
+++ b/control/src/versions/client/reports.rs
@@ -0,0 +1,96 @@
+//! Audit reports: actions are added up by version and reported now and then, one report at a time, until it is counted.
+
+use super::is_send_due;
+use crate::lease::NodeIdentity;
+use crate::versions::audit::SPANS;
+use crate::versions::{Span, ToControl, Topic};
+use crate::Micros;
+
+/// Renewal intervals between two reports of one gateway, which keeps the audit's share of the log small.
+pub(super) const REPORT_INTERVAL_RENEWALS: u64 = 10;
+
+/// A report that was sent, or is about to be, and is not counted yet.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct PendingReport {
+    spans: Vec<Span>,
+    last_sent_at: Option<Micros>,
+}
+
+/// The audit reports of one incarnation of a gateway.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+pub(super) struct Reports {
+    /// Actions that are in no report yet.
+    unreported: Vec<Span>,
+    pending: Option<PendingReport>,
+    /// The number of the last report; they count from 1.
+    sequence: u64,
+    last_report_at: Micros,
+}
+
+impl Reports {
+    /// Adds actions begun under a version.
+    pub(super) fn add(&mut self, now: Micros, topic: Topic, number: u64, count: u64) {
+        let same = |span: &&mut Span| (span.topic, span.number) == (topic, number);
+        match self.unreported.iter_mut().find(same) {
+            Some(span) => span.add(now, count),
+            None => self.unreported.push(Span {
+                topic,
+                number,
+                from: now,
+                until: now,
+                count,
+            }),
+        }
+    }
+
+    /// A report was counted. One that was counted before is not the pending one.
+    pub(super) fn acknowledge(&mut self, sequence: u64) {
+        if sequence == self.sequence {
+            self.pending = None;
+        }
+    }
+
+    /// Messages on a former link may be lost: the pending report is due again.
+    pub(super) fn connect(&mut self) {
+        if let Some(report) = &mut self.pending {
+            report.last_sent_at = None;
+        }
+    }
+
+    /// The report that is to be sent now, if there is one.
+    pub(super) fn take_due(
+        &mut self,
+        now: Micros,
+        renew_us: Micros,
+        who: NodeIdentity,
+    ) -> Option<ToControl> {
+        self.begin_report(now, renew_us);
+        let sequence = self.sequence;
+        let report = self.pending.as_mut()?;
+        if !is_send_due(report.last_sent_at, now, renew_us) {
+            return None;
+        }
+        report.last_sent_at = Some(now);
+        Some(ToControl::Report {
+            who,
+            sequence,
+            spans: report.spans.clone(),
+        })
+    }
+
+    /// Begins the next report, once the last one was counted and the interval has passed.
+    fn begin_report(&mut self, now: Micros, renew_us: Micros) {
+        let interval_us = REPORT_INTERVAL_RENEWALS * renew_us;
+        let due = now >= self.last_report_at.saturating_add(interval_us);
+        if self.pending.is_some() || self.unreported.is_empty() || !due {
+            return;
+        }
+        let spans = self.unreported.len().min(SPANS);
+        self.sequence += 1;
+        self.pending = Some(PendingReport {
+            spans: self.unreported.drain(..spans).collect(),
+            last_sent_at: None,
+        });
+        self.last_report_at = now;
+    }
+}
--- a/control/src/versions/client/tests.rs
+++ b/control/src/versions/client/tests.rs
@@ -1,4 +1,6 @@
+use super::reports::REPORT_INTERVAL_RENEWALS;
 use super::*;
+use crate::lease::Index;
 
 const ME: NodeIdentity = NodeIdentity {
     gateway: 4,
@@ -251,7 +253,7 @@
         let mut client = Client::new(ME, TIMING, FORMATS, seed);
         client.handle(RENEW, Event::Serve, &mut Vec::new());
         client.handle(RENEW, Event::Connected, &mut Vec::new());
-        client.beat_at
+        client.heartbeats.next_at()
     };
     let phases: Vec<Micros> = (0..200).map(phase).collect();
     assert!(
@@ -340,7 +342,10 @@
         sequence: 1,
     });
     assert_eq!(reports(gateway.tick(RENEW)), []);
-    assert_eq!(reports(gateway.tick(REPORT_EVERY * RENEW)), [(2, 4)]);
+    assert_eq!(
+        reports(gateway.tick(REPORT_INTERVAL_RENEWALS * RENEW)),
+        [(2, 4)]
+    );
 }
 
 #[test]
--- /dev/null
+++ b/control/src/versions/client/validations.rs
@@ -0,0 +1,113 @@
+//! The validation of proposed versions: each is validated once, and its result is sent until the proposal is closed.
+
+use super::is_send_due;
+use crate::lease::{NodeIdentity, Token};
+use crate::versions::{Content, Formats, ToControl, Topic};
+use crate::Micros;
+use std::collections::BTreeMap;
+
+/// The validation of one proposed version.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct Validation {
+    number: u64,
+    /// Once the caller, or a check of the format, has decided.
+    result: Option<Result<(), String>>,
+    last_sent_at: Option<Micros>,
+}
+
+/// The latest validation of each topic with a proposal.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+pub(super) struct Validations {
+    by_topic: BTreeMap<Topic, Validation>,
+}
+
+impl Validations {
+    /// A version is proposed; says whether the caller is to validate its content. One whose format is not supported is
+    /// rejected here.
+    pub(super) fn begin(
+        &mut self,
+        topic: Topic,
+        number: u64,
+        content: &Content,
+        formats: Formats,
+    ) -> bool {
+        let known = self.by_topic.get(&topic);
+        if known.is_some_and(|validation| validation.number == number) {
+            return false;
+        }
+        let result = check_format(content.format, formats).err().map(Err);
+        let undecided = result.is_none();
+        let validation = Validation {
+            number,
+            result,
+            last_sent_at: None,
+        };
+        self.by_topic.insert(topic, validation);
+        undecided
+    }
+
+    /// The topic has no proposal any more.
+    pub(super) fn close(&mut self, topic: Topic) {
+        self.by_topic.remove(&topic);
+    }
+
+    /// Takes the caller's result. A second one, or one of another version, changes nothing.
+    pub(super) fn record(&mut self, topic: Topic, number: u64, result: Result<(), String>) {
+        let validation = self
+            .by_topic
+            .get_mut(&topic)
+            .filter(|validation| validation.number == number);
+        if let Some(validation) = validation.filter(|validation| validation.result.is_none()) {
+            validation.result = Some(result);
+        }
+    }
+
+    /// Messages on a former link may be lost: all results are due again.
+    pub(super) fn connect(&mut self) {
+        for validation in self.by_topic.values_mut() {
+            validation.last_sent_at = None;
+        }
+    }
+
+    /// The results that are to be sent now; each is repeated, as the leader may have changed.
+    pub(super) fn take_due(
+        &mut self,
+        now: Micros,
+        renew_us: Micros,
+        who: NodeIdentity,
+        token: Token,
+    ) -> Vec<ToControl> {
+        let due = self.by_topic.iter_mut().filter_map(|(topic, validation)| {
+            let verdict = validation.result.clone()?;
+            if !is_send_due(validation.last_sent_at, now, renew_us) {
+                return None;
+            }
+            validation.last_sent_at = Some(now);
+            Some(ToControl::ValidationResult {
+                who,
+                token,
+                topic: *topic,
+                number: validation.number,
+                verdict,
+            })
+        });
+        due.collect()
+    }
+
+    /// When each result was last sent.
+    pub(super) fn last_sent_at(&self) -> impl Iterator<Item = Micros> + '_ {
+        let validations = self.by_topic.values();
+        validations.filter_map(|validation| validation.last_sent_at)
+    }
+}
+
+/// Whether this build supports a content's format.
+fn check_format(needed: u32, formats: Formats) -> Result<(), String> {
+    if formats.understand(needed) {
+        return Ok(());
+    }
+    let Formats { oldest, newest } = formats;
+    Err(format!(
+        "format {needed} is not understood, only {oldest} to {newest}"
+    ))
+}
--- a/control/src/versions/mod.rs
+++ b/control/src/versions/mod.rs
@@ -37,7 +37,6 @@
 pub(crate) use wire::{topic, Report, Who};
 
 use crate::lease::{Index, NodeIdentity, Token};
-use crate::Micros;
 use serde::{Deserialize, Serialize};
 
 /// The longest content of a version, bytes: control members keep what is agreed in memory, twice per topic.
