--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! The decisions of a gateway for replicated databases, and how their settings and lists are decoded.
 //!
-//! [`policy`], its state and [`interface`] do no input or output: a front feeds a [`policy::Router`] with
+//! [`policy`] and [`interface`] do no input or output: a gateway feeds a [`policy::Router`] with
 //! [`interface::Event`]s and carries out the [`interface::Action`]s it answers with. [`config`] reads the file
 //! and environment that a gateway is started with.
 #![doc = include_str!("../README.md")]
@@ -10,7 +10,6 @@
 pub mod calls;
 pub mod cells;
 pub mod config;
-pub mod fleet;
 /// The one helper of all parser tests; the program's share it.
 #[cfg(test)]
 #[path = "bin/asterreel/fuzz.rs"]
@@ -20,10 +19,10 @@
 pub mod operator;
 pub mod policy;
 pub mod readmission;
-pub mod roles;
 pub mod settings;
-mod state;
 pub mod statements;
 pub mod watch;
 
+pub use policy::fleet;
+
 pub use asterreel_control::{lease, state_machine, versions};
--- /dev/null
+++ b/src/policy/load_shedding.rs
@@ -0,0 +1,69 @@
+//! Load shedding: which fraction of arriving reads a gateway admits.
+//!
+//! A gateway that has few attempts in flight at a member can't protect it by a concurrency limit. It learns from late
+//! and rejected answers instead which fraction of arriving reads to admit.
+
+use super::estimates::update_mean;
+use super::limits::HIGH_PRESSURE;
+use crate::interface::Outcome;
+
+/// Pressure above which late answers show load rather than a fault of single members.
+pub(crate) const LOADED_PRESSURE: f64 = 0.35;
+/// The share of the fraction that a late or rejected answer takes off.
+const FRACTION_LOSS: f64 = 0.15;
+/// What an answer in good time adds to the fraction.
+const FRACTION_GAIN: f64 = 0.02;
+/// The least fraction.
+const MIN_FRACTION: f64 = 0.2;
+
+/// Where an answer was had under which conditions.
+#[derive(Clone, Copy)]
+pub(crate) struct AnswerConditions {
+    /// The measured time can be trusted: this process was not stalled.
+    pub is_timing_valid: bool,
+    /// So few attempts are in flight at each member that limits can't act.
+    pub has_low_traffic: bool,
+}
+
+/// What this gateway's attempts at some members, taken together, say of their load.
+pub(crate) struct AdmittedFraction {
+    /// The fraction of arriving reads that is admitted, from 0 to 1.
+    pub fraction: f64,
+    /// Running mean of latency over the objective, of answers.
+    pub pressure: f64,
+}
+
+impl Default for AdmittedFraction {
+    fn default() -> AdmittedFraction {
+        AdmittedFraction {
+            fraction: 1.0,
+            pressure: 0.0,
+        }
+    }
+}
+
+impl AdmittedFraction {
+    /// Takes in how an attempt ended, and its latency as a share of the objective.
+    pub(crate) fn record(
+        &mut self,
+        outcome: Outcome,
+        latency_ratio: f64,
+        conditions: AnswerConditions,
+    ) {
+        let AnswerConditions {
+            is_timing_valid,
+            has_low_traffic,
+        } = conditions;
+        let served = outcome == Outcome::Served;
+        if served && is_timing_valid {
+            update_mean(&mut self.pressure, latency_ratio);
+        }
+        let late = outcome == Outcome::TimedOut || served && latency_ratio >= 1.0;
+        let overloaded = late && self.pressure > LOADED_PRESSURE || outcome == Outcome::Rejected;
+        if served && latency_ratio < HIGH_PRESSURE {
+            self.fraction = (self.fraction + FRACTION_GAIN).min(1.0);
+        } else if has_low_traffic && is_timing_valid && overloaded {
+            self.fraction = (self.fraction * (1.0 - FRACTION_LOSS)).max(MIN_FRACTION);
+        }
+    }
+}
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -18,12 +18,28 @@
 //! 10. A further attempt goes out only within what the outcomes prove, and from a budget.
 
 use crate::calls::Calls;
-use crate::fleet::{self, Credit, Fleet, LEARN, LOADED, PRESSED};
 use crate::interface::*;
-use crate::roles::Source;
-use crate::state::*;
+use estimates::{update_mean, ClassEstimates, LatencyEstimate};
+use fleet::Fleet;
+use limits::HIGH_PRESSURE;
+use load_shedding::{AnswerConditions, LOADED_PRESSURE};
+use role_arbitration::RoleSource;
+use sessions::SessionCommits;
+use slow_start::TokenBucket;
+use state::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use timers::{Timer, TimerQueue};
+
+mod estimates;
+pub mod fleet;
+mod limits;
+mod load_shedding;
+mod role_arbitration;
+mod sessions;
+pub mod slow_start;
+mod state;
+mod timers;
 
 /// Bad results in a row that fail a member. The paper's default.
 const FAIL_POINT: u32 = 4;
@@ -77,8 +93,6 @@
 const STALL: Micros = 150_000;
 /// What part of its wanted time the oldest of a class waits before the newest go first. Ours.
 const JAMMED: Micros = 2;
-/// Sessions whose last commit is remembered; bounds memory. Ours.
-const SESSIONS: usize = 50_000;
 
 /// The decisions of one front.
 pub struct Router {
@@ -90,9 +104,9 @@
     members: BTreeMap<MemberId, Member>,
     groups: BTreeMap<GroupId, Group>,
     requests: BTreeMap<RequestId, Request>,
-    paces: Vec<Pace>,
-    commits: Commits,
-    agenda: Agenda,
+    classes: ClassEstimates,
+    commits: SessionCommits,
+    agenda: TimerQueue,
     retries: f64,
     calls: Calls,
     error_share: f64,
@@ -135,13 +149,9 @@
             members: BTreeMap::new(),
             groups: BTreeMap::new(),
             requests: BTreeMap::new(),
-            paces: settings
-                .classes
-                .iter()
-                .map(|class| Pace::first_guess(class.latency_objective))
-                .collect(),
-            commits: Commits::default(),
-            agenda: Agenda::default(),
+            classes: ClassEstimates::new(&settings.classes),
+            commits: SessionCommits::default(),
+            agenda: TimerQueue::default(),
             retries: RETRY_SAVED,
             calls: Calls::new(&settings),
             error_share: 0.0,
@@ -155,7 +165,7 @@
     /// Takes in one event and appends what is to be done.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        if self.agenda.overdue(self.now) > STALL {
+        if self.agenda.lateness(self.now) > STALL {
             // This front stood still: what comes at this moment tells nothing of a member's speed or silence.
             // Harm: a member that failed just then is found out by the next attempt.
             self.stalled_at = self.now;
@@ -176,7 +186,7 @@
             Event::EndpointsUpdated(kind, entries) => self.listed(kind, &entries),
             Event::WatchLost(loss) => {
                 let wait = self.calls.again(loss, &mut self.rng);
-                self.later(wait, Task::Renew);
+                self.later(wait, Timer::CallDiscovery);
             }
             Event::TimerFired => {}
         }
@@ -188,37 +198,37 @@
         group.members.iter().filter_map(|id| self.members.get(id))
     }
 
-    fn later(&mut self, after: Micros, task: Task) {
+    fn later(&mut self, after: Micros, task: Timer) {
         let at = self.now.saturating_add(after.max(1));
-        self.agenda.add(at, task);
+        self.agenda.insert(at, task);
     }
 
     fn run_agenda(&mut self) {
-        while let Some(task) = self.agenda.due(self.now) {
+        while let Some(task) = self.agenda.pop_due(self.now) {
             match task {
-                Task::GiveUp(id) if self.requests.get(&id).is_some_and(|r| r.waiting) => {
+                Timer::ExpireRequest(id) if self.requests.get(&id).is_some_and(|r| r.waiting) => {
                     self.give_up(id)
                 }
-                Task::GiveUp(_) => {}
-                Task::Serve(id) => self.look_again(id),
-                Task::Survey(id) => self.survey(id),
-                Task::Beat => self.beating = false,
-                Task::Renew => self.out.push(Action::Watch),
+                Timer::ExpireRequest(_) => {}
+                Timer::DrainQueues(id) => self.look_again(id),
+                Timer::CheckHealth(id) => self.survey(id),
+                Timer::Watchdog => self.beating = false,
+                Timer::CallDiscovery => self.out.push(Action::Watch),
             }
         }
         if !self.beating && !self.requests.is_empty() {
             self.beating = true;
-            self.later(BEAT, Task::Beat);
+            self.later(BEAT, Timer::Watchdog);
         }
         self.out
-            .extend(self.agenda.next_wake(self.now).map(Action::SetTimer));
+            .extend(self.agenda.next_wake_up(self.now).map(Action::SetTimer));
     }
 
     fn listed(&mut self, kind: UpdateKind, entries: &[Endpoint]) {
         if kind == UpdateKind::CachedSnapshot && self.settings.discovery == DiscoveryMode::Watch {
             match self.calls.begin(&mut self.rng) {
                 0 => self.out.push(Action::Watch),
-                wait => self.later(wait, Task::Renew),
+                wait => self.later(wait, Timer::CallDiscovery),
             }
         } else {
             self.calls.answered();
@@ -248,13 +258,14 @@
                 .iter()
                 .map(|class| class.latency_objective);
             let mut member = Member::new(entry, now);
-            member.pace = Pace::first_guess(latency_objectives.max().unwrap_or(PROBE_EVERY));
+            member.pace =
+                LatencyEstimate::from_objective(latency_objectives.max().unwrap_or(PROBE_EVERY));
             self.members.insert(id, member);
             let group = self.groups.entry(entry.group).or_default();
-            group.waiting.resize(self.paces.len(), VecDeque::new());
+            group.waiting.resize(self.classes.count(), VecDeque::new());
             group.members.push(id);
-            let first = self.rng.u64(0..self.fleet.pace(PROBE_EVERY));
-            self.later(first, Task::Survey(id));
+            let first = self.rng.u64(0..self.fleet.scale_interval(PROBE_EVERY));
+            self.later(first, Timer::CheckHealth(id));
         }
         let (chance, proven) = (self.rng.f64(), !self.settings.probes.granted());
         let Some(member) = self.members.get_mut(&id) else {
@@ -265,7 +276,7 @@
         if is_new || member.started < entry.started {
             // A process that has started anew is cold, excused, and holds no role we knew of.
             member.started = entry.started;
-            member.cold = Credit::new(chance, now);
+            member.cold = TokenBucket::new(chance, now);
             (member.errors, member.mute) = (0, false);
             member.verified = proven;
             self.unmark(id);
@@ -324,7 +335,7 @@
 
     /// About once a second: a probe.
     fn survey(&mut self, id: MemberId) {
-        let every = self.fleet.pace(PROBE_EVERY);
+        let every = self.fleet.scale_interval(PROBE_EVERY);
         let Some(member) = self.members.get(&id) else {
             return;
         };
@@ -333,7 +344,7 @@
             self.probe(id);
         }
         let jitter = self.rng.u64(0..every / 5);
-        self.later(every - every / 10 + jitter, Task::Survey(id));
+        self.later(every - every / 10 + jitter, Timer::CheckHealth(id));
     }
 
     fn probed(&mut self, id: MemberId, outcome: Outcome, report: MemberReport) {
@@ -353,7 +364,7 @@
             if !member.mute {
                 member.errors = 0;
             }
-            self.hear(id, report, asked, Source::Report);
+            self.hear(id, report, asked, RoleSource::LoadReport);
         } else if outcome != Outcome::Rejected && self.stalled_at != self.now {
             // A probe turned away for too many others says only that the process runs.
             self.count_error(id);
@@ -362,7 +373,9 @@
     }
 
     fn count_error(&mut self, id: MemberId) {
-        let trial_at = self.now.saturating_add(self.fleet.pace(PROBE_EVERY));
+        let trial_at = self
+            .now
+            .saturating_add(self.fleet.scale_interval(PROBE_EVERY));
         let Some(member) = self.members.get_mut(&id) else {
             return;
         };
@@ -385,7 +398,7 @@
         let told = self.stalled_at != now;
         self.learn_share(id, ended.outcome, ratio);
         let error = f64::from(u8::from(ended.outcome == Outcome::Error));
-        self.error_share += LEARN * (error - self.error_share);
+        update_mean(&mut self.error_share, error);
         let Some(member) = self.members.get_mut(&id) else {
             return;
         };
@@ -397,13 +410,13 @@
                 (member.errors, member.mute, member.verified) = (0, false, true);
                 member.quiet_since = now;
                 if ended.outcome == Outcome::Served && told {
-                    member.pace.learn(ended.latency, LEARN);
-                    member.limit.learn(ratio, member.in_flight, now);
-                    self.paces[class].learn(ended.latency, LEARN);
-                    let (group, work) = (member.group, self.work(class));
+                    member.pace.record(ended.latency);
+                    member.limit.record(ratio, member.in_flight, now);
+                    self.classes.record(class, ended.latency);
+                    let (group, work) = (member.group, self.classes.relative_work(class));
                     self.groups
                         .entry(group)
-                        .and_modify(|g| g.carried.answered(now, work));
+                        .and_modify(|g| g.carried.record(now, work));
                 }
             }
             Outcome::Rejected | Outcome::Error => {
@@ -419,7 +432,7 @@
                 if late && self.fleet.is_large() {
                     member.shunned_until = now.saturating_add(SHUN);
                 }
-                member.limit.learn(
+                member.limit.record(
                     if late { ratio.max(1.0) } else { ratio },
                     member.in_flight,
                     now,
@@ -432,8 +445,8 @@
                     self.count_error(id);
                 } else {
                     // Answers alone would teach only the latencies of the lucky.
-                    member.pace.learn(ended.latency, LEARN);
-                    self.paces[class].learn(ended.latency, LEARN);
+                    member.pace.record(ended.latency);
+                    self.classes.record(class, ended.latency);
                 }
             }
             // It answered, and what it turned away says nothing of it: a client may send such by the hundred.
@@ -455,12 +468,16 @@
         };
         group.in_flight = group.in_flight.saturating_sub(1);
         let flow = &mut group.flows[usize::from(group.active == Some(id))];
-        flow.learn(outcome, ratio, self.stalled_at != self.now, thin);
+        let conditions = AnswerConditions {
+            is_timing_valid: self.stalled_at != self.now,
+            has_low_traffic: thin,
+        };
+        flow.record(outcome, ratio, conditions);
     }
 
     /// This front holds so few attempts a member that limits in flight cannot act.
     fn thin(&self, group: &Group) -> bool {
-        let below = self.fleet.sharing().min(THIN_MOST) * group.members.len() as f64;
+        let below = self.fleet.oversize().min(THIN_MOST) * group.members.len() as f64;
         f64::from(group.in_flight) < below
     }
 
@@ -469,8 +486,9 @@
         let Some(group) = self.groups.get(&request.arrival.group) else {
             return true;
         };
-        let share = group.flows[usize::from(at_active)].share;
-        let relative = || self.best_read() / self.value(request.class()).max(f64::MIN_POSITIVE);
+        let share = group.flows[usize::from(at_active)].fraction;
+        let relative =
+            || self.best_read() / self.classes.value(request.class()).max(f64::MIN_POSITIVE);
         let all =
             request.consistency == ConsistencyLevel::Write || share >= 1.0 || !self.thin(group);
         all || request.luck < share.powf(relative())
@@ -485,7 +503,7 @@
             .enumerate()
             .filter(|(_, consistency)| **consistency != ConsistencyLevel::Write);
         reads
-            .map(|(class, _)| self.value(class))
+            .map(|(class, _)| self.classes.value(class))
             .fold(f64::MIN_POSITIVE, f64::max)
     }
 
@@ -493,7 +511,7 @@
     /// decides the mark, but for one that may be older: a primary that has turned a write away says so until
     /// it has handed over, and each time held writes would spend attempts there; a report may have been made
     /// before an answer showed a replica, and bounded reads would go there. Harm: its own mark comes later.
-    fn hear(&mut self, id: MemberId, report: MemberReport, asked: Micros, source: Source) {
+    fn hear(&mut self, id: MemberId, report: MemberReport, asked: Micros, source: RoleSource) {
         let now = self.now;
         let Some(member) = self.members.get_mut(&id) else {
             return;
@@ -503,7 +521,7 @@
             member.heard_at = now;
             member.missed_until = 0;
         }
-        match member.doubt.hear(report.role, asked, source, now) {
+        match member.doubt.observe(report.role, asked, source, now) {
             Some(Role::Primary) => self.mark(id),
             Some(Role::Replica) => self.unmark(id),
             None => {}
@@ -518,7 +536,7 @@
         let group = group.filter(|_| !member.drain_binds(&self.settings));
         if let Some(group) = group.filter(|group| group.active != Some(id)) {
             group.active = Some(id);
-            member.limit.lower(RAMP_START);
+            member.limit.lower_to(RAMP_START);
             self.out.push(Action::ReportTransition {
                 member: id,
                 transition: MemberTransition::Promoted,
@@ -577,7 +595,7 @@
         match (self.settings.session_tokens, arrival.since_write) {
             (SessionTokens::Carried, Some(ago)) => self.now.saturating_sub(ago),
             (SessionTokens::Carried, None) => 0,
-            (SessionTokens::Remembered, _) => self.commits.of(arrival.session),
+            (SessionTokens::Remembered, _) => self.commits.required_position(arrival.session),
         }
     }
 
@@ -608,7 +626,7 @@
         let lasting = request.consistency == ConsistencyLevel::Write || late >= WORTH_LATE;
         let (priority_weight, latency_objective) =
             (self.useful_until(request), self.objective_deadline(request));
-        let usual = (self.paces[request.class()].mean / 2.0) as Micros;
+        let usual = (self.classes.mean_latency(request.class()) / 2.0) as Micros;
         let usual = usual.max(2 * self.settings.batch_period);
         let end = if lasting {
             priority_weight
@@ -655,7 +673,7 @@
 
     fn retry_after(&self, request: &Request) -> Option<Micros> {
         let group = self.groups.get(&request.arrival.group)?;
-        let usual = self.paces[request.class()].mean as Micros;
+        let usual = self.classes.mean_latency(request.class()) as Micros;
         let most = self.settings.max_retry_after;
         let wait = if group.active.is_some() {
             usual.min(most)
@@ -715,14 +733,14 @@
         let (class, consistency, group) =
             (request.class(), request.consistency, request.arrival.group);
         let session = request.arrival.session;
-        self.hear(member, ended.load_report, sent, Source::Report);
+        self.hear(member, ended.load_report, sent, RoleSource::LoadReport);
         self.judge(member, class, &ended);
         let served = ended.outcome == Outcome::Served;
         self.hear(
             member,
             ended.answer_report,
             sent,
-            Source::of(consistency, ended.outcome),
+            RoleSource::of_answer(consistency, ended.outcome),
         );
         let standby = self
             .groups
@@ -734,7 +752,7 @@
             .filter(|_| standby && served && consistency == ConsistencyLevel::Eventual)
         {
             let far = member.lag() >= LAG_APART.max(ended.latency / 2);
-            self.held_up[class] += LEARN * (f64::from(u8::from(far)) - self.held_up[class]);
+            update_mean(&mut self.held_up[class], f64::from(u8::from(far)));
         }
         let until = self.now.saturating_add(PROBE_EVERY);
         if ended.outcome == Outcome::Misrouted && consistency != ConsistencyLevel::Write {
@@ -750,7 +768,7 @@
             .contains(&ConsistencyLevel::Session);
         let session = session.filter(|_| asked && served && consistency == ConsistencyLevel::Write);
         if let (Some(session), Some(commit)) = (session, ended.answer_report.position) {
-            self.commits.remember(session, commit, SESSIONS);
+            self.commits.record(session, commit);
         }
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -769,7 +787,7 @@
     /// A further attempt, within limit, time and what outcomes prove; budgeted unless the last was cheap.
     fn try_again(&mut self, id: RequestId, ended: &AttemptEnded) {
         let request = &self.requests[&id];
-        let usual = self.paces[request.class()].mean;
+        let usual = self.classes.mean_latency(request.class());
         let left =
             request.attempts.len() < self.settings.max_attempts as usize && !request.streaming;
         let allowed = request.idempotency != Idempotency::NonIdempotent
@@ -806,7 +824,7 @@
         self.groups
             .entry(group)
             .and_modify(|group| group.waiting[class].push_back(id));
-        self.later(left, Task::GiveUp(id));
+        self.later(left, Timer::ExpireRequest(id));
         self.search(group);
         self.ask(id);
         self.serve_later(group);
@@ -828,7 +846,7 @@
         };
         if !group.serving && group.waiting.iter().any(|queue| !queue.is_empty()) {
             group.serving = true;
-            self.later(SERVE_EVERY, Task::Serve(id));
+            self.later(SERVE_EVERY, Timer::DrainQueues(id));
         }
     }
 
@@ -851,7 +869,7 @@
         let mut waiting = std::mem::take(&mut group.waiting);
         let classes = (0..waiting.len()).filter(|class| !waiting[*class].is_empty());
         let mut order: Vec<usize> = classes.collect();
-        order.sort_by(|a, b| self.value(*b).total_cmp(&self.value(*a)));
+        order.sort_by(|a, b| self.classes.value(*b).total_cmp(&self.classes.value(*a)));
         for class in order {
             let (queue, mut blocked) = (&mut waiting[class], 0);
             let waits = |id: &RequestId| self.requests.get(id).filter(|r| r.waiting);
@@ -887,23 +905,6 @@
             .and_modify(|group| group.waiting = waiting);
     }
 
-    /// The worth of a class for its work, as far as latency tells the work.
-    fn value(&self, class: usize) -> f64 {
-        self.settings.classes[class].priority_weight / self.paces[class].mean.max(1.0)
-    }
-
-    /// How many times the work of the lightest class it is, as far as latency tells the work.
-    fn work(&self, class: usize) -> f64 {
-        (self.paces[class].mean / self.lightest().max(1.0)).max(1.0)
-    }
-
-    fn lightest(&self) -> f64 {
-        self.paces
-            .iter()
-            .map(|pace| pace.mean)
-            .fold(f64::INFINITY, f64::min)
-    }
-
     /// With no usable active member one waiting request at a time looks for the primary, since a miss proves
     /// that nothing ran; the member listed as primary first, then the one heard or asked longest ago.
     fn search(&mut self, id: GroupId) {
@@ -972,7 +973,8 @@
         let two_out = request.is_out() && !self.settings.parallel.granted();
         // Long reads need more saved up, and by lot: each front that saved one send up may have one to send.
         let long = || {
-            Some(self.work(request.class())).filter(|work| request.reads() && *work >= LONG_WORK)
+            Some(self.classes.relative_work(request.class()))
+                .filter(|work| request.reads() && *work >= LONG_WORK)
         };
         let price = || long().map_or(1.0, |work| (request.luck * work).max(1.0));
         let too_cold = self.is_cold(member) && self.cold_credit(member) < price();
@@ -1040,7 +1042,7 @@
     /// Whether a member has room for a request of this share of its limit.
     fn admits(&self, member: &Member, share: f64) -> bool {
         let warmth = member.warmth(&self.settings, self.now);
-        let limit = member.limit.most * share * warmth;
+        let limit = member.limit.max_in_flight * share * warmth;
         f64::from(member.in_flight) < limit.max(1.0)
     }
 
@@ -1050,12 +1052,16 @@
         let warmth = member.warmth(&self.settings, self.now);
         let each = |group: &Group| group.carried.rate(self.now) / group.members.len().max(1) as f64;
         let carried = self.groups.get(&member.group).map_or(0.0, each);
-        let rate = self
-            .fleet
-            .cold_rate(&self.settings, warmth, carried, self.lightest());
+        let rate = slow_start::dispatch_rate(
+            self.fleet,
+            &self.settings,
+            warmth,
+            carried,
+            self.classes.lightest(),
+        );
         member
             .cold
-            .saved(self.now, rate, self.settings.overload_duration.max(1))
+            .available(self.now, rate, self.settings.overload_duration.max(1))
     }
 
     fn is_cold(&self, member: &Member) -> bool {
@@ -1092,7 +1098,7 @@
         let room = warm && (!large || part_of(SPILL_MEMBERS));
         let spilled =
             |may: bool| active(SPILL_SHARE).filter(|_| may && room && self.welcome(request, true));
-        let quick = group.flows[1].pressure < LOADED;
+        let quick = group.flows[1].pressure < LOADED_PRESSURE;
         if in_sync.is_empty() && self.asks(request).is_some() {
             // The active member has room for its part of the reads without a question.
             return spilled(quick && large && part_of(UNASKED_MEMBERS));
@@ -1149,7 +1155,8 @@
     /// Whether reads of this class may put a standby apart: long ones, until their answers show that it was
     /// not far behind. A short one alone can't. Harm: many short ones that do hold up applying are spread.
     fn holds_up(&self, class: usize) -> bool {
-        let long = self.paces[class].mean >= LAG_APART as f64 && self.work(class) >= LONG_WORK;
+        let long = self.classes.mean_latency(class) >= LAG_APART as f64
+            && self.classes.relative_work(class) >= LONG_WORK;
         long && self.held_up[class] >= HELD_UP
     }
 
@@ -1176,7 +1183,7 @@
             return self.less_busy_of_two(&behind);
         }
         behind.truncate((members.len() / 2).max(1));
-        let eased = |m: &&Member| m.in_flight == 0 || m.limit.pressure <= PRESSED;
+        let eased = |m: &&Member| m.in_flight == 0 || m.limit.pressure <= HIGH_PRESSURE;
         behind.into_iter().filter(eased).find(room).map(|m| m.id)
     }
 
@@ -1225,17 +1232,17 @@
         request.sent(to, now);
         let request = &self.requests[&id];
         let timeout = self.useful_until(request).saturating_sub(now).max(1);
-        let trial_at = now.saturating_add(self.fleet.pace(PROBE_EVERY));
+        let trial_at = now.saturating_add(self.fleet.scale_interval(PROBE_EVERY));
         let credit = self.members.get(&to).map_or(0.0, |m| self.cold_credit(m));
         // What a warm member was seen to carry is mostly of the lightest class: long work counts for more.
-        let cost = self.work(request.class());
+        let cost = self.classes.relative_work(request.class());
         if let Some(member) = self.members.get_mut(&to) {
             member.trial_at = trial_at;
             if member.in_flight == 0 && !member.mute {
                 member.quiet_since = now;
             }
             member.in_flight += 1;
-            member.cold = Credit::new(credit - cost, now);
+            member.cold = TokenBucket::new(credit - cost, now);
             let group = self.groups.entry(member.group);
             group.and_modify(|group| group.in_flight += 1);
         }
@@ -1271,6 +1278,6 @@
     }
 
     fn warmth(&self, settings: &Settings, now: Micros) -> f64 {
-        fleet::warmth(settings, self.started, now)
+        slow_start::slow_start_fraction(settings, self.started, now)
     }
 }
--- /dev/null
+++ b/src/policy/role_arbitration.rs
@@ -0,0 +1,81 @@
+//! Role arbitration: which report of a member's role is current.
+//!
+//! Decides from what a member has shown of itself and when each report was requested. It never promotes or demotes a
+//! member: [`super::primary`] does.
+
+use crate::interface::{ConsistencyLevel, Micros, Outcome, Role};
+
+/// How long reports that a member is the primary are distrusted after it rejected a write or answered as a replica,
+/// microseconds. A draining primary hands over within a second, and a write may try it again before; load reports are
+/// refreshed some times a second and arrive late.
+const DISTRUST_PERIOD: Micros = 500_000;
+
+/// Where a report of a member's role came from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum RoleSource {
+    /// A load report, made some time before it arrived.
+    LoadReport,
+    /// An answer, made as the member answered.
+    Answer,
+    /// The answer to a write that was served: proof of a primary.
+    ServedWrite,
+    /// The rejection of a write for the member's role: proof of a replica, whatever it reports.
+    MisroutedWrite,
+}
+
+impl RoleSource {
+    /// The source of the report in an answer.
+    pub(crate) fn of_answer(consistency: ConsistencyLevel, outcome: Outcome) -> RoleSource {
+        match (consistency, outcome) {
+            (ConsistencyLevel::Write, Outcome::Served) => RoleSource::ServedWrite,
+            (ConsistencyLevel::Write, Outcome::Misrouted) => RoleSource::MisroutedWrite,
+            _ => RoleSource::Answer,
+        }
+    }
+}
+
+/// Until when reports that a member is the primary are distrusted, by when they were requested.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct RoleArbitration {
+    /// Of any kind: the member rejected a write.
+    all_reports_until: Micros,
+    /// Load reports alone: an answer showed a replica.
+    load_reports_until: Micros,
+}
+
+impl RoleArbitration {
+    /// Takes in a report that was requested at a time. Returns the member's role by it: none where the report has
+    /// none, or may be older than what the member has shown since.
+    pub(crate) fn observe(
+        &mut self,
+        reported: Option<Role>,
+        requested_at: Micros,
+        source: RoleSource,
+        now: Micros,
+    ) -> Option<Role> {
+        let distrust_until = now.saturating_add(DISTRUST_PERIOD);
+        match (source, reported) {
+            (RoleSource::MisroutedWrite, _) => {
+                self.all_reports_until = distrust_until;
+                self.load_reports_until = distrust_until;
+                Some(Role::Replica)
+            }
+            (RoleSource::Answer | RoleSource::ServedWrite, Some(Role::Replica)) => {
+                self.load_reports_until = distrust_until;
+                reported
+            }
+            (RoleSource::LoadReport, Some(Role::Primary))
+                if requested_at < self.all_reports_until.max(self.load_reports_until) =>
+            {
+                None
+            }
+            (RoleSource::Answer, Some(Role::Primary)) if requested_at < self.all_reports_until => {
+                None
+            }
+            _ => reported,
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/state.rs
+++ b/src/policy/state.rs
@@ -1,40 +1,12 @@
-//! What a router keeps in mind, without any decision: records, a running mean, an agenda, session commits.
+//! What a router knows of members, groups and requests, without any decision.
 
-use crate::fleet::{Carried, Credit, Flow, Limit};
+use super::estimates::{LatencyEstimate, ThroughputEstimate};
+use super::limits::ConcurrencyLimit;
+use super::load_shedding::AdmittedFraction;
+use super::role_arbitration::RoleArbitration;
+use super::slow_start::TokenBucket;
 use crate::interface::*;
-use crate::roles::Doubt;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
-
-/// A running mean and mean deviation.
-#[derive(Clone, Copy, Default)]
-pub(crate) struct Pace {
-    pub mean: f64,
-    pub deviation: f64,
-}
-
-/// Mean deviations above the mean that make a tail latency; about one answer in thirty is slower. Ours.
-const TAIL_DEVIATIONS: f64 = 3.0;
-
-impl Pace {
-    /// Before anything was measured, for what is wanted within a time.
-    pub(crate) fn first_guess(latency_objective: Micros) -> Pace {
-        Pace {
-            mean: latency_objective as f64 / 4.0,
-            deviation: latency_objective as f64 / 8.0,
-        }
-    }
-
-    /// A latency that few answers exceed.
-    pub(crate) fn tail(&self) -> f64 {
-        self.mean + TAIL_DEVIATIONS * self.deviation
-    }
-
-    pub(crate) fn learn(&mut self, sample: Micros, weight: f64) {
-        let error = sample as f64 - self.mean;
-        self.mean += weight * error;
-        self.deviation += weight * (error.abs() - self.deviation);
-    }
-}
+use std::collections::VecDeque;
 
 /// What this front knows of a member.
 #[derive(Default)]
@@ -60,7 +32,7 @@
     pub unheard: u32,
     pub probed_at: Micros,
     /// Which word that it is the primary is not believed.
-    pub doubt: Doubt,
+    pub doubt: RoleArbitration,
     pub trial_at: Micros,
     pub asked_at: Micros,
     /// Own attempts that are out.
@@ -73,11 +45,11 @@
     pub missed_until: Micros,
     /// It let a request time out here.
     pub shunned_until: Micros,
-    pub pace: Pace,
+    pub pace: LatencyEstimate,
     /// Own attempts in flight.
-    pub limit: Limit,
+    pub limit: ConcurrencyLimit,
     /// Sends saved up while cold.
-    pub cold: Credit,
+    pub cold: TokenBucket,
 }
 
 impl Member {
@@ -100,12 +72,12 @@
     pub members: Vec<MemberId>,
     pub active: Option<MemberId>,
     /// What its members carry for this front.
-    pub carried: Carried,
+    pub carried: ThroughputEstimate,
     pub searched_at: Micros,
     /// Own attempts that are out.
     pub in_flight: u32,
     /// Of the standbys together, and of the active member.
-    pub flows: [Flow; 2],
+    pub flows: [AdmittedFraction; 2],
     /// By class.
     pub waiting: Vec<VecDeque<RequestId>>,
     pub serving: bool,
@@ -201,79 +173,3 @@
         });
     }
 }
-
-/// Something to look at later.
-#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Task {
-    GiveUp(RequestId),
-    Serve(GroupId),
-    Survey(MemberId),
-    Beat,
-    Renew,
-}
-
-/// Tasks by time, and the one timer that is out for them.
-#[derive(Default)]
-pub(crate) struct Agenda {
-    tasks: BTreeSet<(Micros, Task)>,
-    wake_at: Option<Micros>,
-}
-
-impl Agenda {
-    pub(crate) fn add(&mut self, at: Micros, task: Task) {
-        self.tasks.insert((at, task));
-    }
-
-    /// Takes the next task that is due.
-    pub(crate) fn due(&mut self, now: Micros) -> Option<Task> {
-        self.tasks.first().filter(|(at, _)| *at <= now)?;
-        self.tasks.pop_first().map(|(_, task)| task)
-    }
-
-    /// How late the timer that is out has become.
-    pub(crate) fn overdue(&self, now: Micros) -> Micros {
-        self.wake_at.map_or(0, |wake| now.saturating_sub(wake))
-    }
-
-    /// The wait to ask a timer for, unless one that is early enough is out. A timer that was overtaken by an
-    /// earlier one must not ask for another: they would pile up.
-    pub(crate) fn next_wake(&mut self, now: Micros) -> Option<Micros> {
-        let at = self.tasks.first().map(|(at, _)| *at)?;
-        self.wake_at = self.wake_at.filter(|wake| *wake > now);
-        if self.wake_at.is_some_and(|wake| wake <= at) {
-            return None;
-        }
-        self.wake_at = Some(at);
-        Some(at.saturating_sub(now))
-    }
-}
-
-/// The last commit of each session, for so many sessions; the oldest forgotten one is the floor for the rest.
-#[derive(Default)]
-pub(crate) struct Commits {
-    last: BTreeMap<SessionId, Micros>,
-    order: VecDeque<(SessionId, Micros)>,
-    floor: Micros,
-}
-
-impl Commits {
-    pub(crate) fn of(&self, session: Option<SessionId>) -> Micros {
-        let last = session.and_then(|session| self.last.get(&session));
-        last.copied().unwrap_or(self.floor)
-    }
-
-    pub(crate) fn remember(&mut self, session: SessionId, commit: Micros, room: usize) {
-        let last = self.last.entry(session).or_insert(0);
-        *last = commit.max(*last);
-        self.order.push_back((session, commit));
-        if self.order.len() <= room {
-            return;
-        }
-        if let Some((oldest, commit)) = self.order.pop_front() {
-            if self.last.get(&oldest).is_some_and(|last| *last <= commit) {
-                self.last.remove(&oldest);
-                self.floor = self.floor.max(commit);
-            }
-        }
-    }
-}
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -402,7 +402,8 @@
                     .iter()
                     .take_while(|other| **other < at + span)
                     .count();
-                let warmth = asterreel::fleet::warmth(&settings, began, at + span);
+                let warmth =
+                    asterreel::policy::slow_start::slow_start_fraction(&settings, began, at + span);
                 let room = settings.overload_multiple * warmth * carried * span as f64 / 1e6;
                 // Capacity is well above what is carried on the mean; the rest is chance in small numbers.
                 let most = room + 3.0 * room.sqrt();
@@ -414,7 +415,7 @@
         }
         // A third of what the sum of warmths over ten seconds would carry at the mean.
         let warm: f64 = (0..10)
-            .map(|s| asterreel::fleet::warmth(&settings, 1, s * SECOND))
+            .map(|s| asterreel::policy::slow_start::slow_start_fraction(&settings, 1, s * SECOND))
             .sum();
         let share = 12.0 * warm * carried / 3.0;
         assert!(
@@ -728,7 +729,7 @@
         let sends: Vec<_> = sends.iter().filter(|(at, _)| *at >= began).collect();
         for (n, (at, _)) in sends.iter().enumerate() {
             let end = at + settings.overload_duration;
-            let warmth = asterreel::fleet::warmth(settings, began, end);
+            let warmth = asterreel::policy::slow_start::slow_start_fraction(settings, began, end);
             if warmth >= 1.0 {
                 continue;
             }
