--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,6 @@
 //! The decisions of a gateway for replicated databases, and how their settings and lists are decoded.
 //!
-//! [`policy`], its state and [`interface`] do no input or output: a front feeds a [`policy::Router`] with
+//! [`policy`] and [`interface`] do no input or output: a gateway feeds a [`policy::Router`] with
 //! [`interface::Event`]s and carries out the [`interface::Action`]s it answers with. [`config`] reads the file
 //! and environment that a gateway is started with.
 #![doc = include_str!("../README.md")]
@@ -11,7 +11,6 @@
 pub mod cells;
 pub mod config;
 pub mod discovery;
-pub mod fleet;
 /// The one helper of all parser tests; the program's share it.
 #[cfg(test)]
 #[path = "bin/asterreel/fuzz.rs"]
@@ -21,9 +20,9 @@
 pub mod operator;
 pub mod policy;
 pub mod readmission;
-pub mod roles;
 pub mod settings;
-mod state;
 pub mod statements;
 
+pub use policy::fleet;
+
 pub use asterreel_control::{lease, state_machine, versions};
