--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -1,7 +1,7 @@
 //! Toy databases and discovery, to try the gateway with: start this, then the gateway with
-//! `RELAY_CONFIG=examples/config.json`. They are the rig's stand-ins at the example's addresses.
+//! `RELAY_CONFIG=examples/config.json`. They are the testbench's stand-ins at the example's addresses.
 
-use asterreel_rig::database::{self, Role};
+use asterreel_testbench::database::{self, Role};
 use std::net::TcpListener;
 use std::thread;
 
--- a/src/bin/asterreel-operator/main.rs
+++ b/src/bin/asterreel-config-eval/main.rs
@@ -45,7 +45,7 @@
     let mut arguments = std::env::args_os().skip(1);
     let (Some(path), within) = (arguments.next(), arguments.next()) else {
         eprintln!(
-            "asterreel-operator FILE [MILLISECONDS]: started by asterreel, to evaluate an operator's file"
+            "asterreel-config-eval FILE [MILLISECONDS]: started by asterreel, to evaluate an operator's file"
         );
         return ExitCode::from(2);
     };
--- a/src/bin/asterreel-adapter/main.rs
+++ b/src/bin/asterreel-sim-adapter/main.rs
@@ -35,6 +35,6 @@
 }
 
 fn stop(fault: &str) -> ExitCode {
-    eprintln!("asterreel-adapter: {fault}");
+    eprintln!("asterreel-sim-adapter: {fault}");
     ExitCode::FAILURE
 }
--- a/src/bin/asterreel/front/tests.rs
+++ b/src/bin/asterreel/front/tests.rs
@@ -7,7 +7,7 @@
 use asterreel::config::Config;
 use asterreel::interface::*;
 use asterreel_control::clock::Clock;
-use asterreel_rig::database as toy;
+use asterreel_testbench::database as toy;
 use may::net::TcpListener;
 use may::sync::mpsc::channel;
 use std::io::{ErrorKind, Read, Write};
@@ -148,7 +148,7 @@
     let (serving, _) = stage.database.accept().expect("the next request's attempt");
     let answer = [
         toy::row(b"second"),
-        toy::note(toy::Role::Primary, asterreel_rig::now() / 1000),
+        toy::note(toy::Role::Primary, asterreel_testbench::now() / 1000),
     ]
     .concat();
     thread::spawn(move || toy::session(serving, move |_| toy::Reply::Answer(answer.clone())));
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,7 +1,7 @@
 //! The operator's file: a Starlark script that is evaluated once into plain checked types.
 //!
 //! It calls `health(...)`, `cells(...)` and the functions that make their parts; everything it leaves out is off. The
-//! evaluator is a program of its own, `asterreel-operator`, beside the gateway's: here is what it answers with, how it is
+//! evaluator is a program of its own, `asterreel-config-eval`, beside the gateway's: here is what it answers with, how it is
 //! asked, and what can be checked only beside the gateway's configuration. Every error names the file, line, column and
 //! key.
 
@@ -190,7 +190,7 @@
 ///
 /// The path of this program is not known.
 pub fn evaluator() -> std::io::Result<PathBuf> {
-    Ok(std::env::current_exe()?.with_file_name("asterreel-operator"))
+    Ok(std::env::current_exe()?.with_file_name("asterreel-config-eval"))
 }
 
 /// Has a file evaluated by that program, within this time.
--- a/rig/src/capacity/stage.rs
+++ b/testbench/src/capacity/stage.rs
@@ -27,7 +27,7 @@
 /// How long CPU at rest is counted.
 pub(super) const WATCHED: Duration = Duration::from_secs(5);
 
-/// A gateway's plan: the rig's usual settings, in a fleet of this size, before these neighbours.
+/// A gateway's plan: the testbench's usual settings, in a fleet of this size, before these neighbours.
 pub(super) fn plan(
     setting: &Setting,
     neighbours: &Neighbours,
--- a/rig/src/capacity/statements.rs
+++ b/testbench/src/capacity/statements.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 const RATES: [u64; 9] = [100, 200, 400, 800, 1_340, 2_000, 3_000, 4_500, 6_000];
-/// Below this share served in time, a rate is more than the gateway, or the rig, can carry.
+/// Below this share served in time, a rate is more than the gateway, or the testbench, can carry.
 const CARRIED: f64 = 0.99;
 const DATABASES: usize = 10;
 const TAKES: Duration = Duration::from_millis(2);
--- a/rig/src/cells.rs
+++ b/testbench/src/cells.rs
@@ -2,11 +2,11 @@
 
 use crate::health::{plan, recorded, Setting, PATIENCE};
 use anyhow::ensure;
-use asterreel_rig::balancer::{Balancer, Check, Pace};
-use asterreel_rig::fleet::{self, Fleet};
-use asterreel_rig::gateway::Gateway;
-use asterreel_rig::load::{self, goodput, Record};
-use asterreel_rig::{chart, now};
+use asterreel_testbench::balancer::{Balancer, Check, Pace};
+use asterreel_testbench::fleet::{self, Fleet};
+use asterreel_testbench::gateway::Gateway;
+use asterreel_testbench::load::{self, goodput, Record};
+use asterreel_testbench::{chart, now};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 use std::sync::atomic::{AtomicBool, Ordering};
--- a/rig/src/cluster/history.rs
+++ b/testbench/src/cluster/history.rs
@@ -3,7 +3,7 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the rig adds to a gateway's lines once its process has been killed.
+/// What the testbench adds to a gateway's lines once its process has been killed.
 pub const KILLED: &str = "killed";
 
 /// A line of one gateway's log.
--- a/rig/src/gateway.rs
+++ b/testbench/src/gateway.rs
@@ -158,7 +158,7 @@
     files: tempfile::TempDir,
 }
 
-/// The settings of the rig's databases, in the platform's words: one gateway, searches and bookings.
+/// The settings of the testbench's databases, in the platform's words: one gateway, searches and bookings.
 pub fn settings() -> Value {
     json!({
         "Allowed": {"Cancel": true, "ConnIdleUs": 15_000_000, "ConnectTimeoutUs": 250_000, "MaxAttempts": 10, "MayProbe": true},
--- a/rig/src/health/changes.rs
+++ b/testbench/src/health/changes.rs
@@ -2,11 +2,11 @@
 
 use super::{plan, recorded, Setting, PATIENCE};
 use anyhow::{ensure, Context};
-use asterreel_rig::balancer::{Balancer, Change, Check, Pace};
-use asterreel_rig::chart::{self, quantile};
-use asterreel_rig::fleet::{self, Fleet};
-use asterreel_rig::gateway::{Gateway, Plan};
-use asterreel_rig::now;
+use asterreel_testbench::balancer::{Balancer, Change, Check, Pace};
+use asterreel_testbench::chart::{self, quantile};
+use asterreel_testbench::fleet::{self, Fleet};
+use asterreel_testbench::gateway::{Gateway, Plan};
+use asterreel_testbench::now;
 use nix::sys::signal::Signal;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Barrier};
--- a/rig/src/health/cost.rs
+++ b/testbench/src/health/cost.rs
@@ -2,10 +2,10 @@
 
 use super::{plan, recorded, Setting};
 use anyhow::ensure;
-use asterreel_rig::balancer::{Balancer, Check, Pace};
-use asterreel_rig::fleet::{self, Fleet};
-use asterreel_rig::gateway::Gateway;
-use asterreel_rig::load::{self};
+use asterreel_testbench::balancer::{Balancer, Check, Pace};
+use asterreel_testbench::fleet::{self, Fleet};
+use asterreel_testbench::gateway::Gateway;
+use asterreel_testbench::load::{self};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::thread;
--- a/rig/src/health/mod.rs
+++ b/testbench/src/health/mod.rs
@@ -7,9 +7,9 @@
 mod rolling;
 mod under_load;
 
-use asterreel_rig::balancer::{Balancer, Change};
-use asterreel_rig::fleet::Fleet;
-use asterreel_rig::gateway::Plan;
+use asterreel_testbench::balancer::{Balancer, Change};
+use asterreel_testbench::fleet::Fleet;
+use asterreel_testbench::gateway::Plan;
 use clap::ValueEnum;
 use std::path::PathBuf;
 use std::thread;
--- a/rig/src/health/outage.rs
+++ b/testbench/src/health/outage.rs
@@ -2,7 +2,7 @@
 
 use super::under_load::{self, write, Front};
 use super::Setting;
-use asterreel_rig::load::{self};
+use asterreel_testbench::load::{self};
 use nix::sys::signal::Signal;
 use std::thread;
 use std::time::{Duration, Instant};
--- a/rig/src/health/rolling.rs
+++ b/testbench/src/health/rolling.rs
@@ -3,9 +3,9 @@
 use super::under_load::{self, write, Front};
 use super::{Setting, PATIENCE};
 use anyhow::ensure;
-use asterreel_rig::gateway::Gateway;
-use asterreel_rig::load::{self, Record};
-use asterreel_rig::now;
+use asterreel_testbench::gateway::Gateway;
+use asterreel_testbench::load::{self, Record};
+use asterreel_testbench::now;
 use nix::sys::signal::Signal;
 use std::thread;
 use std::time::{Duration, Instant};
--- a/rig/src/health/under_load.rs
+++ b/testbench/src/health/under_load.rs
@@ -2,12 +2,12 @@
 
 use super::{plan, recorded, Setting};
 use anyhow::ensure;
-use asterreel_rig::balancer::{Balancer, Check, Pace};
-use asterreel_rig::chart::{self};
-use asterreel_rig::fleet::{self, Fleet};
-use asterreel_rig::gateway::{Gateway, Plan};
-use asterreel_rig::load::{self, goodput, Fate, Record};
-use asterreel_rig::now;
+use asterreel_testbench::balancer::{Balancer, Check, Pace};
+use asterreel_testbench::chart::{self};
+use asterreel_testbench::fleet::{self, Fleet};
+use asterreel_testbench::gateway::{Gateway, Plan};
+use asterreel_testbench::load::{self, goodput, Fate, Record};
+use asterreel_testbench::now;
 use std::collections::{BTreeMap, HashMap};
 use std::thread;
 use std::time::Duration;
--- a/rig/src/main.rs
+++ b/testbench/src/main.rs
@@ -5,7 +5,7 @@
 mod health;
 mod sizes;
 
-use asterreel_rig::{capacity, chart, cluster, scale};
+use asterreel_testbench::{capacity, chart, cluster, scale};
 use clap::{Parser, Subcommand, ValueEnum};
 use std::path::PathBuf;
 
@@ -148,7 +148,7 @@
         );
         let again = |seed: &u64| {
             let (gateways, seconds) = (self.gateways, self.seconds);
-            format!("asterreel-rig cluster --seed {seed} --gateways {gateways} --seconds {seconds}")
+            format!("asterreel-testbench cluster --seed {seed} --gateways {gateways} --seconds {seconds}")
         };
         let again: Vec<String> = bad.iter().map(again).collect();
         anyhow::ensure!(
--- a/rig/src/sizes.rs
+++ b/testbench/src/sizes.rs
@@ -1,6 +1,6 @@
 //! The command that plays fleets of several sizes, and writes their tables and charts.
 
-use asterreel_rig::scale::{self, slopes, table, Event, Host, Pace, Size};
+use asterreel_testbench::scale::{self, slopes, table, Event, Host, Pace, Size};
 use clap::ValueEnum;
 use std::path::PathBuf;
 use std::time::Duration;
--- a/rig/tests/bounded.rs
+++ b/testbench/tests/bounded.rs
@@ -1,6 +1,6 @@
 //! Waits end, whether what they wait for comes or not.
 
-use asterreel_rig::bounded;
+use asterreel_testbench::bounded;
 use std::io::ErrorKind;
 use std::net::{TcpListener, TcpStream};
 use std::process::Command;
--- a/rig/tests/cut.rs
+++ b/testbench/tests/cut.rs
@@ -1,10 +1,10 @@
 //! A way that is cut: what it holds for clients meanwhile, and what it carries once it is healed. Alone in its file, as it
 //! counts the descriptors of its process.
 
-use asterreel_rig::bounded;
-use asterreel_rig::gateway::free;
-use asterreel_rig::process;
-use asterreel_rig::scale::cut::Cut;
+use asterreel_testbench::bounded;
+use asterreel_testbench::gateway::free;
+use asterreel_testbench::process;
+use asterreel_testbench::scale::cut::Cut;
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
--- a/rig/tests/fit.rs
+++ b/testbench/tests/fit.rs
@@ -1,6 +1,6 @@
 //! Fits of known curves: what is called linear, quadratic and unknown, and with which error.
 
-use asterreel_rig::fit::{Fit, Shape, FEWEST_SIZES};
+use asterreel_testbench::fit::{Fit, Shape, FEWEST_SIZES};
 
 const SIZES: [f64; 7] = [0.0, 500.0, 1_000.0, 2_000.0, 3_000.0, 4_000.0, 4_800.0];
 
--- a/rig/tests/member_traffic.rs
+++ b/testbench/tests/member_traffic.rs
@@ -1,7 +1,7 @@
 //! What control members log of their traffic, read and made rates of.
 
-use asterreel_rig::gateway::Line;
-use asterreel_rig::scale::traffic::{MemberTotals, TrafficRates};
+use asterreel_testbench::gateway::Line;
+use asterreel_testbench::scale::traffic::{MemberTotals, TrafficRates};
 use serde_json::{json, Value};
 
 fn line(fields: Value) -> Line {
--- a/rig/tests/slopes.rs
+++ b/testbench/tests/slopes.rs
@@ -1,7 +1,7 @@
 //! Slopes of a role's figures over the fleet's size, from the tables of all sizes.
 
-use asterreel_rig::scale::slopes;
-use asterreel_rig::scale::table::{self, Change, Load, START};
+use asterreel_testbench::scale::slopes;
+use asterreel_testbench::scale::table::{self, Change, Load, START};
 use std::collections::BTreeMap;
 use std::path::Path;
 
--- a/rig/tests/standing.rs
+++ b/testbench/tests/standing.rs
@@ -1,7 +1,7 @@
 //! How gateways stand, as read from their log lines.
 
-use asterreel_rig::gateway::Line;
-use asterreel_rig::standing::Standing;
+use asterreel_testbench::gateway::Line;
+use asterreel_testbench::standing::Standing;
 use serde_json::{json, Value};
 
 const LEASE_US: u64 = 30;
--- a/tests/architecture.rs
+++ b/tests/architecture.rs
@@ -16,7 +16,7 @@
 
 /// Whether a span names a file or folder of the repository.
 fn is_path(span: &str) -> bool {
-    let begins = ["src/", "control/", "docs/", "tests/", "rig/", "testbench/"];
+    let begins = ["src/", "control/", "docs/", "tests/", "testbench/"];
     begins.iter().any(|begin| span.starts_with(begin))
 }
 
--- a/tests/cells_fronts.rs
+++ b/tests/cells_fronts.rs
@@ -1,10 +1,10 @@
-//! Cells on sockets: a real gateway whose tenants live in two groups of the rig's databases.
+//! Cells on sockets: a real gateway whose tenants live in two groups of the testbench's databases.
 
 use asterreel::cells::placement::{Cell, Home, Order, Published};
 use asterreel::cells::{record, CellId, Epoch};
-use asterreel_rig::database::{message, read_body};
-use asterreel_rig::fleet::{Fleet, Shape};
-use asterreel_rig::gateway::{Gateway, Plan};
+use asterreel_testbench::database::{message, read_body};
+use asterreel_testbench::fleet::{Fleet, Shape};
+use asterreel_testbench::gateway::{Gateway, Plan};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -2,7 +2,7 @@
 
 mod fleets;
 
-use asterreel_rig::cluster::{play, Cluster};
+use asterreel_testbench::cluster::{play, Cluster};
 use fleets::{agree, alone, no_violation, program};
 use nix::sys::signal::Signal;
 use std::time::Duration;
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -2,7 +2,7 @@
 
 mod fleets;
 
-use asterreel_rig::cluster::{Cluster, Role};
+use asterreel_testbench::cluster::{Cluster, Role};
 use fleets::{agree, alone, no_violation, program};
 use nix::sys::signal::Signal;
 use std::process::Command;
@@ -65,7 +65,7 @@
         .all(|said| said.last().is_some_and(|(_, _, acting)| *acting));
     assert!(all_act, "before the fall: {registered:?}");
     let leader = cluster.leader().expect("one leads");
-    let at = asterreel_rig::now();
+    let at = asterreel_testbench::now();
     fall(cluster, leader);
     for (gateway, before) in served.iter().zip(&registered) {
         let kept = cluster.wait(ELECTIONS, renewed(*gateway, at + ON_ITS_WAY_MS * 1_000));
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -80,12 +80,12 @@
 
 /// Answers every watch with this list, then with heartbeats, until the watch ends.
 fn tell_all(discovery: TcpListener, list: String) {
-    thread::spawn(move || asterreel_rig::database::discovery(&discovery, list.trim_end()));
+    thread::spawn(move || asterreel_testbench::database::discovery(&discovery, list.trim_end()));
 }
 
 /// The next call to discovery within a time.
 fn call_within(discovery: &TcpListener, within: Duration) -> Option<TcpStream> {
-    asterreel_rig::bounded::accept(discovery, within).ok()
+    asterreel_testbench::bounded::accept(discovery, within).ok()
 }
 
 /// The incident: of 312 gateways those that had been restarted called discovery up to 7.4 s after their start, and sent
@@ -137,7 +137,7 @@
     let list = changes(2, &replica_is("draining", replica.database.address));
     let mut call = call_within(&discovery, PATIENCE).expect("a first call");
     for cut in [1, 9, 40, list.len() / 2, list.len() - 3] {
-        let mut watch = asterreel_rig::database::Watch::begin(call).expect("begun");
+        let mut watch = asterreel_testbench::database::Watch::begin(call).expect("begun");
         watch.tell(&changes(1, "")).expect("told");
         watch.tell(&list[..cut]).expect("told");
         drop(watch);
@@ -149,7 +149,7 @@
             "cut at {cut}: called again after {took:?}"
         );
     }
-    let mut watch = asterreel_rig::database::Watch::begin(call).expect("begun");
+    let mut watch = asterreel_testbench::database::Watch::begin(call).expect("begun");
     watch.tell(&list[..40]).expect("told");
     let stopped_at = Instant::now();
     while call_within(&discovery, Duration::from_millis(500)).is_none() {
@@ -179,7 +179,7 @@
     let place = discovery.local_addr().expect("bound");
     let (_gateway, _log) = of_the_fleet([&primary, &replica], place, "8c1f30d27a5be964");
     let call = call_within(&discovery, PATIENCE).expect("a first call");
-    let mut watch = asterreel_rig::database::Watch::begin(call).expect("begun");
+    let mut watch = asterreel_testbench::database::Watch::begin(call).expect("begun");
     watch.tell(&changes(1, "")).expect("told");
     thread::sleep(Duration::from_millis(200));
     drop(watch);
@@ -224,7 +224,7 @@
         );
         assert!(!takes_clients(&gateway), "no list is here");
         if answers {
-            let mut watch = asterreel_rig::database::Watch::begin(call).expect("begun");
+            let mut watch = asterreel_testbench::database::Watch::begin(call).expect("begun");
             watch.tell(&changes(1, "")).expect("told");
             assert!(log.says("serving"), "with its list");
             assert!(takes_clients(&gateway));
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -1,7 +1,7 @@
 //! The instants in which something ends while something is owed: docs/design/endings.md lists them. Bad orders are made to
 //! happen by scripted peers, gates and a gateway that is stopped meanwhile; no test races.
 mod process;
-use asterreel_rig::database as toy;
+use asterreel_testbench::database as toy;
 use process::*;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -436,7 +436,7 @@
         let mut tag = [0];
         client.read_exact(&mut tag)?;
         let body = toy::read_body(&mut client)?;
-        let position = asterreel_rig::now() / 1000;
+        let position = asterreel_testbench::now() / 1000;
         if body.starts_with(b"SHOW usage") {
             let role = toy::Role::Replica;
             client.write_all(
--- a/tests/fleets/mod.rs
+++ b/tests/fleets/mod.rs
@@ -1,6 +1,6 @@
 //! What tests of fleets of real processes share.
 
-use asterreel_rig::cluster::{history, Cluster};
+use asterreel_testbench::cluster::{history, Cluster};
 use std::path::PathBuf;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -1,6 +1,6 @@
-//! The gateway on sockets, in front of the rig's databases and discovery.
+//! The gateway on sockets, in front of the testbench's databases and discovery.
 mod process;
-use asterreel_rig::database as toy;
+use asterreel_testbench::database as toy;
 use process::*;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpListener;
--- a/tests/golden_answers.rs
+++ b/tests/golden_answers.rs
@@ -4,9 +4,9 @@
 mod golden;
 mod process;
 
-use asterreel_rig::database as toy;
-use asterreel_rig::fleet::{Fleet, Shape};
-use asterreel_rig::gateway::{Gateway as Rigged, Plan};
+use asterreel_testbench::database as toy;
+use asterreel_testbench::fleet::{Fleet, Shape};
+use asterreel_testbench::gateway::{Gateway as Rigged, Plan};
 use process::*;
 use std::fmt::Write as _;
 use std::io::{Read, Write as _};
@@ -303,7 +303,7 @@
     let fleet = Fleet::start(Shape::default()).expect("a fleet");
     let place =
         Plan::beside(&fleet, 0, env!("CARGO_BIN_EXE_asterreel").into()).expect("free ports");
-    let postgres = asterreel_rig::gateway::free(1).expect("a free port")[0];
+    let postgres = asterreel_testbench::gateway::free(1).expect("a free port")[0];
     let extra = format!("postgres = listener(listen = '{postgres}'),");
     let plan = Plan {
         extra,
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -110,7 +110,7 @@
         let path = folder.path().join("operator.star");
         std::fs::write(&path, text).expect("written");
         Operator {
-            evaluator: Path::new(env!("CARGO_BIN_EXE_asterreel-operator")),
+            evaluator: Path::new(env!("CARGO_BIN_EXE_asterreel-config-eval")),
             folder,
             path,
         }
--- a/tests/golden_simulator.rs
+++ b/tests/golden_simulator.rs
@@ -404,7 +404,7 @@
 
 impl Adapter {
     fn start() -> Adapter {
-        let mut process = Command::new(env!("CARGO_BIN_EXE_asterreel-adapter"))
+        let mut process = Command::new(env!("CARGO_BIN_EXE_asterreel-sim-adapter"))
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .spawn()
--- a/tests/health_fronts.rs
+++ b/tests/health_fronts.rs
@@ -1,8 +1,8 @@
-//! Health on sockets: a real gateway, in front of the rig's databases, asked as balancers ask, and bothered.
+//! Health on sockets: a real gateway, in front of the testbench's databases, asked as balancers ask, and bothered.
 
-use asterreel_rig::balancer::Check;
-use asterreel_rig::fleet::{Fleet, Shape};
-use asterreel_rig::gateway::{free, Gateway, Plan};
+use asterreel_testbench::balancer::Check;
+use asterreel_testbench::fleet::{Fleet, Shape};
+use asterreel_testbench::gateway::{free, Gateway, Plan};
 use bytes::Bytes;
 use nix::sys::signal::Signal;
 use std::io::{Read, Write};
@@ -99,14 +99,14 @@
     let mut stream = TcpStream::connect(client).expect("connected");
     stream.set_read_timeout(Some(PATIENCE)).expect("set");
     let startup = b"\0\0\0\x22\0\x03\0\0user\0web\0database\0orders\0\0";
-    let query = asterreel_rig::database::message(b'Q', format!("{statement}\0").as_bytes());
+    let query = asterreel_testbench::database::message(b'Q', format!("{statement}\0").as_bytes());
     stream.write_all(startup).expect("sent");
     stream.write_all(&query).expect("sent");
     let (mut tags, mut readies) = (String::new(), 0);
     while readies < 2 {
         let mut tag = [0];
         stream.read_exact(&mut tag).expect("an answer");
-        asterreel_rig::database::read_body(&mut stream).expect("whole");
+        asterreel_testbench::database::read_body(&mut stream).expect("whole");
         readies += i32::from(tag[0] == b'Z');
         tags.push(tag[0].into());
     }
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 fn evaluate(path: &Path) -> Result<Evaluated, OperatorFileError> {
-    let evaluator = Path::new(env!("CARGO_BIN_EXE_asterreel-operator"));
+    let evaluator = Path::new(env!("CARGO_BIN_EXE_asterreel-config-eval"));
     operator::evaluate(evaluator, path, Duration::from_secs(20))
 }
 
--- a/tests/process/mod.rs
+++ b/tests/process/mod.rs
@@ -1,7 +1,7 @@
 //! The gateway's process on sockets, to test with: how it is started, and a client.
 #![allow(dead_code)]
 
-use asterreel_rig::{bounded, database as toy};
+use asterreel_testbench::{bounded, database as toy};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::{Child, Command, Stdio};
@@ -200,7 +200,7 @@
         } else {
             toy::Role::Replica
         };
-        let position = asterreel_rig::now() / 1000;
+        let position = asterreel_testbench::now() / 1000;
         let answer = if asked {
             toy::report(role, position, 0.1)
         } else if let Some(instead) = (self.instead)(statement) {
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -2,10 +2,10 @@
 //!
 //! Only counts are asserted, with room for a busy machine: it may make messages fewer, as several go in one, never more.
 
-use asterreel_rig::bounded;
-use asterreel_rig::scale::fleet::{Sample, Voter};
-use asterreel_rig::scale::layout::VOTERS;
-use asterreel_rig::scale::{Fleet, Host, Part, Size};
+use asterreel_testbench::bounded;
+use asterreel_testbench::scale::fleet::{Sample, Voter};
+use asterreel_testbench::scale::layout::VOTERS;
+use asterreel_testbench::scale::{Fleet, Host, Part, Size};
 use std::thread::sleep;
 use std::time::Duration;
 
@@ -55,7 +55,7 @@
 
 /// A sample in which all that control members log of their traffic was counted after this moment.
 fn sample_of_now(fleet: &mut Fleet) -> Sample {
-    let now = asterreel_rig::now();
+    let now = asterreel_testbench::now();
     let counted = bounded::until(LONG, || {
         let sample = fleet.measure().expect("read");
         let new = |voter: &Voter| voter.traffic.is_some_and(|traffic| traffic.at >= now);
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -3,7 +3,7 @@
 use std::process::{Command, Output, Stdio};
 
 fn run(lines: &[String]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_asterreel-adapter"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_asterreel-sim-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
