--- a/control/src/lease/fence/tests.rs
+++ b/control/src/lease/fence/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn an_older_token_is_refused_once_a_newer_was_seen() {
+fn older_token_is_rejected_after_newer() {
     let (mut fence, duty) = (Fence::default(), Duty(3));
     assert_eq!(fence.admit(duty, Token(4)), Ok(()));
     assert_eq!(fence.admit(duty, Token(4)), Ok(()));
--- a/control/src/lease/leases/tests.rs
+++ b/control/src/lease/leases/tests.rs
@@ -8,21 +8,22 @@
     margin_us: 100,
 };
 
+fn identity(gateway: u32) -> NodeIdentity {
+    NodeIdentity {
+        gateway,
+        incarnation: 1,
+    }
+}
+
 fn gateway(number: u32) -> Leases {
-    Leases::new(
-        NodeIdentity {
-            gateway: number,
-            incarnation: 1,
-        },
-        TIMING,
-    )
+    Leases::new(identity(number), TIMING)
 }
 
-fn proposed(out: &[Action]) -> Vec<Command> {
+fn proposals(out: &[Action]) -> Vec<Command> {
     out.iter()
         .filter_map(|action| {
-            if let Action::Propose(c) = action {
-                Some(*c)
+            if let Action::Propose(command) = action {
+                Some(*command)
             } else {
                 None
             }
@@ -51,12 +52,12 @@
 }
 
 #[test]
-fn one_claims_the_others_wait_out_its_lease_and_then_take_over() {
+fn lease_passes_on_after_others_waited_it_out() {
     let mut all = [gateway(1), gateway(2)];
-    let (mut a, mut b) = (Vec::new(), Vec::new());
-    all[0].handle(0, Event::Want(DUTY), &mut a);
-    all[1].handle(10, Event::Want(DUTY), &mut b);
-    let claims = [proposed(&a)[0], proposed(&b)[0]];
+    let (mut first, mut second) = (Vec::new(), Vec::new());
+    all[0].handle(0, Event::Want(DUTY), &mut first);
+    all[1].handle(10, Event::Want(DUTY), &mut second);
+    let claims = [proposals(&first)[0], proposals(&second)[0]];
     let outs = commit(&mut all, 20, &claims);
     assert!(outs[0].contains(&Action::Act {
         duty: DUTY,
@@ -66,27 +67,21 @@
     assert_eq!(
         all[1].status(DUTY, 20),
         Status::HeldByOther {
-            holder: NodeIdentity {
-                gateway: 1,
-                incarnation: 1
-            },
+            holder: identity(1),
             token: Token(1)
         }
     );
-    // The first falls silent; the second waits the lease and the margin from when it learned, then claims.
+    // The first stops renewing; the second waits the lease and the margin from when it observed the grant, then claims.
     let mut out = Vec::new();
     all[1].handle(3_119, Event::Tick, &mut out);
-    assert!(proposed(&out).is_empty(), "{out:?}");
+    assert!(proposals(&out).is_empty(), "{out:?}");
     all[1].handle(3_120, Event::Tick, &mut out);
-    let claim = proposed(&out);
+    let claim = proposals(&out);
     assert_eq!(
         claim,
         [Command::Claim {
             duty: DUTY,
-            holder: NodeIdentity {
-                gateway: 2,
-                incarnation: 1
-            },
+            holder: identity(2),
             seen: Index(1),
             at: 3_120
         }]
@@ -111,18 +106,18 @@
     let mut all = [gateway(1), gateway(2)];
     let mut out = Vec::new();
     all[0].handle(0, Event::Want(DUTY), &mut out);
-    commit(&mut all, 5, &proposed(&out));
+    commit(&mut all, 5, &proposals(&out));
     all[1].handle(6, Event::Want(DUTY), &mut Vec::new());
     all
 }
 
 #[test]
-fn a_holder_renews_before_its_lease_runs_out_and_keeps_it() {
+fn holder_renews_before_expiry_and_keeps_lease() {
     let mut all = first_holds();
     for now in (1_000..20_000).step_by(1_000) {
         let mut out = Vec::new();
         all[0].handle(now, Event::Tick, &mut out);
-        let renewal = proposed(&out);
+        let renewal = proposals(&out);
         assert!(
             matches!(renewal[..], [Command::Renew { at, .. }] if at == now),
             "{out:?}"
@@ -130,13 +125,13 @@
         commit(&mut all, now + 50, &renewal);
         let mut other = Vec::new();
         all[1].handle(now + 60, Event::Tick, &mut other);
-        assert!(proposed(&other).is_empty(), "{other:?}");
+        assert!(proposals(&other).is_empty(), "{other:?}");
         assert_eq!(all[0].active_token(DUTY, now + 60), Some(Token(1)));
     }
 }
 
 #[test]
-fn a_drain_stops_at_once_and_hands_the_duty_on_without_a_wait() {
+fn drain_stops_at_once_and_releases_without_wait() {
     let mut all = first_holds();
     let mut out = Vec::new();
     all[0].handle(500, Event::Drain, &mut out);
@@ -148,8 +143,8 @@
         }
     );
     assert_eq!(all[0].active_token(DUTY, 500), None);
-    let outs = commit(&mut all, 510, &proposed(&out));
-    let claim = proposed(&outs[1]);
+    let outs = commit(&mut all, 510, &proposals(&out));
+    let claim = proposals(&outs[1]);
     assert!(
         matches!(
             claim[..],
@@ -162,18 +157,18 @@
         "{:?}",
         outs[1]
     );
-    // The drained one does not ask again.
+    // The drained one does not claim again.
     let mut out = Vec::new();
     all[0].handle(5_000, Event::Tick, &mut out);
-    assert!(proposed(&out).is_empty());
+    assert!(proposals(&out).is_empty());
 }
 
 #[test]
-fn a_grant_learned_after_the_lease_would_have_run_out_is_not_acted_on() {
+fn grant_observed_after_expiry_is_not_acted_on() {
     let mut all = [gateway(1)];
     let mut out = Vec::new();
     all[0].handle(0, Event::Want(DUTY), &mut out);
-    let outs = commit(&mut all, 3_000, &proposed(&out));
+    let outs = commit(&mut all, 3_000, &proposals(&out));
     assert!(
         !outs[0]
             .iter()
@@ -181,8 +176,8 @@
         "{:?}",
         outs[0]
     );
-    // The log says it is ours: a renewal asked for now gives a lease from now.
-    let renewal = proposed(&outs[0]);
+    // It is the holder by the log: a renewal requested now gives a lease from now.
+    let renewal = proposals(&outs[0]);
     assert!(
         matches!(
             renewal[..],
@@ -203,15 +198,12 @@
 }
 
 #[test]
-fn a_missing_entry_asks_for_a_replay_and_changes_nothing() {
+fn missing_entry_requests_replay_and_changes_nothing() {
     let mut leases = gateway(1);
     let mut out = Vec::new();
     let claim = Command::Claim {
         duty: DUTY,
-        holder: NodeIdentity {
-            gateway: 2,
-            incarnation: 1,
-        },
+        holder: identity(2),
         seen: Index(0),
         at: 0,
     };
--- a/control/src/lease/table/tests.rs
+++ b/control/src/lease/table/tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_claim_that_missed_a_change_is_refused() {
+fn claim_that_missed_a_change_is_rejected() {
     let mut table = Table::default();
     assert_eq!(
         table.apply(Index(1), &claim(A, 0)),
@@ -91,10 +91,10 @@
 }
 
 #[test]
-fn only_the_holder_releases_and_a_new_life_is_another_holder() {
+fn release_requires_holder_of_same_incarnation() {
     let mut table = Table::default();
     table.apply(Index(1), &claim(A, 0)).unwrap();
-    let reborn = NodeIdentity {
+    let restarted = NodeIdentity {
         incarnation: 8,
         ..A
     };
@@ -103,12 +103,12 @@
         holder,
         token: Token(1),
     };
-    let refused = table.apply(Index(2), &release(reborn));
+    let rejected = table.apply(Index(2), &release(restarted));
     assert_eq!(
-        refused,
+        rejected,
         Ok(Outcome::Rejected {
             duty: DUTY,
-            holder: reborn,
+            holder: restarted,
             reason: Rejection::NotHolder
         })
     );
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn entries_go_in_order_and_a_replay_changes_nothing() {
+fn apply_requires_order_and_ignores_replay() {
     let mut table = Table::default();
     assert_eq!(
         table.apply(Index(2), &claim(A, 0)),
--- a/control/src/lease/timing/tests.rs
+++ b/control/src/lease/timing/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_wait_covers_the_lease_at_the_worst_rates() {
+fn wait_covers_lease_at_worst_clock_rates() {
     let timing = Timing {
         lease_us: 3_000_000,
         renew_us: 1_000_000,
@@ -14,10 +14,12 @@
     let others_begin = wait as f64 / 1.01;
     assert!(
         others_begin >= holder_ends,
-        "{others_begin} < {holder_ends}"
+        "another acts before the lease ended: {others_begin} < {holder_ends}"
+    );
+    assert!(
+        others_begin - holder_ends < 2.0,
+        "the wait is longer than it must be: {others_begin} against {holder_ends}"
     );
-    // And not much more than that.
-    assert!(others_begin - holder_ends < 2.0);
     let exact = Timing {
         drift_ppm: 0,
         margin_us: 7,
@@ -27,30 +29,36 @@
 }
 
 #[test]
-fn contradictory_timing_is_refused_naming_the_key() {
-    let good = Timing {
+fn contradictory_timing_names_its_key() {
+    let valid = Timing {
         lease_us: 3_000_000,
         renew_us: 1_000_000,
         drift_ppm: 1_000,
         margin_us: 100_000,
     };
-    assert_eq!(good.check(), Ok(()));
-    let short = Timing {
+    assert_eq!(valid.check(), Ok(()));
+    let short_lease = Timing {
         lease_us: 1_050_000,
-        ..good
+        ..valid
     };
-    assert_eq!(short.check().map_err(|error| error.key()), Err("lease_ms"));
-    let never = Timing {
+    assert_eq!(
+        short_lease.check().map_err(|error| error.key()),
+        Err("lease_ms")
+    );
+    let no_renewal = Timing {
         renew_us: 0,
-        ..good
+        ..valid
     };
-    assert_eq!(never.check().map_err(|error| error.key()), Err("renew_ms"));
-    let broken = Timing {
+    assert_eq!(
+        no_renewal.check().map_err(|error| error.key()),
+        Err("renew_ms")
+    );
+    let broken_clock = Timing {
         drift_ppm: MAX_DRIFT_PPM,
-        ..good
+        ..valid
     };
     assert_eq!(
-        broken.check().map_err(|error| error.key()),
+        broken_clock.check().map_err(|error| error.key()),
         Err("drift_ppm")
     );
 }
