--- a/control/src/node.rs
+++ b/control/src/node.rs
@@ -2,7 +2,7 @@
 //! applied comes out. It owns the store and the agreed state; it knows no sockets.
 
 use crate::state_machine::{Action, ApplyError, Event, StateMachine};
-use crate::store::{Store, StoreError};
+use crate::store::{Corruption, Store, StoreError};
 use crate::Micros;
 use raft::eraftpb::{
     ConfChange, ConfChangeSingle, ConfChangeType, ConfChangeV2, ConfState, Entry, EntryType,
@@ -46,7 +46,7 @@
 }
 
 fn read<M: protobuf::Message>(bytes: &[u8]) -> Result<M, StoreError> {
-    M::parse_from_bytes(bytes).map_err(|fault| StoreError::Read(fault.to_string()))
+    M::parse_from_bytes(bytes).map_err(|error| StoreError::Read(Corruption::Decode(error)))
 }
 
 pub(crate) struct Node {
@@ -351,7 +351,7 @@
             let snapshot = Some(ready.snapshot().clone()).filter(|snapshot| !snapshot.is_empty());
             self.raw
                 .mut_store()
-                .write(snapshot.as_ref(), ready.entries(), ready.hs())?;
+                .persist(snapshot.as_ref(), ready.entries(), ready.hs())?;
             if let Some(snapshot) = snapshot {
                 self.status.applied = snapshot.get_metadata().index;
                 (self.kept_from, self.kept_bytes) = (self.status.applied, 0);
