--- a/control/src/golden_tests.rs
+++ b/control/src/golden_tests.rs
@@ -10,7 +10,7 @@
 use crate::state_machine::{self, Action, Command, Event, StateMachine};
 use crate::store::Store;
 use crate::versions::{
-    self, Content, Formats, Refusal, Span, ToControl, ToGateway, Topic, TopicState,
+    self, Content, Formats, Refusal, Span, ToControl, ToGateway, Topic, TopicState, Version,
 };
 use crate::Micros;
 use raft::eraftpb::{self, ConfState};
@@ -150,7 +150,7 @@
                 who: GATEWAY,
                 token: TOKEN,
                 topic,
-                seen: 4,
+                replaces: 4,
                 content: content(),
             }),
         ),
@@ -201,7 +201,7 @@
         token: TOKEN,
         topic: Topic::Operator,
         number: 4,
-        verdict,
+        result: verdict,
     };
     vec![
         (
@@ -210,8 +210,8 @@
                 who,
                 formats,
                 token: None,
-                sent: 1,
-                seen: Index(0),
+                sent_at: 1,
+                known_index: Index(0),
             },
         ),
         (
@@ -220,8 +220,8 @@
                 who,
                 formats,
                 token: Some(TOKEN),
-                sent: 1 << 50,
-                seen: Index(3),
+                sent_at: 1 << 50,
+                known_index: Index(3),
             },
         ),
         ("accepts", verdict(Ok(()))),
@@ -232,7 +232,7 @@
                 who,
                 token: TOKEN,
                 topic: Topic::Program,
-                seen: 4,
+                replaces: 4,
                 content: content(),
             },
         ),
@@ -250,19 +250,22 @@
 
 fn to_gateway() -> Vec<(&'static str, ToGateway)> {
     let who = GATEWAY;
-    let refused = |why| ToGateway::RequestRejected { who, why };
+    let refused = |reason| ToGateway::RequestRejected { who, reason };
     let topics = vec![
         TopicState {
             topic: Topic::Catalog,
             active: 4,
-            before: 2,
-            open: Some((9, content())),
+            previous: 2,
+            proposal: Some(Version {
+                number: 9,
+                content: content(),
+            }),
         },
         TopicState {
             topic: Topic::Placement,
             active: 7,
-            before: 0,
-            open: None,
+            previous: 0,
+            proposal: None,
         },
     ];
     let dropped = ToGateway::ProposalRejected {
@@ -277,8 +280,8 @@
             ToGateway::RegistrationRenewed {
                 who,
                 token: TOKEN,
-                sent: 5,
-                required: Index(9),
+                sent_at: 5,
+                required_index: Index(9),
                 registrations: 410,
             },
         ),
@@ -472,8 +475,8 @@
             who,
             formats,
             token,
-            sent,
-            seen,
+            sent_at: sent,
+            known_index: seen,
         });
     }
 
@@ -494,7 +497,7 @@
             who: SERVED[0],
             token,
             topic,
-            seen,
+            replaces: seen,
             content: content(),
         });
         self.node.state_machine().versions().applied().0
@@ -507,7 +510,7 @@
             token,
             topic,
             number,
-            verdict: Ok(()),
+            result: Ok(()),
         });
         self.pass(1);
     }
--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -7,6 +7,7 @@
 #![warn(missing_docs)]
 
 pub mod clock;
+mod codec;
 mod frame;
 #[cfg(test)]
 #[path = "../../src/bin/asterreel/fuzz.rs"]
--- a/control/src/link/tests.rs
+++ b/control/src/link/tests.rs
@@ -6,7 +6,7 @@
 use crate::frame::{self, BadFrame, Frames, Hello, Payload};
 use crate::lease::{Index, NodeIdentity, Timing, Token};
 use crate::traffic::{MemberTraffic, Traffic, TrafficTotals};
-use crate::versions::{Content, Formats, ToControl, ToGateway, Topic, TopicState};
+use crate::versions::{Content, Formats, ToControl, ToGateway, Topic, TopicState, Version};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -123,8 +123,8 @@
         who,
         formats,
         token: None,
-        sent: 1,
-        seen: Index(0),
+        sent_at: 1,
+        known_index: Index(0),
     }
 }
 
@@ -188,8 +188,8 @@
         let kept = ToGateway::RegistrationRenewed {
             who: ME,
             token: Token(1),
-            sent: 1,
-            required: Index(0),
+            sent_at: 1,
+            required_index: Index(0),
             registrations: 1,
         };
         assert!(client.send(frame::to_gateway(&kept).expect("short")));
@@ -307,8 +307,8 @@
         let topic = TopicState {
             topic: Topic::Operator,
             active: 1,
-            before: 0,
-            open: Some((2, content)),
+            previous: 0,
+            proposal: Some(Version { number: 2, content }),
         };
         let state = ToGateway::TopicStates {
             as_of: Index(2),
@@ -339,8 +339,8 @@
         let kept = ToGateway::RegistrationRenewed {
             who: ME,
             token: Token(1),
-            sent: 1,
-            required: Index(0),
+            sent_at: 1,
+            required_index: Index(0),
             registrations: 1,
         };
         let kept = frame::to_gateway(&kept).expect("short");
--- a/control/src/service/gateway.rs
+++ b/control/src/service/gateway.rs
@@ -173,9 +173,16 @@
             Action::Activate {
                 topic,
                 number,
-                before,
+                previous,
             } => {
-                info!(at, gateway, ?topic, number, before, "version: in force");
+                info!(
+                    at,
+                    gateway,
+                    ?topic,
+                    number,
+                    before = previous,
+                    "version: in force"
+                );
                 let _ = self.notices.send(ControlEvent::Activated(topic, number));
             }
             Action::ProposalRejected {
--- a/control/src/service/mod.rs
+++ b/control/src/service/mod.rs
@@ -365,10 +365,10 @@
             ControlRequest::ProposeVersion(topic, content) => {
                 Event::ProposeVersion { topic, content }
             }
-            ControlRequest::Validated(topic, number, verdict) => Event::Validated {
+            ControlRequest::Validated(topic, number, result) => Event::Validated {
                 topic,
                 number,
-                verdict,
+                result,
             },
             ControlRequest::Acted(topic, number, count) => Event::Acted {
                 topic,
--- a/control/src/state_machine/entry.rs
+++ b/control/src/state_machine/entry.rs
@@ -1,44 +1,15 @@
-//! How entries of the log are written: `prost` messages, one kind each, with the format they need.
+//! How entries of the log are written: a `prost` message with the format that it needs and one kind of body.
+//!
+//! Stored logs hold these bytes: tags and types never change, and another meaning needs another format.
 
 use super::Command;
+use crate::codec::{topic, WireIdentity, WireReport};
 use crate::lease::{self, Duty, Index, NodeIdentity, Token};
-use crate::versions::{self, topic, Content, Formats, Report, Who};
+use crate::versions::{self, Content, Formats};
 use prost::Message;
+use std::cmp::Ordering;
 
-/// The format of entries and snapshots that this build writes, and the only one that it reads: format 1 kept registrations by
-/// entries of gateways that were all members of the log.
-pub const FORMAT: u32 = 2;
-
-/// Why an entry was not understood. Nothing of it was applied.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum DecodeError {
-    /// Written by a newer build.
-    #[error(
-        "it has format {found}, this build reads up to {FORMAT}; start a build that understands it"
-    )]
-    Newer {
-        /// The format it needs.
-        found: u32,
-    },
-    /// Written by an older build, whose entries mean something else.
-    #[error(
-        "it has format {found} of an older build, this one reads {FORMAT} alone; stop all control members, remove the \
-         log's folder at each, start them and offer the file again"
-    )]
-    Older {
-        /// Its format.
-        found: u32,
-    },
-    /// More than is ever written.
-    #[error("its {0} is longer than any build writes")]
-    TooLong(&'static str),
-    /// Not an entry.
-    #[error("it is damaged: {0}")]
-    Damaged(String),
-    /// A kind, or a value within it, that this build does not know.
-    #[error("its {0} is unknown or missing")]
-    Unknown(&'static str),
-}
+pub use crate::codec::{DecodeError, FORMAT};
 
 #[derive(Clone, PartialEq, Message)]
 struct Entry {
@@ -51,36 +22,36 @@
 #[derive(Clone, PartialEq, prost::Oneof)]
 enum Body {
     #[prost(message, tag = "2")]
-    Claim(Lease),
+    Claim(WireLease),
     #[prost(message, tag = "3")]
-    Renew(Lease),
+    Renew(WireLease),
     #[prost(message, tag = "4")]
-    Release(Lease),
+    Release(WireLease),
     #[prost(message, tag = "5")]
-    Join(Registration),
+    Join(WireRegistration),
     #[prost(message, tag = "7")]
-    Leave(Registration),
+    Leave(WireRegistration),
     #[prost(message, tag = "8")]
-    Expel(Registration),
+    Expire(WireRegistration),
     #[prost(message, tag = "9")]
-    Offer(Change),
+    ProposeVersion(WireVersionChange),
     #[prost(message, tag = "11")]
-    Report(Report),
+    Report(WireReport),
     #[prost(message, tag = "12")]
-    Refuse(Change),
+    Nack(WireVersionChange),
     #[prost(message, tag = "13")]
-    Lead(Who),
+    BeginEpoch(WireIdentity),
     #[prost(message, tag = "14")]
-    Accept(Accepted),
+    Ack(WireAck),
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct Lease {
+struct WireLease {
     #[prost(message, required, tag = "1")]
-    who: Who,
+    who: WireIdentity,
     #[prost(uint32, tag = "2")]
     duty: u32,
-    /// The token, or the index that was seen.
+    /// The token, or of a claim the index of the last entry on the duty that the claimer knows.
     #[prost(uint64, tag = "3")]
     number: u64,
     #[prost(uint64, tag = "4")]
@@ -88,9 +59,9 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct Registration {
+struct WireRegistration {
     #[prost(message, required, tag = "1")]
-    who: Who,
+    who: WireIdentity,
     #[prost(uint64, tag = "2")]
     token: u64,
     #[prost(uint64, tag = "3")]
@@ -102,36 +73,36 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct Change {
+struct WireVersionChange {
     #[prost(message, required, tag = "1")]
-    who: Who,
+    who: WireIdentity,
     #[prost(uint64, tag = "2")]
     token: u64,
     #[prost(uint32, tag = "3")]
     topic: u32,
-    /// The version refused, or the one in force when it was offered.
+    /// Of a nack, the rejected version; of a proposal, the active version that it is to replace.
     #[prost(uint64, tag = "4")]
     number: u64,
     #[prost(uint32, tag = "5")]
     format: u32,
     #[prost(bytes = "vec", tag = "6")]
     content: Vec<u8>,
-    /// Why it was refused.
+    /// Of a nack, why.
     #[prost(string, tag = "7")]
     reason: String,
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct Accepted {
+struct WireAck {
     #[prost(uint32, tag = "1")]
     topic: u32,
     #[prost(uint64, tag = "2")]
     number: u64,
     #[prost(message, repeated, tag = "3")]
-    by: Vec<Registration>,
+    by: Vec<WireRegistration>,
 }
 
-/// The bytes of an entry.
+/// The bytes of the entry of a command.
 pub fn encode(command: &Command) -> Vec<u8> {
     let body = match command {
         Command::Lease(command) => lease_body(command),
@@ -146,21 +117,21 @@
 
 fn lease_body(command: &lease::Command) -> Body {
     let duty = command.duty().0.into();
-    let who = Who::of(command.holder());
+    let who = command.holder().into();
     match *command {
-        lease::Command::Claim { seen, at, .. } => Body::Claim(Lease {
+        lease::Command::Claim { seen, at, .. } => Body::Claim(WireLease {
             who,
             duty,
             number: seen.0,
             at,
         }),
-        lease::Command::Renew { token, at, .. } => Body::Renew(Lease {
+        lease::Command::Renew { token, at, .. } => Body::Renew(WireLease {
             who,
             duty,
             number: token.0,
             at,
         }),
-        lease::Command::Release { token, .. } => Body::Release(Lease {
+        lease::Command::Release { token, .. } => Body::Release(WireLease {
             who,
             duty,
             number: token.0,
@@ -172,14 +143,14 @@
 fn version_body(command: &versions::Command) -> Body {
     use versions::Command as V;
     match command {
-        V::BeginEpoch { who } => Body::Lead(Who::of(*who)),
-        V::Join { who, formats } => Body::Join(Registration {
+        V::BeginEpoch { who } => Body::BeginEpoch((*who).into()),
+        V::Join { who, formats } => Body::Join(WireRegistration {
             oldest: formats.oldest,
             newest: formats.newest,
             ..registration(*who, Token(0))
         }),
         V::Leave { who, token } => Body::Leave(registration(*who, *token)),
-        V::Expire { who, token, epoch } => Body::Expel(Registration {
+        V::Expire { who, token, epoch } => Body::Expire(WireRegistration {
             epoch: epoch.0,
             ..registration(*who, *token)
         }),
@@ -187,18 +158,18 @@
             who,
             token,
             topic,
-            seen,
+            replaces,
             content,
-        } => Body::Offer(Change {
-            who: Who::of(*who),
+        } => Body::ProposeVersion(WireVersionChange {
+            who: (*who).into(),
             token: token.0,
             topic: topic.number(),
-            number: *seen,
+            number: *replaces,
             format: content.format,
             content: content.bytes.clone(),
             reason: String::new(),
         }),
-        V::Ack { topic, number, by } => Body::Accept(Accepted {
+        V::Ack { topic, number, by } => Body::Ack(WireAck {
             topic: topic.number(),
             number: *number,
             by: by
@@ -212,8 +183,8 @@
             topic,
             number,
             reason,
-        } => Body::Refuse(Change {
-            who: Who::of(*who),
+        } => Body::Nack(WireVersionChange {
+            who: (*who).into(),
             token: token.0,
             topic: topic.number(),
             number: *number,
@@ -225,13 +196,13 @@
             who,
             sequence,
             spans,
-        } => Body::Report(Report::of(*who, *sequence, spans)),
+        } => Body::Report(WireReport::new(*who, *sequence, spans)),
     }
 }
 
-fn registration(who: NodeIdentity, token: Token) -> Registration {
-    Registration {
-        who: Who::of(who),
+fn registration(who: NodeIdentity, token: Token) -> WireRegistration {
+    WireRegistration {
+        who: who.into(),
         token: token.0,
         epoch: 0,
         oldest: 0,
@@ -239,95 +210,97 @@
     }
 }
 
-/// What an entry says.
+/// Reads an entry.
 ///
 /// # Errors
 ///
-/// [`DecodeError`], where it is not understood whole.
+/// [`DecodeError`], where it is not understood completely.
 pub fn decode(bytes: &[u8]) -> Result<Command, DecodeError> {
-    use versions::Command as V;
-    let entry = Entry::decode(bytes).map_err(|fault| DecodeError::Damaged(fault.to_string()))?;
-    if entry.format > FORMAT {
-        return Err(DecodeError::Newer {
-            found: entry.format,
-        });
-    }
-    if entry.format < FORMAT {
-        return Err(DecodeError::Older {
-            found: entry.format,
-        });
+    let entry = Entry::decode(bytes)?;
+    let found = entry.format;
+    match found.cmp(&FORMAT) {
+        Ordering::Greater => Err(DecodeError::Newer { found }),
+        Ordering::Less => Err(DecodeError::Older { found }),
+        Ordering::Equal => command(entry.body.ok_or(DecodeError::Unknown("kind"))?),
     }
-    Ok(match entry.body.ok_or(DecodeError::Unknown("kind"))? {
-        Body::Claim(l) => Command::Lease(lease::Command::Claim {
-            duty: duty(l.duty)?,
-            holder: l.who.identity(),
-            seen: Index(l.number),
-            at: l.at,
-        }),
-        Body::Renew(l) => Command::Lease(lease::Command::Renew {
-            duty: duty(l.duty)?,
-            holder: l.who.identity(),
-            token: Token(l.number),
-            at: l.at,
+}
+
+fn command(body: Body) -> Result<Command, DecodeError> {
+    use versions::Command as V;
+    Ok(match body {
+        Body::Claim(lease) => Command::Lease(lease::Command::Claim {
+            duty: duty(lease.duty)?,
+            holder: lease.who.into(),
+            seen: Index(lease.number),
+            at: lease.at,
         }),
-        Body::Release(l) => Command::Lease(lease::Command::Release {
-            duty: duty(l.duty)?,
-            holder: l.who.identity(),
-            token: Token(l.number),
+        Body::Renew(lease) => Command::Lease(lease::Command::Renew {
+            duty: duty(lease.duty)?,
+            holder: lease.who.into(),
+            token: Token(lease.number),
+            at: lease.at,
         }),
-        Body::Lead(who) => Command::Version(V::BeginEpoch {
-            who: who.identity(),
+        Body::Release(lease) => Command::Lease(lease::Command::Release {
+            duty: duty(lease.duty)?,
+            holder: lease.who.into(),
+            token: Token(lease.number),
         }),
-        Body::Join(s) => Command::Version(V::Join {
-            who: s.who.identity(),
+        Body::BeginEpoch(who) => Command::Version(V::BeginEpoch { who: who.into() }),
+        Body::Join(registration) => Command::Version(V::Join {
+            who: registration.who.into(),
             formats: Formats {
-                oldest: s.oldest,
-                newest: s.newest,
+                oldest: registration.oldest,
+                newest: registration.newest,
             },
         }),
-        Body::Leave(s) => Command::Version(V::Leave {
-            who: s.who.identity(),
-            token: Token(s.token),
+        Body::Leave(registration) => Command::Version(V::Leave {
+            who: registration.who.into(),
+            token: Token(registration.token),
         }),
-        Body::Expel(s) => Command::Version(V::Expire {
-            who: s.who.identity(),
-            token: Token(s.token),
-            epoch: Index(s.epoch),
+        Body::Expire(registration) => Command::Version(V::Expire {
+            who: registration.who.into(),
+            token: Token(registration.token),
+            epoch: Index(registration.epoch),
         }),
-        Body::Offer(c) => Command::Version(V::ProposeVersion {
-            who: c.who.identity(),
-            token: Token(c.token),
-            topic: topic(c.topic)?,
-            seen: c.number,
+        Body::ProposeVersion(change) => Command::Version(V::ProposeVersion {
+            who: change.who.into(),
+            token: Token(change.token),
+            topic: topic(change.topic)?,
+            replaces: change.number,
             content: Content {
-                format: c.format,
-                bytes: c.content,
+                format: change.format,
+                bytes: change.content,
             },
         }),
-        Body::Accept(a) => Command::Version(V::Ack {
-            topic: topic(a.topic)?,
-            number: a.number,
-            by: a
-                .by
-                .iter()
-                .map(|registration| (registration.who.identity(), Token(registration.token)))
-                .collect(),
+        Body::Ack(ack) => Command::Version(V::Ack {
+            topic: topic(ack.topic)?,
+            number: ack.number,
+            by: ack.gateways(),
         }),
-        Body::Refuse(c) => Command::Version(V::Nack {
-            who: c.who.identity(),
-            token: Token(c.token),
-            topic: topic(c.topic)?,
-            number: c.number,
-            reason: c.reason,
+        Body::Nack(change) => Command::Version(V::Nack {
+            who: change.who.into(),
+            token: Token(change.token),
+            topic: topic(change.topic)?,
+            number: change.number,
+            reason: change.reason,
         }),
-        Body::Report(r) => Command::Version(V::Report {
-            who: r.who.identity(),
-            sequence: r.sequence,
-            spans: r.spans()?,
+        Body::Report(report) => Command::Version(V::Report {
+            who: report.who.into(),
+            sequence: report.sequence,
+            spans: report.spans()?,
         }),
     })
 }
 
+impl WireAck {
+    fn gateways(&self) -> Vec<(NodeIdentity, Token)> {
+        let registrations = self.by.iter();
+        registrations
+            .map(|registration| (registration.who.into(), Token(registration.token)))
+            .collect()
+    }
+}
+
 fn duty(number: u32) -> Result<Duty, DecodeError> {
     let known = usize::try_from(number).is_ok_and(|place| place < lease::DUTIES.len());
     known
--- a/control/src/state_machine/entry/tests.rs
+++ b/control/src/state_machine/entry/tests.rs
@@ -62,7 +62,7 @@
             who: A,
             token: TOKEN,
             topic,
-            seen: 4,
+            replaces: 4,
             content,
         },
         V::Ack {
@@ -115,7 +115,7 @@
 
 #[test]
 fn an_entry_of_another_format_is_refused_whole_and_says_what_to_do() {
-    let body = Some(Body::Lead(Who::of(A)));
+    let body = Some(Body::BeginEpoch(A.into()));
     let older = Entry {
         format: FORMAT - 1,
         body: body.clone(),
--- a/control/src/versions/audit.rs
+++ b/control/src/versions/audit.rs
@@ -10,7 +10,7 @@
 /// Rows kept; the oldest versions' go first. About 80 bytes each, so 320 KiB. Ours.
 const ROWS: usize = 4_096;
 /// Spans that one report may hold. Ours: four topics, and three versions each while it could not be sent.
-pub(super) const SPANS: usize = 16;
+pub(crate) const MAX_SPANS_PER_REPORT: usize = 16;
 
 /// What a gateway did under one version, from one moment to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -72,7 +72,7 @@
 
     /// Counts a report; false where it is not the next one of its incarnation, or too long, and nothing changes.
     pub fn report(&mut self, who: NodeIdentity, sequence: u64, spans: &[Span]) -> bool {
-        if sequence != self.last(who) + 1 || spans.len() > SPANS {
+        if sequence != self.last(who) + 1 || spans.len() > MAX_SPANS_PER_REPORT {
             return false;
         }
         let incarnations = self.reports.entry(who.gateway).or_default();
--- a/control/src/versions/audit/tests.rs
+++ b/control/src/versions/audit/tests.rs
@@ -59,7 +59,7 @@
     assert_eq!(audit.rows().len(), ROWS);
     assert_eq!(audit.rows()[ROWS - 1].span.number, 6_000, "the newest stay");
     assert_eq!(audit.reports[&1].len(), INCARNATIONS_KEPT);
-    let many = vec![span(1, 0, 1, 1); SPANS + 1];
+    let many = vec![span(1, 0, 1, 1); MAX_SPANS_PER_REPORT + 1];
     assert!(!audit.report(
         NodeIdentity {
             gateway: 2,
--- a/control/src/versions/client/mod.rs
+++ b/control/src/versions/client/mod.rs
@@ -15,7 +15,7 @@
 mod topics;
 mod validations;
 
-use super::{Content, Formats, Refusal, ToControl, ToGateway, Topic, TopicState};
+use super::{Content, Formats, Refusal, ToControl, ToGateway, Topic, TopicState, Version};
 use crate::lease::{NodeIdentity, Timing, Token};
 use crate::Micros;
 use heartbeats::{Heartbeats, Redirects};
@@ -41,7 +41,7 @@
         /// The number of the version.
         number: u64,
         /// Whether it is valid; if not, why.
-        verdict: Result<(), String>,
+        result: Result<(), String>,
     },
     /// The operator has a new version here: propose it to the fleet.
     ProposeVersion {
@@ -125,7 +125,7 @@
         /// The number of the version.
         number: u64,
         /// The one before it, which others may act on for a moment still; 0 is none.
-        before: u64,
+        previous: u64,
     },
     /// A proposed version was rejected; the active one stays.
     ProposalRejected {
@@ -216,8 +216,8 @@
             Event::Validated {
                 topic,
                 number,
-                verdict,
-            } => self.validations.record(topic, number, verdict),
+                result,
+            } => self.validations.record(topic, number, result),
             Event::ProposeVersion { topic, content } => self.propose(now, topic, content, out),
             Event::Acted {
                 topic,
@@ -274,14 +274,14 @@
             ToGateway::RegistrationRenewed {
                 who,
                 token,
-                sent,
-                required,
+                sent_at,
+                required_index,
                 registrations,
             } => {
-                if who == self.me && self.serving && required <= self.topics.as_of() {
+                if who == self.me && self.serving && required_index <= self.topics.as_of() {
                     let registration = &mut self.registration;
                     let permission =
-                        registration.renew(now, &self.timing, token, sent, registrations);
+                        registration.renew(now, &self.timing, token, sent_at, registrations);
                     out.extend(permission.map(Action::Act));
                 }
             }
@@ -301,9 +301,9 @@
                     self.lose_registration(now, out);
                 }
             }
-            ToGateway::RequestRejected { who, why } => {
+            ToGateway::RequestRejected { who, reason } => {
                 if who == self.me {
-                    self.handle_rejection(now, why, out);
+                    self.handle_rejection(now, reason, out);
                 }
             }
             ToGateway::ProposalRejected {
@@ -335,19 +335,19 @@
         let TopicState {
             topic,
             active,
-            before,
-            open,
+            previous,
+            proposal,
         } = state;
         if self.topics.set_active(topic, active) {
             out.push(Action::Activate {
                 topic,
                 number: active,
-                before,
+                previous,
             });
         }
         self.proposal
-            .take_if(|proposal| proposal.is_settled_by(topic, active, open.is_some()));
-        let Some((number, content)) = open else {
+            .take_if(|own| own.is_settled_by(topic, active, proposal.is_some()));
+        let Some(Version { number, content }) = proposal else {
             self.validations.close(topic);
             return;
         };
@@ -372,14 +372,14 @@
     }
 
     /// A registration or a proposal was rejected. A repeated or late rejection has no effect.
-    fn handle_rejection(&mut self, now: Micros, why: Refusal, out: &mut Vec<Action>) {
-        let unsupported = matches!(why, Refusal::Format { .. });
+    fn handle_rejection(&mut self, now: Micros, reason: Refusal, out: &mut Vec<Action>) {
+        let unsupported = matches!(reason, Refusal::Format { .. });
         let joining = unsupported && self.registration.token().is_none();
         if joining {
             self.registration.back_off(now, &self.timing);
         }
         if joining || self.proposal.take().is_some() {
-            out.push(Action::Refused(why));
+            out.push(Action::Refused(reason));
         }
     }
 
@@ -415,8 +415,8 @@
             who: self.me,
             formats: self.formats,
             token: self.registration.token(),
-            sent: now,
-            seen: self.topics.as_of(),
+            sent_at: now,
+            known_index: self.topics.as_of(),
         }));
         self.heartbeats.record_sent(now, renew_us);
     }
--- a/control/src/versions/client/proposal.rs
+++ b/control/src/versions/client/proposal.rs
@@ -56,7 +56,7 @@
             who,
             token,
             topic: self.topic,
-            seen: self.replaces,
+            replaces: self.replaces,
             content: self.content.clone(),
         })
     }
--- a/control/src/versions/client/registration.rs
+++ b/control/src/versions/client/registration.rs
@@ -71,11 +71,11 @@
         now: Micros,
         timing: &Timing,
         token: Token,
-        sent: Micros,
+        sent_at: Micros,
         registrations: u32,
     ) -> Option<Permission> {
         let late = token < self.min_valid_token || self.token.is_some_and(|own| token < own);
-        if late || sent > now {
+        if late || sent_at > now {
             return None;
         }
         self.registrations = registrations;
@@ -85,7 +85,7 @@
         }
         let permission = Permission {
             token,
-            until: sent.saturating_add(timing.lease_us),
+            until: sent_at.saturating_add(timing.lease_us),
         };
         let extends = self
             .permission
--- a/control/src/versions/client/reports.rs
+++ b/control/src/versions/client/reports.rs
@@ -2,8 +2,7 @@
 
 use super::is_send_due;
 use crate::lease::NodeIdentity;
-use crate::versions::audit::SPANS;
-use crate::versions::{Span, ToControl, Topic};
+use crate::versions::{Span, ToControl, Topic, MAX_SPANS_PER_REPORT};
 use crate::Micros;
 
 /// Renewal intervals between two reports of one gateway, which keeps the audit's share of the log small.
@@ -85,7 +84,7 @@
         if self.pending.is_some() || self.unreported.is_empty() || !due {
             return;
         }
-        let spans = self.unreported.len().min(SPANS);
+        let spans = self.unreported.len().min(MAX_SPANS_PER_REPORT);
         self.sequence += 1;
         self.pending = Some(PendingReport {
             spans: self.unreported.drain(..spans).collect(),
--- a/control/src/versions/client/tests.rs
+++ b/control/src/versions/client/tests.rs
@@ -66,8 +66,8 @@
         self.hear(ToGateway::RegistrationRenewed {
             who: ME,
             token,
-            sent,
-            required,
+            sent_at: sent,
+            required_index: required,
             registrations: 3,
         })
     }
@@ -79,20 +79,18 @@
         active: u64,
         open: Option<(u64, u32)>,
     ) -> Vec<Action> {
-        let open = open.map(|(number, format)| {
-            (
-                number,
-                Content {
-                    format,
-                    bytes: Vec::new(),
-                },
-            )
+        let proposal = open.map(|(number, format)| Version {
+            number,
+            content: Content {
+                format,
+                bytes: Vec::new(),
+            },
         });
         let topics = vec![TopicState {
             topic: TOPIC,
             active,
-            before: 0,
-            open,
+            previous: 0,
+            proposal,
         }];
         self.hear(ToGateway::TopicStates {
             as_of: Index(as_of),
@@ -183,12 +181,12 @@
         token: TOKEN,
         topic: TOPIC,
         number: 2,
-        verdict: Ok(()),
+        result: Ok(()),
     });
     let judged = Event::Validated {
         topic: TOPIC,
         number: 2,
-        verdict: Ok(()),
+        result: Ok(()),
     };
     assert_eq!(gateway.feed(judged), std::slice::from_ref(&verdict));
     assert!(gateway.tick(RENEW).contains(&verdict));
@@ -209,7 +207,7 @@
             action,
             Action::Send(ToControl::ValidationResult {
                 number: 5,
-                verdict: Err(_),
+                result: Err(_),
                 ..
             })
         )
@@ -355,7 +353,7 @@
         let offer = |action: &&Action| {
             matches!(
                 action,
-                Action::Send(ToControl::ProposeVersion { seen: 1, .. })
+                Action::Send(ToControl::ProposeVersion { replaces: 1, .. })
             )
         };
         actions.iter().filter(offer).count()
@@ -376,7 +374,7 @@
     gateway.feed(offer);
     let busy = ToGateway::RequestRejected {
         who: ME,
-        why: Refusal::Busy(7),
+        reason: Refusal::Busy(7),
     };
     assert_eq!(
         gateway.hear(busy.clone()),
--- a/control/src/versions/client/validations.rs
+++ b/control/src/versions/client/validations.rs
@@ -78,7 +78,7 @@
         token: Token,
     ) -> Vec<ToControl> {
         let due = self.by_topic.iter_mut().filter_map(|(topic, validation)| {
-            let verdict = validation.result.clone()?;
+            let result = validation.result.clone()?;
             if !is_send_due(validation.last_sent_at, now, renew_us) {
                 return None;
             }
@@ -88,7 +88,7 @@
                 token,
                 topic: *topic,
                 number: validation.number,
-                verdict,
+                result,
             })
         });
         due.collect()
--- a/control/src/versions/coordinator/applied.rs
+++ b/control/src/versions/coordinator/applied.rs
@@ -73,11 +73,11 @@
         let topics = changed.map(|(topic, status)| TopicState {
             topic,
             active: status.number(),
-            before: status.previous,
-            open: status
+            previous: status.previous,
+            proposal: status
                 .proposal
                 .as_ref()
-                .map(|proposal| (proposal.version.number, proposal.version.content.clone())),
+                .map(|proposal| proposal.version.clone()),
         });
         ToGateway::TopicStates {
             as_of: self.table.changed(),
@@ -132,9 +132,9 @@
             let counted = ToGateway::ReportCounted { who, sequence };
             Some(Action::Send(who, counted))
         }
-        Outcome::Refused(why) => match command {
+        Outcome::Refused(reason) => match command {
             Command::ProposeVersion { who, .. } => {
-                let rejected = ToGateway::RequestRejected { who: *who, why };
+                let rejected = ToGateway::RequestRejected { who: *who, reason };
                 Some(Action::Send(*who, rejected))
             }
             _ => None,
--- a/control/src/versions/coordinator/links.rs
+++ b/control/src/versions/coordinator/links.rs
@@ -45,12 +45,12 @@
         }
     }
 
-    /// Records a heartbeat of a gateway that knows the states up to `known`. Returns whether it is to be sent those up to
+    /// Records a heartbeat of a gateway that knows the states up to `known_index`. Returns whether it is to be sent those up to
     /// `as_of`, which then count as sent: true where it lacks some that are not in flight.
     pub(super) fn must_resend(
         &mut self,
         gateway: u32,
-        known: Index,
+        known_index: Index,
         as_of: Index,
         now: Micros,
         timing: &Timing,
@@ -59,7 +59,7 @@
         link.last_contact_at = now;
         let sent = link.sent_states.filter(|sent| sent.as_of == as_of);
         let in_flight = sent.is_some_and(|sent| now < sent.at.saturating_add(timing.renew_us / 2));
-        let resend = known < as_of && !in_flight;
+        let resend = known_index < as_of && !in_flight;
         if resend {
             link.sent_states = Some(SentStates { as_of, at: now });
         }
--- a/control/src/versions/coordinator/read_index.rs
+++ b/control/src/versions/coordinator/read_index.rs
@@ -19,7 +19,7 @@
     /// The registration that it named.
     pub(super) token: Option<Token>,
     /// When it was sent, on the gateway's clock.
-    pub(super) sent: Micros,
+    pub(super) sent_at: Micros,
     /// When it arrived, on this member's clock.
     pub(super) received_at: Micros,
     /// The first round requested after it arrived.
--- a/control/src/versions/coordinator/requests.rs
+++ b/control/src/versions/coordinator/requests.rs
@@ -18,11 +18,11 @@
                 who,
                 formats,
                 token,
-                sent,
-                seen,
+                sent_at,
+                known_index,
             } => {
-                self.resend_states(now, who, seen, out);
-                self.record_heartbeat(now, who, token, sent);
+                self.resend_states(now, who, known_index, out);
+                self.record_heartbeat(now, who, token, sent_at);
                 if token.is_none() {
                     self.propose_join(now, who, formats, out);
                 }
@@ -32,12 +32,12 @@
                 token,
                 topic,
                 number,
-                verdict,
+                result,
             } => {
                 if !self.awaits_validation(who, token, topic, number) {
                     return;
                 }
-                match verdict {
+                match result {
                     Ok(()) => self.collect_ack(now, who, token, topic, number),
                     Err(reason) => out.push(Action::Propose(Command::Nack {
                         who,
@@ -52,19 +52,19 @@
                 who,
                 token,
                 topic,
-                seen,
+                replaces,
                 content,
             } => {
-                let proposable = self.table.offerable(who, token, topic, seen, &content);
+                let proposable = self.table.offerable(who, token, topic, replaces, &content);
                 out.push(match proposable {
                     Ok(()) => Action::Propose(Command::ProposeVersion {
                         who,
                         token,
                         topic,
-                        seen,
+                        replaces,
                         content,
                     }),
-                    Err(why) => Action::Send(who, ToGateway::RequestRejected { who, why }),
+                    Err(reason) => Action::Send(who, ToGateway::RequestRejected { who, reason }),
                 });
             }
             ToControl::Report {
@@ -91,7 +91,7 @@
         &mut self,
         now: Micros,
         who: NodeIdentity,
-        known: Index,
+        known_index: Index,
         out: &mut Vec<Action>,
     ) {
         let as_of = self.table.changed();
@@ -99,8 +99,8 @@
             return;
         };
         let links = &mut leadership.links;
-        if links.must_resend(who.gateway, known, as_of, now, &self.timing) {
-            out.push(Action::Send(who, self.topic_states(known)));
+        if links.must_resend(who.gateway, known_index, as_of, now, &self.timing) {
+            out.push(Action::Send(who, self.topic_states(known_index)));
         }
     }
 
@@ -110,7 +110,7 @@
         now: Micros,
         who: NodeIdentity,
         token: Option<Token>,
-        sent: Micros,
+        sent_at: Micros,
     ) {
         let wait_us = self.timing.wait_us();
         let Some(leadership) = &mut self.leadership else {
@@ -129,7 +129,7 @@
         leadership.rounds.add(PendingHeartbeat {
             who,
             token,
-            sent,
+            sent_at,
             received_at: now,
             round: self.last_round + 1,
             renewable,
@@ -148,8 +148,11 @@
             return;
         };
         match self.table.joinable(who, formats) {
-            Err(why @ Refusal::Format { .. }) => {
-                out.push(Action::Send(who, ToGateway::RequestRejected { who, why }));
+            Err(reason @ Refusal::Format { .. }) => {
+                out.push(Action::Send(
+                    who,
+                    ToGateway::RequestRejected { who, reason },
+                ));
             }
             // The gateway retries by itself.
             Err(_) => {}
@@ -218,9 +221,12 @@
 
     fn answer(&self, heartbeat: &PendingHeartbeat, registrations: u32) -> ToGateway {
         let PendingHeartbeat {
-            who, token, sent, ..
+            who,
+            token,
+            sent_at,
+            ..
         } = *heartbeat;
-        let required = self.table.changed();
+        let required_index = self.table.changed();
         let expiring = self
             .leadership
             .as_ref()
@@ -235,15 +241,15 @@
                 ToGateway::RegistrationRenewed {
                     who,
                     token,
-                    sent,
-                    required,
+                    sent_at,
+                    required_index,
                     registrations,
                 }
             }
             // Says no more than that this member leads.
             _ => ToGateway::TopicStates {
-                as_of: required,
-                since: required,
+                as_of: required_index,
+                since: required_index,
                 topics: Vec::new(),
             },
         }
--- a/control/src/versions/coordinator/tests.rs
+++ b/control/src/versions/coordinator/tests.rs
@@ -145,8 +145,8 @@
             who,
             formats,
             token,
-            sent,
-            seen,
+            sent_at: sent,
+            known_index: seen,
         }));
     }
 
@@ -176,7 +176,7 @@
             who,
             token,
             topic: TOPIC,
-            seen: 0,
+            replaces: 0,
             content,
         });
         self.coordinator.table().applied().0
@@ -189,7 +189,7 @@
             token,
             topic: TOPIC,
             number: version,
-            verdict: Ok(()),
+            result: Ok(()),
         };
         self.feed(Event::Received(verdict));
     }
@@ -436,8 +436,8 @@
         who,
         formats,
         token,
-        sent: member.now,
-        seen: Index(0),
+        sent_at: member.now,
+        known_index: Index(0),
     };
     let states = |member: &mut Member| {
         let sent = member.sent();
--- a/control/src/versions/message.rs
+++ b/control/src/versions/message.rs
@@ -1,6 +1,6 @@
 //! What gateways and the control member that leads say to each other; `wire` says how it is written.
 
-use super::{Content, Formats, Refusal, Span, Topic};
+use super::{Content, Formats, Refusal, Span, Topic, Version};
 use crate::lease::{Index, NodeIdentity, Token};
 use crate::Micros;
 
@@ -16,9 +16,9 @@
         /// Its registration, once it has one.
         token: Option<Token>,
         /// When it asked, microseconds on its own clock; it counts its right from then.
-        sent: Micros,
+        sent_at: Micros,
         /// The entry up to which it knows how the topics stand.
-        seen: Index,
+        known_index: Index,
     },
     /// I accept this version, or refuse it for a reason.
     ValidationResult {
@@ -30,8 +30,8 @@
         topic: Topic,
         /// The version.
         number: u64,
-        /// The reason of a refusal is up to [`super::LONGEST_REASON`] bytes.
-        verdict: Result<(), String>,
+        /// The reason of a refusal is up to [`super::MAX_REASON_BYTES`] bytes.
+        result: Result<(), String>,
     },
     /// Put this version in force once all accept it.
     ProposeVersion {
@@ -42,7 +42,7 @@
         /// Of what.
         topic: Topic,
         /// The version in force that it is to follow; 0 is none.
-        seen: u64,
+        replaces: u64,
         /// What it says.
         content: Content,
     },
@@ -72,9 +72,9 @@
     /// The version in force; 0 is none.
     pub active: u64,
     /// The one before it; 0 is none.
-    pub before: u64,
+    pub previous: u64,
     /// The version that is offered, and what it says.
-    pub open: Option<(u64, Content)>,
+    pub proposal: Option<Version>,
 }
 
 /// What a control member says to a gateway.
@@ -87,9 +87,9 @@
         /// Its registration.
         token: Token,
         /// When it asked, as its heartbeat said.
-        sent: Micros,
+        sent_at: Micros,
         /// The entry that last changed a topic: the right holds only for who has seen it.
-        required: Index,
+        required_index: Index,
         /// How many gateways have a registration.
         registrations: u32,
     },
@@ -114,7 +114,7 @@
         /// Who asked.
         who: NodeIdentity,
         /// Why.
-        why: Refusal,
+        reason: Refusal,
     },
     /// A version was refused; the former stays.
     ProposalRejected {
--- a/control/src/versions/mod.rs
+++ b/control/src/versions/mod.rs
@@ -29,24 +29,24 @@
 mod table;
 mod wire;
 
+pub(crate) use audit::MAX_SPANS_PER_REPORT;
 pub use audit::{Audit, Row, Span};
 pub use client::{Client, Permission, StopReason};
 pub use coordinator::Coordinator;
 pub use message::{ToControl, ToGateway, TopicState};
 pub use table::{Outcome, Proposal, Refusal, Registration, Table, TopicStatus, Version};
-pub(crate) use wire::{topic, Report, Who};
 
 use crate::lease::{Index, NodeIdentity, Token};
 use serde::{Deserialize, Serialize};
 
 /// The longest content of a version, bytes: control members keep what is agreed in memory, twice per topic.
-pub const LONGEST_CONTENT: usize = 64 * 1024;
+pub const MAX_CONTENT_BYTES: usize = 64 * 1024;
 /// The longest reason for a refusal that is kept, bytes.
-pub const LONGEST_REASON: usize = 200;
+pub const MAX_REASON_BYTES: usize = 200;
 
 /// The reason of a refusal, cut at a whole character where it is too long.
-fn reason_up_to_longest(reason: &str) -> String {
-    let mut end = reason.len().min(LONGEST_REASON);
+fn truncate_reason(reason: &str) -> String {
+    let mut end = reason.len().min(MAX_REASON_BYTES);
     while !reason.is_char_boundary(end) {
         end -= 1;
     }
@@ -110,7 +110,7 @@
 pub struct Content {
     /// What a build must understand to judge it.
     pub format: u32,
-    /// Up to [`LONGEST_CONTENT`] bytes.
+    /// Up to [`MAX_CONTENT_BYTES`] bytes.
     pub bytes: Vec<u8>,
 }
 
@@ -154,7 +154,7 @@
         /// Of what.
         topic: Topic,
         /// The version in force that it is to follow; 0 is none.
-        seen: u64,
+        replaces: u64,
         /// What it says.
         content: Content,
     },
@@ -177,7 +177,7 @@
         topic: Topic,
         /// The version.
         number: u64,
-        /// Why, up to [`LONGEST_REASON`] bytes.
+        /// Why, up to [`MAX_REASON_BYTES`] bytes.
         reason: String,
     },
     /// What a gateway did under which version; reports of an incarnation count from 1, and each counts once.
--- a/control/src/versions/table.rs
+++ b/control/src/versions/table.rs
@@ -1,8 +1,8 @@
 //! What the log says of versions and registrations: applied entry by entry, alike at every control member.
 
 use super::{
-    reason_up_to_longest, Audit, Command, Content, Formats, Index, NodeIdentity, Token, Topic,
-    LONGEST_CONTENT,
+    truncate_reason, Audit, Command, Content, Formats, Index, NodeIdentity, Token, Topic,
+    MAX_CONTENT_BYTES,
 };
 use crate::lease::Gap;
 use serde::{Deserialize, Serialize};
@@ -101,7 +101,7 @@
         /// The version.
         number: u64,
         /// The one before it; 0 is none.
-        before: u64,
+        previous: u64,
     },
     /// A version was refused; the former stays.
     ProposalRejected {
@@ -150,7 +150,7 @@
     #[error("version {0} is in force; look at it and offer again")]
     Behind(u64),
     /// The content is longer than is kept.
-    #[error("its content is longer than {LONGEST_CONTENT} bytes")]
+    #[error("its content is longer than {MAX_CONTENT_BYTES} bytes")]
     TooLong,
     /// A verdict on a version that is not open, or a report that is not the next.
     #[error("it was settled already")]
@@ -260,7 +260,7 @@
         who: NodeIdentity,
         token: Token,
         topic: Topic,
-        seen: u64,
+        replaces: u64,
         content: &Content,
     ) -> Result<(), Refusal> {
         self.registered(who, token)?;
@@ -269,10 +269,10 @@
             return Err(Refusal::Busy(open.version.number));
         }
         let number = status.map_or(0, TopicStatus::number);
-        if number != seen {
+        if number != replaces {
             return Err(Refusal::Behind(number));
         }
-        if content.bytes.len() > LONGEST_CONTENT {
+        if content.bytes.len() > MAX_CONTENT_BYTES {
             return Err(Refusal::TooLong);
         }
         Ok(())
@@ -334,10 +334,10 @@
                 who,
                 token,
                 topic,
-                seen,
+                replaces,
                 content,
             } => {
-                self.offerable(*who, *token, *topic, *seen, content)?;
+                self.offerable(*who, *token, *topic, *replaces, content)?;
                 Ok(self.offer(index, *who, *topic, content))
             }
             Command::Ack { topic, number, by } => self.accept(*topic, *number, by),
@@ -465,7 +465,7 @@
         let status = self.status(topic, number)?;
         status.proposal = None;
         status.changed = index;
-        let reason = reason_up_to_longest(reason);
+        let reason = truncate_reason(reason);
         Ok(Outcome::ProposalRejected {
             topic,
             number,
@@ -487,14 +487,14 @@
                     .all(|gateway| open.accepted.contains(gateway))
             };
             if let Some(open) = status.proposal.take_if(all) {
-                let (number, before) = (open.version.number, status.number());
-                status.previous = before;
+                let (number, previous) = (open.version.number, status.number());
+                status.previous = previous;
                 status.active = Some(open.version);
                 status.changed = index;
                 out.push(Outcome::Activated {
                     topic: *topic,
                     number,
-                    before,
+                    previous,
                 });
             }
         }
--- a/control/src/versions/table/tests.rs
+++ b/control/src/versions/table/tests.rs
@@ -56,7 +56,7 @@
             who: who(gateway),
             token,
             topic: TOPIC,
-            seen,
+            replaces: seen,
             content,
         });
         self.table.applied().0
@@ -131,7 +131,7 @@
         Outcome::Activated {
             topic: TOPIC,
             number,
-            before: 0
+            previous: 0
         }
     );
     assert_eq!(log.table.changed(), log.table.applied());
@@ -147,7 +147,7 @@
         Outcome::Activated {
             topic: TOPIC,
             number: next,
-            before: number
+            previous: number
         }
     );
 }
@@ -204,7 +204,7 @@
         Outcome::Activated {
             topic: TOPIC,
             number,
-            before: 0
+            previous: 0
         }
     );
     assert!(matches!(log.apply(third)[..], [Outcome::Registered(_)]));
--- a/control/src/versions/wire/tests.rs
+++ b/control/src/versions/wire/tests.rs
@@ -1,6 +1,10 @@
 use super::*;
 use crate::fuzz;
-use crate::versions::LONGEST_REASON;
+use crate::lease::Index;
+use crate::versions::{
+    truncate_reason, Content, Formats, Refusal, Span, ToControl, ToGateway, TopicState, Version,
+    MAX_REASON_BYTES, MAX_SPANS_PER_REPORT,
+};
 
 const A: NodeIdentity = NodeIdentity {
     gateway: 3,
@@ -24,27 +28,27 @@
         oldest: 1,
         newest: 2,
     };
-    let judge = |verdict| ToControl::ValidationResult {
+    let judge = |result| ToControl::ValidationResult {
         who: A,
         token: TOKEN,
         topic: Topic::Operator,
         number: 4,
-        verdict,
+        result,
     };
     vec![
         ToControl::Heartbeat {
             who: A,
             formats,
             token: None,
-            sent: 1,
-            seen: Index(0),
+            sent_at: 1,
+            known_index: Index(0),
         },
         ToControl::Heartbeat {
             who: A,
             formats,
             token: Some(TOKEN),
-            sent: u64::MAX,
-            seen: Index(3),
+            sent_at: u64::MAX,
+            known_index: Index(3),
         },
         judge(Ok(())),
         judge(Err("spoilt".into())),
@@ -52,7 +56,7 @@
             who: A,
             token: TOKEN,
             topic: Topic::Program,
-            seen: 4,
+            replaces: 4,
             content,
         },
         ToControl::Report {
@@ -86,22 +90,22 @@
         TopicState {
             topic: Topic::Catalog,
             active: 4,
-            before: 2,
-            open: Some((9, content)),
+            previous: 2,
+            proposal: Some(Version { number: 9, content }),
         },
         TopicState {
             topic: Topic::Operator,
             active: 0,
-            before: 0,
-            open: None,
+            previous: 0,
+            proposal: None,
         },
     ];
     let mut all = vec![
         ToGateway::RegistrationRenewed {
             who: A,
             token: TOKEN,
-            sent: 5,
-            required: Index(9),
+            sent_at: 5,
+            required_index: Index(9),
             registrations: 410,
         },
         ToGateway::TopicStates {
@@ -131,7 +135,7 @@
         ToGateway::NotLeader { leader: None },
         ToGateway::NotLeader { leader: Some(2) },
     ];
-    all.extend(refusals.map(|why| ToGateway::RequestRejected { who: A, why }));
+    all.extend(refusals.map(|reason| ToGateway::RequestRejected { who: A, reason }));
     all
 }
 
@@ -171,13 +175,13 @@
 fn what_is_longer_than_any_build_writes_is_refused_and_a_long_reason_is_cut() {
     let content = Content {
         format: 1,
-        bytes: vec![0; LONGEST_CONTENT + 1],
+        bytes: vec![0; MAX_CONTENT_BYTES + 1],
     };
     let offer = ToControl::ProposeVersion {
         who: A,
         token: TOKEN,
         topic: Topic::Catalog,
-        seen: 0,
+        replaces: 0,
         content,
     };
     assert_eq!(
@@ -194,7 +198,7 @@
     let report = ToControl::Report {
         who: A,
         sequence: 1,
-        spans: vec![span; SPANS + 1],
+        spans: vec![span; MAX_SPANS_PER_REPORT + 1],
     };
     assert_eq!(
         ToControl::decode(&report.encode()),
@@ -203,8 +207,8 @@
     let state = TopicState {
         topic: Topic::Catalog,
         active: 1,
-        before: 0,
-        open: None,
+        previous: 0,
+        proposal: None,
     };
     let topics = vec![state; Topic::ALL.len() + 1];
     let state = ToGateway::TopicStates {
@@ -217,29 +221,32 @@
         Err(DecodeError::TooLong("list of topics"))
     );
     assert_eq!(
-        ToGateway::decode(&vec![0; LONGEST + 1]),
+        ToGateway::decode(&vec![0; MAX_MESSAGE_BYTES + 1]),
         Err(DecodeError::TooLong("length"))
     );
     // Cut at a whole character.
-    let reason = format!("a{}", "ü".repeat(LONGEST_REASON));
+    let reason = format!("a{}", "ü".repeat(MAX_REASON_BYTES));
     assert_eq!(
-        reason_up_to_longest(&reason),
-        format!("a{}", "ü".repeat(LONGEST_REASON / 2 - 1))
+        truncate_reason(&reason),
+        format!("a{}", "ü".repeat(MAX_REASON_BYTES / 2 - 1))
     );
-    assert_eq!(reason_up_to_longest("short"), "short");
+    assert_eq!(truncate_reason("short"), "short");
 }
 
 #[test]
 fn the_open_versions_of_all_topics_fit_into_one_message() {
     let content = Content {
         format: u32::MAX,
-        bytes: vec![255; LONGEST_CONTENT],
+        bytes: vec![255; MAX_CONTENT_BYTES],
     };
     let state = |topic| TopicState {
         topic,
         active: u64::MAX,
-        before: u64::MAX,
-        open: Some((u64::MAX, content.clone())),
+        previous: u64::MAX,
+        proposal: Some(Version {
+            number: u64::MAX,
+            content: content.clone(),
+        }),
     };
     let topics = Topic::ALL.map(state).to_vec();
     let state = ToGateway::TopicStates {
--- /dev/null
+++ b/control/src/versions/wire/to_gateway.rs
@@ -0,0 +1,318 @@
+//! [`ToGateway`] on the wire.
+
+use super::{read, WireRegistration};
+use crate::codec::{content, topic, DecodeError, WireIdentity};
+use crate::lease::{Index, NodeIdentity, Token};
+use crate::versions::{truncate_reason, Refusal, ToGateway, Topic, TopicState, Version};
+use prost::Message;
+
+#[derive(Clone, PartialEq, Message)]
+struct Envelope {
+    #[prost(oneof = "Kind", tags = "1, 2, 3, 4, 5, 6, 7")]
+    kind: Option<Kind>,
+}
+
+#[derive(Clone, PartialEq, prost::Oneof)]
+enum Kind {
+    #[prost(message, tag = "1")]
+    RegistrationRenewed(RegistrationRenewed),
+    #[prost(message, tag = "2")]
+    TopicStates(TopicStates),
+    #[prost(message, tag = "3")]
+    RegistrationExpired(WireRegistration),
+    #[prost(message, tag = "4")]
+    RequestRejected(RequestRejected),
+    #[prost(message, tag = "5")]
+    ProposalRejected(ProposalRejected),
+    #[prost(message, tag = "6")]
+    ReportCounted(ReportCounted),
+    #[prost(message, tag = "7")]
+    NotLeader(NotLeader),
+}
+
+#[derive(Clone, PartialEq, Message)]
+struct RegistrationRenewed {
+    #[prost(message, required, tag = "1")]
+    who: WireIdentity,
+    #[prost(uint64, tag = "2")]
+    token: u64,
+    #[prost(uint64, tag = "3")]
+    sent_at: u64,
+    #[prost(uint64, tag = "4")]
+    required_index: u64,
+    #[prost(uint32, tag = "5")]
+    registrations: u32,
+}
+
+#[derive(Clone, PartialEq, Message)]
+struct TopicStates {
+    #[prost(uint64, tag = "1")]
+    as_of: u64,
+    #[prost(uint64, tag = "2")]
+    since: u64,
+    #[prost(message, repeated, tag = "3")]
+    topics: Vec<WireTopicState>,
+}
+
+#[derive(Clone, PartialEq, Message)]
+struct WireTopicState {
+    #[prost(uint32, tag = "1")]
+    topic: u32,
+    #[prost(uint64, tag = "2")]
+    active: u64,
+    #[prost(uint64, tag = "3")]
+    previous: u64,
+    #[prost(message, optional, tag = "4")]
+    proposal: Option<WireVersion>,
+}
+
+#[derive(Clone, PartialEq, Message)]
+struct WireVersion {
+    #[prost(uint64, tag = "1")]
+    number: u64,
+    #[prost(uint32, tag = "2")]
+    format: u32,
+    #[prost(bytes = "vec", tag = "3")]
+    content: Vec<u8>,
+}
+
+#[derive(Clone, PartialEq, Message)]
+struct RequestRejected {
+    #[prost(message, required, tag = "1")]
+    who: WireIdentity,
+    /// See [`RequestRejected::new`].
+    #[prost(uint32, tag = "2")]
+    code: u32,
+    /// The version, or the format, that the reason names.
+    #[prost(uint64, tag = "3")]
+    number: u64,
+}
+
+#[derive(Clone, PartialEq, Message)]
+struct ProposalRejected {
+    #[prost(uint32, tag = "1")]
+    topic: u32,
+    #[prost(uint64, tag = "2")]
+    number: u64,
+    #[prost(message, required, tag = "3")]
+    by: WireIdentity,
+    #[prost(string, tag = "4")]
+    reason: String,
+}
+
+#[derive(Clone, PartialEq, Message)]
+struct ReportCounted {
+    #[prost(message, required, tag = "1")]
+    who: WireIdentity,
+    #[prost(uint64, tag = "2")]
+    sequence: u64,
+}
+
+#[derive(Clone, PartialEq, Message)]
+struct NotLeader {
+    #[prost(uint32, optional, tag = "1")]
+    leader: Option<u32>,
+}
+
+impl ToGateway {
+    /// The bytes of the message.
+    pub fn encode(&self) -> Vec<u8> {
+        let kind = Some(Kind::from(self));
+        Envelope { kind }.encode_to_vec()
+    }
+
+    /// Reads a message.
+    ///
+    /// # Errors
+    ///
+    /// [`DecodeError`], where the bytes are not understood completely.
+    pub fn decode(bytes: &[u8]) -> Result<ToGateway, DecodeError> {
+        let envelope: Envelope = read(bytes)?;
+        let kind = envelope.kind.ok_or(DecodeError::Unknown("kind"))?;
+        kind.try_into()
+    }
+}
+
+impl From<&ToGateway> for Kind {
+    fn from(message: &ToGateway) -> Kind {
+        match message {
+            ToGateway::RegistrationRenewed {
+                who,
+                token,
+                sent_at,
+                required_index,
+                registrations,
+            } => Kind::RegistrationRenewed(RegistrationRenewed {
+                who: (*who).into(),
+                token: token.0,
+                sent_at: *sent_at,
+                required_index: required_index.0,
+                registrations: *registrations,
+            }),
+            ToGateway::TopicStates {
+                as_of,
+                since,
+                topics,
+            } => Kind::TopicStates(TopicStates {
+                as_of: as_of.0,
+                since: since.0,
+                topics: topics.iter().map(WireTopicState::from).collect(),
+            }),
+            ToGateway::RegistrationExpired { who, token } => {
+                Kind::RegistrationExpired(WireRegistration::new(*who, *token))
+            }
+            ToGateway::RequestRejected { who, reason } => {
+                Kind::RequestRejected(RequestRejected::new(*who, *reason))
+            }
+            ToGateway::ProposalRejected {
+                topic,
+                number,
+                by,
+                reason,
+            } => Kind::ProposalRejected(ProposalRejected {
+                topic: topic.number(),
+                number: *number,
+                by: (*by).into(),
+                reason: reason.clone(),
+            }),
+            ToGateway::ReportCounted { who, sequence } => Kind::ReportCounted(ReportCounted {
+                who: (*who).into(),
+                sequence: *sequence,
+            }),
+            ToGateway::NotLeader { leader } => Kind::NotLeader(NotLeader { leader: *leader }),
+        }
+    }
+}
+
+impl TryFrom<Kind> for ToGateway {
+    type Error = DecodeError;
+
+    fn try_from(kind: Kind) -> Result<ToGateway, DecodeError> {
+        Ok(match kind {
+            Kind::RegistrationRenewed(renewed) => ToGateway::RegistrationRenewed {
+                who: renewed.who.into(),
+                token: Token(renewed.token),
+                sent_at: renewed.sent_at,
+                required_index: Index(renewed.required_index),
+                registrations: renewed.registrations,
+            },
+            Kind::TopicStates(states) => ToGateway::TopicStates {
+                as_of: Index(states.as_of),
+                since: Index(states.since),
+                topics: topic_states(states.topics)?,
+            },
+            Kind::RegistrationExpired(registration) => ToGateway::RegistrationExpired {
+                who: registration.who.into(),
+                token: Token(registration.token),
+            },
+            Kind::RequestRejected(rejected) => ToGateway::RequestRejected {
+                who: rejected.who.into(),
+                reason: rejected.reason()?,
+            },
+            Kind::ProposalRejected(rejected) => ToGateway::ProposalRejected {
+                topic: topic(rejected.topic)?,
+                number: rejected.number,
+                by: rejected.by.into(),
+                reason: truncate_reason(&rejected.reason),
+            },
+            Kind::ReportCounted(counted) => ToGateway::ReportCounted {
+                who: counted.who.into(),
+                sequence: counted.sequence,
+            },
+            Kind::NotLeader(elsewhere) => ToGateway::NotLeader {
+                leader: elsewhere.leader,
+            },
+        })
+    }
+}
+
+fn topic_states(topics: Vec<WireTopicState>) -> Result<Vec<TopicState>, DecodeError> {
+    if topics.len() > Topic::ALL.len() {
+        return Err(DecodeError::TooLong("list of topics"));
+    }
+    topics.into_iter().map(TopicState::try_from).collect()
+}
+
+impl From<&TopicState> for WireTopicState {
+    fn from(state: &TopicState) -> WireTopicState {
+        WireTopicState {
+            topic: state.topic.number(),
+            active: state.active,
+            previous: state.previous,
+            proposal: state.proposal.as_ref().map(WireVersion::from),
+        }
+    }
+}
+
+impl TryFrom<WireTopicState> for TopicState {
+    type Error = DecodeError;
+
+    fn try_from(state: WireTopicState) -> Result<TopicState, DecodeError> {
+        Ok(TopicState {
+            topic: topic(state.topic)?,
+            active: state.active,
+            previous: state.previous,
+            proposal: state.proposal.map(Version::try_from).transpose()?,
+        })
+    }
+}
+
+impl From<&Version> for WireVersion {
+    fn from(version: &Version) -> WireVersion {
+        WireVersion {
+            number: version.number,
+            format: version.content.format,
+            content: version.content.bytes.clone(),
+        }
+    }
+}
+
+impl TryFrom<WireVersion> for Version {
+    type Error = DecodeError;
+
+    fn try_from(version: WireVersion) -> Result<Version, DecodeError> {
+        Ok(Version {
+            number: version.number,
+            content: content(version.format, version.content)?,
+        })
+    }
+}
+
+impl RequestRejected {
+    fn new(who: NodeIdentity, reason: Refusal) -> RequestRejected {
+        let (code, number) = match reason {
+            Refusal::Stale => (1, 0),
+            Refusal::Occupied => (2, 0),
+            Refusal::Format { needed } => (3, needed.into()),
+            Refusal::Epoch => (4, 0),
+            Refusal::Busy(number) => (5, number),
+            Refusal::Behind(number) => (6, number),
+            Refusal::TooLong => (7, 0),
+            Refusal::Settled => (8, 0),
+        };
+        RequestRejected {
+            who: who.into(),
+            code,
+            number,
+        }
+    }
+
+    fn reason(&self) -> Result<Refusal, DecodeError> {
+        Ok(match self.code {
+            1 => Refusal::Stale,
+            2 => Refusal::Occupied,
+            3 => Refusal::Format {
+                needed: self
+                    .number
+                    .try_into()
+                    .map_err(|_| DecodeError::Unknown("format"))?,
+            },
+            4 => Refusal::Epoch,
+            5 => Refusal::Busy(self.number),
+            6 => Refusal::Behind(self.number),
+            7 => Refusal::TooLong,
+            8 => Refusal::Settled,
+            _ => return Err(DecodeError::Unknown("refusal")),
+        })
+    }
+}
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -363,7 +363,7 @@
             }
             client::Action::Activate {
                 number: version,
-                before,
+                previous: before,
                 ..
             } => {
                 assert_eq!(
@@ -431,7 +431,7 @@
                 client::Event::Validated {
                     topic: TOPIC,
                     number: version,
-                    verdict,
+                    result: verdict,
                 },
             );
         }
@@ -683,7 +683,11 @@
                 Outcome::VersionProposed { number, .. } => {
                     self.offered.insert(number, self.real);
                 }
-                Outcome::Activated { number, before, .. } => {
+                Outcome::Activated {
+                    number,
+                    previous: before,
+                    ..
+                } => {
                     self.before.insert(number, before);
                     self.seen.active += 1;
                 }
--- a/tests/versions_model.rs
+++ b/tests/versions_model.rs
@@ -173,7 +173,7 @@
                     let judged = client::Event::Validated {
                         topic: TOPIC,
                         number,
-                        verdict: Ok(()),
+                        result: Ok(()),
                     };
                     client.handle(self.now, judged, &mut out);
                 }
@@ -262,7 +262,12 @@
             .apply(index, &command, &mut outcomes)
             .expect("the next entry");
         for outcome in outcomes {
-            if let Outcome::Activated { number, before, .. } = outcome {
+            if let Outcome::Activated {
+                number,
+                previous: before,
+                ..
+            } = outcome
+            {
                 self.before.insert(number, before);
             }
         }
