--- /dev/null
+++ b/src/policy/endpoints.rs
@@ -0,0 +1,141 @@
+//! Endpoint updates: which members are in use.
+//!
+//! Adds members, restarts their slow start when their process is new, and stops using those that drain or are removed.
+//! A member is forgotten only once it is removed and owes no answer. Endpoint updates never dispatch a request.
+
+use super::estimates::LatencyEstimate;
+use super::member::Member;
+use super::member_health::HEALTH_CHECK_INTERVAL;
+use super::slow_start::TokenBucket;
+use super::timers::Timer;
+use super::Router;
+use crate::interface::{
+    Action, DiscoveryMode, Endpoint, EndpointState, MemberId, Micros, Role, UpdateKind, WatchLoss,
+};
+use std::collections::BTreeSet;
+
+impl Router {
+    /// Takes in an endpoint update.
+    pub(super) fn on_endpoints_updated(&mut self, kind: UpdateKind, endpoints: &[Endpoint]) {
+        self.schedule_first_watch(kind);
+        if kind != UpdateKind::Delta {
+            self.remove_unlisted(endpoints);
+        }
+        for endpoint in endpoints {
+            match endpoint.state {
+                EndpointState::Ready => self.add_or_refresh(endpoint),
+                state => self.stop_using(endpoint.member, state),
+            }
+        }
+    }
+
+    /// A cached snapshot comes at the start, when no watch is open yet; any other update shows that one is.
+    fn schedule_first_watch(&mut self, kind: UpdateKind) {
+        let starts_watch =
+            kind == UpdateKind::CachedSnapshot && self.settings.discovery == DiscoveryMode::Watch;
+        if !starts_watch {
+            self.discovery.answered();
+            return;
+        }
+        match self.discovery.begin(&mut self.rng) {
+            0 => self.actions.push(Action::Watch),
+            wait => self.schedule(wait, Timer::CallDiscovery),
+        }
+    }
+
+    /// A call to discovery failed, or the watch was lost: calls again after a backoff.
+    pub(super) fn on_watch_lost(&mut self, loss: WatchLoss) {
+        let wait = self.discovery.again(loss, &mut self.rng);
+        self.schedule(wait, Timer::CallDiscovery);
+    }
+
+    fn remove_unlisted(&mut self, endpoints: &[Endpoint]) {
+        let listed: BTreeSet<MemberId> = endpoints.iter().map(|entry| entry.member).collect();
+        let unlisted: Vec<MemberId> = self
+            .topology
+            .members()
+            .map(|member| member.id)
+            .filter(|id| !listed.contains(id))
+            .collect();
+        for id in unlisted {
+            self.stop_using(id, EndpointState::Removed);
+        }
+    }
+
+    fn add_or_refresh(&mut self, endpoint: &Endpoint) {
+        let id = endpoint.member;
+        let is_new = !self.topology.contains(id);
+        if is_new {
+            self.add_member(endpoint);
+        }
+        let initial_tokens = self.rng.f64();
+        let Some(member) = self.topology.member_mut(id) else {
+            return;
+        };
+        member.state = EndpointState::Ready;
+        member.drain_seen = false;
+        if is_new || member.started_at < endpoint.started {
+            self.on_process_started(id, endpoint.started, initial_tokens);
+        }
+        if let Some(member) = self.topology.member_mut(id) {
+            member.listed_primary = endpoint.role == Role::Primary;
+        }
+    }
+
+    fn add_member(&mut self, endpoint: &Endpoint) {
+        let classes = self.settings.classes.iter();
+        let longest_objective = classes
+            .map(|class| class.latency_objective)
+            .max()
+            .unwrap_or(HEALTH_CHECK_INTERVAL);
+        let latency = LatencyEstimate::from_objective(longest_objective);
+        let member = Member::new(endpoint, latency, self.now);
+        self.topology.insert(member, self.classes.count());
+        let interval = self.fleet.scale_interval(HEALTH_CHECK_INTERVAL);
+        let first_check = self.rng.u64(0..interval);
+        self.schedule(first_check, Timer::CheckHealth(endpoint.member));
+    }
+
+    /// A new process is warming up, has no failures, and no role is known of it.
+    fn on_process_started(&mut self, id: MemberId, started_at: Micros, initial_tokens: f64) {
+        let has_no_checks = !self.settings.probes.granted();
+        if let Some(member) = self.topology.member_mut(id) {
+            member.started_at = started_at;
+            member.slow_start_tokens = TokenBucket::new(initial_tokens, self.now);
+            member.consecutive_failures = 0;
+            member.unresponsive = false;
+            member.verified = has_no_checks;
+        }
+        self.demote(id);
+        // All gateways learn of a member at once; those of a large fleet check it when they need to know.
+        if !self.fleet.is_large() {
+            self.check_health(id);
+        }
+    }
+
+    fn stop_using(&mut self, id: MemberId, state: EndpointState) {
+        let Some(member) = self.topology.member_mut(id) else {
+            return;
+        };
+        member.state = state;
+        member.drain_seen |= state == EndpointState::Draining;
+        if !member.must_drain(self.settings.drain_signal) {
+            return;
+        }
+        self.demote(id);
+        self.forget_if_removed(id);
+    }
+
+    /// Forgets a member that is removed and owes no answer.
+    pub(super) fn forget_if_removed(&mut self, id: MemberId) {
+        let drain_signal = self.settings.drain_signal;
+        let is_over = self.topology.member(id).is_some_and(|member| {
+            member.state == EndpointState::Removed
+                && member.in_flight == 0
+                && member.must_drain(drain_signal)
+        });
+        if is_over {
+            self.topology.remove(id);
+        }
+    }
+}
--- /dev/null
+++ b/src/policy/requests.rs
@@ -0,0 +1,163 @@
+//! Open requests: their attempts, and until when dispatching them makes sense.
+//!
+//! All deadlines here are pure functions of a request and its class. None is later than the client's own deadline.
+
+use crate::interface::{
+    Arrival, Class, ConsistencyLevel, DeduplicationScope, Idempotency, MemberId, Micros,
+};
+
+/// Late weight from which a read is worth its capacity after its objective has passed.
+const MIN_LATE_WEIGHT: f64 = 0.5;
+
+/// A request without its final answer, or with an attempt in flight.
+pub(crate) struct Request {
+    pub arrival: Arrival,
+    pub consistency: ConsistencyLevel,
+    pub idempotency: Idempotency,
+    pub received_at: Micros,
+    /// Drawn uniformly from 0 to 1: decides whether the request is within a fraction of arrivals.
+    pub sampling_point: f64,
+    /// The log position that a session read must see.
+    pub required_position: Micros,
+    pub attempts: Vec<Attempt>,
+    /// It has had its final answer.
+    pub answered: bool,
+    /// Its answer is being streamed to the client.
+    pub streaming: bool,
+    pub queued: bool,
+    /// Consecutive attempts that were never sent.
+    pub consecutive_unsent: u32,
+    /// Not dispatched before this time (retry backoff).
+    pub backoff_until: Micros,
+}
+
+/// One dispatch of a request.
+pub(crate) struct Attempt {
+    pub member: MemberId,
+    pub dispatched_at: Micros,
+    pub in_flight: bool,
+    pub may_have_run: bool,
+}
+
+impl Request {
+    /// A request that has just arrived.
+    pub(super) fn new(
+        arrival: Arrival,
+        consistency: ConsistencyLevel,
+        idempotency: Idempotency,
+        required_position: Micros,
+        received_at: Micros,
+        sampling_point: f64,
+    ) -> Request {
+        Request {
+            arrival,
+            consistency,
+            idempotency,
+            received_at,
+            sampling_point,
+            required_position,
+            attempts: Vec::new(),
+            answered: false,
+            streaming: false,
+            queued: false,
+            consecutive_unsent: 0,
+            backoff_until: 0,
+        }
+    }
+
+    /// Whether replicas may serve it.
+    pub(super) fn may_use_replica(&self) -> bool {
+        !matches!(
+            self.consistency,
+            ConsistencyLevel::Write | ConsistencyLevel::Strong
+        )
+    }
+
+    /// The index of its class.
+    pub(super) fn class(&self) -> usize {
+        self.arrival.class.0
+    }
+
+    pub(super) fn has_attempt_in_flight(&self) -> bool {
+        self.attempts.iter().any(|attempt| attempt.in_flight)
+    }
+
+    pub(super) fn is_attempt_in_flight(&self, number: usize) -> bool {
+        self.attempts
+            .get(number)
+            .is_some_and(|attempt| attempt.in_flight)
+    }
+
+    /// Whether an attempt went to this member.
+    pub(super) fn was_dispatched_to(&self, member: MemberId) -> bool {
+        self.attempts.iter().any(|attempt| attempt.member == member)
+    }
+
+    /// The first attempt that may have had an effect.
+    pub(super) fn first_may_have_run(&self) -> Option<&Attempt> {
+        self.attempts.iter().find(|attempt| attempt.may_have_run)
+    }
+
+    /// Adds an attempt; until it ends it may have run.
+    pub(super) fn record_dispatch(&mut self, member: MemberId, dispatched_at: Micros) {
+        self.queued = false;
+        self.attempts.push(Attempt {
+            member,
+            dispatched_at,
+            in_flight: true,
+            may_have_run: true,
+        });
+    }
+
+    /// Whether the client may send it again without harm, whatever its attempts did.
+    pub(super) fn is_retry_harmless(&self) -> bool {
+        let repeatable = matches!(
+            self.idempotency,
+            Idempotency::Idempotent
+                | Idempotency::IdempotencyKey {
+                    scope: DeduplicationScope::All,
+                    ..
+                }
+        );
+        repeatable || self.first_may_have_run().is_none()
+    }
+
+    /// Until when an answer has its full weight.
+    fn objective_deadline(&self, class: &Class) -> Micros {
+        let extension = self.arrival.estimate.unwrap_or(0) as f64 * class.objective_work_factor;
+        let objective = class.latency_objective.saturating_add(extension as Micros);
+        self.received_at
+            .saturating_add(objective)
+            .min(self.arrival.due)
+    }
+
+    /// Until when an answer has any weight: so long an attempt in flight is waited for.
+    pub(super) fn useful_until(&self, class: &Class) -> Micros {
+        if class.late_weight > 0.0 {
+            self.arrival.due
+        } else {
+            self.objective_deadline(class)
+        }
+    }
+
+    /// The latest dispatch whose answer still has enough weight, where an answer takes `expected_latency`.
+    pub(super) fn latest_dispatch(&self, class: &Class, expected_latency: Micros) -> Micros {
+        let keeps_weight =
+            self.consistency == ConsistencyLevel::Write || class.late_weight >= MIN_LATE_WEIGHT;
+        let end = if keeps_weight {
+            self.useful_until(class)
+        } else if self.attempts.is_empty() {
+            // A read rejected late, without any attempt, has cost its client that time for nothing.
+            self.objective_deadline(class)
+                .min(self.half_of_time() + expected_latency)
+        } else {
+            self.objective_deadline(class)
+        };
+        end.saturating_sub(expected_latency)
+    }
+
+    fn half_of_time(&self) -> Micros {
+        let available = self.arrival.due.saturating_sub(self.received_at);
+        self.received_at.saturating_add(available / 2)
+    }
+}
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -4,6 +4,10 @@
 //! bucket, whose rate all gateways share by a calculation that each makes alone.
 
 use super::fleet::Fleet;
+use super::member::Member;
+use super::requests::Request;
+use super::selection::LONG_READ_WORK;
+use super::Router;
 use crate::interface::{Micros, Settings};
 
 /// Share of the overload multiple that the fleet uses, of a mean load that lies below the capacity.
@@ -72,3 +76,46 @@
         }
     }
 }
+
+impl Router {
+    /// The slow-start fraction of a member now.
+    pub(super) fn slow_start_fraction(&self, member: &Member) -> f64 {
+        slow_start_fraction(&self.settings, member.started_at, self.now)
+    }
+
+    pub(super) fn is_warming_up(&self, member: &Member) -> bool {
+        self.slow_start_fraction(member) < 1.0
+    }
+
+    /// The dispatches saved up for a member that is warming up.
+    pub(super) fn slow_start_tokens(&self, member: &Member) -> f64 {
+        let throughput = self
+            .topology
+            .group(member.group)
+            .map_or(0.0, |group| group.throughput_per_member(self.now));
+        let rate = dispatch_rate(
+            self.fleet,
+            &self.settings,
+            self.slow_start_fraction(member),
+            throughput,
+            self.classes.lightest(),
+        );
+        let span = self.settings.overload_duration.max(1);
+        member.slow_start_tokens.available(self.now, rate, span)
+    }
+
+    /// Whether a member is warm, or enough dispatches are saved up for a request. A long read needs more of them, by
+    /// its sampling point: each gateway that saved up one dispatch may have one to send.
+    pub(super) fn has_slow_start_tokens(&self, request: &Request, member: &Member) -> bool {
+        if !self.is_warming_up(member) {
+            return true;
+        }
+        let work = self.classes.relative_work(request.class());
+        let cost = if request.may_use_replica() && work >= LONG_READ_WORK {
+            (request.sampling_point * work).max(1.0)
+        } else {
+            1.0
+        };
+        self.slow_start_tokens(member) >= cost
+    }
+}
--- a/src/policy/timers.rs
+++ b/src/policy/timers.rs
@@ -1,9 +1,9 @@
-//! The timer queue of a router.
+//! The timers of a router, and how it notices that its process was stalled.
 //!
-//! Orders what is to be done later by time and kind, and asks the caller for one timer at a time. It never runs a
-//! timer itself.
+//! Orders what is to be done later by time and kind, and asks the caller for one wake-up at a time. It reads no clock.
 
-use crate::interface::{GroupId, MemberId, Micros, RequestId};
+use super::Router;
+use crate::interface::{Action, GroupId, MemberId, Micros, RequestId};
 use std::collections::BTreeSet;
 
 /// Something to do later. Timers due at the same microsecond fire in this order.
@@ -57,3 +57,60 @@
         Some(at.saturating_sub(now))
     }
 }
+
+/// While requests are open a timer fires at least this often, microseconds.
+const WATCHDOG_INTERVAL: Micros = 100_000;
+/// How late a wake-up must be for this process to count as stalled, microseconds.
+const STALL_THRESHOLD: Micros = 150_000;
+
+/// Notices that this process was stalled: what it measured meanwhile says nothing of members.
+#[derive(Default)]
+pub(crate) struct Watchdog {
+    is_armed: bool,
+    stalled_at: Micros,
+}
+
+impl Watchdog {
+    /// Whether a stall was noticed at this very time.
+    pub(super) fn is_stalled(&self, now: Micros) -> bool {
+        self.stalled_at == now
+    }
+}
+
+impl Router {
+    /// Sets a timer that fires after a span, microseconds, of one at least.
+    pub(super) fn schedule(&mut self, after: Micros, timer: Timer) {
+        let at = self.now.saturating_add(after.max(1));
+        self.timers.insert(at, timer);
+    }
+
+    /// After a stall, measured from the last wake-up, no member owes an answer for longer than since the present event.
+    pub(super) fn detect_stall(&mut self, event_at: Micros) {
+        if self.timers.lateness(self.now) <= STALL_THRESHOLD {
+            return;
+        }
+        self.watchdog.stalled_at = self.now;
+        for member in self.topology.members_mut() {
+            member.unanswered_since = event_at;
+        }
+    }
+
+    /// Runs the timers that are due, and asks for the next wake-up.
+    pub(super) fn run_timers(&mut self) {
+        while let Some(timer) = self.timers.pop_due(self.now) {
+            match timer {
+                Timer::ExpireRequest(id) => self.expire_queued(id),
+                Timer::DrainQueues(id) => self.on_drain_timer(id),
+                Timer::CheckHealth(id) => self.run_scheduled_check(id),
+                Timer::Watchdog => self.watchdog.is_armed = false,
+                Timer::CallDiscovery => self.actions.push(Action::Watch),
+            }
+        }
+        if !self.watchdog.is_armed && !self.requests.is_empty() {
+            self.watchdog.is_armed = true;
+            self.schedule(WATCHDOG_INTERVAL, Timer::Watchdog);
+        }
+        let wake_up = self.timers.next_wake_up(self.now);
+        self.actions.extend(wake_up.map(Action::SetTimer));
+    }
+}
