--- a/src/bin/asterreel/cells.rs
+++ b/src/bin/asterreel/cells.rs
@@ -1,5 +1,9 @@
-//! Cells in the program: the placement's file, looked at by a thread of its own, and a request's place in its cell.
+//! Cells in the program: watches the placement's file on a thread of its own, and guards each admitted request.
+//!
+//! The gate decides; here its file is read, and what a request holds of its cell is given back. A file that can't be read
+//! changes nothing: the placement in force stays until its lease is over, and writes stop then.
 
+use asterreel::cells::placement::Placement;
 use asterreel::cells::quarantine::{Aftermath, Verdict};
 use asterreel::cells::who::Caller;
 use asterreel::cells::{record, Admitted, Epoch, Gate, Refusal};
@@ -7,11 +11,20 @@
 use asterreel::operator;
 use asterreel_control::clock::Clock;
 use std::io;
+use std::path::PathBuf;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// What sessions ask.
+/// Why cells can't start: a key of `cells` and what is wrong with its value.
+#[derive(Debug, thiserror::Error)]
+#[error("cells.{key}: {fault}")]
+struct StartError {
+    key: String,
+    fault: String,
+}
+
+/// The door of sessions to the gate.
 #[derive(Clone)]
 pub(crate) struct Cells {
     gate: Arc<Mutex<Gate>>,
@@ -21,87 +34,84 @@
 }
 
 impl Cells {
-    /// Reads the placement, and starts to look at it again and again; an error names the key.
+    /// Reads the placement, and starts to watch it; an error names the key.
     pub(crate) fn start(settings: &operator::Cells, clock: Clock) -> io::Result<Cells> {
-        let bad = |key: &str, fault: String| io::Error::other(format!("cells.{key}: {fault}"));
-        let rules = settings.rules().map_err(|(key, fault)| bad(&key, fault))?;
-        let path = settings.placement.clone();
-        let shown = path.display().to_string();
-        // The lease counts from before the look: what is read may have been old when it came.
-        let until = clock.now() + settings.lease_ms * 1000;
-        let bytes =
-            std::fs::read(&path).map_err(|error| bad("placement", format!("{shown}: {error}")))?;
-        let placement = record::decode(&bytes, Epoch::default());
-        let placement = placement.map_err(|error| bad("placement", format!("{shown}: {error}")))?;
-        let lease = settings.lease_ms * 1000;
+        let rules = settings
+            .rules()
+            .map_err(|(key, fault)| io::Error::other(StartError { key, fault }))?;
         let by_statement = rules.who.by_statement();
-        let gate = Gate::new(rules, placement, until);
-        let gate = Arc::new(Mutex::new(gate));
+        let mut file = PlacementFile::new(settings, clock);
+        let fresh_until = file.fresh_until();
+        let placement = file.read_first().map_err(|error| {
+            let fault = format!("{}: {error}", file.path.display());
+            let key = "placement".to_owned();
+            io::Error::other(StartError { key, fault })
+        })?;
         let cells = Cells {
-            gate,
+            gate: Arc::new(Mutex::new(Gate::new(rules, placement, fresh_until))),
             clock,
             by_statement,
         };
-        let (watched, every) = (cells.clone(), Duration::from_millis(settings.reread_ms));
+        let (watching, interval) = (cells.clone(), Duration::from_millis(settings.reread_ms));
         std::thread::Builder::new()
             .name("placement".into())
-            .spawn(move || {
-                let (mut last, mut fault) = (bytes, String::new());
-                loop {
-                    std::thread::sleep(every);
-                    let until = clock.now() + lease;
-                    let now = watched.look(&path, &mut last, until);
-                    if let Err(error) = &now {
-                        // Once, however often it is looked at.
-                        if *error != fault {
-                            warn!(
-                                "cells.placement: {}: {error}; the one in force stays",
-                                path.display()
-                            );
-                        }
-                    }
-                    fault = now.err().unwrap_or_default();
-                }
-            })?;
+            .spawn(move || watching.watch(file, interval))?;
         Ok(cells)
     }
 
-    fn look(
-        &self,
-        path: &std::path::Path,
-        last: &mut Vec<u8>,
-        until: Micros,
-    ) -> Result<(), String> {
-        let bytes = std::fs::read(path).map_err(|error| error.to_string())?;
-        if bytes == *last {
-            self.gate(|gate| gate.renewed(until));
+    /// Reads the file again and again, for as long as the process runs. Warns of an error once, however often it recurs.
+    fn watch(&self, mut file: PlacementFile, interval: Duration) {
+        let mut last_error = None;
+        loop {
+            std::thread::sleep(interval);
+            let error = self.reload(&mut file).err().map(|error| error.to_string());
+            if let Some(error) = error
+                .as_ref()
+                .filter(|error| last_error.as_ref() != Some(*error))
+            {
+                warn!(
+                    "cells.placement: {}: {error}; the one in force stays",
+                    file.path.display()
+                );
+            }
+            last_error = error;
+        }
+    }
+
+    /// Puts the placement in the file in force if it is newer, and renews the lease of the one in force if it is the same.
+    fn reload(&self, file: &mut PlacementFile) -> io::Result<()> {
+        let fresh_until = file.fresh_until();
+        let bytes = std::fs::read(&file.path)?;
+        if bytes == file.bytes_in_force {
+            self.with_gate(|gate| gate.renewed(fresh_until));
             return Ok(());
         }
-        let held = self.gate(|gate| gate.epoch());
+        let epoch_in_force = self.with_gate(|gate| gate.epoch());
         // Decoded outside the lock, which requests wait for.
-        let placement = record::decode(&bytes, held).map_err(|error| error.to_string())?;
+        let placement = record::decode(&bytes, epoch_in_force).map_err(io::Error::other)?;
         let epoch = placement.epoch;
-        if self.gate(|gate| gate.placed(placement, until)) {
+        if self.with_gate(|gate| gate.placed(placement, fresh_until)) {
             info!(epoch = epoch.0, "placement");
-            *last = bytes;
+            file.bytes_in_force = bytes;
         }
         Ok(())
     }
 
-    fn gate<T>(&self, work: impl FnOnce(&mut Gate) -> T) -> T {
+    fn with_gate<T>(&self, work: impl FnOnce(&mut Gate) -> T) -> T {
         work(&mut self.gate.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// Takes a request, or says why not.
+    /// Admits a request for a group and key, or says why not.
     pub(crate) fn admit(
         &self,
         caller: &Caller,
-        what: (u64, &[u8]),
+        target: (u64, &[u8]),
         statement: &[u8],
-        write: bool,
+        is_write: bool,
     ) -> Result<Placed, Refusal> {
         let now = self.clock.now();
-        let admitted = self.gate(|gate| gate.admit(now, caller, what, statement, write))?;
+        let admitted =
+            self.with_gate(|gate| gate.admit(now, caller, target, statement, is_write))?;
         Ok(Placed {
             cells: self.clone(),
             admitted,
@@ -109,21 +119,53 @@
     }
 }
 
-/// A request's place in its cell, which is given back once this is dropped.
+/// The placement's file, as last read.
+struct PlacementFile {
+    path: PathBuf,
+    bytes_in_force: Vec<u8>,
+    lease_us: Micros,
+    clock: Clock,
+}
+
+impl PlacementFile {
+    fn new(settings: &operator::Cells, clock: Clock) -> PlacementFile {
+        PlacementFile {
+            path: settings.placement.clone(),
+            bytes_in_force: Vec::new(),
+            lease_us: settings.lease_ms * 1000,
+            clock,
+        }
+    }
+
+    /// The end of the lease of a placement that is read from now on. It counts from before the read, as the file may have
+    /// been replaced by the time its bytes are here.
+    fn fresh_until(&self) -> Micros {
+        self.clock.now() + self.lease_us
+    }
+
+    /// Reads the placement that a gateway starts with, of any epoch.
+    fn read_first(&mut self) -> io::Result<Placement> {
+        self.bytes_in_force = std::fs::read(&self.path)?;
+        record::decode(&self.bytes_in_force, Epoch::default()).map_err(io::Error::other)
+    }
+}
+
+/// What an admitted request holds of its cell; given back when this is dropped.
 pub(crate) struct Placed {
     cells: Cells,
     pub admitted: Admitted,
 }
 
 impl Placed {
-    /// Whether an attempt may go out.
+    /// Whether an attempt may be dispatched: `ran` when an earlier one of the request may have run, and `victims` the number
+    /// of members that crashed after its attempts.
     pub(crate) fn attempt(&self, idempotency: Idempotency, ran: bool, victims: usize) -> Verdict {
         let now = self.cells.clock.now();
         self.cells
-            .gate(|gate| gate.attempt(now, &self.admitted, idempotency, ran, victims))
+            .with_gate(|gate| gate.attempt(now, &self.admitted, idempotency, ran, victims))
     }
 
-    /// An attempt has ended. Only a connection that broke under it speaks of a death; silence may be load.
+    /// An attempt has ended. Only a connection that broke under it is a sign of a crash; silence may be load.
     pub(crate) fn attempted(&self, member: MemberId, outcome: Outcome) {
         let after = match outcome {
             Outcome::Reset => Aftermath::Died,
@@ -134,13 +176,13 @@
         };
         let now = self.cells.clock.now();
         self.cells
-            .gate(|gate| gate.attempted(now, &self.admitted, member, after));
+            .with_gate(|gate| gate.attempted(now, &self.admitted, member, after));
     }
 }
 
 impl Drop for Placed {
     fn drop(&mut self) {
         let now = self.cells.clock.now();
-        self.cells.gate(|gate| gate.ended(now, &self.admitted));
+        self.cells.with_gate(|gate| gate.ended(now, &self.admitted));
     }
 }
