--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! A gateway whose discovery fails it: what it sends to members that were removed or drained meanwhile.
+//! A gateway whose discovery fails: what it sends to members that were removed or drained meanwhile.
 mod process;
 use process::*;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,32 +9,32 @@
 
 /// The size of the fleet in the incident.
 const FLEET: &str = "\"FleetSize\": 312";
-/// After how long a change counts as told, however calls ended.
-const TOLD: Duration = Duration::from_secs(6);
+/// After how long a change counts as notified, however calls ended.
+const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
 /// The grace of a drain by the settings, and the platform's slack.
-const GRACE: Duration = Duration::from_millis(2_050);
-/// How long a call takes that comes while nothing else is in the way, on a slow machine.
-const MACHINE: Duration = Duration::from_millis(500);
+const DRAIN_GRACE: Duration = Duration::from_millis(2_050);
+/// What a slow machine may add to the time of a call.
+const SLOW_MACHINE_ALLOWANCE: Duration = Duration::from_millis(500);
 
-/// A database, and when statements came to it.
-struct Watched {
+/// A database, and when statements arrived at it.
+struct RecordedDatabase {
     database: Database,
-    came: Arc<Mutex<Vec<Instant>>>,
+    arrivals: Arc<Mutex<Vec<Instant>>>,
 }
 
-impl Watched {
-    fn start(primary: bool) -> Watched {
+impl RecordedDatabase {
+    fn start(primary: bool) -> RecordedDatabase {
         let (tell, seen) = channel();
         let database = Database::start(primary, true, &tell, |_| None);
-        let came = Arc::new(Mutex::new(Vec::new()));
-        let noting = came.clone();
-        thread::spawn(move || note_arrivals(&seen, &noting));
-        Watched { database, came }
+        let arrivals = Arc::new(Mutex::new(Vec::new()));
+        let recording = arrivals.clone();
+        thread::spawn(move || record_arrivals(&seen, &recording));
+        RecordedDatabase { database, arrivals }
     }
 
-    /// How many statements came after a time.
-    fn came_after(&self, from: Instant) -> usize {
-        self.came
+    /// How many statements arrived after a time.
+    fn statements_after(&self, from: Instant) -> usize {
+        self.arrivals
             .lock()
             .expect("not poisoned")
             .iter()
@@ -43,14 +43,25 @@
     }
 }
 
-fn note_arrivals(seen: &Receiver<Vec<u8>>, came: &Mutex<Vec<Instant>>) {
+fn primary_and_replica() -> (RecordedDatabase, RecordedDatabase) {
+    (
+        RecordedDatabase::start(true),
+        RecordedDatabase::start(false),
+    )
+}
+
+fn record_arrivals(seen: &Receiver<Vec<u8>>, arrivals: &Mutex<Vec<Instant>>) {
     for _ in seen {
-        came.lock().expect("not poisoned").push(Instant::now());
+        arrivals.lock().expect("not poisoned").push(Instant::now());
     }
 }
 
 /// A gateway of the incident's fleet in front of a primary and a replica.
-fn of_the_fleet(databases: [&Watched; 2], discovery: SocketAddr, seed: &str) -> (Gateway, Log) {
+fn start_in_fleet(
+    databases: [&RecordedDatabase; 2],
+    discovery: SocketAddr,
+    seed: &str,
+) -> (Gateway, Log) {
     let change = |config: String| {
         let changed = config
             .replace("\"FleetSize\": 1", FLEET)
@@ -65,47 +76,47 @@
     )
 }
 
-/// One entry of a list: the replica in this phase.
-fn replica_is(phase: &str, address: SocketAddr) -> String {
+/// The entry of the replica, in this phase.
+fn replica_entry(phase: &str, address: SocketAddr) -> String {
     format!(
         "{{\"id\":\"s-two\",\"host_port\":\"{address}\",\"locality\":\"here\",\"flavor\":\"toy\",\"cell\":0,\
          \"phase\":\"{phase}\",\"size\":1.0,\"up_since_ms\":0,\"access\":\"reader\"}}"
     )
 }
 
-/// A list of changes as discovery writes it, on one line.
-fn changes(revision: u64, entries: &str) -> String {
+/// A delta as discovery writes it, on one line.
+fn delta(revision: u64, entries: &str) -> String {
     format!("{{\"revision\":{revision},\"complete\":false,\"members\":[{entries}]}}\n")
 }
 
 /// Answers every watch with this list, then with heartbeats, until the watch ends.
-fn tell_all(discovery: TcpListener, list: String) {
+fn serve_list(discovery: TcpListener, list: String) {
     thread::spawn(move || asterreel_rig::database::discovery(&discovery, list.trim_end()));
 }
 
 /// The next call to discovery within a time.
-fn call_within(discovery: &TcpListener, within: Duration) -> Option<TcpStream> {
+fn next_call(discovery: &TcpListener, within: Duration) -> Option<TcpStream> {
     asterreel_rig::bounded::accept(discovery, within).ok()
 }
 
-/// The incident: of 312 gateways those that had been restarted called discovery up to 7.4 s after their start, and sent
-/// meanwhile by the list that they had before; members that were removed while they were away got requests more than the
-/// grace after that counted as told. This seed's first wait was
+/// A started gateway sends nothing to a member that was removed while it was away, once the removal binds. In the incident
+/// restarted gateways, of 312, called discovery up to 7.4 s after their start, and sent by the list that they had before;
+/// removed members got requests more than the grace after the removal counted as notified. This seed's first delay was
 /// 5.9 s.
 #[test]
-fn a_started_gateway_sends_nothing_to_a_member_removed_while_it_was_away_once_that_binds() {
-    let (primary, replica) = (Watched::start(true), Watched::start(false));
+fn removal_before_start_binds_in_time() {
+    let (primary, replica) = primary_and_replica();
     let discovery = listen();
-    let place = discovery.local_addr().expect("bound");
+    let address = discovery.local_addr().expect("bound");
     let removed_at = Instant::now();
-    tell_all(
+    serve_list(
         discovery,
-        changes(2, &replica_is("gone", replica.database.address)),
+        delta(2, &replica_entry("gone", replica.database.address)),
     );
     let away = Duration::from_secs(4);
     thread::sleep(away);
-    let (gateway, _log) = of_the_fleet([&primary, &replica], place, "0000000000000007");
-    let binds_at = removed_at + TOLD + GRACE;
+    let (gateway, _log) = start_in_fleet([&primary, &replica], address, "0000000000000007");
+    let binds_at = removed_at + NOTIFICATION_DEADLINE + DRAIN_GRACE;
     let mut client = Client::ready(&gateway);
     let mut number = 0;
     while Instant::now() < binds_at + Duration::from_secs(1) {
@@ -114,55 +125,55 @@
         number += 1;
         thread::sleep(Duration::from_millis(10));
     }
-    let late = replica.came_after(binds_at);
+    let late = replica.statements_after(binds_at);
     assert_eq!(
         late, 0,
         "requests of {number} came to a member whose removal bound by then"
     );
     assert!(
-        primary.came_after(removed_at) > 50,
+        primary.statements_after(removed_at) > 50,
         "the other member serves meanwhile"
     );
 }
 
-/// What discovery wrote counts as told even where it did not arrive whole: a list that is cut, or that stops while beats go
-/// on, says nothing of what else it held, and the next call is made at once. By reading: after a cut the next call came up
-/// to 4 s later, and beats after a piece of a list kept the watch for good.
+/// What discovery wrote counts as notified even where it did not arrive complete: an update that is truncated, or that
+/// stops while heartbeats go on, says nothing of what else it held, and the next call is made at once. The next call once
+/// came up to 4 s after a truncated update, and heartbeats after a piece of one kept the watch for good.
 #[test]
-fn a_list_that_does_not_come_whole_is_asked_for_again_at_once() {
-    let (primary, replica) = (Watched::start(true), Watched::start(false));
+fn truncated_update_is_requested_again_at_once() {
+    let (primary, replica) = primary_and_replica();
     let discovery = listen();
-    let place = discovery.local_addr().expect("bound");
-    let (_gateway, _log) = of_the_fleet([&primary, &replica], place, "8c1f30d27a5be964");
-    let list = changes(2, &replica_is("draining", replica.database.address));
-    let mut call = call_within(&discovery, PATIENCE).expect("a first call");
+    let address = discovery.local_addr().expect("bound");
+    let (_gateway, _log) = start_in_fleet([&primary, &replica], address, "8c1f30d27a5be964");
+    let list = delta(2, &replica_entry("draining", replica.database.address));
+    let mut call = next_call(&discovery, PATIENCE).expect("a first call");
     for cut in [1, 9, 40, list.len() / 2, list.len() - 3] {
         let mut watch = asterreel_rig::database::Watch::begin(call).expect("begun");
-        watch.tell(&changes(1, "")).expect("told");
+        watch.tell(&delta(1, "")).expect("told");
         watch.tell(&list[..cut]).expect("told");
         drop(watch);
         let cut_at = Instant::now();
-        call = call_within(&discovery, PATIENCE).expect("a further call");
+        call = next_call(&discovery, PATIENCE).expect("a further call");
         let took = cut_at.elapsed();
         assert!(
-            took < Duration::from_millis(500) + MACHINE,
+            took < Duration::from_millis(500) + SLOW_MACHINE_ALLOWANCE,
             "cut at {cut}: called again after {took:?}"
         );
     }
     let mut watch = asterreel_rig::database::Watch::begin(call).expect("begun");
     watch.tell(&list[..40]).expect("told");
     let stopped_at = Instant::now();
-    while call_within(&discovery, Duration::from_millis(500)).is_none() {
+    while next_call(&discovery, Duration::from_millis(500)).is_none() {
         let _ = watch.tell("\n");
         assert!(
             stopped_at.elapsed() < Duration::from_secs(5),
-            "beats keep a watch whose list never ends"
+            "heartbeats keep a watch whose update never ends"
         );
     }
 }
 
-/// Reads a call and keeps it waiting as a full discovery does, then refuses it.
-fn refuse_after_queue(mut call: TcpStream) {
+/// Reads a call and lets it wait as an overloaded discovery does, then rejects it.
+fn reject_after_queueing(mut call: TcpStream) {
     use std::io::{Read, Write};
     let mut head = [0; 512];
     let _ = call.read(&mut head);
@@ -170,64 +181,64 @@
     let _ = call.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
 }
 
-/// By report ad44e2: each call that failed in discovery's queue gave the next one time anew, up to 2 s after up to 4 s for
+/// Report ad44e2: each call that failed in discovery's queue gave the next one time anew, up to 2 s after up to 4 s for
 /// the first. Three calls of a gateway of 312 begin before what its lost watch misses binds.
 #[test]
-fn calls_that_fail_in_the_queue_follow_each_other_in_time() {
-    let (primary, replica) = (Watched::start(true), Watched::start(false));
+fn failed_calls_follow_each_other_in_time() {
+    let (primary, replica) = primary_and_replica();
     let discovery = listen();
-    let place = discovery.local_addr().expect("bound");
-    let (_gateway, _log) = of_the_fleet([&primary, &replica], place, "8c1f30d27a5be964");
-    let call = call_within(&discovery, PATIENCE).expect("a first call");
+    let address = discovery.local_addr().expect("bound");
+    let (_gateway, _log) = start_in_fleet([&primary, &replica], address, "8c1f30d27a5be964");
+    let call = next_call(&discovery, PATIENCE).expect("a first call");
     let mut watch = asterreel_rig::database::Watch::begin(call).expect("begun");
-    watch.tell(&changes(1, "")).expect("told");
+    watch.tell(&delta(1, "")).expect("told");
     thread::sleep(Duration::from_millis(200));
     drop(watch);
     let lost_at = Instant::now();
     let mut began = Vec::new();
     for _ in 0..3 {
-        let call = call_within(&discovery, PATIENCE).expect("a further call");
+        let call = next_call(&discovery, PATIENCE).expect("a further call");
         began.push(lost_at.elapsed());
-        thread::spawn(move || refuse_after_queue(call));
+        thread::spawn(move || reject_after_queueing(call));
     }
     for (at, latest) in began
         .iter()
         .zip([2_000, 4_500, 7_000].map(Duration::from_millis))
     {
         assert!(
-            *at <= latest + MACHINE,
+            *at <= latest + SLOW_MACHINE_ALLOWANCE,
             "calls began {began:?} after the loss"
         );
     }
 }
 
-/// Whether a gateway takes clients.
-fn takes_clients(gateway: &Gateway) -> bool {
+/// Whether a gateway accepts clients.
+fn accepts_clients(gateway: &Gateway) -> bool {
     TcpStream::connect(gateway.address).is_ok()
 }
 
-/// The list in the configuration is of unknown age: no client is taken before discovery's list is here, but a discovery that
-/// never answers holds a gateway up for 3.5 s only.
+/// The list in the configuration is of unknown age: no client is accepted before discovery's list is here, but a discovery
+/// that never answers delays a gateway by 3.5 s only.
 #[test]
-fn a_started_gateway_takes_clients_with_its_first_list_or_after_its_patience() {
-    let (primary, replica) = (Watched::start(true), Watched::start(false));
+fn clients_wait_for_first_list_or_timeout() {
+    let (primary, replica) = primary_and_replica();
     for answers in [true, false] {
         let discovery = listen();
-        let place = discovery.local_addr().expect("bound");
+        let address = discovery.local_addr().expect("bound");
         let started_at = Instant::now();
-        let (gateway, log) = of_the_fleet([&primary, &replica], place, "8c1f30d27a5be964");
-        let call = call_within(&discovery, PATIENCE).expect("a first call");
+        let (gateway, log) = start_in_fleet([&primary, &replica], address, "8c1f30d27a5be964");
+        let call = next_call(&discovery, PATIENCE).expect("a first call");
         assert!(
-            started_at.elapsed() < Duration::from_secs(2) + MACHINE,
+            started_at.elapsed() < Duration::from_secs(2) + SLOW_MACHINE_ALLOWANCE,
             "{:?}",
             started_at.elapsed()
         );
-        assert!(!takes_clients(&gateway), "no list is here");
+        assert!(!accepts_clients(&gateway), "no list is here");
         if answers {
             let mut watch = asterreel_rig::database::Watch::begin(call).expect("begun");
-            watch.tell(&changes(1, "")).expect("told");
+            watch.tell(&delta(1, "")).expect("told");
             assert!(log.says("serving"), "with its list");
-            assert!(takes_clients(&gateway));
+            assert!(accepts_clients(&gateway));
         } else {
             assert!(log.says("no list from discovery yet"));
             assert!(log.says("serving"));
