--- a/src/config.rs
+++ b/src/config.rs
@@ -1,15 +1,24 @@
 //! The one place where a gateway's configuration is read, checked and given defaults.
 //!
-//! `RELAY_CONFIG` names a JSON file; `RELAY_NAME`, `RELAY_LISTEN` and `RELAY_DISCOVERY` override its keys
-//! `name`, `listen` and `discovery`. Every error names the key at fault. The file can be read again while the
-//! gateway runs.
+//! `RELAY_CONFIG` names a JSON file; `RELAY_NAME`, `RELAY_LISTEN` and `RELAY_DISCOVERY` override its keys `name`, `listen`
+//! and `discovery`. Every error names the key at fault. The file can be read again while the gateway runs; the
+//! configuration in force stays where that fails.
 
 use crate::interface::Settings;
-use crate::settings::{EndpointRecord, Setup};
+use crate::settings::{EndpointRecord, Setup, UnknownValue};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// All that a gateway is told at its start.
+/// The name of a gateway that neither the file nor the environment names.
+const DEFAULT_NAME: &str = "asterreel";
+/// The default of `limits.sockets`.
+const DEFAULT_DESCRIPTORS: usize = 1_024;
+/// The fewest descriptors that a gateway can work with.
+const MIN_DESCRIPTORS: usize = 64;
+/// The base of `seed`.
+const SEED_RADIX: u32 = 16;
+
+/// A gateway's configuration, checked.
 #[derive(Debug)]
 pub struct Config {
     /// The gateway's name.
@@ -18,51 +27,90 @@
     pub listen: SocketAddr,
     /// Where discovery answers.
     pub discovery: SocketAddr,
-    /// The same as the file has it, to tell whether it has changed there.
+    /// `discovery` as the file has it, to tell whether it has changed there.
     discovery_in_file: Option<String>,
     /// Seed of the random numbers.
     pub seed: u64,
     /// File descriptors that the process may hold.
     pub sockets: usize,
-    /// The list of members as last had; may be old.
+    /// The list of endpoints as last known; its age is not known.
     pub known: EndpointList,
-    /// The settings as they were told.
+    /// The settings as the platform gives them.
     pub setup: Setup,
-    /// The settings in the module's words.
+    /// The settings in the types of [`crate::interface`].
     pub settings: Settings,
 }
 
-/// A list of members, or the changes to it.
+/// A list of endpoints, or the changes to one.
 #[derive(Clone, Debug, Default, Deserialize)]
 // The error message of a configuration names the type that it expected.
 #[serde(expecting = "struct Listing")]
 pub struct EndpointList {
     /// The version of the list.
     pub revision: u64,
-    /// All members, not only those that changed.
+    /// Whether it has all endpoints, not only those that changed.
     #[serde(default)]
     pub complete: bool,
-    /// The entries.
+    /// The records.
     #[serde(default)]
     pub members: Vec<EndpointRecord>,
 }
 
 /// What is wrong with the configuration, and where.
-#[derive(Debug, PartialEq, Eq)]
+#[derive(Debug, thiserror::Error)]
+#[error("configuration: {key}: {fault}")]
 pub struct ConfigError {
-    /// The key at fault.
+    /// The key at fault, or the variable of the environment.
     pub key: String,
     /// What is wrong with it.
-    pub fault: String,
+    pub fault: ConfigFault,
 }
 
-impl std::fmt::Display for ConfigError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "configuration: {}: {}", self.key, self.fault)
-    }
+/// What is wrong with a key of the configuration.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigFault {
+    /// A variable of the environment that has to be set.
+    #[error("is not set")]
+    NotSet,
+    /// A key that has to be there.
+    #[error("is missing")]
+    Missing,
+    /// The file can't be read.
+    #[error("cannot read {path}: {error}")]
+    Unreadable {
+        /// The file.
+        path: String,
+        /// Why.
+        error: std::io::Error,
+    },
+    /// No JSON, or a value of another type.
+    #[error("{0}")]
+    Json(serde_json::Error),
+    /// A text that is no address.
+    #[error("{0:?} is not an address and port")]
+    NotAnAddress(String),
+    /// A seed that is no number.
+    #[error("{0:?} is not a number of 64 bits in hex")]
+    NotASeed(String),
+    /// Fewer file descriptors than a gateway needs.
+    #[error("must be at least {MIN_DESCRIPTORS}")]
+    TooFewDescriptors,
+    /// A time that must not be 0.
+    #[error("must not be 0")]
+    Zero,
+    /// A value in the settings that this program does not know.
+    #[error(transparent)]
+    UnknownValue(#[from] UnknownValue),
 }
 
-impl std::error::Error for ConfigError {}
+impl ConfigFault {
+    fn at(self, key: impl Into<String>) -> ConfigError {
+        ConfigError {
+            key: key.into(),
+            fault: self,
+        }
+    }
+}
 
 #[derive(Deserialize)]
 struct File {
@@ -77,21 +125,64 @@
     settings: Setup,
 }
 
+impl File {
+    fn parse(text: &[u8]) -> Result<File, ConfigError> {
+        let mut json = serde_json::Deserializer::from_slice(text);
+        serde_path_to_error::deserialize(&mut json).map_err(|error| {
+            let key = error.path().to_string();
+            ConfigFault::Json(error.into_inner()).at(key)
+        })
+    }
+
+    fn seed(&self) -> Result<u64, ConfigError> {
+        let Some(seed) = &self.seed else {
+            return Ok(0);
+        };
+        u64::from_str_radix(seed, SEED_RADIX)
+            .map_err(|_| ConfigFault::NotASeed(seed.clone()).at("seed"))
+    }
+
+    /// The settings in the types of [`crate::interface`], checked beyond what their types say.
+    fn checked_settings(&self) -> Result<Settings, ConfigError> {
+        let settings = self
+            .settings
+            .settings()
+            .map_err(|unknown| ConfigFault::from(unknown).at("settings"))?;
+        let classes = &self.settings.profiles;
+        if let Some(nameless) = classes.iter().position(|class| class.name.is_empty()) {
+            let key = format!("settings.Profiles[{nameless}].Name");
+            return Err(ConfigFault::Missing.at(key));
+        }
+        if self.settings.allowed.connect_timeout_us == 0 {
+            return Err(ConfigFault::Zero.at("settings.Allowed.ConnectTimeoutUs"));
+        }
+        Ok(settings)
+    }
+}
+
 #[derive(Deserialize)]
 #[serde(default)]
 struct Limits {
     sockets: usize,
 }
 
+impl Limits {
+    fn check(&self) -> Result<(), ConfigError> {
+        if self.sockets < MIN_DESCRIPTORS {
+            return Err(ConfigFault::TooFewDescriptors.at("limits.sockets"));
+        }
+        Ok(())
+    }
+}
+
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { sockets: 1024 }
+        Limits {
+            sockets: DEFAULT_DESCRIPTORS,
+        }
     }
 }
 
-/// The fewest descriptors that a gateway can work with.
-const LEAST_SOCKETS: usize = 64;
-
 impl Config {
     /// Reads the configuration that the environment names.
     ///
@@ -102,7 +193,7 @@
         Config::parse(&text_from_env()?, variable)
     }
 
-    /// Reads the file again; this configuration stands if that fails.
+    /// Reads the file again; this configuration stays in force where that fails.
     ///
     /// # Errors
     ///
@@ -141,65 +232,31 @@
         variable: impl Fn(&str) -> Option<String>,
         before: Option<&Config>,
     ) -> Result<Config, ConfigError> {
-        let mut json = serde_json::Deserializer::from_slice(text);
-        let file: File = serde_path_to_error::deserialize(&mut json)
-            .map_err(|error| bad(&error.path().to_string(), &error.inner().to_string()))?;
-        let address = |name: &str, key: &str, told: Option<String>| {
-            let (from, text) = match variable(name) {
-                Some(text) => (name, text),
-                None => (key, told.ok_or_else(|| bad(key, "is missing"))?),
-            };
-            parse_address(from, &text)
+        let file = File::parse(text)?;
+        let address = |name: &str, key: &str, in_file: Option<&str>| match variable(name) {
+            Some(text) => parse_address(name, &text),
+            None => parse_address(key, in_file.ok_or_else(|| ConfigFault::Missing.at(key))?),
         };
-        let listen = address("RELAY_LISTEN", "listen", file.listen)?;
+        let listen = address("RELAY_LISTEN", "listen", file.listen.as_deref())?;
         // The environment of a running process can't change. A key that has changed in the file since is newer
         // and wins; one that has not leaves what was in force.
-        let discovery_in_file = file.discovery.clone();
-        let discovery = match (before, file.discovery) {
-            (Some(before), told) if told == before.discovery_in_file => before.discovery,
-            (Some(_), Some(told)) => parse_address("discovery", &told)?,
-            (_, told) => address("RELAY_DISCOVERY", "discovery", told)?,
-        };
-        let seed = match &file.seed {
-            Some(seed) => u64::from_str_radix(seed, 16).map_err(|_| {
-                bad(
-                    "seed",
-                    &format!("{seed:?} is not a number of 64 bits in hex"),
-                )
-            })?,
-            None => 0,
+        let discovery = match (before, file.discovery.as_deref()) {
+            (Some(before), in_file) if in_file == before.discovery_in_file.as_deref() => {
+                before.discovery
+            }
+            (Some(_), Some(in_file)) => parse_address("discovery", in_file)?,
+            (_, in_file) => address("RELAY_DISCOVERY", "discovery", in_file)?,
         };
-        if file.limits.sockets < LEAST_SOCKETS {
-            return Err(bad(
-                "limits.sockets",
-                &format!("must be at least {LEAST_SOCKETS}"),
-            ));
-        }
-        let settings = file
-            .settings
-            .settings()
-            .map_err(|fault| bad("settings", &fault))?;
-        if let Some(nameless) = file
-            .settings
-            .profiles
-            .iter()
-            .position(|class| class.name.is_empty())
-        {
-            return Err(bad(
-                &format!("settings.Profiles[{nameless}].Name"),
-                "is missing",
-            ));
-        }
-        if file.settings.allowed.connect_timeout_us == 0 {
-            return Err(bad("settings.Allowed.ConnectTimeoutUs", "must not be 0"));
-        }
+        let seed = file.seed()?;
+        file.limits.check()?;
+        let settings = file.checked_settings()?;
         Ok(Config {
             name: variable("RELAY_NAME")
                 .or(file.name)
-                .unwrap_or_else(|| "asterreel".into()),
+                .unwrap_or_else(|| DEFAULT_NAME.into()),
             listen,
             discovery,
-            discovery_in_file,
+            discovery_in_file: file.discovery,
             seed,
             sockets: file.limits.sockets,
             known: file.known,
@@ -214,19 +271,12 @@
 }
 
 fn text_from_env() -> Result<Vec<u8>, ConfigError> {
-    let path = variable("RELAY_CONFIG").ok_or_else(|| bad("RELAY_CONFIG", "is not set"))?;
-    std::fs::read(&path)
-        .map_err(|error| bad("RELAY_CONFIG", &format!("cannot read {path}: {error}")))
+    const KEY: &str = "RELAY_CONFIG";
+    let path = variable(KEY).ok_or_else(|| ConfigFault::NotSet.at(KEY))?;
+    std::fs::read(&path).map_err(|error| ConfigFault::Unreadable { path, error }.at(KEY))
 }
 
 fn parse_address(key: &str, text: &str) -> Result<SocketAddr, ConfigError> {
     text.parse()
-        .map_err(|_| bad(key, &format!("{text:?} is not an address and port")))
-}
-
-fn bad(key: &str, fault: &str) -> ConfigError {
-    ConfigError {
-        key: key.into(),
-        fault: fault.into(),
-    }
+        .map_err(|_| ConfigFault::NotAnAddress(text.to_owned()).at(key))
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,44 +1,47 @@
-//! Decoding of what a front is told: the settings object and the entries of the list of members.
+//! The platform's wire types: the settings object and the records of a list of endpoints.
 //!
-//! The simulator's first message and a gateway's configuration carry the same settings object, and both hand
-//! out lists of members, in words of their own; each is decoded here, for both programs, into the vocabulary
-//! of [`crate::interface`]. Keys that are not known are skipped.
+//! The simulator's first message and a gateway's configuration carry the same settings object, and both give lists of
+//! endpoints, with keys of their own. Both are decoded here, and mapped once to the types of [`crate::interface`]. Fields
+//! and variants keep the protocol's names, in Rust's spelling; each doc comment gives the field's meaning. Unknown keys are
+//! skipped, unknown values are errors.
 
 use crate::interface::*;
 use serde::Deserialize;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The settings object.
+const MICROS_PER_MS: Micros = 1_000;
+
+/// The settings object of the platform.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Setup {
-    /// What the deployment permits.
+    /// `Allowed`: what the deployment permits.
     pub allowed: Allowed,
-    /// The tenants.
+    /// `Customers`: the tenants.
     #[serde(default)]
     pub customers: Vec<Customer>,
-    /// How the list is had.
+    /// `Discovery`: how updates of the list are obtained, `automatic` (pushed) or `subscribe` (watched).
     pub discovery: String,
-    /// Facts on this kind of service.
+    /// `FamilyInfo`: how members of this kind of service behave.
     pub family_info: FamilyInfo,
-    /// How many fronts there are.
+    /// `FleetSize`: the number of gateways.
     pub fleet_size: u32,
-    /// The share of its worth that a request past its tenant's quota keeps.
+    /// `OverShareWorth`: the fraction of its priority weight that a request beyond its tenant's quota keeps.
     #[serde(default)]
     pub over_share_worth: f64,
-    /// How often batches come.
+    /// `PeriodUs`: the interval of the simulator's batches, microseconds.
     pub period_us: Micros,
-    /// The request classes.
+    /// `Profiles`: the request classes.
     pub profiles: Vec<Profile>,
-    /// The load reports.
+    /// `Report`: what members report of their load.
     #[serde(default)]
     pub report: Report,
-    /// The figures of the rules.
+    /// `Rules`: the platform's time limits and capacities.
     pub rules: Rules,
-    /// This front's zone.
+    /// `Zone`: this gateway's zone, an index into `Zones`.
     #[serde(default)]
     pub zone: u32,
-    /// The names of the zones.
+    /// `Zones`: the names of the zones.
     #[serde(default)]
     pub zones: Vec<String>,
 }
@@ -47,27 +50,27 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Allowed {
-    /// Attempts may be called off.
+    /// `Cancel`: attempts may be cancelled.
     #[serde(default)]
     pub cancel: bool,
-    /// Members close connections idle for so long.
+    /// `ConnIdleUs`: how long a connection may be idle before members close it, microseconds; default 15 s.
     #[serde(default = "conn_idle")]
     pub conn_idle_us: Micros,
-    /// A connection not up by then has failed.
+    /// `ConnectTimeoutUs`: how long a connection to a member may take, microseconds; default 250 ms.
     #[serde(default = "connect_timeout")]
     pub connect_timeout_us: Micros,
-    /// The most attempts of a request.
+    /// `MaxAttempts`: the most attempts of a request.
     pub max_attempts: u32,
-    /// The longest wait that a client follows.
+    /// `MaxRetryAfterUs`: the longest retry delay that clients follow, microseconds.
     #[serde(default)]
     pub max_retry_after_us: Micros,
-    /// Members may be probed.
+    /// `MayProbe`: members may be health-checked.
     #[serde(default)]
     pub may_probe: bool,
-    /// A request may have two attempts out together.
+    /// `ParallelTries`: a request may have two attempts in flight.
     #[serde(default)]
     pub parallel_tries: bool,
-    /// Clients hear when to come back.
+    /// `RetryAfter`: a rejection may tell the client when to retry.
     #[serde(default)]
     pub retry_after: bool,
 }
@@ -84,30 +87,30 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Customer {
-    /// Its quota over all fronts, a second.
+    /// `QuotaRps`: its quota over all gateways, requests a second.
     #[serde(default)]
     pub quota_rps: f64,
 }
 
-/// Facts on this kind of service.
+/// How members of this kind of service behave.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct FamilyInfo {
-    /// What a member does with a read it is too far behind for.
+    /// `Checks`: what a replica does with a read that it is too stale for: `none`, `bounce` or `await`.
     pub checks: String,
-    /// What data each class needs.
+    /// `Consistency`: the consistency level of each class, in the order of `Profiles`.
     pub consistency: Vec<String>,
-    /// The time from which positions count on the simulator's wire.
+    /// `PositionZeroUs`: the time from which positions count on the simulator's wire, microseconds.
     #[serde(default)]
     pub position_zero_us: Micros,
-    /// Answers carry positions.
+    /// `ProgressTold`: answers carry the member's log position.
     #[serde(default)]
     pub progress_told: bool,
-    /// How the list tells the role.
+    /// `RoleListed`: when the list shows a member's role: `trailing`, `static` or `none`.
     pub role_listed: String,
-    /// How session reads know their token.
+    /// `SessionMarks`: whether session tokens are `brought` by clients or `kept` by the gateway.
     pub session_marks: String,
-    /// The age bound of each class.
+    /// `StalenessBoundUs`: the staleness bound of each class, microseconds.
     pub staleness_bound_us: Vec<Micros>,
 }
 
@@ -115,155 +118,190 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Profile {
-    /// The aim grows by this many times the request's work.
+    /// `AimStretch`: the latency objective grows by this many times the request's work.
     #[serde(default)]
     pub aim_stretch: f64,
-    /// How long a client waits over all its tries.
+    /// `DeadlineUs`: how long a client waits over all its attempts, microseconds.
     pub deadline_us: Micros,
-    /// How long repeats are discarded.
+    /// `DedupWindowUs`: how long repeats are discarded, microseconds.
     #[serde(default)]
     pub dedup_window_us: Micros,
-    /// What repeating does.
+    /// `Effect`: what a repeat does: nothing (`free`), discarded by its key (`guarded`), or run twice (`single_shot`).
     pub effect: String,
-    /// Who discards repeats.
+    /// `Group`: the scope in which repeats are discarded: `zone`, `cell`, or everywhere.
     #[serde(default)]
     pub group: String,
-    /// The share of the worth that a late answer earns.
+    /// `LateWorth`: the fraction of its priority weight that a late answer still has.
     #[serde(default)]
     pub late_worth: f64,
-    /// What clients call it.
+    /// `Name`: the name that clients use.
     #[serde(default)]
     pub name: String,
-    /// An answer inside this time earns the full worth.
+    /// `SloUs`: the latency objective, microseconds.
     pub slo_us: Micros,
-    /// What a request is worth.
+    /// `Worth`: the priority weight of a request.
     pub worth: f64,
 }
 
-/// The load reports.
+/// What members report of their load.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Report {
-    /// The values it holds, in order.
+    /// `Names`: the names of the values in a report, in order.
     #[serde(default)]
     pub names: Vec<String>,
 }
 
-/// The figures of the rules.
+/// The platform's time limits and capacities.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Rules {
-    /// How late after the deadline a final answer still counts.
+    /// `AnswerSlackUs`: how long after the deadline a final answer still counts, microseconds.
     #[serde(default)]
     pub answer_slack_us: Micros,
-    /// An unwatched list counts as told after this long.
+    /// `AskEveryUs`: after how long a list counts as notified that is not watched, microseconds.
     #[serde(default)]
     pub ask_every_us: Micros,
-    /// How long a started member stays cold at most.
+    /// `ColdUs`: the duration of slow start, microseconds.
     pub cold_us: Micros,
-    /// How long after word of a drain sends may still go out.
+    /// `DrainGraceUs`: how long after the notification of a drain requests may still be sent, microseconds.
     pub drain_grace_us: Micros,
-    /// A cold member falls over at this multiple of its capacity.
+    /// `FallMultiple`: the multiple of its capacity at which a member in slow start fails.
     pub fall_multiple: f64,
-    /// ... sustained for this long.
+    /// `FallUs`: how long such an overload lasts until the member fails, microseconds.
     pub fall_us: Micros,
-    /// The share of its capacity that a started member begins with.
+    /// `StartCapacity`: the fraction of its capacity that a started member begins with.
     pub start_capacity: f64,
-    /// Only an entry seen as draining binds.
+    /// `DroppedStayOpen`: only a record that shows draining starts a drain, not one that is gone from the list.
     #[serde(default)]
     pub dropped_stay_open: bool,
 }
 
-/// An entry of the list of members, in the simulator's words or in discovery's.
+/// A record of the list of endpoints, with the simulator's keys or discovery's.
 #[derive(Clone, Debug, Deserialize)]
 // The error message of a configuration names the type that it expected.
 #[serde(rename_all = "PascalCase", expecting = "struct Item")]
 pub struct EndpointRecord {
-    /// The zone.
+    /// `Campus`, or discovery's `locality`: the zone.
     #[serde(alias = "locality", default)]
-    pub campus: Place,
-    /// The state.
+    pub campus: ZoneReference,
+    /// `State`, or discovery's `phase`.
     #[serde(alias = "phase")]
     pub state: String,
-    /// When its process last started, in the simulator's unit.
+    /// `ReadyAtUs`: when its process last started, microseconds; the simulator's key.
     #[serde(default)]
     pub ready_at_us: Micros,
-    /// When its process last started, in discovery's unit.
+    /// `up_since_ms`: when its process last started, milliseconds; discovery's key.
     #[serde(rename = "up_since_ms", default)]
     pub up_since_ms: u64,
-    /// The role as the list has it, in the simulator's form.
+    /// `Writer`: the listed role, above 0.5 for the primary; the simulator's key.
     #[serde(default)]
     pub writer: f64,
-    /// The role as the list has it, in discovery's form.
+    /// `access`: the listed role, `writer` for the primary; discovery's key.
     #[serde(rename = "access", default)]
     pub access: String,
-    /// The group.
+    /// `Cell`, or discovery's `cell`: the replication group.
     #[serde(alias = "cell", default)]
     pub cell: u64,
-    /// The listed size.
+    /// `Size`, or discovery's `size`: the listed capacity.
     #[serde(alias = "size", default)]
     pub size: f64,
-    /// The member's name.
+    /// `Store`, or discovery's `id`: the member's name.
     #[serde(alias = "id")]
     pub store: String,
-    /// Where it listens; discovery alone tells.
+    /// `host_port`: where it listens; discovery's key.
     #[serde(rename = "host_port", default)]
     pub address: String,
 }
 
-/// A zone by its place in the settings or by its name there.
+/// A zone, by its index in `Zones` or by its name there.
 #[derive(Clone, Debug, Deserialize)]
-#[serde(untagged)]
-pub enum Place {
-    /// By its place.
-    Number(u32),
+#[serde(
+    untagged,
+    expecting = "data did not match any variant of untagged enum Place"
+)]
+pub enum ZoneReference {
+    /// By its index.
+    Index(u32),
     /// By its name.
     Name(String),
 }
 
-impl Default for Place {
-    fn default() -> Place {
-        Place::Number(0)
+impl Default for ZoneReference {
+    fn default() -> ZoneReference {
+        ZoneReference::Index(0)
     }
 }
 
 impl EndpointRecord {
-    /// The entry in the module's words, for a member that goes by this number here.
+    /// The endpoint of the record, for a member that has this number here.
     ///
     /// # Errors
     ///
-    /// The state of the endpoint is none that is known.
-    pub fn endpoint(&self, member: MemberId, zones: &[String]) -> Result<Endpoint, String> {
-        let zone = match &self.campus {
-            Place::Number(number) => *number,
-            // A zone that the settings don't name is nobody's own.
-            Place::Name(name) => zones
-                .iter()
-                .position(|zone| zone == name)
-                .map_or(u32::MAX, |n| n as u32),
-        };
-        let state = match self.state.as_str() {
-            "on" | "ready" => EndpointState::Ready,
-            "fading" | "draining" => EndpointState::Draining,
-            "off" | "gone" => EndpointState::Removed,
-            other => return Err(format!("unknown state {other}")),
-        };
-        let primary = self.writer > 0.5 || self.access == "writer";
+    /// [`UnknownValue`], where the state is not known.
+    pub fn endpoint(&self, member: MemberId, zones: &[String]) -> Result<Endpoint, UnknownValue> {
         Ok(Endpoint {
             member,
             group: GroupId(self.cell),
-            zone: ZoneId(zone),
-            state,
-            started: self.ready_at_us.max(self.up_since_ms.saturating_mul(1000)),
-            role: if primary {
-                Role::Primary
-            } else {
-                Role::Replica
-            },
+            zone: self.campus.zone(zones),
+            state: self.endpoint_state()?,
+            started: self
+                .ready_at_us
+                .max(self.up_since_ms.saturating_mul(MICROS_PER_MS)),
+            role: self.listed_role(),
             size: self.size,
             tie_break_hash: xxh3_64(self.store.as_bytes()),
         })
     }
+
+    fn endpoint_state(&self) -> Result<EndpointState, UnknownValue> {
+        match self.state.as_str() {
+            "on" | "ready" => Ok(EndpointState::Ready),
+            "fading" | "draining" => Ok(EndpointState::Draining),
+            "off" | "gone" => Ok(EndpointState::Removed),
+            other => Err(UnknownValue::new("state", other)),
+        }
+    }
+
+    fn listed_role(&self) -> Role {
+        if self.writer > 0.5 || self.access == "writer" {
+            Role::Primary
+        } else {
+            Role::Replica
+        }
+    }
+}
+
+impl ZoneReference {
+    /// A zone that the settings don't name is the zone of no gateway.
+    fn zone(&self, zones: &[String]) -> ZoneId {
+        ZoneId(match self {
+            ZoneReference::Index(index) => *index,
+            ZoneReference::Name(name) => zones
+                .iter()
+                .position(|zone| zone == name)
+                .map_or(u32::MAX, |index| index as u32),
+        })
+    }
+}
+
+/// A value that this program does not know.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("unknown {subject} {value}")]
+pub struct UnknownValue {
+    /// What the value stands for.
+    pub subject: &'static str,
+    /// The value.
+    pub value: String,
+}
+
+impl UnknownValue {
+    fn new(subject: &'static str, value: &str) -> UnknownValue {
+        UnknownValue {
+            subject,
+            value: value.to_owned(),
+        }
+    }
 }
 
 fn permit(allowed: bool) -> Permit {
@@ -274,114 +312,144 @@
     }
 }
 
-fn unknown(what: &str, word: &str) -> String {
-    format!("unknown {what} {word}")
-}
-
 impl Setup {
-    /// The settings in the module's words; a word that is not known is an error.
+    /// The settings in the types of [`crate::interface`].
     ///
     /// # Errors
     ///
-    /// A word that is not known, and where it stands.
-    pub fn settings(&self) -> Result<Settings, String> {
-        let (setup, family) = (self, &self.family_info);
-        let classes: Result<Vec<Class>, String> = setup.profiles.iter().map(class).collect();
-        let consistency_levels: Result<Vec<ConsistencyLevel>, String> = family
-            .consistency
-            .iter()
-            .map(|word| consistency_level(word))
-            .collect();
+    /// [`UnknownValue`], for the first value that is not known.
+    pub fn settings(&self) -> Result<Settings, UnknownValue> {
+        let (allowed, family, rules) = (&self.allowed, &self.family_info, &self.rules);
+        let classes: Result<Vec<Class>, UnknownValue> =
+            self.profiles.iter().map(Profile::class).collect();
         Ok(Settings {
             classes: classes?,
-            consistency_levels: consistency_levels?,
+            consistency_levels: family.consistency_levels()?,
             staleness_bounds: family.staleness_bound_us.clone(),
-            tenants: setup
-                .customers
-                .iter()
-                .map(|customer| Tenant {
-                    quota: customer.quota_rps,
-                })
-                .collect(),
-            over_quota_weight: setup.over_share_worth,
-            fleet_size: setup.fleet_size,
-            zone: ZoneId(setup.zone),
-            discovery: match setup.discovery.as_str() {
-                "automatic" => DiscoveryMode::Push,
-                "subscribe" => DiscoveryMode::Watch,
-                other => return Err(unknown("discovery", other)),
-            },
-            replica_checks: match family.checks.as_str() {
-                "none" => ReplicaChecks::None,
-                "bounce" | "await" => ReplicaChecks::RejectStale,
-                other => return Err(unknown("checks", other)),
-            },
-            session_tokens: match family.session_marks.as_str() {
-                "brought" => SessionTokens::Carried,
-                "kept" => SessionTokens::Remembered,
-                other => return Err(unknown("session marks", other)),
-            },
+            tenants: self.customers.iter().map(Customer::tenant).collect(),
+            over_quota_weight: self.over_share_worth,
+            fleet_size: self.fleet_size,
+            zone: ZoneId(self.zone),
+            discovery: self.discovery_mode()?,
+            replica_checks: family.replica_checks()?,
+            session_tokens: family.session_tokens()?,
             positions: permit(family.progress_told),
-            listed_role: match family.role_listed.as_str() {
-                "trailing" => ListedRole::Delayed,
-                "static" => ListedRole::AtStart,
-                "none" => ListedRole::Never,
-                other => return Err(unknown("listed role", other)),
-            },
-            probes: permit(setup.allowed.may_probe),
-            cancel: permit(setup.allowed.cancel),
-            parallel: permit(setup.allowed.parallel_tries),
-            retry_after: permit(setup.allowed.retry_after),
-            max_retry_after: setup.allowed.max_retry_after_us,
-            max_attempts: setup.allowed.max_attempts,
-            batch_period: setup.period_us,
-            answer_slack: setup.rules.answer_slack_us,
-            drain_grace: setup.rules.drain_grace_us,
-            drain_signal: if setup.rules.dropped_stay_open {
-                DrainSignal::DrainingOnly
-            } else {
-                DrainSignal::DrainingOrRemoved
-            },
-            poll_interval: setup.rules.ask_every_us,
-            slow_start_initial_share: setup.rules.start_capacity,
-            slow_start_duration: setup.rules.cold_us,
-            overload_multiple: setup.rules.fall_multiple,
-            overload_duration: setup.rules.fall_us,
+            listed_role: family.listed_role()?,
+            probes: permit(allowed.may_probe),
+            cancel: permit(allowed.cancel),
+            parallel: permit(allowed.parallel_tries),
+            retry_after: permit(allowed.retry_after),
+            max_retry_after: allowed.max_retry_after_us,
+            max_attempts: allowed.max_attempts,
+            batch_period: self.period_us,
+            answer_slack: rules.answer_slack_us,
+            drain_grace: rules.drain_grace_us,
+            drain_signal: rules.drain_signal(),
+            poll_interval: rules.ask_every_us,
+            slow_start_initial_share: rules.start_capacity,
+            slow_start_duration: rules.cold_us,
+            overload_multiple: rules.fall_multiple,
+            overload_duration: rules.fall_us,
         })
     }
+
+    fn discovery_mode(&self) -> Result<DiscoveryMode, UnknownValue> {
+        match self.discovery.as_str() {
+            "automatic" => Ok(DiscoveryMode::Push),
+            "subscribe" => Ok(DiscoveryMode::Watch),
+            other => Err(UnknownValue::new("discovery", other)),
+        }
+    }
+}
+
+impl Customer {
+    fn tenant(&self) -> Tenant {
+        Tenant {
+            quota: self.quota_rps,
+        }
+    }
+}
+
+impl FamilyInfo {
+    fn consistency_levels(&self) -> Result<Vec<ConsistencyLevel>, UnknownValue> {
+        self.consistency
+            .iter()
+            .map(|level| match level.as_str() {
+                "mutate" => Ok(ConsistencyLevel::Write),
+                "strong" => Ok(ConsistencyLevel::Strong),
+                "causal" => Ok(ConsistencyLevel::Session),
+                "lag_bound" => Ok(ConsistencyLevel::BoundedStaleness),
+                "eventual" => Ok(ConsistencyLevel::Eventual),
+                other => Err(UnknownValue::new("consistency", other)),
+            })
+            .collect()
+    }
+
+    fn replica_checks(&self) -> Result<ReplicaChecks, UnknownValue> {
+        match self.checks.as_str() {
+            "none" => Ok(ReplicaChecks::None),
+            "bounce" | "await" => Ok(ReplicaChecks::RejectStale),
+            other => Err(UnknownValue::new("checks", other)),
+        }
+    }
+
+    fn session_tokens(&self) -> Result<SessionTokens, UnknownValue> {
+        match self.session_marks.as_str() {
+            "brought" => Ok(SessionTokens::Carried),
+            "kept" => Ok(SessionTokens::Remembered),
+            other => Err(UnknownValue::new("session marks", other)),
+        }
+    }
+
+    fn listed_role(&self) -> Result<ListedRole, UnknownValue> {
+        match self.role_listed.as_str() {
+            "trailing" => Ok(ListedRole::Delayed),
+            "static" => Ok(ListedRole::AtStart),
+            "none" => Ok(ListedRole::Never),
+            other => Err(UnknownValue::new("listed role", other)),
+        }
+    }
 }
 
-fn class(profile: &Profile) -> Result<Class, String> {
-    let scope = match profile.group.as_str() {
-        "zone" => DeduplicationScope::Zone,
-        "cell" => DeduplicationScope::Group,
-        _ => DeduplicationScope::All,
-    };
-    Ok(Class {
-        idempotency: match profile.effect.as_str() {
-            "free" => Idempotency::Idempotent,
-            "guarded" => Idempotency::IdempotencyKey {
-                scope,
-                window: profile.dedup_window_us,
-            },
-            "single_shot" => Idempotency::NonIdempotent,
-            other => return Err(unknown("effect", other)),
-        },
-        latency_objective: profile.slo_us,
-        objective_work_factor: profile.aim_stretch,
-        deadline: profile.deadline_us,
-        priority_weight: profile.worth,
-        late_weight: profile.late_worth,
-    })
+impl Rules {
+    fn drain_signal(&self) -> DrainSignal {
+        if self.dropped_stay_open {
+            DrainSignal::DrainingOnly
+        } else {
+            DrainSignal::DrainingOrRemoved
+        }
+    }
 }
 
-fn consistency_level(word: &str) -> Result<ConsistencyLevel, String> {
-    Ok(match word {
-        "mutate" => ConsistencyLevel::Write,
-        "strong" => ConsistencyLevel::Strong,
-        "causal" => ConsistencyLevel::Session,
-        "lag_bound" => ConsistencyLevel::BoundedStaleness,
-        "eventual" => ConsistencyLevel::Eventual,
-        other => return Err(unknown("consistency", other)),
-    })
+impl Profile {
+    fn class(&self) -> Result<Class, UnknownValue> {
+        Ok(Class {
+            idempotency: self.idempotency()?,
+            latency_objective: self.slo_us,
+            objective_work_factor: self.aim_stretch,
+            deadline: self.deadline_us,
+            priority_weight: self.worth,
+            late_weight: self.late_worth,
+        })
+    }
+
+    fn idempotency(&self) -> Result<Idempotency, UnknownValue> {
+        match self.effect.as_str() {
+            "free" => Ok(Idempotency::Idempotent),
+            "guarded" => Ok(Idempotency::IdempotencyKey {
+                scope: self.deduplication_scope(),
+                window: self.dedup_window_us,
+            }),
+            "single_shot" => Ok(Idempotency::NonIdempotent),
+            other => Err(UnknownValue::new("effect", other)),
+        }
+    }
+
+    fn deduplication_scope(&self) -> DeduplicationScope {
+        match self.group.as_str() {
+            "zone" => DeduplicationScope::Zone,
+            "cell" => DeduplicationScope::Group,
+            _ => DeduplicationScope::All,
+        }
+    }
 }
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -1,4 +1,5 @@
-//! Reading the configuration: errors name the key at fault.
+//! Reading the configuration, first and again: errors name the key at fault.
+
 use asterreel::config::{Config, ConfigError};
 
 const EXAMPLE: &str = include_str!("../examples/config.json");
@@ -8,7 +9,7 @@
 }
 
 #[test]
-fn the_example_is_read_and_the_environment_overrides_it() {
+fn environment_overrides_the_example() {
     let config = parse(EXAMPLE).expect("the example is good");
     assert_eq!((config.name.as_str(), config.sockets), ("example", 1024));
     assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
@@ -16,13 +17,13 @@
         (config.known.members.len(), config.settings.classes.len()),
         (2, 2)
     );
-    let told = |name: &str| (name == "RELAY_LISTEN").then(|| "127.0.0.9:1".to_owned());
-    let config = Config::parse(EXAMPLE.as_bytes(), told).expect("good");
+    let environment = |name: &str| (name == "RELAY_LISTEN").then(|| "127.0.0.9:1".to_owned());
+    let config = Config::parse(EXAMPLE.as_bytes(), environment).expect("good");
     assert_eq!(config.listen.to_string(), "127.0.0.9:1");
 }
 
 #[test]
-fn a_fault_names_its_key() {
+fn error_names_its_key() {
     let cases = [
         (
             "\"listen\": \"127.0.0.1:6433\"",
@@ -53,9 +54,9 @@
     ];
     for (good, bad, key) in cases {
         assert!(EXAMPLE.contains(good), "{good}");
-        let fault = parse(&EXAMPLE.replacen(good, bad, 1)).expect_err(bad);
-        assert_eq!(fault.key, key, "{fault}");
-        assert!(fault.to_string().contains(key));
+        let error = parse(&EXAMPLE.replacen(good, bad, 1)).expect_err(bad);
+        assert_eq!(error.key, key, "{error}");
+        assert!(error.to_string().contains(key));
     }
     assert_eq!(
         Config::from_env().expect_err("not set here").key,
@@ -63,10 +64,11 @@
     );
 }
 
+/// Read again, a changed key wins over the environment, and an unchanged one leaves what was in force.
 #[test]
-fn read_again_a_changed_key_beats_the_environment_and_an_unchanged_one_leaves_what_was_in_force() {
-    let told = |name: &str| (name == "RELAY_DISCOVERY").then(|| "127.0.0.2:1".to_owned());
-    let start = Config::parse(EXAMPLE.as_bytes(), told).expect("good");
+fn reload_takes_only_a_changed_discovery() {
+    let environment = |name: &str| (name == "RELAY_DISCOVERY").then(|| "127.0.0.2:1".to_owned());
+    let start = Config::parse(EXAMPLE.as_bytes(), environment).expect("good");
     let moved = EXAMPLE.replace("127.0.0.1:8500", "127.0.0.3:1");
     let mut current = start;
     for (text, discovery) in [
@@ -75,12 +77,15 @@
         (&moved, "127.0.0.3:1"),
         (EXAMPLE, "127.0.0.1:8500"),
     ] {
-        current = current.again(text.as_bytes(), told).expect("good");
+        current = current.again(text.as_bytes(), environment).expect("good");
         assert_eq!(current.discovery.to_string(), discovery);
     }
     let bad = EXAMPLE.replace("127.0.0.1:8500", "nowhere");
     assert_eq!(
-        current.again(bad.as_bytes(), told).expect_err("bad").key,
+        current
+            .again(bad.as_bytes(), environment)
+            .expect_err("bad")
+            .key,
         "discovery"
     );
 }
