--- a/src/bin/asterreel/control/client.rs
+++ b/src/bin/asterreel/control/client.rs
@@ -104,7 +104,7 @@
     pub(crate) fn share(&mut self, gateway: &Gateway) -> Option<bool> {
         let view = self.peers.view();
         let sure = view.right(gateway.core.clock.now()).is_some();
-        gateway.share(if sure {
+        gateway.set_fleet_size(if sure {
             view.registrations
         } else {
             self.gateways
--- a/src/bin/asterreel/core.rs
+++ b/src/bin/asterreel/core.rs
@@ -15,48 +15,58 @@
 use std::sync::{Arc, Mutex, PoisonError, TryLockError};
 use tracing::{debug, info, warn};
 
-/// What the module wants done for one request.
+/// An attempt that the router wants made.
 #[derive(Debug)]
-pub(crate) enum Order {
-    /// Send an attempt, to be waited for until this time.
-    Send {
-        member: MemberId,
-        address: SocketAddr,
-        until: Micros,
-    },
-    /// Call an attempt off.
-    Cancel(AttemptNo),
-    /// Final answer: refused.
-    Refuse(Option<Micros>),
+pub(crate) struct Dispatch {
+    /// The member it goes to.
+    pub member: MemberId,
+    /// Where that member listens.
+    pub address: SocketAddr,
+    /// Until when its answer is waited for.
+    pub deadline: Micros,
+}
+
+/// What the router wants done for one request.
+#[derive(Debug)]
+pub(crate) enum Command {
+    /// Start an attempt.
+    Dispatch(Dispatch),
+    /// Cancel an attempt.
+    CancelAttempt(AttemptNo),
+    /// Final answer: rejected; a retry makes sense after the delay at best.
+    Reject { retry_after: Option<Micros> },
     /// Final answer: failed.
     Fail,
 }
 
-/// Where a request's orders go; must not wait.
-pub(crate) trait Inbox: Send + Sync {
-    fn order(&self, order: Order);
+/// Where the router's commands for a request go.
+pub(crate) trait CommandMailbox: Send + Sync {
+    /// Takes a command; called under the router's lock, so it must not wait.
+    fn send(&self, command: Command);
 }
 
-/// Orders that inboxes were given, and those that sessions have taken or will never take. Read without a lock, by
-/// who tells whether requests move.
+/// How many commands were sent to mailboxes, and how many sessions have received or will never receive. Read without a
+/// lock, by the liveness check.
 #[derive(Default)]
-pub(crate) struct Orders {
-    pub given: AtomicU64,
-    pub taken: AtomicU64,
+pub(crate) struct CommandCounters {
+    /// Commands that mailboxes were sent.
+    pub sent: AtomicU64,
+    /// Commands that left their mailbox.
+    pub received: AtomicU64,
 }
 
-impl Orders {
-    /// How many were given and taken; never fewer given.
+impl CommandCounters {
+    /// How many were sent and received; never fewer sent.
     pub(crate) fn counts(&self) -> (u64, u64) {
-        let taken = self.taken.load(Ordering::Acquire);
-        (self.given.load(Ordering::Acquire), taken)
+        let received = self.received.load(Ordering::Acquire);
+        (self.sent.load(Ordering::Acquire), received)
     }
 }
 
 pub(crate) struct Core {
     pub clock: Clock,
     pub timer: Arc<Timer>,
-    pub orders: Arc<Orders>,
+    pub commands: Arc<CommandCounters>,
     state: Mutex<State>,
 }
 
@@ -64,7 +74,7 @@
     router: Router,
     /// Looks on, where somebody wants to know.
     observer: Option<Observer>,
-    inboxes: HashMap<RequestId, (Arc<dyn Inbox>, Micros)>,
+    requests_open: HashMap<RequestId, (Arc<dyn CommandMailbox>, Micros)>,
     requests: u64,
     /// By name, those that the router knows.
     members: HashMap<String, MemberId>,
@@ -89,7 +99,7 @@
         let state = State {
             router,
             observer: None,
-            inboxes: HashMap::new(),
+            requests_open: HashMap::new(),
             requests: 0,
             members: HashMap::new(),
             places: HashMap::new(),
@@ -102,7 +112,7 @@
         Ok(Core {
             clock,
             timer,
-            orders: Arc::default(),
+            commands: Arc::default(),
             state: Mutex::new(state),
         })
     }
@@ -148,7 +158,7 @@
     }
 
     /// Takes the lock and gives it back: whoever gets through here shows that requests could.
-    pub(crate) fn pass_through(&self) {
+    pub(crate) fn wait_for_lock(&self) {
         self.with(|_| ());
     }
 
@@ -161,12 +171,18 @@
         self.with(|state| state.requests)
     }
 
-    /// A request came in; its orders go to the inbox until [`Core::forget`].
-    pub(crate) fn arrive(&self, mut arrival: Arrival, inbox: Arc<dyn Inbox>) -> RequestId {
+    /// A request came in; its orders go to the mailbox until [`Core::forget`].
+    pub(crate) fn arrive(
+        &self,
+        mut arrival: Arrival,
+        mailbox: Arc<dyn CommandMailbox>,
+    ) -> RequestId {
         self.with(|state| {
             state.requests += 1;
             arrival.request = RequestId(state.requests);
-            state.inboxes.insert(arrival.request, (inbox, arrival.due));
+            state
+                .requests_open
+                .insert(arrival.request, (mailbox, arrival.due));
             state.feed(self, Event::RequestArrived(arrival));
             arrival.request
         })
@@ -199,7 +215,7 @@
 
     /// No orders are wanted any more.
     pub(crate) fn forget(&self, request: RequestId) {
-        self.with(|state| state.inboxes.remove(&request));
+        self.with(|state| state.requests_open.remove(&request));
     }
 
     /// Takes in a list; one with an entry that makes no sense changes nothing.
@@ -279,24 +295,24 @@
                 let Some(address) = self.places.get(&member).and_then(|place| place.1) else {
                     return warn!("a send to a member without an address");
                 };
-                let Some((inbox, due)) = self.inboxes.get(&request) else {
+                let Some((mailbox, due)) = self.requests_open.get(&request) else {
                     return;
                 };
-                let until = now.saturating_add(timeout).min(*due);
-                inbox.order(Order::Send {
+                let deadline = now.saturating_add(timeout).min(*due);
+                mailbox.send(Command::Dispatch(Dispatch {
                     member,
                     address,
-                    until,
-                });
+                    deadline,
+                }));
             }
             Action::CancelAttempt { request, attempt } => {
-                self.order(request, Order::Cancel(attempt))
+                self.send(request, Command::CancelAttempt(attempt))
             }
             Action::Reject {
                 request,
                 retry_after,
-            } => self.order(request, Order::Refuse(retry_after)),
-            Action::Fail(request) => self.order(request, Order::Fail),
+            } => self.send(request, Command::Reject { retry_after }),
+            Action::Fail(request) => self.send(request, Command::Fail),
             Action::CheckHealth(member) => {
                 if let Some(address) = self.places.get(&member).and_then(|place| place.1) {
                     let _ = self.probes.send((member, address));
@@ -316,9 +332,9 @@
         }
     }
 
-    fn order(&self, request: RequestId, order: Order) {
-        if let Some((inbox, _)) = self.inboxes.get(&request) {
-            inbox.order(order);
+    fn send(&self, request: RequestId, command: Command) {
+        if let Some((mailbox, _)) = self.requests_open.get(&request) {
+            mailbox.send(command);
         }
     }
 }
--- a/src/bin/asterreel/core/tests.rs
+++ b/src/bin/asterreel/core/tests.rs
@@ -2,14 +2,14 @@
 use may::sync::mpsc::{channel, Receiver};
 
 #[derive(Default)]
-struct Orders(Mutex<Vec<String>>);
+struct RecordedCommands(Mutex<Vec<String>>);
 
-impl Inbox for Orders {
-    fn order(&self, order: Order) {
+impl CommandMailbox for RecordedCommands {
+    fn send(&self, command: Command) {
         self.0
             .lock()
             .expect("not poisoned")
-            .push(format!("{order:?}"));
+            .push(format!("{command:?}"));
     }
 }
 
@@ -57,7 +57,7 @@
         position: None,
     };
     core.probed(probed[0].0, Outcome::Served, primary);
-    let inbox = Arc::new(Orders::default());
+    let mailbox = Arc::new(RecordedCommands::default());
     let arrival = Arrival {
         request: RequestId(0),
         class: ClassId(1),
@@ -68,11 +68,11 @@
         group: GroupId(0),
         since_write: None,
     };
-    core.arrive(arrival, inbox.clone());
-    let orders = inbox.0.lock().expect("not poisoned");
+    core.arrive(arrival, mailbox.clone());
+    let commands = mailbox.0.lock().expect("not poisoned");
     assert!(
-        orders[0].starts_with("Send") && orders[0].contains(&probed[0].1.to_string()),
-        "{orders:?}"
+        commands[0].starts_with("Dispatch") && commands[0].contains(&probed[0].1.to_string()),
+        "{commands:?}"
     );
 }
 
--- a/src/bin/asterreel/front/accept.rs
+++ b/src/bin/asterreel/front/accept.rs
@@ -9,14 +9,14 @@
 use std::sync::Arc;
 use tracing::warn;
 
-/// Wait before the next try after accepting failed or found no room.
-const ACCEPT_AGAIN: Micros = 5_000;
+/// Wait after accepting failed, or while no more sessions may be opened.
+const ACCEPT_RETRY_DELAY_US: Micros = 5_000;
 
-/// Accepts clients for as long as the process runs. Running out of descriptors only makes the next one wait.
+/// Accepts clients for as long as the process runs. Running out of descriptors only delays the next one.
 pub(crate) fn accept(gateway: &Arc<Gateway>, listener: &TcpListener) {
-    gateway.wake_for_room(listener.waker());
+    gateway.set_accept_waker(listener.waker());
     let pause = || {
-        let at = gateway.core.clock.now() + ACCEPT_AGAIN;
+        let at = gateway.core.clock.now() + ACCEPT_RETRY_DELAY_US;
         let _alarm = gateway.core.timer.alarm(at, listener.waker());
         listener.wait_io();
     };
@@ -29,10 +29,10 @@
         match listener.accept() {
             Ok((socket, from)) => {
                 let stream = Stream::new(socket, gateway.core.timer.clone());
-                // Registered here, so that the limit counts sessions that have not begun yet.
+                // Registered here, so that the limit counts sessions whose coroutines have not run yet.
                 let (number, mailbox) = gateway.register(stream.waker());
                 let session = Session::new(gateway.clone(), number, stream, mailbox, from.ip());
-                spawn(move || session.live());
+                spawn(move || session.run());
             }
             Err(error) => {
                 warn!("accept: {error}");
--- /dev/null
+++ b/src/bin/asterreel/front/error_answer.rs
@@ -0,0 +1,54 @@
+//! Final answers to a request other than a row.
+
+use crate::postgres::{self as pg, sqlstate, Severity};
+use asterreel::cells::Refusal;
+use asterreel::interface::Micros;
+
+/// A final answer other than a row, with the text that its client gets.
+pub(super) enum ErrorAnswer {
+    /// The request breaks the protocol, or lacks what the gateway needs.
+    InvalidRequest(&'static str),
+    /// No tenant is known for the client.
+    UnknownClient(&'static str),
+    /// Nothing ran: the client may retry, at best after the delay.
+    Rejected {
+        text: &'static str,
+        retry_after: Option<Micros>,
+    },
+    /// The request failed and may have run.
+    Failed(&'static str),
+    /// Its client has cancelled it.
+    Cancelled,
+}
+
+impl ErrorAnswer {
+    /// Appends the answer's message; a delay is given in milliseconds, rounded up.
+    pub(super) fn write(&self, out: &mut Vec<u8>) {
+        let (code, text, retry_after) = match self {
+            ErrorAnswer::InvalidRequest(text) => (sqlstate::PROTOCOL_VIOLATION, *text, None),
+            ErrorAnswer::UnknownClient(text) => (sqlstate::INVALID_AUTHORIZATION, *text, None),
+            ErrorAnswer::Rejected { text, retry_after } => {
+                (sqlstate::TOO_MANY_CONNECTIONS, *text, *retry_after)
+            }
+            ErrorAnswer::Failed(text) => (sqlstate::SYSTEM_ERROR, *text, None),
+            ErrorAnswer::Cancelled => (
+                sqlstate::QUERY_CANCELED,
+                "cancelled as its client asked",
+                None,
+            ),
+        };
+        let retry_after_ms = retry_after.map(|delay| delay.div_ceil(1_000));
+        pg::error(out, Severity::Error, code, text, retry_after_ms);
+    }
+}
+
+impl From<Refusal> for ErrorAnswer {
+    fn from(refusal: Refusal) -> ErrorAnswer {
+        let (text, retry_after) = refusal.told();
+        if refusal == Refusal::Nobody {
+            ErrorAnswer::UnknownClient(text)
+        } else {
+            ErrorAnswer::Rejected { text, retry_after }
+        }
+    }
+}
--- a/src/bin/asterreel/front/gateway.rs
+++ b/src/bin/asterreel/front/gateway.rs
@@ -1,6 +1,8 @@
-//! What all sessions share, and the register of those that are open.
+//! What all sessions share, and the registry of those that are open.
+//!
+//! No lock here is held over a wait.
 
-use super::mailbox::{Mailbox, Notice};
+use super::mailbox::{Mailbox, SessionEvent};
 use crate::cells::Cells;
 use crate::core::Core;
 use crate::postgres as pg;
@@ -16,49 +18,56 @@
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// What a session has to know of a class of requests.
+/// What a session needs to know of a class of requests.
 pub(super) struct Class {
     name: String,
+    /// What data its requests need.
     pub consistency: ConsistencyLevel,
+    /// What repeating its requests does.
     pub idempotency: Idempotency,
-    /// The longest that a request of it is waited for.
+    /// The longest wait of its requests.
     pub deadline: Micros,
 }
 
 /// What all sessions share.
 pub(crate) struct Gateway {
+    /// The router.
     pub core: Arc<Core>,
+    /// Connections to servers.
     pub pool: Arc<Pool>,
-    /// By their numbers.
+    /// The classes of requests, by number.
     classes: Vec<Class>,
     /// Which tenants may reach which groups, where the operator's file says so.
     pub(super) cells: Option<Cells>,
-    pub(super) most_sessions: usize,
-    /// What clients hold for requests at most; one that finds no connection left has nowhere to ask.
-    pub(super) most_served: usize,
+    /// How many sessions may be open.
+    pub(super) max_sessions: usize,
+    /// How many sessions past their opening and how many requests there may be: each request needs a connection to a
+    /// server as well.
+    pub(super) max_served: usize,
     draining: AtomicBool,
-    /// When the last answer must be out, once that is known.
-    answer_until: AtomicU64,
+    /// When the last answer must have been sent, once that is known.
+    last_answer_at: AtomicU64,
     sessions: Mutex<BTreeMap<u32, Arc<Mailbox>>>,
-    /// What clients call the requests that are open.
-    open: Mutex<HashSet<Vec<u8>>>,
+    /// The ids by which clients name the requests that are open.
+    open_requests: Mutex<HashSet<Vec<u8>>>,
     next_session: AtomicU32,
-    /// Draws the secrets that let clients cancel: seeded by the system, different in each process.
+    /// Derives the secrets that let clients cancel: seeded by the system, different in each process.
     secrets: RandomState,
-    /// Wakes whoever accepts.
-    room: Mutex<Option<WaitIoWaker>>,
-    /// How many clients may come back at once, where an operator says so.
+    /// Wakes the coroutine that accepts clients.
+    accept_waker: Mutex<Option<WaitIoWaker>>,
+    /// Admission pacing of new clients, where the operator configures it.
     readmission: Mutex<Option<Readmission>>,
 }
 
 impl Gateway {
+    /// A gateway of at most `max_sessions` sessions; `max_sockets` is the descriptor limit of the process.
     pub(crate) fn new(
         core: Arc<Core>,
         pool: Arc<Pool>,
         setup: &Setup,
         settings: &Settings,
-        most: usize,
-        sockets: usize,
+        max_sessions: usize,
+        max_sockets: usize,
         cells: Option<Cells>,
     ) -> Gateway {
         let classes = setup
@@ -77,29 +86,29 @@
             pool,
             classes: classes.collect(),
             cells,
-            most_sessions: most,
-            most_served: sockets / 3,
+            max_sessions,
+            max_served: max_sockets / 3,
             draining: AtomicBool::new(false),
-            answer_until: AtomicU64::new(Micros::MAX),
+            last_answer_at: AtomicU64::new(Micros::MAX),
             sessions: Mutex::default(),
-            open: Mutex::default(),
+            open_requests: Mutex::default(),
             next_session: AtomicU32::new(0),
             secrets: RandomState::new(),
-            room: Mutex::default(),
+            accept_waker: Mutex::default(),
             readmission: Mutex::default(),
         }
     }
 
-    /// From now on clients that come are admitted as this says.
-    pub(crate) fn readmit(&self, readmission: Readmission) {
+    /// From now on new clients are admitted at this pace.
+    pub(crate) fn set_admission_pacing(&self, readmission: Readmission) {
         *self
             .readmission
             .lock()
             .unwrap_or_else(PoisonError::into_inner) = Some(readmission);
     }
 
-    /// So many gateways share what the fleet may admit.
-    pub(crate) fn share(&self, gateways: u32) {
+    /// Sets how many gateways share the number of clients that the fleet may admit.
+    pub(crate) fn set_fleet_size(&self, gateways: u32) {
         let mut readmission = self
             .readmission
             .lock()
@@ -109,8 +118,8 @@
             .for_each(|readmission| readmission.share(gateways));
     }
 
-    /// Whether a client that comes from there may come in now; everybody may where nobody says otherwise.
-    pub(super) fn readmits(&self, from: IpAddr) -> Answer {
+    /// Whether a new client at this address is admitted now; without admission pacing each is.
+    pub(super) fn pace_admission(&self, from: IpAddr) -> Answer {
         let mut readmission = self
             .readmission
             .lock()
@@ -121,39 +130,45 @@
         })
     }
 
-    /// How many requests were taken since the start.
+    /// How many requests arrived since the start.
     pub(crate) fn requests(&self) -> u64 {
         self.core.requests()
     }
 
-    pub(super) fn sessions<T>(
+    pub(super) fn with_sessions<T>(
         &self,
         work: impl FnOnce(&mut BTreeMap<u32, Arc<Mailbox>>) -> T,
     ) -> T {
         work(&mut self.sessions.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    fn open<T>(&self, work: impl FnOnce(&mut HashSet<Vec<u8>>) -> T) -> T {
-        work(&mut self.open.lock().unwrap_or_else(PoisonError::into_inner))
+    fn with_open_requests<T>(&self, work: impl FnOnce(&mut HashSet<Vec<u8>>) -> T) -> T {
+        work(
+            &mut self
+                .open_requests
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner),
+        )
     }
 
     /// From now on no request is waited for any longer than this: the process may be killed soon after, and
-    /// what it had taken by then would be lost.
-    pub(crate) fn answer_until(&self, at: Micros) {
-        self.answer_until.store(at, Ordering::Release);
+    /// what it had accepted by then would be lost.
+    pub(crate) fn set_last_answer_at(&self, at: Micros) {
+        self.last_answer_at.store(at, Ordering::Release);
     }
 
-    /// Until when the last answer must be out.
-    pub(super) fn answers_until(&self) -> Micros {
-        self.answer_until.load(Ordering::Acquire)
+    /// When the last answer must have been sent.
+    pub(super) fn last_answer_at(&self) -> Micros {
+        self.last_answer_at.load(Ordering::Acquire)
     }
 
-    /// From now on connections are closed between requests.
+    /// Starts the draining: from now on connections are closed between requests.
     pub(crate) fn drain(&self) {
         self.draining.store(true, Ordering::Release);
-        self.sessions(|sessions| sessions.values().for_each(|mailbox| mailbox.waker.wakeup()));
+        self.with_sessions(|sessions| sessions.values().for_each(|mailbox| mailbox.waker.wakeup()));
     }
 
+    /// Whether connections are closed between requests.
     pub(super) fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Acquire)
     }
@@ -164,45 +179,48 @@
         Some((ClassId(number), &self.classes[number]))
     }
 
-    /// Sessions that are open.
+    /// How many sessions are open.
     pub(crate) fn open_sessions(&self) -> usize {
-        self.sessions(|sessions| sessions.len())
+        self.with_sessions(|sessions| sessions.len())
     }
 
-    /// How much of what clients may hold is held; nothing where a lock is held, as this never waits.
-    pub(crate) fn room(&self) -> Option<Room> {
+    /// How much of the capacity for clients is in use; nothing where a lock is held, as this never waits.
+    pub(crate) fn capacity(&self) -> Option<Room> {
         Some(Room {
             sessions: self.sessions.try_lock().ok()?.len(),
-            most_sessions: self.most_sessions,
-            requests: self.open.try_lock().ok()?.len(),
-            most_requests: self.most_served,
+            most_sessions: self.max_sessions,
+            requests: self.open_requests.try_lock().ok()?.len(),
+            most_requests: self.max_served,
         })
     }
 
-    /// Whether there is no place for another session.
+    /// Whether no more sessions may be opened.
     pub(super) fn is_full(&self) -> bool {
-        self.open_sessions() >= self.most_sessions
+        self.open_sessions() >= self.max_sessions
     }
 
-    /// From now on this wakes whoever accepts, once a session has ended.
-    pub(super) fn wake_for_room(&self, waker: WaitIoWaker) {
-        *self.room.lock().unwrap_or_else(PoisonError::into_inner) = Some(waker);
+    /// From now on this waker is used whenever a session has ended.
+    pub(super) fn set_accept_waker(&self, waker: WaitIoWaker) {
+        *self
+            .accept_waker
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = Some(waker);
     }
 
-    /// Takes a session in that is woken by this.
+    /// Registers a new session that is woken by this waker, and numbers it.
     pub(super) fn register(&self, waker: WaitIoWaker) -> (u32, Arc<Mailbox>) {
         let number = self.next_session.fetch_add(1, Ordering::Relaxed);
         let mailbox = Arc::new(Mailbox::new(
             waker,
             self.core.clock.now(),
-            self.core.orders.clone(),
+            self.core.commands.clone(),
         ));
-        self.sessions(|sessions| sessions.insert(number, mailbox.clone()));
+        self.with_sessions(|sessions| sessions.insert(number, mailbox.clone()));
         (number, mailbox)
     }
 
-    /// The key of a session: whoever sees one can't tell another's from it.
-    pub(super) fn key(&self, session: u32) -> pg::CancelKey {
+    /// The cancel key of a session; no key can be derived from another.
+    pub(super) fn cancel_key(&self, session: u32) -> pg::CancelKey {
         pg::CancelKey {
             session,
             secret: self.secrets.hash_one(session) as u32,
@@ -211,19 +229,19 @@
 
     /// Cancels what the session with this key is doing, if it is doing something; a wrong key does nothing.
     pub(super) fn cancel(&self, key: pg::CancelKey) {
-        if key == self.key(key.session) {
-            let mailbox = self.sessions(|sessions| sessions.get(&key.session).cloned());
+        if key == self.cancel_key(key.session) {
+            let mailbox = self.with_sessions(|sessions| sessions.get(&key.session).cloned());
             mailbox
                 .iter()
-                .for_each(|mailbox| mailbox.post(Notice::Cancelled));
+                .for_each(|mailbox| mailbox.post(SessionEvent::CancelRequested));
         }
     }
 
-    /// A session has ended: whoever waits to be accepted gets its place at once.
-    pub(super) fn ended(&self, number: u32) {
-        self.sessions(|sessions| sessions.remove(&number));
+    /// Removes a session that has ended; the next client is accepted at once.
+    pub(super) fn session_ended(&self, number: u32) {
+        self.with_sessions(|sessions| sessions.remove(&number));
         if let Some(waker) = self
-            .room
+            .accept_waker
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .as_ref()
@@ -233,18 +251,26 @@
     }
 }
 
-/// The name of an open request, which is free again once this is dropped.
-pub(super) struct Name(Arc<Gateway>, Vec<u8>);
+/// The id of an open request, which is free again once this is dropped.
+pub(super) struct OpenRequestId {
+    gateway: Arc<Gateway>,
+    id: Vec<u8>,
+}
 
-impl Name {
-    pub(super) fn take(gateway: &Arc<Gateway>, name: &[u8]) -> Option<Name> {
-        let free = gateway.open(|open| open.insert(name.to_vec()));
-        free.then(|| Name(gateway.clone(), name.to_vec()))
+impl OpenRequestId {
+    /// Reserves an id; nothing where an open request has it.
+    pub(super) fn reserve(gateway: &Arc<Gateway>, id: &[u8]) -> Option<OpenRequestId> {
+        let is_free = gateway.with_open_requests(|open| open.insert(id.to_vec()));
+        is_free.then(|| OpenRequestId {
+            gateway: gateway.clone(),
+            id: id.to_vec(),
+        })
     }
 }
 
-impl Drop for Name {
+impl Drop for OpenRequestId {
     fn drop(&mut self) {
-        self.0.open(|open| open.remove(&self.1));
+        self.gateway
+            .with_open_requests(|open| open.remove(&self.id));
     }
 }
--- a/src/bin/asterreel/front/mailbox.rs
+++ b/src/bin/asterreel/front/mailbox.rs
@@ -1,28 +1,30 @@
-//! What others have for a session, and what they may see of it.
+//! A session's mailbox: events that others have for it, and what they may see of it.
 
-use crate::core::{Inbox, Order, Orders};
+use crate::core::{Command, CommandCounters, CommandMailbox};
 use crate::request::attempt::AttemptResult;
 use asterreel::interface::{AttemptNo, Micros};
 use may::io::WaitIoWaker;
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// What a session waits for, beside its client.
-pub(super) enum Notice {
-    Order(Order),
-    Ended(AttemptNo, AttemptResult),
+/// What a session waits for while a request is open, beside its client.
+pub(super) enum SessionEvent {
+    /// The router wants something done for the request.
+    Command(Command),
+    /// An attempt has ended.
+    AttemptEnded(AttemptNo, AttemptResult),
     /// The client has closed its connection.
-    Left,
+    ClientGone,
     /// The client has asked to cancel its request.
-    Cancelled,
+    CancelRequested,
     /// The deadline has passed without a final answer.
-    Overdue,
+    DeadlinePassed,
 }
 
-/// What a session that is not busy with a request waits for from its client.
+/// What a session without an open request waits for from its client.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Stage {
+pub(super) enum ReadState {
     /// The opening message.
     Opening,
     /// The first byte of a message.
@@ -31,14 +33,25 @@
     Message,
 }
 
+/// What a session waits for from its client, and since when.
+#[derive(Clone, Copy, PartialEq, Eq)]
+pub(super) struct ClientWait {
+    /// What it waits for.
+    pub state: ReadState,
+    /// When it began to wait.
+    pub since: Micros,
+}
+
+/// The mailbox of one session.
 pub(super) struct Mailbox {
-    notices: Mutex<VecDeque<Notice>>,
-    pub(super) waker: WaitIoWaker,
-    /// What the session waits for and since when; nothing while it is busy.
-    stage: Mutex<Option<(Stage, Micros)>>,
-    /// Somebody else is to have its place, once it rests.
-    pub(super) close: AtomicBool,
-    orders: Arc<Orders>,
+    /// Wakes the session.
+    pub waker: WaitIoWaker,
+    /// Asks the session to close, so that another client gets its connection.
+    close_requested: AtomicBool,
+    events: Mutex<VecDeque<SessionEvent>>,
+    /// Nothing while the session is busy.
+    client_wait: Mutex<Option<ClientWait>>,
+    commands: Arc<CommandCounters>,
 }
 
 impl Drop for Mailbox {
@@ -48,60 +61,80 @@
 }
 
 impl Mailbox {
-    pub(super) fn new(waker: WaitIoWaker, now: Micros, orders: Arc<Orders>) -> Mailbox {
+    /// The mailbox of a session that waits for its opening message from now on.
+    pub(super) fn new(waker: WaitIoWaker, now: Micros, commands: Arc<CommandCounters>) -> Mailbox {
+        let opening = ClientWait {
+            state: ReadState::Opening,
+            since: now,
+        };
         Mailbox {
-            notices: Mutex::default(),
             waker,
-            stage: Mutex::new(Some((Stage::Opening, now))),
-            close: AtomicBool::new(false),
-            orders,
+            close_requested: AtomicBool::new(false),
+            events: Mutex::default(),
+            client_wait: Mutex::new(Some(opening)),
+            commands,
         }
     }
 
-    pub(super) fn stage(&self) -> Option<(Stage, Micros)> {
-        *self.stage.lock().unwrap_or_else(PoisonError::into_inner)
+    /// What the session waits for from its client; nothing while it is busy.
+    pub(super) fn client_wait(&self) -> Option<ClientWait> {
+        *self.lock_client_wait()
     }
 
-    pub(super) fn set_stage(&self, stage: Option<(Stage, Micros)>) {
-        *self.stage.lock().unwrap_or_else(PoisonError::into_inner) = stage;
+    /// Notes what the session waits for from its client.
+    pub(super) fn set_client_wait(&self, wait: Option<ClientWait>) {
+        *self.lock_client_wait() = wait;
     }
 
-    pub(super) fn post(&self, notice: Notice) {
-        self.notices
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .push_back(notice);
+    /// Whether the session is asked to close.
+    pub(super) fn is_close_requested(&self) -> bool {
+        self.close_requested.load(Ordering::Acquire)
+    }
+
+    /// Asks the session to close, or takes that back.
+    pub(super) fn set_close_requested(&self, close: bool) {
+        self.close_requested.store(close, Ordering::Release);
+    }
+
+    /// Appends an event and wakes the session.
+    pub(super) fn post(&self, event: SessionEvent) {
+        self.events().push_back(event);
         self.waker.wakeup();
     }
 
-    pub(super) fn take(&self) -> Option<Notice> {
-        let notice = self
-            .notices
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .pop_front();
-        if let Some(Notice::Order(_)) = notice {
-            self.orders.taken.fetch_add(1, Ordering::AcqRel);
+    /// Takes the oldest event.
+    pub(super) fn take(&self) -> Option<SessionEvent> {
+        let event = self.events().pop_front();
+        if let Some(SessionEvent::Command(_)) = event {
+            self.commands.received.fetch_add(1, Ordering::AcqRel);
         }
-        notice
+        event
     }
 
+    /// Whether no event waits.
     pub(super) fn is_empty(&self) -> bool {
-        self.notices
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .is_empty()
+        self.events().is_empty()
     }
 
-    /// Drops what is left of a request that is over: the next one's orders must not begin with its last.
+    /// Drops what is left of a request that is over: the next one's commands must not begin with its last.
     pub(super) fn clear(&self) {
         while self.take().is_some() {}
     }
+
+    fn events(&self) -> MutexGuard<'_, VecDeque<SessionEvent>> {
+        self.events.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    fn lock_client_wait(&self) -> MutexGuard<'_, Option<ClientWait>> {
+        self.client_wait
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+    }
 }
 
-impl Inbox for Mailbox {
-    fn order(&self, order: Order) {
-        self.orders.given.fetch_add(1, Ordering::AcqRel);
-        self.post(Notice::Order(order));
+impl CommandMailbox for Mailbox {
+    fn send(&self, command: Command) {
+        self.commands.sent.fetch_add(1, Ordering::AcqRel);
+        self.post(SessionEvent::Command(command));
     }
 }
--- a/src/bin/asterreel/front/mod.rs
+++ b/src/bin/asterreel/front/mod.rs
@@ -1,11 +1,16 @@
-//! Clients: accepting them, their sessions, and the life of each request.
+//! The front end for PostgreSQL clients: accepting them, their sessions, and the life of each request.
 //!
-//! `accept` takes them in and `gateway` knows them all; `shed` says who makes room when there are too many. A client has
-//! a `session`, which reads its messages and whose `mailbox` holds what others have for it. `request` is the life of one
-//! request, from top to bottom.
+//! `accept` accepts connections and `gateway` holds what all sessions share; `shed` chooses which sessions are closed when
+//! capacity runs out. A client has a `session`, which reads its messages; its `mailbox` holds events from others.
+//! `request` is the life of one request from top to bottom: `admission` decides whether it is admitted, `attempts` keeps
+//! track of those in flight, and `error_answer` is any final answer other than a row.
 
 mod accept;
+mod admission;
+mod attempts;
+mod error_answer;
 mod gateway;
+mod local_statement;
 mod mailbox;
 mod request;
 mod session;
--- a/src/bin/asterreel/front/shed.rs
+++ b/src/bin/asterreel/front/shed.rs
@@ -1,22 +1,23 @@
-//! Whose session makes room when clients come close to what they may hold.
+//! Which sessions are closed when clients come close to the connections they may hold.
+//!
+//! Sessions are only asked to close here; each does so between requests, after a last look for one that has come.
 
 use super::gateway::Gateway;
-use super::mailbox::{Mailbox, Stage};
+use super::mailbox::{ClientWait, Mailbox, ReadState};
 use asterreel::interface::Micros;
 use std::collections::BTreeMap;
-use std::sync::atomic::Ordering;
 use std::sync::Arc;
 
-/// How long a connection is silent in its opening before others may have its place, and how long between
-/// requests, for as long as there is somebody else to close.
-const SILENT: Micros = 50_000;
-const RESTED: Micros = 2_000_000;
-/// Room is made ahead, as a client that has to wait for another's close is kept out by every crowd: this part of all
-/// sessions, and of those that clients hold for requests.
-const AHEAD_OF_ALL: usize = 16;
-const AHEAD_OF_SERVED: usize = 4;
+/// How long a connection may be silent in its opening before it is closed first.
+const OPENING_SILENCE_US: Micros = 50_000;
+/// How long a connection may wait between requests, or inside a message, before it is closed first.
+const IDLE_SILENCE_US: Micros = 2_000_000;
+/// Capacity is freed ahead, so that new clients need not wait for a close: this part of all sessions.
+const HEADROOM_OF_ALL: usize = 16;
+/// The same of the sessions past their opening.
+const HEADROOM_OF_SERVED: usize = 4;
 
-/// Which of the bounds on clients are close.
+/// Which of the limits on clients are close.
 #[derive(Clone, Copy)]
 struct Pressure {
     /// That on all sessions.
@@ -25,28 +26,39 @@
     served: bool,
 }
 
-/// Who is closed first: the lowest, and of equals whoever has waited for longest.
-fn rank(stage: Stage, waited: Micros) -> u8 {
-    match (stage, waited) {
-        (Stage::Opening, SILENT..) => 0,
-        (Stage::Message, RESTED..) => 0,
-        (Stage::Idle, RESTED..) => 1,
-        (Stage::Opening, _) => 2,
-        (Stage::Idle, _) => 3,
-        (Stage::Message, _) => 4,
+impl Pressure {
+    fn any(self) -> bool {
+        self.all || self.served
+    }
+}
+
+/// A session that could be closed.
+struct Candidate<'a> {
+    rank: u8,
+    wait: ClientWait,
+    mailbox: &'a Mailbox,
+}
+
+/// Which session is closed first: the lowest rank, and of equals the one that has waited for longest.
+fn rank(state: ReadState, waited: Micros) -> u8 {
+    match (state, waited) {
+        (ReadState::Opening, OPENING_SILENCE_US..) => 0,
+        (ReadState::Message, IDLE_SILENCE_US..) => 0,
+        (ReadState::Idle, IDLE_SILENCE_US..) => 1,
+        (ReadState::Opening, _) => 2,
+        (ReadState::Idle, _) => 3,
+        (ReadState::Message, _) => 4,
     }
 }
 
 impl Gateway {
-    /// Asks sessions to make room: first those that opened and said nothing, then those that have been
-    /// between requests for longest. Whoever connects and says nothing must not take the place of clients that are
-    /// served, nor whoever asks once and stays.
+    /// Asks sessions to close where capacity runs out: first those that connected and sent nothing, then those that
+    /// have been idle for longest. Neither may keep out clients that send requests.
     pub(super) fn shed(&self) {
-        self.sessions(|sessions| {
-            // Ranking looks at every session, and this runs at every accept: a gateway that could not be close to a bound
-            // whatever its sessions do is not ranked, or filling it would cost the square of its sessions.
-            let most = self.pressure(sessions.len(), sessions.len());
-            if most.all || most.served {
+        self.with_sessions(|sessions| {
+            // Ranking looks at every session, at every accept: far from the limits it would cost the square of the
+            // sessions for nothing.
+            if self.pressure(sessions.len(), sessions.len()).any() {
                 self.shed_by_rank(sessions);
             }
         });
@@ -54,42 +66,41 @@
 
     fn pressure(&self, sessions: usize, served: usize) -> Pressure {
         Pressure {
-            all: sessions + self.most_sessions / AHEAD_OF_ALL >= self.most_sessions,
-            served: served + self.most_served / AHEAD_OF_SERVED >= self.most_served,
+            all: sessions + self.max_sessions / HEADROOM_OF_ALL >= self.max_sessions,
+            served: served + self.max_served / HEADROOM_OF_SERVED >= self.max_served,
         }
     }
 
     fn shed_by_rank(&self, sessions: &BTreeMap<u32, Arc<Mailbox>>) {
         let now = self.core.clock.now();
-        let (mut stay, mut served, mut ranked) = (0, 0, Vec::new());
+        let (mut remaining, mut served, mut candidates) = (0, 0, Vec::new());
         for mailbox in sessions
             .values()
-            .filter(|mailbox| !mailbox.close.load(Ordering::Acquire))
+            .filter(|mailbox| !mailbox.is_close_requested())
         {
-            let stage = mailbox.stage();
-            stay += 1;
-            served += usize::from(!matches!(stage, Some((Stage::Opening, _))));
-            if let Some((stage, since)) = stage {
-                ranked.push((
-                    rank(stage, now.saturating_sub(since)),
-                    since,
-                    stage,
+            let wait = mailbox.client_wait();
+            remaining += 1;
+            served += usize::from(!wait.is_some_and(|wait| wait.state == ReadState::Opening));
+            if let Some(wait) = wait {
+                candidates.push(Candidate {
+                    rank: rank(wait.state, now.saturating_sub(wait.since)),
+                    wait,
                     mailbox,
-                ));
+                });
             }
         }
-        ranked.sort_unstable_by_key(|(rank, since, ..)| (*rank, *since));
-        for (_, _, stage, mailbox) in ranked {
-            let pressure = self.pressure(stay, served);
-            if !pressure.all && !pressure.served {
+        candidates.sort_unstable_by_key(|candidate| (candidate.rank, candidate.wait.since));
+        for Candidate { wait, mailbox, .. } in candidates {
+            let pressure = self.pressure(remaining, served);
+            if !pressure.any() {
                 break;
             }
-            if !pressure.all && stage != Stage::Idle {
+            if !pressure.all && wait.state != ReadState::Idle {
                 continue;
             }
-            stay -= 1;
-            served -= usize::from(stage != Stage::Opening);
-            mailbox.close.store(true, Ordering::Release);
+            remaining -= 1;
+            served -= usize::from(wait.state != ReadState::Opening);
+            mailbox.set_close_requested(true);
             mailbox.waker.wakeup();
         }
     }
--- a/src/bin/asterreel/front/tests.rs
+++ b/src/bin/asterreel/front/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::core::{Core, Inbox, Order};
+use crate::core::{Command, CommandMailbox, Core};
 use crate::postgres as pg;
 use crate::request::pool::Pool;
 use crate::runtime::net::spawn;
@@ -82,12 +82,12 @@
         client
     }
 
-    /// Gives the only session an order as the module would.
-    fn order(&self, order: Order) {
+    /// Sends the only session a command as the router would.
+    fn send(&self, command: Command) {
         let mailbox = self
             .gateway
-            .sessions(|sessions| sessions.values().next().cloned());
-        mailbox.expect("a session").order(order);
+            .with_sessions(|sessions| sessions.values().next().cloned());
+        mailbox.expect("a session").send(command);
     }
 }
 
@@ -117,8 +117,8 @@
     let (mut silent, _) = stage.database.accept().expect("an attempt");
     toy::read_body(&mut silent).expect("a startup message, which is not answered");
     let decided = Instant::now();
-    stage.order(Order::Refuse(None));
-    stage.order(Order::Cancel(AttemptNo(0)));
+    stage.send(Command::Reject { retry_after: None });
+    stage.send(Command::CancelAttempt(AttemptNo(0)));
     assert_eq!(message(&mut client), b'E');
     assert!(
         decided.elapsed() < Duration::from_secs(2),
--- a/src/bin/asterreel/health/mod.rs
+++ b/src/bin/asterreel/health/mod.rs
@@ -304,12 +304,12 @@
                 None => return,
             },
             _ = ticks.tick() => {
-                let (given, taken) = shared.gateway.core.orders.counts();
+                let (given, taken) = shared.gateway.core.commands.counts();
                 shared.event(Event::Orders(age.look(shared.clock.now(), given, taken)));
                 // Every other tick: a look takes the core's lock, if only for some microseconds.
                 look = !look;
                 if look {
-                    let room = shared.gateway.room().unwrap_or(shared.room.get());
+                    let room = shared.gateway.capacity().unwrap_or(shared.room.get());
                     shared.room.set(room);
                     let seen = shared.gateway.core.look();
                     shared.event(seen.map_or(Event::Unseen, |report| Event::Seen(report, room)));
--- a/src/bin/asterreel/main.rs
+++ b/src/bin/asterreel/main.rs
@@ -121,7 +121,7 @@
         .map_or(0, |lease| lease.peers.len() as u32);
     let gateways = listed.max(config.settings.fleet_size);
     if let Some(knobs) = operator.readmission.clone() {
-        gateway.readmit(Readmission::new(knobs, gateways, config.seed));
+        gateway.set_admission_pacing(Readmission::new(knobs, gateways, config.seed));
     }
     if !first_list.wait(discovery::FIRST_LIST_PATIENCE) {
         warn!(
--- a/src/bin/asterreel/runtime/net.rs
+++ b/src/bin/asterreel/runtime/net.rs
@@ -188,7 +188,7 @@
 
     /// Whether the other side has closed or reset the connection, even where bytes that came before the end are still
     /// unread; one that can't be asked hasn't.
-    pub(crate) fn has_left(&self) -> bool {
+    pub(crate) fn has_peer_closed(&self) -> bool {
         let ends = EpollFlags::EPOLLRDHUP | EpollFlags::EPOLLHUP | EpollFlags::EPOLLERR;
         let asked = || -> nix::Result<bool> {
             let epoll = Epoll::new(EpollCreateFlags::EPOLL_CLOEXEC)?;
@@ -205,19 +205,19 @@
     /// Ends a connection so that what was written last arrives: a close over unread bytes would reset it. Says that
     /// nothing more comes, then reads and drops what the other side still sends until it closes too, up to a time and a
     /// number of bytes. Nothing that is read here is ever used.
-    pub(crate) fn part(&mut self, clock: Clock, within: Micros, most: usize) {
+    pub(crate) fn close_gracefully(&mut self, clock: Clock, timeout: Micros, max_bytes: usize) {
         if self.socket.inner().shutdown(Shutdown::Write).is_err() {
             return;
         }
-        let until = clock.now() + within;
-        let _alarm = self.timer.alarm(until, self.waker());
+        let deadline = clock.now() + timeout;
+        let _alarm = self.timer.alarm(deadline, self.waker());
         let mut dropped = 0;
-        while dropped < most {
+        while dropped < max_bytes {
             self.buffer.consume(usize::MAX);
             match self.read_now() {
                 Ok(Some(0)) | Err(_) => return,
                 Ok(Some(count)) => dropped += count,
-                Ok(None) if clock.now() >= until => return,
+                Ok(None) if clock.now() >= deadline => return,
                 Ok(None) => self.wait(),
             }
         }
--- a/src/bin/asterreel/server.rs
+++ b/src/bin/asterreel/server.rs
@@ -159,7 +159,7 @@
             .unwrap_or(0);
         let table = self.table.unwrap_or(Timetable::plain(longest));
         let (began, clock) = (gateway.core.clock.now(), gateway.core.clock);
-        gateway.answer_until(began + table.answer_until);
+        gateway.set_last_answer_at(began + table.answer_until);
         info!("draining");
         while clock.now() < began + table.announce {
             self.pause(signals);
