--- a/src/bin/asterreel/core.rs
+++ b/src/bin/asterreel/core.rs
@@ -1,6 +1,15 @@
-//! One router behind a lock: takes in events, hands its actions to whom they concern.
+//! The router of this process behind a lock: events go in, and its actions are carried out.
 //!
-//! Nothing here knows the protocol that clients or members speak. The lock is never held over a wait.
+//! Nothing here knows the protocol that clients or members speak. The lock is never held over a wait, and every action is
+//! carried out under the lock under which it was decided, so that mailboxes get commands in the router's order.
+
+mod commands;
+mod members;
+
+pub(crate) use commands::{Command, CommandCounters, CommandMailbox, Dispatch};
+pub(crate) use members::ListingError;
+
+use members::Members;
 
 use crate::runtime::timer::Timer;
 use asterreel::config::{Config, Listing};
@@ -11,102 +20,71 @@
 use may::sync::mpsc::Sender;
 use std::collections::HashMap;
 use std::net::SocketAddr;
-use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError, TryLockError};
 use tracing::{debug, info, warn};
 
-/// An attempt that the router wants made.
-#[derive(Debug)]
-pub(crate) struct Dispatch {
-    /// The member it goes to.
-    pub member: MemberId,
-    /// Where that member listens.
-    pub address: SocketAddr,
-    /// Until when its answer is waited for.
-    pub deadline: Micros,
-}
-
-/// What the router wants done for one request.
-#[derive(Debug)]
-pub(crate) enum Command {
-    /// Start an attempt.
-    Dispatch(Dispatch),
-    /// Cancel an attempt.
-    CancelAttempt(AttemptNo),
-    /// Final answer: rejected; a retry makes sense after the delay at best.
-    Reject { retry_after: Option<Micros> },
-    /// Final answer: failed.
-    Fail,
-}
-
-/// Where the router's commands for a request go.
-pub(crate) trait CommandMailbox: Send + Sync {
-    /// Takes a command; called under the router's lock, so it must not wait.
-    fn send(&self, command: Command);
-}
-
-/// How many commands were sent to mailboxes, and how many sessions have received or will never receive. Read without a
-/// lock, by the liveness check.
-#[derive(Default)]
-pub(crate) struct CommandCounters {
-    /// Commands that mailboxes were sent.
-    pub sent: AtomicU64,
-    /// Commands that left their mailbox.
-    pub received: AtomicU64,
-}
-
-impl CommandCounters {
-    /// How many were sent and received; never fewer sent.
-    pub(crate) fn counts(&self) -> (u64, u64) {
-        let received = self.received.load(Ordering::Acquire);
-        (self.sent.load(Ordering::Acquire), received)
-    }
-}
-
+/// The router, and everything that its actions reach.
 pub(crate) struct Core {
+    /// The clock of all events.
     pub clock: Clock,
+    /// The timer that wakes the router and coroutines.
     pub timer: Arc<Timer>,
+    /// How many commands mailboxes were sent and sessions received.
     pub commands: Arc<CommandCounters>,
     state: Mutex<State>,
 }
 
 struct State {
     router: Router,
-    /// Looks on, where somebody wants to know.
+    /// Follows events and actions for health reports and cells, where either is configured.
     observer: Option<Observer>,
-    requests_open: HashMap<RequestId, (Arc<dyn CommandMailbox>, Micros)>,
+    open_requests: HashMap<RequestId, OpenRequest>,
+    /// Requests that have arrived since the start.
     requests: u64,
-    /// By name, those that the router knows.
-    members: HashMap<String, MemberId>,
-    /// Their names and where they listen.
-    places: HashMap<MemberId, (String, Option<SocketAddr>)>,
-    next_member: u32,
-    zones: Vec<String>,
+    members: Members,
+    /// Kept between events for its allocation; empty outside of `feed`.
     actions: Vec<Action>,
-    probes: Sender<(MemberId, SocketAddr)>,
+    health_checks: Sender<HealthCheck>,
     watches: Sender<()>,
 }
 
+/// A request that commands can still go to.
+struct OpenRequest {
+    mailbox: Arc<dyn CommandMailbox>,
+    due: Micros,
+}
+
+/// A health check that the router asks for.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct HealthCheck {
+    /// The member to check.
+    pub member: MemberId,
+    /// Where it listens.
+    pub address: SocketAddr,
+}
+
 impl Core {
+    /// A router without members. It asks for health checks and for watches on discovery through these channels.
+    ///
+    /// # Errors
+    ///
+    /// Settings that the router rejects.
     pub(crate) fn new(
         config: &Config,
         clock: Clock,
         timer: Arc<Timer>,
-        probes: Sender<(MemberId, SocketAddr)>,
+        health_checks: Sender<HealthCheck>,
         watches: Sender<()>,
     ) -> Result<Core, SettingsError> {
         let router = Router::new(config.settings.clone(), config.seed, clock.now())?;
         let state = State {
             router,
             observer: None,
-            requests_open: HashMap::new(),
+            open_requests: HashMap::new(),
             requests: 0,
-            members: HashMap::new(),
-            places: HashMap::new(),
-            next_member: 0,
-            zones: config.setup.zones.clone(),
+            members: Members::new(config.setup.zones.clone()),
             actions: Vec::new(),
-            probes,
+            health_checks,
             watches,
         };
         Ok(Core {
@@ -117,6 +95,7 @@
         })
     }
 
+    /// Runs this under the lock.
     #[cfg(test)]
     pub(crate) fn hold(&self, work: impl FnOnce()) {
         self.with(|_| work());
@@ -126,12 +105,12 @@
         work(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
-    /// From now on an observer looks on; before the first list, or it misses that.
+    /// From now on an observer follows events and actions. Call it before the first list, or it misses that.
     pub(crate) fn observe(&self, settings: &Settings) {
         self.with(|state| state.observer = Some(Observer::new(settings)));
     }
 
-    /// What the observer sees, or nothing where the lock is held: never waits.
+    /// The report of the observer, or nothing where the lock is held: never waits.
     pub(crate) fn look(&self) -> Option<Report> {
         let mut state = match self.state.try_lock() {
             Ok(state) => state,
@@ -147,7 +126,7 @@
         )
     }
 
-    /// Whether a group has lost all its members, where an observer looks on.
+    /// Whether a group has lost all its members; false without an observer.
     pub(crate) fn lost(&self, group: GroupId) -> bool {
         self.with(|state| {
             state
@@ -157,7 +136,7 @@
         })
     }
 
-    /// Takes the lock and gives it back: whoever gets through here shows that requests could.
+    /// Takes the lock and releases it, which shows that requests could take it too.
     pub(crate) fn wait_for_lock(&self) {
         self.with(|_| ());
     }
@@ -166,12 +145,12 @@
         self.with(|state| state.feed(self, event));
     }
 
-    /// How many requests came in since the start.
+    /// How many requests arrived since the start.
     pub(crate) fn requests(&self) -> u64 {
         self.with(|state| state.requests)
     }
 
-    /// A request came in; its orders go to the mailbox until [`Core::forget`].
+    /// A request has arrived; its commands go to the mailbox until [`Core::forget`]. Returns its number.
     pub(crate) fn arrive(
         &self,
         mut arrival: Arrival,
@@ -180,95 +159,70 @@
         self.with(|state| {
             state.requests += 1;
             arrival.request = RequestId(state.requests);
+            let due = arrival.due;
             state
-                .requests_open
-                .insert(arrival.request, (mailbox, arrival.due));
+                .open_requests
+                .insert(arrival.request, OpenRequest { mailbox, due });
             state.feed(self, Event::RequestArrived(arrival));
             arrival.request
         })
     }
 
+    /// An attempt has ended.
     pub(crate) fn ended(&self, ended: AttemptEnded) {
         self.feed(Event::AttemptEnded(ended));
     }
 
-    /// Whether an attempt that was ordered earlier may be written now.
+    /// Whether an attempt that was dispatched earlier may be written now.
     pub(crate) fn may_write(&self, request: RequestId, member: MemberId) -> bool {
         self.with(|state| state.router.may_write(self.clock.now(), request, member))
     }
 
+    /// The client of a request has gone.
     pub(crate) fn departed(&self, request: RequestId) {
         self.feed(Event::ClientGone(request));
     }
 
+    /// A health check has ended.
     pub(crate) fn probed(&self, member: MemberId, outcome: Outcome, report: MemberReport) {
         self.feed(Event::HealthChecked(member, outcome, report));
     }
 
+    /// The watch on discovery was lost.
     pub(crate) fn list_lost(&self, loss: WatchLoss) {
         self.feed(Event::WatchLost(loss));
     }
 
+    /// The time has come for which the router set its timer.
     pub(crate) fn wake(&self) {
         self.feed(Event::TimerFired);
     }
 
-    /// No orders are wanted any more.
+    /// Commands for a request are dropped from now on.
     pub(crate) fn forget(&self, request: RequestId) {
-        self.with(|state| state.requests_open.remove(&request));
+        self.with(|state| state.open_requests.remove(&request));
     }
 
-    /// Takes in a list; one with an entry that makes no sense changes nothing.
-    pub(crate) fn listed(&self, kind: UpdateKind, listing: &Listing) -> Result<(), String> {
+    /// Takes in an update of the endpoints.
+    ///
+    /// # Errors
+    ///
+    /// An endpoint that is invalid; the update then changes nothing.
+    pub(crate) fn listed(&self, kind: UpdateKind, listing: &Listing) -> Result<(), ListingError> {
         self.with(|state| {
-            let entries = state.entries(listing)?;
-            state.feed(self, Event::EndpointsUpdated(kind, entries.into()));
-            state.forget_members();
+            let endpoints = state.members.endpoints(listing)?;
+            state.feed(self, Event::EndpointsUpdated(kind, endpoints.into()));
+            let router = &state.router;
+            state.members.retain(|member| router.knows(member));
             Ok(())
         })
     }
 }
 
 impl State {
-    fn entries(&mut self, listing: &Listing) -> Result<Vec<Endpoint>, String> {
-        let mut entries = Vec::with_capacity(listing.members.len());
-        let mut addresses = Vec::with_capacity(listing.members.len());
-        for item in &listing.members {
-            let entry = item
-                .entry(MemberId(0), &self.zones)
-                .map_err(|f| format!("{}: {f}", item.store))?;
-            let address = match item.address.parse() {
-                Ok(address) => Some(address),
-                Err(_) if entry.state != EndpointState::Ready => None,
-                Err(_) => return Err(format!("{}: bad address {:?}", item.store, item.address)),
-            };
-            entries.push(entry);
-            addresses.push(address);
-        }
-        for ((entry, item), address) in entries.iter_mut().zip(&listing.members).zip(addresses) {
-            let next = MemberId(self.next_member);
-            entry.member = *self.members.entry(item.store.clone()).or_insert(next);
-            self.next_member += u32::from(entry.member == next);
-            let place = self
-                .places
-                .entry(entry.member)
-                .or_insert_with(|| (item.store.clone(), None));
-            debug!("{:?} is {}", entry.member, item.store);
-            place.1 = address.or(place.1);
-        }
-        Ok(entries)
-    }
-
-    /// Servers are replaced by new ones under new names all day: what the router has done with goes.
-    fn forget_members(&mut self) {
-        let (router, places) = (&self.router, &mut self.places);
-        places.retain(|member, _| router.knows(*member));
-        self.members.retain(|_, member| places.contains_key(member));
-    }
-
     fn feed(&mut self, core: &Core, event: Event) {
         let now = core.clock.now();
-        // With what names say which member is meant, these lines let a day be replayed and counted over a fleet.
+        // Together with the names of members these lines allow a run to be replayed from the logs of a fleet.
         debug!(now, "{event:?}");
         let mut actions = std::mem::take(&mut self.actions);
         if let Some(observer) = &mut self.observer {
@@ -292,14 +246,14 @@
                 member,
                 timeout,
             } => {
-                let Some(address) = self.places.get(&member).and_then(|place| place.1) else {
+                let Some(address) = self.members.address(member) else {
                     return warn!("a send to a member without an address");
                 };
-                let Some((mailbox, due)) = self.requests_open.get(&request) else {
+                let Some(open) = self.open_requests.get(&request) else {
                     return;
                 };
-                let deadline = now.saturating_add(timeout).min(*due);
-                mailbox.send(Command::Dispatch(Dispatch {
+                let deadline = now.saturating_add(timeout).min(open.due);
+                open.mailbox.send(Command::Dispatch(Dispatch {
                     member,
                     address,
                     deadline,
@@ -314,18 +268,17 @@
             } => self.send(request, Command::Reject { retry_after }),
             Action::Fail(request) => self.send(request, Command::Fail),
             Action::CheckHealth(member) => {
-                if let Some(address) = self.places.get(&member).and_then(|place| place.1) {
-                    let _ = self.probes.send((member, address));
+                if let Some(address) = self.members.address(member) {
+                    // Without a receiver the process is ending.
+                    let _ = self.health_checks.send(HealthCheck { member, address });
                 }
             }
             Action::Watch => {
+                // Without a receiver the process is ending.
                 let _ = self.watches.send(());
             }
             Action::ReportTransition { member, transition } => {
-                let name = self
-                    .places
-                    .get(&member)
-                    .map_or("?", |place| place.0.as_str());
+                let name = self.members.name(member).unwrap_or("?");
                 info!(member = name, "{transition:?}");
             }
             Action::SetTimer(after) => core.timer.wake_at(now.saturating_add(after)),
@@ -333,8 +286,8 @@
     }
 
     fn send(&self, request: RequestId, command: Command) {
-        if let Some((mailbox, _)) = self.requests_open.get(&request) {
-            mailbox.send(command);
+        if let Some(open) = self.open_requests.get(&request) {
+            open.mailbox.send(command);
         }
     }
 }
--- a/src/bin/asterreel/core/tests.rs
+++ b/src/bin/asterreel/core/tests.rs
@@ -13,42 +13,42 @@
     }
 }
 
-type Asked = (Receiver<(MemberId, SocketAddr)>, Receiver<()>);
+type Channels = (Receiver<HealthCheck>, Receiver<()>);
 
-fn core_asking() -> (Core, Config, Asked) {
+fn core_with_channels() -> (Core, Config, Channels) {
     let config =
         Config::parse(include_bytes!("../../../../examples/config.json"), |_| None).expect("good");
     let clock = Clock::start();
-    let (probes, asked) = channel();
-    let (watches, watched) = channel();
-    let core = Core::new(&config, clock, Timer::new(clock), probes, watches).expect("good");
-    (core, config, (asked, watched))
+    let (health_checks, checks_asked) = channel();
+    let (watches, watches_asked) = channel();
+    let core = Core::new(&config, clock, Timer::new(clock), health_checks, watches).expect("good");
+    (core, config, (checks_asked, watches_asked))
 }
 
 fn core() -> (Core, Config) {
-    let (core, config, _) = core_asking();
+    let (core, config, _) = core_with_channels();
     (core, config)
 }
 
 #[test]
-fn a_list_with_one_bad_entry_leaves_the_old_one_standing() {
-    let (core, config, (asked, watched)) = core_asking();
+fn update_with_invalid_endpoint_changes_nothing() {
+    let (core, config, (checks_asked, watches_asked)) = core_with_channels();
     let clock = core.clock;
     core.listed(UpdateKind::CachedSnapshot, &config.known)
         .expect("good");
-    assert!(watched.try_recv().is_ok());
-    let probed: Vec<(MemberId, SocketAddr)> = asked.try_iter().collect();
-    assert_eq!(probed.len(), 2, "both are probed before a first send");
+    assert!(watches_asked.try_recv().is_ok());
+    let checks: Vec<HealthCheck> = checks_asked.try_iter().collect();
+    assert_eq!(checks.len(), 2, "both are checked before a first dispatch");
 
-    let spoil: [fn(&mut Listing); 2] = [
+    let corrupt: [fn(&mut Listing); 2] = [
         |list| list.members[1].state = "odd".into(),
         |list| list.members[1].address = "x".into(),
     ];
-    for spoil in spoil {
+    for corrupt in corrupt {
         let mut bad = config.known.clone();
         bad.members.remove(0);
         bad.members.push(bad.members[0].clone());
-        spoil(&mut bad);
+        corrupt(&mut bad);
         assert!(core.listed(UpdateKind::Snapshot, &bad).is_err());
     }
     // The primary, which those lists left out, still gets a write.
@@ -56,7 +56,7 @@
         role: Some(Role::Primary),
         position: None,
     };
-    core.probed(probed[0].0, Outcome::Served, primary);
+    core.probed(checks[0].member, Outcome::Served, primary);
     let mailbox = Arc::new(RecordedCommands::default());
     let arrival = Arrival {
         request: RequestId(0),
@@ -71,20 +71,20 @@
     core.arrive(arrival, mailbox.clone());
     let commands = mailbox.0.lock().expect("not poisoned");
     assert!(
-        commands[0].starts_with("Dispatch") && commands[0].contains(&probed[0].1.to_string()),
+        commands[0].starts_with("Dispatch") && commands[0].contains(&checks[0].address.to_string()),
         "{commands:?}"
     );
 }
 
-/// Seen by reading: on a day of replacements every server that had ever been was kept, with its name.
+/// Neither the numbers nor the names of removed members are kept.
 #[test]
-fn members_that_are_gone_are_forgotten_and_come_back_as_new() {
+fn removed_member_comes_back_as_new() {
     let (core, config) = core();
     for round in 0..5 {
         let mut list = config.known.clone();
         list.members[1].store = format!("s-{round}");
         core.listed(UpdateKind::Snapshot, &list).expect("good");
-        core.with(|state| assert_eq!((state.members.len(), state.places.len()), (2, 2)));
+        core.with(|state| assert_eq!(state.members.counts(), (2, 2)));
     }
     let mut gone = Listing {
         complete: false,
@@ -94,5 +94,5 @@
         .iter_mut()
         .for_each(|member| member.state = "gone".into());
     core.listed(UpdateKind::Delta, &gone).expect("good");
-    core.with(|state| assert_eq!((state.members.len(), state.places.len()), (1, 1)));
+    core.with(|state| assert_eq!(state.members.counts(), (1, 1)));
 }
--- a/src/bin/asterreel/discovery.rs
+++ b/src/bin/asterreel/discovery.rs
@@ -200,7 +200,8 @@
     } else {
         UpdateKind::Delta
     };
-    core.listed(kind, listing)?;
+    core.listed(kind, listing)
+        .map_err(|error| error.to_string())?;
     let stale_ms = record.stale_ms(core.clock.now());
     (record.revision, record.current_at) = (listing.revision, core.clock.now());
     record.lists += 1;
--- a/src/bin/asterreel/front/tests.rs
+++ b/src/bin/asterreel/front/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::core::{Command, CommandMailbox, Core};
+use crate::core::{Command, CommandMailbox, Core, HealthCheck};
 use crate::postgres as pg;
 use crate::request::pool::Pool;
 use crate::runtime::net::spawn;
@@ -45,11 +45,11 @@
             role: Some(Role::Primary),
             position: None,
         };
-        let members: Vec<(MemberId, SocketAddr)> = asked.try_iter().collect();
-        let listed = members
+        let checks: Vec<HealthCheck> = asked.try_iter().collect();
+        let listed = checks
             .iter()
-            .find(|(_, address)| address.to_string() == place);
-        core.probed(listed.expect("probed").0, Outcome::Served, primary);
+            .find(|check| check.address.to_string() == place);
+        core.probed(listed.expect("probed").member, Outcome::Served, primary);
         let woken = core.clone();
         thread::spawn(move || timer.clone().run(|| woken.wake()));
         let connect_timeout = PATIENCE.as_micros() as Micros;
--- a/src/bin/asterreel/startup.rs
+++ b/src/bin/asterreel/startup.rs
@@ -1,18 +1,17 @@
 //! What a gateway starts before it listens: the decision module with what feeds it, and the share of descriptors.
 
-use crate::core::Core;
+use crate::core::{Core, HealthCheck};
 use crate::discovery::{self, FirstList, Source};
 use crate::probe;
 use crate::request::pool::Pool;
 use crate::runtime::net;
 use crate::runtime::timer::Timer;
 use asterreel::config::Config;
-use asterreel::interface::{DiscoveryMode, MemberId, UpdateKind};
+use asterreel::interface::{DiscoveryMode, UpdateKind};
 use asterreel::operator::Operator;
 use asterreel_control::clock::Clock;
 use may::sync::mpsc::{self, Receiver};
 use std::error::Error;
-use std::net::SocketAddr;
 use std::sync::Arc;
 
 /// Descriptors for everything that is neither a client nor a database: eleven were counted, and each thing that
@@ -110,8 +109,8 @@
 }
 
 /// Runs the probes that the module asks for, each beside the others.
-fn run_probes(core: &Arc<Core>, pool: &Arc<Pool>, asked: &Receiver<(MemberId, SocketAddr)>) {
-    while let Ok((member, address)) = asked.recv() {
+fn run_probes(core: &Arc<Core>, pool: &Arc<Pool>, asked: &Receiver<HealthCheck>) {
+    while let Ok(HealthCheck { member, address }) = asked.recv() {
         let (core, pool) = (core.clone(), pool.clone());
         net::spawn(move || {
             let (outcome, report) = probe::run(&pool, address);
