--- a/src/bin/asterreel/discovery/mod.rs
+++ b/src/bin/asterreel/discovery/mod.rs
@@ -207,7 +207,9 @@
         } else {
             UpdateKind::Delta
         };
-        self.core.listed(kind, list)?;
+        self.core
+            .listed(kind, list)
+            .map_err(|error| error.to_string())?;
         let now = self.core.clock.now();
         let staleness = self.subscription.update_applied(now, list.revision);
         info!(
--- a/src/bin/asterreel/health/mod.rs
+++ b/src/bin/asterreel/health/mod.rs
@@ -308,12 +308,12 @@
                 None => return,
             },
             _ = ticks.tick() => {
-                let (given, taken) = shared.gateway.core.orders.counts();
+                let (given, taken) = shared.gateway.core.commands.counts();
                 shared.event(Event::OldestCommandAge(age.sample(shared.clock.now(), given, taken)));
-                // Every other tick: a look takes the core's lock, if only for some microseconds.
+                // Every other tick: observing takes the core's lock, if only for some microseconds.
                 look = !look;
                 if look {
-                    let capacity = shared.gateway.room().unwrap_or(shared.capacity.get());
+                    let capacity = shared.gateway.capacity().unwrap_or(shared.capacity.get());
                     shared.capacity.set(capacity);
                     let seen = shared.gateway.core.look();
                     shared.event(seen.map_or(Event::ObservationMissed, |report| Event::Observed(report, capacity)));
