--- a/control/src/node.rs
+++ b/control/src/node.rs
@@ -1,136 +1,129 @@
-//! The consensus of this control member: what comes from other members and timers goes in, what must be stored, sent and
-//! applied comes out. It owns the store and the agreed state; it knows no sockets.
+//! The Raft node of a control member: it owns the log's store and the replicated state machine.
+//!
+//! Messages of other members, ticks and events of this member go in; what Raft has ready is stored, applied and sent in
+//! the order that Raft requires ([`Node::process_ready`]): nothing that other members rely on is sent before it is
+//! durable, and entries are applied in log order once they are committed.
+//!
+//! It opens no connections, has no timers and no threads, and retries nothing: proposals without a leader and rounds
+//! without leadership are dropped, and whoever needs them asks again.
+
+mod membership;
+
+pub(crate) use membership::{gateway_id_of, raft_id};
 
 use crate::state_machine::{Action, ApplyError, Event, StateMachine};
 use crate::store::{Corruption, Store, StoreError};
 use crate::Micros;
-use raft::eraftpb::{
-    ConfChange, ConfChangeSingle, ConfChangeType, ConfChangeV2, ConfState, Entry, EntryType,
-    Message, MessageType,
-};
-use raft::{Config, RawNode, ReadOnlyOption, ReadState, SnapshotStatus, StateRole};
+use raft::eraftpb::{ConfChange, ConfChangeV2, ConfState, Entry, EntryType, Message, MessageType};
+use raft::{Config, RawNode, ReadOnlyOption, ReadState, Ready, SnapshotStatus, StateRole};
 use raft_proto::ConfChangeI;
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::info;
 
-/// Entries, and bytes of them, after which a snapshot takes their place: what a gateway keeps in memory of the log.
-const ENTRIES_KEPT: u64 = 4_096;
-const BYTES_KEPT: usize = 1 << 20;
-/// Bytes that one message of entries may have, and messages on their way to one peer: flow control for one behind.
-const MESSAGE: u64 = 128 * 1024;
-const IN_FLIGHT: usize = 16;
-/// Bytes of proposals that wait to be committed; more are dropped, and asked again by whoever needs them.
-const UNCOMMITTED: u64 = 1 << 20;
+/// Entries after which a snapshot replaces them: they are in memory until then.
+const MAX_LOG_ENTRIES: u64 = 4_096;
+/// Bytes of entries after which a snapshot replaces them.
+const MAX_LOG_BYTES: usize = 1 << 20;
+/// Bytes of entries in one message.
+const MAX_MESSAGE_BYTES: u64 = 128 * 1024;
+/// Messages with entries that may be in flight to one peer.
+const MAX_IN_FLIGHT_MESSAGES: usize = 16;
+/// Bytes of proposals that may wait to be committed; more are dropped.
+const MAX_UNCOMMITTED_BYTES: u64 = 1 << 20;
+/// Entries that a learner may be behind the commit index when it becomes a voter.
+const MAX_LEARNER_LAG: u64 = 64;
+/// Heartbeats that a leader sends within an election timeout.
+const HEARTBEATS_PER_ELECTION_TIMEOUT: usize = 5;
 
-/// Entries that one that learns may be behind by when it is made one that votes.
-const CAUGHT_UP: u64 = 64;
-
-/// Why the log can't go on at this gateway. It goes on serving clients without it.
+/// Why this member can't go on with the log. Its gateway serves clients without it.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
+    /// The log's store failed.
     #[error(transparent)]
     Store(#[from] StoreError),
+    /// An entry or a snapshot can't be applied.
     #[error(transparent)]
-    ApplyError(#[from] ApplyError),
+    Apply(#[from] ApplyError),
+    /// Raft reached a state from which it can't go on.
     #[error("the consensus stopped: {0}; report it, and remove the log's folder to learn it from the peers")]
     Raft(#[from] raft::Error),
 }
 
-/// Where the consensus stands, for those who look.
+/// The state of the consensus as this member sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RaftStatus {
+    /// The Raft id of the leader; 0 where none is known.
     pub leader: u64,
+    /// Whether this member is the leader.
     pub is_leader: bool,
     pub term: u64,
+    /// The index of the last entry applied.
     pub applied: u64,
 }
 
-fn read<M: protobuf::Message>(bytes: &[u8]) -> Result<M, StoreError> {
-    M::parse_from_bytes(bytes).map_err(|error| StoreError::Read(Corruption::Decode(error)))
-}
-
+/// A control member's Raft node.
 pub(crate) struct Node {
     raw: RawNode<Store>,
     state_machine: StateMachine,
     status: RaftStatus,
-    /// To be proposed once the consensus has nothing ready: in between it takes nothing in.
+    /// Proposals to submit when Raft has nothing ready: until that is processed it accepts none.
     proposals: Vec<Vec<u8>>,
-    /// Rounds to be confirmed by a majority, which wait for the same.
-    rounds: Vec<u64>,
-    /// Rounds that a majority has confirmed, until the log is applied as far as it was committed when each began.
-    confirmed: Vec<Confirmed>,
-    kept_bytes: usize,
-    kept_from: u64,
+    /// Read-index rounds to begin at the same time.
+    requested_rounds: Vec<u64>,
+    /// Rounds that a quorum confirmed, until the entries committed at their begin are applied.
+    confirmed_rounds: Vec<ConfirmedRound>,
+    /// Bytes of the entries applied since the latest snapshot.
+    log_bytes: usize,
+    /// The index of the latest snapshot.
+    snapshot_index: u64,
 }
 
-/// A round that a majority has confirmed.
-struct Confirmed {
+/// A read-index round in which a quorum confirmed the leader.
+struct ConfirmedRound {
     round: u64,
-    /// How far the log was committed when the round began.
-    index: u64,
-}
-
-/// The gateway that takes part under a number: its own number is the lower part, and what is above tells apart the logs
-/// that it had. One that lost its log comes back under another number: by the old one it may have voted.
-pub(crate) fn gateway_id_of(id: u64) -> u64 {
-    id & 0xFFFF
-}
-
-/// A number for gateway `gateway` with a log that it never had before.
-pub(crate) fn raft_id(gateway: u64, incarnation: u32) -> u64 {
-    u64::from(incarnation) << 16 | gateway
+    /// The commit index when the round began.
+    commit: u64,
 }
 
 impl Node {
-    /// A gateway's consensus on its store, with an election timeout of so many ticks.
+    /// A node on its store, with an election timeout of `election_ticks`.
+    ///
+    /// # Errors
+    ///
+    /// [`NodeError`] where the store's state contradicts itself, or its snapshot can't be restored.
     pub(crate) fn new(
         id: u64,
         store: Store,
         state_machine: StateMachine,
-        election: usize,
+        election_ticks: usize,
         now: Micros,
     ) -> Result<Node, NodeError> {
         let applied = store.latest_snapshot().get_metadata().index;
-        let config = Config {
-            id,
-            election_tick: election,
-            heartbeat_tick: (election / 5).max(1),
-            applied,
-            max_size_per_msg: MESSAGE,
-            max_inflight_msgs: IN_FLIGHT,
-            max_uncommitted_size: UNCOMMITTED,
-            check_quorum: true,
-            pre_vote: true,
-            // A majority answers each round: no clock has a part in it.
-            read_only_option: ReadOnlyOption::Safe,
-            ..Config::default()
-        };
         let data = store.latest_snapshot().get_data().to_vec();
         let logger = slog::Logger::root(slog::Discard, slog::o!());
-        let raw = RawNode::new(&config, store, &logger)?;
-        let status = RaftStatus {
-            applied,
-            ..RaftStatus::default()
-        };
-        let (proposals, rounds, confirmed) = (Vec::new(), Vec::new(), Vec::new());
+        let raw = RawNode::new(&raft_config(id, election_ticks, applied), store, &logger)?;
         let mut node = Node {
             raw,
             state_machine,
-            status,
-            proposals,
-            rounds,
-            confirmed,
-            kept_bytes: 0,
-            kept_from: applied,
+            status: RaftStatus {
+                applied,
+                ..RaftStatus::default()
+            },
+            proposals: Vec::new(),
+            requested_rounds: Vec::new(),
+            confirmed_rounds: Vec::new(),
+            log_bytes: 0,
+            snapshot_index: applied,
         };
         if !data.is_empty() {
+            let mut actions = Vec::new();
             node.state_machine
-                .handle(now, Event::Restored(&data), &mut Vec::new())?;
+                .handle(now, Event::Restored(&data), &mut actions)?;
         }
         Ok(node)
     }
 
-    /// The number under which it takes part.
+    /// The Raft id of this member.
     pub(crate) fn id(&self) -> u64 {
         self.raw.raft.id
     }
@@ -139,7 +132,7 @@
         self.status
     }
 
-    /// What is agreed, as far as it was applied here.
+    /// The state as far as entries were applied here.
     #[cfg(test)]
     pub(crate) fn state_machine(&self) -> &StateMachine {
         &self.state_machine
@@ -151,103 +144,85 @@
         self.raw.store().latest_snapshot().get_data()
     }
 
+    /// Advances Raft's timers by one tick.
     pub(crate) fn tick(&mut self) {
         self.raw.tick();
     }
 
-    /// A message from another member; one that makes no sense is dropped. Rounds are begun and answered by the leader's
-    /// own node alone, so those that were passed on make no sense.
+    /// Takes a message from another member, and drops one that is invalid. Read-index rounds are begun and answered by the
+    /// leader's own node alone, so forwarded ones are invalid.
     pub(crate) fn step(&mut self, message: Message) {
-        let kind = message.get_msg_type();
-        let passed_on = matches!(
-            kind,
+        let is_read_index = matches!(
+            message.get_msg_type(),
             MessageType::MsgReadIndex | MessageType::MsgReadIndexResp
         );
-        if message.to == self.raw.raft.id && !passed_on {
+        if message.to == self.raw.raft.id && !is_read_index {
             let _ = self.raw.step(message);
         }
     }
 
-    /// As leader, hands the leadership to the member that has most of the log: this one is about to end.
+    /// As leader, transfers the leadership to the other voter with the most of the log.
     pub(crate) fn transfer_leadership(&mut self) {
-        let own = self.raw.raft.id;
-        let voters = self.members().voters;
-        let matched = |id: &u64| {
-            self.raw
-                .raft
-                .prs()
-                .get(*id)
-                .map_or(0, |progress| progress.matched)
-        };
-        if let Some(next) = voters
-            .into_iter()
-            .filter(|id| *id != own)
-            .max_by_key(matched)
-        {
-            if self.status.is_leader {
-                self.raw.transfer_leader(next);
-            }
+        if !self.status.is_leader {
+            return;
+        }
+        let own_id = self.raw.raft.id;
+        let others = self.members().voters.into_iter().filter(|id| *id != own_id);
+        if let Some(next) = others.max_by_key(|id| self.matched_index(*id)) {
+            self.raw.transfer_leader(next);
         }
     }
 
-    /// Who votes and who learns.
+    /// The last index at which a member's log is known to match the leader's; 0 where nothing is known.
+    fn matched_index(&self, id: u64) -> u64 {
+        let progress = self.raw.raft.prs().get(id);
+        progress.map_or(0, |progress| progress.matched)
+    }
+
+    /// The voters and learners.
     fn members(&self) -> ConfState {
         self.raw.raft.prs().conf().to_conf_state()
     }
 
-    /// As leader, takes a gateway that has another log than it had out of the consensus and in again, first as one that
-    /// learns, then, once it has caught up, as one that votes if it is to. One change at a time.
+    /// As leader, proposes the next change that brings the membership in line with the gateways' logs: `raft_ids` by
+    /// gateway. One change at a time.
     pub(crate) fn reconcile_membership(
         &mut self,
-        known: &BTreeMap<u64, u64>,
+        raft_ids: &BTreeMap<u64, u64>,
         voters: &BTreeSet<u64>,
     ) {
         let members = self.members();
-        if !self.status.is_leader || !members.voters_outgoing.is_empty() {
+        let is_changing = !members.voters_outgoing.is_empty();
+        if !self.status.is_leader || is_changing {
             return;
         }
-        let of = |gateway: u64| {
-            let all = members.voters.iter().chain(&members.learners).copied();
-            all.filter(move |id| gateway_id_of(*id) == gateway)
-        };
-        let single = |kind: ConfChangeType, id: u64| {
-            let mut change = ConfChangeSingle {
-                node_id: id,
+        let own_gateway = gateway_id_of(self.raw.raft.id);
+        let committed = self.raw.raft.raft_log.committed;
+        let changes = raft_ids
+            .iter()
+            .filter(|(gateway, _)| **gateway != own_gateway)
+            .map(|(&gateway, &id)| {
+                let has_caught_up = || self.matched_index(id) + MAX_LEARNER_LAG >= committed;
+                let is_voter = voters.contains(&gateway);
+                membership::changes_for(&members, gateway, id, is_voter, has_caught_up)
+            })
+            .find(|changes| !changes.is_empty());
+        if let Some(changes) = changes {
+            let change = ConfChangeV2 {
+                changes: changes.into(),
                 ..Default::default()
             };
-            change.set_change_type(kind);
-            change
-        };
-        for (&gateway, &id) in known
-            .iter()
-            .filter(|(gateway, _)| **gateway != gateway_id_of(self.raw.raft.id))
-        {
-            let mut changes: Vec<ConfChangeSingle> = Vec::new();
-            if !of(gateway).any(|other| other == id) {
-                changes.extend(of(gateway).map(|old| single(ConfChangeType::RemoveNode, old)));
-                changes.push(single(ConfChangeType::AddLearnerNode, id));
-            } else if voters.contains(&gateway) && members.learners.contains(&id) {
-                let progress = self.raw.raft.prs().get(id);
-                let matched = progress.map_or(0, |progress| progress.matched);
-                if matched + CAUGHT_UP >= self.raw.raft.raft_log.committed {
-                    changes.push(single(ConfChangeType::AddNode, id));
-                }
-            }
-            if !changes.is_empty() {
-                let change = ConfChangeV2 {
-                    changes: changes.into(),
-                    ..Default::default()
-                };
-                let _ = self.raw.propose_conf_change(Vec::new(), change);
-                return;
-            }
+            // One that Raft rejects is proposed again at a later tick.
+            let _ = self.raw.propose_conf_change(Vec::new(), change);
         }
     }
 
+    /// Reports that messages to a peer may have been lost.
     pub(crate) fn report_unreachable(&mut self, peer: u64) {
         self.raw.report_unreachable(peer);
     }
 
+    /// Reports whether a snapshot was sent to a peer completely.
     pub(crate) fn report_snapshot(&mut self, peer: u64, complete: bool) {
         let status = if complete {
             SnapshotStatus::Finish
@@ -257,161 +232,232 @@
         self.raw.report_snapshot(peer, status);
     }
 
-    /// Feeds what is agreed with an event of this gateway's own.
+    /// Passes an event to the state machine. Its proposals and rounds are kept for Raft, its other actions go to
+    /// `actions`.
+    ///
+    /// # Errors
+    ///
+    /// [`NodeError::Apply`]; the node must not be used any further then.
     pub(crate) fn handle(
         &mut self,
         now: Micros,
         event: Event,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> Result<(), NodeError> {
-        let mut actions = Vec::new();
-        self.state_machine.handle(now, event, &mut actions)?;
-        for action in actions {
+        let mut all_actions = Vec::new();
+        self.state_machine.handle(now, event, &mut all_actions)?;
+        for action in all_actions {
             match action {
                 Action::Propose(bytes) => self.proposals.push(bytes),
-                Action::Confirm(round) => self.rounds.push(round),
-                other => out.push(other),
+                Action::Confirm(round) => self.requested_rounds.push(round),
+                other => actions.push(other),
             }
         }
         Ok(())
     }
 
-    /// Hands proposals and rounds to the consensus. Without a leader proposals are lost, and so are rounds where this
-    /// member does not lead: another's confirmation must never pass for one of its own. Whoever needs them asks again.
-    fn propose(&mut self) {
+    /// Stores, applies and sends what Raft has ready, until nothing is left.
+    ///
+    /// # Errors
+    ///
+    /// [`NodeError`]; the node must not be used any further then.
+    pub(crate) fn process_ready(
+        &mut self,
+        now: Micros,
+        actions: &mut Vec<Action>,
+        send: &mut impl FnMut(Message),
+    ) -> Result<(), NodeError> {
+        self.submit_pending();
+        while self.raw.has_ready() {
+            self.process_one_ready(now, actions, send)?;
+            self.submit_pending();
+        }
+        self.status.term = self.raw.raft.term;
+        self.compact_if_due()
+    }
+
+    /// Submits proposals and rounds to Raft. Without a leader proposals are lost. Rounds are dropped unless this member is
+    /// the leader: a confirmation of another leader must never pass for one of its own.
+    fn submit_pending(&mut self) {
         for bytes in std::mem::take(&mut self.proposals) {
             let _ = self.raw.propose(Vec::new(), bytes);
         }
-        for round in std::mem::take(&mut self.rounds) {
+        for round in std::mem::take(&mut self.requested_rounds) {
             if self.raw.raft.state == StateRole::Leader {
                 self.raw.read_index(round.to_le_bytes().to_vec());
             }
         }
     }
 
-    /// Notes the rounds that a majority has confirmed.
-    fn note_confirmed(&mut self, states: Vec<ReadState>) {
-        let rounds = states.into_iter().filter_map(|state| {
-            let round = u64::from_le_bytes(state.request_ctx.try_into().ok()?);
-            Some(Confirmed {
-                round,
-                index: state.index,
-            })
-        });
-        self.confirmed.extend(rounds);
+    fn process_one_ready(
+        &mut self,
+        now: Micros,
+        actions: &mut Vec<Action>,
+        send: &mut impl FnMut(Message),
+    ) -> Result<(), NodeError> {
+        let mut ready = self.raw.ready();
+        ready.take_messages().into_iter().for_each(&mut *send);
+        self.persist(now, &ready, actions)?;
+        self.apply(now, &ready.take_committed_entries(), actions)?;
+        ready
+            .take_persisted_messages()
+            .into_iter()
+            .for_each(&mut *send);
+        if let Some(soft_state) = ready.ss() {
+            let is_leader = soft_state.raft_state == StateRole::Leader;
+            self.update_leader(now, soft_state.leader_id, is_leader, actions)?;
+        }
+        let read_states = ready.take_read_states();
+        if self.status.is_leader {
+            let rounds = read_states.into_iter().filter_map(confirmed_round);
+            self.confirmed_rounds.extend(rounds);
+        }
+        let mut light_ready = self.raw.advance(ready);
+        if let Some(commit) = light_ready.commit_index() {
+            self.raw.mut_store().set_commit(commit);
+        }
+        light_ready.take_messages().into_iter().for_each(&mut *send);
+        self.apply(now, &light_ready.take_committed_entries(), actions)?;
+        self.raw.advance_apply();
+        self.report_confirmed_rounds(now, actions)
     }
 
-    /// Tells what is agreed of confirmed rounds, each once all that was committed when it began is applied.
-    fn tell_confirmed(&mut self, now: Micros, out: &mut Vec<Action>) -> Result<(), NodeError> {
-        let applied = self.status.applied;
-        let (due, wait) = std::mem::take(&mut self.confirmed)
-            .into_iter()
-            .partition(|c| c.index <= applied);
-        self.confirmed = wait;
-        let due: Vec<Confirmed> = due;
-        due.into_iter()
-            .try_for_each(|confirmed| self.handle(now, Event::Confirmed(confirmed.round), out))
+    /// Makes entries, hard state and a received snapshot durable, and restores the snapshot.
+    fn persist(
+        &mut self,
+        now: Micros,
+        ready: &Ready,
+        actions: &mut Vec<Action>,
+    ) -> Result<(), NodeError> {
+        let snapshot = Some(ready.snapshot()).filter(|snapshot| !snapshot.is_empty());
+        let store = self.raw.mut_store();
+        store.persist(snapshot, ready.entries(), ready.hs())?;
+        if let Some(snapshot) = snapshot {
+            self.status.applied = snapshot.get_metadata().index;
+            self.reset_log_size();
+            self.handle(now, Event::Restored(snapshot.get_data()), actions)?;
+        }
+        Ok(())
     }
 
-    /// Tells what is agreed who leads, where that has changed.
-    fn note_leader(
+    fn apply(
+        &mut self,
+        now: Micros,
+        entries: &[Entry],
+        actions: &mut Vec<Action>,
+    ) -> Result<(), NodeError> {
+        for entry in entries {
+            self.status.applied = entry.index;
+            self.log_bytes += entry.data.len();
+            match entry.get_entry_type() {
+                EntryType::EntryNormal => {
+                    self.handle(now, Event::Committed(&entry.data), actions)?;
+                }
+                EntryType::EntryConfChange => {
+                    let change: ConfChange = decode(&entry.data)?;
+                    self.apply_membership(now, &change.into_v2())?;
+                }
+                EntryType::EntryConfChangeV2 => {
+                    let change: ConfChangeV2 = decode(&entry.data)?;
+                    self.apply_membership(now, &change)?;
+                }
+            }
+        }
+        Ok(())
+    }
+
+    fn apply_membership(&mut self, now: Micros, change: &ConfChangeV2) -> Result<(), NodeError> {
+        let members = self.raw.apply_conf_change(change)?;
+        info!(at = now, voters = ?members.voters, learners = ?members.learners, "log: members");
+        self.raw.mut_store().set_members(&members)?;
+        Ok(())
+    }
+
+    /// Passes a change of the leader to the state machine. Rounds that began under another leadership are dropped.
+    fn update_leader(
         &mut self,
         now: Micros,
         leader: u64,
-        leads: bool,
-        out: &mut Vec<Action>,
+        is_leader: bool,
+        actions: &mut Vec<Action>,
     ) -> Result<(), NodeError> {
         if leader != self.status.leader {
             self.status.leader = leader;
             let gateway = u32::try_from(gateway_id_of(leader))
                 .ok()
                 .filter(|gateway| *gateway != 0);
-            self.handle(now, Event::Leader(gateway), out)?;
+            self.handle(now, Event::Leader(gateway), actions)?;
         }
-        if leads != self.status.is_leader {
-            self.status.is_leader = leads;
-            self.rounds.clear();
-            self.confirmed.clear();
-            self.handle(now, Event::Leading(leads), out)?;
+        if is_leader != self.status.is_leader {
+            self.status.is_leader = is_leader;
+            self.requested_rounds.clear();
+            self.confirmed_rounds.clear();
+            self.handle(now, Event::Leading(is_leader), actions)?;
         }
         Ok(())
     }
 
-    /// Stores, sends and applies what the consensus has ready.
-    pub(crate) fn process_ready(
+    /// Passes confirmed rounds to the state machine, each once all entries committed at its begin are applied.
+    fn report_confirmed_rounds(
         &mut self,
         now: Micros,
-        out: &mut Vec<Action>,
-        send: &mut impl FnMut(Message),
+        actions: &mut Vec<Action>,
     ) -> Result<(), NodeError> {
-        self.propose();
-        while self.raw.has_ready() {
-            let mut ready = self.raw.ready();
-            ready.take_messages().into_iter().for_each(&mut *send);
-            let snapshot = Some(ready.snapshot().clone()).filter(|snapshot| !snapshot.is_empty());
-            self.raw
-                .mut_store()
-                .persist(snapshot.as_ref(), ready.entries(), ready.hs())?;
-            if let Some(snapshot) = snapshot {
-                self.status.applied = snapshot.get_metadata().index;
-                (self.kept_from, self.kept_bytes) = (self.status.applied, 0);
-                self.handle(now, Event::Restored(snapshot.get_data()), out)?;
-            }
-            self.apply(now, &ready.take_committed_entries(), out)?;
-            ready
-                .take_persisted_messages()
-                .into_iter()
-                .for_each(&mut *send);
-            if let Some(soft) = ready.ss() {
-                let (leader, leads) = (soft.leader_id, soft.raft_state == StateRole::Leader);
-                self.note_leader(now, leader, leads, out)?;
-            }
-            let states = ready.take_read_states();
-            if self.status.is_leader {
-                self.note_confirmed(states);
-            }
-            let mut light = self.raw.advance(ready);
-            if let Some(commit) = light.commit_index() {
-                self.raw.mut_store().set_commit(commit);
-            }
-            light.take_messages().into_iter().for_each(&mut *send);
-            self.apply(now, &light.take_committed_entries(), out)?;
-            self.raw.advance_apply();
-            self.tell_confirmed(now, out)?;
-            self.propose();
+        let applied = self.status.applied;
+        let (due, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut self.confirmed_rounds)
+            .into_iter()
+            .partition(|confirmed| confirmed.commit <= applied);
+        self.confirmed_rounds = waiting;
+        for confirmed in due {
+            self.handle(now, Event::Confirmed(confirmed.round), actions)?;
         }
-        self.status.term = self.raw.raft.term;
-        let over =
-            self.status.applied - self.kept_from >= ENTRIES_KEPT || self.kept_bytes >= BYTES_KEPT;
-        if over {
+        Ok(())
+    }
+
+    /// Replaces the entries applied by a snapshot, once there are many of them.
+    fn compact_if_due(&mut self) -> Result<(), NodeError> {
+        let log_entries = self.status.applied - self.snapshot_index;
+        if log_entries >= MAX_LOG_ENTRIES || self.log_bytes >= MAX_LOG_BYTES {
             let data = self.state_machine.snapshot();
             self.raw.mut_store().compact(self.status.applied, data)?;
-            (self.kept_from, self.kept_bytes) = (self.status.applied, 0);
+            self.reset_log_size();
         }
         Ok(())
     }
 
-    fn apply(
-        &mut self,
-        now: Micros,
-        entries: &[Entry],
-        out: &mut Vec<Action>,
-    ) -> Result<(), NodeError> {
-        for entry in entries {
-            self.status.applied = entry.index;
-            self.kept_bytes += entry.data.len();
-            let change = match entry.get_entry_type() {
-                EntryType::EntryNormal => {
-                    self.handle(now, Event::Committed(&entry.data), out)?;
-                    continue;
-                }
-                EntryType::EntryConfChange => read::<ConfChange>(&entry.data)?.into_v2(),
-                EntryType::EntryConfChangeV2 => read::<ConfChangeV2>(&entry.data)?,
-            };
-            let members = self.raw.apply_conf_change(&change)?;
-            info!(at = now, voters = ?members.voters, learners = ?members.learners, "log: members");
-            self.raw.mut_store().set_members(&members)?;
-        }
-        Ok(())
+    /// Counts entries from the last one applied on, as a snapshot stands for it and all before.
+    fn reset_log_size(&mut self) {
+        self.snapshot_index = self.status.applied;
+        self.log_bytes = 0;
     }
 }
+
+fn raft_config(id: u64, election_ticks: usize, applied: u64) -> Config {
+    Config {
+        id,
+        election_tick: election_ticks,
+        heartbeat_tick: (election_ticks / HEARTBEATS_PER_ELECTION_TIMEOUT).max(1),
+        applied,
+        max_size_per_msg: MAX_MESSAGE_BYTES,
+        max_inflight_msgs: MAX_IN_FLIGHT_MESSAGES,
+        max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
+        check_quorum: true,
+        pre_vote: true,
+        // A quorum answers each read-index round: reads rely on no clock.
+        read_only_option: ReadOnlyOption::Safe,
+        ..Config::default()
+    }
+}
+
+fn decode<M: protobuf::Message>(bytes: &[u8]) -> Result<M, StoreError> {
+    M::parse_from_bytes(bytes).map_err(|error| StoreError::Read(Corruption::Decode(error)))
+}
+
+/// The round that Raft reports as confirmed; none for one that this node didn't begin.
+fn confirmed_round(state: ReadState) -> Option<ConfirmedRound> {
+    let round = state.request_ctx.try_into().map(u64::from_le_bytes).ok()?;
+    Some(ConfirmedRound {
+        round,
+        commit: state.index,
+    })
+}
