--- a/control/src/settings.rs
+++ b/control/src/settings.rs
@@ -1,102 +1,96 @@
-//! What an operator sets of the control plane, and its checks: each fault names its key.
+//! The settings of the control plane in the operator's file, and their checks: each error names its key.
+//!
+//! A value that would have no effect is rejected, not ignored. Nothing here reads files or opens sockets.
+
+mod error;
+
+pub use error::{within, SettingError};
 
 use crate::lease::{self, Duty, Timing};
 use ipnet::IpNet;
 use serde::{Deserialize, Serialize};
+use std::borrow::Cow;
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
 
-/// What is wrong with a value: its key, and the fault.
-pub type Fault = (&'static str, String);
-
-/// A number outside its bounds is a fault of its key.
-///
-/// # Errors
-///
-/// The key, and the bounds that its value is outside of.
-pub fn within(key: &'static str, value: u64, least: u64, most: u64) -> Result<(), Fault> {
-    if (least..=most).contains(&value) {
-        return Ok(());
-    }
-    Err((key, format!("{value} is not within {least} to {most}")))
-}
+/// The numbers that gateways may have.
+const GATEWAY_IDS: RangeInclusive<u32> = 1..=65_535;
 
-/// The networks of this machine alone.
+/// The loopback networks.
 pub fn this_machine() -> Vec<IpNet> {
     let nets = ["127.0.0.0/8", "::1/128"];
     nets.iter().filter_map(|net| net.parse().ok()).collect()
 }
 
-/// A gateway of the fleet: a control member that the others connect to, or one that is served.
+/// A gateway of the fleet: a control member that the others connect to, or a client of the control members.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Peer {
     /// Its number in the fleet; 1 to 65535, each once.
     pub id: u32,
-    /// Where its control listener is reached; unused where it does not vote.
+    /// The address of its control listener; unused where it is no voter.
     pub address: SocketAddr,
-    /// Whether it votes on the log, as control members do; the others are served by them. Default yes.
-    #[serde(default = "yes")]
+    /// Whether it is a voter of the log, as control members are; the others are their clients. Default yes.
+    #[serde(default = "default_voter")]
     pub voter: bool,
 }
 
-fn yes() -> bool {
+fn default_voter() -> bool {
     true
 }
 
-/// What the gateways of a fleet agree on over a log that the control members share, and this gateway's part in it.
+/// The control members, which share the replicated log, and this gateway's part among them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Lease {
     /// This gateway's number in the fleet, which no other has.
     pub me: u32,
-    /// The control members, 3 or 5 peers that vote; gateways that they serve may be listed as well.
+    /// The control members, 3 or 5 voters; gateways that are their clients may be listed as well.
     pub peers: Vec<Peer>,
-    /// Whether this gateway is only served by the peers, which need not list it. Default no.
+    /// Whether this gateway is a client of the control members alone, which need not list it. Default no.
     #[serde(default)]
     pub client: bool,
     /// Where this gateway listens for its peers; its port is that of its own address among `peers`. A client has none.
     #[serde(default)]
     pub listen: Option<SocketAddr>,
-    /// From where control members and gateways may connect; default this machine.
+    /// The networks from which control members and gateways may connect; default the loopback networks.
     #[serde(default = "this_machine")]
     pub allow: Vec<IpNet>,
-    /// The folder of the log and its hard state; relative to the operator's file. A client has none.
+    /// The folder of the log; relative to the operator's file. A client has none.
     #[serde(default)]
     pub store: PathBuf,
     /// The duties that this control member may hold, by name (see [`crate::lease::DUTIES`]). A client holds none.
     #[serde(default)]
     pub duties: Vec<String>,
-    /// How long a holder may act after it asked; 100 to 600000, default 3000.
-    #[serde(default = "lease_ms")]
+    /// How long a holder may act after it requested the lease, milliseconds; 100 to 600000, default 3000.
+    #[serde(default = "default_lease_ms")]
     pub lease_ms: u64,
-    /// How long after asking a holder asks again; 10 to 60000, default 1000.
-    #[serde(default = "renew_ms")]
+    /// Time from one request of a holder to its next, milliseconds; 10 to 60000, default 1000.
+    #[serde(default = "default_renew_ms")]
     pub renew_ms: u64,
     /// How far a clock's rate may be from real time, parts per million; below 100000, default 1000.
-    #[serde(default = "drift_ppm")]
+    #[serde(default = "default_drift_ppm")]
     pub drift_ppm: u32,
-    /// Added to every wait, for late timers; up to 10000, default 50.
-    #[serde(default = "margin_ms")]
+    /// Added to every wait, for late timers, milliseconds; up to 10000, default 50.
+    #[serde(default = "default_margin_ms")]
     pub margin_ms: u64,
 }
 
-fn lease_ms() -> u64 {
+fn default_lease_ms() -> u64 {
     3_000
 }
 
-fn renew_ms() -> u64 {
+fn default_renew_ms() -> u64 {
     1_000
 }
 
-/// Quartz of ordinary machines keeps within 100 ppm; NTP slews by at most 500 ppm. Twice that.
-fn drift_ppm() -> u32 {
+/// Twice the 500 ppm by which NTP slews a clock at most; quartz itself keeps within 100 ppm.
+fn default_drift_ppm() -> u32 {
     1_000
 }
 
-/// Timers of the gateway fire within a few milliseconds under load.
-fn margin_ms() -> u64 {
+fn default_margin_ms() -> u64 {
     50
 }
 
@@ -111,7 +105,7 @@
         }
     }
 
-    /// The duties, as the lease module numbers them.
+    /// The duties that this control member may hold; unknown names are left out.
     pub fn duties(&self) -> Vec<Duty> {
         self.duties
             .iter()
@@ -129,159 +123,135 @@
         self.voters().any(|peer| peer.id == self.me)
     }
 
-    /// Whether it makes sense, each value and all together; a fault names the key.
+    /// Checks each value, and all of them together.
     ///
     /// # Errors
     ///
-    /// The key at fault and what is wrong with its value.
-    pub fn check(&self) -> Result<(), KeyFault> {
+    /// [`SettingError`] of the first value that is rejected.
+    pub fn check(&self) -> Result<(), SettingError> {
         self.check_peers()?;
         if self.client {
             self.check_client()?;
         } else {
             self.check_listed()?;
         }
-        within("lease_ms", self.lease_ms, 100, 600_000).map_err(owned)?;
-        within("renew_ms", self.renew_ms, 10, 60_000).map_err(owned)?;
-        within("margin_ms", self.margin_ms, 0, 10_000).map_err(owned)?;
+        within("lease_ms", self.lease_ms, 100, 600_000)?;
+        within("renew_ms", self.renew_ms, 10, 60_000)?;
+        within("margin_ms", self.margin_ms, 0, 10_000)?;
         self.timing()
             .check()
-            .map_err(|error| owned((error.key(), error.to_string())))
+            .map_err(|error| SettingError::new(error.key(), error.to_string()))
     }
 
-    fn check_peers(&self) -> Result<(), KeyFault> {
-        for (place, peer) in self.peers.iter().enumerate() {
-            if !IDS.contains(&peer.id) {
-                return fault(
-                    format!("peers[{place}].id"),
-                    format!("{} is not within 1 to 65535", peer.id),
-                );
+    fn check_peers(&self) -> Result<(), SettingError> {
+        for (index, peer) in self.peers.iter().enumerate() {
+            let earlier = &self.peers[..index];
+            let id_key = || format!("peers[{index}].id");
+            if !GATEWAY_IDS.contains(&peer.id) {
+                return reject(id_key(), format!("{} is not within 1 to 65535", peer.id));
             }
-            let earlier = &self.peers[..place];
             if earlier.iter().any(|other| other.id == peer.id) {
-                return fault(
-                    format!("peers[{place}].id"),
-                    format!("{} is another peer's already", peer.id),
-                );
+                return reject(id_key(), format!("{} is another peer's already", peer.id));
             }
             if earlier.iter().any(|other| other.address == peer.address) {
-                return fault(
-                    format!("peers[{place}].address"),
+                return reject(
+                    format!("peers[{index}].address"),
                     format!("{} is another peer's", peer.address),
                 );
             }
         }
         let voters = self.voters().count();
         if voters != 3 && voters != 5 {
-            let why =
+            let reason =
                 "a log needs 3 or 5, so that one or two may be lost and a majority still decides";
-            return fault("peers", format!("has {voters} voters: {why}"));
+            return reject("peers", format!("has {voters} voters: {reason}"));
         }
         Ok(())
     }
 
-    /// A gateway that its peers need not list: what only a control member uses is refused, as it would do nothing.
-    fn check_client(&self) -> Result<(), KeyFault> {
-        if !IDS.contains(&self.me) {
-            return fault("me", format!("{} is not within 1 to 65535", self.me));
+    /// Checks a client of the control members: it has none of the settings that only they use.
+    fn check_client(&self) -> Result<(), SettingError> {
+        let me = self.me;
+        if !GATEWAY_IDS.contains(&me) {
+            return reject("me", format!("{me} is not within 1 to 65535"));
         }
         if self.votes() {
-            let me = self.me;
-            return fault(
-                "me",
-                format!("{me} is the number of a peer that votes; a client needs its own"),
-            );
+            let fault = format!("{me} is the number of a peer that votes; a client needs its own");
+            return reject("me", fault);
         }
         if let Some(listen) = self.listen {
-            return fault(
-                "listen",
-                format!("{listen} is used by control members only; a client has none"),
-            );
+            let fault = format!("{listen} is used by control members only; a client has none");
+            return reject("listen", fault);
         }
         if !self.store.as_os_str().is_empty() {
             let store = self.store.display();
-            return fault(
-                "store",
-                format!("{store} is used by control members only; a client keeps no log"),
-            );
+            let fault = format!("{store} is used by control members only; a client keeps no log");
+            return reject("store", fault);
         }
         if !self.duties.is_empty() {
             let duties = self.duties.join(", ");
-            return fault(
-                "duties",
-                format!("{duties}: held by control members only; a client holds none"),
-            );
+            let fault = format!("{duties}: held by control members only; a client holds none");
+            return reject("duties", fault);
         }
         Ok(())
     }
 
-    /// A gateway among the peers.
-    fn check_listed(&self) -> Result<(), KeyFault> {
+    /// Checks a gateway that is one of the peers.
+    fn check_listed(&self) -> Result<(), SettingError> {
         let Some(own) = self.peers.iter().find(|peer| peer.id == self.me) else {
-            let why = "list it, or let them serve it with client = True";
-            return fault("me", format!("{} is not among peers; {why}", self.me));
+            let hint = "list it, or let them serve it with client = True";
+            return reject("me", format!("{} is not among peers; {hint}", self.me));
         };
-        let port = own.address.port();
-        match self.listen {
-            None => {
-                return fault(
-                    "listen",
-                    format!("is missing; peers reach this gateway on port {port}"),
-                )
-            }
-            Some(listen) if listen.port() == 0 || listen.port() != port => {
-                return fault(
-                    "listen",
-                    format!("{listen} is not on port {port}, where peers reach it"),
-                );
-            }
-            Some(_) => {}
-        }
+        self.check_listen(own.address.port())?;
         if self.allow.is_empty() {
-            return fault("allow", "names no network: no peer could connect".into());
+            return reject("allow", "names no network: no peer could connect");
         }
         if self.store.as_os_str().is_empty() {
-            return fault(
-                "store",
-                "names no folder: the log would not survive a restart".into(),
-            );
+            let fault = "names no folder: the log would not survive a restart";
+            return reject("store", fault);
+        }
+        self.check_duties()
+    }
+
+    fn check_listen(&self, port: u16) -> Result<(), SettingError> {
+        let Some(listen) = self.listen else {
+            let fault = format!("is missing; peers reach this gateway on port {port}");
+            return reject("listen", fault);
+        };
+        if listen.port() == 0 || listen.port() != port {
+            let fault = format!("{listen} is not on port {port}, where peers reach it");
+            return reject("listen", fault);
         }
+        Ok(())
+    }
+
+    fn check_duties(&self) -> Result<(), SettingError> {
         if self.duties.is_empty() {
-            return fault(
-                "duties",
-                "names none: there would be nothing to hold".into(),
-            );
+            return reject("duties", "names none: there would be nothing to hold");
         }
-        for (place, name) in self.duties.iter().enumerate() {
+        for (index, name) in self.duties.iter().enumerate() {
+            let key = || format!("duties[{index}]");
             if Duty::from_name(name).is_none() {
                 let known = lease::DUTIES.join(", ");
-                return fault(
-                    format!("duties[{place}]"),
-                    format!("{name:?} is not one of {known}"),
-                );
+                return reject(key(), format!("{name:?} is not one of {known}"));
             }
-            if self.duties[..place].contains(name) {
-                return fault(
-                    format!("duties[{place}]"),
-                    format!("{name:?} is named twice"),
-                );
+            if self.duties[..index].contains(name) {
+                return reject(key(), format!("{name:?} is named twice"));
             }
         }
         Ok(())
     }
 
-    /// Checks it beside the address where the gateway's clients connect.
+    /// Checks it together with the address on which the gateway listens for its own clients.
     ///
     /// # Errors
     ///
-    /// The key at fault and what is wrong with its value.
-    pub fn beside(&self, clients: SocketAddr) -> Result<(), KeyFault> {
+    /// [`SettingError`] of the first value that is rejected.
+    pub fn beside(&self, clients: SocketAddr) -> Result<(), SettingError> {
         self.check()?;
         if self.listen == Some(clients) {
-            return fault(
-                "listen",
-                format!("{clients} is where clients connect (listen)"),
-            );
+            let fault = format!("{clients} is where clients connect (listen)");
+            return reject("listen", fault);
         }
         Ok(())
     }
@@ -290,28 +260,18 @@
     ///
     /// # Errors
     ///
-    /// The key at fault: this gateway is no voter, or a value is out of bounds.
-    pub fn member(&self) -> Result<(), KeyFault> {
+    /// [`SettingError`] of the first value that is rejected; of `me` where this gateway is no voter.
+    pub fn member(&self) -> Result<(), SettingError> {
         self.check()?;
         if !self.votes() {
-            let why =
+            let hint =
                 "a control member has to be one: give its number, or run this file with `asterreel run`";
-            return fault("me", format!("{} is no voter among peers; {why}", self.me));
+            return reject("me", format!("{} is no voter among peers; {hint}", self.me));
         }
         Ok(())
     }
 }
 
-/// What is wrong with a value of [`Lease`]: its key, down to the place in a list, and the fault.
-pub type KeyFault = (String, String);
-
-/// The numbers that gateways may have.
-const IDS: RangeInclusive<u32> = 1..=65_535;
-
-fn fault(key: impl Into<String>, fault: String) -> Result<(), KeyFault> {
-    Err((key.into(), fault))
-}
-
-fn owned((key, fault): Fault) -> KeyFault {
-    (key.to_owned(), fault)
+fn reject(key: impl Into<Cow<'static, str>>, fault: impl Into<String>) -> Result<(), SettingError> {
+    Err(SettingError::new(key, fault))
 }
--- /dev/null
+++ b/control/src/settings/error.rs
@@ -0,0 +1,43 @@
+//! The error of a setting whose value is rejected.
+
+use std::borrow::Cow;
+
+/// A value that is rejected, by its key.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{key}: {fault}")]
+pub struct SettingError {
+    /// The key, down to the index in a list, as in `peers[2].id`.
+    pub key: Cow<'static, str>,
+    /// What is wrong with its value, and where it helps what to do.
+    pub fault: String,
+}
+
+impl SettingError {
+    /// An error of `key`.
+    pub fn new(key: impl Into<Cow<'static, str>>, fault: impl Into<String>) -> SettingError {
+        SettingError {
+            key: key.into(),
+            fault: fault.into(),
+        }
+    }
+}
+
+/// The key and the fault, for callers that still pass them apart.
+impl From<SettingError> for (String, String) {
+    fn from(error: SettingError) -> (String, String) {
+        (error.key.into_owned(), error.fault)
+    }
+}
+
+/// Checks that a number is within its bounds, both included.
+///
+/// # Errors
+///
+/// [`SettingError`] with the bounds.
+pub fn within(key: &'static str, value: u64, least: u64, most: u64) -> Result<(), SettingError> {
+    if (least..=most).contains(&value) {
+        return Ok(());
+    }
+    let fault = format!("{value} is not within {least} to {most}");
+    Err(SettingError::new(key, fault))
+}
--- a/src/bin/asterreel-operator/main.rs
+++ b/src/bin/asterreel-operator/main.rs
@@ -134,7 +134,7 @@
     if let Some((mut lease, place)) = collected.lease {
         lease
             .check()
-            .map_err(|(key, fault)| place.bad(&format!("lease.{key}"), &fault))?;
+            .map_err(|error| place.bad(&format!("lease.{}", error.key), &error.fault))?;
         if !lease.client {
             lease.store = folder.join(&lease.store);
         }
--- a/src/health/drain.rs
+++ b/src/health/drain.rs
@@ -2,7 +2,7 @@
 //! sends a client to a closed door, and until when it answers.
 
 use crate::interface::Micros;
-use asterreel_control::settings::{within, Fault};
+use asterreel_control::settings::{within, SettingError};
 use serde::{Deserialize, Serialize};
 
 /// Nothing is sent to a gateway later than this after its drain was announced.
@@ -109,7 +109,7 @@
         balancer: &Balancer,
         hearing: Hearing,
         longest_deadline: Micros,
-    ) -> Result<Timetable, Fault> {
+    ) -> Result<Timetable, SettingError> {
         within("balancer.interval_ms", balancer.interval_ms, 10, 2_000)?;
         within("balancer.fall", balancer.fall, 1, 10)?;
         within("balancer.timeout_ms", balancer.timeout_ms, 10, 2_000)?;
@@ -118,14 +118,14 @@
         if heard > LIMIT_MS {
             let fault =
                 format!("with balancer.fall and balancer.timeout_ms a drain is heard after {heard} ms, and nothing may be sent {LIMIT_MS} ms after its word");
-            return Err(("balancer.interval_ms", fault));
+            return Err(SettingError::new("balancer.interval_ms", fault));
         }
         let announce = self.announce_ms.unwrap_or(heard.max(LEAST_MS));
         if announce < heard {
             let fault = format!(
                 "{announce} is less than the {heard} ms after which {keys} let a drain be heard"
             );
-            return Err(("drain.announce_ms", fault));
+            return Err(SettingError::new("drain.announce_ms", fault));
         }
         within("drain.announce_ms", announce, LEAST_MS, LIMIT_MS)?;
         let killed = self
@@ -137,7 +137,7 @@
                 "{} ms leave no time to answer what drain.announce_ms, {announce}, still takes",
                 killed / 1000
             );
-            return Err(("drain.kill_after_ms", fault));
+            return Err(SettingError::new("drain.kill_after_ms", fault));
         }
         Ok(Timetable {
             announce: announce * 1000,
--- a/src/health/drain/tests.rs
+++ b/src/health/drain/tests.rs
@@ -4,7 +4,7 @@
     announce: Option<u64>,
     kill: Option<u64>,
     balancer: &Balancer,
-) -> Result<Timetable, Fault> {
+) -> Result<Timetable, SettingError> {
     let drain = Drain {
         announce_ms: announce,
         kill_after_ms: kill,
@@ -67,8 +67,8 @@
     ];
     for (announce, kill, balancer, key) in cases {
         assert_eq!(
-            table(announce, kill, &balancer).map_err(|fault| fault.0),
-            Err(key)
+            table(announce, kill, &balancer).map_err(|fault| fault.key),
+            Err(key.into())
         );
     }
 }
--- a/src/health/knobs.rs
+++ b/src/health/knobs.rs
@@ -1,7 +1,7 @@
 //! What an operator may set of the decisions on health, with units, defaults and bounds.
 
 use crate::interface::Micros;
-use asterreel_control::settings::{within, Fault};
+use asterreel_control::settings::{within, SettingError};
 use serde::{Deserialize, Serialize};
 
 /// The knobs; milliseconds where a name ends in `_ms`.
@@ -59,7 +59,7 @@
     /// # Errors
     ///
     /// The key at fault and what is wrong with its value.
-    pub fn check(&self) -> Result<(), Fault> {
+    pub fn check(&self) -> Result<(), SettingError> {
         within("floor", u64::from(self.floor), 1, 50)?;
         within("rise_step", u64::from(self.rise_step), 1, 100)?;
         within("rise_every_ms", self.rise_every_ms, 50, 60_000)?;
@@ -70,7 +70,7 @@
         within("recover_after_ms", self.recover_after_ms, 100, 30_000)?;
         within("start_wait_ms", self.start_wait_ms, 0, 600_000)?;
         if !(self.strain_high > 0.0 && self.strain_high <= 1.0) {
-            return Err((
+            return Err(SettingError::new(
                 "strain_high",
                 format!("{} is not above 0 and at most 1", self.strain_high),
             ));
@@ -80,14 +80,14 @@
                 "{} is not below strain_high, {}",
                 self.strain_low, self.strain_high
             );
-            return Err(("strain_low", fault));
+            return Err(SettingError::new("strain_low", fault));
         }
         if self.hung_after_ms < 2 * self.beat_every_ms {
             let fault = format!(
                 "{} is less than two of beat_every_ms, {}",
                 self.hung_after_ms, self.beat_every_ms
             );
-            return Err(("hung_after_ms", fault));
+            return Err(SettingError::new("hung_after_ms", fault));
         }
         Ok(())
     }
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -7,6 +7,7 @@
 
 mod settings;
 
+use asterreel_control::settings::SettingError;
 pub use asterreel_control::settings::{Lease, Peer};
 pub use settings::{Agent, CellBounds, Cells, Health, Listener, Operator};
 
@@ -118,9 +119,9 @@
     /// [`BadFile`] names the file, the place and the key at fault.
     pub fn beside(&self, config: &Config) -> Result<Option<Timetable>, BadFile> {
         if let Some(lease) = &self.operator.lease {
-            lease.beside(config.listen).map_err(|(key, fault)| {
-                self.bad_in(&self.lease_at, &format!("lease.{key}"), fault)
-            })?;
+            lease
+                .beside(config.listen)
+                .map_err(|error| self.bad_lease(error))?;
         }
         let Some(health) = &self.operator.health else {
             return Ok(None);
@@ -141,13 +142,14 @@
             let fault = "is not called: there is no control plane to be a member of";
             return Err(self.bad_in(&None, "lease", fault.to_owned()));
         };
-        let bad = |(key, fault): (String, String)| {
-            self.bad_in(&self.lease_at, &format!("lease.{key}"), fault)
-        };
-        lease.member().map_err(bad)?;
+        lease.member().map_err(|error| self.bad_lease(error))?;
         Ok(lease)
     }
 
+    fn bad_lease(&self, error: SettingError) -> BadFile {
+        self.bad_in(&self.lease_at, &format!("lease.{}", error.key), error.fault)
+    }
+
     /// A fault of a key, placed in the call that sets it where that is known.
     fn bad_in(&self, place: &Option<Place>, key: &str, fault: String) -> BadFile {
         match place {
--- a/src/operator/settings.rs
+++ b/src/operator/settings.rs
@@ -79,27 +79,25 @@
     ///
     /// The key at fault and what is wrong with its value.
     pub fn rules(&self) -> Result<Rules, (String, String)> {
-        let owned = |(key, fault): (&str, String)| (key.to_owned(), fault);
         if self.who.is_empty() {
             return Err(("who".into(), "names no source: nobody could ask".into()));
         }
         if self.placement.as_os_str().is_empty() {
             return Err(("placement".into(), "names no file".into()));
         }
-        within("reread_ms", self.reread_ms, 50, 60_000).map_err(owned)?;
-        within("lease_ms", self.lease_ms, 2 * self.reread_ms, 600_000).map_err(owned)?;
+        within("reread_ms", self.reread_ms, 50, 60_000)?;
+        within("lease_ms", self.lease_ms, 2 * self.reread_ms, 600_000)?;
         let knobs = &self.quarantine;
-        within("quarantine.members", knobs.members as u64, 1, 16).map_err(owned)?;
+        within("quarantine.members", knobs.members as u64, 1, 16)?;
         within(
             "quarantine.tenant_members",
             knobs.tenant_members as u64,
             1,
             64,
-        )
-        .map_err(owned)?;
-        within("quarantine.window_ms", knobs.window_ms, 1_000, 3_600_000).map_err(owned)?;
-        within("quarantine.lasts_ms", knobs.lasts_ms, 1_000, 86_400_000).map_err(owned)?;
-        within("quarantine.entries", knobs.entries as u64, 16, 65_536).map_err(owned)?;
+        )?;
+        within("quarantine.window_ms", knobs.window_ms, 1_000, 3_600_000)?;
+        within("quarantine.lasts_ms", knobs.lasts_ms, 1_000, 86_400_000)?;
+        within("quarantine.entries", knobs.entries as u64, 16, 65_536)?;
         let bounds = |bounds: &CellBounds| Bounds {
             requests: bounds.requests,
             bytes: bounds.bytes,
@@ -235,21 +233,19 @@
                 "has no front: set agent, http, postgres, grpc or notify".into(),
             ));
         }
-        let owned = |(key, fault): (&str, String)| (key.to_owned(), fault);
-        within("connections", self.connections as u64, 4, 128).map_err(owned)?;
+        within("connections", self.connections as u64, 4, 128)?;
         if let Some(agent) = &self.agent {
-            within("agent.wait_ms", agent.wait_ms, 0, 500).map_err(owned)?;
+            within("agent.wait_ms", agent.wait_ms, 0, 500)?;
         }
         if self.allow.is_empty() {
             return Err(("allow".into(), "names no network: nobody could ask".into()));
         }
         self.knobs
             .check()
-            .map_err(|(key, fault)| (format!("knobs.{key}"), fault))?;
+            .map_err(|error| (format!("knobs.{}", error.key), error.fault))?;
         // With the longest deadline there is; the gateway's own may leave less.
         self.drain
-            .timetable(&self.balancer, self.hearing(), u64::MAX)
-            .map_err(owned)?;
+            .timetable(&self.balancer, self.hearing(), u64::MAX)?;
         Ok(())
     }
 
@@ -291,9 +287,8 @@
             .map(|class| class.deadline)
             .max()
             .unwrap_or(0);
-        let owned = |(key, fault): (&str, String)| (key.to_owned(), fault);
         self.drain
             .timetable(&self.balancer, self.hearing(), longest)
-            .map_err(owned)
+            .map_err(Into::into)
     }
 }
