--- a/control/src/codec.rs
+++ b/control/src/codec.rs
@@ -50,7 +50,7 @@
 
 /// The topic with a number.
 pub(crate) fn topic(number: u32) -> Result<Topic, DecodeError> {
-    Topic::numbered(number).ok_or(DecodeError::Unknown("topic"))
+    Topic::from_number(number).ok_or(DecodeError::Unknown("topic"))
 }
 
 /// A content from a message, whose length is bounded.
--- a/control/src/golden_tests.rs
+++ b/control/src/golden_tests.rs
@@ -10,7 +10,7 @@
 use crate::state_machine::{self, Action, Command, Event, StateMachine};
 use crate::store::Store;
 use crate::versions::{
-    self, Content, Formats, Refusal, Span, ToControl, ToGateway, Topic, TopicState, Version,
+    self, Content, Formats, Rejection, Span, ToControl, ToGateway, Topic, TopicState, Version,
 };
 use crate::Micros;
 use raft::eraftpb::{self, ConfState};
@@ -306,14 +306,17 @@
         ("reported", ToGateway::ReportCounted { who, sequence: 3 }),
         ("elsewhere, unknown", ToGateway::NotLeader { leader: None }),
         ("elsewhere", ToGateway::NotLeader { leader: Some(2) }),
-        ("refused 1", refused(Refusal::Stale)),
-        ("refused 2", refused(Refusal::Occupied)),
-        ("refused 3", refused(Refusal::Format { needed: 3 })),
-        ("refused 4", refused(Refusal::Epoch)),
-        ("refused 5", refused(Refusal::Busy(4))),
-        ("refused 6", refused(Refusal::Behind(5))),
-        ("refused 7", refused(Refusal::TooLong)),
-        ("refused 8", refused(Refusal::Settled)),
+        ("refused 1", refused(Rejection::StaleRegistration)),
+        ("refused 2", refused(Rejection::AlreadyRegistered)),
+        (
+            "refused 3",
+            refused(Rejection::UnsupportedFormat { needed: 3 }),
+        ),
+        ("refused 4", refused(Rejection::StaleEpoch)),
+        ("refused 5", refused(Rejection::ProposalPending(4))),
+        ("refused 6", refused(Rejection::ActiveVersionChanged(5))),
+        ("refused 7", refused(Rejection::ContentTooLong)),
+        ("refused 8", refused(Rejection::AlreadyDecided)),
     ]
 }
 
@@ -606,7 +609,7 @@
         .registrations()
         .map(|registration| (registration.who, registration.token));
     assert!(registrations.eq(SERVED.into_iter().zip(tokens)));
-    assert_eq!(state_machine.versions().audit().last(SERVED[1]), 1);
+    assert_eq!(state_machine.versions().audit().last_sequence(SERVED[1]), 1);
     assert_eq!(
         state_machine.versions().audit().count(Topic::Operator, 5),
         12
@@ -630,7 +633,7 @@
         (open.version.number, &open.version.content),
         (8, &content())
     );
-    assert!(open.accepted.iter().eq([&300]));
+    assert!(open.acked_by.iter().eq([&300]));
     let snapshot = std::fs::read(file("entries-snapshot.bin")).expect("a record");
     assert_eq!(state_machine.snapshot(), snapshot);
 }
--- a/control/src/service/gateway.rs
+++ b/control/src/service/gateway.rs
@@ -194,7 +194,7 @@
                 let by = by.gateway;
                 warn!(at, gateway, ?topic, number, by, reason, "version: refused");
             }
-            Action::Refused(why) => warn!(at, gateway, "version: not taken: {why}"),
+            Action::RequestRejected(why) => warn!(at, gateway, "version: not taken: {why}"),
         }
     }
 }
--- a/control/src/service/mod.rs
+++ b/control/src/service/mod.rs
@@ -68,12 +68,12 @@
 impl View {
     /// The version of a topic to act on at a time, with the token that goes with the action.
     pub fn acting(&self, topic: Topic, now: Micros) -> Option<(u64, lease::Token)> {
-        Some((*self.in_force.get(&topic)?, self.right(now)?.token))
+        Some((*self.in_force.get(&topic)?, self.permission(now)?.token))
     }
 
     /// This gateway's right, where it still runs.
-    pub fn right(&self, now: Micros) -> Option<versions::Permission> {
-        self.right.filter(|right| right.runs(now))
+    pub fn permission(&self, now: Micros) -> Option<versions::Permission> {
+        self.right.filter(|right| right.is_valid(now))
     }
 }
 
@@ -397,7 +397,7 @@
         }
         if let Some(gateway) = &self.gateway {
             let client = gateway.client();
-            view.right = client.right(self.clock.now());
+            view.right = client.permission(self.clock.now());
             view.registrations = client.registrations();
             view.in_force = client.active_versions().collect();
         }
--- a/control/src/versions/audit.rs
+++ b/control/src/versions/audit.rs
@@ -1,34 +1,37 @@
-//! Who acted on which version: sums by gateway, incarnation, topic and version, from reports that count once.
+//! Audit of who acted on which version: sums by gateway, incarnation, topic and version.
+//!
+//! Invariant: each report counts once, in the order of its incarnation's sequence. The audit is bounded: the entries of the
+//! oldest versions and the reports of the oldest incarnations are dropped first. It decides nothing about versions.
 
 use super::{NodeIdentity, Topic};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Lives of one gateway whose reports are told apart; a report of an older incarnation is refused. Ours.
-const INCARNATIONS_KEPT: usize = 8;
-/// Rows kept; the oldest versions' go first. About 80 bytes each, so 320 KiB. Ours.
-const ROWS: usize = 4_096;
-/// Spans that one report may hold. Ours: four topics, and three versions each while it could not be sent.
+/// Incarnations of one gateway whose last report is known.
+const MAX_INCARNATIONS_PER_GATEWAY: usize = 8;
+/// Entries that are kept, of about 80 bytes each.
+const MAX_ENTRIES: usize = 4_096;
+/// Spans in one report: each topic, with three versions while the report could not be sent.
 pub(crate) const MAX_SPANS_PER_REPORT: usize = 16;
 
-/// What a gateway did under one version, from one moment to another.
+/// The actions of a gateway under one version, from one moment to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Span {
-    /// Of what.
+    /// The topic.
     pub topic: Topic,
-    /// The version.
+    /// The number of the version.
     pub number: u64,
     /// The first action, microseconds on the gateway's own clock.
     pub from: Micros,
     /// The last action, microseconds on the gateway's own clock.
     pub until: Micros,
-    /// How many.
+    /// How many actions.
     pub count: u64,
 }
 
 impl Span {
-    /// Takes in actions at a time.
+    /// Adds `count` actions at a time, microseconds on the gateway's own clock.
     pub fn add(&mut self, at: Micros, count: u64) {
         self.from = self.from.min(at);
         self.until = self.until.max(at);
@@ -36,31 +39,32 @@
     }
 }
 
-/// What one incarnation of a gateway did under one version, by all of its reports.
+/// The actions of one incarnation of a gateway under one version, from all of its reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Row {
-    /// Who.
+pub struct AuditEntry {
+    /// The gateway.
     pub who: NodeIdentity,
-    /// What it did.
+    /// Its actions.
     pub span: Span,
 }
 
-/// The audit's sums. Deterministic: the same entries give the same rows on every gateway.
+/// The audit's sums, part of the replicated table: the same log gives the same entries at every control member.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Audit {
-    rows: Vec<Row>,
-    /// By gateway, the last report of each of its latest incarnations, the latest last.
+    #[serde(rename = "rows")]
+    entries: Vec<AuditEntry>,
+    /// By gateway, the sequence of the last report of each of its latest incarnations, the latest last.
     reports: BTreeMap<u32, Vec<(u32, u64)>>,
 }
 
 impl Audit {
     /// The sums, oldest first.
-    pub fn rows(&self) -> &[Row] {
-        &self.rows
+    pub fn entries(&self) -> &[AuditEntry] {
+        &self.entries
     }
 
-    /// The last report of an incarnation that was counted; 0 before the first.
-    pub fn last(&self, who: NodeIdentity) -> u64 {
+    /// The sequence of an incarnation's last report that was counted; 0 before the first.
+    pub fn last_sequence(&self, who: NodeIdentity) -> u64 {
         let incarnations = self.reports.get(&who.gateway);
         let incarnation = incarnations.and_then(|incarnations| {
             incarnations
@@ -72,7 +76,7 @@
 
     /// Counts a report; false where it is not the next one of its incarnation, or too long, and nothing changes.
     pub fn report(&mut self, who: NodeIdentity, sequence: u64, spans: &[Span]) -> bool {
-        if sequence != self.last(who) + 1 || spans.len() > MAX_SPANS_PER_REPORT {
+        if sequence != self.last_sequence(who) + 1 || spans.len() > MAX_SPANS_PER_REPORT {
             return false;
         }
         let incarnations = self.reports.entry(who.gateway).or_default();
@@ -82,36 +86,37 @@
         {
             Some((_, last)) => *last = sequence,
             None => {
-                if incarnations.len() == INCARNATIONS_KEPT {
+                if incarnations.len() == MAX_INCARNATIONS_PER_GATEWAY {
                     incarnations.remove(0);
                 }
                 incarnations.push((who.incarnation, sequence));
             }
         }
         for span in spans {
-            let same = |row: &&mut Row| {
-                row.who == who && (row.span.topic, row.span.number) == (span.topic, span.number)
+            let same = |entry: &&mut AuditEntry| {
+                entry.who == who
+                    && (entry.span.topic, entry.span.number) == (span.topic, span.number)
             };
-            match self.rows.iter_mut().find(same) {
-                Some(row) => {
-                    row.span.add(span.from, 0);
-                    row.span.add(span.until, span.count);
+            match self.entries.iter_mut().find(same) {
+                Some(entry) => {
+                    entry.span.add(span.from, 0);
+                    entry.span.add(span.until, span.count);
                 }
-                None => self.rows.push(Row { who, span: *span }),
+                None => self.entries.push(AuditEntry { who, span: *span }),
             }
         }
-        let over = self.rows.len().saturating_sub(ROWS);
-        self.rows.drain(..over);
+        let excess = self.entries.len().saturating_sub(MAX_ENTRIES);
+        self.entries.drain(..excess);
         true
     }
 
     /// The actions counted under a version.
     pub fn count(&self, topic: Topic, number: u64) -> u64 {
         let of = self
-            .rows
+            .entries
             .iter()
-            .filter(|row| (row.span.topic, row.span.number) == (topic, number));
-        of.map(|row| row.span.count).sum()
+            .filter(|entry| (entry.span.topic, entry.span.number) == (topic, number));
+        of.map(|entry| entry.span.count).sum()
     }
 }
 
--- a/control/src/versions/audit/tests.rs
+++ b/control/src/versions/audit/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_report_counts_once_whether_doubled_lost_or_out_of_order() {
+fn report_counts_once() {
     let mut audit = Audit::default();
     assert!(
         !audit.report(A, 2, &[span(1, 5, 6, 1)]),
@@ -32,19 +32,19 @@
         ),
         (7, 1)
     );
-    assert_eq!(audit.rows()[0].span, span(1, 10, 30, 7));
+    assert_eq!(audit.entries()[0].span, span(1, 10, 30, 7));
     // Another incarnation counts anew, and the former one's late report still counts once.
-    let reborn = NodeIdentity {
+    let restarted = NodeIdentity {
         incarnation: 9,
         ..A
     };
-    assert!(audit.report(reborn, 1, &[span(2, 1, 2, 5)]));
+    assert!(audit.report(restarted, 1, &[span(2, 1, 2, 5)]));
     assert!(audit.report(A, 3, &[span(2, 32, 33, 2)]));
     assert_eq!(audit.count(Topic::Catalog, 2), 8);
 }
 
 #[test]
-fn rows_and_lives_are_bounded() {
+fn entries_and_incarnations_are_bounded() {
     let mut audit = Audit::default();
     for incarnation in 0..20 {
         let who = NodeIdentity {
@@ -56,9 +56,13 @@
             assert!(audit.report(who, sequence, &[span(number, 0, 1, 1)]));
         }
     }
-    assert_eq!(audit.rows().len(), ROWS);
-    assert_eq!(audit.rows()[ROWS - 1].span.number, 6_000, "the newest stay");
-    assert_eq!(audit.reports[&1].len(), INCARNATIONS_KEPT);
+    assert_eq!(audit.entries().len(), MAX_ENTRIES);
+    assert_eq!(
+        audit.entries()[MAX_ENTRIES - 1].span.number,
+        6_000,
+        "the newest stay"
+    );
+    assert_eq!(audit.reports[&1].len(), MAX_INCARNATIONS_PER_GATEWAY);
     let many = vec![span(1, 0, 1, 1); MAX_SPANS_PER_REPORT + 1];
     assert!(!audit.report(
         NodeIdentity {
--- a/control/src/versions/client/mod.rs
+++ b/control/src/versions/client/mod.rs
@@ -15,7 +15,7 @@
 mod topics;
 mod validations;
 
-use super::{Content, Formats, Refusal, ToControl, ToGateway, Topic, TopicState, Version};
+use super::{Content, Formats, Rejection, ToControl, ToGateway, Topic, TopicState, Version};
 use crate::lease::{NodeIdentity, Timing, Token};
 use crate::Micros;
 use heartbeats::{Heartbeats, Redirects};
@@ -76,7 +76,7 @@
 
 impl Permission {
     /// Whether an action may begin under it at a time.
-    pub fn runs(&self, now: Micros) -> bool {
+    pub fn is_valid(&self, now: Micros) -> bool {
         now < self.until
     }
 }
@@ -139,7 +139,7 @@
         reason: String,
     },
     /// A registration or a proposal of this gateway was rejected.
-    Refused(Refusal),
+    RequestRejected(Rejection),
     /// Send [`Event::Tick`] at this time at the latest, microseconds on this gateway's monotonic clock.
     Wake(Micros),
 }
@@ -185,14 +185,14 @@
     }
 
     /// This gateway's permission to act at `now`, if it has one.
-    pub fn right(&self, now: Micros) -> Option<Permission> {
+    pub fn permission(&self, now: Micros) -> Option<Permission> {
         let permission = self.registration.permission();
-        permission.filter(|permission| permission.runs(now))
+        permission.filter(|permission| permission.is_valid(now))
     }
 
     /// The version of a topic that this gateway may act on at `now`, and the token that goes with each action.
     pub fn acting(&self, topic: Topic, now: Micros) -> Option<(u64, Token)> {
-        let permission = self.right(now)?;
+        let permission = self.permission(now)?;
         let number = self.topics.active(topic);
         (number > 0).then_some((number, permission.token))
     }
@@ -259,8 +259,8 @@
     }
 
     fn propose(&mut self, now: Micros, topic: Topic, content: Content, out: &mut Vec<Action>) {
-        if self.right(now).is_none() {
-            out.push(Action::Refused(Refusal::Stale));
+        if self.permission(now).is_none() {
+            out.push(Action::RequestRejected(Rejection::StaleRegistration));
             return;
         }
         let replaces = self.topics.active(topic);
@@ -366,20 +366,20 @@
         self.stop(StopReason::Expelled, out);
         self.registration.release();
         if self.proposal.take().is_some() {
-            out.push(Action::Refused(Refusal::Stale));
+            out.push(Action::RequestRejected(Rejection::StaleRegistration));
         }
         self.registration.back_off(now, &self.timing);
     }
 
     /// A registration or a proposal was rejected. A repeated or late rejection has no effect.
-    fn handle_rejection(&mut self, now: Micros, reason: Refusal, out: &mut Vec<Action>) {
-        let unsupported = matches!(reason, Refusal::Format { .. });
+    fn handle_rejection(&mut self, now: Micros, reason: Rejection, out: &mut Vec<Action>) {
+        let unsupported = matches!(reason, Rejection::UnsupportedFormat { .. });
         let joining = unsupported && self.registration.token().is_none();
         if joining {
             self.registration.back_off(now, &self.timing);
         }
         if joining || self.proposal.take().is_some() {
-            out.push(Action::Refused(reason));
+            out.push(Action::RequestRejected(reason));
         }
     }
 
@@ -390,7 +390,7 @@
 
     fn run_due(&mut self, now: Micros, out: &mut Vec<Action>) {
         let permission = self.registration.permission();
-        if permission.is_some_and(|permission| !permission.runs(now)) {
+        if permission.is_some_and(|permission| !permission.is_valid(now)) {
             // The registration may still be in the log: once it is renewed, the gateway acts again.
             self.stop(StopReason::Lapsed, out);
         }
--- a/control/src/versions/client/registration.rs
+++ b/control/src/versions/client/registration.rs
@@ -90,7 +90,7 @@
         let extends = self
             .permission
             .is_none_or(|current| current.token != token || current.until < permission.until);
-        if !extends || !permission.runs(now) {
+        if !extends || !permission.is_valid(now) {
             return None;
         }
         self.permission = Some(permission);
--- a/control/src/versions/client/tests.rs
+++ b/control/src/versions/client/tests.rs
@@ -374,11 +374,11 @@
     gateway.feed(offer);
     let busy = ToGateway::RequestRejected {
         who: ME,
-        reason: Refusal::Busy(7),
+        reason: Rejection::ProposalPending(7),
     };
     assert_eq!(
         gateway.hear(busy.clone()),
-        [Action::Refused(Refusal::Busy(7))]
+        [Action::RequestRejected(Rejection::ProposalPending(7))]
     );
     assert_eq!(gateway.hear(busy), [], "doubled");
     assert_eq!(offers(&gateway.tick(RENEW)), 0);
--- a/control/src/versions/client/validations.rs
+++ b/control/src/versions/client/validations.rs
@@ -103,7 +103,7 @@
 
 /// Whether this build supports a content's format.
 fn check_format(needed: u32, formats: Formats) -> Result<(), String> {
-    if formats.understand(needed) {
+    if formats.supports(needed) {
         return Ok(());
     }
     let Formats { oldest, newest } = formats;
--- a/control/src/versions/coordinator/applied.rs
+++ b/control/src/versions/coordinator/applied.rs
@@ -105,7 +105,7 @@
             Outcome::EpochBegun(_)
             | Outcome::Acked { .. }
             | Outcome::Reported { .. }
-            | Outcome::Refused(_) => {}
+            | Outcome::Rejected(_) => {}
         }
     }
 }
@@ -132,7 +132,7 @@
             let counted = ToGateway::ReportCounted { who, sequence };
             Some(Action::Send(who, counted))
         }
-        Outcome::Refused(reason) => match command {
+        Outcome::Rejected(reason) => match command {
             Command::ProposeVersion { who, .. } => {
                 let rejected = ToGateway::RequestRejected { who: *who, reason };
                 Some(Action::Send(*who, rejected))
--- a/control/src/versions/coordinator/requests.rs
+++ b/control/src/versions/coordinator/requests.rs
@@ -3,7 +3,7 @@
 use super::read_index::PendingHeartbeat;
 use super::{Action, Coordinator};
 use crate::lease::{Index, NodeIdentity, Token};
-use crate::versions::{Command, Formats, Refusal, Span, ToControl, ToGateway, Topic};
+use crate::versions::{Command, Formats, Rejection, Span, ToControl, ToGateway, Topic};
 use crate::Micros;
 
 impl Coordinator {
@@ -55,7 +55,9 @@
                 replaces,
                 content,
             } => {
-                let proposable = self.table.offerable(who, token, topic, replaces, &content);
+                let proposable = self
+                    .table
+                    .check_proposal(who, token, topic, replaces, &content);
                 out.push(match proposable {
                     Ok(()) => Action::Propose(Command::ProposeVersion {
                         who,
@@ -147,8 +149,8 @@
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        match self.table.joinable(who, formats) {
-            Err(reason @ Refusal::Format { .. }) => {
+        match self.table.check_join(who, formats) {
+            Err(reason @ Rejection::UnsupportedFormat { .. }) => {
                 out.push(Action::Send(
                     who,
                     ToGateway::RequestRejected { who, reason },
@@ -175,7 +177,7 @@
     ) -> bool {
         let status = self.table.topic(topic);
         let registration = self.table.registration(who);
-        status.is_some_and(|status| status.opened(number))
+        status.is_some_and(|status| status.is_proposed(number))
             && registration.is_some_and(|registration| registration.token == token)
     }
 
@@ -195,7 +197,7 @@
 
     /// Proposes a report to the log, or confirms one that was counted before.
     fn record_report(&self, who: NodeIdentity, sequence: u64, spans: Vec<Span>) -> Action {
-        if sequence <= self.table.audit().last(who) {
+        if sequence <= self.table.audit().last_sequence(who) {
             return Action::Send(who, ToGateway::ReportCounted { who, sequence });
         }
         Action::Propose(Command::Report {
--- a/control/src/versions/coordinator/rollout.rs
+++ b/control/src/versions/coordinator/rollout.rs
@@ -125,7 +125,7 @@
     /// Whether a gateway's ack of the topic's proposal has arrived, whether or not the log has it yet.
     fn has_acked(&self, table: &Table, topic: Topic, gateway: u32) -> bool {
         let proposal = proposal(table, topic);
-        let logged = proposal.is_some_and(|proposal| proposal.accepted.contains(&gateway));
+        let logged = proposal.is_some_and(|proposal| proposal.acked_by.contains(&gateway));
         let number = proposal.map(|proposal| proposal.version.number);
         let collected = self
             .acks
@@ -188,7 +188,7 @@
     /// Drops the acks that the log has.
     fn drop_logged(&mut self, proposal: Option<&Proposal>) {
         let logged =
-            |gateway: u32| proposal.is_some_and(|proposal| proposal.accepted.contains(&gateway));
+            |gateway: u32| proposal.is_some_and(|proposal| proposal.acked_by.contains(&gateway));
         self.by_gateway.retain(|gateway, _| !logged(*gateway));
     }
 
--- a/control/src/versions/message.rs
+++ b/control/src/versions/message.rs
@@ -1,148 +1,148 @@
-//! What gateways and the control member that leads say to each other; `wire` says how it is written.
+//! Messages between gateways and the leading control member; `wire` says how they are written.
 
-use super::{Content, Formats, Refusal, Span, Topic, Version};
+use super::{Content, Formats, Rejection, Span, Topic, Version};
 use crate::lease::{Index, NodeIdentity, Token};
 use crate::Micros;
 
-/// What a gateway says to a control member.
+/// A message of a gateway to a control member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ToControl {
-    /// Keep my registration for another lease, or give me one.
+    /// Asks for a registration, or for its renewal for another lease.
     Heartbeat {
-        /// Who.
+        /// The gateway.
         who: NodeIdentity,
-        /// What it understands.
+        /// The formats that it supports.
         formats: Formats,
         /// Its registration, once it has one.
         token: Option<Token>,
-        /// When it asked, microseconds on its own clock; it counts its right from then.
+        /// When it was sent, microseconds on the gateway's monotonic clock; its lease counts from then.
         sent_at: Micros,
-        /// The entry up to which it knows how the topics stand.
+        /// The entry up to which the gateway knows the state of the topics.
         known_index: Index,
     },
-    /// I accept this version, or refuse it for a reason.
+    /// The result of a proposed version's validation.
     ValidationResult {
-        /// Who judges.
+        /// The gateway that validated it.
         who: NodeIdentity,
         /// Its registration.
         token: Token,
-        /// Of what.
+        /// The topic.
         topic: Topic,
-        /// The version.
+        /// The number of the version.
         number: u64,
-        /// The reason of a refusal is up to [`super::MAX_REASON_BYTES`] bytes.
+        /// An ack, or a nack with a reason of up to [`super::MAX_REASON_BYTES`] bytes.
         result: Result<(), String>,
     },
-    /// Put this version in force once all accept it.
+    /// Proposes a version.
     ProposeVersion {
-        /// Who offers.
+        /// The gateway that proposes it.
         who: NodeIdentity,
         /// Its registration.
         token: Token,
-        /// Of what.
+        /// The topic.
         topic: Topic,
-        /// The version in force that it is to follow; 0 is none.
+        /// The number of the active version that it is to replace; 0 is none.
         replaces: u64,
-        /// What it says.
+        /// Its content.
         content: Content,
     },
-    /// What I did under which version; reports of an incarnation count from 1, and each counts once.
+    /// An audit report of the gateway's actions. Reports of an incarnation are numbered from 1, and each counts once.
     Report {
-        /// Who reports.
+        /// The gateway.
         who: NodeIdentity,
-        /// Its place among this incarnation's reports.
+        /// The number of the report.
         sequence: u64,
-        /// What it did.
+        /// The actions.
         spans: Vec<Span>,
     },
-    /// Take my registration: I have stopped acting.
+    /// Gives a registration back: the gateway has stopped acting.
     Leave {
-        /// Who.
+        /// The gateway.
         who: NodeIdentity,
         /// Its registration.
         token: Token,
     },
 }
 
-/// How a topic stands, as gateways are told; contents in force are not sent again.
+/// The state of a topic as gateways are sent it. The content of the active version is not sent again.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct TopicState {
-    /// Of what.
+    /// The topic.
     pub topic: Topic,
-    /// The version in force; 0 is none.
+    /// The number of the active version; 0 is none.
     pub active: u64,
-    /// The one before it; 0 is none.
+    /// The number of the version that was active before; 0 is none.
     pub previous: u64,
-    /// The version that is offered, and what it says.
+    /// The proposed version, if there is one.
     pub proposal: Option<Version>,
 }
 
-/// What a control member says to a gateway.
+/// A message of a control member to a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ToGateway {
-    /// You may act for another lease, counted from when you asked.
+    /// A registration was granted or renewed: the gateway may act for a lease, counted from when it sent the heartbeat.
     RegistrationRenewed {
-        /// Who.
+        /// The gateway.
         who: NodeIdentity,
         /// Its registration.
         token: Token,
-        /// When it asked, as its heartbeat said.
+        /// When the heartbeat was sent, as it said.
         sent_at: Micros,
-        /// The entry that last changed a topic: the right holds only for who has seen it.
+        /// The entry that last changed a topic: only a gateway that knows it may act.
         required_index: Index,
-        /// How many gateways have a registration.
+        /// How many gateways are registered.
         registrations: u32,
     },
-    /// How the topics stand that changed after `since`.
+    /// The state of the topics that changed after `since`.
     TopicStates {
         /// The entry up to which this is complete.
         as_of: Index,
-        /// Only for who has seen the entries up to this one.
+        /// Only gateways that know the state up to this entry may apply it.
         since: Index,
         /// The topics that changed in between.
         topics: Vec<TopicState>,
     },
-    /// That registration is not yours any more: stop, and join again later.
+    /// A registration has ended: the gateway stops, and joins again later.
     RegistrationExpired {
-        /// Whose.
+        /// The gateway.
         who: NodeIdentity,
         /// The registration.
         token: Token,
     },
-    /// What a gateway asked for, a registration or a version, was refused.
+    /// A gateway's request for a registration, or its proposal, was rejected.
     RequestRejected {
-        /// Who asked.
+        /// The gateway.
         who: NodeIdentity,
         /// Why.
-        reason: Refusal,
+        reason: Rejection,
     },
-    /// A version was refused; the former stays.
+    /// A proposed version was rejected; the active one stays.
     ProposalRejected {
-        /// Of what.
+        /// The topic.
         topic: Topic,
-        /// The version.
+        /// The number of the version.
         number: u64,
-        /// Who refused it.
+        /// The gateway that sent the nack.
         by: NodeIdentity,
         /// Why.
         reason: String,
     },
     /// A report was counted.
     ReportCounted {
-        /// Whose.
+        /// The gateway.
         who: NodeIdentity,
-        /// Its place among that incarnation's reports.
+        /// The number of the report.
         sequence: u64,
     },
     /// This control member does not lead.
     NotLeader {
-        /// The gateway number of the one that does, where that is known.
+        /// The gateway number of the leader, where it is known.
         leader: Option<u32>,
     },
 }
 
 impl ToControl {
-    /// Who says it.
+    /// The gateway that sent it.
     pub fn who(&self) -> NodeIdentity {
         match self {
             ToControl::Heartbeat { who, .. }
--- a/control/src/versions/table.rs
+++ b/control/src/versions/table.rs
@@ -1,163 +1,29 @@
-//! What the log says of versions and registrations: applied entry by entry, alike at every control member.
+//! The replicated table of registrations, topics and the audit, applied entry by entry.
+//!
+//! Invariants: the same log gives the same table at every control member; a version becomes active only when every
+//! registration has acked it; a registration expires only by the latest epoch. The table knows no time: who is late is
+//! decided by the leader, and takes effect here through an entry.
 
 use super::{
-    truncate_reason, Audit, Command, Content, Formats, Index, NodeIdentity, Token, Topic,
-    MAX_CONTENT_BYTES,
+    truncate_reason, Audit, Command, Content, Formats, Index, NodeIdentity, Outcome, Proposal,
+    Rejection, Token, Topic, TopicStatus, Version, MAX_CONTENT_BYTES,
 };
 use crate::lease::Gap;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A gateway's right to act.
+/// A gateway's membership in the fleet, which a permission to act needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Registration {
-    /// Whose.
+    /// The gateway.
     pub who: NodeIdentity,
-    /// The entry that gave it: goes with every action, and an older one is refused.
+    /// The entry that granted it: the fencing token of every action under it.
     pub token: Token,
-    /// What its gateway understands.
+    /// The formats that the gateway supports.
     pub formats: Formats,
 }
 
-/// A version of a topic.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Version {
-    /// The entry that offered it: no two versions have the same.
-    pub number: u64,
-    /// What it says.
-    pub content: Content,
-}
-
-/// A version that was offered and is not in force yet.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Proposal {
-    /// What is offered.
-    pub version: Version,
-    /// By whom.
-    pub by: NodeIdentity,
-    /// The gateways that have accepted it.
-    pub accepted: BTreeSet<u32>,
-}
-
-/// How a topic stands.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct TopicStatus {
-    /// The version in force, once there is one.
-    #[serde(rename = "in_force")]
-    pub active: Option<Version>,
-    /// The number of the one before it; 0 is none.
-    #[serde(rename = "before")]
-    pub previous: u64,
-    /// The one that is offered.
-    #[serde(rename = "open")]
-    pub proposal: Option<Proposal>,
-    /// The entry that last changed any of these.
-    pub changed: Index,
-}
-
-impl TopicStatus {
-    /// The number of the version in force; 0 is none.
-    pub fn number(&self) -> u64 {
-        self.active.as_ref().map_or(0, |version| version.number)
-    }
-
-    /// Whether the version of this number is offered.
-    pub fn opened(&self, number: u64) -> bool {
-        self.proposal
-            .as_ref()
-            .is_some_and(|open| open.version.number == number)
-    }
-}
-
-/// What an entry did.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Outcome {
-    /// A control member began an epoch, which has the index of this entry.
-    EpochBegun(NodeIdentity),
-    /// A gateway has a registration.
-    Registered(Registration),
-    /// It gave it back.
-    Left(Registration),
-    /// It lost it.
-    Expired(Registration),
-    /// A version was offered.
-    VersionProposed {
-        /// Of what.
-        topic: Topic,
-        /// The version.
-        number: u64,
-    },
-    /// Gateways accepted a version, which waits for others.
-    Acked {
-        /// Of what.
-        topic: Topic,
-        /// The version.
-        number: u64,
-    },
-    /// A version is in force.
-    Activated {
-        /// Of what.
-        topic: Topic,
-        /// The version.
-        number: u64,
-        /// The one before it; 0 is none.
-        previous: u64,
-    },
-    /// A version was refused; the former stays.
-    ProposalRejected {
-        /// Of what.
-        topic: Topic,
-        /// The version.
-        number: u64,
-        /// Who refused it.
-        by: NodeIdentity,
-        /// Why.
-        reason: String,
-    },
-    /// A report was counted.
-    Reported {
-        /// Whose.
-        who: NodeIdentity,
-        /// Which.
-        sequence: u64,
-    },
-    /// The entry took no effect.
-    Refused(Refusal),
-}
-
-/// Why an entry took no effect.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
-pub enum Refusal {
-    /// A registration that is not the gateway's, or not any more.
-    #[error("its registration was taken away; it has to join again")]
-    Stale,
-    /// The gateway has a registration, from an earlier incarnation perhaps, whose right may still run.
-    #[error("an earlier incarnation of this gateway may still act; it may join once that one's right has run out")]
-    Occupied,
-    /// A version in force, or offered, that the gateway does not understand.
-    #[error("format {needed} is needed; start a build that understands it")]
-    Format {
-        /// What it would have to understand.
-        needed: u32,
-    },
-    /// Decided by a control member that leads no more.
-    #[error("another control member leads since; that one decides who keeps its registration")]
-    Epoch,
-    /// Another version is offered already.
-    #[error("version {0} is being agreed on; ask again once it is in force or refused")]
-    Busy(u64),
-    /// The offer does not follow the version in force.
-    #[error("version {0} is in force; look at it and offer again")]
-    Behind(u64),
-    /// The content is longer than is kept.
-    #[error("its content is longer than {MAX_CONTENT_BYTES} bytes")]
-    TooLong,
-    /// A verdict on a version that is not open, or a report that is not the next.
-    #[error("it was settled already")]
-    Settled,
-}
-
-/// All that is agreed on versions. Deterministic: the same entries give the same table on every gateway.
+/// All that is replicated about versions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Table {
     #[serde(rename = "seats")]
@@ -165,34 +31,34 @@
     topics: BTreeMap<Topic, TopicStatus>,
     audit: Audit,
     applied: Index,
-    /// The entry by which the last leader began; 0 before the first.
+    /// The entry that began the latest epoch; 0 before the first.
     epoch: Index,
 }
 
 impl Table {
-    /// Who may act, by gateway.
+    /// All registrations, in the order of gateway numbers.
     pub fn registrations(&self) -> impl Iterator<Item = &Registration> {
         self.registrations.values()
     }
 
-    /// The registration of a gateway in this incarnation.
+    /// The registration of this incarnation of a gateway.
     pub fn registration(&self, who: NodeIdentity) -> Option<&Registration> {
         self.registrations
             .get(&who.gateway)
             .filter(|registration| registration.who == who)
     }
 
-    /// How a topic stands; one that was never offered has nothing in force.
+    /// The versions of a topic; none where none was ever proposed.
     pub fn topic(&self, topic: Topic) -> Option<&TopicStatus> {
         self.topics.get(&topic)
     }
 
-    /// The topics that were ever offered.
+    /// The topics of which a version was ever proposed.
     pub fn topics(&self) -> impl Iterator<Item = (Topic, &TopicStatus)> {
         self.topics.iter().map(|(topic, status)| (*topic, status))
     }
 
-    /// Who acted on which version.
+    /// The audit of actions by version.
     pub fn audit(&self) -> &Audit {
         &self.audit
     }
@@ -202,12 +68,12 @@
         self.applied
     }
 
-    /// The entry that began the epoch of the last leader; 0 before the first.
+    /// The entry that began the latest epoch; 0 before the first.
     pub fn epoch(&self) -> Index {
         self.epoch
     }
 
-    /// The entry that last changed how a topic stands; 0 before the first.
+    /// The entry that last changed any topic; 0 before the first.
     pub fn changed(&self) -> Index {
         self.topics
             .values()
@@ -216,76 +82,70 @@
             .unwrap_or_default()
     }
 
-    /// The version that a newcomer has to wait for: the registrations that decide on it are those that there are.
-    pub fn awaited(&self) -> Option<u64> {
-        let open = self
+    /// The proposed version that a gateway has to wait for before it can join: the present registrations decide on it.
+    pub fn pending_proposal(&self) -> Option<u64> {
+        let proposal = self
             .topics
             .values()
             .find_map(|status| status.proposal.as_ref());
-        open.filter(|_| !self.registrations.is_empty())
-            .map(|open| open.version.number)
+        proposal
+            .filter(|_| !self.registrations.is_empty())
+            .map(|proposal| proposal.version.number)
     }
 
-    /// Whether a gateway may have a registration now, that it has none.
+    /// Whether a gateway may be registered now.
     ///
     /// # Errors
     ///
-    /// The reason why not.
-    pub fn joinable(&self, who: NodeIdentity, formats: Formats) -> Result<(), Refusal> {
+    /// Why not.
+    pub fn check_join(&self, who: NodeIdentity, formats: Formats) -> Result<(), Rejection> {
         if self.registrations.contains_key(&who.gateway) {
-            return Err(Refusal::Occupied);
+            return Err(Rejection::AlreadyRegistered);
         }
-        if let Some(number) = self.awaited() {
-            return Err(Refusal::Busy(number));
+        if let Some(number) = self.pending_proposal() {
+            return Err(Rejection::ProposalPending(number));
         }
         let mut active = self
             .topics
             .values()
             .filter_map(|status| status.active.as_ref());
-        match active.find(|version| !formats.understand(version.content.format)) {
-            Some(version) => Err(Refusal::Format {
+        match active.find(|version| !formats.supports(version.content.format)) {
+            Some(version) => Err(Rejection::UnsupportedFormat {
                 needed: version.content.format,
             }),
             None => Ok(()),
         }
     }
 
-    /// Whether a version may be offered now.
+    /// Whether a version may be proposed now.
     ///
     /// # Errors
     ///
-    /// The reason why not.
-    pub fn offerable(
+    /// Why not.
+    pub fn check_proposal(
         &self,
         who: NodeIdentity,
         token: Token,
         topic: Topic,
         replaces: u64,
         content: &Content,
-    ) -> Result<(), Refusal> {
-        self.registered(who, token)?;
+    ) -> Result<(), Rejection> {
+        self.check_registered(who, token)?;
         let status = self.topics.get(&topic);
-        if let Some(open) = status.and_then(|status| status.proposal.as_ref()) {
-            return Err(Refusal::Busy(open.version.number));
+        if let Some(proposal) = status.and_then(|status| status.proposal.as_ref()) {
+            return Err(Rejection::ProposalPending(proposal.version.number));
         }
         let number = status.map_or(0, TopicStatus::number);
         if number != replaces {
-            return Err(Refusal::Behind(number));
+            return Err(Rejection::ActiveVersionChanged(number));
         }
         if content.bytes.len() > MAX_CONTENT_BYTES {
-            return Err(Refusal::TooLong);
+            return Err(Rejection::ContentTooLong);
         }
         Ok(())
     }
 
-    /// Whether a late action is to be refused: its registration is not the one that its gateway has now.
-    pub fn refuses(&self, gateway: u32, token: Token) -> bool {
-        self.registrations
-            .get(&gateway)
-            .is_none_or(|registration| registration.token != token)
-    }
-
-    /// Applies the entry at `index`, which must be the next one (or one applied before, which is left alone).
+    /// Applies the entry at `index`, which must be the next one; one that was applied before has no effect.
     ///
     /// # Errors
     ///
@@ -304,13 +164,13 @@
             return Err(Gap { due, came: index });
         }
         self.applied = index;
-        let done = self.settle(index, command);
-        out.push(done.unwrap_or_else(Outcome::Refused));
-        self.complete(index, out);
+        let outcome = self.execute(index, command);
+        out.push(outcome.unwrap_or_else(Outcome::Rejected));
+        self.activate_complete(index, out);
         Ok(())
     }
 
-    fn settle(&mut self, index: Index, command: &Command) -> Result<Outcome, Refusal> {
+    fn execute(&mut self, index: Index, command: &Command) -> Result<Outcome, Rejection> {
         match command {
             Command::BeginEpoch { who } => {
                 self.epoch = index;
@@ -318,16 +178,16 @@
             }
             Command::Join { who, formats } => self.join(index, *who, *formats),
             Command::Leave { who, token } => {
-                let registration = self.registered(*who, *token)?;
-                self.vacate(registration);
+                let registration = self.check_registered(*who, *token)?;
+                self.remove(registration);
                 Ok(Outcome::Left(registration))
             }
             Command::Expire { who, token, epoch } => {
-                let registration = self.registered(*who, *token)?;
+                let registration = self.check_registered(*who, *token)?;
                 if *epoch != self.epoch {
-                    return Err(Refusal::Epoch);
+                    return Err(Rejection::StaleEpoch);
                 }
-                self.vacate(registration);
+                self.remove(registration);
                 Ok(Outcome::Expired(registration))
             }
             Command::ProposeVersion {
@@ -337,10 +197,10 @@
                 replaces,
                 content,
             } => {
-                self.offerable(*who, *token, *topic, *replaces, content)?;
-                Ok(self.offer(index, *who, *topic, content))
+                self.check_proposal(*who, *token, *topic, *replaces, content)?;
+                Ok(self.propose(index, *who, *topic, content))
             }
-            Command::Ack { topic, number, by } => self.accept(*topic, *number, by),
+            Command::Ack { topic, number, by } => self.ack(*topic, *number, by),
             Command::Nack {
                 who,
                 token,
@@ -348,8 +208,8 @@
                 number,
                 reason,
             } => {
-                self.registered(*who, *token)?;
-                self.refuse(index, *who, *topic, *number, reason)
+                self.check_registered(*who, *token)?;
+                self.nack(index, *who, *topic, *number, reason)
             }
             Command::Report {
                 who,
@@ -361,29 +221,29 @@
                     who: *who,
                     sequence: *sequence,
                 };
-                counted.then_some(reported).ok_or(Refusal::Settled)
+                counted.then_some(reported).ok_or(Rejection::AlreadyDecided)
             }
         }
     }
 
-    /// The registration that goes by this token.
-    fn registered(&self, who: NodeIdentity, token: Token) -> Result<Registration, Refusal> {
+    /// The registration with this token, if it is the gateway's present one.
+    fn check_registered(&self, who: NodeIdentity, token: Token) -> Result<Registration, Rejection> {
         let registration = self
             .registration(who)
             .filter(|registration| registration.token == token);
-        registration.copied().ok_or(Refusal::Stale)
+        registration.copied().ok_or(Rejection::StaleRegistration)
     }
 
-    fn vacate(&mut self, registration: Registration) {
+    fn remove(&mut self, registration: Registration) {
         let gateway = registration.who.gateway;
         self.registrations.remove(&gateway);
-        let open = self
+        let proposals = self
             .topics
             .values_mut()
             .filter_map(|status| status.proposal.as_mut());
-        open.for_each(|open| {
-            open.accepted.remove(&gateway);
-        });
+        for proposal in proposals {
+            proposal.acked_by.remove(&gateway);
+        }
     }
 
     fn join(
@@ -391,8 +251,8 @@
         index: Index,
         who: NodeIdentity,
         formats: Formats,
-    ) -> Result<Outcome, Refusal> {
-        self.joinable(who, formats)?;
+    ) -> Result<Outcome, Rejection> {
+        self.check_join(who, formats)?;
         let registration = Registration {
             who,
             token: Token(index.0),
@@ -402,7 +262,7 @@
         Ok(Outcome::Registered(registration))
     }
 
-    fn offer(
+    fn propose(
         &mut self,
         index: Index,
         by: NodeIdentity,
@@ -417,7 +277,7 @@
         status.proposal = Some(Proposal {
             version,
             by,
-            accepted: BTreeSet::new(),
+            acked_by: BTreeSet::new(),
         });
         status.changed = index;
         Outcome::VersionProposed {
@@ -426,43 +286,43 @@
         }
     }
 
-    /// How a topic stands whose open version has this number.
-    fn status(&mut self, topic: Topic, number: u64) -> Result<&mut TopicStatus, Refusal> {
+    /// The topic, where the version with this number is proposed.
+    fn proposed_topic(&mut self, topic: Topic, number: u64) -> Result<&mut TopicStatus, Rejection> {
         let status = self
             .topics
             .get_mut(&topic)
-            .filter(|status| status.opened(number));
-        status.ok_or(Refusal::Settled)
+            .filter(|status| status.is_proposed(number));
+        status.ok_or(Rejection::AlreadyDecided)
     }
 
-    fn accept(
+    fn ack(
         &mut self,
         topic: Topic,
         number: u64,
         by: &[(NodeIdentity, Token)],
-    ) -> Result<Outcome, Refusal> {
+    ) -> Result<Outcome, Rejection> {
         let registered = by
             .iter()
-            .filter(|(who, token)| self.registered(*who, *token).is_ok());
-        let accepted: Vec<u32> = registered.map(|(who, _)| who.gateway).collect();
-        if accepted.is_empty() {
-            return Err(Refusal::Stale);
+            .filter(|(who, token)| self.check_registered(*who, *token).is_ok());
+        let gateways: Vec<u32> = registered.map(|(who, _)| who.gateway).collect();
+        if gateways.is_empty() {
+            return Err(Rejection::StaleRegistration);
         }
-        let status = self.status(topic, number)?;
-        let open = status.proposal.as_mut().ok_or(Refusal::Settled)?;
-        open.accepted.extend(accepted);
+        let status = self.proposed_topic(topic, number)?;
+        let proposal = status.proposal.as_mut().ok_or(Rejection::AlreadyDecided)?;
+        proposal.acked_by.extend(gateways);
         Ok(Outcome::Acked { topic, number })
     }
 
-    fn refuse(
+    fn nack(
         &mut self,
         index: Index,
         by: NodeIdentity,
         topic: Topic,
         number: u64,
         reason: &str,
-    ) -> Result<Outcome, Refusal> {
-        let status = self.status(topic, number)?;
+    ) -> Result<Outcome, Rejection> {
+        let status = self.proposed_topic(topic, number)?;
         status.proposal = None;
         status.changed = index;
         let reason = truncate_reason(reason);
@@ -474,22 +334,22 @@
         })
     }
 
-    /// Puts in force what all who may act have accepted.
-    fn complete(&mut self, index: Index, out: &mut Vec<Outcome>) {
+    /// Activates the proposals that all registered gateways have acked.
+    fn activate_complete(&mut self, index: Index, out: &mut Vec<Outcome>) {
         let registrations = &self.registrations;
         if registrations.is_empty() {
             return;
         }
         for (topic, status) in &mut self.topics {
-            let all = |open: &mut Proposal| {
+            let all = |proposal: &mut Proposal| {
                 registrations
                     .keys()
-                    .all(|gateway| open.accepted.contains(gateway))
+                    .all(|gateway| proposal.acked_by.contains(gateway))
             };
-            if let Some(open) = status.proposal.take_if(all) {
-                let (number, previous) = (open.version.number, status.number());
+            if let Some(proposal) = status.proposal.take_if(all) {
+                let (number, previous) = (proposal.version.number, status.number());
                 status.previous = previous;
-                status.active = Some(open.version);
+                status.active = Some(proposal.version);
                 status.changed = index;
                 out.push(Outcome::Activated {
                     topic: *topic,
--- a/control/src/versions/table/tests.rs
+++ b/control/src/versions/table/tests.rs
@@ -28,9 +28,9 @@
         out
     }
 
-    fn refused(&mut self, command: Command) -> Refusal {
+    fn refused(&mut self, command: Command) -> Rejection {
         match self.apply(command).as_slice() {
-            [Outcome::Refused(why)] => *why,
+            [Outcome::Rejected(why)] => *why,
             other => panic!("{other:?}"),
         }
     }
@@ -88,19 +88,23 @@
     log.apply(Command::BeginEpoch { who: who(3) });
     let second = log.table.epoch();
     assert!(second > first);
-    assert_eq!(log.refused(expel(first)), Refusal::Epoch);
+    assert_eq!(log.refused(expel(first)), Rejection::StaleEpoch);
     let other = Command::Expire {
         who: who(2),
         token: Token(token.0 + 1),
         epoch: second,
     };
-    assert_eq!(log.refused(other), Refusal::Stale);
+    assert_eq!(log.refused(other), Rejection::StaleRegistration);
     assert_eq!(log.table.registrations().count(), 1);
     assert!(
         matches!(log.apply(expel(second))[..], [Outcome::Expired(registration)] if registration.token == token)
     );
     assert_eq!(log.table.registrations().count(), 0);
-    assert_eq!(log.refused(expel(second)), Refusal::Stale, "doubled");
+    assert_eq!(
+        log.refused(expel(second)),
+        Rejection::StaleRegistration,
+        "doubled"
+    );
 }
 
 #[test]
@@ -112,7 +116,7 @@
     assert_eq!(log.table.changed(), Index(number));
     assert_eq!(
         log.accept(number, &[(2, Token(99))]),
-        [Outcome::Refused(Refusal::Stale)]
+        [Outcome::Rejected(Rejection::StaleRegistration)]
     );
     assert_eq!(
         log.accept(number, &[(1, one)]),
@@ -123,7 +127,7 @@
     );
     assert_eq!(
         log.accept(number + 1, &[(2, two)]),
-        [Outcome::Refused(Refusal::Settled)]
+        [Outcome::Rejected(Rejection::AlreadyDecided)]
     );
     let done = log.accept(number, &[(1, one), (2, two)]);
     assert_eq!(
@@ -164,7 +168,7 @@
         number,
         reason: "spoilt".into(),
     };
-    assert_eq!(log.refused(refuse(one)), Refusal::Stale);
+    assert_eq!(log.refused(refuse(one)), Rejection::StaleRegistration);
     let by = who(2);
     let dropped = Outcome::ProposalRejected {
         topic: TOPIC,
@@ -174,7 +178,7 @@
     };
     assert_eq!(log.apply(refuse(two)), [dropped]);
     assert_eq!(log.table.changed(), log.table.applied());
-    assert_eq!(log.refused(refuse(two)), Refusal::Settled);
+    assert_eq!(log.refused(refuse(two)), Rejection::AlreadyDecided);
     assert_eq!(log.table.topic(TOPIC).map(TopicStatus::number), Some(0));
 }
 
@@ -187,7 +191,10 @@
         who: who(2),
         formats: FORMATS,
     };
-    assert_eq!(log.refused(join.clone()), Refusal::Busy(number));
+    assert_eq!(
+        log.refused(join.clone()),
+        Rejection::ProposalPending(number)
+    );
     log.apply(Command::Leave {
         who: who(1),
         token: one,
@@ -197,7 +204,10 @@
         who: who(3),
         formats: FORMATS,
     };
-    assert_eq!(log.refused(third.clone()), Refusal::Busy(number));
+    assert_eq!(
+        log.refused(third.clone()),
+        Rejection::ProposalPending(number)
+    );
     let done = log.accept(number, &[(2, two)]);
     assert_eq!(
         done[1],
@@ -208,7 +218,7 @@
         }
     );
     assert!(matches!(log.apply(third)[..], [Outcome::Registered(_)]));
-    assert_eq!(log.refused(join), Refusal::Occupied);
+    assert_eq!(log.refused(join), Rejection::AlreadyRegistered);
     let old = Command::Join {
         who: who(4),
         formats: Formats {
@@ -216,5 +226,5 @@
             newest: 3,
         },
     };
-    assert_eq!(log.refused(old), Refusal::Format { needed: 1 });
+    assert_eq!(log.refused(old), Rejection::UnsupportedFormat { needed: 1 });
 }
--- a/control/src/versions/wire/tests.rs
+++ b/control/src/versions/wire/tests.rs
@@ -2,7 +2,7 @@
 use crate::fuzz;
 use crate::lease::Index;
 use crate::versions::{
-    truncate_reason, Content, Formats, Refusal, Span, ToControl, ToGateway, TopicState, Version,
+    truncate_reason, Content, Formats, Rejection, Span, ToControl, ToGateway, TopicState, Version,
     MAX_REASON_BYTES, MAX_SPANS_PER_REPORT,
 };
 
@@ -73,14 +73,14 @@
 
 fn to_gateway() -> Vec<ToGateway> {
     let refusals = [
-        Refusal::Stale,
-        Refusal::Occupied,
-        Refusal::Format { needed: 3 },
-        Refusal::Epoch,
-        Refusal::Busy(4),
-        Refusal::Behind(5),
-        Refusal::TooLong,
-        Refusal::Settled,
+        Rejection::StaleRegistration,
+        Rejection::AlreadyRegistered,
+        Rejection::UnsupportedFormat { needed: 3 },
+        Rejection::StaleEpoch,
+        Rejection::ProposalPending(4),
+        Rejection::ActiveVersionChanged(5),
+        Rejection::ContentTooLong,
+        Rejection::AlreadyDecided,
     ];
     let content = Content {
         format: 1,
--- a/control/src/versions/wire/to_gateway.rs
+++ b/control/src/versions/wire/to_gateway.rs
@@ -3,7 +3,7 @@
 use super::{read, WireRegistration};
 use crate::codec::{content, topic, DecodeError, WireIdentity};
 use crate::lease::{Index, NodeIdentity, Token};
-use crate::versions::{truncate_reason, Refusal, ToGateway, Topic, TopicState, Version};
+use crate::versions::{truncate_reason, Rejection, ToGateway, Topic, TopicState, Version};
 use prost::Message;
 
 #[derive(Clone, PartialEq, Message)]
@@ -279,16 +279,16 @@
 }
 
 impl RequestRejected {
-    fn new(who: NodeIdentity, reason: Refusal) -> RequestRejected {
+    fn new(who: NodeIdentity, reason: Rejection) -> RequestRejected {
         let (code, number) = match reason {
-            Refusal::Stale => (1, 0),
-            Refusal::Occupied => (2, 0),
-            Refusal::Format { needed } => (3, needed.into()),
-            Refusal::Epoch => (4, 0),
-            Refusal::Busy(number) => (5, number),
-            Refusal::Behind(number) => (6, number),
-            Refusal::TooLong => (7, 0),
-            Refusal::Settled => (8, 0),
+            Rejection::StaleRegistration => (1, 0),
+            Rejection::AlreadyRegistered => (2, 0),
+            Rejection::UnsupportedFormat { needed } => (3, needed.into()),
+            Rejection::StaleEpoch => (4, 0),
+            Rejection::ProposalPending(number) => (5, number),
+            Rejection::ActiveVersionChanged(number) => (6, number),
+            Rejection::ContentTooLong => (7, 0),
+            Rejection::AlreadyDecided => (8, 0),
         };
         RequestRejected {
             who: who.into(),
@@ -297,21 +297,21 @@
         }
     }
 
-    fn reason(&self) -> Result<Refusal, DecodeError> {
+    fn reason(&self) -> Result<Rejection, DecodeError> {
         Ok(match self.code {
-            1 => Refusal::Stale,
-            2 => Refusal::Occupied,
-            3 => Refusal::Format {
+            1 => Rejection::StaleRegistration,
+            2 => Rejection::AlreadyRegistered,
+            3 => Rejection::UnsupportedFormat {
                 needed: self
                     .number
                     .try_into()
                     .map_err(|_| DecodeError::Unknown("format"))?,
             },
-            4 => Refusal::Epoch,
-            5 => Refusal::Busy(self.number),
-            6 => Refusal::Behind(self.number),
-            7 => Refusal::TooLong,
-            8 => Refusal::Settled,
+            4 => Rejection::StaleEpoch,
+            5 => Rejection::ProposalPending(self.number),
+            6 => Rejection::ActiveVersionChanged(self.number),
+            7 => Rejection::ContentTooLong,
+            8 => Rejection::AlreadyDecided,
             _ => return Err(DecodeError::Unknown("refusal")),
         })
     }
--- a/rig/src/scale/hollow.rs
+++ b/rig/src/scale/hollow.rs
@@ -226,7 +226,7 @@
         let until = gateway
             .handle
             .view()
-            .right(self.clock.now())
+            .permission(self.clock.now())
             .map_or(0, |right| right.until);
         Standing {
             gateway: *number,
--- a/src/bin/asterreel/fleetwide.rs
+++ b/src/bin/asterreel/fleetwide.rs
@@ -103,7 +103,7 @@
     /// tell, so that one that is cut off takes its own part and no more. Says whether it is shut out, where that is news.
     pub(crate) fn share(&mut self, gateway: &Gateway) -> Option<bool> {
         let view = self.peers.view();
-        let sure = view.right(gateway.core.clock.now()).is_some();
+        let sure = view.permission(gateway.core.clock.now()).is_some();
         gateway.share(if sure {
             view.registrations
         } else {
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -374,7 +374,9 @@
             }
             client::Action::ProposalRejected { .. } => self.seen.refused += 1,
             client::Action::Wake(at) => self.gateways[number].wake_at = at,
-            client::Action::Act(_) | client::Action::Stop(_) | client::Action::Refused(_) => {}
+            client::Action::Act(_)
+            | client::Action::Stop(_)
+            | client::Action::RequestRejected(_) => {}
         }
     }
 
@@ -884,7 +886,7 @@
     fn count(&mut self) {
         let audit = self.truth.audit();
         for (who, done) in &self.done {
-            let rows = audit.rows().iter().filter(|row| row.who == *who);
+            let rows = audit.entries().iter().filter(|row| row.who == *who);
             let incarnations =
                 self.gateways[who.gateway as usize - 1].incarnation == who.incarnation;
             self.seen.counts.push((
