--- a/control/src/frame.rs
+++ b/control/src/frame.rs
@@ -1,121 +1,29 @@
-//! What control members and gateways say to each other: frames of a length and a `prost` message, with the formats that
-//! each side speaks.
+//! Frames between gateways and control members: a length and a `prost` message, which carries a hello, a message of the
+//! Raft log, or a message of the version protocol.
+//!
+//! A frame is bounded in length before it is kept, and one that is not understood completely is an error, after which its
+//! link is closed.
+
+mod error;
+mod hello;
 
-use crate::lease::NodeIdentity;
 use crate::traffic::Traffic;
 use crate::versions::{ToControl, ToGateway};
 use bytes::{Bytes, BytesMut};
+pub(crate) use error::FrameError;
+pub(crate) use hello::Hello;
 use prost::Message as _;
 use protobuf::Message as _;
 use raft::eraftpb;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-/// The formats of frames that this build reads and writes. A gateway of the version before or after is spoken to in the
-/// newest format that both know; one that shares none is turned away. Format 1 had gateways that all took part in the log.
-pub(crate) const OLDEST: u32 = 2;
-pub(crate) const NEWEST: u32 = 2;
-/// The longest frame, bytes: a snapshot of all that is agreed, with room for the two contents of each topic.
-pub(crate) const LONGEST: usize = 1 << 20;
-
-/// What is wrong with what the other side sent, or with the link to it.
-#[derive(Debug, thiserror::Error)]
-pub(crate) enum BadFrame {
-    #[error("the link broke: {0}")]
-    Io(#[from] std::io::Error),
-    #[error("the peer closed the link")]
-    Closed,
-    #[error("it said nothing in time")]
-    Silent,
-    #[error("not a frame: {0}")]
-    Damaged(String),
-    #[error("a frame without a kind that this build knows")]
-    Unknown,
-    #[error("it speaks formats {0} to {1}, this build {OLDEST} to {NEWEST}; upgrade the older one first")]
-    Format(u32, u32),
-    #[error(
-        "it is of another fleet: the voters of its `lease.peers`, or how long its leases last, differ from this file's"
-    )]
-    Fleet,
-    #[error("it says it is gateway {0}, which is not expected there; look at `lease.me` and `lease.peers`")]
-    Identity(u64),
-    #[error(
-        "it takes part in the log as gateway {0}, which is no voter of this file; look at `lease.peers`"
-    )]
-    NoVoter(u64),
-    #[error("{0} gateways are served already; close idle ones, or look who connects")]
-    Full(usize),
-}
-
-/// The first frame of each side.
-#[derive(Clone, PartialEq, prost::Message)]
-pub(crate) struct Hello {
-    #[prost(uint32, tag = "1")]
-    pub oldest: u32,
-    #[prost(uint32, tag = "2")]
-    pub newest: u32,
-    /// A digest of who votes and how long leases last: the same in every operator's file of a fleet.
-    #[prost(uint64, tag = "3")]
-    pub fleet: u64,
-    #[prost(uint64, tag = "4")]
-    pub gateway: u64,
-    /// The number under which it takes part in the consensus; 0 while it has no log and waits for word of one, and in a
-    /// gateway that is only served.
-    #[prost(uint64, tag = "5")]
-    pub id: u64,
-    /// It knows of no entry that was ever committed.
-    #[prost(bool, tag = "6")]
-    pub fresh: bool,
-    /// The sender is a gateway that wants to be served on this link; it says nothing here of a log.
-    #[prost(bool, tag = "7")]
-    pub client: bool,
-    /// The incarnation of the sender's process; see [`NodeIdentity`].
-    #[prost(uint32, tag = "8")]
-    pub incarnation: u32,
-}
-
-impl Hello {
-    /// What a gateway says first that wants to be served.
-    pub(crate) fn of_client(me: NodeIdentity, fleet: u64) -> Hello {
-        let (oldest, newest, gateway) = (OLDEST, NEWEST, u64::from(me.gateway));
-        Hello {
-            oldest,
-            newest,
-            fleet,
-            gateway,
-            id: 0,
-            fresh: false,
-            client: true,
-            incarnation: me.incarnation,
-        }
-    }
-
-    /// Whether its sender may be spoken to, as gateway `expected` where that is known.
-    pub(crate) fn check(&self, fleet: u64, expected: Option<u64>) -> Result<(), BadFrame> {
-        if self.newest < OLDEST || self.oldest > NEWEST {
-            return Err(BadFrame::Format(self.oldest, self.newest));
-        }
-        if self.fleet != fleet {
-            return Err(BadFrame::Fleet);
-        }
-        match expected {
-            Some(expected) if expected != self.gateway => Err(BadFrame::Identity(self.gateway)),
-            _ => Ok(()),
-        }
-    }
-
-    /// The gateway that sent it, in its present incarnation; a number that no gateway can have is an error.
-    pub(crate) fn identity(&self) -> Result<NodeIdentity, BadFrame> {
-        let gateway = u16::try_from(self.gateway)
-            .ok()
-            .filter(|gateway| *gateway > 0);
-        let gateway = gateway.ok_or(BadFrame::Identity(self.gateway))?;
-        Ok(NodeIdentity {
-            gateway: gateway.into(),
-            incarnation: self.incarnation,
-        })
-    }
-}
+/// The formats of frames that this build reads and writes. Two builds talk in the newest format that both know. In format 1
+/// all gateways were members of the log.
+pub(crate) const OLDEST_FORMAT: u32 = 2;
+pub(crate) const NEWEST_FORMAT: u32 = 2;
+/// The longest frame, bytes: enough for a snapshot of the state machine with two contents of each topic.
+pub(crate) const MAX_FRAME_BYTES: usize = 1 << 20;
 
 #[derive(Clone, PartialEq, prost::Message)]
 struct Frame {
@@ -127,7 +35,7 @@
 enum Kind {
     #[prost(message, tag = "1")]
     Hello(Hello),
-    /// A message of the consensus, in its own crate's codec.
+    /// A Raft message, in the codec of its crate.
     #[prost(bytes = "vec", tag = "2")]
     Raft(Vec<u8>),
     /// From a gateway to the control member that serves it.
@@ -138,7 +46,7 @@
     ToGateway(Vec<u8>),
 }
 
-/// A frame's meaning.
+/// The content of a frame.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Payload {
     Hello(Hello),
@@ -149,11 +57,11 @@
 
 fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
-        .max_frame_length(LONGEST)
+        .max_frame_length(MAX_FRAME_BYTES)
         .new_codec()
 }
 
-fn bytes_of(kind: Kind) -> Result<Bytes, BadFrame> {
+fn encode(kind: Kind) -> Result<Bytes, FrameError> {
     let mut bytes = BytesMut::new();
     codec().encode(
         Bytes::from(Frame { kind: Some(kind) }.encode_to_vec()),
@@ -162,26 +70,30 @@
     Ok(bytes.freeze())
 }
 
-pub(crate) fn hello(hello: &Hello) -> Result<Bytes, BadFrame> {
-    bytes_of(Kind::Hello(hello.clone()))
+/// The frame of a hello.
+pub(crate) fn encode_hello(hello: &Hello) -> Result<Bytes, FrameError> {
+    encode(Kind::Hello(hello.clone()))
 }
 
-pub(crate) fn raft(message: &eraftpb::Message) -> Result<Bytes, BadFrame> {
+/// The frame of a Raft message.
+pub(crate) fn encode_raft(message: &eraftpb::Message) -> Result<Bytes, FrameError> {
     let bytes = message
         .write_to_bytes()
-        .map_err(|fault| BadFrame::Damaged(fault.to_string()))?;
-    bytes_of(Kind::Raft(bytes))
+        .map_err(|fault| FrameError::Malformed(fault.to_string()))?;
+    encode(Kind::Raft(bytes))
 }
 
-pub(crate) fn to_control(message: &ToControl) -> Result<Bytes, BadFrame> {
-    bytes_of(Kind::ToControl(message.encode()))
+/// The frame of a message to a control member.
+pub(crate) fn encode_to_control(message: &ToControl) -> Result<Bytes, FrameError> {
+    encode(Kind::ToControl(message.encode()))
 }
 
-pub(crate) fn to_gateway(message: &ToGateway) -> Result<Bytes, BadFrame> {
-    bytes_of(Kind::ToGateway(message.encode()))
+/// The frame of a message to a gateway.
+pub(crate) fn encode_to_gateway(message: &ToGateway) -> Result<Bytes, FrameError> {
+    encode(Kind::ToGateway(message.encode()))
 }
 
-/// Frames as they come in.
+/// Reads frames from a link.
 pub(crate) struct Frames<R> {
     from: R,
     codec: LengthDelimitedCodec,
@@ -190,6 +102,7 @@
 }
 
 impl<R: AsyncRead + Unpin> Frames<R> {
+    /// Reads from `from`, and counts with `traffic`.
     pub(crate) fn new(from: R, traffic: Traffic) -> Frames<R> {
         Frames {
             from,
@@ -199,52 +112,52 @@
         }
     }
 
-    /// Counts all that is read from now on with other links.
+    /// Adds what is read from now on to other counters.
     pub(crate) fn count_with(&mut self, traffic: Traffic) {
         self.traffic = traffic;
     }
 
-    /// The next frame. May be dropped while it waits: what has come stays.
-    pub(crate) async fn next(&mut self) -> Result<Payload, BadFrame> {
+    /// The next frame. Cancel safe: bytes that have arrived stay in the buffer.
+    pub(crate) async fn next(&mut self) -> Result<Payload, FrameError> {
         loop {
             if let Some(frame) = self.codec.decode(&mut self.bytes)? {
                 self.traffic.received();
                 return decode(&frame);
             }
             match self.from.read_buf(&mut self.bytes).await? {
-                0 => return Err(BadFrame::Closed),
+                0 => return Err(FrameError::Closed),
                 read => self.traffic.read(read),
             }
         }
     }
 }
 
-fn decode(frame: &[u8]) -> Result<Payload, BadFrame> {
-    let frame = Frame::decode(frame).map_err(|fault| BadFrame::Damaged(fault.to_string()))?;
-    let damaged = |fault: crate::state_machine::DecodeError| BadFrame::Damaged(fault.to_string());
-    match frame.kind.ok_or(BadFrame::Unknown)? {
+fn decode(frame: &[u8]) -> Result<Payload, FrameError> {
+    let frame = Frame::decode(frame).map_err(|fault| FrameError::Malformed(fault.to_string()))?;
+    let malformed = |fault: crate::codec::DecodeError| FrameError::Malformed(fault.to_string());
+    match frame.kind.ok_or(FrameError::UnexpectedKind)? {
         Kind::Hello(hello) => Ok(Payload::Hello(hello)),
         Kind::Raft(bytes) => {
             let message = eraftpb::Message::parse_from_bytes(&bytes);
             message
                 .map(|m| Payload::Raft(Box::new(m)))
-                .map_err(|fault| BadFrame::Damaged(fault.to_string()))
+                .map_err(|fault| FrameError::Malformed(fault.to_string()))
         }
         Kind::ToControl(bytes) => ToControl::decode(&bytes)
             .map(Payload::ToControl)
-            .map_err(damaged),
+            .map_err(malformed),
         Kind::ToGateway(bytes) => ToGateway::decode(&bytes)
             .map(Payload::ToGateway)
-            .map_err(damaged),
+            .map_err(malformed),
     }
 }
 
-/// Writes a frame whole.
+/// Writes a complete frame.
 pub(crate) async fn write(
     to: &mut (impl AsyncWrite + Unpin),
     frame: &[u8],
     traffic: &Traffic,
-) -> Result<(), BadFrame> {
+) -> Result<(), FrameError> {
     to.write_all(frame).await?;
     traffic.wrote(frame.len());
     Ok(())
--- /dev/null
+++ b/control/src/frame/hello.rs
@@ -0,0 +1,77 @@
+//! The handshake: the first frame of each side says who it is, and whether the two may talk.
+
+use super::{FrameError, NEWEST_FORMAT, OLDEST_FORMAT};
+use crate::lease::NodeIdentity;
+
+/// The first frame of each side.
+#[derive(Clone, PartialEq, prost::Message)]
+pub(crate) struct Hello {
+    /// The oldest format of frames that the sender reads and writes.
+    #[prost(uint32, tag = "1")]
+    pub oldest: u32,
+    /// The newest one.
+    #[prost(uint32, tag = "2")]
+    pub newest: u32,
+    /// A digest of the voters and the lease times, which are the same in all settings of a fleet.
+    #[prost(uint64, tag = "3")]
+    pub fleet: u64,
+    /// The number of the sender's gateway.
+    #[prost(uint64, tag = "4")]
+    pub gateway: u64,
+    /// The sender's Raft id; 0 in a control member that has no log yet, and in a gateway.
+    #[prost(uint64, tag = "5")]
+    pub id: u64,
+    /// The sender knows of no entry that was ever committed.
+    #[prost(bool, tag = "6")]
+    pub fresh: bool,
+    /// The sender is a gateway that wants to be served on this link, rather than a control member.
+    #[prost(bool, tag = "7")]
+    pub client: bool,
+    /// The incarnation of the sender's process; see [`NodeIdentity`].
+    #[prost(uint32, tag = "8")]
+    pub incarnation: u32,
+}
+
+impl Hello {
+    /// The first frame of a gateway that wants to be served.
+    pub(crate) fn of_client(me: NodeIdentity, fleet: u64) -> Hello {
+        Hello {
+            oldest: OLDEST_FORMAT,
+            newest: NEWEST_FORMAT,
+            fleet,
+            gateway: me.gateway.into(),
+            id: 0,
+            fresh: false,
+            client: true,
+            incarnation: me.incarnation,
+        }
+    }
+
+    /// Checks that the sender shares a format, is of this fleet, and is gateway `expected` where that is given.
+    pub(crate) fn check(&self, fleet: u64, expected: Option<u64>) -> Result<(), FrameError> {
+        if self.newest < OLDEST_FORMAT || self.oldest > NEWEST_FORMAT {
+            return Err(FrameError::UnsupportedFormats(self.oldest, self.newest));
+        }
+        if self.fleet != fleet {
+            return Err(FrameError::OtherFleet);
+        }
+        match expected {
+            Some(expected) if expected != self.gateway => {
+                Err(FrameError::UnexpectedGateway(self.gateway))
+            }
+            _ => Ok(()),
+        }
+    }
+
+    /// The sender's identity; an error where its number is not one that a gateway can have.
+    pub(crate) fn identity(&self) -> Result<NodeIdentity, FrameError> {
+        let gateway = u16::try_from(self.gateway)
+            .ok()
+            .filter(|gateway| *gateway > 0);
+        let gateway = gateway.ok_or(FrameError::UnexpectedGateway(self.gateway))?;
+        Ok(NodeIdentity {
+            gateway: gateway.into(),
+            incarnation: self.incarnation,
+        })
+    }
+}
--- a/control/src/frame/tests.rs
+++ b/control/src/frame/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::fuzz;
-use crate::lease::{Index, Token};
+use crate::lease::{Index, NodeIdentity, Token};
 use crate::versions::{Content, Formats, Topic};
 
 const ME: NodeIdentity = NodeIdentity {
@@ -37,38 +37,38 @@
     };
     let (topic, refused) = (Topic::Operator, Err("not good here".to_owned()));
     let all = [
-        hello(&first),
-        hello(&Hello::of_client(ME, 9)),
-        raft(&message),
-        to_control(&ToControl::Heartbeat {
+        encode_hello(&first),
+        encode_hello(&Hello::of_client(ME, 9)),
+        encode_raft(&message),
+        encode_to_control(&ToControl::Heartbeat {
             who: ME,
             formats,
             token,
             sent_at: 1_000_000,
             known_index: seen,
         }),
-        to_control(&ToControl::ProposeVersion {
+        encode_to_control(&ToControl::ProposeVersion {
             who: ME,
             token: Token(4),
             topic,
             replaces: 3,
             content,
         }),
-        to_control(&ToControl::ValidationResult {
+        encode_to_control(&ToControl::ValidationResult {
             who: ME,
             token: Token(4),
             topic,
             number: 9,
             result: refused,
         }),
-        to_gateway(&ToGateway::RegistrationRenewed {
+        encode_to_gateway(&ToGateway::RegistrationRenewed {
             who: ME,
             token: Token(4),
             sent_at: 1,
             required_index: Index(3),
             registrations: 7,
         }),
-        to_gateway(&ToGateway::NotLeader { leader: Some(3) }),
+        encode_to_gateway(&ToGateway::NotLeader { leader: Some(3) }),
     ];
     let count = all.len();
     (
@@ -79,7 +79,7 @@
     )
 }
 
-fn read(bytes: &[u8]) -> (Vec<Payload>, Option<BadFrame>) {
+fn read(bytes: &[u8]) -> (Vec<Payload>, Option<FrameError>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
         .expect("a runtime");
@@ -88,7 +88,7 @@
     loop {
         match runtime.block_on(frames.next()) {
             Ok(said) => all.push(said),
-            Err(BadFrame::Closed) => return (all, None),
+            Err(FrameError::Closed) => return (all, None),
             Err(fault) => return (all, Some(fault)),
         }
     }
@@ -107,9 +107,9 @@
         );
     }
     fuzz::garbage(&bytes, |spoilt| drop(read(spoilt)));
-    let long = [&(LONGEST as u32 + 1).to_be_bytes()[..], &[0; 64]].concat();
+    let long = [&(MAX_FRAME_BYTES as u32 + 1).to_be_bytes()[..], &[0; 64]].concat();
     assert!(
-        matches!(read(&long).1, Some(BadFrame::Io(_))),
+        matches!(read(&long).1, Some(FrameError::Io(_))),
         "a frame that is too long"
     );
 }
@@ -123,7 +123,7 @@
         Kind::Raft,
     ] {
         fuzz::garbage(&bytes, |spoilt| {
-            let frame = bytes_of(kind(spoilt.to_vec())).expect("short");
+            let frame = encode(kind(spoilt.to_vec())).expect("short");
             drop(read(&frame));
         });
     }
@@ -161,7 +161,7 @@
     };
     assert!(good.check(9, Some(2)).is_ok() && good.check(9, None).is_ok());
     let next = Hello {
-        newest: NEWEST + 1,
+        newest: NEWEST_FORMAT + 1,
         ..good.clone()
     };
     assert!(
@@ -169,22 +169,31 @@
         "the next version that still speaks this one's"
     );
     let newer = Hello {
-        oldest: NEWEST + 1,
-        newest: NEWEST + 2,
+        oldest: NEWEST_FORMAT + 1,
+        newest: NEWEST_FORMAT + 2,
         ..good.clone()
     };
-    assert!(matches!(newer.check(9, None), Err(BadFrame::Format(..))));
+    assert!(matches!(
+        newer.check(9, None),
+        Err(FrameError::UnsupportedFormats(..))
+    ));
     let older = Hello {
         oldest: 1,
         newest: 1,
         ..good.clone()
     };
     assert!(
-        matches!(older.check(9, None), Err(BadFrame::Format(1, 1))),
+        matches!(
+            older.check(9, None),
+            Err(FrameError::UnsupportedFormats(1, 1))
+        ),
         "all of them took part in the log"
     );
-    assert!(matches!(good.check(8, None), Err(BadFrame::Fleet)));
-    assert!(matches!(good.check(9, Some(3)), Err(BadFrame::Identity(2))));
+    assert!(matches!(good.check(8, None), Err(FrameError::OtherFleet)));
+    assert!(matches!(
+        good.check(9, Some(3)),
+        Err(FrameError::UnexpectedGateway(2))
+    ));
     assert_eq!(good.identity().ok(), Some(ME));
     for gateway in [0, 65_536] {
         let none = Hello {
@@ -192,7 +201,7 @@
             ..good.clone()
         };
         assert!(
-            matches!(none.identity(), Err(BadFrame::Identity(_))),
+            matches!(none.identity(), Err(FrameError::UnexpectedGateway(_))),
             "no gateway has {gateway}"
         );
     }
--- a/control/src/golden_tests.rs
+++ b/control/src/golden_tests.rs
@@ -331,8 +331,8 @@
 #[test]
 fn frames_match_record() {
     let member = Hello {
-        oldest: frame::OLDEST,
-        newest: frame::NEWEST,
+        oldest: frame::OLDEST_FORMAT,
+        newest: frame::NEWEST_FORMAT,
         fleet: 0xfeed_beef_0bad_cafe,
         gateway: 2,
         id: 70_000 << 16 | 2,
@@ -370,10 +370,10 @@
     ];
     let encode = |payload: &Payload| {
         let frame = match payload {
-            Payload::Hello(hello) => frame::hello(hello),
-            Payload::Raft(message) => frame::raft(message),
-            Payload::ToControl(message) => frame::to_control(message),
-            Payload::ToGateway(message) => frame::to_gateway(message),
+            Payload::Hello(hello) => frame::encode_hello(hello),
+            Payload::Raft(message) => frame::encode_raft(message),
+            Payload::ToControl(message) => frame::encode_to_control(message),
+            Payload::ToGateway(message) => frame::encode_to_gateway(message),
         };
         frame.expect("short").to_vec()
     };
--- a/control/src/link/accept.rs
+++ b/control/src/link/accept.rs
@@ -1,7 +1,10 @@
-//! The links that a control member takes: of other members, which only send, and of gateways, which it serves.
+//! The links that a control member accepts: of other members, which only send, and of gateways, which it serves.
+//!
+//! The number of handshakes, of links of each member and of gateways is bounded. A peer speaks for itself alone: a message
+//! in the name of another closes its link.
 
-use super::{write, Established, SharedHello, HANDSHAKE_TIMEOUT, RETRY_FIRST};
-use crate::frame::{self, BadFrame, Frames, Hello, Payload};
+use super::{write, Established, SharedHello, HANDSHAKE_TIMEOUT, MIN_RETRY_DELAY};
+use crate::frame::{self, FrameError, Frames, Hello, Payload};
 use crate::lease::NodeIdentity;
 use crate::node::gateway_of;
 use crate::traffic::MemberTraffic;
@@ -20,41 +23,50 @@
 use tokio::time::timeout;
 use tracing::warn;
 
-/// Links on which the first frame is awaited: a crowd that comes at once waits in the listener's own queue meanwhile.
-const HANDSHAKES_AT_ONCE: usize = 256;
-/// Links that each member may have open here: the one it uses, and those that it has given up and we have not noticed.
-const LINKS_PER_MEMBER: usize = 3;
-/// Gateways served at once: twice the largest fleet that is planned for (2,048), as each may come again before its former
-/// link is seen to be gone. A link takes a few kilobytes and one descriptor.
+/// Handshakes at once; further connections wait in the listener's queue meanwhile.
+const MAX_CONCURRENT_HANDSHAKES: usize = 256;
+/// Links that each member may have open here: the one in use, and others that it has closed unnoticed.
+const MAX_LINKS_PER_MEMBER: usize = 3;
+/// Gateways served at once: twice the largest planned fleet (2,048), as each may reconnect before its former link is seen
+/// to be gone. A link takes a few kilobytes and one descriptor.
 pub(crate) const MAX_GATEWAYS: usize = 4_096;
-/// Frames that may wait for one gateway. It is sent a handful in a lease, so that one that lets so many wait has stopped
-/// reading; its link is closed, and it comes again.
-const GATEWAY_QUEUE: usize = 64;
-/// How long a member's link may bring nothing: a leader's heartbeats come many times as often, but a follower hears only
-/// those.
-const MEMBER_SILENCE: Duration = Duration::from_secs(60);
+/// Frames that may be queued for one gateway. It is sent a handful in each lease: one with a full queue has stopped reading,
+/// and its link is closed.
+const GATEWAY_QUEUE_FRAMES: usize = 64;
+/// How long a member's link may be idle. A leader's heartbeats are many times as frequent.
+const MEMBER_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What links tell the loop of a control member.
+/// An event of a link, for the loop of a control member.
 pub(crate) enum LinkEvent {
-    /// A message of the consensus.
+    /// A Raft message of another member.
     Raft(Box<Message>),
-    /// What another member says of itself.
+    /// Another member's hello, at first and whenever it changes.
     Hello(Hello),
-    /// The link to another member is lost.
+    /// The link to the member with this number is lost.
     PeerLost(u64),
-    /// A snapshot was sent to another member, whole or not.
-    SnapshotSent(u64, bool),
+    /// The sending of a snapshot has ended.
+    SnapshotSent {
+        /// The member's number.
+        peer: u64,
+        /// Whether it was sent completely.
+        complete: bool,
+    },
     /// A gateway wants to be served.
     GatewayConnected(GatewayLink),
-    /// A gateway that is served said something.
+    /// A message of a gateway that is served.
     GatewayMessage(ToControl),
-    /// The link of a gateway, by its number, has ended.
-    GatewayDisconnected(NodeIdentity, u64),
+    /// The link of a gateway has ended.
+    GatewayDisconnected {
+        /// The gateway.
+        who: NodeIdentity,
+        /// The link's number; see [`GatewayLink::link`].
+        link: u64,
+    },
 }
 
-/// The link of a gateway that is served, as the loop knows it. Dropped, it is closed.
+/// The loop's handle of a served gateway's link. Dropping it closes the link.
 pub(crate) struct GatewayLink {
-    /// Who it is.
+    /// The gateway.
     pub who: NodeIdentity,
     /// Tells this link from others of the same gateway.
     pub link: u64,
@@ -62,33 +74,33 @@
 }
 
 impl GatewayLink {
-    /// Sends a frame; false where so much waits already that the link is to be closed.
+    /// Queues a frame; false where the queue is full, and the link is to be closed.
     pub(crate) fn send(&self, frame: Bytes) -> bool {
         self.queue.try_send(frame).is_ok()
     }
 }
 
-/// What a control member needs to take links.
+/// Accepts links for a control member.
 pub(crate) struct Acceptor {
-    /// Networks from which links are taken.
+    /// Networks from which links are accepted.
     pub allow: Vec<IpNet>,
     /// The control members, by number.
     pub voters: BTreeSet<u64>,
-    /// What is said first.
+    /// The hello of this member.
     pub own: SharedHello,
-    /// How long a gateway that is served may be silent.
-    pub silence: Duration,
-    /// To the loop.
+    /// How long the link of a gateway may be idle.
+    pub idle_timeout: Duration,
+    /// The loop's queue.
     pub events: mpsc::Sender<LinkEvent>,
-    /// Counts what is sent and received.
+    /// Counters of what is sent and received.
     pub traffic: MemberTraffic,
 }
 
-/// Takes links for as long as the thread's tasks run.
+/// Accepts links for as long as the thread's tasks run.
 pub(crate) fn listen(listener: TcpListener, acceptor: Acceptor) {
-    let handshakes = Arc::new(Semaphore::new(HANDSHAKES_AT_ONCE));
+    let handshakes = Arc::new(Semaphore::new(MAX_CONCURRENT_HANDSHAKES));
     let slots = Rc::new(Slots {
-        members: Arc::new(Semaphore::new(acceptor.voters.len() * LINKS_PER_MEMBER)),
+        members: Arc::new(Semaphore::new(acceptor.voters.len() * MAX_LINKS_PER_MEMBER)),
         gateways: Arc::new(Semaphore::new(MAX_GATEWAYS)),
     });
     let acceptor = Rc::new(acceptor);
@@ -97,60 +109,69 @@
             let Ok(permit) = handshakes.clone().acquire_owned().await else {
                 return;
             };
-            let (link, from) = loop {
-                match listener.accept().await {
-                    Ok((link, from)) if acceptor.allows(from) => break (link, from),
-                    Ok(_) => {}
-                    // No descriptor, perhaps: the next try may find one.
-                    Err(_) => tokio::time::sleep(RETRY_FIRST).await,
-                }
-            };
+            let (link, from) = acceptor.accept(&listener).await;
             let (acceptor, slots) = (acceptor.clone(), slots.clone());
             spawn_local(async move {
                 let established = acceptor.handshake(link).await;
                 drop(permit);
                 let ended = match established {
                     Ok(established) => acceptor.read(established, number, &slots).await,
-                    Err(fault) => Err(fault),
+                    Err(error) => Err(error),
                 };
-                if let Err(fault) = ended {
-                    if !matches!(fault, BadFrame::Closed | BadFrame::Io(_)) {
-                        warn!(%from, "log: link refused: {fault}");
-                    }
+                match ended {
+                    Ok(()) | Err(FrameError::Closed | FrameError::Io(_)) => {}
+                    Err(error) => warn!(%from, "log: link refused: {error}"),
                 }
             });
         }
     });
 }
 
-/// Links that may be open at once.
+/// Limits of the links that are open at once.
 struct Slots {
     members: Arc<Semaphore>,
     gateways: Arc<Semaphore>,
 }
 
 impl Acceptor {
+    /// The next connection from an allowed network.
+    async fn accept(&self, listener: &TcpListener) -> (TcpStream, SocketAddr) {
+        loop {
+            match listener.accept().await {
+                Ok((link, from)) if self.allows(from) => return (link, from),
+                Ok(_) => {}
+                // Out of descriptors, perhaps: a retry may find one.
+                Err(_) => tokio::time::sleep(MIN_RETRY_DELAY).await,
+            }
+        }
+    }
+
     fn allows(&self, from: SocketAddr) -> bool {
         self.allow
             .iter()
             .any(|net| net.contains(&from.ip().to_canonical()))
     }
 
-    /// Exchanges hellos, and turns away who must not be spoken to.
-    async fn handshake(&self, link: TcpStream) -> Result<Established, BadFrame> {
+    /// Exchanges hellos, and rejects a peer that is not of this fleet.
+    async fn handshake(&self, link: TcpStream) -> Result<Established, FrameError> {
         link.set_nodelay(true)?;
         let (read, mut link) = link.into_split();
         let mut frames = Frames::new(read, self.traffic.members.clone());
         let received = timeout(HANDSHAKE_TIMEOUT, frames.next())
             .await
-            .map_err(|_| BadFrame::Silent)??;
+            .map_err(|_| FrameError::TimedOut)??;
         let Payload::Hello(hello) = received else {
-            return Err(BadFrame::Unknown);
+            return Err(FrameError::UnexpectedKind);
         };
-        let mine = self.own.hello();
-        // Said even to one that is turned away: it can then tell its operator why.
-        write(&mut link, &frame::hello(&mine)?, &self.traffic.members).await?;
-        hello.check(mine.fleet, None)?;
+        let own = self.own.hello();
+        // Sent even to a peer that is rejected: it can then log why.
+        write(
+            &mut link,
+            &frame::encode_hello(&own)?,
+            &self.traffic.members,
+        )
+        .await?;
+        hello.check(own.fleet, None)?;
         Ok(Established {
             hello,
             frames,
@@ -158,29 +179,29 @@
         })
     }
 
-    /// Reads a link to its end.
+    /// Handles a link until it ends.
     async fn read(
         &self,
         established: Established,
         number: u64,
         slots: &Slots,
-    ) -> Result<(), BadFrame> {
+    ) -> Result<(), FrameError> {
         if established.hello.client {
             let Ok(_slot) = slots.gateways.clone().try_acquire_owned() else {
-                return Err(BadFrame::Full(MAX_GATEWAYS));
+                return Err(FrameError::TooManyGateways(MAX_GATEWAYS));
             };
             return self.serve(established, number).await;
         }
         if !self.voters.contains(&established.hello.gateway) {
-            return Err(BadFrame::NoVoter(established.hello.gateway));
+            return Err(FrameError::NotAVoter(established.hello.gateway));
         }
         let Ok(_slot) = slots.members.clone().try_acquire_owned() else {
-            return Err(BadFrame::Closed);
+            return Err(FrameError::Closed);
         };
         self.read_member(established).await
     }
 
-    async fn read_member(&self, established: Established) -> Result<(), BadFrame> {
+    async fn read_member(&self, established: Established) -> Result<(), FrameError> {
         let Established {
             hello,
             mut frames,
@@ -189,33 +210,35 @@
         let (fleet, peer) = (hello.fleet, hello.gateway);
         let _ = self.events.send(LinkEvent::Hello(hello)).await;
         loop {
-            match timeout(MEMBER_SILENCE, frames.next())
+            match timeout(MEMBER_IDLE_TIMEOUT, frames.next())
                 .await
-                .map_err(|_| BadFrame::Silent)??
+                .map_err(|_| FrameError::TimedOut)??
             {
-                // A member speaks for itself alone.
+                // A member sends only its own messages.
                 Payload::Raft(message) if gateway_of(message.from) == peer => {
                     if self.events.send(LinkEvent::Raft(message)).await.is_err() {
                         return Ok(());
                     }
                 }
-                Payload::Raft(_) => return Err(BadFrame::Identity(peer)),
+                Payload::Raft(_) => return Err(FrameError::UnexpectedGateway(peer)),
                 Payload::Hello(hello) => {
                     hello.check(fleet, Some(peer))?;
                     if hello.client {
-                        return Err(BadFrame::Unknown);
+                        return Err(FrameError::UnexpectedKind);
                     }
                     let _ = self.events.send(LinkEvent::Hello(hello)).await;
                 }
-                Payload::ToControl(_) | Payload::ToGateway(_) => return Err(BadFrame::Unknown),
+                Payload::ToControl(_) | Payload::ToGateway(_) => {
+                    return Err(FrameError::UnexpectedKind)
+                }
             }
         }
     }
 
-    /// Serves a gateway until its link breaks, it falls silent, or the loop drops it.
-    async fn serve(&self, established: Established, number: u64) -> Result<(), BadFrame> {
+    /// Serves a gateway until its link breaks, it is idle for too long, or the loop drops its handle.
+    async fn serve(&self, established: Established, number: u64) -> Result<(), FrameError> {
         let who = established.hello.identity()?;
-        let (queue, queued) = mpsc::channel(GATEWAY_QUEUE);
+        let (queue, queued) = mpsc::channel(GATEWAY_QUEUE_FRAMES);
         let connected = LinkEvent::GatewayConnected(GatewayLink {
             who,
             link: number,
@@ -227,7 +250,7 @@
         let ended = self.serve_on(established, who, queued).await;
         let _ = self
             .events
-            .send(LinkEvent::GatewayDisconnected(who, number))
+            .send(LinkEvent::GatewayDisconnected { who, link: number })
             .await;
         ended
     }
@@ -237,14 +260,14 @@
         established: Established,
         who: NodeIdentity,
         mut queued: mpsc::Receiver<Bytes>,
-    ) -> Result<(), BadFrame> {
+    ) -> Result<(), FrameError> {
         let Established {
             mut frames,
             write: mut link,
             ..
         } = established;
         frames.count_with(self.traffic.gateways.clone());
-        let mut silent_at = tokio::time::Instant::now() + self.silence;
+        let mut idle_at = tokio::time::Instant::now() + self.idle_timeout;
         loop {
             let received = tokio::select! {
                 frame = queued.recv() => {
@@ -252,12 +275,12 @@
                     write(&mut link, &frame, &self.traffic.gateways).await?;
                     continue;
                 }
-                received = tokio::time::timeout_at(silent_at, frames.next()) => received,
+                received = tokio::time::timeout_at(idle_at, frames.next()) => received,
             };
-            match received.map_err(|_| BadFrame::Silent)?? {
-                // A gateway speaks for itself alone, in the incarnation that it greeted with.
+            match received.map_err(|_| FrameError::TimedOut)?? {
+                // A gateway sends only its own messages, in the incarnation of its hello.
                 Payload::ToControl(message) if message.who() == who => {
-                    silent_at = tokio::time::Instant::now() + self.silence;
+                    idle_at = tokio::time::Instant::now() + self.idle_timeout;
                     if self
                         .events
                         .send(LinkEvent::GatewayMessage(message))
@@ -267,9 +290,11 @@
                         return Ok(());
                     }
                 }
-                Payload::ToControl(_) => return Err(BadFrame::Identity(who.gateway.into())),
+                Payload::ToControl(_) => {
+                    return Err(FrameError::UnexpectedGateway(who.gateway.into()))
+                }
                 Payload::Hello(_) | Payload::Raft(_) | Payload::ToGateway(_) => {
-                    return Err(BadFrame::Unknown)
+                    return Err(FrameError::UnexpectedKind)
                 }
             }
         }
--- a/control/src/link/gateway.rs
+++ b/control/src/link/gateway.rs
@@ -1,11 +1,10 @@
-//! The one link of a gateway: to the control member that leads, found by asking the members in turn.
+//! A gateway's link to the leading control member, which it finds by trying the members in turn.
 //!
-//! The gateway dials a member, says hello and is served on that link. When the link breaks, or the member says that
-//! another leads, the gateway goes to the one that it was told of, or to the next. Whether a member that says nothing is
-//! given up is not decided here but by [`crate::versions::Client`], which knows when it asked.
+//! When the link breaks, or the member names another leader, the gateway dials that one, or the next member, with backoff.
+//! Whether a member that does not answer is given up is decided by [`crate::versions::Client`], not here.
 
-use super::{handshake, write, Established, HANDSHAKE_TIMEOUT, RETRY_FIRST, RETRY_LONGEST};
-use crate::frame::{self, BadFrame, Hello, Payload};
+use super::{handshake, write, Established, HANDSHAKE_TIMEOUT, MAX_RETRY_DELAY, MIN_RETRY_DELAY};
+use crate::frame::{self, FrameError, Hello, Payload};
 use crate::lease::Timing;
 use crate::traffic::Traffic;
 use crate::versions::{ToControl, ToGateway};
@@ -17,103 +16,110 @@
 use tokio::time::Instant;
 use tracing::{info, warn};
 
-/// Commands for the link that may wait: a link that is up sends them at once.
-const QUEUE: usize = 256;
+/// Commands that may be queued: an established link sends them at once.
+const QUEUE_LENGTH: usize = 256;
 
-/// The least time that a member has to say hello: below it a busy machine passes for a dead one.
-const HANDSHAKE_LEAST: Duration = Duration::from_millis(200);
+/// How often the delay doubles at most.
+const MAX_DOUBLINGS: u32 = 5;
+/// The shortest handshake timeout: with less, a busy machine passes for a failed one.
+const MIN_HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What the link tells the loop; each with the number of the link, counted from 1.
+/// Tells the links that a gateway has one after another apart; counted from 1.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct LinkId(pub(super) u64);
+
+/// An event of the link, for the gateway's loop.
 pub(crate) enum LinkEvent {
     /// A member serves this gateway on a new link.
-    Up(u64),
-    /// The member said something.
-    Received(u64, ToGateway),
+    Up(LinkId),
+    /// A message of the member.
+    Received(LinkId, ToGateway),
     /// The link has ended.
-    Down(u64),
+    Down(LinkId),
 }
 
-/// What the loop has the link do.
+/// A command of the loop.
 enum Command {
     Send(ToControl),
-    /// Another member leads; this one, where it is known.
+    /// Another member leads: the one with this number, where it is known.
     Switch(Option<u32>),
 }
 
-/// The link, as the loop knows it.
+/// The loop's handle of the link.
 pub(crate) struct Link {
-    commands: mpsc::Sender<(u64, Command)>,
+    commands: mpsc::Sender<(LinkId, Command)>,
 }
 
-/// What a gateway needs to find the member that leads.
-pub(crate) struct Search {
-    /// The control members.
+/// What a gateway needs to find the leader.
+pub(crate) struct LeaderSearch {
+    /// The control members, by number.
     pub members: Vec<(u64, SocketAddr)>,
-    /// What is said first.
+    /// The hello of this gateway.
     pub own: Hello,
-    /// How long rights last.
+    /// The lease times, of which the timeouts are parts.
     pub timing: Timing,
-    /// Decides which member is asked first, and the jitter of waits.
+    /// Seeds the order of the members and the jitter of delays.
     pub seed: u64,
-    /// To the loop.
+    /// The loop's queue.
     pub events: mpsc::Sender<LinkEvent>,
-    /// Counts what is sent and received.
+    /// Counters of what is sent and received.
     pub traffic: Traffic,
 }
 
 impl Link {
-    /// Begins to look for the member that leads.
-    pub(crate) fn start(search: Search) -> Link {
-        let (commands, received) = mpsc::channel(QUEUE);
+    /// Begins to search for the leader.
+    pub(crate) fn start(search: LeaderSearch) -> Link {
+        let (commands, received) = mpsc::channel(QUEUE_LENGTH);
         spawn_local(LinkTask::new(search).run(received));
         Link { commands }
     }
 
-    /// Says something on a link; it is lost where that link has ended.
-    pub(crate) fn send(&self, link: u64, message: ToControl) {
+    /// Sends a message on a link; it is lost where that link has ended.
+    pub(crate) fn send(&self, link: LinkId, message: ToControl) {
         let _ = self.commands.try_send((link, Command::Send(message)));
     }
 
-    /// Leaves a link for the member that leads.
-    pub(crate) fn switch(&self, link: u64, leader: Option<u32>) {
+    /// Leaves a link for the leader, or for the next member where the leader is unknown.
+    pub(crate) fn switch(&self, link: LinkId, leader: Option<u32>) {
         let _ = self.commands.try_send((link, Command::Switch(leader)));
     }
 }
 
 /// Why a link ended.
-enum End {
+enum LinkEnd {
     /// The loop has ended.
-    Over,
+    Shutdown,
     /// Another member leads.
     Switched(Option<u32>),
-    Broke(BadFrame),
+    /// The link failed, or could not be established.
+    Failed(FrameError),
 }
 
-/// The task that keeps the link.
+/// The task that keeps the link up.
 struct LinkTask {
-    search: Search,
+    search: LeaderSearch,
     rng: fastrand::Rng,
-    /// How long a member may take to say hello.
+    /// How long a member may take for the handshake.
     handshake_timeout: Duration,
-    /// The longest wait between two members while this gateway may still have a right to save.
-    short_retry: Duration,
+    /// The longest delay between two members while this gateway may still have a permission to renew.
+    short_max_delay: Duration,
     /// The link in use, or used last.
-    number: u64,
-    /// The member in use, by its place.
+    link: LinkId,
+    /// The index of the member in use.
     current: usize,
-    /// Whether the link in use has brought a renewal.
-    served: bool,
-    /// Links in a row that brought no renewal.
-    failed: u32,
-    /// Whether the last change of members cost no wait.
+    /// Whether the registration was renewed on the link in use.
+    renewed_on_link: bool,
+    /// Consecutive links without a renewal.
+    failed_links: u32,
+    /// Whether the last switch was made without a delay.
     switched_at_once: bool,
     renewed_at: Option<Instant>,
-    /// What was logged of each member since the last renewal.
+    /// The last error logged of each member since the last renewal.
     logged: BTreeMap<u64, String>,
 }
 
 impl LinkTask {
-    fn new(mut search: Search) -> LinkTask {
+    fn new(mut search: LeaderSearch) -> LinkTask {
         let mut rng = fastrand::Rng::with_seed(search.seed);
         rng.shuffle(&mut search.members);
         let Timing {
@@ -126,63 +132,63 @@
         LinkTask {
             search,
             rng,
-            handshake_timeout: (spare / 4).clamp(HANDSHAKE_LEAST, HANDSHAKE_TIMEOUT),
-            short_retry: (spare / 8).clamp(RETRY_FIRST, RETRY_LONGEST),
-            number: 0,
+            handshake_timeout: (spare / 4).clamp(MIN_HANDSHAKE_TIMEOUT, HANDSHAKE_TIMEOUT),
+            short_max_delay: (spare / 8).clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY),
+            link: LinkId(0),
             current: 0,
-            served: false,
-            failed: 0,
+            renewed_on_link: false,
+            failed_links: 0,
             switched_at_once: false,
             renewed_at: None,
             logged: BTreeMap::new(),
         }
     }
 
-    async fn run(mut self, mut commands: mpsc::Receiver<(u64, Command)>) {
+    async fn run(mut self, mut commands: mpsc::Receiver<(LinkId, Command)>) {
         loop {
-            self.number += 1;
+            self.link.0 += 1;
             let (member, address) = self.search.members[self.current];
-            let Search { own, traffic, .. } = &self.search;
+            let LeaderSearch { own, traffic, .. } = &self.search;
             let end = match handshake(member, address, own, self.handshake_timeout, traffic).await {
                 Ok(established) => {
-                    self.served = false;
+                    self.renewed_on_link = false;
                     if self
                         .search
                         .events
-                        .send(LinkEvent::Up(self.number))
+                        .send(LinkEvent::Up(self.link))
                         .await
                         .is_err()
                     {
                         return;
                     }
-                    let end = self.exchange(established, &mut commands).await;
-                    let _ = self.search.events.send(LinkEvent::Down(self.number)).await;
+                    let end = self.run_link(established, &mut commands).await;
+                    let _ = self.search.events.send(LinkEvent::Down(self.link)).await;
                     end
                 }
-                Err(fault) => End::Broke(fault),
+                Err(fault) => LinkEnd::Failed(fault),
             };
             if commands.is_closed() {
                 return;
             }
-            let wait = match end {
-                End::Over => return,
-                End::Switched(leader) => self.switched(leader),
-                End::Broke(fault) => {
+            let delay = match end {
+                LinkEnd::Shutdown => return,
+                LinkEnd::Switched(leader) => self.switch_member(leader),
+                LinkEnd::Failed(fault) => {
                     self.log(member, &fault);
                     self.next_member();
-                    self.wait()
+                    self.next_delay()
                 }
             };
-            tokio::time::sleep(wait).await;
+            tokio::time::sleep(delay).await;
         }
     }
 
-    /// Speaks on a link until it ends.
-    async fn exchange(
+    /// Sends and receives on a link until it ends.
+    async fn run_link(
         &mut self,
         established: Established,
-        commands: &mut mpsc::Receiver<(u64, Command)>,
-    ) -> End {
+        commands: &mut mpsc::Receiver<(LinkId, Command)>,
+    ) -> LinkEnd {
         let Established {
             mut frames,
             write: mut link,
@@ -191,46 +197,48 @@
         loop {
             let message = tokio::select! {
                 command = commands.recv() => match command {
-                    None => return End::Over,
+                    None => return LinkEnd::Shutdown,
                     // Meant for a link that has ended.
-                    Some((number, _)) if number != self.number => continue,
-                    Some((_, Command::Switch(leader))) => return End::Switched(leader),
+                    Some((link, _)) if link != self.link => continue,
+                    Some((_, Command::Switch(leader))) => return LinkEnd::Switched(leader),
                     Some((_, Command::Send(message))) => message,
                 },
                 received = frames.next() => {
                     let message = match received {
                         Ok(Payload::ToGateway(message)) => message,
-                        Ok(_) => return End::Broke(BadFrame::Unknown),
-                        Err(fault) => return End::Broke(fault),
+                        Ok(_) => return LinkEnd::Failed(FrameError::UnexpectedKind),
+                        Err(fault) => return LinkEnd::Failed(fault),
                     };
                     if matches!(message, ToGateway::RegistrationRenewed { .. }) {
-                        self.renewed();
+                        self.record_renewal();
                     }
-                    if self.search.events.send(LinkEvent::Received(self.number, message)).await.is_err() {
-                        return End::Over;
+                    if self.search.events.send(LinkEvent::Received(self.link, message)).await.is_err() {
+                        return LinkEnd::Shutdown;
                     }
                     continue;
                 }
             };
-            let sent = match frame::to_control(&message) {
+            let sent = match frame::encode_to_control(&message) {
                 Ok(frame) => write(&mut link, &frame, &self.search.traffic).await,
                 Err(fault) => Err(fault),
             };
             if let Err(fault) = sent {
-                return End::Broke(fault);
+                return LinkEnd::Failed(fault);
             }
         }
     }
 
-    /// The member that is connected leads: it has answered a heartbeat.
-    fn renewed(&mut self) {
-        if !std::mem::replace(&mut self.served, true) {
+    /// The connected member leads: it has renewed the registration.
+    fn record_renewal(&mut self) {
+        if !std::mem::replace(&mut self.renewed_on_link, true) {
             info!(
                 member = self.search.members[self.current].0,
                 "control: link up"
             );
         }
-        (self.failed, self.switched_at_once, self.renewed_at) = (0, false, Some(Instant::now()));
+        self.failed_links = 0;
+        self.switched_at_once = false;
+        self.renewed_at = Some(Instant::now());
         self.logged.clear();
     }
 
@@ -238,48 +246,48 @@
         self.current = (self.current + 1) % self.search.members.len();
     }
 
-    /// Goes to the member that leads, or to the next; how long to wait before it is dialled. The first change to a member
-    /// that is known to lead costs no wait; if that one knows no better, waits keep the two from sending it to and fro.
-    fn switched(&mut self, leader: Option<u32>) -> Duration {
-        let place = |leader: u32| {
+    /// Selects the leader, or the next member; returns the delay before it is dialled. The first switch to a known leader has
+    /// none; if that member redirects in turn, the delay keeps the two from sending this gateway back and forth.
+    fn switch_member(&mut self, leader: Option<u32>) -> Duration {
+        let index_of = |leader: u32| {
             self.search
                 .members
                 .iter()
                 .position(|(id, _)| *id == u64::from(leader))
         };
-        match leader.and_then(place) {
-            Some(place) if place != self.current => {
-                self.current = place;
+        match leader.and_then(index_of) {
+            Some(index) if index != self.current => {
+                self.current = index;
                 if !self.switched_at_once {
                     self.switched_at_once = true;
                     return Duration::ZERO;
                 }
             }
-            // It was elected and is about to begin.
+            // It was elected, and is about to begin its epoch.
             Some(_) => {}
             None => self.next_member(),
         }
-        self.wait()
+        self.next_delay()
     }
 
-    /// A jittered wait, longer after each link that brought no renewal: shorter than an election while this gateway may
-    /// have a right to save, up to a second after that.
-    fn wait(&mut self) -> Duration {
+    /// An exponential backoff with jitter over links without a renewal: shorter than an election while this gateway may have
+    /// a permission to renew, up to [`MAX_RETRY_DELAY`] after that.
+    fn next_delay(&mut self) -> Duration {
         let lease = Duration::from_micros(self.search.timing.lease_us);
-        let may_have_right = self.renewed_at.is_some_and(|at| at.elapsed() < lease);
-        let longest = if may_have_right {
-            self.short_retry
+        let may_have_permission = self.renewed_at.is_some_and(|at| at.elapsed() < lease);
+        let longest = if may_have_permission {
+            self.short_max_delay
         } else {
-            RETRY_LONGEST
+            MAX_RETRY_DELAY
         };
-        let wait = (RETRY_FIRST * (1 << self.failed.min(5))).min(longest);
-        self.failed += 1;
+        let delay = (MIN_RETRY_DELAY * (1 << self.failed_links.min(MAX_DOUBLINGS))).min(longest);
+        self.failed_links += 1;
         self.switched_at_once = false;
-        wait.mul_f64(0.5 + self.rng.f64())
+        delay.mul_f64(0.5 + self.rng.f64())
     }
 
-    /// Logs what is wrong with a member, once.
-    fn log(&mut self, member: u64, fault: &BadFrame) {
+    /// Logs an error of a member, unless it was the last one logged of it.
+    fn log(&mut self, member: u64, fault: &FrameError) {
         let fault = fault.to_string();
         if self.logged.get(&member) != Some(&fault) {
             warn!(member, "control: link down: {fault}");
--- a/control/src/link/member.rs
+++ b/control/src/link/member.rs
@@ -1,11 +1,13 @@
-//! The links that a control member dials, one to each other member. A link that is lost is dialled again, after waits with
-//! jitter; what could not be sent meanwhile is dropped, as the consensus sends anew what it still needs.
+//! The links that a control member dials, one to each other member.
+//!
+//! A lost link is dialled again with exponential backoff and jitter. What could not be sent meanwhile is dropped: Raft repeats
+//! what it still needs.
 
 use super::{
-    accept::LinkEvent, handshake, write, Established, SharedHello, HANDSHAKE_TIMEOUT, RETRY_FIRST,
-    RETRY_LONGEST,
+    accept::LinkEvent, handshake, write, Established, SharedHello, HANDSHAKE_TIMEOUT,
+    MAX_RETRY_DELAY, MIN_RETRY_DELAY,
 };
-use crate::frame::{self, BadFrame, Payload};
+use crate::frame::{self, FrameError, Payload};
 use crate::traffic::Traffic;
 use backon::BackoffBuilder;
 use raft::eraftpb::MessageType;
@@ -15,15 +17,16 @@
 use tokio::task::spawn_local;
 use tracing::{info, warn};
 
-/// Messages that may wait for one link.
-const QUEUE: usize = 256;
+/// Payloads that may be queued for one link.
+const QUEUE_LENGTH: usize = 256;
 
-/// The link that this member sends on to one other.
+/// The loop's handle of the link to another member.
 pub(crate) struct Link {
     queue: mpsc::Sender<Payload>,
 }
 
 impl Link {
+    /// Keeps dialling the member `peer` until the handle is dropped.
     pub(crate) fn dial(
         peer: u64,
         address: SocketAddr,
@@ -31,7 +34,7 @@
         events: mpsc::Sender<LinkEvent>,
         traffic: Traffic,
     ) -> Link {
-        let (queue, queued) = mpsc::channel(QUEUE);
+        let (queue, queued) = mpsc::channel(QUEUE_LENGTH);
         spawn_local(
             DialTask {
                 peer,
@@ -45,17 +48,17 @@
         Link { queue }
     }
 
-    /// Sends, or drops what a slow link has no room for.
+    /// Queues a payload, or drops it where the queue is full.
     pub(crate) fn send(&self, payload: Payload) {
         let _ = self.queue.try_send(payload);
     }
 }
 
-/// Jittered waits that grow up to a limit, without end.
+/// Delays of an exponential backoff with jitter, without end.
 fn backoff() -> impl Iterator<Item = Duration> {
     let builder = backon::ExponentialBuilder::new()
-        .with_min_delay(RETRY_FIRST)
-        .with_max_delay(RETRY_LONGEST);
+        .with_min_delay(MIN_RETRY_DELAY)
+        .with_max_delay(MAX_RETRY_DELAY);
     builder
         .with_factor(2.0)
         .with_jitter()
@@ -63,7 +66,7 @@
         .build()
 }
 
-/// The task that keeps a link.
+/// The task that keeps a link up.
 struct DialTask {
     peer: u64,
     address: SocketAddr,
@@ -73,7 +76,7 @@
 }
 
 impl DialTask {
-    /// Dials and sends for as long as the loop wants it.
+    /// Dials and sends until the handle is dropped.
     async fn run(self, mut queue: mpsc::Receiver<Payload>) {
         let (peer, address) = (self.peer, self.address);
         let mut retries = backoff();
@@ -89,7 +92,7 @@
                     let _ = self
                         .events
                         .try_send(LinkEvent::Hello(established.hello.clone()));
-                    // What waited for the old link is of no use any more.
+                    // What was queued for the old link is out of date.
                     while queue.try_recv().is_ok() {}
                     match self.send_on(established, &mut queue).await {
                         Some(fault) => fault,
@@ -104,19 +107,19 @@
                 logged = fault;
             }
             let _ = self.events.try_send(LinkEvent::PeerLost(peer));
-            tokio::time::sleep(retries.next().unwrap_or(RETRY_LONGEST)).await;
+            tokio::time::sleep(retries.next().unwrap_or(MAX_RETRY_DELAY)).await;
             if queue.is_closed() {
                 return;
             }
         }
     }
 
-    /// Sends until the link breaks; nothing where the loop has ended.
+    /// Sends until the link breaks, and returns why; none where the handle was dropped.
     async fn send_on(
         &self,
         established: Established,
         queue: &mut mpsc::Receiver<Payload>,
-    ) -> Option<BadFrame> {
+    ) -> Option<FrameError> {
         let Established {
             mut frames,
             write: mut link,
@@ -125,33 +128,34 @@
         loop {
             let payload = tokio::select! {
                 payload = queue.recv() => payload?,
-                // A member says hello again when what it says has changed, and otherwise only closes.
-                said = frames.next() => match said {
+                // A member sends only its hello, again whenever that changes.
+                received = frames.next() => match received {
                     Ok(Payload::Hello(hello)) => {
                         let _ = self.events.try_send(LinkEvent::Hello(hello));
                         continue;
                     }
-                    Ok(_) => return Some(BadFrame::Unknown),
+                    Ok(_) => return Some(FrameError::UnexpectedKind),
                     Err(fault) => return Some(fault),
                 },
             };
-            let (bytes, snapshot) = match &payload {
+            let (frame, is_snapshot) = match &payload {
                 Payload::Raft(message) => (
-                    frame::raft(message),
+                    frame::encode_raft(message),
                     message.get_msg_type() == MessageType::MsgSnapshot,
                 ),
-                Payload::Hello(hello) => (frame::hello(hello), false),
+                Payload::Hello(hello) => (frame::encode_hello(hello), false),
                 // Gateways are served on the links that they dial.
                 Payload::ToControl(_) | Payload::ToGateway(_) => continue,
             };
-            let sent = match bytes {
-                Ok(bytes) => write(&mut link, &bytes, &self.traffic).await,
+            let sent = match frame {
+                Ok(frame) => write(&mut link, &frame, &self.traffic).await,
                 Err(fault) => Err(fault),
             };
-            if snapshot {
-                let _ = self
-                    .events
-                    .try_send(LinkEvent::SnapshotSent(self.peer, sent.is_ok()));
+            if is_snapshot {
+                let _ = self.events.try_send(LinkEvent::SnapshotSent {
+                    peer: self.peer,
+                    complete: sent.is_ok(),
+                });
             }
             if let Err(fault) = sent {
                 return Some(fault);
--- a/control/src/link/mod.rs
+++ b/control/src/link/mod.rs
@@ -1,8 +1,10 @@
 //! Links between control members, and between gateways and the control members that serve them.
 //!
-//! Control members dial each other and send messages of the consensus on the links that they dialled ([`member`]); what
-//! comes in on the links that others dial is read only, so that a link that works one way is seen as that. A gateway keeps
-//! one link, to the control member that leads, and both speak on it ([`gateway`]). [`accept`] takes both kinds.
+//! A control member dials each other one and sends Raft messages on the links that it dialled ([`member`]). Links that others
+//! dialled are only read, so that a link that works in one direction is seen as such. A gateway keeps one link to the leading
+//! control member, on which both sides send ([`gateway`]). [`accept`] takes links of both kinds.
+//!
+//! Links carry frames and events; they decide neither who leads nor which registration is valid.
 
 pub(crate) mod accept;
 pub(crate) mod gateway;
@@ -10,7 +12,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::frame::{self, BadFrame, Frames, Hello, Payload};
+use crate::frame::{self, FrameError, Frames, Hello, Payload};
 use crate::traffic::Traffic;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -19,21 +21,22 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Events of all links that may wait for the loop.
-pub(crate) const EVENT_QUEUE: usize = 1024;
-/// How long the other side may take to connect and say hello, and to take a frame.
+/// Events of all links that may be queued for the loop.
+pub(crate) const EVENT_QUEUE_LENGTH: usize = 1024;
+/// How long the peer may take to connect and send its hello.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// How long the peer may take to receive a frame.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Waits before a lost link is dialled again: the first, and the longest.
-const RETRY_FIRST: Duration = Duration::from_millis(50);
-const RETRY_LONGEST: Duration = Duration::from_millis(1_000);
+/// Backoff before a lost link is dialled again: the shortest, and the longest.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
-/// What this process says first, kept up to date by the loop.
+/// The hello of this process, which the loop keeps up to date.
 #[derive(Clone, Default)]
 pub(crate) struct SharedHello(Arc<Mutex<Hello>>);
 
 impl SharedHello {
-    /// What is said at present.
+    /// The present hello.
     pub(crate) fn hello(&self) -> Hello {
         self.0
             .lock()
@@ -41,7 +44,7 @@
             .clone()
     }
 
-    /// Says this from now on; whether that is another than before.
+    /// Replaces the hello; returns whether that changed it.
     pub(crate) fn set(&self, hello: Hello) -> bool {
         let mut own = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         let changed = *own != hello;
@@ -50,29 +53,29 @@
     }
 }
 
-/// A link on which both sides have said hello.
+/// A link after the handshake.
 struct Established {
     frames: Frames<OwnedReadHalf>,
     write: OwnedWriteHalf,
     hello: Hello,
 }
 
-/// Dials gateway `expected` and says hello, within a time: a process that stands still takes connections all the same.
+/// Dials gateway `expected` and exchanges hellos. The timeout covers both: a stalled process still accepts connections.
 async fn handshake(
     expected: u64,
     address: SocketAddr,
     own: &Hello,
-    within: Duration,
+    handshake_timeout: Duration,
     traffic: &Traffic,
-) -> Result<Established, BadFrame> {
+) -> Result<Established, FrameError> {
     let exchange = async {
         let link = TcpStream::connect(address).await?;
         link.set_nodelay(true)?;
         let (read, mut write) = link.into_split();
         let mut frames = Frames::new(read, traffic.clone());
-        frame::write(&mut write, &frame::hello(own)?, traffic).await?;
+        frame::write(&mut write, &frame::encode_hello(own)?, traffic).await?;
         let Payload::Hello(hello) = frames.next().await? else {
-            return Err(BadFrame::Unknown);
+            return Err(FrameError::UnexpectedKind);
         };
         hello.check(own.fleet, Some(expected))?;
         Ok(Established {
@@ -81,14 +84,14 @@
             hello,
         })
     };
-    timeout(within, exchange)
+    timeout(handshake_timeout, exchange)
         .await
-        .map_err(|_| BadFrame::Silent)?
+        .map_err(|_| FrameError::TimedOut)?
 }
 
-/// Writes a frame whole, unless the other side takes too long to take it.
-async fn write(to: &mut OwnedWriteHalf, frame: &[u8], traffic: &Traffic) -> Result<(), BadFrame> {
+/// Writes a frame, unless the peer takes longer than [`WRITE_TIMEOUT`] to receive it.
+async fn write(to: &mut OwnedWriteHalf, frame: &[u8], traffic: &Traffic) -> Result<(), FrameError> {
     timeout(WRITE_TIMEOUT, frame::write(to, frame, traffic))
         .await
-        .map_err(|_| BadFrame::Silent)?
+        .map_err(|_| FrameError::TimedOut)?
 }
--- a/control/src/link/tests.rs
+++ b/control/src/link/tests.rs
@@ -1,9 +1,9 @@
 //! Links over loopback, between the two sides as they are.
 
 use super::accept::{self, Acceptor, GatewayLink};
-use super::gateway::{self, Link, Search};
+use super::gateway::{self, LeaderSearch, Link};
 use super::SharedHello;
-use crate::frame::{self, BadFrame, Frames, Hello, Payload};
+use crate::frame::{self, FrameError, Frames, Hello, Payload};
 use crate::lease::{Index, NodeIdentity, Timing, Token};
 use crate::traffic::{MemberTraffic, Traffic, TrafficTotals};
 use crate::versions::{Content, Formats, ToControl, ToGateway, Topic, TopicState, Version};
@@ -45,10 +45,10 @@
     traffic: MemberTraffic,
 }
 
-async fn member(gateway: u64, silence: Duration) -> Member {
+async fn member(gateway: u64, idle_timeout: Duration) -> Member {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
     let address = listener.local_addr().expect("bound");
-    let (events, received) = mpsc::channel(super::EVENT_QUEUE);
+    let (events, received) = mpsc::channel(super::EVENT_QUEUE_LENGTH);
     let own = SharedHello::default();
     own.set(Hello {
         client: false,
@@ -63,7 +63,7 @@
             allow,
             voters,
             own,
-            silence,
+            idle_timeout,
             events,
             traffic: traffic.clone(),
         },
@@ -91,7 +91,7 @@
     async fn left(&mut self) -> u64 {
         loop {
             match self.events.recv().await {
-                Some(accept::LinkEvent::GatewayDisconnected(_, link)) => return link,
+                Some(accept::LinkEvent::GatewayDisconnected { link, .. }) => return link,
                 Some(_) => {}
                 None => panic!("the listener ended"),
             }
@@ -105,7 +105,7 @@
         .await
         .expect("connected")
         .into_split();
-    let hello = frame::hello(hello).expect("short");
+    let hello = frame::encode_hello(hello).expect("short");
     frame::write(&mut write, &hello, &Traffic::default())
         .await
         .expect("written");
@@ -129,7 +129,7 @@
 }
 
 async fn say(write: &mut OwnedWriteHalf, message: &ToControl) {
-    let frame = frame::to_control(message).expect("short");
+    let frame = frame::encode_to_control(message).expect("short");
     frame::write(write, &frame, &Traffic::default())
         .await
         .expect("written");
@@ -143,14 +143,14 @@
             member(2, LONG).await,
             member(3, LONG).await,
         ];
-        let (events, mut received) = mpsc::channel(super::EVENT_QUEUE);
+        let (events, mut received) = mpsc::channel(super::EVENT_QUEUE_LENGTH);
         let places = members
             .iter()
             .zip(1..)
             .map(|(member, number)| (number, member.address))
             .collect();
         let own = Hello::of_client(ME, FLEET);
-        let search = Search {
+        let search = LeaderSearch {
             members: places,
             own,
             timing: TIMING,
@@ -169,7 +169,7 @@
             panic!("up first")
         };
         // What is asked of a link that is gone is left undone.
-        link.switch(up + 1, Some(asked));
+        link.switch(gateway::LinkId(up.0 + 1), Some(asked));
         link.switch(up, Some(asked % 3 + 1));
         let leader = &mut members[asked as usize % 3];
         let client = leader.came().await;
@@ -192,7 +192,7 @@
             required_index: Index(0),
             registrations: 1,
         };
-        assert!(client.send(frame::to_gateway(&kept).expect("short")));
+        assert!(client.send(frame::encode_to_gateway(&kept).expect("short")));
         assert!(
             matches!(received.recv().await, Some(gateway::LinkEvent::Received(on, said)) if on == now && said == kept)
         );
@@ -243,7 +243,7 @@
             term: 7,
             ..Default::default()
         };
-        let raft = frame::raft(&message).expect("short");
+        let raft = frame::encode_raft(&message).expect("short");
         frame::write(&mut write, &raft, &Traffic::default())
             .await
             .expect("written");
@@ -272,11 +272,11 @@
         let member = member(1, LONG).await;
         let own = Hello::of_client(ME, FLEET + 1);
         let fault = super::handshake(1, member.address, &own, LONG, &Traffic::default()).await;
-        assert!(matches!(fault, Err(BadFrame::Fleet)));
+        assert!(matches!(fault, Err(FrameError::OtherFleet)));
         let own = Hello::of_client(ME, FLEET);
         let fault = super::handshake(2, member.address, &own, LONG, &Traffic::default()).await;
         assert!(
-            matches!(fault, Err(BadFrame::Identity(1))),
+            matches!(fault, Err(FrameError::UnexpectedGateway(1))),
             "another member than it was taken for"
         );
     });
@@ -290,7 +290,7 @@
         say(&mut write, &heartbeat(ME)).await;
         let served = member.came().await;
         assert_eq!(member.left().await, served.link);
-        assert!(matches!(frames.next().await, Err(BadFrame::Closed)));
+        assert!(matches!(frames.next().await, Err(FrameError::Closed)));
     });
 }
 
@@ -315,7 +315,7 @@
             since: Index(0),
             topics: vec![topic],
         };
-        let frame = frame::to_gateway(&state).expect("short");
+        let frame = frame::encode_to_gateway(&state).expect("short");
         while client.send(frame.clone()) {
             tokio::task::yield_now().await;
         }
@@ -343,10 +343,12 @@
             required_index: Index(0),
             registrations: 1,
         };
-        let kept = frame::to_gateway(&kept).expect("short");
+        let kept = frame::encode_to_gateway(&kept).expect("short");
         assert!(client.send(kept.clone()));
         assert!(matches!(frames.next().await, Ok(Payload::ToGateway(_))));
-        let said = frame::to_control(&heartbeat(ME)).expect("short").len() as u64;
+        let said = frame::encode_to_control(&heartbeat(ME))
+            .expect("short")
+            .len() as u64;
         let (bytes_in, bytes_out) = (said, kept.len() as u64);
         let expected = TrafficTotals {
             frames_in: 1,
@@ -378,7 +380,7 @@
             term: 7,
             ..Default::default()
         };
-        let raft = frame::raft(&message).expect("short");
+        let raft = frame::encode_raft(&message).expect("short");
         frame::write(&mut write, &raft, &Traffic::default())
             .await
             .expect("written");
--- a/control/src/service/gateway.rs
+++ b/control/src/service/gateway.rs
@@ -4,7 +4,7 @@
 use crate::clock::Clock;
 use crate::frame::Hello;
 use crate::lease::NodeIdentity;
-use crate::link::gateway::{Link, LinkEvent, Search};
+use crate::link::gateway::{LeaderSearch, Link, LinkEvent, LinkId};
 use crate::settings::Lease;
 use crate::state_machine::FORMAT;
 use crate::traffic::Traffic;
@@ -61,7 +61,7 @@
     client: Client,
     link: Link,
     /// The link on which it is served.
-    up: Option<u64>,
+    up: Option<LinkId>,
     /// When something is due next.
     wake: Option<Micros>,
     notices: Sender<ControlEvent>,
@@ -79,7 +79,7 @@
         let timing = asked.timing();
         let seed = u64::from(me.gateway) << 32 | u64::from(me.incarnation);
         let own = Hello::of_client(me, digest(asked));
-        let link = Link::start(Search {
+        let link = Link::start(LeaderSearch {
             members: members(asked),
             own,
             timing,
--- a/control/src/service/member.rs
+++ b/control/src/service/member.rs
@@ -149,7 +149,7 @@
         let listen = listener.local_addr().map_err(|_| PeerError::NoListener)?;
         let listener = tokio::net::TcpListener::from_std(listener);
         let listener = listener.map_err(|fault| PeerError::Listen(listen, fault))?;
-        let (events, received) = mpsc::channel(link::EVENT_QUEUE);
+        let (events, received) = mpsc::channel(link::EVENT_QUEUE_LENGTH);
         self.own_hello.set(self.hello());
         // Its own gateway comes from here.
         let mut allow = self.asked.allow.clone();
@@ -160,7 +160,7 @@
             allow,
             voters: self.voters.clone(),
             own: self.own_hello.clone(),
-            silence,
+            idle_timeout: silence,
             events: events.clone(),
             traffic: self.traffic.clone(),
         };
@@ -194,7 +194,7 @@
             Stage::Runs(node) => (node.id(), node.place().applied == 0),
             Stage::Waits(_) | Stage::Starts => (0, true),
         };
-        let (oldest, newest, fleet) = (frame::OLDEST, frame::NEWEST, self.digest);
+        let (oldest, newest, fleet) = (frame::OLDEST_FORMAT, frame::NEWEST_FORMAT, self.digest);
         let (gateway, incarnation) = (self.me.gateway.into(), self.me.incarnation);
         Hello {
             oldest,
@@ -330,8 +330,8 @@
             (LinkEvent::Hello(hello), _) => drop(self.hellos.insert(hello.gateway, hello)),
             (LinkEvent::Raft(message), Stage::Runs(node)) => node.step(*message),
             (LinkEvent::PeerLost(peer), Stage::Runs(node)) => node.unreachable(peer),
-            (LinkEvent::SnapshotSent(peer, whole), Stage::Runs(node)) => {
-                node.snapshot_sent(peer, whole)
+            (LinkEvent::SnapshotSent { peer, complete }, Stage::Runs(node)) => {
+                node.snapshot_sent(peer, complete)
             }
             (LinkEvent::GatewayConnected(gateway), _) => {
                 let who = gateway.who;
@@ -339,7 +339,7 @@
                 self.gateways.insert(who, gateway);
                 self.event(Event::Connected(who))?;
             }
-            (LinkEvent::GatewayDisconnected(who, link), _) => {
+            (LinkEvent::GatewayDisconnected { who, link }, _) => {
                 if self
                     .gateways
                     .get(&who)
@@ -356,7 +356,7 @@
                 self.send(message.who(), &ToGateway::NotLeader { leader: None })
             }
             (
-                LinkEvent::Raft(_) | LinkEvent::PeerLost(_) | LinkEvent::SnapshotSent(..),
+                LinkEvent::Raft(_) | LinkEvent::PeerLost(_) | LinkEvent::SnapshotSent { .. },
                 Stage::Waits(_) | Stage::Starts,
             ) => {}
         }
@@ -400,7 +400,7 @@
         let Some(gateway) = self.gateways.get(&who) else {
             return;
         };
-        match frame::to_gateway(message) {
+        match frame::encode_to_gateway(message) {
             Ok(frame) => {
                 if !try_send(gateway, frame) {
                     self.gateways.remove(&who);
@@ -412,7 +412,7 @@
 
     /// Sends all gateways the same.
     fn broadcast(&mut self, message: &ToGateway) {
-        match frame::to_gateway(message) {
+        match frame::encode_to_gateway(message) {
             Ok(frame) => self
                 .gateways
                 .retain(|_, gateway| try_send(gateway, frame.clone())),
--- a/control/src/service/mod.rs
+++ b/control/src/service/mod.rs
@@ -268,7 +268,7 @@
         };
         let (mut from_control, mut gateway) = (None, None);
         if registered {
-            let (events, received) = mpsc::channel(link::EVENT_QUEUE);
+            let (events, received) = mpsc::channel(link::EVENT_QUEUE_LENGTH);
             from_control = Some(received);
             gateway = Some(Gateway::start(&asked, clock, me, notices, events, traffic));
         }
