--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -146,7 +146,7 @@
         Ok(lease)
     }
 
-    fn bad_lease(&self, error: SettingError) -> BadFile {
+    fn bad_lease(&self, error: SettingError) -> OperatorFileError {
         self.bad_in(&self.lease_at, &format!("lease.{}", error.key), error.fault)
     }
 
