--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,18 +1,25 @@
-//! A front to test with: a router, its clock, and what it did.
+//! A gateway to test the router with: the router, its clock, and what it did.
 #![allow(dead_code)]
 
 use asterreel::interface::*;
 use asterreel::policy::Router;
 
+// The names that tests/health.rs uses.
+#[allow(unused_imports)]
+pub(crate) use self::{
+    attempt_ended as ended, dispatches as sends, endpoint as entry, member_report as note,
+    TestGateway as Front,
+};
+
 pub(crate) const MS: Micros = 1_000;
 pub(crate) const START: Micros = 100_000_000;
 pub(crate) const GROUP: GroupId = GroupId(7);
 /// The classes of [`settings`].
 pub(crate) const WRITE: usize = 0;
-pub(crate) const FRESH: usize = 1;
+pub(crate) const STRONG: usize = 1;
 pub(crate) const SESSION: usize = 2;
 pub(crate) const BOUNDED: usize = 3;
-pub(crate) const ANY: usize = 4;
+pub(crate) const EVENTUAL: usize = 4;
 pub(crate) const KEYED: usize = 5;
 
 fn class(idempotency: Idempotency, late_weight: f64) -> Class {
@@ -77,26 +84,26 @@
 }
 
 /// The same, where any-reads are long beside the rest.
-pub(crate) fn reports() -> Settings {
+pub(crate) fn settings_with_long_reads() -> Settings {
     let mut settings = settings();
     for (number, class) in settings
         .classes
         .iter_mut()
         .enumerate()
-        .filter(|(number, _)| *number != ANY)
+        .filter(|(number, _)| *number != EVENTUAL)
     {
         class.latency_objective = if number == BOUNDED { 40 * MS } else { 100 * MS };
     }
     settings
 }
 
-pub(crate) struct Front {
+pub(crate) struct TestGateway {
     pub router: Router,
     pub now: Micros,
     pub next: u64,
 }
 
-pub(crate) fn entry(member: u32, state: EndpointState, started: Micros) -> Endpoint {
+pub(crate) fn endpoint(member: u32, state: EndpointState, started: Micros) -> Endpoint {
     Endpoint {
         member: MemberId(member),
         group: GROUP,
@@ -109,47 +116,51 @@
     }
 }
 
-pub(crate) fn note(role: Role, position: Micros) -> MemberReport {
+pub(crate) fn member_report(role: Role, position: Micros) -> MemberReport {
     MemberReport {
         role: Some(role),
         position: Some(position),
     }
 }
 
-impl Front {
-    /// A front of a group with that many members, all on for long; nothing heard from them.
-    pub(crate) fn new(settings: Settings, members: u32) -> (Front, Vec<Action>) {
-        Front::listing(settings, members, 1)
+impl TestGateway {
+    /// A gateway of a group with that many members, all on for long; nothing heard from them.
+    pub(crate) fn new(settings: Settings, members: u32) -> (TestGateway, Vec<Action>) {
+        TestGateway::with_seed(settings, members, 1)
     }
 
-    /// A front with a seed of its own, and what it does when it is given its warm copy.
-    pub(crate) fn listing(settings: Settings, members: u32, seed: u64) -> (Front, Vec<Action>) {
+    /// A gateway with a seed of its own, and what it does when it is given its warm copy.
+    pub(crate) fn with_seed(
+        settings: Settings,
+        members: u32,
+        seed: u64,
+    ) -> (TestGateway, Vec<Action>) {
         let seed = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15);
         let router = Router::new(settings, seed, START).expect("good settings");
-        let mut front = Front {
+        let mut gateway = TestGateway {
             router,
             now: START,
             next: 0,
         };
         let list = (0..members)
-            .map(|m| entry(m, EndpointState::Ready, 0))
+            .map(|m| endpoint(m, EndpointState::Ready, 0))
             .collect();
-        let actions = front.event(Event::EndpointsUpdated(UpdateKind::CachedSnapshot, list));
-        (front, actions)
+        let actions = gateway.event(Event::EndpointsUpdated(UpdateKind::CachedSnapshot, list));
+        (gateway, actions)
     }
 
-    /// The same front as [`Front::new`], with a seed of its own.
-    pub(crate) fn seeded(settings: Settings, members: u32, seed: u64) -> Front {
-        Front::listing(settings, members, seed).0
+    /// The same gateway as [`TestGateway::new`], with a seed of its own.
+    pub(crate) fn seeded(settings: Settings, members: u32, seed: u64) -> TestGateway {
+        TestGateway::with_seed(settings, members, seed).0
     }
 
     /// The same, after a good probe of each: member 0 is the primary, the others are in sync.
-    pub(crate) fn ready(settings: Settings, members: u32) -> Front {
-        let (mut front, _) = Front::new(settings, members);
+    pub(crate) fn ready(settings: Settings, members: u32) -> TestGateway {
+        let (mut gateway, _) = TestGateway::new(settings, members);
         for m in 0..members {
-            front.tell(m, if m == 0 { Role::Primary } else { Role::Replica });
+            gateway.report_role(m, if m == 0 { Role::Primary } else { Role::Replica });
         }
-        front
+        gateway
     }
 
     pub(crate) fn event(&mut self, event: Event) -> Vec<Action> {
@@ -159,29 +170,34 @@
     }
 
     /// A good probe that reports a role and the present as position.
-    pub(crate) fn tell(&mut self, m: u32, role: Role) -> Vec<Action> {
-        self.tell_behind(m, role, 0)
+    pub(crate) fn report_role(&mut self, m: u32, role: Role) -> Vec<Action> {
+        self.report_lag(m, role, 0)
     }
 
     /// A good probe that reports a role and a position so far behind the present.
-    pub(crate) fn tell_behind(&mut self, m: u32, role: Role, lag: Micros) -> Vec<Action> {
-        let report = note(role, self.now - lag);
+    pub(crate) fn report_lag(&mut self, m: u32, role: Role, lag: Micros) -> Vec<Action> {
+        let report = member_report(role, self.now - lag);
         self.event(Event::HealthChecked(MemberId(m), Outcome::Served, report))
     }
 
     /// A probe that is not answered.
-    pub(crate) fn probe_fails(&mut self, m: u32) -> Vec<Action> {
+    pub(crate) fn fail_health_check(&mut self, m: u32) -> Vec<Action> {
         let none = MemberReport::default();
         self.event(Event::HealthChecked(MemberId(m), Outcome::TimedOut, none))
     }
 
     /// Word from the list on one member.
-    pub(crate) fn change(&mut self, m: u32, state: EndpointState, started: Micros) -> Vec<Action> {
-        let entries = [entry(m, state, started)].into();
+    pub(crate) fn update_endpoint(
+        &mut self,
+        m: u32,
+        state: EndpointState,
+        started: Micros,
+    ) -> Vec<Action> {
+        let entries = [endpoint(m, state, started)].into();
         self.event(Event::EndpointsUpdated(UpdateKind::Delta, entries))
     }
 
-    pub(crate) fn pass(&mut self, span: Micros) -> Vec<Action> {
+    pub(crate) fn advance(&mut self, span: Micros) -> Vec<Action> {
         let mut actions = Vec::new();
         let end = self.now + span;
         while self.now < end {
@@ -216,14 +232,14 @@
         (request, actions)
     }
 
-    pub(crate) fn ends(
+    pub(crate) fn end_attempt(
         &mut self,
         request: RequestId,
         attempt: u32,
         outcome: Outcome,
         answer_report: MemberReport,
     ) -> Vec<Action> {
-        self.event(Event::AttemptEnded(ended(
+        self.event(Event::AttemptEnded(attempt_ended(
             request,
             attempt,
             outcome,
@@ -233,8 +249,8 @@
     }
 
     /// A first attempt that got no answer in time, and ended its request.
-    pub(crate) fn times_out(&mut self, request: RequestId, latency: Micros) -> Vec<Action> {
-        let late = ended(
+    pub(crate) fn time_out(&mut self, request: RequestId, latency: Micros) -> Vec<Action> {
+        let late = attempt_ended(
             request,
             0,
             Outcome::TimedOut,
@@ -249,7 +265,7 @@
 }
 
 /// How an attempt ended; being served finishes its request.
-pub(crate) fn ended(
+pub(crate) fn attempt_ended(
     request: RequestId,
     attempt: u32,
     outcome: Outcome,
@@ -271,7 +287,7 @@
     }
 }
 
-pub(crate) fn sends(actions: &[Action]) -> Vec<(RequestId, u32)> {
+pub(crate) fn dispatches(actions: &[Action]) -> Vec<(RequestId, u32)> {
     let send = |action: &Action| match action {
         Action::Dispatch {
             request, member, ..
@@ -281,12 +297,12 @@
     actions.iter().filter_map(send).collect()
 }
 
-pub(crate) fn refused(actions: &[Action], request: RequestId) -> bool {
+pub(crate) fn is_rejected(actions: &[Action], request: RequestId) -> bool {
     actions
         .iter()
         .any(|a| matches!(a, Action::Reject { request: id, .. } if *id == request))
 }
 
-pub(crate) fn failed(actions: &[Action], request: RequestId) -> bool {
+pub(crate) fn is_failed(actions: &[Action], request: RequestId) -> bool {
     actions.contains(&Action::Fail(request))
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Many fronts on one virtual clock: what a fleet does to members that all of it shares, as sums over the fleet.
+//! Many gateways on one virtual clock: what a fleet does to members that all of it shares, as sums over the fleet.
 mod common;
 use asterreel::interface::*;
 use asterreel::policy::Router;
@@ -27,10 +27,10 @@
     CallFailed(usize),
 }
 
-/// Some fronts of groups of [`MEMBERS`], the first of each its primary; the others are in step with it.
+/// Some gateways of groups of [`MEMBERS`], the first of each its primary; the others are in step with it.
 struct World {
     now: Micros,
-    fronts: Vec<Router>,
+    gateways: Vec<Router>,
     groups: u32,
     events: BinaryHeap<Reverse<(Micros, u64, Next)>>,
     number: u64,
@@ -38,7 +38,7 @@
     classes: BTreeMap<u64, usize>,
     attempts: BTreeMap<(usize, u64), u32>,
     /// By member.
-    probes: BTreeMap<u32, u32>,
+    health_checks: BTreeMap<u32, u32>,
     sends: BTreeMap<(usize, u32), u32>,
     /// When each member got something.
     times: BTreeMap<u32, Vec<(Micros, usize)>>,
@@ -48,18 +48,18 @@
     dead: Vec<u32>,
     arrived: u32,
     refused: u32,
-    /// Which front an arrival comes to: all alike, or some several times as often as others.
+    /// Which gateway an arrival comes to: all alike, or some several times as often as others.
     uneven: bool,
     /// Arrivals come in bursts of half of the time.
     bursts: bool,
 }
 
 impl World {
-    fn new(fronts: u32, groups: u32, seed: u64) -> World {
-        World::with(reports(), fronts, groups, seed)
+    fn new(gateways: u32, groups: u32, seed: u64) -> World {
+        World::with(settings_with_long_reads(), gateways, groups, seed)
     }
 
-    fn with(settings: Settings, fronts: u32, groups: u32, seed: u64) -> World {
+    fn with(settings: Settings, gateways: u32, groups: u32, seed: u64) -> World {
         let list: std::sync::Arc<[Endpoint]> = (0..groups * MEMBERS)
             .map(|m| Endpoint {
                 role: role(m),
@@ -67,7 +67,7 @@
             })
             .collect();
         let settings = Settings {
-            fleet_size: fronts,
+            fleet_size: gateways,
             replica_checks: ReplicaChecks::None,
             discovery: DiscoveryMode::Watch,
             ..settings
@@ -76,14 +76,14 @@
             |n| Router::new(settings.clone(), seed * 1_000 + n, START).expect("good settings");
         let mut world = World {
             now: START,
-            fronts: (0..u64::from(fronts)).map(router).collect(),
+            gateways: (0..u64::from(gateways)).map(router).collect(),
             groups,
             events: BinaryHeap::new(),
             number: 0,
             rng: fastrand::Rng::with_seed(seed),
             classes: BTreeMap::new(),
             attempts: BTreeMap::new(),
-            probes: BTreeMap::new(),
+            health_checks: BTreeMap::new(),
             sends: BTreeMap::new(),
             times: BTreeMap::new(),
             calls: Vec::new(),
@@ -94,28 +94,28 @@
             bursts: false,
         };
         world.later(1, Next::Arrival);
-        for front in 0..world.fronts.len() {
+        for gateway in 0..world.gateways.len() {
             world.feed(
-                front,
+                gateway,
                 Event::EndpointsUpdated(UpdateKind::CachedSnapshot, list.clone()),
             );
         }
         world
     }
 
-    /// All fronts start anew, with this list.
+    /// All gateways start anew, with this list.
     fn restart(&mut self, settings: &Settings, list: &std::sync::Arc<[Endpoint]>, seed: u64) {
-        for front in 0..self.fronts.len() {
+        for gateway in 0..self.gateways.len() {
             let settings = Settings {
-                fleet_size: self.fronts.len() as u32,
+                fleet_size: self.gateways.len() as u32,
                 replica_checks: ReplicaChecks::None,
                 discovery: DiscoveryMode::Watch,
                 ..settings.clone()
             };
-            let router = Router::new(settings, seed * 1_000 + front as u64, self.now);
-            self.fronts[front] = router.expect("good settings");
+            let router = Router::new(settings, seed * 1_000 + gateway as u64, self.now);
+            self.gateways[gateway] = router.expect("good settings");
             self.feed(
-                front,
+                gateway,
                 Event::EndpointsUpdated(UpdateKind::CachedSnapshot, list.clone()),
             );
         }
@@ -127,9 +127,9 @@
             .push(Reverse((self.now + after, self.number, next)));
     }
 
-    fn feed(&mut self, front: usize, event: Event) {
+    fn feed(&mut self, gateway: usize, event: Event) {
         let mut actions = Vec::new();
-        self.fronts[front].handle(self.now, event, &mut actions);
+        self.gateways[gateway].handle(self.now, event, &mut actions);
         for action in actions {
             match action {
                 Action::Dispatch {
@@ -141,18 +141,18 @@
                         .entry(member.0)
                         .or_default()
                         .push((self.now, class));
-                    *self.attempts.entry((front, request.0)).or_default() += 1;
-                    self.later(work(class), Next::Answer(front, request.0, member.0));
+                    *self.attempts.entry((gateway, request.0)).or_default() += 1;
+                    self.later(work(class), Next::Answer(gateway, request.0, member.0));
                 }
                 Action::CheckHealth(member) => {
-                    *self.probes.entry(member.0).or_default() += 1;
-                    self.later(TRIP, Next::Report(front, member.0));
+                    *self.health_checks.entry(member.0).or_default() += 1;
+                    self.later(TRIP, Next::Report(gateway, member.0));
                 }
-                Action::SetTimer(after) => self.later(after, Next::Wake(front)),
+                Action::SetTimer(after) => self.later(after, Next::Wake(gateway)),
                 Action::Reject { .. } | Action::Fail(_) => self.refused += 1,
                 Action::Watch => {
                     self.calls.push(self.now);
-                    self.later(CALL, Next::CallFailed(front));
+                    self.later(CALL, Next::CallFailed(gateway));
                 }
                 Action::CancelAttempt { .. } | Action::ReportTransition { .. } => {}
             }
@@ -163,7 +163,7 @@
     fn reply(&self, member: u32, age: Micros) -> (Outcome, MemberReport) {
         match self.dead.contains(&member) {
             true => (Outcome::ConnectFailed, MemberReport::default()),
-            false => (Outcome::Served, note(role(member), self.now - age)),
+            false => (Outcome::Served, member_report(role(member), self.now - age)),
         }
     }
 
@@ -184,23 +184,24 @@
                     self.later(wait as Micros + 1 + rest, Next::Arrival);
                     self.arrive();
                 }
-                Next::Wake(front) => self.feed(front, Event::TimerFired),
-                Next::CallFailed(front) => {
-                    self.feed(front, Event::WatchLost(WatchLoss::after_silence(CALL)))
+                Next::Wake(gateway) => self.feed(gateway, Event::TimerFired),
+                Next::CallFailed(gateway) => {
+                    self.feed(gateway, Event::WatchLost(WatchLoss::after_silence(CALL)))
                 }
-                Next::Answer(front, request, member) => {
-                    let attempt = self.attempts[&(front, request)] - 1;
+                Next::Answer(gateway, request, member) => {
+                    let attempt = self.attempts[&(gateway, request)] - 1;
                     let class = self.classes[&request];
                     // Nothing is applied while a report is worked on.
-                    let behind = if class == ANY { REPORT } else { 5 * MS };
+                    let behind = if class == EVENTUAL { REPORT } else { 5 * MS };
                     let (outcome, note) = self.reply(member, behind);
-                    let ended = ended(RequestId(request), attempt, outcome, work(class), note);
-                    self.feed(front, Event::AttemptEnded(ended));
+                    let ended =
+                        attempt_ended(RequestId(request), attempt, outcome, work(class), note);
+                    self.feed(gateway, Event::AttemptEnded(ended));
                 }
-                Next::Report(front, member) => {
+                Next::Report(gateway, member) => {
                     let (outcome, report) = self.reply(member, REPORT_AGE);
                     self.feed(
-                        front,
+                        gateway,
                         Event::HealthChecked(MemberId(member), outcome, report),
                     );
                 }
@@ -217,17 +218,17 @@
         } else {
             luck
         };
-        let front = (share * self.fronts.len() as f64) as usize;
+        let gateway = (share * self.gateways.len() as f64) as usize;
         let class = match self.rng.u32(0..100) {
             0..80 => BOUNDED,
-            80..84 => ANY,
+            80..84 => EVENTUAL,
             _ => WRITE,
         };
         let request = u64::from(self.arrived);
         let group = GroupId(u64::from(self.rng.u32(0..self.groups)));
         self.classes.insert(request, class);
         self.feed(
-            front,
+            gateway,
             Event::RequestArrived(Arrival {
                 request: RequestId(request),
                 class: ClassId(class),
@@ -241,12 +242,12 @@
         );
     }
 
-    /// All fronts hear of a member at once.
-    fn change(&mut self, member: u32, state: EndpointState, started: Micros) {
+    /// All gateways hear of a member at once.
+    fn update_endpoint(&mut self, member: u32, state: EndpointState, started: Micros) {
         let entries: std::sync::Arc<[Endpoint]> = [listed(member, state, started)].into();
-        for front in 0..self.fronts.len() {
+        for gateway in 0..self.gateways.len() {
             self.feed(
-                front,
+                gateway,
                 Event::EndpointsUpdated(UpdateKind::Delta, entries.clone()),
             );
         }
@@ -260,13 +261,13 @@
         sends.map(|(_, count)| count).sum()
     }
 
-    fn probes(&self) -> u32 {
-        self.probes.values().sum()
+    fn total_health_checks(&self) -> u32 {
+        self.health_checks.values().sum()
     }
 }
 
 fn work(class: usize) -> Micros {
-    if class == ANY {
+    if class == EVENTUAL {
         REPORT
     } else {
         WORK
@@ -295,10 +296,10 @@
     role(member) == Role::Primary
 }
 
-/// Seen: at a hundred fronts 88% of bounded reads went to the primaries, as no front knew a standby's position
-/// as young as the bound; a fifth was refused unsent, while each member was probed eight times a second for nothing.
+/// Seen: at a hundred gateways 88% of bounded reads went to the primaries, as no gateway knew a standby's position
+/// as young as the bound; a fifth was refused unsent, while each member was checked eight times a second for nothing.
 #[test]
-fn reads_of_a_large_fleet_stay_off_the_primaries_and_are_not_refused() {
+fn large_fleet_reads_stay_off_primaries() {
     for seed in 1..=3 {
         let mut world = World::new(100, 12, seed);
         world.play(10 * SECOND, 1_400);
@@ -315,10 +316,10 @@
             world.refused
         );
         // At most one question a bounded read, and none for anything else.
-        let asked = world.probes();
+        let asked = world.total_health_checks();
         assert!(
             asked < reads,
-            "seed {seed}: {asked} probes for {reads} reads"
+            "seed {seed}: {asked} checks for {reads} reads"
         );
         for member in (0..12 * MEMBERS).filter(|member| !is_primary(*member)) {
             let share = world.sent(BOUNDED, |to| to == member);
@@ -331,17 +332,17 @@
     }
 }
 
-/// Seen: a hundred fronts spread any-reads over all standbys, where each holds back what is applied; nearly all of
+/// Seen: a hundred gateways spread any-reads over all standbys, where each holds back what is applied; nearly all of
 /// them fell too far behind for bounded reads now and then.
 #[test]
-fn any_reads_of_a_large_fleet_gather_on_one_standby_of_each_group() {
+fn large_fleet_long_reads_concentrate_per_group() {
     for seed in 1..=3 {
         let mut world = World::new(100, 12, seed);
         world.play(10 * SECOND, 1_400);
-        let reports = world.sent(ANY, |_| true);
+        let reports = world.sent(EVENTUAL, |_| true);
         let most = |group| {
             (0..MEMBERS)
-                .map(|m| world.sent(ANY, |to| to == group * MEMBERS + m))
+                .map(|m| world.sent(EVENTUAL, |to| to == group * MEMBERS + m))
                 .max()
         };
         let gathered: u32 = (0..12).filter_map(most).sum();
@@ -352,34 +353,34 @@
     }
 }
 
-/// A start from the warm copy probes nobody until it needs to, or a restart of all would probe each member at once.
+/// A start from the warm copy checks nobody until it needs to, or a restart of all would probe each member at once.
 #[test]
-fn a_large_fleet_that_starts_at_once_probes_only_what_it_needs() {
+fn large_fleet_start_checks_only_needed_members() {
     let mut world = World::new(100, 12, 1);
     world.play(100 * MS, 1_400);
-    let probes = world.probes();
+    let checks = world.total_health_checks();
     assert!(
-        probes <= world.arrived,
-        "{probes} probes for {} requests",
+        checks <= world.arrived,
+        "{checks} checks for {} requests",
         world.arrived
     );
     // A small one knows all members before the first request, as it did.
     let mut world = World::new(3, 2, 1);
     world.play(100 * MS, 100);
-    assert!(world.probes() >= 3 * 2 * MEMBERS);
+    assert!(world.total_health_checks() >= 3 * 2 * MEMBERS);
 }
 
-/// Seen: a hundred fronts together sent a cold member four requests a second, however much it could do, while the
+/// Seen: a hundred gateways together sent a cold member four requests a second, however much it could do, while the
 /// warm rest of its group timed out.
 #[test]
-fn cold_members_are_used_and_not_pushed_over_by_the_sum_of_all_fronts() {
-    for (seed, fronts) in [(1, 100), (2, 100), (3, 100), (4, 3)] {
+fn started_members_are_used_and_not_overloaded() {
+    for (seed, gateways) in [(1, 100), (2, 100), (3, 100), (4, 3)] {
         let rate = 400;
-        let mut world = World::new(fronts, 4, seed);
+        let mut world = World::new(gateways, 4, seed);
         world.play(10 * SECOND, rate);
         let began = world.now;
         for member in (0..4 * MEMBERS).filter(|member| member % MEMBERS > 1) {
-            world.change(member, EndpointState::Ready, began);
+            world.update_endpoint(member, EndpointState::Ready, began);
         }
         world.play(10 * SECOND, rate);
         let settings = settings();
@@ -409,7 +410,7 @@
                 let most = room + 3.0 * room.sqrt();
                 assert!(
                     within as f64 <= most,
-                    "seed {seed}, {fronts} fronts: {within} sends to {member}"
+                    "seed {seed}, {gateways} gateways: {within} sends to {member}"
                 );
             }
         }
@@ -420,21 +421,21 @@
         let share = 12.0 * warm * carried / 3.0;
         assert!(
             used as f64 >= share,
-            "seed {seed}, {fronts} fronts: {used} sends to cold members, {share:.0} wanted"
+            "seed {seed}, {gateways} gateways: {used} sends to cold members, {share:.0} wanted"
         );
     }
 }
 
-/// Seen: fronts that restarted from an old list asked each dead member for its position a hundred times a second.
+/// Seen: gateways that restarted from an old list asked each dead member for its position a hundred times a second.
 #[test]
-fn members_that_do_not_answer_are_asked_ever_less_often() {
+fn unanswering_members_are_polled_ever_less_often() {
     let mut world = World::new(100, 12, 1);
     world.dead = (0..12).map(|group| group * MEMBERS + 2).collect();
     world.play(10 * SECOND, 1_400);
     for member in &world.dead {
-        // A front's questions to one that is silent are 150 ms apart, then twice as far each time.
-        let asked = world.probes[member];
-        assert!(asked <= 100 * 7, "{asked} probes of {member}");
+        // A gateway's questions to one that is silent are 150 ms apart, then twice as far each time.
+        let asked = world.health_checks[member];
+        assert!(asked <= 100 * 7, "{asked} checks of {member}");
     }
     assert!(
         world.refused * 20 < world.arrived,
@@ -444,13 +445,13 @@
     );
 }
 
-/// Seen: after 70 of 100 fronts had restarted, 155 calls to discovery in 2 s, of which 2 were answered; one that answered
-/// 150 a second got as many in the first second. However full it stays, calls of a front begin 2.5 s apart at most, or
+/// Seen: after 70 of 100 gateways had restarted, 155 calls to discovery in 2 s, of which 2 were answered; one that answered
+/// 150 a second got as many in the first second. However full it stays, calls of a gateway begin 2.5 s apart at most, or
 /// what it misses binds (report ad44e2): 2 s in the queue, and a wait spread over half a second.
 #[test]
-fn calls_to_discovery_after_a_mass_restart_fall_apart_as_far_as_what_they_miss_allows() {
-    for (seed, fronts) in [(1, 100), (2, 100), (3, 100), (4, 3), (5, 30), (6, 300)] {
-        let mut world = World::new(fronts, 1, seed);
+fn discovery_calls_spread_after_mass_restart() {
+    for (seed, gateways) in [(1, 100), (2, 100), (3, 100), (4, 3), (5, 30), (6, 300)] {
+        let mut world = World::new(gateways, 1, seed);
         world.play(60 * SECOND, 1);
         let in_span = |from: Micros, span: Micros| {
             let from = START + from;
@@ -460,17 +461,17 @@
                 .filter(|at| (from..from + span).contains(at))
                 .count() as f64
         };
-        // The first calls are spread over 4.5 ms for each front, as far as that goes. Never more in a second than there
-        // are fronts, or than its queue of 2 s takes in with what a discovery was measured to answer.
+        // The first calls are spread over 4.5 ms for each gateway, as far as that goes. Never more in a second than there
+        // are gateways, or than its queue of 2 s takes in with what a discovery was measured to answer.
         let most = (0..60)
             .map(|s| in_span(s * SECOND, SECOND))
             .fold(0.0, f64::max);
-        let first = f64::from(fronts).min(1e3 / 4.5);
+        let first = f64::from(gateways).min(1e3 / 4.5);
         assert!(
             most <= first + 3.0 * first.sqrt(),
             "seed {seed}: {most} calls in a second"
         );
-        let mean = f64::from(fronts) / 2.25;
+        let mean = f64::from(gateways) / 2.25;
         let late = in_span(40 * SECOND, 20 * SECOND) / 20.0;
         assert!(
             (0.9 * mean..=1.2 * mean).contains(&late),
@@ -491,7 +492,7 @@
 /// after a refused call the wait could grow to four times the ask interval less 2 s, after a watch that ended to the
 /// ask interval less 2 s, though what they hide counts as told after 6 s as well.
 #[test]
-fn a_call_after_any_loss_is_made_in_time_to_be_answered_whatever_the_fleet_and_how_often() {
+fn discovery_call_follows_any_loss_in_time() {
     // A watch that ended, a call refused at once, a place that can't be reached, a call that was refused out of a
     // queue, one that was given up, a watch that fell silent.
     for staleness in [
@@ -519,9 +520,9 @@
                     .min(6 * SECOND)
                     .saturating_sub(staleness + CALL)
                     .max(200 * MS);
-                let mut front = Front::seeded(settings, 2, seed);
+                let mut gateway = TestGateway::seeded(settings, 2, seed);
                 for count in 0..30 {
-                    let waited = wait_after_loss(&mut front, staleness);
+                    let waited = wait_after_loss(&mut gateway, staleness);
                     assert!(
                         waited <= told + 10 * MS,
                         "fleet {fleet}, asked every {poll_interval}, number {count} after {staleness}: {waited} us"
@@ -532,25 +533,25 @@
     }
 }
 
-/// A front that has made its first call after a start, and how long it waited with it.
-fn started(settings: &Settings, seed: u64) -> (Front, Micros) {
-    let (mut front, mut actions) = Front::listing(settings.clone(), 2, seed);
-    let start = front.now;
+/// A gateway that has made its first call after a start, and how long it waited with it.
+fn started(settings: &Settings, seed: u64) -> (TestGateway, Micros) {
+    let (mut gateway, mut actions) = TestGateway::with_seed(settings.clone(), 2, seed);
+    let start = gateway.now;
     while !actions.contains(&Action::Watch) {
-        front.now += 10 * MS;
-        actions = front.event(Event::TimerFired);
-        assert!(front.now < start + 60 * SECOND, "never called");
+        gateway.now += 10 * MS;
+        actions = gateway.event(Event::TimerFired);
+        assert!(gateway.now < start + 60 * SECOND, "never called");
     }
-    let waited = front.now - start;
-    (front, waited)
+    let waited = gateway.now - start;
+    (gateway, waited)
 }
 
-/// Incident ad44e2: fronts that were restarted called up to 7.4 s after their start, and after a call that failed for its
+/// Incident ad44e2: gateways that were restarted called up to 7.4 s after their start, and after a call that failed for its
 /// wait in the queue up to 2 s later, each time anew, while what they missed counted as told 6 s after it changed. Every
-/// front of a fleet makes three calls before the grace of 2 s after that is over, from a start or a loss on, however each
+/// gateway of a fleet makes three calls before the grace of 2 s after that is over, from a start or a loss on, however each
 /// of them ends.
 #[test]
-fn three_calls_are_made_before_what_a_start_or_a_loss_misses_binds_whatever_the_fleet() {
+fn three_discovery_calls_fit_before_a_drain_binds() {
     for fleet in [1, 3, 8, 9, 30, 100, 312, 900] {
         let settings = Settings {
             fleet_size: fleet,
@@ -560,16 +561,16 @@
         for seed in 0..40 {
             for takes in [0, 20 * MS, SECOND, CALL] {
                 let what = format!("fleet {fleet}, seed {seed}, each takes {takes} us");
-                let (mut front, began) = started(&settings, seed);
+                let (mut gateway, began) = started(&settings, seed);
                 assert_calls(
-                    &calls_from(&mut front, began, takes),
+                    &calls_from(&mut gateway, began, takes),
                     &format!("after a start, {what}"),
                 );
 
-                front.event(Event::EndpointsUpdated(UpdateKind::Delta, [].into()));
-                let first = wait_after_loss(&mut front, 0);
+                gateway.event(Event::EndpointsUpdated(UpdateKind::Delta, [].into()));
+                let first = wait_after_loss(&mut gateway, 0);
                 assert_calls(
-                    &calls_from(&mut front, first, takes),
+                    &calls_from(&mut gateway, first, takes),
                     &format!("after a loss, {what}"),
                 );
             }
@@ -579,13 +580,13 @@
 
 /// When a first call, made now after such a wait, and two more begin, each of which fails after so long; from the beginning
 /// of the first wait on.
-fn calls_from(front: &mut Front, first: Micros, takes: Micros) -> Vec<Micros> {
-    let from = front.now - first;
+fn calls_from(gateway: &mut TestGateway, first: Micros, takes: Micros) -> Vec<Micros> {
+    let from = gateway.now - first;
     let mut calls = vec![first];
     for _ in 0..2 {
-        front.now += takes;
-        wait_after_loss(front, takes);
-        calls.push(front.now - from);
+        gateway.now += takes;
+        wait_after_loss(gateway, takes);
+        calls.push(gateway.now - from);
     }
     calls
 }
@@ -600,22 +601,22 @@
     }
 }
 
-/// How long a front waits with its next call after a loss.
-fn wait_after_loss(front: &mut Front, staleness: Micros) -> Micros {
-    front.event(Event::WatchLost(WatchLoss::after_silence(staleness)));
-    let lost_at = front.now;
-    while !front.event(Event::TimerFired).contains(&Action::Watch) {
-        front.now += 10 * MS;
-        assert!(front.now < lost_at + 60 * SECOND, "never called again");
+/// How long a gateway waits with its next call after a loss.
+fn wait_after_loss(gateway: &mut TestGateway, staleness: Micros) -> Micros {
+    gateway.event(Event::WatchLost(WatchLoss::after_silence(staleness)));
+    let lost_at = gateway.now;
+    while !gateway.event(Event::TimerFired).contains(&Action::Watch) {
+        gateway.now += 10 * MS;
+        assert!(gateway.now < lost_at + 60 * SECOND, "never called again");
     }
-    front.now - lost_at
+    gateway.now - lost_at
 }
 
 /// An agent on the gateway's own machine answers at once and costs nothing, and what it has counts as told from the
 /// moment it has it. By reading: its loss was treated like that of a discovery which all share, with waits up to 8 s in a
 /// fleet of 300, in which a drain was told and its grace ran out.
 #[test]
-fn an_agent_that_pushes_lists_is_asked_again_at_once_however_large_the_fleet() {
+fn pushing_agent_is_called_again_at_once() {
     for fleet in [1, 30, 300] {
         for staleness in [0, CALL, asterreel::calls::SILENCE] {
             let settings = Settings {
@@ -623,9 +624,9 @@
                 discovery: DiscoveryMode::Push,
                 ..settings()
             };
-            let mut front = Front::seeded(settings, 2, 7);
+            let mut gateway = TestGateway::seeded(settings, 2, 7);
             for count in 0..30 {
-                let waited = wait_after_loss(&mut front, staleness);
+                let waited = wait_after_loss(&mut gateway, staleness);
                 assert!(
                     waited <= 60 * MS,
                     "fleet {fleet}, number {count}: {waited} us"
@@ -637,7 +638,7 @@
 
 /// Fronts whose watches are all lost in the same moment do not call in the same moment, however often that comes.
 #[test]
-fn calls_of_many_fronts_after_a_common_loss_are_spread() {
+fn discovery_calls_spread_after_common_loss() {
     for fleet in [3, 30, 300] {
         let settings = Settings {
             fleet_size: fleet,
@@ -645,16 +646,16 @@
             ..settings()
         };
         // Each has made its first call, and has a list.
-        let mut fronts: Vec<Front> = (0..60)
+        let mut gateways: Vec<TestGateway> = (0..60)
             .map(|seed| started(&settings, 100 + seed).0)
             .collect();
-        for front in &mut fronts {
-            front.event(Event::EndpointsUpdated(UpdateKind::Delta, [].into()));
+        for gateway in &mut gateways {
+            gateway.event(Event::EndpointsUpdated(UpdateKind::Delta, [].into()));
         }
         for round in 0..8 {
-            let mut waits: Vec<Micros> = fronts
+            let mut waits: Vec<Micros> = gateways
                 .iter_mut()
-                .map(|front| wait_after_loss(front, 0))
+                .map(|gateway| wait_after_loss(gateway, 0))
                 .collect();
             waits.sort_unstable();
             // Half of them lie no closer together than half of the longest wait has room for, roughly.
@@ -668,12 +669,12 @@
     }
 }
 
-/// Seen: two standbys of a group let 700 searches time out in 4 s, one or two of each front a second, which no
-/// front took for a sign.
+/// Seen: two standbys of a group let 700 searches time out in 4 s, one or two of each gateway a second, which no
+/// gateway took for a sign.
 #[test]
-fn reads_of_a_large_fleet_shun_a_standby_that_let_one_time_out() {
+fn large_fleet_ejects_replica_after_timeout() {
     for (fleet, shuns) in [(100, true), (3, false)] {
-        let mut front = Front::ready(
+        let mut gateway = TestGateway::ready(
             Settings {
                 fleet_size: fleet,
                 replica_checks: ReplicaChecks::None,
@@ -681,18 +682,18 @@
             },
             4,
         );
-        let (read, actions) = front.arrive(BOUNDED);
-        let (_, slow) = sends(&actions)[0];
-        front.now += 100 * MS;
-        front.times_out(read, 100 * MS);
+        let (read, actions) = gateway.arrive(BOUNDED);
+        let (_, slow) = dispatches(&actions)[0];
+        gateway.now += 100 * MS;
+        gateway.time_out(read, 100 * MS);
         let mut again = 0;
         for _ in 0..40 {
-            let (read, actions) = front.arrive(BOUNDED);
-            let sent = sends(&actions);
+            let (read, actions) = gateway.arrive(BOUNDED);
+            let sent = dispatches(&actions);
             again += sent.iter().filter(|(_, to)| *to == slow).count();
-            let note = note(Role::Replica, front.now);
+            let note = member_report(Role::Replica, gateway.now);
             sent.iter()
-                .for_each(|_| drop(front.ends(read, 0, Outcome::Served, note)));
+                .for_each(|_| drop(gateway.end_attempt(read, 0, Outcome::Served, note)));
         }
         assert_eq!(
             again == 0,
@@ -700,10 +701,10 @@
             "{again} of 40 reads sent to it, fleet of {fleet}"
         );
         // It is taken up again later.
-        front.now += 4 * SECOND;
-        (1..4).for_each(|m| drop(front.tell(m, Role::Replica)));
+        gateway.now += 4 * SECOND;
+        (1..4).for_each(|m| drop(gateway.report_role(m, Role::Replica)));
         let sent: Vec<u32> = (0..40)
-            .flat_map(|_| sends(&front.arrive(BOUNDED).1))
+            .flat_map(|_| dispatches(&gateway.arrive(BOUNDED).1))
             .map(|(_, to)| to)
             .collect();
         assert!(sent.contains(&slow), "fleet of {fleet}: {sent:?}");
@@ -751,35 +752,35 @@
 /// What happens to a fleet while members are cold.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Scene {
-    /// Some of each group start anew; fronts see alike or several times as much as others, and traffic stops and starts.
+    /// Some of each group start anew; gateways see alike or several times as much as others, and traffic stops and starts.
     Some,
     /// All members start anew, the primary too: writes wait until it is found, and go nowhere else.
     All,
     /// The members that stayed warm die.
     WarmDie,
-    /// All fronts start anew while members are cold.
+    /// All gateways start anew while members are cold.
     FrontsStart,
 }
 
-/// Cold members answer to the sum of all fronts: beyond a budget of N only 2 x root of N + 2 are chance. Seen: in fleets of
-/// 20 and 30 fronts, each of which earned about one send in a span, all held one at any time, and where all demand came
+/// Cold members answer to the sum of all gateways: beyond a budget of N only 2 x root of N + 2 are chance. Seen: in fleets of
+/// 20 and 30 gateways, each of which earned about one send in a span, all held one at any time, and where all demand came
 /// to cold members up to 1.2 times the bound was sent in these scenes.
 #[test]
-fn no_window_of_a_cold_member_gets_more_than_its_budget_and_chance_from_all_fronts_together() {
+fn slow_start_budget_holds_for_whole_fleet() {
     let narrow = Settings {
         overload_multiple: 2.0,
         overload_duration: 2_500 * MS,
-        ..reports()
+        ..settings_with_long_reads()
     };
     let platform = Settings {
         overload_multiple: 2.5,
         overload_duration: 2 * SECOND,
         slow_start_initial_share: 0.16,
-        ..reports()
+        ..settings_with_long_reads()
     };
     let mut plays = Vec::new();
     for (settings, seed) in [(narrow, 1), (platform, 2)] {
-        for (fronts, rate, groups) in [
+        for (gateways, rate, groups) in [
             (3, 400, 4),
             (20, 400, 4),
             (30, 400, 4),
@@ -787,7 +788,7 @@
             (20, 60, 4),
         ] {
             for scene in [Scene::Some, Scene::All, Scene::WarmDie, Scene::FrontsStart] {
-                plays.push((settings.clone(), seed, fronts, rate, groups, scene));
+                plays.push((settings.clone(), seed, gateways, rate, groups, scene));
             }
         }
     }
@@ -814,16 +815,16 @@
 
 /// Plays a scene and asserts that none of its windows is over; how many there were.
 fn cold_windows(play: &(Settings, u64, u32, u64, u32, Scene)) -> usize {
-    let (settings, seed, fronts, rate, groups, scene) = play;
-    let (fronts, rate, groups, scene) = (*fronts, *rate, *groups, *scene);
-    let mut world = World::with(settings.clone(), fronts, groups, *seed);
+    let (settings, seed, gateways, rate, groups, scene) = play;
+    let (gateways, rate, groups, scene) = (*gateways, *rate, *groups, *scene);
+    let mut world = World::with(settings.clone(), gateways, groups, *seed);
     (world.uneven, world.bursts) = (true, scene == Scene::Some);
     world.play(10 * SECOND, rate);
     let began = world.now;
     let stays_warm = |member: &u32| scene != Scene::All && member % MEMBERS < 2;
     let (warm, cold): (Vec<u32>, Vec<u32>) = (0..groups * MEMBERS).partition(stays_warm);
     cold.iter()
-        .for_each(|member| world.change(*member, EndpointState::Ready, began));
+        .for_each(|member| world.update_endpoint(*member, EndpointState::Ready, began));
     match scene {
         Scene::WarmDie => world.dead = warm,
         Scene::FrontsStart => {
@@ -843,7 +844,7 @@
     let capacity = (rate as f64 / f64::from(groups * MEMBERS)).max(0.8e6 / MEAN_WORK);
     let (over, all, worst) = windows_over(&world, settings, began, &cold, capacity);
     let what = format!(
-        "{fronts} fronts, {rate} a second, multiple {}, {scene:?}",
+        "{gateways} gateways, {rate} a second, multiple {}, {scene:?}",
         settings.overload_multiple
     );
     assert_eq!(
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -3,144 +3,160 @@
 use asterreel::interface::*;
 use common::*;
 
+/// Members are checked before the first dispatch and about every second.
 #[test]
-fn members_are_probed_before_the_first_send_and_about_every_second() {
-    let (mut front, first) = Front::new(settings(), 2);
+fn health_checks_run_at_start_and_every_second() {
+    let (mut gateway, first) = TestGateway::new(settings(), 2);
     for m in 0..2 {
         assert!(first.contains(&Action::CheckHealth(MemberId(m))));
-        front.tell(m, Role::Replica);
+        gateway.report_role(m, Role::Replica);
     }
-    let mut probes = 0;
+    let mut checks = 0;
     for _ in 0..5 {
-        for action in front.pass(1_000 * MS) {
+        for action in gateway.advance(1_000 * MS) {
             if let Action::CheckHealth(MemberId(m)) = action {
-                probes += 1;
-                front.tell(m, Role::Replica);
+                checks += 1;
+                gateway.report_role(m, Role::Replica);
             }
         }
     }
     assert!(
-        (6..=14).contains(&probes),
-        "{probes} probes in 5 s of 2 members"
+        (6..=14).contains(&checks),
+        "{checks} checks in 5 s of 2 members"
     );
 }
 
+/// No health check where checks are forbidden.
 #[test]
-fn no_probe_where_probes_are_forbidden() {
+fn health_checks_stay_off_where_forbidden() {
     let mut settings = settings();
     settings.probes = Permit::Forbidden;
-    let (mut front, mut actions) = Front::new(settings, 3);
-    actions.extend(front.pass(3_000 * MS));
+    let (mut gateway, mut actions) = TestGateway::new(settings, 3);
+    actions.extend(gateway.advance(3_000 * MS));
     assert!(!actions.iter().any(|a| matches!(a, Action::CheckHealth(_))));
-    let (_, actions) = front.arrive(ANY);
-    assert_eq!(sends(&actions).len(), 1, "unproven members serve then");
+    let (_, actions) = gateway.arrive(EVENTUAL);
+    assert_eq!(dispatches(&actions).len(), 1, "unproven members serve then");
 }
 
+/// Writes and strong reads go to the known primary.
 #[test]
-fn writes_and_fresh_reads_go_to_the_active_member() {
-    let mut front = Front::ready(settings(), 4);
-    for class in [WRITE, FRESH, KEYED] {
-        let (request, actions) = front.arrive(class);
-        assert_eq!(sends(&actions), [(request, 0)]);
+fn writes_and_strong_reads_go_to_known_primary() {
+    let mut gateway = TestGateway::ready(settings(), 4);
+    for class in [WRITE, STRONG, KEYED] {
+        let (request, actions) = gateway.arrive(class);
+        assert_eq!(dispatches(&actions), [(request, 0)]);
     }
 }
 
+/// A replicas answer demotes it at once and a primary answer promotes.
 #[test]
-fn a_replicas_answer_unmarks_at_once_and_a_primary_answer_marks() {
-    let mut front = Front::ready(settings(), 3);
-    front.now += MS;
-    front.tell(0, Role::Replica);
-    let (asked, actions) = front.arrive(WRITE);
-    let seeks = sends(&actions);
+fn replica_report_demotes_and_primary_report_promotes() {
+    let mut gateway = TestGateway::ready(settings(), 3);
+    gateway.now += MS;
+    gateway.report_role(0, Role::Replica);
+    let (asked, actions) = gateway.arrive(WRITE);
+    let seeks = dispatches(&actions);
     assert!(
         seeks.len() == 1 && seeks[0].1 != 0,
         "one write seeks the primary, elsewhere"
     );
-    let (write, actions) = front.arrive(WRITE);
+    let (write, actions) = gateway.arrive(WRITE);
     assert!(
-        sends(&actions).is_empty(),
+        dispatches(&actions).is_empty(),
         "writes wait while none is active"
     );
-    front.now += MS;
-    let replica = note(Role::Replica, front.now);
-    let actions = front.ends(asked, 0, Outcome::Misrouted, replica);
+    gateway.now += MS;
+    let replica = member_report(Role::Replica, gateway.now);
+    let actions = gateway.end_attempt(asked, 0, Outcome::Misrouted, replica);
     assert!(
-        sends(&actions).is_empty(),
+        dispatches(&actions).is_empty(),
         "the next one asks no sooner than 20 ms on"
     );
-    let mut actions = front.tell(2, Role::Primary);
-    actions.extend(front.pass(20 * MS));
-    let mut placed = sends(&actions);
+    let mut actions = gateway.report_role(2, Role::Primary);
+    actions.extend(gateway.advance(20 * MS));
+    let mut placed = dispatches(&actions);
     placed.sort();
     assert_eq!(placed, [(asked, 2), (write, 2)]);
 }
 
+/// A misrouted write demotes it and the write waits for the next primary.
 #[test]
-fn a_write_miss_unmarks_and_the_write_waits_for_the_next_primary() {
-    let mut front = Front::ready(settings(), 3);
-    let (write, _) = front.arrive(WRITE);
-    front.now += MS;
-    let actions = front.ends(write, 0, Outcome::Misrouted, MemberReport::default());
-    assert!(sends(&actions).iter().all(|(_, m)| *m != 0));
-    assert!(!refused(&actions, write) && !failed(&actions, write));
-    let actions = front.ends(write, 1, Outcome::Misrouted, MemberReport::default());
-    assert!(!refused(&actions, write) && !failed(&actions, write));
-    assert_eq!(sends(&front.tell(2, Role::Primary)), [(write, 2)]);
+fn misrouted_write_demotes_and_waits_for_next_primary() {
+    let mut gateway = TestGateway::ready(settings(), 3);
+    let (write, _) = gateway.arrive(WRITE);
+    gateway.now += MS;
+    let actions = gateway.end_attempt(write, 0, Outcome::Misrouted, MemberReport::default());
+    assert!(dispatches(&actions).iter().all(|(_, m)| *m != 0));
+    assert!(!is_rejected(&actions, write) && !is_failed(&actions, write));
+    let actions = gateway.end_attempt(write, 1, Outcome::Misrouted, MemberReport::default());
+    assert!(!is_rejected(&actions, write) && !is_failed(&actions, write));
+    assert_eq!(
+        dispatches(&gateway.report_role(2, Role::Primary)),
+        [(write, 2)]
+    );
 }
 
+/// A misrouted read shows only that replica to be behind.
 #[test]
-fn a_read_miss_marks_only_that_replica_behind() {
-    let mut front = Front::ready(settings(), 3);
-    let (read, actions) = front.arrive(BOUNDED);
-    let (_, missed) = sends(&actions)[0];
+fn misrouted_read_keeps_known_primary() {
+    let mut gateway = TestGateway::ready(settings(), 3);
+    let (read, actions) = gateway.arrive(BOUNDED);
+    let (_, missed) = dispatches(&actions)[0];
     assert_ne!(missed, 0);
-    let behind = note(Role::Replica, START - 900 * MS);
-    let actions = front.ends(read, 0, Outcome::Misrouted, behind);
-    assert_eq!(sends(&actions).len(), 1);
-    let (write, actions) = front.arrive(WRITE);
-    assert_eq!(sends(&actions), [(write, 0)], "the mark stays");
+    let behind = member_report(Role::Replica, START - 900 * MS);
+    let actions = gateway.end_attempt(read, 0, Outcome::Misrouted, behind);
+    assert_eq!(dispatches(&actions).len(), 1);
+    let (write, actions) = gateway.arrive(WRITE);
+    assert_eq!(dispatches(&actions), [(write, 0)], "the mark stays");
 }
 
+/// The failure threshold fails a member and a good health check brings it back.
 #[test]
-fn the_fail_point_fails_a_member_and_a_good_probe_brings_it_back() {
-    let mut front = Front::ready(settings(), 2);
+fn failure_threshold_fails_member_until_good_check() {
+    let mut gateway = TestGateway::ready(settings(), 2);
     for _ in 0..3 {
-        front.probe_fails(1);
+        gateway.fail_health_check(1);
     }
-    let (_, actions) = front.arrive(ANY);
-    assert_eq!(sends(&actions)[0].1, 1, "three bad results are not enough");
-    front.probe_fails(1);
-    let (_, actions) = front.arrive(ANY);
+    let (_, actions) = gateway.arrive(EVENTUAL);
+    assert_eq!(
+        dispatches(&actions)[0].1,
+        1,
+        "three bad results are not enough"
+    );
+    gateway.fail_health_check(1);
+    let (_, actions) = gateway.arrive(EVENTUAL);
     assert_eq!(
-        sends(&actions)[0].1,
+        dispatches(&actions)[0].1,
         0,
         "no standby is left, the active serves"
     );
-    front.tell(1, Role::Replica);
-    let (_, actions) = front.arrive(ANY);
-    assert_eq!(sends(&actions)[0].1, 1);
+    gateway.report_role(1, Role::Replica);
+    let (_, actions) = gateway.arrive(EVENTUAL);
+    assert_eq!(dispatches(&actions)[0].1, 1);
 }
 
+/// A good result resets the counter.
 #[test]
-fn a_good_result_resets_the_counter() {
-    let mut front = Front::ready(settings(), 2);
+fn good_check_resets_consecutive_failures() {
+    let mut gateway = TestGateway::ready(settings(), 2);
     for _ in 0..10 {
         for _ in 0..3 {
-            front.probe_fails(1);
+            gateway.fail_health_check(1);
         }
-        front.tell(1, Role::Replica);
+        gateway.report_role(1, Role::Replica);
     }
-    let (_, actions) = front.arrive(ANY);
-    assert_eq!(sends(&actions)[0].1, 1);
+    let (_, actions) = gateway.arrive(EVENTUAL);
+    assert_eq!(dispatches(&actions)[0].1, 1);
 }
 
+/// Reads with eventual consistency stay off the known primary and spread by own in flight.
 #[test]
-fn any_reads_stay_off_the_active_member_and_spread_by_own_in_flight() {
-    let mut front = Front::ready(settings(), 4);
+fn eventual_reads_spread_over_replicas() {
+    let mut gateway = TestGateway::ready(settings(), 4);
     let mut counts = [0; 4];
     for _ in 0..18 {
-        let (_, actions) = front.arrive(ANY);
-        counts[sends(&actions)[0].1 as usize] += 1;
+        let (_, actions) = gateway.arrive(EVENTUAL);
+        counts[dispatches(&actions)[0].1 as usize] += 1;
     }
     assert_eq!(counts[0], 0);
     assert!(
@@ -149,82 +165,101 @@
     );
 }
 
+/// Bounded reads spill to the known primary while every replica lags.
 #[test]
-fn bounded_reads_spill_to_the_active_member_while_every_replica_lags() {
-    let mut front = Front::ready(settings(), 3);
-    front.pass(50 * MS);
-    front.now += 1_000 * MS;
+fn bounded_reads_spill_to_primary_when_replicas_lag() {
+    let mut gateway = TestGateway::ready(settings(), 3);
+    gateway.advance(50 * MS);
+    gateway.now += 1_000 * MS;
     for m in 1..3 {
-        front.tell_behind(m, Role::Replica, 800 * MS);
+        gateway.report_lag(m, Role::Replica, 800 * MS);
     }
-    let (_, actions) = front.arrive(BOUNDED);
-    assert_eq!(sends(&actions)[0].1, 0);
+    let (_, actions) = gateway.arrive(BOUNDED);
+    assert_eq!(dispatches(&actions)[0].1, 0);
 }
 
+/// Session reads go to a replica past their required position and anywhere when none is owed.
 #[test]
-fn session_reads_go_past_the_token_and_anywhere_when_none_is_owed() {
-    let mut front = Front::ready(settings(), 2);
-    let (mut behind, _) = Front::new(settings(), 2);
-    behind.tell(0, Role::Primary);
-    behind.tell_behind(1, Role::Replica, 500 * MS);
+fn session_reads_require_position_of_their_write() {
+    let mut gateway = TestGateway::ready(settings(), 2);
+    let (mut behind, _) = TestGateway::new(settings(), 2);
+    behind.report_role(0, Role::Primary);
+    behind.report_lag(1, Role::Replica, 500 * MS);
     let (_, actions) = behind.arrive_with(SESSION, Some(1), Some(100 * MS));
-    assert_eq!(sends(&actions)[0].1, 0, "the replica has not got the write");
+    assert_eq!(
+        dispatches(&actions)[0].1,
+        0,
+        "the replica has not got the write"
+    );
     let (_, actions) = behind.arrive_with(SESSION, Some(1), None);
-    assert_eq!(sends(&actions)[0].1, 1, "no write is owed");
-    let (_, actions) = front.arrive_with(SESSION, Some(1), Some(100 * MS));
-    assert_eq!(sends(&actions)[0].1, 1, "the replica has got it");
+    assert_eq!(dispatches(&actions)[0].1, 1, "no write is owed");
+    let (_, actions) = gateway.arrive_with(SESSION, Some(1), Some(100 * MS));
+    assert_eq!(dispatches(&actions)[0].1, 1, "the replica has got it");
 }
 
+/// Remembered sessions must see the commit they were answered with.
 #[test]
-fn remembered_sessions_must_see_the_commit_they_were_answered_with() {
+fn remembered_session_reads_see_their_commit() {
     let mut settings = settings();
     settings.session_tokens = SessionTokens::Remembered;
     settings.replica_checks = ReplicaChecks::None;
-    let mut front = Front::ready(settings, 2);
-    let (write, _) = front.arrive_with(WRITE, Some(9), None);
+    let mut gateway = TestGateway::ready(settings, 2);
+    let (write, _) = gateway.arrive_with(WRITE, Some(9), None);
     let commit = START + 40 * MS;
-    front.ends(write, 0, Outcome::Served, note(Role::Primary, commit));
-    let (_, actions) = front.arrive_with(SESSION, Some(9), None);
-    assert_eq!(sends(&actions)[0].1, 0);
-    let (_, actions) = front.arrive_with(SESSION, Some(8), None);
+    gateway.end_attempt(
+        write,
+        0,
+        Outcome::Served,
+        member_report(Role::Primary, commit),
+    );
+    let (_, actions) = gateway.arrive_with(SESSION, Some(9), None);
+    assert_eq!(dispatches(&actions)[0].1, 0);
+    let (_, actions) = gateway.arrive_with(SESSION, Some(8), None);
     assert_eq!(
-        sends(&actions)[0].1,
+        dispatches(&actions)[0].1,
         1,
         "another session has written nothing"
     );
 }
 
+/// Queued writes are released on a new primary in a paced way.
 #[test]
-fn held_writes_are_released_on_a_new_primary_in_a_paced_way() {
-    let mut front = Front::ready(settings(), 3);
-    front.tell(0, Role::Replica);
-    let waiting: Vec<RequestId> = (0..40).map(|_| front.arrive(WRITE).0).collect();
+fn queued_writes_ramp_up_on_promoted_primary() {
+    let mut gateway = TestGateway::ready(settings(), 3);
+    gateway.report_role(0, Role::Replica);
+    let waiting: Vec<RequestId> = (0..40).map(|_| gateway.arrive(WRITE).0).collect();
     // The oldest went out to seek the primary; turned away, it keeps its place.
-    front.ends(
+    gateway.end_attempt(
         waiting[0],
         0,
         Outcome::Misrouted,
-        note(Role::Replica, front.now),
+        member_report(Role::Replica, gateway.now),
     );
-    let first = sends(&front.tell(1, Role::Primary));
+    let first = dispatches(&gateway.report_role(1, Role::Primary));
     assert!((1..=4).contains(&first.len()), "{} at once", first.len());
     let (done, _) = first[0];
     assert_eq!(done, waiting[0], "the oldest first");
-    let more = front.ends(done, 1, Outcome::Served, note(Role::Primary, front.now));
-    assert!((1..=2).contains(&sends(&more).len()));
+    let more = gateway.end_attempt(
+        done,
+        1,
+        Outcome::Served,
+        member_report(Role::Primary, gateway.now),
+    );
+    assert!((1..=2).contains(&dispatches(&more).len()));
 }
 
+/// A lost watch is renewed with backoff.
 #[test]
-fn a_lost_watch_is_renewed_with_backoff() {
+fn lost_watch_is_renewed_with_backoff() {
     let mut settings = settings();
     settings.discovery = DiscoveryMode::Watch;
-    let (mut front, actions) = Front::new(settings, 2);
+    let (mut gateway, actions) = TestGateway::new(settings, 2);
     assert!(actions.contains(&Action::Watch));
     let mut calls = 0;
     for _ in 0..20 {
-        front.event(Event::WatchLost(WatchLoss::default()));
+        gateway.event(Event::WatchLost(WatchLoss::default()));
         for _ in 0..40 {
-            let actions = front.pass(100 * MS);
+            let actions = gateway.advance(100 * MS);
             if actions.contains(&Action::Watch) {
                 calls += 1;
                 break;
@@ -232,22 +267,23 @@
         }
     }
     assert_eq!(calls, 20, "each loss is followed by a call");
-    front.event(Event::WatchLost(WatchLoss::default()));
-    let early = front.pass(900 * MS);
+    gateway.event(Event::WatchLost(WatchLoss::default()));
+    let early = gateway.advance(900 * MS);
     assert!(
         !early.contains(&Action::Watch),
         "after many losses the wait is long"
     );
 }
 
+/// The same events give the same actions.
 #[test]
-fn the_same_events_give_the_same_actions() {
+fn same_events_give_same_actions() {
     let run = || {
-        let mut front = Front::ready(settings(), 5);
+        let mut gateway = TestGateway::ready(settings(), 5);
         let mut all = Vec::new();
         for n in 0..200 {
-            all.extend(front.arrive(n % 6).1);
-            all.extend(front.pass(3 * MS));
+            all.extend(gateway.arrive(n % 6).1);
+            all.extend(gateway.advance(3 * MS));
         }
         all
     };
@@ -256,21 +292,21 @@
 
 /// A connection may take long to come up: what was told or happened meanwhile holds for the write as well.
 #[test]
-fn a_send_decided_on_is_not_written_once_its_member_drains_or_its_client_has_gone() {
+fn dispatch_is_not_written_after_drain_or_client_gone() {
     for ending in [EndpointState::Draining, EndpointState::Removed] {
-        let mut front = Front::ready(settings(), 3);
-        let (write, actions) = front.arrive(WRITE);
-        let (_, to) = sends(&actions)[0];
-        assert!(front.router.may_write(front.now, write, MemberId(to)));
-        front.change(to, ending, 0);
+        let mut gateway = TestGateway::ready(settings(), 3);
+        let (write, actions) = gateway.arrive(WRITE);
+        let (_, to) = dispatches(&actions)[0];
+        assert!(gateway.router.may_write(gateway.now, write, MemberId(to)));
+        gateway.update_endpoint(to, ending, 0);
         assert!(
-            !front.router.may_write(front.now, write, MemberId(to)),
+            !gateway.router.may_write(gateway.now, write, MemberId(to)),
             "{ending:?}"
         );
     }
-    let mut front = Front::ready(settings(), 3);
-    let (write, actions) = front.arrive(WRITE);
-    let (_, to) = sends(&actions)[0];
-    front.event(Event::ClientGone(write));
-    assert!(!front.router.may_write(front.now, write, MemberId(to)));
+    let mut gateway = TestGateway::ready(settings(), 3);
+    let (write, actions) = gateway.arrive(WRITE);
+    let (_, to) = dispatches(&actions)[0];
+    gateway.event(Event::ClientGone(write));
+    assert!(!gateway.router.may_write(gateway.now, write, MemberId(to)));
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -5,140 +5,148 @@
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// An non-idempotent request that may have run is failed not rejected or sent again.
 #[test]
-fn an_unsafe_request_that_may_have_run_is_failed_not_refused_or_resent() {
+fn non_idempotent_request_that_may_have_run_fails() {
     for outcome in [
         Outcome::TimedOut,
         Outcome::Error,
         Outcome::Reset,
         Outcome::Cancelled,
     ] {
-        let mut front = Front::ready(settings(), 3);
-        let (write, _) = front.arrive(WRITE);
-        let actions = front.ends(write, 0, outcome, MemberReport::default());
-        assert!(failed(&actions, write), "{outcome:?}");
-        assert!(sends(&actions).is_empty() && !refused(&actions, write));
+        let mut gateway = TestGateway::ready(settings(), 3);
+        let (write, _) = gateway.arrive(WRITE);
+        let actions = gateway.end_attempt(write, 0, outcome, MemberReport::default());
+        assert!(is_failed(&actions, write), "{outcome:?}");
+        assert!(dispatches(&actions).is_empty() && !is_rejected(&actions, write));
     }
 }
 
+/// A queued write is rejected in time.
 #[test]
-fn a_held_write_is_refused_in_time() {
-    let mut front = Front::ready(settings(), 2);
-    front.tell(0, Role::Replica);
-    let due = front.now + 2_000 * MS;
-    let (write, mut actions) = front.arrive(WRITE);
+fn queued_write_is_rejected_in_time() {
+    let mut gateway = TestGateway::ready(settings(), 2);
+    gateway.report_role(0, Role::Replica);
+    let due = gateway.now + 2_000 * MS;
+    let (write, mut actions) = gateway.arrive(WRITE);
     let mut attempt = 0;
-    while !refused(&actions, write) {
-        assert!(front.now < due, "no answer in time");
-        assert!(!failed(&actions, write));
+    while !is_rejected(&actions, write) {
+        assert!(gateway.now < due, "no answer in time");
+        assert!(!is_failed(&actions, write));
         // Each search for the primary is turned away untouched.
-        if !sends(&actions).is_empty() {
-            let replica = note(Role::Replica, front.now);
-            actions = front.ends(write, attempt, Outcome::Misrouted, replica);
+        if !dispatches(&actions).is_empty() {
+            let replica = member_report(Role::Replica, gateway.now);
+            actions = gateway.end_attempt(write, attempt, Outcome::Misrouted, replica);
             attempt += 1;
         } else {
-            actions = front.pass(5 * MS);
+            actions = gateway.advance(5 * MS);
         }
     }
     assert!(
-        front.now > due - 200 * MS,
+        gateway.now > due - 200 * MS,
         "it was held while it could still make it"
     );
 }
 
+/// Nothing goes to a member listed as draining or removed.
 #[test]
-fn nothing_goes_to_a_member_told_draining_or_gone() {
+fn draining_or_removed_member_gets_nothing() {
     for state in [EndpointState::Draining, EndpointState::Removed] {
-        let mut front = Front::ready(settings(), 3);
-        front.change(1, state, 0);
+        let mut gateway = TestGateway::ready(settings(), 3);
+        gateway.update_endpoint(1, state, 0);
         for _ in 0..20 {
-            let (_, actions) = front.arrive(ANY);
-            assert!(sends(&actions).iter().all(|(_, m)| *m != 1));
+            let (_, actions) = gateway.arrive(EVENTUAL);
+            assert!(dispatches(&actions).iter().all(|(_, m)| *m != 1));
         }
     }
 }
 
+/// Where a removal alone does not bind, a removed member stays in use.
 #[test]
-fn where_gone_does_not_bind_a_gone_member_stays_in_use() {
+fn removed_member_stays_in_use_where_only_draining_binds() {
     let mut settings = settings();
     settings.drain_signal = DrainSignal::DrainingOnly;
-    let mut front = Front::ready(settings, 2);
-    front.change(1, EndpointState::Removed, 0);
-    let (_, actions) = front.arrive(ANY);
-    assert_eq!(sends(&actions)[0].1, 1);
-    front.change(1, EndpointState::Draining, 0);
-    let (_, actions) = front.arrive(ANY);
-    assert_eq!(sends(&actions)[0].1, 0);
+    let mut gateway = TestGateway::ready(settings, 2);
+    gateway.update_endpoint(1, EndpointState::Removed, 0);
+    let (_, actions) = gateway.arrive(EVENTUAL);
+    assert_eq!(dispatches(&actions)[0].1, 1);
+    gateway.update_endpoint(1, EndpointState::Draining, 0);
+    let (_, actions) = gateway.arrive(EVENTUAL);
+    assert_eq!(dispatches(&actions)[0].1, 0);
 }
 
+/// A member that is warming up gets little at first.
 #[test]
-fn a_cold_member_gets_little_at_first() {
-    let mut front = Front::ready(settings(), 2);
-    front.change(1, EndpointState::Ready, START);
-    front.tell(1, Role::Replica);
+fn started_member_gets_few_dispatches_at_first() {
+    let mut gateway = TestGateway::ready(settings(), 2);
+    gateway.update_endpoint(1, EndpointState::Ready, START);
+    gateway.report_role(1, Role::Replica);
     let mut sent = 0;
     for _ in 0..100 {
-        let (read, actions) = front.arrive(ANY);
-        if let Some((_, 1)) = sends(&actions).first() {
+        let (read, actions) = gateway.arrive(EVENTUAL);
+        if let Some((_, 1)) = dispatches(&actions).first() {
             sent += 1;
-            front.ends(read, 0, Outcome::Rejected, MemberReport::default());
+            gateway.end_attempt(read, 0, Outcome::Rejected, MemberReport::default());
         }
     }
     assert!(sent <= 2, "{sent} sends to a member just started");
 }
 
+/// Without checks no read goes to a replica not known in sync.
 #[test]
-fn without_checks_no_read_goes_to_a_replica_not_known_in_sync() {
+fn unchecked_reads_go_only_to_replicas_known_in_sync() {
     let mut settings = settings();
     settings.replica_checks = ReplicaChecks::None;
-    let mut front = Front::ready(settings, 3);
-    front.now += 400 * MS;
-    let (read, mut actions) = front.arrive(BOUNDED);
+    let mut gateway = TestGateway::ready(settings, 3);
+    gateway.now += 400 * MS;
+    let (read, mut actions) = gateway.arrive(BOUNDED);
     assert!(actions.iter().any(|a| matches!(a, Action::CheckHealth(_))));
     assert_eq!(
-        sends(&actions),
+        dispatches(&actions),
         [],
         "a standby is asked first how far it is"
     );
     for member in [1, 2] {
-        assert_eq!(sends(&actions), [], "one is left to hear from");
-        front.now += MS;
-        actions = front.tell_behind(member, Role::Replica, 350 * MS);
+        assert_eq!(dispatches(&actions), [], "one is left to hear from");
+        gateway.now += MS;
+        actions = gateway.report_lag(member, Role::Replica, 350 * MS);
     }
     assert_eq!(
-        sends(&actions),
+        dispatches(&actions),
         [(read, 0)],
         "all that were asked are behind"
     );
 }
 
+/// Settings that contradict themselves are an error.
 #[test]
-fn settings_that_contradict_themselves_are_an_error() {
+fn contradictory_settings_are_an_error() {
     let mut settings = settings();
     settings.staleness_bounds.pop();
     assert!(asterreel::policy::Router::new(settings, 1, 0).is_err());
 }
 
+/// Unknown class or group gets a final answer and unknown names are ignored.
 #[test]
-fn unknown_class_or_group_gets_a_final_answer_and_unknown_names_are_ignored() {
-    let mut front = Front::ready(settings(), 2);
-    let (request, actions) = front.arrive(99);
-    assert!(refused(&actions, request));
-    front.ends(
+fn unknown_class_is_rejected_and_unknown_ids_ignored() {
+    let mut gateway = TestGateway::ready(settings(), 2);
+    let (request, actions) = gateway.arrive(99);
+    assert!(is_rejected(&actions, request));
+    gateway.end_attempt(
         RequestId(12345),
         3,
         Outcome::Served,
         MemberReport::default(),
     );
-    front.event(Event::ClientGone(RequestId(777)));
-    front.event(Event::HealthChecked(
+    gateway.event(Event::ClientGone(RequestId(777)));
+    gateway.event(Event::HealthChecked(
         MemberId(99),
         Outcome::Served,
         MemberReport::default(),
     ));
-    let (mut empty, _) = Front::new(settings(), 0);
-    let (request, actions) = empty.arrive(ANY);
-    assert!(refused(&actions, request));
+    let (mut empty, _) = TestGateway::new(settings(), 0);
+    let (request, actions) = empty.arrive(EVENTUAL);
+    assert!(is_rejected(&actions, request));
 }
 
 /// What the test knows of a request, from the actions alone.
@@ -225,27 +233,27 @@
     settings.replica_checks = checks;
     settings.parallel = parallel;
     settings.probes = probes;
-    let (mut front, actions) = Front::new(settings.clone(), 4);
+    let (mut gateway, actions) = TestGateway::new(settings.clone(), 4);
     let mut watcher = Watcher::default();
-    watcher.check(&settings, front.now, &actions);
+    watcher.check(&settings, gateway.now, &actions);
     for (kind, a, b) in steps {
-        front.now += u64::from(b % 16) * MS;
-        expire(&mut watcher, &mut front, &settings);
+        gateway.now += u64::from(b % 16) * MS;
+        expire(&mut watcher, &mut gateway, &settings);
         match kind % 8 {
             0..=2 => {
-                let id = RequestId(front.next);
+                let id = RequestId(gateway.next);
                 let class = usize::from(a) % settings.classes.len();
                 let seen = Seen {
                     class,
-                    due: front.now + 2_000 * MS,
+                    due: gateway.now + 2_000 * MS,
                     out: Vec::new(),
                     may_have_run: false,
                     sends: 0,
                     done: false,
                 };
                 watcher.requests.insert(id, seen);
-                let (_, actions) = front.arrive_with(class, Some(u64::from(b)), None);
-                watcher.check(&settings, front.now, &actions);
+                let (_, actions) = gateway.arrive_with(class, Some(u64::from(b)), None);
+                watcher.check(&settings, gateway.now, &actions);
             }
             3 | 4 if !watcher.out.is_empty() => {
                 let (id, number, m, _) = watcher.out[usize::from(a) % watcher.out.len()];
@@ -261,7 +269,7 @@
                 ][usize::from(b) % 8];
                 end(
                     &mut watcher,
-                    &mut front,
+                    &mut gateway,
                     &settings,
                     (id, number, m),
                     outcome,
@@ -276,9 +284,9 @@
                     Role::Replica
                 };
                 let lag = u64::from(b) * 4 * MS;
-                hear(&mut watcher, m, note(role, front.now - lag));
-                let actions = front.tell_behind(m, role, lag);
-                watcher.check(&settings, front.now, &actions);
+                hear(&mut watcher, m, member_report(role, gateway.now - lag));
+                let actions = gateway.report_lag(m, role, lag);
+                watcher.check(&settings, gateway.now, &actions);
             }
             6 if b % 4 == 0 => {
                 let m = u32::from(a) % 4;
@@ -291,34 +299,34 @@
                 if state == EndpointState::Ready {
                     watcher.drained.remove(&m);
                 } else {
-                    watcher.drained.entry(m).or_insert(front.now);
+                    watcher.drained.entry(m).or_insert(gateway.now);
                 }
-                let actions = front.change(m, state, 0);
-                watcher.check(&settings, front.now, &actions);
+                let actions = gateway.update_endpoint(m, state, 0);
+                watcher.check(&settings, gateway.now, &actions);
             }
             _ => {
-                let actions = front.event(Event::TimerFired);
-                watcher.check(&settings, front.now, &actions);
+                let actions = gateway.event(Event::TimerFired);
+                watcher.check(&settings, gateway.now, &actions);
             }
         }
     }
     // Everything is answered in the end: time-outs arrive, timers fire.
     for _ in 0..500 {
-        front.now += 5 * MS;
-        expire(&mut watcher, &mut front, &settings);
-        let actions = front.event(Event::TimerFired);
-        watcher.check(&settings, front.now, &actions);
+        gateway.now += 5 * MS;
+        expire(&mut watcher, &mut gateway, &settings);
+        let actions = gateway.event(Event::TimerFired);
+        watcher.check(&settings, gateway.now, &actions);
     }
     assert!(watcher.requests.values().all(|seen| seen.done));
 }
 
 /// Attempts that reach their time-out end with it, as the wire would have it.
-fn expire(watcher: &mut Watcher, front: &mut Front, settings: &Settings) {
+fn expire(watcher: &mut Watcher, gateway: &mut TestGateway, settings: &Settings) {
     let mut late = watcher.out.clone();
-    late.retain(|out| out.3 <= front.now);
+    late.retain(|out| out.3 <= gateway.now);
     for (id, number, member, _) in late {
         let attempt = (id, number, member);
-        end(watcher, front, settings, attempt, Outcome::TimedOut, 0);
+        end(watcher, gateway, settings, attempt, Outcome::TimedOut, 0);
     }
 }
 
@@ -338,7 +346,7 @@
 
 fn end(
     watcher: &mut Watcher,
-    front: &mut Front,
+    gateway: &mut TestGateway,
     settings: &Settings,
     (id, number, m): (RequestId, u32, u32),
     outcome: Outcome,
@@ -357,7 +365,7 @@
         Role::Replica
     };
     let said = if answered {
-        note(role, front.now - 5 * MS)
+        member_report(role, gateway.now - 5 * MS)
     } else {
         MemberReport::default()
     };
@@ -367,11 +375,11 @@
         AnswerStatus::Owed
     };
     hear(watcher, m, said);
-    let actions = front.event(Event::AttemptEnded(AttemptEnded {
+    let actions = gateway.event(Event::AttemptEnded(AttemptEnded {
         answer,
-        ..ended(id, number, outcome, 60 * MS, said)
+        ..attempt_ended(id, number, outcome, 60 * MS, said)
     }));
-    watcher.check(settings, front.now, &actions);
+    watcher.check(settings, gateway.now, &actions);
 }
 
 proptest! {
@@ -381,8 +389,9 @@
         rng_seed: proptest::test_runner::RngSeed::Fixed(6066),
         ..ProptestConfig::default()
     })]
+    /// The rules hold over any legal events.
     #[test]
-    fn the_rules_hold_over_any_legal_events(
+    fn rules_hold_over_arbitrary_events(
         steps in proptest::collection::vec(any::<(u8, u8, u8)>(), 1..300),
         checks in any::<bool>(),
         parallel in any::<bool>(),
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -728,7 +728,7 @@
 }
 
 #[test]
-fn the_rules_hold_whatever_the_settings() {
+fn rules_hold_for_random_settings() {
     let cases = std::env::var("SETTINGS_CASES")
         .ok()
         .and_then(|cases| cases.parse().ok())
