--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,6 +1,7 @@
-//! The vocabulary of the decision module: settings, events and actions.
+//! The types a [`crate::policy::Router`] takes in and answers with: settings, events and actions.
 //!
-//! Times are microseconds on one clock; positions in the log are times on it too.
+//! Times are microseconds on one monotonic clock. A position in the replicated log is the time of the commit there, on
+//! the same clock. Nothing here decides anything or does input or output.
 
 use std::sync::Arc;
 
@@ -13,7 +14,7 @@
 /// A database server; stays the same when its process restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct MemberId(pub u32);
-/// A group of one primary and its replicas.
+/// A replication group: one primary and its replicas.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GroupId(pub u64);
 /// A client session.
@@ -32,23 +33,23 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptNo(pub u32);
 
-/// What repeating a request does.
+/// What running a request more than once does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// No harm: it may be repeated and rejected freely.
+    /// No harm: it may be retried and rejected freely.
     Idempotent,
-    /// Members discard repeats by its key, within a scope and for a time.
+    /// Members discard repeats by its idempotency key, within a scope and for a time.
     IdempotencyKey {
         /// The members that discard each other's repeats.
         scope: DeduplicationScope,
-        /// How long they remember, from the first send that might have run.
+        /// How long they remember a key, microseconds, from the first dispatch that may have run.
         window: Micros,
     },
     /// It must never run twice.
     NonIdempotent,
 }
 
-/// The members that know each other's keyed requests.
+/// The members that share their idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All members.
@@ -62,77 +63,77 @@
 /// The consistency level that a request asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConsistencyLevel {
-    /// It changes data: only the primary takes it.
+    /// A write: only the primary takes it.
     Write,
-    /// All that was committed before it arrived.
+    /// A read that sees all that was committed before it arrived.
     Strong,
-    /// All that its session has written.
+    /// A read that sees all that its session has written (read your writes).
     Session,
-    /// Data no older than the staleness bound of its class when the request is dispatched.
+    /// A read of data no older than the staleness bound of its class when it is dispatched.
     BoundedStaleness,
-    /// Any data.
+    /// A read of any data.
     Eventual,
 }
 
 /// A request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// What repeating does.
+    /// What running it more than once does.
     pub idempotency: Idempotency,
-    /// An answer within this time has the full weight.
+    /// An answer within this time, microseconds, has the full weight.
     pub latency_objective: Micros,
     /// The objective grows by this many times the request's own cost.
     pub objective_work_factor: f64,
-    /// How long a client waits over all its attempts.
+    /// How long a client waits over all its attempts, microseconds.
     pub deadline: Micros,
-    /// What one request weighs beside others.
+    /// The weight of one request beside others.
     pub priority_weight: f64,
     /// The share of its weight that a late answer has.
     pub late_weight: f64,
 }
 
-/// A tenant and its share.
+/// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second over all gateways within its share.
+    /// Requests a second over all gateways within its quota.
     pub quota: f64,
 }
 
 /// What a member does with a read that it is too far behind for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaChecks {
-    /// It answers from what it has.
+    /// It answers from the data it has.
     None,
-    /// It turns the read away, at once or after a short wait.
+    /// It rejects the read, at once or after a short wait.
     RejectStale,
 }
 
-/// How session reads know what they must see.
+/// Where the position that a session read must see comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionTokens {
-    /// The request says how long ago its session last wrote.
+    /// The request carries how long ago its session last wrote.
     Carried,
-    /// This router remembers the commits it was answered with.
+    /// This router remembers the commits of its answers.
     Remembered,
 }
 
-/// Whether the list names the primary.
+/// Whether the endpoint list names the primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedRole {
-    /// Some seconds late.
+    /// It does, some seconds late.
     Delayed,
-    /// As it was at the start.
+    /// It does, as it was at the start.
     AtStart,
-    /// Not at all.
+    /// It does not.
     Never,
 }
 
-/// How the list of members is had.
+/// How endpoint updates arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Changes arrive unprompted.
+    /// They are pushed.
     Push,
-    /// It must be watched.
+    /// The list must be watched.
     Watch,
 }
 
@@ -152,12 +153,12 @@
     }
 }
 
-/// Which list entries bind as a drain.
+/// Which listed states stop new dispatches to a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainSignal {
-    /// Draining and gone alike.
+    /// Draining and removed alike.
     DrainingOrRemoved,
-    /// Only an entry seen as draining.
+    /// Only draining; a removal alone does not.
     DrainingOnly,
 }
 
@@ -168,7 +169,7 @@
     pub classes: Vec<Class>,
     /// The consistency level of each class.
     pub consistency_levels: Vec<ConsistencyLevel>,
-    /// The age bound of each class; it counts for [`ConsistencyLevel::BoundedStaleness`].
+    /// The staleness bound of each class, microseconds; it applies to [`ConsistencyLevel::BoundedStaleness`].
     pub staleness_bounds: Vec<Micros>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
@@ -178,49 +179,49 @@
     pub fleet_size: u32,
     /// This gateway's zone.
     pub zone: ZoneId,
-    /// How the list is had.
+    /// How endpoint updates arrive.
     pub discovery: DiscoveryMode,
     /// Whether members check reads themselves.
     pub replica_checks: ReplicaChecks,
-    /// How session reads know their token.
+    /// Where the position of session reads comes from.
     pub session_tokens: SessionTokens,
-    /// Whether answers carry positions.
+    /// Whether answers carry log positions.
     pub positions: Permit,
-    /// Whether the list names the primary.
+    /// Whether the endpoint list names the primary.
     pub listed_role: ListedRole,
-    /// Whether members may be probed.
+    /// Whether the health of members may be checked.
     pub probes: Permit,
     /// Whether attempts may be cancelled.
     pub cancel: Permit,
-    /// Whether a request may have two attempts out together.
+    /// Whether a request may have two attempts in flight.
     pub parallel: Permit,
-    /// Whether rejected clients are told when to retry.
+    /// Whether rejections may carry a Retry-After.
     pub retry_after: Permit,
-    /// The longest Retry-After that clients follow.
+    /// The longest Retry-After that clients follow, microseconds.
     pub max_retry_after: Micros,
     /// The most attempts a request may have.
     pub max_attempts: u32,
-    /// Batches of events come no more often than this.
+    /// The least time between two batches of events, microseconds.
     pub batch_period: Micros,
-    /// How late after the client's deadline a final answer still counts.
+    /// How late after the client's deadline a final answer still counts, microseconds.
     pub answer_slack: Micros,
-    /// How long after notice of a drain attempts may still be dispatched.
+    /// How long after notice of a drain attempts may still be dispatched, microseconds.
     pub drain_grace: Micros,
-    /// Which entries bind as a drain.
+    /// Which listed states stop new dispatches to a member.
     pub drain_signal: DrainSignal,
-    /// Changes of a list that is not watched count as notified after this long.
+    /// Changes of a list that is not watched count as notified after this long, microseconds.
     pub poll_interval: Micros,
-    /// The share of its capacity that a started member has at first.
+    /// The share of its capacity, from 0 to 1, that a started member has at first.
     pub slow_start_initial_share: f64,
-    /// How long a started member is warming up at most.
+    /// How long a started member is warming up at most, microseconds.
     pub slow_start_duration: Micros,
     /// A member that is warming up fails at this multiple of its present capacity.
     pub overload_multiple: f64,
-    /// How long that load must last for it to fail.
+    /// How long that load must last for it to fail, microseconds.
     pub overload_duration: Micros,
 }
 
-/// A member's role as told by an answer or a report.
+/// A member's role, as an answer or a load report has it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// It takes writes.
@@ -232,9 +233,9 @@
 /// What a member reports of itself, with an answer or to a health check.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemberReport {
-    /// Its role, if told.
+    /// Its role, if reported.
     pub role: Option<Role>,
-    /// All commits up to here are applied; for a write that went through, its commit.
+    /// All commits up to this position are applied; for a served write, its commit.
     pub position: Option<Micros>,
 }
 
@@ -245,7 +246,7 @@
     Served,
     /// The member answered with an error; it may have run.
     Error,
-    /// Rejected unseen: full or draining.
+    /// Rejected before it ran: the member was full or draining.
     Rejected,
     /// No answer in time; it may have run.
     TimedOut,
@@ -253,13 +254,13 @@
     ConnectFailed,
     /// The connection dropped; it may have run.
     Reset,
-    /// Called off; it may have run.
+    /// Cancelled; it may have run.
     Cancelled,
     /// Never sent.
     NotSent,
-    /// Turned away untouched: not the primary, or too far behind.
+    /// Rejected before it ran: the member is not the primary, or too far behind.
     Misrouted,
-    /// Turned away untouched: the request itself is at fault, wherever it is sent.
+    /// Rejected before it ran: the request itself is at fault, wherever it is sent.
     InvalidRequest,
 }
 
@@ -274,7 +275,7 @@
     }
 }
 
-/// Whether a request still waits for its final answer.
+/// Whether the router still owes a request its final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerStatus {
     /// The router owes a final answer.
@@ -294,13 +295,13 @@
     pub tenant: TenantId,
     /// Its session, if it has one.
     pub session: Option<SessionId>,
-    /// When the client gives up on this try.
+    /// The client's deadline for this request.
     pub due: Micros,
-    /// Its expected work, where told.
+    /// Its expected work, microseconds, where known.
     pub estimate: Option<Micros>,
     /// The group whose data it needs.
     pub group: GroupId,
-    /// How long ago its session last wrote, where the request carries that.
+    /// How long ago its session last wrote, microseconds, where the request carries that.
     pub since_write: Option<Micros>,
 }
 
@@ -312,7 +313,7 @@
     Ready,
     /// It finishes what it has and takes nothing new.
     Draining,
-    /// Withdrawn.
+    /// It is not listed any more.
     Removed,
 }
 
@@ -357,9 +358,9 @@
     pub attempt: AttemptNo,
     /// How it ended.
     pub outcome: Outcome,
-    /// How long since it went out.
+    /// How long ago it was dispatched, microseconds.
     pub latency: Micros,
-    /// What the answer itself says of the member.
+    /// What the answer itself reports of the member.
     pub answer_report: MemberReport,
     /// The load report that came with it; made before the answer.
     pub load_report: MemberReport,
@@ -367,25 +368,25 @@
     pub answer: AnswerStatus,
 }
 
-/// What happens to a router.
+/// What a router takes in.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A request came in.
+    /// A request arrived.
     RequestArrived(Arrival),
     /// An attempt ended.
     AttemptEnded(AttemptEnded),
-    /// A streamed answer has begun; the attempt belongs to the client now.
+    /// A streamed answer has begun: the attempt belongs to the client now.
     StreamStarted(RequestId),
-    /// The client has left; nothing is owed.
+    /// The client has left: no answer is owed.
     ClientGone(RequestId),
-    /// A probe came back, with what the member reported.
+    /// A health check ended, with what the member reported.
     HealthChecked(MemberId, Outcome, MemberReport),
     /// The endpoint list, or a change of it.
     EndpointsUpdated(UpdateKind, Arc<[Endpoint]>),
     /// A call to discovery failed, or the watch was lost: changes meanwhile are missed, and count as notified some
     /// seconds after they were made.
     WatchLost(WatchLoss),
-    /// The timer asked for has come due.
+    /// The timer of [`Action::SetTimer`] has fired.
     TimerFired,
 }
 
@@ -394,7 +395,7 @@
 pub struct WatchLoss {
     /// For how long there was no contact, microseconds; of a call that was not answered, since it began.
     pub staleness: Micros,
-    /// An update had begun and did not come complete, or made no sense: what it holds counts as notified already.
+    /// An update had begun and was incomplete or malformed: what it holds counts as notified already.
     pub truncated: bool,
 }
 
@@ -408,7 +409,7 @@
     }
 }
 
-/// A change of what a router knows of a member, for the people on call.
+/// A change of what a router knows of a member, for operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberTransition {
     /// It is the known primary of its group now.
@@ -419,19 +420,19 @@
     Failed,
 }
 
-/// What a router wants done.
+/// What a router asks its caller to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send an attempt of a request; attempts count from 0 in the order sent.
+    /// Dispatch an attempt of a request; attempts count from 0 in the order dispatched.
     Dispatch {
         /// The request.
         request: RequestId,
         /// Where to.
         member: MemberId,
-        /// How long its answer is to be waited for.
+        /// How long to wait for its answer, microseconds.
         timeout: Micros,
     },
-    /// Call an attempt off.
+    /// Cancel an attempt.
     CancelAttempt {
         /// The request.
         request: RequestId,
@@ -442,7 +443,7 @@
     Reject {
         /// The request.
         request: RequestId,
-        /// When to retry, where it helps to say.
+        /// After how long the client should retry, microseconds, where that is known to help.
         retry_after: Option<Micros>,
     },
     /// Final answer: failed, without a promise.
@@ -451,14 +452,14 @@
     CheckHealth(MemberId),
     /// Watch the endpoint list from now on.
     Watch,
-    /// Log a transition for the people on call.
+    /// Log a transition for operators.
     ReportTransition {
         /// The member.
         member: MemberId,
         /// What has changed.
         transition: MemberTransition,
     },
-    /// Ask for an [`Event::TimerFired`] after this long.
+    /// Send an [`Event::TimerFired`] after this long, microseconds.
     SetTimer(Micros),
 }
 
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -68,7 +68,8 @@
         let earned = now.saturating_sub(self.updated_at) as f64 * rate_per_us;
         let tokens = self.tokens + earned;
         let capacity = rate_per_us * span as f64 / 2.0;
-        // A bucket that earns less than a whole token keeps one for half a span: so a few gateways have one at any time.
+        // A bucket that earns less than a whole token keeps one for half a span: that bounds how many gateways hold one
+        // at the same time.
         if capacity < 1.0 && tokens.max(0.0).fract() > capacity {
             tokens.fract()
         } else {
