--- a/src/bin/asterreel/running.rs
+++ b/src/bin/asterreel/running.rs
@@ -60,7 +60,7 @@
     /// Takes in a signal; false when it asks to end.
     fn serves_on(&mut self, signal: i32) -> bool {
         if signal == SIGHUP {
-            match self.config.again_from_env() {
+            match self.config.reload_from_env() {
                 Ok(again) => take_over(&mut self.config, again, self.source),
                 Err(error) => warn!("{error}; the configuration in force stays"),
             }
--- a/src/config.rs
+++ b/src/config.rs
@@ -198,8 +198,8 @@
     /// # Errors
     ///
     /// [`ConfigError`] names the key at fault.
-    pub fn again_from_env(&self) -> Result<Config, ConfigError> {
-        self.again(&text_from_env()?, variable)
+    pub fn reload_from_env(&self) -> Result<Config, ConfigError> {
+        self.reload(&text_from_env()?, variable)
     }
 
     /// Checks the text of a configuration; `variable` looks up the environment.
@@ -219,7 +219,7 @@
     /// # Errors
     ///
     /// [`ConfigError`] names the key at fault.
-    pub fn again(
+    pub fn reload(
         &self,
         text: &[u8],
         variable: impl Fn(&str) -> Option<String>,
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -77,13 +77,13 @@
         (&moved, "127.0.0.3:1"),
         (EXAMPLE, "127.0.0.1:8500"),
     ] {
-        current = current.again(text.as_bytes(), environment).expect("good");
+        current = current.reload(text.as_bytes(), environment).expect("good");
         assert_eq!(current.discovery.to_string(), discovery);
     }
     let bad = EXAMPLE.replace("127.0.0.1:8500", "nowhere");
     assert_eq!(
         current
-            .again(bad.as_bytes(), environment)
+            .reload(bad.as_bytes(), environment)
             .expect_err("bad")
             .key,
         "discovery"
