--- a/src/bin/asterreel-operator/main.rs
+++ b/src/bin/asterreel-operator/main.rs
@@ -11,8 +11,8 @@
 use asterreel::health::drain::{Balancer, Drain};
 use asterreel::health::Knobs;
 use asterreel::operator::{
-    Agent, CellBounds, Cells, Evaluated, Health, Lease, Listener, OperatorFileError, Peer, Reply,
-    SourceLocation,
+    qualified, Agent, CellBounds, Cells, Evaluated, Health, Lease, Listener, OperatorFileError,
+    Peer, Reply, SettingError, SourceLocation,
 };
 use asterreel::readmission;
 use serde::de::DeserializeOwned;
@@ -118,37 +118,46 @@
         file: path.display().to_string(),
         ..Evaluated::default()
     };
-    if let Some((health, place)) = collected.health {
-        health
-            .check()
-            .map_err(|(key, fault)| place.bad(&asterreel::operator::qualified(&key), &fault))?;
-        evaluated.operator.health = Some(health);
-        evaluated.health_at = Some(place);
-    }
-    if let Some((mut cells, place)) = collected.cells {
-        cells
-            .rules()
-            .map_err(|(key, fault)| place.bad(&format!("cells.{key}"), &fault))?;
-        cells.placement = folder.join(&cells.placement);
-        evaluated.operator.cells = Some(cells);
-    }
-    if let Some((mut lease, place)) = collected.lease {
-        lease
-            .check()
-            .map_err(|(key, fault)| place.bad(&format!("lease.{key}"), &fault))?;
-        if !lease.client {
-            lease.store = folder.join(&lease.store);
+    collected.check(&mut evaluated, folder)?;
+    Ok(evaluated)
+}
+
+impl Collected {
+    /// Checks each call by itself, and gives what the file sets with paths below its folder.
+    fn check(self, evaluated: &mut Evaluated, folder: &Path) -> Result<(), OperatorFileError> {
+        let operator = &mut evaluated.operator;
+        if let Some((health, call)) = self.health {
+            health
+                .check()
+                .map_err(|error| call.error(qualified(error)))?;
+            operator.health = Some(health);
+            evaluated.health_at = Some(call);
         }
-        evaluated.operator.lease = Some(lease);
-        evaluated.lease_at = Some(place);
-    }
-    if let Some((knobs, place)) = collected.readmission {
-        knobs
-            .check()
-            .map_err(|(key, fault)| place.bad(&format!("readmission.{key}"), &fault))?;
-        evaluated.operator.readmission = Some(knobs);
+        if let Some((mut cells, call)) = self.cells {
+            cells
+                .rules()
+                .map_err(|error| call.error(error.below("cells")))?;
+            cells.placement = folder.join(&cells.placement);
+            operator.cells = Some(cells);
+        }
+        if let Some((mut lease, call)) = self.lease {
+            lease
+                .check()
+                .map_err(|fault| call.error(SettingError::from(fault).below("lease")))?;
+            if !lease.client {
+                lease.store = folder.join(&lease.store);
+            }
+            operator.lease = Some(lease);
+            evaluated.lease_at = Some(call);
+        }
+        if let Some((knobs, call)) = self.readmission {
+            knobs
+                .check()
+                .map_err(|fault| call.error(SettingError::from(fault).below("readmission")))?;
+            operator.readmission = Some(knobs);
+        }
+        Ok(())
     }
-    Ok(evaluated)
 }
 
 fn place_of(span: &FileSpan) -> SourceLocation {
@@ -372,7 +381,7 @@
         } else {
             format!("{what}.{key}")
         };
-        let fault = place.bad(&key, fault);
+        let fault = place.error(SettingError::new(key, fault));
         let text = fault.to_string();
         note(fault);
         anyhow::anyhow!("{text}")
@@ -423,10 +432,10 @@
     COLLECTED.with_borrow_mut(|collected| match slot(collected) {
         empty @ None => *empty = Some((value, place)),
         Some((_, first)) => {
-            let fault = place.bad(
+            let fault = place.error(SettingError::new(
                 what,
-                &format!("is set already, at {}:{}", first.file, first.line),
-            );
+                format!("is set already, at {}:{}", first.file, first.line),
+            ));
             collected.fault.get_or_insert(fault);
         }
     });
--- a/src/bin/asterreel/cells.rs
+++ b/src/bin/asterreel/cells.rs
@@ -8,7 +8,7 @@
 use asterreel::cells::who::Caller;
 use asterreel::cells::{record, Admitted, Epoch, Gate, Refusal};
 use asterreel::interface::{Idempotency, MemberId, Micros, Outcome};
-use asterreel::operator;
+use asterreel::operator::{self, SettingError};
 use asterreel_control::clock::Clock;
 use std::io;
 use std::path::PathBuf;
@@ -16,14 +16,6 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// Why cells can't start: a key of `cells` and what is wrong with its value.
-#[derive(Debug, thiserror::Error)]
-#[error("cells.{key}: {fault}")]
-struct StartError {
-    key: String,
-    fault: String,
-}
-
 /// The door of sessions to the gate.
 #[derive(Clone)]
 pub(crate) struct Cells {
@@ -38,14 +30,13 @@
     pub(crate) fn start(settings: &operator::Cells, clock: Clock) -> io::Result<Cells> {
         let rules = settings
             .rules()
-            .map_err(|(key, fault)| io::Error::other(StartError { key, fault }))?;
+            .map_err(|error| io::Error::other(error.below("cells")))?;
         let by_statement = rules.who.by_statement();
         let mut file = PlacementFile::new(settings, clock);
         let fresh_until = file.fresh_until();
         let placement = file.read_first().map_err(|error| {
             let fault = format!("{}: {error}", file.path.display());
-            let key = "placement".to_owned();
-            io::Error::other(StartError { key, fault })
+            io::Error::other(SettingError::new("cells.placement", fault))
         })?;
         let cells = Cells {
             gate: Arc::new(Mutex::new(Gate::new(rules, placement, fresh_until))),
--- a/src/operator/settings.rs
+++ b/src/operator/settings.rs
@@ -1,13 +1,14 @@
 //! The types that an operator's file is checked into.
 
+use super::SettingError;
 use crate::cells::bulkhead::Bounds;
 use crate::cells::who::{Source, Who};
 use crate::cells::{quarantine, Rules};
 use crate::config::Config;
 use crate::health::drain::{Balancer, Drain, Hearing, Timetable};
 use crate::health::Knobs;
-use asterreel_control::settings::within;
-use asterreel_control::settings::Lease;
+use crate::interface::Micros;
+use asterreel_control::settings::{within, Lease};
 use ipnet::IpNet;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -17,14 +18,14 @@
 /// All that an operator's file sets; everything is off unless it is there.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Operator {
-    /// Health for balancers.
+    /// `health(...)`: health for balancers.
     pub health: Option<Health>,
-    /// Cells.
+    /// `cells(...)`: which tenants may reach which groups.
     pub cells: Option<Cells>,
-    /// Duties with one holder in the fleet.
+    /// `lease(...)`: the fleet's control plane, and the duties with one holder in the fleet.
     #[serde(default)]
     pub lease: Option<Lease>,
-    /// How many clients may come back at once.
+    /// `readmission(...)`: how many clients may reconnect at once.
     #[serde(default)]
     pub readmission: Option<crate::readmission::Knobs>,
 }
@@ -33,33 +34,44 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CellBounds {
-    /// Requests that are open.
+    /// Requests in flight.
     pub requests: u32,
     /// Bytes of their statements.
     pub bytes: u64,
 }
 
+impl CellBounds {
+    fn enforced(&self) -> Bounds {
+        Bounds {
+            requests: self.requests,
+            bytes: self.bytes,
+            ..Bounds::default()
+        }
+    }
+}
+
 /// Cells: which tenants may reach which groups.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Cells {
     /// The published placement; relative to the operator's file.
     pub placement: PathBuf,
-    /// Who asks: the first that knows.
+    /// How the tenant of a request is resolved: by the first source that knows it.
     pub who: Vec<Source>,
-    /// Bounds by cell's name.
+    /// Bounds by the cell's name.
     #[serde(default)]
     pub bounds: BTreeMap<String, CellBounds>,
-    /// Bounds of the others.
+    /// Bounds of all other cells.
     #[serde(default)]
     pub default_bounds: CellBounds,
-    /// Poison.
+    /// When statements that crash members are quarantined.
     #[serde(default)]
     pub quarantine: quarantine::Knobs,
-    /// Time between two looks at the placement, milliseconds; 50 to 60000, default 500.
+    /// Time between two reads of the placement, milliseconds; 50 to 60000, default 500.
     #[serde(default = "reread")]
     pub reread_ms: u64,
-    /// How long writes may go by a placement that can't be looked at, milliseconds; default 5000.
+    /// How long writes may follow a placement that can't be read again, milliseconds; at least twice `reread_ms`, at most
+    /// 600000, default 5000.
     #[serde(default = "lease")]
     pub lease_ms: u64,
 }
@@ -73,52 +85,48 @@
 }
 
 impl Cells {
-    /// Checks it, and puts it in the words of [`crate::cells`].
+    /// Checks it, and gives it in the types of [`crate::cells`].
     ///
     /// # Errors
     ///
     /// The key at fault and what is wrong with its value.
-    pub fn rules(&self) -> Result<Rules, (String, String)> {
-        let owned = |(key, fault): (&str, String)| (key.to_owned(), fault);
+    pub fn rules(&self) -> Result<Rules, SettingError> {
         if self.who.is_empty() {
-            return Err(("who".into(), "names no source: nobody could ask".into()));
+            return Err(SettingError::new(
+                "who",
+                "names no source: nobody could ask",
+            ));
         }
         if self.placement.as_os_str().is_empty() {
-            return Err(("placement".into(), "names no file".into()));
+            return Err(SettingError::new("placement", "names no file"));
         }
-        within("reread_ms", self.reread_ms, 50, 60_000).map_err(owned)?;
-        within("lease_ms", self.lease_ms, 2 * self.reread_ms, 600_000).map_err(owned)?;
-        let knobs = &self.quarantine;
-        within("quarantine.members", knobs.members as u64, 1, 16).map_err(owned)?;
-        within(
-            "quarantine.tenant_members",
-            knobs.tenant_members as u64,
-            1,
-            64,
-        )
-        .map_err(owned)?;
-        within("quarantine.window_ms", knobs.window_ms, 1_000, 3_600_000).map_err(owned)?;
-        within("quarantine.lasts_ms", knobs.lasts_ms, 1_000, 86_400_000).map_err(owned)?;
-        within("quarantine.entries", knobs.entries as u64, 16, 65_536).map_err(owned)?;
-        let bounds = |bounds: &CellBounds| Bounds {
-            requests: bounds.requests,
-            bytes: bounds.bytes,
-            ..Bounds::default()
-        };
+        within("reread_ms", self.reread_ms, 50, 60_000)?;
+        within("lease_ms", self.lease_ms, 2 * self.reread_ms, 600_000)?;
+        self.check_quarantine()?;
+        let bounds = self.bounds.iter();
         Ok(Rules {
             who: Who::new(self.who.clone())?,
-            bounds: self
-                .bounds
-                .iter()
-                .map(|(name, own)| (name.clone(), bounds(own)))
+            bounds: bounds
+                .map(|(cell, bounds)| (cell.clone(), bounds.enforced()))
                 .collect(),
-            default_bounds: bounds(&self.default_bounds),
+            default_bounds: self.default_bounds.enforced(),
             quarantine: self.quarantine,
         })
     }
+
+    fn check_quarantine(&self) -> Result<(), SettingError> {
+        let knobs = &self.quarantine;
+        let tenant_members = knobs.tenant_members as u64;
+        within("quarantine.members", knobs.members as u64, 1, 16)?;
+        within("quarantine.tenant_members", tenant_members, 1, 64)?;
+        within("quarantine.window_ms", knobs.window_ms, 1_000, 3_600_000)?;
+        within("quarantine.lasts_ms", knobs.lasts_ms, 1_000, 86_400_000)?;
+        within("quarantine.entries", knobs.entries as u64, 16, 65_536)?;
+        Ok(())
+    }
 }
 
-/// A front that listens.
+/// A listener of health checks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listener {
@@ -126,7 +134,7 @@
     pub listen: SocketAddr,
 }
 
-/// The front of agent-check.
+/// The listener of HAProxy's agent-check.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Agent {
@@ -135,7 +143,7 @@
     /// How long the first byte of an `agent-send` text is waited for; 0 to 500, default 20.
     #[serde(default = "agent_wait")]
     pub wait_ms: u64,
-    /// Tell `maxconn`: how many client connections there is room for.
+    /// Whether to report `maxconn`: how many client connections there is capacity for.
     #[serde(default)]
     pub maxconn: bool,
 }
@@ -155,43 +163,45 @@
     /// HAProxy's agent-check.
     #[serde(default)]
     pub agent: Option<Agent>,
-    /// HTTP/1.1.
+    /// Checks over HTTP/1.1.
     #[serde(default)]
     pub http: Option<Listener>,
-    /// PostgreSQL's check.
+    /// Checks in PostgreSQL's protocol.
     #[serde(default)]
     pub postgres: Option<Listener>,
-    /// gRPC health v1.
+    /// Checks by gRPC health v1.
     #[serde(default)]
     pub grpc: Option<Listener>,
-    /// Tell systemd, on the socket that `NOTIFY_SOCKET` names.
+    /// Whether to notify systemd, on the socket that `NOTIFY_SOCKET` names.
     #[serde(default)]
     pub notify: bool,
-    /// Who may ask; default this machine.
+    /// The networks that may check health; default this machine.
     #[serde(default = "asterreel_control::settings::this_machine")]
     pub allow: Vec<IpNet>,
-    /// Connections of all health fronts together; 4 to 128, default 32.
+    /// Connections of all health listeners together; 4 to 128, default 32.
     #[serde(default = "connections")]
     pub connections: usize,
-    /// How balancers check.
+    /// How balancers check health.
     #[serde(default)]
     pub balancer: Balancer,
-    /// The drain.
+    /// The phases of a drain.
     #[serde(default)]
     pub drain: Drain,
-    /// The decisions.
+    /// The options of health decisions.
     #[serde(default)]
     pub knobs: Knobs,
 }
 
 /// Descriptors that health needs beside its connections: listeners, the event queue, its heartbeat (two connections,
 /// and their other ends), one that is closed while the next is taken, and two spare ones.
-const OWN: usize = 14;
+const FIXED_DESCRIPTORS: usize = 14;
+/// Health may take a quarter of the descriptors.
+const MIN_SOCKETS_PER_HEALTH_DESCRIPTOR: usize = 4;
 
 impl Health {
-    /// Descriptors that are set aside for health.
+    /// Descriptors that are reserved for health.
     pub fn descriptors(&self) -> usize {
-        self.connections + OWN
+        self.connections + FIXED_DESCRIPTORS
     }
 
     /// The addresses it listens on, by key.
@@ -210,49 +220,62 @@
         all.into_iter().flatten().collect()
     }
 
-    /// What can be said without the gateway's own configuration.
+    /// Checks what can be checked without the gateway's configuration.
     ///
     /// # Errors
     ///
     /// The key at fault and what is wrong with its value.
-    pub fn check(&self) -> Result<(), (String, String)> {
-        let mut seen: Vec<(&str, SocketAddr)> = Vec::new();
-        for (key, address) in self.listeners() {
-            if address.port() == 0 {
-                return Err((
-                    key.into(),
-                    "port 0 is no place that a balancer can be told".into(),
-                ));
-            }
-            if let Some((other, _)) = seen.iter().find(|(_, taken)| *taken == address) {
-                return Err((key.into(), format!("{address} is {other} already")));
-            }
-            seen.push((key, address));
-        }
-        if seen.is_empty() && !self.notify {
-            return Err((
-                "health".into(),
-                "has no front: set agent, http, postgres, grpc or notify".into(),
-            ));
-        }
-        let owned = |(key, fault): (&str, String)| (key.to_owned(), fault);
-        within("connections", self.connections as u64, 4, 128).map_err(owned)?;
+    pub fn check(&self) -> Result<(), SettingError> {
+        self.check_listeners()?;
+        within("connections", self.connections as u64, 4, 128)?;
         if let Some(agent) = &self.agent {
-            within("agent.wait_ms", agent.wait_ms, 0, 500).map_err(owned)?;
+            within("agent.wait_ms", agent.wait_ms, 0, 500)?;
         }
         if self.allow.is_empty() {
-            return Err(("allow".into(), "names no network: nobody could ask".into()));
+            return Err(SettingError::new(
+                "allow",
+                "names no network: nobody could ask",
+            ));
         }
         self.knobs
             .check()
-            .map_err(|(key, fault)| (format!("knobs.{key}"), fault))?;
+            .map_err(|fault| SettingError::from(fault).below("knobs"))?;
         // With the longest deadline there is; the gateway's own may leave less.
-        self.drain
-            .timetable(&self.balancer, self.hearing(), u64::MAX)
-            .map_err(owned)?;
+        self.timetable(u64::MAX)?;
+        Ok(())
+    }
+
+    fn check_listeners(&self) -> Result<(), SettingError> {
+        let listeners = self.listeners();
+        for (number, (key, address)) in listeners.iter().enumerate() {
+            if address.port() == 0 {
+                let fault = "port 0 is no place that a balancer can be told";
+                return Err(SettingError::new(*key, fault));
+            }
+            let mut earlier = listeners[..number].iter();
+            if let Some((other, _)) = earlier.find(|(_, taken)| taken == address) {
+                return Err(SettingError::new(
+                    *key,
+                    format!("{address} is {other} already"),
+                ));
+            }
+        }
+        if listeners.is_empty() && !self.notify {
+            let fault = "has no front: set agent, http, postgres, grpc or notify";
+            return Err(SettingError::new("health", fault));
+        }
         Ok(())
     }
 
+    /// The drain's timetable where no request lasts longer than this, microseconds.
+    fn timetable(&self, longest_deadline: Micros) -> Result<Timetable, SettingError> {
+        let timetable = self
+            .drain
+            .timetable(&self.balancer, self.hearing(), longest_deadline)?;
+        Ok(timetable)
+    }
+
+    /// How balancers learn of a drain.
     fn hearing(&self) -> Hearing {
         let others = self.http.is_some() || self.postgres.is_some() || self.grpc.is_some();
         if others {
@@ -267,33 +290,22 @@
     /// # Errors
     ///
     /// The key at fault and what is wrong with its value.
-    pub fn beside(&self, config: &Config) -> Result<Timetable, (String, String)> {
+    pub fn beside(&self, config: &Config) -> Result<Timetable, SettingError> {
         self.check()?;
         for (key, address) in self.listeners() {
             if address == config.listen {
-                return Err((
-                    key.into(),
-                    format!("{address} is where clients connect (listen)"),
-                ));
+                let fault = format!("{address} is where clients connect (listen)");
+                return Err(SettingError::new(key, fault));
             }
         }
-        if self.descriptors() > config.sockets / 4 {
+        if self.descriptors() > config.sockets / MIN_SOCKETS_PER_HEALTH_DESCRIPTOR {
             let fault = format!(
                 "{} descriptors are more than a quarter of limits.sockets",
                 self.descriptors()
             );
-            return Err(("connections".into(), fault));
+            return Err(SettingError::new("connections", fault));
         }
-        let longest = config
-            .settings
-            .classes
-            .iter()
-            .map(|class| class.deadline)
-            .max()
-            .unwrap_or(0);
-        let owned = |(key, fault): (&str, String)| (key.to_owned(), fault);
-        self.drain
-            .timetable(&self.balancer, self.hearing(), longest)
-            .map_err(owned)
+        let deadlines = config.settings.classes.iter().map(|class| class.deadline);
+        self.timetable(deadlines.max().unwrap_or(0))
     }
 }
