--- /dev/null
+++ b/src/bin/asterreel-operator/collected.rs
@@ -0,0 +1,120 @@
+//! What a script's calls leave behind. One script at a time is evaluated on a thread, so it is kept by the thread.
+//!
+//! Each part may be set once. Of all errors the first is kept, with its key: an error of the evaluation would lose it.
+
+use asterreel::operator::{
+    qualified, Cells, Evaluated, Health, Lease, OperatorFileError, SettingError, SourceLocation,
+};
+use asterreel::readmission;
+use starlark::codemap::FileSpan;
+use std::cell::RefCell;
+use std::path::Path;
+
+/// What a call sets, and where.
+type Call<T> = Option<(T, SourceLocation)>;
+
+/// The calls of one script so far.
+#[derive(Default)]
+pub(crate) struct Collected {
+    pub(crate) health: Call<Health>,
+    pub(crate) cells: Call<Cells>,
+    pub(crate) lease: Call<Lease>,
+    pub(crate) readmission: Call<readmission::Knobs>,
+    first_error: Option<OperatorFileError>,
+}
+
+thread_local! {
+    static COLLECTED: RefCell<Collected> = RefCell::default();
+}
+
+/// Records an error, unless there was one before.
+pub(crate) fn record_error(error: OperatorFileError) {
+    COLLECTED.with_borrow_mut(|collected| {
+        collected.first_error.get_or_insert(error);
+    });
+}
+
+/// Records what a call sets; set twice, it is an error that names both places.
+pub(crate) fn set_once<T>(
+    function: &str,
+    value: T,
+    call: SourceLocation,
+    slot: impl Fn(&mut Collected) -> &mut Call<T>,
+) {
+    COLLECTED.with_borrow_mut(|collected| match slot(collected) {
+        empty @ None => *empty = Some((value, call)),
+        Some((_, first)) => {
+            let fault = format!("is set already, at {}:{}", first.file, first.line);
+            let error = call.error(SettingError::new(function, fault));
+            collected.first_error.get_or_insert(error);
+        }
+    });
+}
+
+/// Takes what the calls of this thread's script set, checked, after an evaluation with this result.
+pub(crate) fn take(
+    result: Result<(), OperatorFileError>,
+    path: &Path,
+    folder: &Path,
+) -> Result<Evaluated, OperatorFileError> {
+    let collected = COLLECTED.take();
+    if let Some(error) = collected.first_error {
+        return Err(error);
+    }
+    result?;
+    let mut evaluated = Evaluated {
+        file: path.display().to_string(),
+        ..Evaluated::default()
+    };
+    collected.check(&mut evaluated, folder)?;
+    Ok(evaluated)
+}
+
+impl Collected {
+    /// Checks each call by itself, and puts paths below the file's folder.
+    fn check(self, evaluated: &mut Evaluated, folder: &Path) -> Result<(), OperatorFileError> {
+        let operator = &mut evaluated.operator;
+        if let Some((health, call)) = self.health {
+            health
+                .check()
+                .map_err(|error| call.error(qualified(error)))?;
+            operator.health = Some(health);
+            evaluated.health_at = Some(call);
+        }
+        if let Some((mut cells, call)) = self.cells {
+            cells
+                .rules()
+                .map_err(|error| call.error(error.below("cells")))?;
+            cells.placement = folder.join(&cells.placement);
+            operator.cells = Some(cells);
+        }
+        if let Some((mut lease, call)) = self.lease {
+            lease
+                .check()
+                .map_err(|fault| call.error(SettingError::from(fault).below("lease")))?;
+            if !lease.client {
+                lease.store = folder.join(&lease.store);
+            }
+            operator.lease = Some(lease);
+            evaluated.lease_at = Some(call);
+        }
+        if let Some((knobs, call)) = self.readmission {
+            knobs
+                .check()
+                .map_err(|fault| call.error(SettingError::from(fault).below("readmission")))?;
+            operator.readmission = Some(knobs);
+        }
+        Ok(())
+    }
+}
+
+/// A piece of a script as a location; lines and columns count from 1 there.
+pub(crate) fn location_of(span: &FileSpan) -> SourceLocation {
+    let resolved = span.resolve();
+    SourceLocation {
+        file: resolved.file,
+        text: span.source_span().to_owned(),
+        line: resolved.span.begin.line + 1,
+        column: resolved.span.begin.column + 1,
+    }
+}
--- /dev/null
+++ b/src/bin/asterreel-operator/functions.rs
@@ -0,0 +1,226 @@
+//! The functions that an operator's file may call, and the conversion of their arguments to checked types.
+//!
+//! A function that makes a part (`listener`, `agent`, ...) checks its arguments and returns them as a dictionary for the
+//! call that takes the part. The others record what they set.
+
+use crate::collected::{location_of, record_error, set_once};
+use asterreel::cells::quarantine;
+use asterreel::health::drain::{Balancer, Drain};
+use asterreel::health::Knobs;
+use asterreel::operator::{
+    Agent, CellBounds, Cells, Health, Lease, Listener, Peer, SettingError, SourceLocation,
+};
+use asterreel::readmission;
+use serde::de::DeserializeOwned;
+use serde_json::{Map, Value as Json};
+use starlark::environment::{Globals, GlobalsBuilder, LibraryExtension};
+use starlark::eval::Evaluator;
+use starlark::starlark_module;
+use starlark::values::dict::DictRef;
+use starlark::values::{Heap, Value};
+
+/// What scripts may use: the language, its structs, `print`, and the functions below.
+pub(crate) fn globals() -> Globals {
+    GlobalsBuilder::extended_by(&[LibraryExtension::StructType, LibraryExtension::Print])
+        .with(functions)
+        .build()
+}
+
+/// One call of a function: its name and place, for errors.
+struct FunctionCall<'a> {
+    function: &'a str,
+    location: SourceLocation,
+}
+
+impl FunctionCall<'_> {
+    fn under_way<'a>(function: &'a str, evaluator: &Evaluator) -> FunctionCall<'a> {
+        let span = evaluator.call_stack_top_location();
+        let location = span.map(|span| location_of(&span));
+        FunctionCall {
+            function,
+            location: location.unwrap_or(SourceLocation {
+                file: "?".into(),
+                text: String::new(),
+                line: 0,
+                column: 0,
+            }),
+        }
+    }
+
+    /// Records an error of an argument, or of the call as a whole, and ends the evaluation.
+    fn error(&self, argument: &str, fault: &str) -> anyhow::Error {
+        let key = if argument.is_empty() || argument == "." {
+            self.function.to_owned()
+        } else {
+            format!("{}.{argument}", self.function)
+        };
+        let error = self.location.error(SettingError::new(key, fault));
+        let text = error.to_string();
+        record_error(error);
+        anyhow::anyhow!("{text}")
+    }
+
+    /// The arguments as JSON. One that is None counts as left out.
+    fn json(&self, arguments: &DictRef) -> anyhow::Result<Map<String, Json>> {
+        let mut map = Map::new();
+        for (name, value) in arguments.iter() {
+            let name = name.unpack_str().unwrap_or("?");
+            let value = value
+                .to_json_value()
+                .map_err(|_| self.error(name, "is not plain data"))?;
+            if !value.is_null() {
+                map.insert(name.to_owned(), value);
+            }
+        }
+        Ok(map)
+    }
+
+    /// The arguments as the type that they are for.
+    fn typed<T: DeserializeOwned>(&self, arguments: Map<String, Json>) -> anyhow::Result<T> {
+        serde_path_to_error::deserialize(Json::Object(arguments)).map_err(|error| {
+            let (path, fault) = (error.path().to_string(), error.inner().to_string());
+            let field = quoted_after(&fault, "unknown field `")
+                .or_else(|| quoted_after(&fault, "missing field `"));
+            self.error(field.unwrap_or(&path), &fault)
+        })
+    }
+}
+
+/// The name in a text that begins like this, up to the closing quote.
+fn quoted_after<'a>(text: &'a str, beginning: &str) -> Option<&'a str> {
+    text.strip_prefix(beginning)?.split('`').next()
+}
+
+/// The arguments of a call as the type that they are for, and where it is called.
+fn parse<T: DeserializeOwned>(
+    function: &str,
+    arguments: &DictRef,
+    evaluator: &Evaluator,
+) -> anyhow::Result<(T, SourceLocation)> {
+    let call = FunctionCall::under_way(function, evaluator);
+    let json = call.json(arguments)?;
+    let typed = call.typed(json)?;
+    Ok((typed, call.location))
+}
+
+/// A part that another call takes: its arguments, checked against their type, as a dictionary.
+fn plain_data<'v, T: DeserializeOwned>(
+    function: &str,
+    arguments: &DictRef<'v>,
+    evaluator: &mut Evaluator<'v, '_, '_>,
+) -> anyhow::Result<Value<'v>> {
+    let call = FunctionCall::under_way(function, evaluator);
+    let json = call.json(arguments)?;
+    call.typed::<T>(json.clone())?;
+    let heap: Heap<'v> = evaluator.heap();
+    Ok(heap.alloc(Json::Object(json)))
+}
+
+#[starlark_module]
+fn functions(builder: &mut GlobalsBuilder) {
+    /// A listener of health checks.
+    fn listener<'v>(
+        #[starlark(kwargs)] arguments: DictRef<'v>,
+        eval: &mut Evaluator<'v, '_, '_>,
+    ) -> anyhow::Result<Value<'v>> {
+        plain_data::<Listener>("listener", &arguments, eval)
+    }
+
+    /// The listener of agent-check.
+    fn agent<'v>(
+        #[starlark(kwargs)] arguments: DictRef<'v>,
+        eval: &mut Evaluator<'v, '_, '_>,
+    ) -> anyhow::Result<Value<'v>> {
+        plain_data::<Agent>("agent", &arguments, eval)
+    }
+
+    /// How balancers check health.
+    fn balancer<'v>(
+        #[starlark(kwargs)] arguments: DictRef<'v>,
+        eval: &mut Evaluator<'v, '_, '_>,
+    ) -> anyhow::Result<Value<'v>> {
+        plain_data::<Balancer>("balancer", &arguments, eval)
+    }
+
+    /// The phases of a drain.
+    fn drain<'v>(
+        #[starlark(kwargs)] arguments: DictRef<'v>,
+        eval: &mut Evaluator<'v, '_, '_>,
+    ) -> anyhow::Result<Value<'v>> {
+        plain_data::<Drain>("drain", &arguments, eval)
+    }
+
+    /// The options of health decisions.
+    fn knobs<'v>(
+        #[starlark(kwargs)] arguments: DictRef<'v>,
+        eval: &mut Evaluator<'v, '_, '_>,
+    ) -> anyhow::Result<Value<'v>> {
+        plain_data::<Knobs>("knobs", &arguments, eval)
+    }
+
+    /// Health for balancers; called once at most.
+    fn health<'v>(
+        #[starlark(kwargs)] arguments: DictRef<'v>,
+        eval: &mut Evaluator<'v, '_, '_>,
+    ) -> anyhow::Result<Value<'v>> {
+        let (health, call) = parse::<Health>("health", &arguments, eval)?;
+        set_once("health", health, call, |collected| &mut collected.health);
+        Ok(Value::new_none())
+    }
+
+    /// What a cell may hold.
+    fn bounds<'v>(
+        #[starlark(kwargs)] arguments: DictRef<'v>,
+        eval: &mut Evaluator<'v, '_, '_>,
+    ) -> anyhow::Result<Value<'v>> {
+        plain_data::<CellBounds>("bounds", &arguments, eval)
+    }
+
+    /// When statements that crash members are quarantined.
+    fn quarantine<'v>(
+        #[starlark(kwargs)] arguments: DictRef<'v>,
+        eval: &mut Evaluator<'v, '_, '_>,
+    ) -> anyhow::Result<Value<'v>> {
+        plain_data::<quarantine::Knobs>("quarantine", &arguments, eval)
+    }
+
+    /// A control member, or a gateway that the control members serve.
+    fn peer<'v>(
+        #[starlark(kwargs)] arguments: DictRef<'v>,
+        eval: &mut Evaluator<'v, '_, '_>,
+    ) -> anyhow::Result<Value<'v>> {
+        plain_data::<Peer>("peer", &arguments, eval)
+    }
+
+    /// The fleet's control plane, and this gateway's part in it; called once at most.
+    fn lease<'v>(
+        #[starlark(kwargs)] arguments: DictRef<'v>,
+        eval: &mut Evaluator<'v, '_, '_>,
+    ) -> anyhow::Result<Value<'v>> {
+        let (lease, call) = parse::<Lease>("lease", &arguments, eval)?;
+        set_once("lease", lease, call, |collected| &mut collected.lease);
+        Ok(Value::new_none())
+    }
+
+    /// How many clients may reconnect at once; called once at most.
+    fn readmission<'v>(
+        #[starlark(kwargs)] arguments: DictRef<'v>,
+        eval: &mut Evaluator<'v, '_, '_>,
+    ) -> anyhow::Result<Value<'v>> {
+        let (knobs, call) = parse::<readmission::Knobs>("readmission", &arguments, eval)?;
+        set_once("readmission", knobs, call, |collected| {
+            &mut collected.readmission
+        });
+        Ok(Value::new_none())
+    }
+
+    /// Cells; called once at most.
+    fn cells<'v>(
+        #[starlark(kwargs)] arguments: DictRef<'v>,
+        eval: &mut Evaluator<'v, '_, '_>,
+    ) -> anyhow::Result<Value<'v>> {
+        let (cells, call) = parse::<Cells>("cells", &arguments, eval)?;
+        set_once("cells", cells, call, |collected| &mut collected.cells);
+        Ok(Value::new_none())
+    }
+}
