--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,26 +1,78 @@
-//! The operator's file: what it sets, and what is said of each wrong one.
+//! The operator's file: what it sets, and the error of each wrong one.
+
 use asterreel::config::Config;
-use asterreel::operator::{self, Evaluated, OperatorFileError};
-use std::path::Path;
+use asterreel::operator::{self, Evaluated, Operator, OperatorFileError};
+use std::path::{Path, PathBuf};
 use std::time::Duration;
+use tempfile::TempDir;
+
+/// Three peers that vote, and one that is served.
+const FLEET: &str = "peers = [peer(id = 1, address = '127.0.0.1:7101'), peer(id = 2, address = '127.0.0.1:7102'), \
+                     peer(id = 3, address = '127.0.0.1:7103'), peer(id = 4, address = '127.0.0.1:7104', voter = False)]";
 
 fn evaluate(path: &Path) -> Result<Evaluated, OperatorFileError> {
     let evaluator = Path::new(env!("CARGO_BIN_EXE_asterreel-operator"));
     operator::evaluate(evaluator, path, Duration::from_secs(20))
 }
 
-fn fault(text: &str) -> OperatorFileError {
-    let folder = tempfile::tempdir().expect("a folder");
-    let path = folder.path().join("operator.star");
-    std::fs::write(&path, text).expect("written");
-    let config = Config::parse(include_bytes!("../examples/config.json"), |_| None).expect("good");
-    let checked = evaluate(&path).and_then(|evaluated| evaluated.beside(&config));
+fn example_config() -> Config {
+    Config::parse(include_bytes!("../examples/config.json"), |_| None).expect("good")
+}
+
+/// An operator's file in a folder of its own.
+struct OperatorFile {
+    folder: TempDir,
+    path: PathBuf,
+}
+
+impl OperatorFile {
+    fn new(text: &str) -> OperatorFile {
+        let folder = tempfile::tempdir().expect("a folder");
+        let path = folder.path().join("operator.star");
+        let file = OperatorFile { folder, path };
+        file.write(text);
+        file
+    }
+
+    fn write(&self, text: &str) {
+        std::fs::write(&self.path, text).expect("written");
+    }
+
+    /// A path below the file's folder.
+    fn below_folder(&self, path: &str) -> PathBuf {
+        self.folder.path().join(path)
+    }
+
+    fn evaluate(&self) -> Result<Evaluated, OperatorFileError> {
+        evaluate(&self.path)
+    }
+
+    /// What a file sets that is valid by itself.
+    fn operator(&self) -> Operator {
+        self.evaluate()
+            .unwrap_or_else(|error| panic!("{error}"))
+            .operator
+    }
+}
+
+/// What is wrong with a file beside the example's configuration.
+fn error_of(text: &str) -> OperatorFileError {
+    let evaluated = OperatorFile::new(text).evaluate();
+    let checked = evaluated.and_then(|evaluated| evaluated.beside(&example_config()));
     checked.expect_err(text)
 }
 
+/// Each file is rejected, with this key.
+fn assert_errors_name_keys(cases: impl IntoIterator<Item = (String, &'static str)>) {
+    for (text, key) in cases {
+        let error = error_of(&text);
+        assert_eq!(error.key.as_deref(), Some(key), "{error}");
+    }
+}
+
 #[test]
-fn the_example_and_the_deployments_file_are_good() {
-    let config = Config::parse(include_bytes!("../examples/config.json"), |_| None).expect("good");
+fn example_and_deployed_file_are_valid() {
+    let config = example_config();
     let example = evaluate(Path::new("examples/operator.star")).expect("good");
     let health = example.operator.health.as_ref().expect("set");
     let listeners: Vec<_> = health
@@ -40,7 +92,7 @@
 }
 
 #[test]
-fn each_wrong_file_is_rejected_with_its_key_line_and_column() {
+fn health_errors_name_key_line_and_column() {
     // What the file says behind `health(\n`, the key that is named, and where.
     let cases: &[(&str, &str, (usize, usize))] = &[
         ("  agnt = agent(listen = '127.0.0.1:1')", "health.agnt", (2, 3)),
@@ -69,27 +121,25 @@
         ("  connections = 40", "health", (1, 1)),
     ];
     for (text, key, at) in cases {
-        let fault = fault(&format!("health(\n{text}\n)\n"));
+        let error = error_of(&format!("health(\n{text}\n)\n"));
         assert_eq!(
-            (fault.key.as_deref(), fault.at),
+            (error.key.as_deref(), error.at),
             (Some(*key), Some(*at)),
-            "{fault}"
+            "{error}"
         );
         assert!(
-            fault.to_string().contains(key) && fault.file.ends_with("operator.star"),
-            "{fault}"
+            error.to_string().contains(key) && error.file.ends_with("operator.star"),
+            "{error}"
         );
     }
 }
 
 #[test]
-fn each_wrong_word_about_cells_is_rejected_with_its_key() {
+fn cells_errors_name_their_key() {
     let good = "cells(placement = 'p', who = ['user', {'network': [['10.0.0.0/8', 'x']]}], bounds = {'one': bounds(requests = 9)})\n";
-    let folder = tempfile::tempdir().expect("a folder");
-    let path = folder.path().join("operator.star");
-    std::fs::write(&path, good).expect("written");
-    let cells = evaluate(&path).expect("good").operator.cells.expect("set");
-    assert_eq!(cells.placement, folder.path().join("p"));
+    let file = OperatorFile::new(good);
+    let cells = file.operator().cells.expect("set");
+    assert_eq!(cells.placement, file.below_folder("p"));
     let cases = [
         ("cells(who = ['user'])", "cells.placement"),
         ("cells(placement = '', who = ['user'])", "cells.placement"),
@@ -124,14 +174,11 @@
             "cells",
         ),
     ];
-    for (text, key) in cases {
-        let fault = fault(text);
-        assert_eq!(fault.key.as_deref(), Some(key), "{fault}");
-    }
+    assert_errors_name_keys(cases.map(|(text, key)| (text.to_owned(), key)));
 }
 
 #[test]
-fn what_is_no_script_or_runs_away_is_stopped_and_placed() {
+fn invalid_or_unbounded_scripts_are_stopped() {
     let deep = format!("x = {}1{}\n", "(".repeat(5000), ")".repeat(5000));
     let long = format!("x = 1{}\n", " + 1".repeat(16_000));
     let minus = format!("x = {}1\n", "-".repeat(60_000));
@@ -140,13 +187,6 @@
         "def f(n):\n if n:\n  pass\n{}",
         " elif n:\n  pass\n".repeat(3_000)
     );
-    let within = |open: &str, close: &str, count| {
-        format!(
-            "def f(x):\n return {}x{}\n",
-            open.repeat(count),
-            close.repeat(count)
-        )
-    };
     let cases: &[(&str, &str, Option<usize>)] = &[
         ("health(\n", "parse error", Some(2)),
         ("\nhelth()\n", "helth", Some(2)),
@@ -171,20 +211,29 @@
         (&" ".repeat(70_000), "65536", None),
     ];
     for (text, wanted, line) in cases {
-        let fault = fault(text);
-        let shown = fault.to_string().to_lowercase();
+        let error = error_of(text);
+        let shown = error.to_string().to_lowercase();
         assert!(
             shown.contains(&wanted.to_lowercase()),
             "{wanted:?} is not in {shown:.300}"
         );
         assert!(
-            line.is_none() || fault.at.map(|at| at.0) == *line,
+            line.is_none() || error.at.map(|at| at.0) == *line,
             "{shown:.300}"
         );
     }
-    // As deep as is let through, whichever way: the stack holds it.
-    let folder = tempfile::tempdir().expect("a folder");
-    let path = folder.path().join("long.star");
+}
+
+/// An expression as deep as is allowed fits the stack, whichever way it leans.
+#[test]
+fn deepest_allowed_expressions_are_evaluated() {
+    let within = |open: &str, close: &str, count| {
+        format!(
+            "def f(x):\n return {}x{}\n",
+            open.repeat(count),
+            close.repeat(count)
+        )
+    };
     let deepest = [
         within("(", ")", 180),
         within("-", "", 190),
@@ -195,78 +244,72 @@
         within("", " + x", 190),
         format!("x = [{}]\n", "'a', ".repeat(9_000)),
     ];
+    let file = OperatorFile::new("");
     for text in deepest {
-        std::fs::write(&path, &text).expect("written");
-        evaluate(&path).unwrap_or_else(|fault| panic!("{fault}: {text:.60}"));
+        file.write(&text);
+        file.evaluate()
+            .unwrap_or_else(|error| panic!("{error}: {text:.60}"));
     }
 }
 
+/// Parts may be loaded from below the folder, an error there is placed there, and a link that leads out is rejected.
 #[test]
-fn parts_may_be_loaded_from_below_the_folder_and_a_fault_there_is_placed_there() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let path = folder.path().join("operator.star");
-    std::fs::create_dir(folder.path().join("parts")).expect("made");
-    let part = folder.path().join("parts/http.star");
-    std::fs::write(
-        &path,
-        "load('parts/http.star', 'front')\nhealth(http = front(6461))\n",
-    )
-    .expect("written");
+fn loaded_files_stay_below_the_folder() {
+    let file = OperatorFile::new("load('parts/http.star', 'front')\nhealth(http = front(6461))\n");
+    std::fs::create_dir(file.below_folder("parts")).expect("made");
+    let part = file.below_folder("parts/http.star");
     std::fs::write(
         &part,
         "def front(port):\n    return listener(listen = '127.0.0.1:%d' % port)\n",
     )
     .expect("written");
-    let health = evaluate(&path).expect("good").operator.health.expect("set");
+    let health = file.operator().health.expect("set");
     assert_eq!(health.http.expect("set").listen.port(), 6461);
     std::fs::write(
         &part,
         "\ndef front(port):\n    return listener(listen = port)\n",
     )
     .expect("written");
-    let fault = evaluate(&path).expect_err("a number is no address");
-    assert!(fault.file.ends_with("parts/http.star"), "{fault}");
+    let error = file.evaluate().expect_err("a number is no address");
+    assert!(error.file.ends_with("parts/http.star"), "{error}");
     assert_eq!(
-        (fault.key.as_deref(), fault.at),
+        (error.key.as_deref(), error.at),
         (Some("listener.listen"), Some((3, 21)))
     );
-    // A link that leads out is no way out.
     let elsewhere = tempfile::NamedTempFile::new().expect("a file");
-    std::os::unix::fs::symlink(elsewhere.path(), folder.path().join("out.star")).expect("linked");
-    std::fs::write(&path, "load('out.star', 'x')\n").expect("written");
-    assert!(evaluate(&path)
-        .expect_err("a way out")
+    std::os::unix::fs::symlink(elsewhere.path(), file.below_folder("out.star")).expect("linked");
+    file.write("load('out.star', 'x')\n");
+    assert!(file
+        .evaluate()
+        .expect_err("a link that leads out")
         .to_string()
         .contains("out of the folder"));
 }
 
+/// An evaluator that is not there, or replies nothing, is an error of the file and no more.
 #[test]
-fn an_evaluator_that_is_not_there_or_says_nothing_is_a_fault_of_the_file_and_no_more() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let path = folder.path().join("operator.star");
-    std::fs::write(&path, "").expect("written");
-    let ask = |program: &Path| {
-        operator::evaluate(program, &path, Duration::from_secs(1)).expect_err("no answer")
+fn missing_evaluator_is_an_error_of_the_file() {
+    let file = OperatorFile::new("");
+    let error_with = |program: &Path| {
+        operator::evaluate(program, &file.path, Duration::from_secs(1)).expect_err("no reply")
     };
-    assert!(ask(&folder.path().join("nothing"))
+    assert!(error_with(&file.below_folder("nothing"))
         .fault
         .contains("nothing"));
-    assert!(ask(Path::new("/bin/true")).fault.contains("broke off"));
+    assert!(error_with(Path::new("/bin/true"))
+        .fault
+        .contains("broke off"));
 }
 
 #[test]
-fn each_contradictory_word_about_leases_is_rejected_with_its_key() {
-    let peers = "peers = [peer(id = 1, address = '127.0.0.1:7101'), peer(id = 2, address = '127.0.0.1:7102'), \
-                 peer(id = 3, address = '127.0.0.1:7103'), peer(id = 4, address = '127.0.0.1:7104', voter = False)]";
+fn lease_errors_name_their_key() {
     let good =
-        format!("lease(me = 2, listen = '127.0.0.1:7102', store = 'log', duties = ['discovery'], {peers})\n");
-    let folder = tempfile::tempdir().expect("a folder");
-    let path = folder.path().join("operator.star");
-    std::fs::write(&path, &good).expect("written");
-    let lease = evaluate(&path).expect("good").operator.lease.expect("set");
+        format!("lease(me = 2, listen = '127.0.0.1:7102', store = 'log', duties = ['discovery'], {FLEET})\n");
+    let file = OperatorFile::new(&good);
+    let lease = file.operator().lease.expect("set");
     assert_eq!(
         (lease.me, lease.store.clone(), lease.lease_ms),
-        (2, folder.path().join("log"), 3_000)
+        (2, file.below_folder("log"), 3_000)
     );
     // Three voters and a learner; the others wait the lease, its drift and the margin.
     assert_eq!(lease.timing().wait_us(), 3_056_007);
@@ -282,37 +325,37 @@
         (with("duties = ['discovery'], peers = []"), "lease.peers"),
         (
             with(&format!(
-                "duties = ['discovery'], lease_ms = 1000, renew_ms = 1000, {peers}"
+                "duties = ['discovery'], lease_ms = 1000, renew_ms = 1000, {FLEET}"
             )),
             "lease.lease_ms",
         ),
         (
             with(&format!(
-                "duties = ['discovery'], lease_ms = 1040, margin_ms = 50, {peers}"
+                "duties = ['discovery'], lease_ms = 1040, margin_ms = 50, {FLEET}"
             )),
             "lease.lease_ms",
         ),
         (
             with(&format!(
-                "duties = ['discovery'], drift_ppm = 100000, {peers}"
+                "duties = ['discovery'], drift_ppm = 100000, {FLEET}"
             )),
             "lease.drift_ppm",
         ),
         (
-            with(&format!("duties = ['discovery'], renew_ms = 0, {peers}")),
+            with(&format!("duties = ['discovery'], renew_ms = 0, {FLEET}")),
             "lease.renew_ms",
         ),
-        (with(&format!("duties = [], {peers}")), "lease.duties"),
+        (with(&format!("duties = [], {FLEET}")), "lease.duties"),
         (
-            with(&format!("duties = ['discover'], {peers}")),
+            with(&format!("duties = ['discover'], {FLEET}")),
             "lease.duties[0]",
         ),
         (
-            with(&format!("duties = ['probes', 'probes'], {peers}")),
+            with(&format!("duties = ['probes', 'probes'], {FLEET}")),
             "lease.duties[1]",
         ),
         (
-            with(&format!("duties = ['probes'], allow = [], {peers}")),
+            with(&format!("duties = ['probes'], allow = [], {FLEET}")),
             "lease.allow",
         ),
         (good.replace("me = 2", "me = 9"), "lease.me"),
@@ -334,37 +377,19 @@
         ),
         (format!("{good}{good}"), "lease"),
     ];
-    for (text, key) in cases {
-        let fault = fault(&text);
-        assert_eq!(fault.key.as_deref(), Some(key), "{fault}");
-    }
+    assert_errors_name_keys(cases);
     // Where clients connect is no place for peers.
     let clients = good.replace("7102", "6433");
-    assert_eq!(
-        fault(&clients).key.as_deref(),
-        Some("lease.listen"),
-        "{}",
-        fault(&clients)
-    );
+    let error = error_of(&clients);
+    assert_eq!(error.key.as_deref(), Some("lease.listen"), "{error}");
 }
 
-/// The peers that vote, and those that are served.
-const FLEET: &str = "peers = [peer(id = 1, address = '127.0.0.1:7101'), peer(id = 2, address = '127.0.0.1:7102'), \
-                     peer(id = 3, address = '127.0.0.1:7103'), peer(id = 4, address = '127.0.0.1:7104', voter = False)]";
-
 fn lease(text: &str) -> asterreel::operator::Lease {
-    let folder = tempfile::tempdir().expect("a folder");
-    let path = folder.path().join("operator.star");
-    std::fs::write(&path, text).expect("written");
-    evaluate(&path)
-        .unwrap_or_else(|fault| panic!("{fault}"))
-        .operator
-        .lease
-        .expect("set")
+    OperatorFile::new(text).operator().lease.expect("set")
 }
 
 #[test]
-fn a_gateway_that_is_served_needs_no_listener_store_or_duties_and_need_not_be_listed() {
+fn client_needs_no_listener_store_or_duties() {
     let client = lease(&format!("lease(me = 17, client = True, {FLEET})\n"));
     assert!(!client.votes() && client.client, "{client:?}");
     assert_eq!(
@@ -387,7 +412,7 @@
 }
 
 #[test]
-fn each_contradictory_word_about_clients_of_control_is_rejected_with_its_key() {
+fn control_client_errors_name_their_key() {
     let good = format!("lease(me = 17, client = True, {FLEET})\n");
     let member = format!(
         "lease(me = 1, listen = '127.0.0.1:7101', store = 'log', duties = ['probes'], {FLEET})\n"
@@ -431,19 +456,14 @@
         (member.replace("store = 'log', ", ""), "lease.store"),
         (member.replace("duties = ['probes'], ", ""), "lease.duties"),
     ];
-    for (text, key) in cases {
-        let fault = fault(&text);
-        assert_eq!(fault.key.as_deref(), Some(key), "{fault}");
-    }
+    assert_errors_name_keys(cases);
 }
 
 #[test]
-fn a_file_for_a_control_member_on_its_own_has_to_make_it_one() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let path = folder.path().join("operator.star");
+fn control_member_file_must_make_a_voter() {
     let member = |text: &str| {
-        std::fs::write(&path, text).expect("written");
-        evaluate(&path).and_then(|evaluated| evaluated.member().cloned())
+        let evaluated = OperatorFile::new(text).evaluate();
+        evaluated.and_then(|evaluated| evaluated.member().cloned())
     };
     let good = format!(
         "lease(me = 1, listen = '127.0.0.1:7101', store = 'log', duties = ['probes'], {FLEET})\n"
@@ -454,13 +474,13 @@
         .replace("listen = '127.0.0.1:7101'", "listen = '127.0.0.1:7104'");
     let client = format!("lease(me = 17, client = True, {FLEET})\n");
     for text in [&served, &client] {
-        let fault = member(text).expect_err(text);
-        assert_eq!(fault.key.as_deref(), Some("lease.me"), "{fault}");
+        let error = member(text).expect_err(text);
+        assert_eq!(error.key.as_deref(), Some("lease.me"), "{error}");
         assert!(
-            fault.at.is_some() && fault.fault.contains("no voter"),
-            "{fault}"
+            error.at.is_some() && error.fault.contains("no voter"),
+            "{error}"
         );
     }
-    let fault = member("").expect_err("no lease");
-    assert_eq!(fault.key.as_deref(), Some("lease"), "{fault}");
+    let error = member("").expect_err("no lease");
+    assert_eq!(error.key.as_deref(), Some("lease"), "{error}");
 }
