--- a/control/src/settings/error.rs
+++ b/control/src/settings/error.rs
@@ -20,12 +20,20 @@
             fault: fault.into(),
         }
     }
+
+    /// The same error, with its key below a call or another key.
+    #[must_use]
+    pub fn below(self, parent: &str) -> SettingError {
+        SettingError {
+            key: format!("{parent}.{}", self.key).into(),
+            ..self
+        }
+    }
 }
 
-/// The key and the fault, for callers that still pass them apart.
-impl From<SettingError> for (String, String) {
-    fn from(error: SettingError) -> (String, String) {
-        (error.key.into_owned(), error.fault)
+impl<Key: Into<Cow<'static, str>>> From<(Key, String)> for SettingError {
+    fn from((key, fault): (Key, String)) -> SettingError {
+        SettingError::new(key, fault)
     }
 }
 
