--- a/src/bin/asterreel/control/member.rs
+++ b/src/bin/asterreel/control/member.rs
@@ -1,4 +1,5 @@
-//! A control member on its own: it shares the log and serves gateways, and has no clients, databases or registration.
+//! A control member on its own: it takes part in the replicated log and serves gateways, and has no clients, servers or
+//! registration.
 
 use crate::cli::{Control, Files, EVALUATION};
 use asterreel_control::clock::Clock;
@@ -9,19 +10,23 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// How long it stays after a signal at least, so that what it gives back is in the log.
-const GIVE_BACK: Duration = Duration::from_millis(300);
+/// How long the member stays after a signal at least, so that what it releases is in the log.
+const MIN_DRAIN_TIME: Duration = Duration::from_millis(300);
 /// How long it waits at most until another member leads: two elections with leases of ten seconds.
-const HAND_OVER: Duration = Duration::from_secs(5);
-/// Time between two looks.
-const LOOK: Duration = Duration::from_millis(20);
+const LEADERSHIP_TRANSFER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time between two looks at whether another member leads.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Runs a control member until SIGTERM or SIGINT.
-pub(crate) fn run(asked: &Control) -> Result<(), Box<dyn Error>> {
+///
+/// # Errors
+///
+/// An operator's file that is bad or names no control member, and a log or listener that cannot be opened.
+pub(crate) fn run(command: &Control) -> Result<(), Box<dyn Error>> {
     // Before anything else, so that a signal that comes early is not lost.
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     let files = Files {
-        operator: Some(asked.operator.clone()),
+        operator: Some(command.operator.clone()),
     };
     let evaluated = files.evaluate(EVALUATION)?;
     let lease = evaluated.member()?;
@@ -32,17 +37,19 @@
         }
         warn!("a control member takes its file at the start only; offer a file at a gateway");
     }
-    end(&handle);
+    drain(&handle);
     Ok(())
 }
 
-/// Gives back what the member holds, and waits for another to lead.
-fn end(handle: &Handle) {
+/// Releases what the member holds, and waits for another to lead.
+fn drain(handle: &Handle) {
     let began = Instant::now();
     info!("draining");
     handle.request(ControlRequest::Drain);
-    while began.elapsed() < GIVE_BACK || (handle.view().leads && began.elapsed() < HAND_OVER) {
-        std::thread::sleep(LOOK);
+    while began.elapsed() < MIN_DRAIN_TIME
+        || (handle.view().leads && began.elapsed() < LEADERSHIP_TRANSFER_TIMEOUT)
+    {
+        std::thread::sleep(POLL_INTERVAL);
     }
     info!("stopped");
 }
--- a/src/bin/asterreel/main.rs
+++ b/src/bin/asterreel/main.rs
@@ -1,4 +1,7 @@
-//! The gateway: takes requests from clients on real sockets and sends them where the module decides.
+//! The gateway: accepts requests from clients on sockets and sends them to the members that the router chooses.
+//!
+//! `front` serves clients, `request` talks to servers, `core` holds the router between them, `discovery` feeds it with
+//! endpoints; `health` answers load balancers, `control` connects to the control plane, and `cli` holds the other commands.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -20,12 +23,14 @@
 
 use crate::cells::Cells;
 use crate::cli::{Cli, Command, Files, LogFormat};
-use crate::control::client::Fleetwide;
+use crate::control::client::ControlClient;
+use crate::discovery::{FirstList, Source};
 use crate::front::Gateway;
 use crate::runtime::net;
-use crate::server::Running;
-use crate::startup::{Decisions, Descriptors};
+use crate::server::Server;
+use crate::startup::{Descriptors, RequestPath};
 use asterreel::config::Config;
+use asterreel::operator::Operator;
 use asterreel::readmission::Readmission;
 use asterreel_control::clock::Clock;
 use asterreel_control::service;
@@ -39,22 +44,13 @@
 use std::sync::Arc;
 use tracing::{info, level_filters::LevelFilter, warn};
 
+/// How many stacks of ended coroutines are kept for new ones.
+const COROUTINE_POOL_CAPACITY: usize = 64;
+
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let level = std::env::var("RELAY_LOG")
-        .ok()
-        .and_then(|level| level.parse().ok());
-    let level = level.unwrap_or(LevelFilter::INFO);
-    // A log that can't be written is reported on standard error, and that panics when it is closed.
-    let log = tracing_subscriber::fmt()
-        .log_internal_errors(false)
-        .with_max_level(level);
-    let log = log.with_writer(std::io::stderr).with_ansi(false);
-    match cli.log_format {
-        LogFormat::Text => log.init(),
-        LogFormat::Json => log.json().flatten_event(true).init(),
-    }
-    let done = match cli.command.unwrap_or(Command::Run(Files::default())) {
+    start_logging(cli.log_format);
+    let result = match cli.command.unwrap_or(Command::Run(Files::default())) {
         Command::Run(files) => run(&files),
         Command::Check(files) => cli::check::run(&files),
         Command::Control(control) => control::member::run(&control),
@@ -62,7 +58,7 @@
         Command::Probe(probe) => return cli::probe::run(&probe),
         Command::Health(health) => return cli::health::run(&health),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("asterreel: {error}");
@@ -71,96 +67,138 @@
     }
 }
 
+/// Logs to standard error from now on, at the level of `RELAY_LOG`.
+fn start_logging(format: LogFormat) {
+    let level = std::env::var("RELAY_LOG")
+        .ok()
+        .and_then(|level| level.parse().ok())
+        .unwrap_or(LevelFilter::INFO);
+    // A log that can't be written is reported on standard error, and that panics when it is closed.
+    let log = tracing_subscriber::fmt()
+        .log_internal_errors(false)
+        .with_max_level(level)
+        .with_writer(std::io::stderr)
+        .with_ansi(false);
+    match format {
+        LogFormat::Text => log.init(),
+        LogFormat::Json => log.json().flatten_event(true).init(),
+    }
+}
+
+/// Runs a gateway until a signal ends it.
 fn run(files: &Files) -> Result<(), Box<dyn Error>> {
     // Before anything else, so that a signal that comes early ends nothing.
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     let config = Config::from_env()?;
     let evaluated = files.evaluate(cli::EVALUATION)?;
-    let table = evaluated.beside(&config)?;
+    let timetable = evaluated.beside(&config)?;
     let operator = evaluated.operator;
     configure_coroutines();
 
     let clock = Clock::start();
-    let peers = operator
+    let control_loop = operator
         .lease
         .as_ref()
         .map(|lease| service::start(lease, clock))
         .transpose()?;
+    let gateways = configured_gateways(&config, &operator);
+    let StartedGateway {
+        gateway,
+        source,
+        first_list,
+    } = start_gateway(&config, &operator, gateways, clock)?;
+    if !first_list.wait(discovery::FIRST_LIST_PATIENCE) {
+        warn!(
+            "no list from discovery yet: serving by the one in the configuration, which may be out of date"
+        );
+    }
+    accept(&gateway, config.listen)?;
+    let health = operator
+        .health
+        .as_ref()
+        .map(|health| health::start(&config.name, health, gateway.clone(), config.listen))
+        .transpose()?;
+    info!(name = config.name, listen = %config.listen, "serving");
+
+    let control = control_loop.map(|(handle, events)| ControlClient::new(handle, events, gateways));
+    let server = Server {
+        config,
+        files,
+        source: &source,
+        health,
+        cells: operator.cells,
+        timetable,
+        control,
+    };
+    server.run(&gateway, &mut signals);
+    Ok(())
+}
+
+/// How many gateways the fleet has by the operator's file and the platform's settings. Only control members need be
+/// listed in the file.
+fn configured_gateways(config: &Config, operator: &Operator) -> u32 {
+    let listed = operator
+        .lease
+        .as_ref()
+        .map_or(0, |lease| lease.peers.len() as u32);
+    listed.max(config.settings.fleet_size)
+}
+
+/// A gateway that accepts no clients yet.
+struct StartedGateway {
+    gateway: Arc<Gateway>,
+    source: Arc<Source>,
+    first_list: Arc<FirstList>,
+}
+
+/// Starts everything that requests go through, and does not accept clients yet.
+fn start_gateway(
+    config: &Config,
+    operator: &Operator,
+    gateways: u32,
+    clock: Clock,
+) -> Result<StartedGateway, Box<dyn Error>> {
     let for_health = operator
         .health
         .as_ref()
         .map_or(0, |health| health.descriptors());
-    let descriptors = Descriptors::share(config.sockets, for_health);
-    let decisions = startup::start(&config, &operator, descriptors.databases, clock)?;
-    let Decisions {
+    let descriptors = Descriptors::divide(config.sockets, for_health);
+    let RequestPath {
         core,
         pool,
         source,
         first_list,
-    } = decisions;
+    } = startup::start(config, operator, descriptors.servers, clock)?;
     let cells = operator
         .cells
         .as_ref()
         .map(|cells| Cells::start(cells, clock))
         .transpose()?;
-    let most = descriptors.clients;
-    let gateway = Gateway::new(
+    let gateway = Arc::new(Gateway::new(
         core,
         pool,
         &config.setup,
         &config.settings,
-        most,
+        descriptors.clients,
         config.sockets,
         cells,
-    );
-    let gateway = Arc::new(gateway);
-    // Gateways that are served need not be listed.
-    let listed = operator
-        .lease
-        .as_ref()
-        .map_or(0, |lease| lease.peers.len() as u32);
-    let gateways = listed.max(config.settings.fleet_size);
-    if let Some(knobs) = operator.readmission.clone() {
-        gateway.set_admission_pacing(Readmission::new(knobs, gateways, config.seed));
+    ));
+    if let Some(pacing) = operator.readmission.clone() {
+        gateway.set_admission_pacing(Readmission::new(pacing, gateways, config.seed));
     }
-    if !first_list.wait(discovery::FIRST_LIST_PATIENCE) {
-        warn!(
-            "no list from discovery yet: serving by the one in the configuration, which may be out of date"
-        );
-    }
-    accept(&gateway, config.listen)?;
-    let health = match &operator.health {
-        Some(health) => Some(health::start(
-            &config.name,
-            health,
-            gateway.clone(),
-            config.listen,
-        )?),
-        None => None,
-    };
-    info!(name = config.name, listen = %config.listen, "serving");
-
-    let agreed = peers.map(|(peers, notices)| Fleetwide::new(peers, notices, gateways));
-    let running = Running {
-        config,
-        files,
-        source: &source,
-        health,
-        cells: operator.cells,
-        table,
-        agreed,
-    };
-    running.run(&gateway, &mut signals);
-    Ok(())
+    Ok(StartedGateway {
+        gateway,
+        source,
+        first_list,
+    })
 }
 
-/// One core, so one worker; pinned, all gateways of a machine would share the first core.
+/// Sets up one worker, as a gateway has one core; pinned workers of all gateways of a machine would share the first.
 fn configure_coroutines() {
-    let coroutines = may::config();
-    coroutines
+    may::config()
         .set_workers(1)
         .set_stack_size(net::STACK_WORDS)
-        .set_pool_capacity(64)
+        .set_pool_capacity(COROUTINE_POOL_CAPACITY)
         .set_worker_pin(false);
 }
 
--- a/src/bin/asterreel/startup.rs
+++ b/src/bin/asterreel/startup.rs
@@ -1,4 +1,5 @@
-//! What a gateway starts before it listens: the decision module with what feeds it, and the share of descriptors.
+//! What a gateway starts before it listens: the router with what feeds it, the pool of connections to servers, and how the
+//! descriptors are divided.
 
 use crate::core::{Core, HealthCheck};
 use crate::discovery::{self, FirstList, Source};
@@ -6,110 +7,134 @@
 use crate::request::pool::Pool;
 use crate::runtime::net;
 use crate::runtime::timer::Timer;
-use asterreel::config::Config;
+use asterreel::config::{Config, Listing};
 use asterreel::interface::{DiscoveryMode, UpdateKind};
 use asterreel::operator::Operator;
 use asterreel_control::clock::Clock;
 use may::sync::mpsc::{self, Receiver};
 use std::error::Error;
+use std::io;
 use std::sync::Arc;
 
-/// Descriptors for everything that is neither a client nor a database: eleven were counted, and each thing that
-/// is opened before another is closed takes one more.
-const RESERVED: usize = 24;
+/// Descriptors for everything that is neither a client nor a server: eleven stay open, and each file or socket that is
+/// opened before another is closed takes one more.
+const RESERVED_DESCRIPTORS: usize = 24;
 
-/// How many descriptors clients and databases may hold, of those that the platform gives.
+/// How many descriptors clients and servers may hold, of those that the platform gives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Descriptors {
-    /// Of clients.
+    /// For connections of clients.
     pub clients: usize,
-    /// Of databases.
-    pub databases: usize,
+    /// For connections to servers.
+    pub servers: usize,
 }
 
 impl Descriptors {
-    /// Shares all of them, less those for health's fronts. Requests hold a third of all at most, and each holds one to a
-    /// database as well: beside those there must be room for connections kept for the next request, and for clients that
-    /// are between two.
-    pub(crate) fn share(all: usize, for_health: usize) -> Descriptors {
-        let to_share = all.saturating_sub(RESERVED + for_health);
-        let databases = to_share * 3 / 8;
+    /// Divides all of them, less those of the health front ends. At most a third of all serve open requests, each with a
+    /// connection to a server as well; beyond those there must be capacity for idle connections to servers, and for
+    /// clients that are between two requests.
+    pub(crate) fn divide(all: usize, for_health: usize) -> Descriptors {
+        let available = all.saturating_sub(RESERVED_DESCRIPTORS + for_health);
+        let servers = available * 3 / 8;
         Descriptors {
-            clients: to_share - databases,
-            databases,
+            clients: available - servers,
+            servers,
         }
     }
 }
 
-/// The decision module, and what it is fed by and acts through.
-pub(crate) struct Decisions {
-    /// The module, where events and actions meet.
+/// The router, and what it is fed by and acts through.
+pub(crate) struct RequestPath {
+    /// The router, where events and actions meet.
     pub core: Arc<Core>,
-    /// Connections to databases.
+    /// Connections to servers.
     pub pool: Arc<Pool>,
     /// Where discovery is.
     pub source: Arc<Source>,
-    /// Whether discovery's list has come.
+    /// Whether discovery's first list has come.
     pub first_list: Arc<FirstList>,
 }
 
-/// Starts the decision module with its timer, its probes and its watch on discovery.
+/// Starts the router with its timer, its health checks and its watch on discovery. At most `max_connections` to servers
+/// are open at a time.
 ///
 /// # Errors
 ///
-/// Settings or known members that the module refuses, and threads that can't be had.
+/// Settings or known members that the router rejects, and threads that can't be started.
 pub(crate) fn start(
     config: &Config,
     operator: &Operator,
-    databases: usize,
+    max_connections: usize,
     clock: Clock,
-) -> Result<Decisions, Box<dyn Error>> {
+) -> Result<RequestPath, Box<dyn Error>> {
     let timer = Timer::new(clock);
-    let (probes, probes_asked) = mpsc::channel();
+    let (health_checks, checks_asked) = mpsc::channel();
     let (watches, watches_asked) = mpsc::channel();
     let source = Arc::new(Source::new(config.discovery, clock, watches.clone()));
-    // A pushing agent is watched from the start: the module asks for watches only where discovery must be called,
-    // and what the agent holds counts as told whether it is watched or not.
+    // A pushing agent is watched from the start: the router asks for watches only where discovery must be called, and
+    // this gateway counts as notified of what the agent holds whether it is watched or not.
     if config.settings.discovery == DiscoveryMode::Push {
+        // The receiver is alive until this function returns.
         let _ = watches.send(());
     }
-    let core = Arc::new(Core::new(config, clock, timer.clone(), probes, watches)?);
+    let core = Arc::new(Core::new(
+        config,
+        clock,
+        timer.clone(),
+        health_checks,
+        watches,
+    )?);
     if operator.health.is_some() || operator.cells.is_some() {
         core.observe(&config.settings);
     }
     let allowed = &config.setup.allowed;
-    let pool = Pool::new(
+    let pool = Arc::new(Pool::new(
         clock,
         timer.clone(),
-        databases,
+        max_connections,
         allowed.conn_idle_us,
         allowed.connect_timeout_us,
-    );
-    let pool = Arc::new(pool);
+    ));
+    start_timer(timer, &core)?;
+    let (checking, checking_pool) = (core.clone(), pool.clone());
+    net::spawn(move || run_health_checks(&checking, &checking_pool, &checks_asked));
+    core.listed(UpdateKind::CachedSnapshot, &config.known)
+        .map_err(|error| format!("configuration: known: {error}"))?;
+    let first_list = watch_discovery(&core, &source, &config.known, watches_asked)?;
+    Ok(RequestPath {
+        core,
+        pool,
+        source,
+        first_list,
+    })
+}
 
+/// Starts the thread of the timer, which wakes the router.
+fn start_timer(timer: Arc<Timer>, core: &Arc<Core>) -> io::Result<()> {
     let woken = core.clone();
     std::thread::Builder::new()
         .name("timer".into())
         .spawn(move || timer.run(|| woken.wake()))?;
-    let (probing, probing_pool) = (core.clone(), pool.clone());
-    net::spawn(move || run_probes(&probing, &probing_pool, &probes_asked));
-    core.listed(UpdateKind::CachedSnapshot, &config.known)
-        .map_err(|fault| format!("configuration: known: {fault}"))?;
-    let (watching, watched, revision) = (core.clone(), source.clone(), config.known.revision);
+    Ok(())
+}
+
+/// Starts the coroutine that watches discovery, from the revision of the known list on.
+fn watch_discovery(
+    core: &Arc<Core>,
+    source: &Arc<Source>,
+    known: &Listing,
+    watches_asked: Receiver<()>,
+) -> io::Result<Arc<FirstList>> {
+    let (core, source, revision) = (core.clone(), source.clone(), known.revision);
     let first_list = Arc::<FirstList>::default();
     let listed = first_list.clone();
-    let watch = move || discovery::run(&watching, &watched, revision, &watches_asked, &listed);
+    let watch = move || discovery::run(&core, &source, revision, &watches_asked, &listed);
     net::spawn_with_stack(net::JSON_STACK_WORDS, watch)?;
-    Ok(Decisions {
-        core,
-        pool,
-        source,
-        first_list,
-    })
+    Ok(first_list)
 }
 
-/// Runs the probes that the module asks for, each beside the others.
-fn run_probes(core: &Arc<Core>, pool: &Arc<Pool>, asked: &Receiver<HealthCheck>) {
+/// Runs the health checks that the router asks for, each beside the others.
+fn run_health_checks(core: &Arc<Core>, pool: &Arc<Pool>, asked: &Receiver<HealthCheck>) {
     while let Ok(HealthCheck { member, address }) = asked.recv() {
         let (core, pool) = (core.clone(), pool.clone());
         net::spawn(move || {
--- a/src/bin/asterreel/startup/tests.rs
+++ b/src/bin/asterreel/startup/tests.rs
@@ -1,31 +1,32 @@
-use super::{Descriptors, RESERVED};
+use super::{Descriptors, RESERVED_DESCRIPTORS};
 
+/// All are divided, none is given twice, and open requests find a connection to a server.
 #[test]
-fn descriptors_are_shared_whole_with_room_for_requests_and_none_are_given_twice() {
+fn all_descriptors_are_divided_once() {
     assert_eq!(
-        Descriptors::share(1_024, 0),
+        Descriptors::divide(1_024, 0),
         Descriptors {
             clients: 625,
-            databases: 375
+            servers: 375
         }
     );
     assert_eq!(
-        Descriptors::share(1_024, 46),
+        Descriptors::divide(1_024, 46),
         Descriptors {
             clients: 597,
-            databases: 357
+            servers: 357
         }
     );
     for all in 0..2_000 {
         for for_health in [0, 14, 142] {
-            let Descriptors { clients, databases } = Descriptors::share(all, for_health);
+            let Descriptors { clients, servers } = Descriptors::divide(all, for_health);
             assert_eq!(
-                clients + databases,
-                all.saturating_sub(RESERVED + for_health),
+                clients + servers,
+                all.saturating_sub(RESERVED_DESCRIPTORS + for_health),
                 "of {all}"
             );
-            // Each request in hand, a third of what is shared at most, has a connection to a database besides.
-            assert!(databases >= (clients + databases) / 3, "of {all}");
+            // Each open request, a third of what is divided at most, has a connection to a server as well.
+            assert!(servers >= (clients + servers) / 3, "of {all}");
         }
     }
 }
