--- a/src/bin/asterreel/discovery/tests.rs
+++ b/src/bin/asterreel/discovery/tests.rs
@@ -89,7 +89,7 @@
     // The first to start a coroutine sets the workers for all tests, some of which rely on there being one.
     may::config().set_workers(1).set_worker_pin(false);
     let parsed = may::go!(
-        may::coroutine::Builder::new().stack_size(crate::runtime::net::JSON_STACK_WORDS),
+        may::coroutine::Builder::new().stack_size(crate::runtime::coroutine::JSON_STACK_WORDS),
         parse
     );
     assert_eq!(
--- a/src/bin/asterreel/front/accept.rs
+++ b/src/bin/asterreel/front/accept.rs
@@ -2,7 +2,8 @@
 
 use super::gateway::Gateway;
 use super::session::Session;
-use crate::runtime::net::{spawn, Stream};
+use crate::runtime::coroutine::spawn;
+use crate::runtime::net::Stream;
 use asterreel::interface::Micros;
 use may::io::WaitIo;
 use may::net::TcpListener;
--- a/src/bin/asterreel/front/request.rs
+++ b/src/bin/asterreel/front/request.rs
@@ -13,7 +13,7 @@
 use crate::postgres::{self as pg, Statement};
 use crate::request::attempt::{self, AttemptResult};
 use crate::request::cancellation::CancellationToken;
-use crate::runtime::net::spawn;
+use crate::runtime::coroutine::spawn;
 use asterreel::cells::quarantine::Verdict;
 use asterreel::interface::*;
 use std::collections::HashSet;
--- a/src/bin/asterreel/front/tests.rs
+++ b/src/bin/asterreel/front/tests.rs
@@ -2,7 +2,7 @@
 use crate::core::{Command, CommandMailbox, Core, HealthCheck};
 use crate::postgres as pg;
 use crate::request::pool::Pool;
-use crate::runtime::net::spawn;
+use crate::runtime::coroutine::spawn;
 use crate::runtime::timer::Timer;
 use asterreel::config::Config;
 use asterreel::interface::*;
@@ -105,10 +105,10 @@
     ))
 }
 
-/// The module's refusal comes while the attempt that it calls off still waits for a connection to come up, which takes its
-/// time whatever is wanted. The client hears of the refusal at once, once, and its next request waits for that end.
+/// The router's rejection comes while the attempt that it cancels still waits for a connection to be ready, which nothing
+/// shortens. The client gets the rejection at once, once, and its next request waits for the end of that attempt.
 #[test]
-fn a_refusal_is_heard_at_once_and_the_next_request_waits_for_the_called_off_attempt() {
+fn rejection_is_sent_before_cancelled_attempt_ends() {
     let stage = Stage::new();
     let mut client = stage.client();
     client
--- a/src/bin/asterreel/health/tests.rs
+++ b/src/bin/asterreel/health/tests.rs
@@ -24,7 +24,7 @@
         .for_each(|member| member.address = "127.0.0.1:1".into());
     may::config()
         .set_workers(1)
-        .set_stack_size(crate::runtime::net::STACK_WORDS)
+        .set_stack_size(crate::runtime::coroutine::STACK_WORDS)
         .set_worker_pin(false);
     let clock = Clock::start();
     let timer = Timer::new(clock);
@@ -55,7 +55,7 @@
     ));
     let listener = may::net::TcpListener::bind(client).expect("bound");
     let accepting = gateway.clone();
-    crate::runtime::net::spawn(move || crate::front::accept(&accepting, &listener));
+    crate::runtime::coroutine::spawn(move || crate::front::accept(&accepting, &listener));
     let settings = serde_json::json!({
         "http": {"listen": front}, "connections": 4, "knobs": {"start_wait_ms": 0, "recover_after_ms": 200},
     });
@@ -98,7 +98,7 @@
 
     // A coroutine that blocks the one worker, until it is released.
     let (release, released) = std::sync::mpsc::channel::<()>();
-    crate::runtime::net::spawn(move || {
+    crate::runtime::coroutine::spawn(move || {
         assert!(released.recv().is_err());
     });
     let text = until(front, "/livez", 503);
--- a/src/bin/asterreel/main.rs
+++ b/src/bin/asterreel/main.rs
@@ -26,7 +26,7 @@
 use crate::control::client::ControlClient;
 use crate::discovery::{FirstList, Source};
 use crate::front::Gateway;
-use crate::runtime::net;
+use crate::runtime::coroutine;
 use crate::server::Server;
 use crate::startup::{Descriptors, RequestPath};
 use asterreel::config::Config;
@@ -197,7 +197,7 @@
 fn configure_coroutines() {
     may::config()
         .set_workers(1)
-        .set_stack_size(net::STACK_WORDS)
+        .set_stack_size(coroutine::STACK_WORDS)
         .set_pool_capacity(COROUTINE_POOL_CAPACITY)
         .set_worker_pin(false);
 }
@@ -207,6 +207,6 @@
     let listener =
         TcpListener::bind(listen).map_err(|error| format!("listen: {listen}: {error}"))?;
     let accepting = gateway.clone();
-    net::spawn(move || front::accept(&accepting, &listener));
+    coroutine::spawn(move || front::accept(&accepting, &listener));
     Ok(())
 }
--- a/src/bin/asterreel/postgres/tests.rs
+++ b/src/bin/asterreel/postgres/tests.rs
@@ -41,8 +41,9 @@
     Ok(used)
 }
 
+/// Parameters of a startup message are found, and garbage holds none.
 #[test]
-fn parameters_of_a_startup_message_are_found_and_garbage_is_none() {
+fn startup_parameters_are_found_by_name() {
     let bytes = startup();
     assert_eq!(
         (parameter(&bytes, "user"), parameter(&bytes, "database")),
@@ -63,8 +64,9 @@
     assert_eq!(statement.text(), READ);
 }
 
+/// An answer is the same however it is cut, and never complete before its end.
 #[test]
-fn an_answer_is_the_same_however_it_is_cut_and_never_whole_before_its_end() {
+fn answer_does_not_depend_on_how_it_is_cut() {
     let bytes = row();
     fuzz::cuts(&bytes, |ends| {
         let (mut answer, mut used) = (Answer::default(), 0);
@@ -85,9 +87,10 @@
     });
 }
 
-/// Spoilt inside of messages that are whole: passed on, a client would take it for its value or choke on it.
+/// Complete messages that are damaged inside: a client would take them for its value or fail over them. An unreadable report
+/// does not invalidate the row it came with.
 #[test]
-fn a_row_that_is_not_whole_inside_is_malformed_and_an_unreadable_report_spoils_no_row() {
+fn damaged_row_is_malformed() {
     let spoilt = |what: &[u8], by: &[u8]| {
         let mut bytes = row();
         let at = bytes
@@ -117,8 +120,9 @@
     assert_eq!(unended, (true, Some(QueryResult::Row), None));
 }
 
+/// Garbage is an error or incomplete, and is never read past its end.
 #[test]
-fn garbage_is_an_error_or_incomplete_and_is_never_read_past() {
+fn garbage_is_an_error_or_incomplete() {
     let mut bad = 0;
     for valid in [
         &row()[..],
@@ -143,8 +147,9 @@
     assert!(bad > 1000, "most garbage is found out: {bad}");
 }
 
+/// Nothing but the value of the wait changes in a forwarded statement.
 #[test]
-fn only_the_wait_of_a_statement_changes() {
+fn forwarded_statement_changes_only_its_wait() {
     let statement = Statement::parse(READ).expect("valid");
     assert_eq!(
         (
@@ -193,8 +198,9 @@
     assert_eq!(load_report(b"x0=soon,x1,=1"), MemberReport::default());
 }
 
+/// An error is read by its code, and a rejection says after which delay to retry.
 #[test]
-fn an_error_is_read_by_its_code_and_a_refusal_says_when_to_come_back() {
+fn error_has_a_code_and_a_retry_delay() {
     let mut out = Vec::new();
     error(
         &mut out,
@@ -212,8 +218,9 @@
     assert!(out.windows(5).any(|field| field == b"D250\0"));
 }
 
+/// A message lacks its header, then its body, and never less than a byte.
 #[test]
-fn a_message_lacks_its_head_then_its_body_and_never_less_than_a_byte() {
+fn missing_bytes_counts_header_then_body() {
     let whole = simple_query("SELECT 1");
     let lacks: Vec<usize> = (0..=whole.len())
         .map(|end| missing_bytes(&whole[..end]))
@@ -229,8 +236,9 @@
     });
 }
 
+/// A cancel request holds a key and nothing else.
 #[test]
-fn a_cancel_request_holds_a_key_and_nothing_else() {
+fn cancel_request_holds_exactly_a_key() {
     let key = CancelKey {
         session: 7,
         secret: 0xfeed_beef,
--- /dev/null
+++ b/src/bin/asterreel/runtime/buffer.rs
@@ -0,0 +1,114 @@
+//! The buffer of a connection: bytes that were read and not consumed, and when each of them was read.
+
+use asterreel::interface::Micros;
+use std::collections::VecDeque;
+use std::io::{self, Read};
+
+/// Bytes that were read and are not consumed yet, and when they were read; grows as needed and is compacted in place.
+#[derive(Default)]
+pub(crate) struct Buffer {
+    bytes: Vec<u8>,
+    start: usize,
+    /// How many bytes were consumed since the connection began.
+    consumed: u64,
+    /// The reads that brought the bytes, oldest first.
+    reads: VecDeque<ReadTime>,
+}
+
+/// The time of one read, or of several in a row that share an entry.
+struct ReadTime {
+    /// How many bytes had come since the connection began, those of this read included. Changed by neither compaction
+    /// nor consumption.
+    end: u64,
+    at: Micros,
+}
+
+/// How much is read at once, and how much memory an empty buffer may keep.
+pub(super) const CHUNK_BYTES: usize = 8 * 1024;
+
+/// How many read times a buffer keeps. A full buffer that is read in complete chunks has 17 reads; more come from clients
+/// that write byte by byte, and must not hold memory.
+const MAX_READ_TIMES: usize = 64;
+
+impl Buffer {
+    /// The bytes that are not consumed yet.
+    pub(crate) fn data(&self) -> &[u8] {
+        &self.bytes[self.start..]
+    }
+
+    /// When the last of the first `count` bytes was read; nothing where they have not all come.
+    pub(crate) fn read_at(&self, count: usize) -> Option<Micros> {
+        let last = self.consumed + count as u64;
+        // Sorted by their ends.
+        let index = self.reads.partition_point(|read| read.end < last);
+        self.reads.get(index).map(|read| read.at)
+    }
+
+    /// Drops the first `count` bytes, or all where there are fewer.
+    pub(crate) fn consume(&mut self, count: usize) {
+        let count = count.min(self.data().len());
+        self.start += count;
+        self.consumed += count as u64;
+        let consumed_reads = self.reads.partition_point(|read| read.end <= self.consumed);
+        self.reads.drain(..consumed_reads);
+        if self.start == self.bytes.len() {
+            self.bytes.clear();
+            self.start = 0;
+            // One large value must not hold memory for as long as the connection is idle.
+            self.bytes.shrink_to(CHUNK_BYTES);
+            self.reads.shrink_to(1);
+        }
+    }
+
+    /// Reads once, at most this many bytes.
+    ///
+    /// # Errors
+    ///
+    /// Those of the source; nothing was read then.
+    pub(crate) fn read_from(
+        &mut self,
+        now: Micros,
+        mut source: impl Read,
+        max_bytes: usize,
+    ) -> io::Result<usize> {
+        if self.start > 0 {
+            self.bytes.copy_within(self.start.., 0);
+            self.bytes.truncate(self.bytes.len() - self.start);
+            self.start = 0;
+        }
+        let filled = self.bytes.len();
+        self.bytes.resize(filled + max_bytes.min(CHUNK_BYTES), 0);
+        let read = source.read(&mut self.bytes[filled..]);
+        let count = *read.as_ref().unwrap_or(&0);
+        self.bytes.truncate(filled + count);
+        if count > 0 {
+            self.note_read(now);
+        }
+        read
+    }
+
+    /// Notes that all bytes since the last read time were read at this time.
+    fn note_read(&mut self, now: Micros) {
+        self.reads.push_back(ReadTime {
+            end: self.consumed + self.data().len() as u64,
+            at: now,
+        });
+        if self.reads.len() <= MAX_READ_TIMES {
+            return;
+        }
+        // The two that are closest in time share an entry. The earlier time counts for both: a deadline that is a little
+        // early is better than an answer that comes after it.
+        let gap = |earlier: &usize| {
+            self.reads[earlier + 1]
+                .at
+                .saturating_sub(self.reads[*earlier].at)
+        };
+        if let Some(earlier) = (0..self.reads.len() - 1).min_by_key(gap) {
+            self.reads[earlier].end = self.reads[earlier + 1].end;
+            self.reads.remove(earlier + 1);
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/bin/asterreel/runtime/net/tests.rs
+++ b/src/bin/asterreel/runtime/buffer/tests.rs
@@ -8,8 +8,9 @@
     );
 }
 
+/// Bytes have the time of the read that brought them.
 #[test]
-fn bytes_have_the_time_of_the_read_that_brought_them() {
+fn bytes_have_the_time_of_their_read() {
     let mut buffer = Buffer::default();
     assert_eq!(buffer.read_at(1), None);
     read(&mut buffer, 10, b"abc");
@@ -18,9 +19,9 @@
     assert_eq!(times, [Some(10), Some(10), Some(20), Some(20), None]);
 }
 
-/// One message in three reads, and the rest of it in one with two more: each has the time of its own last byte.
+/// One message comes in three reads, and the rest of it in one with two more: each has the time of its own last byte.
 #[test]
-fn a_message_in_several_reads_and_several_messages_in_one_read_have_the_time_of_their_last_bytes() {
+fn messages_have_the_time_of_their_last_byte() {
     let mut buffer = Buffer::default();
     read(&mut buffer, 10, b"first,sec");
     read(&mut buffer, 20, b"o");
@@ -35,9 +36,9 @@
     assert_eq!((buffer.read_at(2), buffer.read_at(6)), (Some(30), Some(40)));
 }
 
-/// A read moves what is left to the front of the buffer first.
+/// A read moves what is left to the front of the buffer first, which changes no time.
 #[test]
-fn compaction_moves_no_time() {
+fn compaction_keeps_read_times() {
     let mut buffer = Buffer::default();
     read(&mut buffer, 0, b"abcdef");
     for at in 1..1_000 {
@@ -48,8 +49,9 @@
     }
 }
 
+/// Nothing is kept of reads that are consumed or brought nothing.
 #[test]
-fn nothing_is_kept_of_reads_that_are_used_up_or_brought_nothing() {
+fn consumed_and_empty_reads_are_not_kept() {
     let mut buffer = Buffer::default();
     for at in 0..10 {
         read(&mut buffer, at, b"ab");
@@ -65,24 +67,24 @@
     assert_eq!(buffer.read_at(1), Some(20));
 }
 
-/// A client that writes byte by byte for 2 s, ahead of an answer: the memory is bounded, no byte counts as read later
-/// than it was, and none as read long before.
+/// A client writes byte by byte for 2 s, ahead of an answer: the memory is bounded, no byte counts as read later than it was,
+/// and none as read long before.
 #[test]
-fn however_many_reads_there_are_few_are_kept_and_none_is_far_off() {
+fn read_times_are_bounded_and_close() {
     let mut buffer = Buffer::default();
     let (reads, apart) = (2_000, 1_000);
     for at in 0..reads {
         read(&mut buffer, at * apart, b"x");
-        assert!(buffer.reads.len() <= READ_MARKS);
+        assert!(buffer.reads.len() <= MAX_READ_TIMES);
     }
     let most = (1..=reads).map(|count| {
-        let told = buffer.read_at(count as usize).expect("there");
+        let read_at = buffer.read_at(count as usize).expect("there");
         ((count - 1) * apart)
-            .checked_sub(told)
+            .checked_sub(read_at)
             .expect("never later than it was")
     });
     // A 64th part of the time, four times over: those next to each other are joined first, never far ones.
-    assert!(most.max() < Some(reads * apart / READ_MARKS as Micros * 4));
+    assert!(most.max() < Some(reads * apart / MAX_READ_TIMES as Micros * 4));
     let mut burst = Buffer::default();
     read(&mut burst, 1, b"first");
     (0..reads).for_each(|at| read(&mut burst, 5_000_000 + at, b"x"));
--- a/src/bin/asterreel/runtime/timer.rs
+++ b/src/bin/asterreel/runtime/timer.rs
@@ -1,74 +1,106 @@
-//! Alarms for coroutines, and the module's own timer, on one plain thread.
+//! Alarms that wake coroutines, and the router's own timer, on one plain thread.
 //!
-//! may's timed waits resume a coroutine on may's timer thread, beside the worker. Here a coroutine waits on
-//! its socket without a limit, and an alarm wakes it through the worker's queue.
+//! may's timed waits resume a coroutine on may's timer thread, beside the worker. Here a coroutine waits on its socket
+//! without a limit, and an alarm wakes it through the worker's queue.
 
 use asterreel::interface::Micros;
 use asterreel_control::clock::Clock;
 use may::io::WaitIoWaker;
 use std::collections::BTreeMap;
-use std::sync::{Arc, Condvar, Mutex, PoisonError};
+use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
+/// How long the thread sleeps at most while no alarm is set.
+const IDLE_WAIT_US: Micros = 1_000_000;
+
+/// The alarms of all coroutines, and the time at which the router wants to be woken.
 pub(crate) struct Timer {
     clock: Clock,
     queue: Mutex<Queue>,
-    sooner: Condvar,
+    /// Wakes the thread where something is due earlier than what it sleeps for.
+    earlier: Condvar,
 }
 
 #[derive(Default)]
 struct Queue {
-    alarms: BTreeMap<(Micros, u64), WaitIoWaker>,
-    next: u64,
-    wake_at: Option<Micros>,
+    alarms: BTreeMap<AlarmKey, WaitIoWaker>,
+    last_number: u64,
+    router_wake_at: Option<Micros>,
+}
+
+/// Alarms are due in this order; the number tells those of one time apart.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct AlarmKey {
+    at: Micros,
+    number: u64,
+}
+
+impl Queue {
+    /// Wakes the coroutines whose alarms are due.
+    fn fire_due(&mut self, now: Micros) {
+        while let Some(alarm) = self
+            .alarms
+            .first_entry()
+            .filter(|alarm| alarm.key().at <= now)
+        {
+            alarm.remove().wakeup();
+        }
+    }
+
+    /// When something is due next.
+    fn next_at(&self) -> Option<Micros> {
+        let alarm = self.alarms.first_key_value().map(|(key, _)| key.at);
+        alarm.into_iter().chain(self.router_wake_at).min()
+    }
 }
 
-/// An alarm that is set; dropping it takes it back.
+/// An alarm that is set; dropping it cancels it.
 pub(crate) struct Alarm {
     timer: Arc<Timer>,
-    key: (Micros, u64),
+    key: AlarmKey,
 }
 
 impl Drop for Alarm {
     fn drop(&mut self) {
-        self.timer.locked(|queue| queue.alarms.remove(&self.key));
+        // The waker is dropped once the lock is free.
+        let waker = self.timer.lock().alarms.remove(&self.key);
+        drop(waker);
     }
 }
 
 impl Timer {
+    /// A timer without alarms; [`Timer::run`] is to be called on a thread of its own.
     pub(crate) fn new(clock: Clock) -> Arc<Timer> {
         Arc::new(Timer {
             clock,
             queue: Mutex::default(),
-            sooner: Condvar::new(),
+            earlier: Condvar::new(),
         })
     }
 
+    /// The time by the clock of all alarms.
     pub(crate) fn now(&self) -> Micros {
         self.clock.now()
     }
 
-    fn locked<T>(&self, work: impl FnOnce(&mut Queue) -> T) -> T {
-        work(&mut self.queue.lock().unwrap_or_else(PoisonError::into_inner))
+    fn lock(&self) -> MutexGuard<'_, Queue> {
+        self.queue.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Wakes a coroutine that waits on its socket at this time.
     pub(crate) fn alarm(self: &Arc<Self>, at: Micros, waker: WaitIoWaker) -> Alarm {
-        let (key, first) = self.locked(|queue| {
-            queue.next += 1;
-            let key = (at, queue.next);
+        let (key, is_first) = {
+            let mut queue = self.lock();
+            queue.last_number += 1;
+            let number = queue.last_number;
+            let key = AlarmKey { at, number };
             queue.alarms.insert(key, waker);
-            (
-                key,
-                queue
-                    .alarms
-                    .first_key_value()
-                    .is_some_and(|(first, _)| *first == key),
-            )
-        });
+            let first = queue.alarms.first_key_value();
+            (key, first.is_some_and(|(first, _)| *first == key))
+        };
         // The thread already wakes in time for any other.
-        if first {
-            self.sooner.notify_one();
+        if is_first {
+            self.earlier.notify_one();
         }
         Alarm {
             timer: self.clone(),
@@ -76,36 +108,32 @@
         }
     }
 
-    /// Asks for one call of the module's wake; a later call replaces an earlier one, as its agenda expects.
+    /// Has the router woken once at this time; a later call replaces an earlier one.
     pub(crate) fn wake_at(&self, at: Micros) {
-        self.locked(|queue| queue.wake_at = Some(at));
-        self.sooner.notify_one();
+        self.lock().router_wake_at = Some(at);
+        self.earlier.notify_one();
     }
 
-    /// The thread's loop.
-    pub(crate) fn run(&self, wake: impl Fn()) {
-        let mut queue = self.queue.lock().unwrap_or_else(PoisonError::into_inner);
+    /// The loop of the timer's thread; `wake_router` is called without the lock.
+    pub(crate) fn run(&self, wake_router: impl Fn()) {
+        let mut queue = self.lock();
         loop {
             let now = self.clock.now();
-            while let Some(alarm) = queue
-                .alarms
-                .first_entry()
-                .filter(|alarm| alarm.key().0 <= now)
-            {
-                alarm.remove().wakeup();
-            }
-            if queue.wake_at.is_some_and(|at| at <= now) {
-                queue.wake_at = None;
-                // The wake takes the core's lock, under which others set timers: never both at once.
+            queue.fire_due(now);
+            if queue.router_wake_at.is_some_and(|at| at <= now) {
+                queue.router_wake_at = None;
+                // The router sets its timer under its own lock: never take both the other way round.
                 drop(queue);
-                wake();
-                queue = self.queue.lock().unwrap_or_else(PoisonError::into_inner);
+                wake_router();
+                queue = self.lock();
                 continue;
             }
-            let alarm = queue.alarms.first_key_value().map(|((at, _), _)| *at);
-            let next = alarm.into_iter().chain(queue.wake_at).min();
-            let wait = Duration::from_micros(next.map_or(1_000_000, |at| at.saturating_sub(now)));
-            let woken = self.sooner.wait_timeout(queue, wait);
+            let wait_us = queue
+                .next_at()
+                .map_or(IDLE_WAIT_US, |at| at.saturating_sub(now));
+            let woken = self
+                .earlier
+                .wait_timeout(queue, Duration::from_micros(wait_us));
             queue = woken.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
--- a/src/bin/asterreel/startup.rs
+++ b/src/bin/asterreel/startup.rs
@@ -5,7 +5,7 @@
 use crate::discovery::{self, FirstList, Source};
 use crate::probe;
 use crate::request::pool::Pool;
-use crate::runtime::net;
+use crate::runtime::coroutine;
 use crate::runtime::timer::Timer;
 use asterreel::config::{Config, Listing};
 use asterreel::interface::{DiscoveryMode, UpdateKind};
@@ -97,7 +97,7 @@
     ));
     start_timer(timer, &core)?;
     let (checking, checking_pool) = (core.clone(), pool.clone());
-    net::spawn(move || run_health_checks(&checking, &checking_pool, &checks_asked));
+    coroutine::spawn(move || run_health_checks(&checking, &checking_pool, &checks_asked));
     core.listed(UpdateKind::CachedSnapshot, &config.known)
         .map_err(|error| format!("configuration: known: {error}"))?;
     let first_list = watch_discovery(&core, &source, &config.known, watches_asked)?;
@@ -129,7 +129,7 @@
     let first_list = Arc::<FirstList>::default();
     let listed = first_list.clone();
     let watch = move || discovery::run(&core, &source, revision, &watches_asked, &listed);
-    net::spawn_with_stack(net::JSON_STACK_WORDS, watch)?;
+    coroutine::spawn_with_stack(coroutine::JSON_STACK_WORDS, watch)?;
     Ok(first_list)
 }
 
@@ -137,7 +137,7 @@
 fn run_health_checks(core: &Arc<Core>, pool: &Arc<Pool>, asked: &Receiver<HealthCheck>) {
     while let Ok(HealthCheck { member, address }) = asked.recv() {
         let (core, pool) = (core.clone(), pool.clone());
-        net::spawn(move || {
+        coroutine::spawn(move || {
             let (outcome, report) = probe::run(&pool, address);
             core.probed(member, outcome, report);
         });
