--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 /// How long clients of a database that hangs wait for an answer, how much later it may come on a slow machine, and how much
-/// earlier a module that sees no chance left may give up.
+/// earlier a router that sees no chance left may fail the request.
 const WAIT: Duration = Duration::from_millis(2_000);
 const LATE: Duration = Duration::from_millis(700);
 const EARLY: Duration = Duration::from_millis(200);
@@ -27,7 +27,16 @@
     .concat()
 }
 
-/// A place where nobody listens.
+/// A primary and a replica that answer at once.
+fn primary_and_replica(seen: &Sender<Vec<u8>>) -> [Database; 2] {
+    [true, false].map(|primary| Database::start(primary, true, seen, |_| None))
+}
+
+fn addresses_of(databases: &[Database; 2]) -> [SocketAddr; 2] {
+    [databases[0].address, databases[1].address]
+}
+
+/// An address where nobody listens.
 fn nowhere() -> SocketAddr {
     listen().local_addr().expect("bound")
 }
@@ -58,7 +67,7 @@
     fn answering(instead: fn(&[u8]) -> Option<Vec<u8>>) -> Stage {
         let (tell, seen) = channel();
         let databases = [(); 2].map(|()| Database::start(false, true, &tell, instead));
-        let places = [databases[0].address, databases[1].address];
+        let places = addresses_of(&databases);
         let (gateway, log) = staged(places, nowhere(), |config| config);
         Stage {
             gateway,
@@ -118,15 +127,17 @@
     }
 }
 
+/// A write that is queued is not dispatched once its client has closed the connection.
 #[test]
-fn a_write_that_waits_is_not_sent_once_its_client_has_closed() {
+fn queued_write_is_dropped_when_client_closes() {
     let (stage, client) = Stage::with_a_waiting_write("gone");
     drop(client);
     stage.leaves_and_nothing_is_sent();
 }
 
+/// A write that is queued is not dispatched once its client has reset the connection.
 #[test]
-fn a_write_that_waits_is_not_sent_once_its_client_has_reset_the_connection() {
+fn queued_write_is_dropped_when_client_resets() {
     let stage = Stage::new();
     let mut client = Client::connect(&stage.gateway);
     client.send(&[startup(), query(&write("gone"))].concat());
@@ -136,17 +147,18 @@
     stage.leaves_and_nothing_is_sent();
 }
 
-/// One that closes only its sending side has gone as well: nothing can tell it from one that closed both.
+/// A client that closes only its sending side has gone: nothing can tell it from one that closed both.
 #[test]
-fn a_client_that_closes_only_its_sending_side_has_gone() {
+fn half_closed_client_counts_as_gone() {
     let (stage, mut client) = Stage::with_a_waiting_write("half");
     client.0.shutdown(std::net::Shutdown::Write).expect("shut");
     stage.leaves_and_nothing_is_sent();
     assert_eq!(client.answer().0, "", "closed");
 }
 
+/// What a client sent ahead of its close is not dispatched either.
 #[test]
-fn what_a_client_sent_ahead_of_its_end_is_not_sent_on_either() {
+fn pipelined_request_of_gone_client_is_dropped() {
     let (stage, mut client) = Stage::with_a_waiting_write("first");
     let ahead: Vec<u8> = (0..5)
         .flat_map(|n| query(&read(&format!("ahead-{n}"))))
@@ -156,10 +168,10 @@
     stage.leaves_and_nothing_is_sent();
 }
 
-/// By reading: a session stops reading at 132 KiB sent ahead, and the end behind them was never seen; its write went out
-/// when a primary turned up, and all that was sent ahead after it.
+/// A session stops reading at the longest message sent ahead; the close behind that must be seen all the same, and neither
+/// the queued write nor what was sent after it is dispatched.
 #[test]
-fn a_client_that_leaves_behind_more_than_is_read_ahead_has_gone_too() {
+fn client_close_is_seen_behind_unread_bytes() {
     let (stage, mut client) = Stage::with_a_waiting_write("first");
     let one = query(&[&read("ahead")[..], &vec![b' '; 20_000]].concat());
     (0..10).for_each(|_| client.send(&one));
@@ -171,9 +183,9 @@
     assert_eq!(stage.reached(), [""; 0]);
 }
 
-/// All in one moment: the gateway stands still while thirty clients leave and a primary turns up.
+/// The gateway is stopped while thirty clients leave and a primary turns up: nothing of theirs is dispatched.
 #[test]
-fn of_a_burst_of_clients_that_leave_nothing_is_sent_on() {
+fn requests_of_a_burst_of_gone_clients_are_dropped() {
     let stage = Stage::new();
     let mut clients: Vec<Client> = (0..30).map(|_| Client::ready(&stage.gateway)).collect();
     for (n, client) in clients.iter_mut().enumerate() {
@@ -191,9 +203,9 @@
     assert_eq!(stage.reached(), [""; 0]);
 }
 
-/// The first attempt ends with an error in the very moment in which the client leaves: no second one begins.
+/// The first attempt ends with an error in the very moment in which the client leaves: no second one starts.
 #[test]
-fn no_further_attempt_begins_for_a_client_that_leaves_as_the_last_one_ends() {
+fn retry_is_not_started_for_gone_client() {
     let broken = |statement: &[u8]| {
         statement
             .starts_with(b"SELECT")
@@ -219,10 +231,9 @@
     stage.leaves_and_nothing_is_sent();
 }
 
-/// As PostgreSQL has it: whoever knows a session's key may cancel what it is doing. The keys were all zeros, and cancels
-/// were dropped.
+/// A cancel request with the key of a session ends its request, as in PostgreSQL; one with any other key does nothing.
 #[test]
-fn a_cancel_with_the_right_key_ends_the_request_and_any_other_does_nothing() {
+fn cancel_requires_the_right_key() {
     let stage = Stage::new();
     stage.databases[0].primary.store(true, Ordering::SeqCst);
     let (mut client, key) = Client::with_key(&stage.gateway);
@@ -267,8 +278,9 @@
     );
 }
 
+/// A request that is queued when its client cancels it is answered and never dispatched.
 #[test]
-fn a_request_that_waits_is_cancelled_and_never_sent() {
+fn cancelled_request_is_not_dispatched() {
     let stage = Stage::new();
     let (mut client, key) = Client::with_key(&stage.gateway);
     client.send(&query(&write("waits")));
@@ -281,17 +293,13 @@
     assert_eq!(stage.reached(), [""; 0]);
 }
 
-/// Seen on a trial by reading the page: after SIGTERM clients send on every connection that stays open, up to SIGKILL. A
-/// client that always has a next request kept its session, and the process, until it was killed with one unanswered.
+/// After SIGTERM clients send on every connection that stays open, up to SIGKILL. A client that always has a next request
+/// must not keep its session, and the process, until it is killed with one unanswered.
 #[test]
-fn a_client_that_always_has_a_next_request_does_not_hold_a_drain_up() {
+fn busy_client_does_not_delay_a_drain() {
     let (tell, seen) = channel();
-    let databases = [true, false].map(|primary| Database::start(primary, true, &tell, |_| None));
-    let (mut gateway, log) = staged(
-        [databases[0].address, databases[1].address],
-        nowhere(),
-        |config| config,
-    );
+    let databases = primary_and_replica(&tell);
+    let (mut gateway, log) = staged(addresses_of(&databases), nowhere(), |config| config);
     // One waits for each answer, the other sends on and on without looking.
     let mut asks = Client::ready(&gateway);
     let mut sends = Client::ready(&gateway);
@@ -356,16 +364,13 @@
     assert_eq!(reached, served);
 }
 
-/// A close over unread bytes resets the connection, and what was written last may go with it.
+/// A close over unread bytes resets the connection, and what was written last may go with it: a client that has sent more
+/// than was read still gets its last answer and an end.
 #[test]
-fn a_client_that_has_sent_more_than_was_read_still_gets_its_last_answer_and_an_end() {
+fn unread_bytes_do_not_reset_the_last_answer() {
     let (tell, _seen) = channel();
-    let databases = [true, false].map(|primary| Database::start(primary, true, &tell, |_| None));
-    let (gateway, _log) = staged(
-        [databases[0].address, databases[1].address],
-        nowhere(),
-        |config| config,
-    );
+    let databases = primary_and_replica(&tell);
+    let (gateway, _log) = staged(addresses_of(&databases), nowhere(), |config| config);
     let mut client = Client::ready(&gateway);
     // No message, and then far more than one read takes in.
     client.send(&[&[0xff; 5][..], &[b'x'; 100_000]].concat());
@@ -388,10 +393,9 @@
     );
 }
 
-/// A database that sends notices without end, as fast as it can: the request ends when its time is over, and others are
-/// served meanwhile.
+/// A server sends notices without end, as fast as it can: the request ends at its deadline, and others are served meanwhile.
 #[test]
-fn an_answer_that_never_ends_outlasts_neither_its_time_nor_holds_up_others() {
+fn endless_answer_is_stopped_at_its_deadline() {
     let (tell, _seen) = channel();
     let good = Database::start(true, true, &tell, |_| None);
     let listener = listen();
@@ -427,7 +431,7 @@
     );
 }
 
-/// A database that welcomes and reports as a replica in step, and answers statements with notices for good.
+/// A server that starts sessions and reports as a replica in step, and answers statements with notices without end.
 fn pour(mut client: TcpStream) -> std::io::Result<()> {
     toy::read_body(&mut client)?;
     client.write_all(&[toy::message(b'R', &[0; 4]), toy::message(b'Z', b"I")].concat())?;
@@ -450,11 +454,10 @@
     }
 }
 
-/// A client that sends many requests at once waits for each from its last byte on, whatever stands before it: what it waits
-/// for so long it has given up after. Seen on `herd+brink` with pipelined clients, as up to 53 requests with no answer in
-/// their time: a session counted the time of each from the moment in which it came to it.
+/// The time of each request that a client sends at once runs from its own last byte, whatever stands before it: each is
+/// answered in its time while a server hangs.
 #[test]
-fn requests_sent_at_once_before_a_database_that_hangs_are_each_answered_in_their_time() {
+fn pipelined_requests_keep_their_own_deadlines() {
     let stage = Stage::hanging();
     let mut client = Client::ready(&stage.gateway);
     let sent = Instant::now();
@@ -494,9 +497,9 @@
 }
 
 /// The first request and half of the second come in one read, the rest of it byte by byte, its end in one read with the
-/// third as a whole: the time of the second and third runs from then on, neither from their first bytes nor from their turn.
+/// complete third: the time of the second and third runs from then on, neither from their first bytes nor from their turn.
 #[test]
-fn a_request_in_pieces_behind_one_that_hangs_has_its_time_from_its_own_last_byte() {
+fn deadline_runs_from_the_last_byte_of_a_request() {
     let stage = Stage::hanging();
     let mut client = Client::ready(&stage.gateway);
     let [first, second, third] = ["r-1", "r-2", "r-3"].map(|id| query(&read_within(id, WAIT)));
@@ -528,7 +531,7 @@
     }
 }
 
-/// A place that listens only from now on: until then calls are refused.
+/// Listens at an address only from now on: until then calls are refused.
 fn listen_again(place: SocketAddr) -> TcpListener {
     (0..500)
         .find_map(|_| {
@@ -538,11 +541,10 @@
         .expect("the place is free")
 }
 
-/// Told within 6 s: whatever happened to the calls before, the next one comes in time after discovery can be reached again,
-/// less the 2 s that it may wait in discovery's queue. By reading: after refusals the wait grew to four times the ask
-/// interval, in a fleet of 300 to 15 s from the first one on.
+/// Whatever happened to the calls before, the next one comes within 6 s after discovery can be reached again, less the 2 s
+/// that it may wait in discovery's queue: the backoff does not grow beyond that with refusals or the size of the fleet.
 #[test]
-fn after_any_number_of_refused_calls_discovery_is_called_in_time_once_it_is_back() {
+fn discovery_is_called_in_time_after_refusals() {
     let plays = [1, 30, 300].map(|fleet| {
         thread::spawn(move || {
             // An address of its own: nobody else is given its port meanwhile.
@@ -579,9 +581,9 @@
     );
 }
 
-/// An agent's word counts from when it has it: a watch on it that ends is opened again at once, in a fleet of any size.
+/// A list counts from when the agent has it: a watch that ends is opened again at once, in a fleet of any size.
 #[test]
-fn a_watch_on_an_agent_that_ends_is_opened_again_at_once() {
+fn ended_watch_on_agent_is_reopened_at_once() {
     let agent = listen();
     let _gateway = pushed(&agent, 300);
     for _ in 0..6 {
@@ -598,9 +600,9 @@
     }
 }
 
-/// Ready from the known list, whatever discovery does: refuses, says nothing, or can't be reached at all.
+/// A gateway is ready from the known list whatever discovery does: refuses, sends nothing, or can't be reached at all.
 #[test]
-fn a_restarted_gateway_serves_from_its_known_list_whatever_discovery_does() {
+fn restarted_gateway_serves_from_known_list() {
     let silent = listen();
     // Nobody ever accepts there, and its queue is full.
     let full = listen();
@@ -612,10 +614,9 @@
     for place in places {
         for fleet in [1, 300] {
             let (tell, _seen) = channel();
-            let databases =
-                [true, false].map(|primary| Database::start(primary, true, &tell, |_| None));
+            let databases = primary_and_replica(&tell);
             let begun = Instant::now();
-            let addresses = [databases[0].address, databases[1].address];
+            let addresses = addresses_of(&databases);
             let change = |config: String| {
                 config.replace("\"FleetSize\": 1,", &format!("\"FleetSize\": {fleet},"))
             };
@@ -635,15 +636,15 @@
     drop(queue);
 }
 
-/// Idle clients may take all that clients may have while discovery is down: when it is back, it is watched at once,
-/// databases are reached, and a client that comes is served in the place of one that rests.
+/// Idle clients may use all descriptors of clients while discovery is down: when it is back, it is watched at once, servers
+/// are reached, and a new client is served in the place of an idle one.
 #[test]
-fn idle_clients_fill_the_descriptors_while_discovery_is_down_and_nothing_else_goes_short() {
+fn idle_clients_leave_descriptors_for_the_rest() {
     let mut place = own_address();
     place.set_port(8_500);
     let (tell, seen) = channel();
-    let databases = [true, false].map(|primary| Database::start(primary, true, &tell, |_| None));
-    let addresses = [databases[0].address, databases[1].address];
+    let databases = primary_and_replica(&tell);
+    let addresses = addresses_of(&databases);
     let (gateway, log) = staged(addresses, place, |config| config.replace("1024", "96"));
     let mut resting: Vec<Client> = (0..60).map(|_| Client::ready(&gateway)).collect();
     databases
@@ -666,12 +667,12 @@
         "called after {:?}",
         back.elapsed()
     );
-    // A new crowd, of whom one asks.
+    // New clients, of whom one sends a request.
     resting.extend((0..30).map(|_| Client::ready(&gateway)));
     databases
         .iter()
         .for_each(|database| database.gate.set(true));
-    let last = resting.last_mut().expect("a crowd");
+    let last = resting.last_mut().expect("30 clients");
     last.send(&query(&read("asks")));
     assert_eq!(last.answer().0, "TDCZ");
     assert_eq!(busy.answer().0, "TDCZ", "none is closed inside a request");
@@ -683,10 +684,10 @@
     open.expect("a process").count()
 }
 
-/// A database that accepts and never gets as far as a welcome, and one that closes each connection in the moment it is
-/// idle: reads go to the next, and a write in the way of such a close has not run twice.
+/// One server accepts and never answers the startup message, another closes each connection in the moment it is idle: reads
+/// go to the next, and a write in the way of such a close has not run twice.
 #[test]
-fn a_connection_that_never_comes_up_costs_a_read_only_time() {
+fn hanging_connect_costs_a_read_only_time() {
     let (tell, _seen) = channel::<Vec<u8>>();
     let good = Database::start(true, true, &tell, |_| None);
     let listener = listen();
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -9,8 +9,9 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
+/// A request is forwarded with only its wait changed, and its row comes back complete.
 #[test]
-fn a_request_is_passed_on_with_only_its_wait_changed_and_its_row_comes_back_whole() {
+fn forwarded_statement_changes_only_its_wait() {
     let gateway = start();
     let mut client = Client::connect(&gateway);
     // The startup message and the first query come in one packet.
@@ -42,8 +43,9 @@
     assert!((1..=60_000).contains(&wait));
 }
 
+/// A write reaches the primary, and pipelined queries are answered in order.
 #[test]
-fn a_write_reaches_the_primary_and_pipelined_queries_are_answered_in_order() {
+fn pipelined_queries_are_answered_in_order() {
     let gateway = start();
     let mut client = Client::ready(&gateway);
     let write =
@@ -61,8 +63,9 @@
     assert_eq!(tags, ["TDCZ", "CZ", "TDCZ", "IZ"]);
 }
 
+/// More clients than descriptors are served in turn, by closing idle connections.
 #[test]
-fn more_clients_than_descriptors_are_served_in_turn_by_closing_idle_connections() {
+fn idle_connections_are_closed_at_the_descriptor_limit() {
     // 96 descriptors leave room for 40 clients.
     let gateway = start_with(1000, 96, |_| None);
     let mut clients: Vec<Client> = (0..60).map(|_| Client::ready(&gateway)).collect();
@@ -72,8 +75,9 @@
     assert_eq!(clients[0].answer().0, "", "closed between requests");
 }
 
+/// Clients that send one request and stay leave connections for others.
 #[test]
-fn clients_that_ask_once_and_stay_leave_connections_for_others() {
+fn idle_served_clients_are_closed_for_others() {
     // Of 384 descriptors clients hold 128 for requests, and whoever finds none left has nowhere to ask.
     let gateway = start_with(1000, 384, |_| None);
     let mut stayed: Vec<Client> = vec![];
@@ -95,41 +99,43 @@
     assert_eq!(last.answer().0, "TDCZ");
 }
 
+/// Connections that send nothing do not take the places of clients.
 #[test]
-fn connections_that_say_nothing_take_no_place_from_clients() {
+fn silent_connections_do_not_displace_clients() {
     let gateway = start_with(1000, 96, |_| None);
     let mut client = Client::ready(&gateway);
     let mut silent: Vec<Client> = (0..200).map(|_| Client::connect(&gateway)).collect();
-    // Neither from one that is served already, nor from one that comes behind the crowd.
+    // Neither from one that is served already, nor from one that comes behind the silent ones.
     for client in [&mut client, &mut Client::ready(&gateway)] {
         client.send(&query(&read("s")));
         assert_eq!(client.answer().0, "TDCZ");
     }
-    let mut told = silent.iter_mut().map(|one| one.answer().0);
+    let mut answers = silent.iter_mut().map(|one| one.answer().0);
     assert!(
-        told.any(|tags| tags == "E"),
+        answers.any(|tags| tags == "E"),
         "those left over are told that they took too long"
     );
 }
 
+/// An opening or a message that does not end is rejected in time.
 #[test]
-fn an_opening_or_a_message_that_does_not_end_is_turned_away_in_time() {
+fn incomplete_message_is_rejected_in_time() {
     let gateway = start();
     let mut client = Client::ready(&gateway);
-    let whole = query(&read("h"));
+    let complete = query(&read("h"));
     // One says nothing, one stops in its opening, one in a message, and one sends a byte now and then.
     let mut bad = [(); 3].map(|()| Client::connect(&gateway));
     bad[1].send(&startup()[..9]);
-    bad[2].send(&[startup(), whole[..30].to_vec()].concat());
+    bad[2].send(&[startup(), complete[..30].to_vec()].concat());
     assert_eq!(bad[2].answer().0, "RSSKZ");
     let mut slow = Client::ready(&gateway);
     slow.0
         .set_read_timeout(Some(Duration::from_millis(100)))
         .expect("set");
-    let told = whole
+    let is_rejected = complete
         .iter()
         .any(|byte| slow.0.write_all(&[*byte]).is_err() || slow.0.peek(&mut [0]).is_ok());
-    assert!(told, "before its message is whole");
+    assert!(is_rejected, "before its message is complete");
     slow.0
         .set_read_timeout(Some(Duration::from_secs(20)))
         .expect("set");
@@ -137,7 +143,7 @@
         let (tags, bytes) = client.answer();
         assert_eq!((tags.as_str(), code(&bytes)), ("E", &b"08P01"[..]));
     }
-    client.send(&whole);
+    client.send(&complete);
     assert_eq!(
         client.answer().0,
         "TDCZ",
@@ -145,8 +151,9 @@
     );
 }
 
+/// Half an answer fails; a write is never sent again, a read is, and half an answer is never forwarded as complete.
 #[test]
-fn half_an_answer_fails_a_write_is_never_resent_and_a_read_is_but_never_looks_whole() {
+fn truncated_answer_is_retried_for_reads_only() {
     let gateway = start_with(1000, 1024, |_| {
         let whole = toy::row(b"\x9f\x03toy");
         Some(whole[..whole.len() - 4].to_vec())
@@ -169,8 +176,9 @@
     );
 }
 
+/// An error code that means rejected is not forwarded for a write that may have run.
 #[test]
-fn an_error_code_that_means_refused_is_not_passed_on_for_a_write_that_may_have_run() {
+fn rejection_code_is_not_forwarded_for_writes() {
     let gateway = start_with(1000, 1024, |_| {
         Some(toy::message(b'E', b"SFATAL\0C57P03\0Mgoing down\0\0"))
     });
@@ -183,8 +191,9 @@
     assert_eq!(gateway.seen.try_iter().count(), 1);
 }
 
+/// A statement that servers reject as invalid fails at once and is sent to no other member.
 #[test]
-fn a_statement_that_databases_cannot_use_fails_at_once_and_is_sent_to_no_other() {
+fn invalid_statement_is_not_retried() {
     let gateway = start_with(1000, 1024, |_| {
         Some(toy::message(b'E', b"SERROR\0C42601\0Msyntax\0\0"))
     });
@@ -195,8 +204,9 @@
     assert_eq!(gateway.seen.try_iter().count(), 1);
 }
 
+/// A request with the id of an open one gets an error and reaches no server.
 #[test]
-fn a_request_with_the_id_of_an_open_one_gets_an_error_and_reaches_no_database() {
+fn duplicate_request_id_is_rejected() {
     // The database answers only once its statement is taken note of.
     let gateway = start_with(0, 1024, |_| None);
     let mut clients = [Client::ready(&gateway), Client::ready(&gateway)];
@@ -233,8 +243,9 @@
     }
 }
 
+/// An invalid request gets an error; lost framing ends the connection.
 #[test]
-fn what_makes_no_sense_gets_an_error_and_lost_framing_ends_the_connection() {
+fn lost_framing_ends_the_connection() {
     let gateway = start();
     let mut client = Client::ready(&gateway);
     for statement in [
@@ -265,8 +276,9 @@
     assert_eq!(client.answer().0, "TDCZ", "it serves on");
 }
 
+/// On SIGTERM the gateway answers open requests, closes idle connections late, and exits with success.
 #[test]
-fn on_sigterm_it_answers_what_it_owes_closes_idle_connections_late_and_exits_well() {
+fn sigterm_drains_open_requests_and_exits() {
     let mut gateway = start_logging(0, 1024, |_| None, Stdio::piped());
     let mut idle = Client::ready(&gateway);
     let mut busy = Client::ready(&gateway);
@@ -302,8 +314,9 @@
     gateway.exits_well();
 }
 
+/// A bad configuration ends the gateway, and the error names the key.
 #[test]
-fn a_bad_configuration_ends_it_and_names_the_key() {
+fn bad_configuration_names_the_key() {
     let mut file = tempfile::NamedTempFile::new().expect("a file");
     file.write_all(
         EXAMPLE
@@ -320,8 +333,9 @@
     assert!(error.contains("settings.Allowed.MaxAttempts"), "{error}");
 }
 
+/// A gateway whose log is closed goes on serving.
 #[test]
-fn a_closed_log_stops_no_service() {
+fn closed_log_does_not_stop_service() {
     let (reader, writer) = UnixStream::pair().expect("a pair");
     drop(reader);
     let gateway = start_logging(1000, 1024, |_| None, OwnedFd::from(writer).into());
@@ -340,8 +354,9 @@
     (listener, key)
 }
 
+/// On SIGHUP discovery is watched at its new address, and a bad file changes nothing.
 #[test]
-fn on_sighup_discovery_is_watched_at_its_new_address_and_a_bad_file_changes_nothing() {
+fn sighup_moves_discovery_and_ignores_bad_files() {
     let gateway = start();
     let mut client = Client::ready(&gateway);
     let from = gateway.config.find("\"discovery\": ").expect("the key");
@@ -365,8 +380,9 @@
     }
 }
 
+/// A SIGHUP that comes in a drain does not stop it.
 #[test]
-fn on_sighup_a_drain_goes_on() {
+fn sighup_does_not_end_a_drain() {
     let mut gateway = start();
     let mut idle = Client::ready(&gateway);
     gateway.signal("-TERM");
@@ -375,10 +391,10 @@
     gateway.exits_well();
 }
 
-/// Where an agent on the gateway's machine pushes the list, the module never asks for a watch: the gateway must
-/// watch the agent from its start, or no drain and no new member is ever heard.
+/// Where an agent on the gateway's machine pushes the list, the router never asks for a watch: the gateway must watch the
+/// agent from its start, or it is never notified of a drain or a new member.
 #[test]
-fn a_pushing_agent_is_watched_from_the_start() {
+fn pushing_agent_is_watched_from_the_start() {
     let agent = listen();
     let _gateway = pushed(&agent, 1);
     let mut call = called(&agent).expect("the gateway watches the agent unasked");
@@ -391,10 +407,10 @@
     );
 }
 
-/// join+mass: watches stayed open and said nothing; what they missed counted as told 6 s later, and the gateways of a large
-/// fleet called again only up to 19 s after they fell silent. The list before that is indented, as lists may be.
+/// A watch that stays open and sends nothing is opened again before the 6 s are over in which a change must be noticed, in
+/// a large fleet too. The list before that is indented, as lists may be.
 #[test]
-fn a_watch_that_falls_silent_is_opened_again_in_time_by_a_gateway_of_300() {
+fn silent_watch_is_reopened_in_a_fleet_of_300() {
     let agent = listen();
     let _gateway = pushed(&agent, 300);
     let mut watch = toy::Watch::begin(called(&agent).expect("a watch")).expect("begun");
--- a/tests/process/mod.rs
+++ b/tests/process/mod.rs
@@ -28,11 +28,11 @@
 
 impl Gateway {
     pub(crate) fn signal(&self, name: &str) {
-        let told = Command::new("kill")
+        let status = Command::new("kill")
             .arg(name)
             .arg(self.process.id().to_string())
             .status();
-        assert!(told.expect("kill runs").success());
+        assert!(status.expect("kill runs").success());
     }
 
     /// Replaces the configuration file and says so.
@@ -80,9 +80,7 @@
         config = config.replace(&format!("127.0.0.1:{port}"), &address);
         thread::spawn(move || toy::toy(&listener, role, Some(tell), spoil));
     }
-    let from = config.find("{\"revision\"").expect("a list");
-    let to = config.find("]},").expect("its end") + 2;
-    let list = config[from..to].replace('\n', " ");
+    let list = list_of(&config);
     let discovery = listen();
     config = config.replace(
         "127.0.0.1:8500",
@@ -248,13 +246,13 @@
 impl Log {
     fn of(gateway: &mut Gateway) -> Log {
         let lines = BufReader::new(gateway.process.stderr.take().expect("piped")).lines();
-        let (tell, told) = channel();
+        let (lines_read, logged) = channel();
         thread::spawn(move || {
             lines
                 .map_while(Result::ok)
-                .try_for_each(|line| tell.send(line))
+                .try_for_each(|line| lines_read.send(line))
         });
-        Log(told)
+        Log(logged)
     }
 
     /// Waits for a line that holds this, 20 s at most; whether it came.
@@ -285,9 +283,9 @@
 pub(crate) struct Client(pub TcpStream);
 
 pub(crate) fn startup() -> Vec<u8> {
-    let words = b"user\0web\0database\0orders\0\0";
-    let length = (words.len() as u32 + 8).to_be_bytes();
-    [&length[..], &[0, 3, 0, 0], words].concat()
+    let parameters = b"user\0web\0database\0orders\0\0";
+    let length = (parameters.len() as u32 + 8).to_be_bytes();
+    [&length[..], &[0, 3, 0, 0], parameters].concat()
 }
 
 pub(crate) fn query(statement: &[u8]) -> Vec<u8> {
