--- a/control/src/clock.rs
+++ b/control/src/clock.rs
@@ -1,30 +1,31 @@
-//! The only clock of the gateway and its control plane: Unix time in microseconds that never goes back.
+//! The clock of the gateway and its control plane: Unix time in microseconds that never goes back. Decisions take the time
+//! as an argument; only what runs them reads this clock.
 
 use crate::Micros;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Unix time read once, carried on by the monotonic clock, so that a step of the system's clock moves no
-/// deadline.
+/// Unix time read once, then advanced by the monotonic clock: a step of the system's clock moves no deadline.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    base: Micros,
+    /// Unix time at the start, microseconds.
+    unix_start_us: Micros,
     started: Instant,
 }
 
 impl Clock {
-    /// A clock that starts from the system's time.
+    /// Starts a clock at the system's time; at the epoch where the system's clock is set before it.
     pub fn start() -> Clock {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Clock {
-            base: unix.as_micros() as Micros,
+            unix_start_us: unix.as_micros() as Micros,
             started: Instant::now(),
         }
     }
 
     /// Microseconds since the Unix epoch.
     pub fn now(&self) -> Micros {
-        self.base + self.started.elapsed().as_micros() as Micros
+        self.unix_start_us + self.started.elapsed().as_micros() as Micros
     }
 }
--- a/control/src/traffic.rs
+++ b/control/src/traffic.rs
@@ -1,10 +1,10 @@
-//! What the control plane of one process sends and receives, counted.
+//! Counters of what the control plane of one process sends and receives. They decide nothing: they are logged and reported.
 
 use serde::{Deserialize, Serialize};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
-/// Counts frames and bytes of some links, in both directions. Clones count together.
+/// Counts frames and bytes of a set of links, in both directions. Clones share their counters.
 #[derive(Clone, Debug, Default)]
 pub struct Traffic {
     counters: Arc<Counters>,
@@ -18,33 +18,33 @@
     bytes_out: AtomicU64,
 }
 
-/// What was counted up to a moment, from the start of the control plane.
+/// The counters at one moment, from the start of the control plane.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrafficTotals {
-    /// Frames received whole.
+    /// Complete frames received.
     pub frames_in: u64,
-    /// Frames written whole.
+    /// Complete frames written.
     pub frames_out: u64,
     /// Bytes read from links, without the overhead of TCP and IP.
     pub bytes_in: u64,
-    /// Bytes of the frames written whole.
+    /// Bytes of the complete frames written.
     pub bytes_out: u64,
 }
 
 impl Traffic {
-    /// Bytes were read from a link.
+    /// Counts bytes read from a link.
     pub(crate) fn read(&self, bytes: usize) {
         self.counters
             .bytes_in
             .fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// A frame was received whole.
+    /// Counts a complete frame received.
     pub(crate) fn received(&self) {
         self.counters.frames_in.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// A frame of so many bytes was written whole.
+    /// Counts a complete frame written, by its size in bytes.
     pub(crate) fn wrote(&self, bytes: usize) {
         self.counters.frames_out.fetch_add(1, Ordering::Relaxed);
         self.counters
@@ -52,9 +52,9 @@
             .fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// The sums so far.
+    /// The current counters.
     pub fn totals(&self) -> TrafficTotals {
-        let get = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
+        let load = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         let Counters {
             frames_in,
             frames_out,
@@ -62,19 +62,19 @@
             bytes_out,
         } = &*self.counters;
         TrafficTotals {
-            frames_in: get(frames_in),
-            frames_out: get(frames_out),
-            bytes_in: get(bytes_in),
-            bytes_out: get(bytes_out),
+            frames_in: load(frames_in),
+            frames_out: load(frames_out),
+            bytes_in: load(bytes_in),
+            bytes_out: load(bytes_out),
         }
     }
 }
 
-/// Counts what a control member sends and receives, by who is at the other end.
+/// Counts what a control member sends and receives, by the kind of peer.
 #[derive(Clone, Debug, Default)]
 pub struct MemberTraffic {
-    /// Of links with other control members, and of first frames that others send, as only they say who they are.
+    /// Links with other control members, and the first frame of every incoming link: only that frame says whose it is.
     pub members: Traffic,
-    /// Of links with gateways that are served, its own gateway's included.
+    /// Links with gateways that are clients, its own included.
     pub gateways: Traffic,
 }
