--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -1,7 +1,7 @@
-//! Leases of five gateways on one virtual clock, from seeds: clocks that start apart and run at other rates, proposals
-//! lost and late, entries applied late, stalls, crashes and restarts with a new incarnation, and actions that arrive long after
-//! they were decided. After every step no two gateways may act under one duty; at the end of a run, with the faults
-//! over, a holder must be there within a bound computed from the timing.
+//! Deterministic simulation of the leases of five gateways, from seeds: clocks that start apart and run at other rates,
+//! proposals lost and late, entries applied late, stalls, partitions, crashes and restarts with a new incarnation, and
+//! actions that arrive long after they were decided. After every step no two gateways may act under one duty; at the end
+//! of a run, with the faults over, each duty must have a holder.
 
 mod golden;
 
@@ -19,12 +19,18 @@
 };
 const GATEWAYS: usize = 5;
 const DUTIES: [Duty; 2] = [Duty(0), Duty(1)];
-/// Longest that a proposal travels to the log, and an entry from the log to a gateway, in the runs.
+/// Longest that a proposal travels to the log, an entry to a gateway, and an action to its receiver.
 const TRAVEL_US: u64 = 200_000;
+/// Longest that an action travels whose sender stalled.
+const MAX_LATENESS_US: u64 = 10_000_000;
+/// Longest that a gateway stalls or is partitioned from the log.
+const MAX_OUTAGE_US: u64 = 8_000_000;
+/// Clocks start up to this far ahead of real time.
+const MAX_OFFSET_US: u64 = 500_000;
 
-/// What a run does, and to what clocks.
+/// The faults and clocks of one simulated run.
 #[derive(Clone, Copy)]
-struct Run {
+struct Scenario {
     seed: u64,
     length_us: u64,
     /// The last part of the run is without faults.
@@ -37,33 +43,78 @@
 struct Gateway {
     leases: Leases,
     /// Its clock: `offset + real * (1 + rate)`.
-    offset: u64,
+    offset_us: u64,
     rate_ppm: i64,
     alive: bool,
     /// Neither ticks nor applies before this, in real time.
     stalled_until: u64,
-    /// Cut off from the log (both ways) before this.
-    cut_until: u64,
+    /// Partitioned from the log (both ways) before this.
+    partitioned_until: u64,
     applied: usize,
-    incarnation: u32,
-    number: u32,
+    identity: NodeIdentity,
 }
 
 impl Gateway {
+    fn new(number: u32, scenario: &Scenario, rng: &mut fastrand::Rng) -> Gateway {
+        let identity = NodeIdentity {
+            gateway: number,
+            incarnation: 0,
+        };
+        let mut gateway = Gateway {
+            leases: Leases::new(identity, scenario.timing),
+            offset_us: rng.u64(0..MAX_OFFSET_US),
+            rate_ppm: rng.i64(-scenario.drift_ppm..=scenario.drift_ppm),
+            alive: true,
+            stalled_until: 0,
+            partitioned_until: 0,
+            applied: 0,
+            identity,
+        };
+        gateway.want_duties(0);
+        gateway
+    }
+
+    /// Restarts with its disk, in a new incarnation; its clock begins anew, further on.
+    fn restart(&mut self, real: u64, timing: Timing, rng: &mut fastrand::Rng) {
+        self.identity.incarnation += 1;
+        self.alive = true;
+        self.applied = 0;
+        self.offset_us = rng.u64(0..MAX_OFFSET_US);
+        self.leases = Leases::new(self.identity, timing);
+        self.want_duties(real);
+    }
+
+    /// Wants every duty; what it proposes then is lost, and proposed again later.
+    fn want_duties(&mut self, real: u64) {
+        let now = self.clock(real);
+        for duty in DUTIES {
+            self.leases.handle(now, Event::Want(duty), &mut Vec::new());
+        }
+    }
+
     fn clock(&self, real: u64) -> u64 {
         let real = real as i128;
-        (self.offset as i128 + real + real * self.rate_ppm as i128 / 1_000_000) as u64
+        (self.offset_us as i128 + real + real * self.rate_ppm as i128 / 1_000_000) as u64
+    }
+
+    fn is_running(&self, real: u64) -> bool {
+        self.alive && self.stalled_until <= real
+    }
+
+    fn active_token(&self, duty: Duty, real: u64) -> Option<Token> {
+        self.leases.active_token(duty, self.clock(real))
     }
 }
 
-/// What a run saw.
+/// What was observed in a run.
 #[derive(Default, Debug)]
-struct Seen {
+struct Report {
     /// Moments when two gateways could act under one duty.
     overlaps: Vec<String>,
-    /// Actions that reached their receiver, and those that its fence refused.
+    /// Actions that the receiver's fence admitted.
     admitted: u64,
-    refused: u64,
+    /// Actions that the receiver's fence rejected.
+    rejected: u64,
     /// From the moment that a duty had no one acting to the next who did, microseconds of real time.
     gaps: Vec<u64>,
     /// Of all entries of the log, and when each was committed.
@@ -72,176 +123,226 @@
     held_at_end: bool,
 }
 
-#[expect(
-    clippy::too_many_lines,
-    reason = "to be split: one simulation step after another"
-)]
-fn play(run: Run) -> Seen {
-    let mut rng = fastrand::Rng::with_seed(run.seed);
-    let mut gateways: Vec<Gateway> = (0..GATEWAYS as u32)
-        .map(|number| Gateway {
-            leases: Leases::new(
-                NodeIdentity {
-                    gateway: number,
-                    incarnation: 0,
-                },
-                run.timing,
-            ),
-            offset: rng.u64(0..500_000),
-            rate_ppm: rng.i64(-run.drift_ppm..=run.drift_ppm),
-            alive: true,
-            stalled_until: 0,
-            cut_until: 0,
-            applied: 0,
-            incarnation: 0,
-            number,
-        })
-        .collect();
-    // The log: each entry with the real time when it was committed.
-    let mut log: Vec<(Command, u64)> = Vec::new();
-    // Proposals on their way, with the real time when they arrive.
-    let mut travelling: Vec<(Command, u64)> = Vec::new();
-    // Actions under a duty on their way to the receiver: arrival, duty, token.
-    let mut actions: Vec<(u64, Duty, Token)> = Vec::new();
-    let mut fence = Fence::default();
-    let mut seen = Seen::default();
-    let mut idle_since: Vec<Option<u64>> = vec![Some(0); DUTIES.len()];
-    let mut out = Vec::new();
-    for gateway in &mut gateways {
-        let now = gateway.clock(0);
-        DUTIES
-            .iter()
-            .for_each(|&duty| gateway.leases.handle(now, Event::Want(duty), &mut out));
-        out.clear();
+/// A command with the real time when it reaches the log, or reached it.
+struct TimedCommand {
+    command: Command,
+    at: u64,
+}
+
+/// An action under a duty on its way to the receiver.
+struct ActionInFlight {
+    arrives_at: u64,
+    duty: Duty,
+    token: Token,
+}
+
+/// One run, a step of virtual time after another.
+struct Simulation {
+    scenario: Scenario,
+    rng: fastrand::Rng,
+    /// Real time, microseconds.
+    real: u64,
+    gateways: Vec<Gateway>,
+    /// The entries, with the time when each was committed.
+    log: Vec<TimedCommand>,
+    proposals: Vec<TimedCommand>,
+    actions: Vec<ActionInFlight>,
+    fence: Fence,
+    /// For each duty, since when no gateway acts on it.
+    idle_since: Vec<Option<u64>>,
+    report: Report,
+}
+
+impl Simulation {
+    fn new(scenario: Scenario) -> Simulation {
+        let mut rng = fastrand::Rng::with_seed(scenario.seed);
+        let gateways = (0..GATEWAYS as u32)
+            .map(|number| Gateway::new(number, &scenario, &mut rng))
+            .collect();
+        Simulation {
+            scenario,
+            rng,
+            real: 0,
+            gateways,
+            log: Vec::new(),
+            proposals: Vec::new(),
+            actions: Vec::new(),
+            fence: Fence::default(),
+            idle_since: vec![Some(0); DUTIES.len()],
+            report: Report::default(),
+        }
     }
-    let faults_end = run.length_us - run.calm_us;
-    let mut real = 0;
-    while real < run.length_us {
-        real += rng.u64(1_000..20_000);
-        let faulty = real < faults_end;
-        // Faults.
-        if faulty && rng.u32(0..400) == 0 {
-            let gateway = &mut gateways[rng.usize(0..GATEWAYS)];
-            match rng.u8(0..4) {
-                0 => gateway.stalled_until = real + rng.u64(0..8_000_000),
-                1 => gateway.cut_until = real + rng.u64(0..8_000_000),
-                2 if gateway.alive => gateway.alive = false,
-                _ => {}
+
+    fn step(&mut self) {
+        self.real += self.rng.u64(1_000..20_000);
+        self.inject_fault();
+        self.restart_gateways();
+        self.commit_proposals();
+        for number in 0..GATEWAYS {
+            if self.gateways[number].is_running(self.real) {
+                self.run_gateway(number);
+                self.send_actions(number);
             }
         }
-        for gateway in gateways.iter_mut().filter(|gateway| !gateway.alive) {
-            // Restarted with its disk, in a new incarnation; its clock begins anew, further on.
-            if rng.u32(0..200) == 0 || !faulty {
-                gateway.incarnation += 1;
-                gateway.alive = true;
-                gateway.applied = 0;
-                gateway.offset = rng.u64(0..500_000);
-                gateway.leases = Leases::new(
-                    NodeIdentity {
-                        gateway: gateway.number,
-                        incarnation: gateway.incarnation,
-                    },
-                    run.timing,
-                );
-                let now = gateway.clock(real);
-                DUTIES
-                    .iter()
-                    .for_each(|&duty| gateway.leases.handle(now, Event::Want(duty), &mut out));
-                out.clear();
-            }
+        self.deliver_actions();
+        self.check_exclusivity();
+    }
+
+    /// Whether faults are still injected.
+    fn is_faulty(&self) -> bool {
+        self.real < self.scenario.length_us - self.scenario.calm_us
+    }
+
+    fn inject_fault(&mut self) {
+        if !self.is_faulty() || self.rng.u32(0..400) != 0 {
+            return;
         }
-        // Proposals that arrive are appended in the order they arrive.
-        travelling.sort_by_key(|&(_, at)| at);
-        while travelling.first().is_some_and(|&(_, at)| at <= real) {
-            let (command, _) = travelling.remove(0);
-            log.push((command, real));
+        let gateway = &mut self.gateways[self.rng.usize(0..GATEWAYS)];
+        match self.rng.u8(0..4) {
+            0 => gateway.stalled_until = self.real + self.rng.u64(0..MAX_OUTAGE_US),
+            1 => gateway.partitioned_until = self.real + self.rng.u64(0..MAX_OUTAGE_US),
+            2 if gateway.alive => gateway.alive = false,
+            _ => {}
         }
-        for gateway in gateways.iter_mut() {
-            if !gateway.alive || gateway.stalled_until > real {
-                continue;
-            }
-            let now = gateway.clock(real);
-            let cut = gateway.cut_until > real;
-            let lag = rng.u64(0..TRAVEL_US);
-            while !cut && gateway.applied < log.len() && log[gateway.applied].1 + lag <= real {
-                let (command, _) = log[gateway.applied];
-                gateway.applied += 1;
-                let index = Index(gateway.applied as u64);
-                gateway
-                    .leases
-                    .handle(now, Event::Applied { index, command }, &mut out);
+    }
+
+    fn restart_gateways(&mut self) {
+        let faulty = self.is_faulty();
+        for gateway in self.gateways.iter_mut().filter(|gateway| !gateway.alive) {
+            if self.rng.u32(0..200) == 0 || !faulty {
+                gateway.restart(self.real, self.scenario.timing, &mut self.rng);
             }
-            gateway.leases.handle(now, Event::Tick, &mut out);
-            for action in out.drain(..) {
-                match action {
-                    // A tenth are lost while faults last.
-                    Action::Propose(command) if !(cut || faulty && rng.u8(0..10) == 0) => {
-                        travelling.push((command, real + rng.u64(0..TRAVEL_US)));
-                    }
-                    Action::Replay { from } => panic!("seed {}: a gap at {from:?}", run.seed),
-                    _ => {}
+        }
+    }
+
+    /// Appends the proposals that have arrived, in the order of their arrival.
+    fn commit_proposals(&mut self) {
+        self.proposals.sort_by_key(|proposal| proposal.at);
+        let arrived = self
+            .proposals
+            .partition_point(|proposal| proposal.at <= self.real);
+        let real = self.real;
+        let committed = self.proposals.drain(..arrived);
+        self.log.extend(committed.map(|proposal| TimedCommand {
+            command: proposal.command,
+            at: real,
+        }));
+    }
+
+    /// Applies the entries that have reached a gateway, lets it look at the time, and sends what it proposes.
+    fn run_gateway(&mut self, number: usize) {
+        let faulty = self.is_faulty();
+        let gateway = &mut self.gateways[number];
+        let now = gateway.clock(self.real);
+        let partitioned = gateway.partitioned_until > self.real;
+        let lag = self.rng.u64(0..TRAVEL_US);
+        let mut out = Vec::new();
+        while !partitioned {
+            let entry = self.log.get(gateway.applied);
+            let Some(entry) = entry.filter(|entry| entry.at + lag <= self.real) else {
+                break;
+            };
+            gateway.applied += 1;
+            let applied = Event::Applied {
+                index: Index(gateway.applied as u64),
+                command: entry.command,
+            };
+            gateway.leases.handle(now, applied, &mut out);
+        }
+        gateway.leases.handle(now, Event::Tick, &mut out);
+        for action in out {
+            match action {
+                // A tenth are lost while faults last.
+                Action::Propose(command) if !(partitioned || faulty && self.rng.u8(0..10) == 0) => {
+                    let at = self.real + self.rng.u64(0..TRAVEL_US);
+                    self.proposals.push(TimedCommand { command, at });
                 }
-            }
-            // An action decided now; a few arrive long after, as from a process that stopped between.
-            for &duty in &DUTIES {
-                if let Some(token) = gateway.leases.active_token(duty, now) {
-                    let late = faulty && rng.u8(0..50) == 0;
-                    let delay = if late {
-                        rng.u64(0..10_000_000)
-                    } else {
-                        rng.u64(0..TRAVEL_US)
-                    };
-                    actions.push((real + delay, duty, token));
+                Action::Replay { from } => {
+                    panic!("seed {}: a gap at {from:?}", self.scenario.seed)
                 }
+                _ => {}
             }
         }
-        actions.retain(|&(at, duty, token)| {
-            if at > real {
+    }
+
+    /// Sends an action under each duty that the gateway may act on; a few arrive long after, as from a process that
+    /// stopped between its decision and sending.
+    fn send_actions(&mut self, number: usize) {
+        let faulty = self.is_faulty();
+        for duty in DUTIES {
+            let Some(token) = self.gateways[number].active_token(duty, self.real) else {
+                continue;
+            };
+            let late = faulty && self.rng.u8(0..50) == 0;
+            let longest = if late { MAX_LATENESS_US } else { TRAVEL_US };
+            self.actions.push(ActionInFlight {
+                arrives_at: self.real + self.rng.u64(0..longest),
+                duty,
+                token,
+            });
+        }
+    }
+
+    fn deliver_actions(&mut self) {
+        self.actions.retain(|action| {
+            if action.arrives_at > self.real {
                 return true;
             }
-            match fence.admit(duty, token) {
-                Ok(()) => seen.admitted += 1,
-                Err(_) => seen.refused += 1,
+            match self.fence.admit(action.duty, action.token) {
+                Ok(()) => self.report.admitted += 1,
+                Err(_) => self.report.rejected += 1,
             }
             false
         });
-        // Who may act now, each by its own clock.
-        for (place, &duty) in DUTIES.iter().enumerate() {
-            let acting: Vec<(u32, u32, Token)> = gateways
+    }
+
+    /// Records who may act now, each by its own clock.
+    fn check_exclusivity(&mut self) {
+        let real = self.real;
+        for (duty, idle_since) in DUTIES.into_iter().zip(&mut self.idle_since) {
+            let acting: Vec<(NodeIdentity, Token)> = self
+                .gateways
                 .iter()
                 .filter(|gateway| gateway.alive)
-                .filter_map(|g| {
-                    g.leases
-                        .active_token(duty, g.clock(real))
-                        .map(|token| (g.number, g.incarnation, token))
-                })
+                .filter_map(|gateway| Some((gateway.identity, gateway.active_token(duty, real)?)))
                 .collect();
             if acting.len() > 1 {
-                seen.overlaps
+                self.report
+                    .overlaps
                     .push(format!("{real} us: {duty:?} by {acting:?}"));
             }
-            match (acting.is_empty(), idle_since[place]) {
-                (true, None) => idle_since[place] = Some(real),
+            match (acting.is_empty(), *idle_since) {
+                (true, None) => *idle_since = Some(real),
                 (false, Some(since)) => {
-                    seen.gaps.push(real - since);
-                    idle_since[place] = None;
+                    self.report.gaps.push(real - since);
+                    *idle_since = None;
                 }
                 _ => {}
             }
         }
     }
-    seen.held_at_end = idle_since.iter().all(Option::is_none);
-    seen.log_digest = log_digest(&log);
-    seen
+
+    fn finish(mut self) -> Report {
+        self.report.held_at_end = self.idle_since.iter().all(Option::is_none);
+        self.report.log_digest = log_digest(&self.log);
+        self.report
+    }
 }
 
-fn log_digest(log: &[(Command, u64)]) -> u64 {
+fn simulate(scenario: Scenario) -> Report {
+    let mut simulation = Simulation::new(scenario);
+    while simulation.real < scenario.length_us {
+        simulation.step();
+    }
+    simulation.finish()
+}
+
+fn log_digest(log: &[TimedCommand]) -> u64 {
     let mut digest = Xxh3::new();
-    for (command, at) in log {
-        digest.update(&state_machine::encode(&state_machine::Command::Lease(
-            *command,
-        )));
-        digest.update(&at.to_le_bytes());
+    for entry in log {
+        let command = state_machine::Command::Lease(entry.command);
+        digest.update(&state_machine::encode(&command));
+        digest.update(&entry.at.to_le_bytes());
     }
     digest.digest()
 }
@@ -249,12 +350,17 @@
 /// What gateways decide about leases, pinned: the log that each seed leads to, entry by entry.
 #[test]
 fn lease_logs_match_record() {
-    let line = |seed| format!("seed {seed}: {:016x}\n", play(run(seed)).log_digest);
+    let line = |seed| {
+        format!(
+            "seed {seed}: {:016x}\n",
+            simulate(scenario(seed)).log_digest
+        )
+    };
     golden::assert_matches("lease-logs.txt", &(101..=110).map(line).collect::<String>());
 }
 
-fn run(seed: u64) -> Run {
-    Run {
+fn scenario(seed: u64) -> Scenario {
+    Scenario {
         seed,
         length_us: 60_000_000,
         calm_us: 15_000_000,
@@ -263,64 +369,74 @@
     }
 }
 
-/// Longest that a duty may stay without a holder once the faults are over: the holder's lease runs out, the others wait
-/// it out from when they learned, a claim travels, is committed and comes back, twice for a claim that lost its race.
-fn bound() -> u64 {
+/// Longest that a duty may stay without a holder once the faults are over, microseconds: the holder's lease expires, the
+/// others wait it out from when they observed it, a claim travels, is committed and comes back, twice for one that lost
+/// its race.
+fn longest_gap_us() -> u64 {
     TIMING.lease_us + TIMING.wait_us() + TIMING.renew_us + 4 * TRAVEL_US
 }
 
-fn check(seeds: std::ops::Range<u64>) -> (Vec<u64>, u64) {
-    let (mut gaps, mut refused) = (Vec::new(), 0);
+/// What the runs of some seeds had in all.
+#[derive(Default)]
+struct Totals {
+    gaps: Vec<u64>,
+    rejected: u64,
+}
+
+/// Runs each seed, and asserts that leases were exclusive and that every duty had a holder again at the end.
+fn assert_safe_and_live(seeds: std::ops::Range<u64>) -> Totals {
+    let mut totals = Totals::default();
     for seed in seeds {
-        let seen = play(run(seed));
+        let report = simulate(scenario(seed));
         assert!(
-            seen.overlaps.is_empty(),
+            report.overlaps.is_empty(),
             "seed {seed}: {:?}",
-            &seen.overlaps[..seen.overlaps.len().min(5)]
+            &report.overlaps[..report.overlaps.len().min(5)]
         );
         assert!(
-            seen.held_at_end,
+            report.held_at_end,
             "seed {seed}: a duty had no holder at the end, with the faults over for 15 s"
         );
         assert!(
-            seen.admitted > 0,
+            report.admitted > 0,
             "seed {seed}: nothing was done under any duty"
         );
-        refused += seen.refused;
-        gaps.extend(seen.gaps);
+        totals.rejected += report.rejected;
+        totals.gaps.extend(report.gaps);
     }
-    (gaps, refused)
+    totals
 }
 
 #[test]
-fn no_two_act_at_once_and_a_holder_comes_back_on_fixed_seeds() {
-    let (gaps, refused) = check(1..9);
+fn leases_are_exclusive_and_recover_on_fixed_seeds() {
+    let totals = assert_safe_and_live(1..9);
     // The faults happened: late actions met the fence, and duties went without a holder for a while.
     assert!(
-        refused > 0,
+        totals.rejected > 0,
         "no late action reached the fence: the faults did not happen"
     );
     assert!(
-        gaps.iter().any(|&gap| gap > TIMING.renew_us),
-        "no duty was ever taken over: {gaps:?}"
+        totals.gaps.iter().any(|&gap| gap > TIMING.renew_us),
+        "no duty was ever taken over: {:?}",
+        totals.gaps
     );
 }
 
 #[test]
-fn without_room_for_drift_two_act_at_once() {
+fn timing_without_drift_breaks_exclusivity() {
     // Clocks run up to 9.9% apart, and the timing counts on none: the others' wait is shorter in real time than the
-    // holder's lease. A holder cut off from the log then acts on while another takes the duty.
-    let careless = Timing {
+    // holder's lease. A holder that is partitioned from the log then acts on while another claims the duty.
+    let without_drift = Timing {
         drift_ppm: 0,
         margin_us: 0,
         ..TIMING
     };
     let overlaps: usize = (1..17)
         .map(|seed| {
-            play(Run {
+            simulate(Scenario {
                 drift_ppm: 99_000,
-                timing: careless,
-                ..run(seed)
+                timing: without_drift,
+                ..scenario(seed)
             })
             .overlaps
             .len()
@@ -331,20 +447,20 @@
         "the check found no overlap where the timing is wrong"
     );
     // With the drift allowed for, the same clocks are safe.
-    let careful = Timing {
+    let with_drift = Timing {
         drift_ppm: 99_000,
         ..TIMING
     };
     for seed in 1..17 {
-        let seen = play(Run {
+        let report = simulate(Scenario {
             drift_ppm: 99_000,
-            timing: careful,
-            ..run(seed)
+            timing: with_drift,
+            ..scenario(seed)
         });
         assert!(
-            seen.overlaps.is_empty(),
+            report.overlaps.is_empty(),
             "seed {seed}: {:?}",
-            &seen.overlaps[..1]
+            &report.overlaps[..1]
         );
     }
 }
@@ -352,20 +468,21 @@
 /// 200 runs of 60 s with faults, and the times to a new holder: `cargo test --release --test lease -- --ignored
 /// --nocapture`. Results in `docs/measurements/lease.md`.
 #[test]
-#[ignore]
-fn two_hundred_runs() {
-    let (mut gaps, refused) = check(1..201);
-    gaps.sort_unstable();
-    let taken_over: Vec<u64> = gaps.iter().copied().filter(|&gap| gap > 0).collect();
-    let at = |share: f64| taken_over[((taken_over.len() - 1) as f64 * share) as usize] / 1000;
+#[ignore = "a measurement"]
+fn failover_times_over_two_hundred_seeds() {
+    let mut totals = assert_safe_and_live(1..201);
+    totals.gaps.sort_unstable();
+    let taken_over: Vec<u64> = totals.gaps.iter().copied().filter(|&gap| gap > 0).collect();
+    let quantile_ms =
+        |share: f64| taken_over[((taken_over.len() - 1) as f64 * share) as usize] / 1000;
     println!(
-        "200 runs: 0 overlaps; {} late actions refused by the fence; {} times without a holder: median {} ms, 99th {} ms, \
+        "200 runs: 0 overlaps; {} late actions rejected by the fence; {} times without a holder: median {} ms, 99th {} ms, \
          worst {} ms; bound once faults are over {} ms",
-        refused,
+        totals.rejected,
         taken_over.len(),
-        at(0.5),
-        at(0.99),
-        at(1.0),
-        bound() / 1000
+        quantile_ms(0.5),
+        quantile_ms(0.99),
+        quantile_ms(1.0),
+        longest_gap_us() / 1000
     );
 }
