--- a/tests/lease_model.rs
+++ b/tests/lease_model.rs
@@ -1,71 +1,79 @@
-//! All interleavings of three gateways that share a duty through a log: proposals lost or appended in any order, entries
-//! applied late, clocks apart, a crash and a drain at any point. The machines are the program's own ([`Leases`]); the
-//! log is a list that all apply in order. A proposal that travels long is not modelled apart: in the log it is one
-//! decided on older knowledge, which late application gives.
+//! Model check of three gateways that share a duty through a log: all interleavings of proposals lost or appended in any
+//! order, entries applied late, clocks apart, a crash and a drain at any point. The gateways run the program's own
+//! [`Leases`]; the log is a list that all apply in order. A proposal that travels long needs no step of its own: in the
+//! log it is one decided on older knowledge, which late application gives.
 
 use asterreel::lease::{Action, Command, Duty, Event, Index, Leases, NodeIdentity, Timing};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const DUTY: Duty = Duty(0);
-/// In ticks of the model: a lease of three, asked again after one, waited out in three. Clocks run at one rate, so
-/// no drift; a second gateway's clock is a tick ahead.
+/// In ticks of the model: a lease of three, requested again after one, waited out in three. Clocks run at one rate, so
+/// there is no drift.
 const TIMING: Timing = Timing {
     lease_us: 3,
     renew_us: 1,
     drift_ppm: 0,
     margin_us: 0,
 };
+/// How far each gateway's clock is ahead of real time, in ticks.
 const OFFSETS: [u64; 3] = [0, 1, 0];
+/// The properties, by name.
+const EXCLUSIVE: &str = "no two act at once";
+const LIVE: &str = "someone acts after every crash and drain";
+const FAILOVER: &str = "a duty changes hands";
 
-/// What is explored.
+/// The bounds of what is explored.
 #[derive(Clone, Copy)]
-struct Explored {
-    ticks: u64,
-    /// Entries the log may hold.
-    log: usize,
-    crashes: u8,
-    losses: u8,
-    drains: u8,
-    /// Time moves on only once every gateway has looked, applied all and sent all: every path is fair.
+struct LeaseModel {
+    max_ticks: u64,
+    max_log_entries: usize,
+    max_crashes: u8,
+    max_losses: u8,
+    max_drains: u8,
+    /// Time advances only once every gateway has ticked and applied all entries: every path is fair.
     fair: bool,
     /// The first gateway acts for longer than the others wait: the error that the property must catch.
-    careless: bool,
+    lease_exceeds_wait: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Gateway {
     leases: Leases,
     applied: usize,
-    /// Looked at the time since it moved on; kept on fair paths only.
-    looked: bool,
+    /// Ticked since time advanced last; tracked on fair paths only.
+    ticked: bool,
     incarnation: u32,
 }
 
+/// A state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
+struct Fleet {
     now: u64,
     log: Vec<Command>,
     gateways: [Gateway; 3],
     crashes: u8,
     losses: u8,
     drains: u8,
-    /// Some gateway acted after the last crash or drain.
-    acted_since: bool,
+    /// Whether a gateway acted after the last crash or drain.
+    acted_since_fault: bool,
 }
 
+/// What may happen next; gateways by their index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Do {
-    Tick,
-    /// A gateway looks; what it proposes reaches the log, or is lost.
-    Look(usize, bool),
+enum Step {
+    AdvanceTime,
+    /// A gateway's timer fires; what it proposes then reaches the log.
+    Tick(usize),
+    /// The same, but what it proposes is lost.
+    TickWithLoss(usize),
     Apply(usize),
     Crash(usize),
     Drain(usize),
 }
 
-impl Explored {
+impl LeaseModel {
     fn timing(&self, number: usize) -> Timing {
-        if self.careless && number == 0 {
+        if self.lease_exceeds_wait && number == 0 {
             Timing {
                 lease_us: 5,
                 ..TIMING
@@ -75,156 +83,164 @@
         }
     }
 
-    fn born(&self, number: usize, incarnation: u32, now: u64) -> Gateway {
-        let holder = NodeIdentity {
+    fn start_gateway(&self, number: usize, incarnation: u32, now: u64) -> Gateway {
+        let identity = NodeIdentity {
             gateway: number as u32,
             incarnation,
         };
-        let mut leases = Leases::new(holder, self.timing(number));
-        // It wants the duty from its start; what it proposes then comes with its first look.
+        let mut leases = Leases::new(identity, self.timing(number));
+        // What it proposes now is dropped, and comes with its first tick.
         leases.handle(now + OFFSETS[number], Event::Want(DUTY), &mut Vec::new());
         Gateway {
             leases,
             applied: 0,
-            looked: false,
+            ticked: false,
             incarnation,
         }
     }
 }
 
-impl World {
-    /// Appends what a gateway proposes, while there is room; or loses it.
-    fn owe(&mut self, out: Vec<Action>, most: usize, arrives: bool) {
-        for action in out {
+impl Fleet {
+    /// Appends what a gateway proposes, up to the longest log; or loses it.
+    fn submit(&mut self, actions: Vec<Action>, max_log_entries: usize, is_lost: bool) {
+        for action in actions {
             match action {
-                Action::Propose(command) if arrives && self.log.len() < most => {
+                Action::Propose(command) if !is_lost && self.log.len() < max_log_entries => {
                     self.log.push(command)
                 }
-                Action::Propose(_) => self.losses += u8::from(!arrives),
+                Action::Propose(_) => self.losses += u8::from(is_lost),
                 _ => {}
             }
         }
     }
-}
 
-impl World {
-    fn acting(&self) -> usize {
-        let on = |(number, gateway): (usize, &Gateway)| {
+    /// How many gateways may act on the duty, each by its own clock.
+    fn acting_count(&self) -> usize {
+        let active_token = |(number, gateway): (usize, &Gateway)| {
             gateway
                 .leases
                 .active_token(DUTY, self.now + OFFSETS[number])
         };
-        self.gateways.iter().enumerate().filter_map(on).count()
+        self.gateways
+            .iter()
+            .enumerate()
+            .filter_map(active_token)
+            .count()
     }
 
-    fn settled(&self) -> bool {
+    /// Whether every gateway has ticked and applied the whole log.
+    fn is_settled(&self) -> bool {
         self.gateways
             .iter()
-            .all(|g| g.looked && g.applied == self.log.len())
+            .all(|gateway| gateway.ticked && gateway.applied == self.log.len())
     }
 }
 
-impl Model for Explored {
-    type State = World;
-    type Action = Do;
+impl Model for LeaseModel {
+    type State = Fleet;
+    type Action = Step;
 
-    fn init_states(&self) -> Vec<World> {
-        let gateways = [self.born(0, 0, 0), self.born(1, 0, 0), self.born(2, 0, 0)];
-        vec![World {
+    fn init_states(&self) -> Vec<Fleet> {
+        let gateways = [
+            self.start_gateway(0, 0, 0),
+            self.start_gateway(1, 0, 0),
+            self.start_gateway(2, 0, 0),
+        ];
+        vec![Fleet {
             now: 0,
             log: Vec::new(),
             gateways,
             crashes: 0,
             losses: 0,
             drains: 0,
-            acted_since: true,
+            acted_since_fault: true,
         }]
     }
 
-    fn actions(&self, world: &World, actions: &mut Vec<Do>) {
-        if world.now < self.ticks && (!self.fair || world.settled()) {
-            actions.push(Do::Tick);
+    fn actions(&self, fleet: &Fleet, steps: &mut Vec<Step>) {
+        if fleet.now < self.max_ticks && (!self.fair || fleet.is_settled()) {
+            steps.push(Step::AdvanceTime);
         }
         // On fair paths a crash or drain late in the run leaves no time to show that another takes over.
-        let early = !self.fair || world.now + TIMING.lease_us + 2 < self.ticks;
-        for (number, gateway) in world.gateways.iter().enumerate() {
-            actions.push(Do::Look(number, true));
-            if world.losses < self.losses {
-                actions.push(Do::Look(number, false));
+        let early = !self.fair || fleet.now + TIMING.lease_us + 2 < self.max_ticks;
+        for (number, gateway) in fleet.gateways.iter().enumerate() {
+            steps.push(Step::Tick(number));
+            if fleet.losses < self.max_losses {
+                steps.push(Step::TickWithLoss(number));
             }
-            if gateway.applied < world.log.len() {
-                actions.push(Do::Apply(number));
+            if gateway.applied < fleet.log.len() {
+                steps.push(Step::Apply(number));
             }
-            if world.crashes < self.crashes && early {
-                actions.push(Do::Crash(number));
+            if fleet.crashes < self.max_crashes && early {
+                steps.push(Step::Crash(number));
             }
-            if world.drains < self.drains && early {
-                actions.push(Do::Drain(number));
+            if fleet.drains < self.max_drains && early {
+                steps.push(Step::Drain(number));
             }
         }
     }
 
-    fn next_state(&self, before: &World, action: Do) -> Option<World> {
-        let mut world = before.clone();
+    fn next_state(&self, before: &Fleet, step: Step) -> Option<Fleet> {
+        let mut fleet = before.clone();
         let mut out = Vec::new();
-        match action {
-            Do::Tick => {
-                world.now += 1;
-                world
+        match step {
+            Step::AdvanceTime => {
+                fleet.now += 1;
+                fleet
                     .gateways
                     .iter_mut()
-                    .for_each(|gateway| gateway.looked = false);
+                    .for_each(|gateway| gateway.ticked = false);
             }
-            Do::Look(number, arrives) => {
-                let gateway = &mut world.gateways[number];
+            Step::Tick(number) | Step::TickWithLoss(number) => {
+                let gateway = &mut fleet.gateways[number];
                 gateway
                     .leases
-                    .handle(world.now + OFFSETS[number], Event::Tick, &mut out);
-                gateway.looked = self.fair;
-                world.owe(out, self.log, arrives);
+                    .handle(fleet.now + OFFSETS[number], Event::Tick, &mut out);
+                gateway.ticked = self.fair;
+                let is_lost = matches!(step, Step::TickWithLoss(_));
+                fleet.submit(out, self.max_log_entries, is_lost);
             }
-            Do::Apply(number) => {
-                let gateway = &mut world.gateways[number];
-                let command = world.log[gateway.applied];
+            Step::Apply(number) => {
+                let gateway = &mut fleet.gateways[number];
+                let command = fleet.log[gateway.applied];
                 gateway.applied += 1;
                 let index = Index(gateway.applied as u64);
                 gateway.leases.handle(
-                    world.now + OFFSETS[number],
+                    fleet.now + OFFSETS[number],
                     Event::Applied { index, command },
                     &mut out,
                 );
-                world.owe(out, self.log, true);
+                fleet.submit(out, self.max_log_entries, false);
             }
-            Do::Crash(number) => {
+            Step::Crash(number) => {
                 // Restarted at once with its disk, in a new incarnation: it applies the log from its start.
-                let incarnation = world.gateways[number].incarnation + 1;
-                world.gateways[number] = self.born(number, incarnation, world.now);
-                world.crashes += 1;
-                world.acted_since = false;
+                let incarnation = fleet.gateways[number].incarnation + 1;
+                fleet.gateways[number] = self.start_gateway(number, incarnation, fleet.now);
+                fleet.crashes += 1;
+                fleet.acted_since_fault = false;
             }
-            Do::Drain(number) => {
-                let gateway = &mut world.gateways[number];
+            Step::Drain(number) => {
+                let gateway = &mut fleet.gateways[number];
                 gateway
                     .leases
-                    .handle(world.now + OFFSETS[number], Event::Drain, &mut out);
-                world.owe(out, self.log, true);
-                world.drains += 1;
-                world.acted_since = false;
+                    .handle(fleet.now + OFFSETS[number], Event::Drain, &mut out);
+                fleet.submit(out, self.max_log_entries, false);
+                fleet.drains += 1;
+                fleet.acted_since_fault = false;
             }
         }
-        world.acted_since |= world.acting() > 0;
-        (world != *before).then_some(world)
+        fleet.acted_since_fault |= fleet.acting_count() > 0;
+        (fleet != *before).then_some(fleet)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no two act at once", |_, world: &World| world.acting() <= 1),
-            Property::eventually(
-                "someone acts after every crash and drain",
-                |_, world: &World| world.acted_since && world.now > 0,
-            ),
-            Property::sometimes("a duty changes hands", |_, world: &World| {
-                world
+            Property::always(EXCLUSIVE, |_, fleet: &Fleet| fleet.acting_count() <= 1),
+            Property::eventually(LIVE, |_, fleet: &Fleet| {
+                fleet.acted_since_fault && fleet.now > 0
+            }),
+            Property::sometimes(FAILOVER, |_, fleet: &Fleet| {
+                fleet
                     .gateways
                     .iter()
                     .any(|gateway| gateway.leases.table().duty(DUTY).token.0 > 1)
@@ -233,10 +249,10 @@
     }
 }
 
-fn explore(explored: Explored) -> (usize, Vec<&'static str>) {
-    let checker = explored.checker().threads(4);
-    // A careless run has shown what it must once it broke the rule.
-    let checker = if explored.careless {
+fn explore(model: LeaseModel) -> (usize, Vec<&'static str>) {
+    let checker = model.checker().threads(4);
+    // A run that must break the property ends once it has.
+    let checker = if model.lease_exceeds_wait {
         checker.finish_when(HasDiscoveries::AnyFailures)
     } else {
         checker
@@ -251,27 +267,28 @@
     (checker.unique_state_count(), found)
 }
 
-/// Small enough for every test run: interleavings of looks and late applications alone.
-const QUICK: Explored = Explored {
-    ticks: 4,
-    log: 3,
-    crashes: 0,
-    losses: 0,
-    drains: 0,
+/// Small enough for every test run: interleavings of ticks and late applications alone.
+const QUICK: LeaseModel = LeaseModel {
+    max_ticks: 4,
+    max_log_entries: 3,
+    max_crashes: 0,
+    max_losses: 0,
+    max_drains: 0,
     fair: false,
-    careless: false,
+    lease_exceeds_wait: false,
 };
 
-fn is_safe(explored: Explored) -> usize {
-    let (states, found) = explore(explored);
-    assert!(!found.contains(&"no two act at once"), "{found:?}");
-    assert!(found.contains(&"a duty changes hands"), "{found:?}");
+/// Explores a model, and asserts that leases are exclusive and pass from one gateway to another.
+fn assert_safe(model: LeaseModel) -> usize {
+    let (states, found) = explore(model);
+    assert!(!found.contains(&EXCLUSIVE), "{found:?}");
+    assert!(found.contains(&FAILOVER), "{found:?}");
     states
 }
 
 #[test]
-fn in_no_interleaving_do_two_act_at_once() {
-    let states = is_safe(QUICK);
+fn lease_is_exclusive_in_every_interleaving() {
+    let states = assert_safe(QUICK);
     assert!(
         states > 10_000,
         "{states} states are too few to mean anything"
@@ -279,57 +296,57 @@
 }
 
 #[test]
-fn on_fair_paths_someone_acts_after_every_crash_and_drain() {
-    let fair = Explored {
-        ticks: 7,
-        log: 10,
-        crashes: 1,
+fn duty_is_taken_over_after_crash_and_drain() {
+    let fair = LeaseModel {
+        max_ticks: 7,
+        max_log_entries: 10,
+        max_crashes: 1,
         fair: true,
         ..QUICK
     };
     let (_, found) = explore(fair);
-    assert!(
-        !found.contains(&"someone acts after every crash and drain"),
-        "{found:?}"
-    );
-    assert!(!found.contains(&"no two act at once"), "{found:?}");
-    let (_, found) = explore(Explored {
-        crashes: 0,
-        drains: 1,
+    assert!(!found.contains(&LIVE), "{found:?}");
+    assert!(!found.contains(&EXCLUSIVE), "{found:?}");
+    let (_, found) = explore(LeaseModel {
+        max_crashes: 0,
+        max_drains: 1,
         ..fair
     });
-    assert!(
-        !found.contains(&"someone acts after every crash and drain"),
-        "{found:?}"
-    );
+    assert!(!found.contains(&LIVE), "{found:?}");
 }
 
 #[test]
-fn a_lease_longer_than_the_others_wait_is_caught() {
-    let (_, found) = explore(Explored {
-        ticks: 6,
-        log: 4,
-        losses: 1,
-        careless: true,
+fn lease_longer_than_wait_breaks_exclusivity() {
+    let (_, found) = explore(LeaseModel {
+        max_ticks: 6,
+        max_log_entries: 4,
+        max_losses: 1,
+        lease_exceeds_wait: true,
         ..QUICK
     });
-    assert!(found.contains(&"no two act at once"), "{found:?}");
+    assert!(found.contains(&EXCLUSIVE), "{found:?}");
 }
 
 /// With losses, crashes and a longer log, some ten million states each: `cargo test --release --test lease_model --
 /// --ignored --nocapture`. Results in `docs/measurements/lease.md`.
 #[test]
 #[ignore = "a measurement"]
-fn the_same_with_losses_crashes_and_more_time() {
-    is_safe(Explored { losses: 1, ..QUICK });
-    is_safe(Explored {
-        crashes: 1,
+fn lease_is_exclusive_with_losses_and_crashes() {
+    assert_safe(LeaseModel {
+        max_losses: 1,
+        ..QUICK
+    });
+    assert_safe(LeaseModel {
+        max_crashes: 1,
+        ..QUICK
+    });
+    assert_safe(LeaseModel {
+        max_ticks: 5,
+        max_log_entries: 4,
         ..QUICK
     });
-    is_safe(Explored {
-        ticks: 5,
-        log: 4,
+    assert_safe(LeaseModel {
+        max_drains: 1,
         ..QUICK
     });
-    is_safe(Explored { drains: 1, ..QUICK });
 }
