--- a/control/src/service/gateway.rs
+++ b/control/src/service/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway's part of the loop: its registration at the control member that leads, and what it hears of versions.
+//! A gateway's part of the loop: runs its [`Client`] on the link to the leading control member.
 
 use super::{digest, ControlEvent};
 use crate::clock::Clock;
@@ -22,10 +22,10 @@
     oldest: 1,
     newest: FORMAT,
 };
-/// The longest sleep of a gateway for which nothing is due.
-const LONGEST_SLEEP: Duration = Duration::from_secs(60);
+/// The longest time between two wakeups of a gateway.
+const MAX_SLEEP: Duration = Duration::from_secs(60);
 
-/// Where this process reaches its own listener.
+/// The address at which this process reaches its own listener.
 pub(super) fn loopback(listen: SocketAddr) -> SocketAddr {
     match listen.ip() {
         IpAddr::V4(ip) if ip.is_unspecified() => {
@@ -38,49 +38,50 @@
     }
 }
 
-/// The control members, as this process reaches them.
-fn members(asked: &Lease) -> Vec<(u64, SocketAddr)> {
-    let own = asked.listen.map(loopback);
+/// The control members, by number, with the addresses at which this process reaches them.
+fn members(settings: &Lease) -> Vec<(u64, SocketAddr)> {
+    let own = settings.listen.map(loopback);
     let address = |id: u32, address| {
-        if id == asked.me {
+        if id == settings.me {
             own.unwrap_or(address)
         } else {
             address
         }
     };
-    asked
+    settings
         .voters()
         .map(|peer| (u64::from(peer.id), address(peer.id, peer.address)))
         .collect()
 }
 
-/// A gateway that wants a registration.
+/// A gateway that keeps itself registered.
 pub(super) struct Gateway {
     clock: Clock,
     me: NodeIdentity,
     client: Client,
     link: Link,
-    /// The link on which it is served.
-    up: Option<LinkId>,
-    /// When something is due next.
-    wake: Option<Micros>,
-    notices: Sender<ControlEvent>,
+    /// The established link.
+    current_link: Option<LinkId>,
+    /// When the client is due next, on the loop's clock.
+    wake_at: Option<Micros>,
+    program: Sender<ControlEvent>,
 }
 
 impl Gateway {
+    /// Starts the search for the leader, and the registration.
     pub(super) fn start(
-        asked: &Lease,
+        settings: &Lease,
         clock: Clock,
         me: NodeIdentity,
-        notices: Sender<ControlEvent>,
+        program: Sender<ControlEvent>,
         events: mpsc::Sender<LinkEvent>,
         traffic: Traffic,
     ) -> Gateway {
-        let timing = asked.timing();
+        let timing = settings.timing();
         let seed = u64::from(me.gateway) << 32 | u64::from(me.incarnation);
-        let own = Hello::of_client(me, digest(asked));
+        let own = Hello::of_client(me, digest(settings));
         let link = Link::start(LeaderSearch {
-            members: members(asked),
+            members: members(settings),
             own,
             timing,
             seed,
@@ -93,81 +94,84 @@
             me,
             client,
             link,
-            up: None,
-            wake: None,
-            notices,
+            current_link: None,
+            wake_at: None,
+            program,
         };
         gateway.handle(Event::Serve);
         gateway
     }
 
+    /// The state machine, for the view.
     pub(super) fn client(&self) -> &Client {
         &self.client
     }
 
     /// How long nothing is due.
-    pub(super) fn sleeps(&self, now: Micros) -> Duration {
+    pub(super) fn time_to_wakeup(&self, now: Micros) -> Duration {
         let due = self
-            .wake
-            .map(|wake| Duration::from_micros(wake.saturating_sub(now)));
-        due.map_or(LONGEST_SLEEP, |due| due.min(LONGEST_SLEEP))
+            .wake_at
+            .map(|at| Duration::from_micros(at.saturating_sub(now)));
+        due.map_or(MAX_SLEEP, |due| due.min(MAX_SLEEP))
     }
 
+    /// Handles an event of the link; one of a former link has no effect.
     pub(super) fn on_link_event(&mut self, event: LinkEvent) {
         match event {
             LinkEvent::Up(link) => {
-                self.up = Some(link);
+                self.current_link = Some(link);
                 self.handle(Event::Connected);
             }
-            LinkEvent::Received(link, message) if self.up == Some(link) => {
+            LinkEvent::Received(link, message) if self.current_link == Some(link) => {
                 self.handle(Event::Received(message))
             }
-            LinkEvent::Down(link) if self.up == Some(link) => self.up = None,
-            // Of a link that was left.
+            LinkEvent::Down(link) if self.current_link == Some(link) => self.current_link = None,
             LinkEvent::Received(..) | LinkEvent::Down(_) => {}
         }
     }
 
+    /// Hands the client an event, and carries out its actions.
     pub(super) fn handle(&mut self, event: Event) {
         if event == Event::Tick {
-            self.wake = None;
+            self.wake_at = None;
         }
         let mut out = Vec::new();
         self.client.handle(self.clock.now(), event, &mut out);
-        out.into_iter().for_each(|action| self.carry_out(action));
+        out.into_iter().for_each(|action| self.execute(action));
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn execute(&mut self, action: Action) {
         let (at, gateway) = (self.clock.now(), self.me.gateway);
         match action {
             Action::Send(message) => {
-                if let Some(link) = self.up {
+                if let Some(link) = self.current_link {
                     self.link.send(link, message);
                 }
             }
             Action::Redirect(leader) => {
-                if let Some(link) = self.up {
+                if let Some(link) = self.current_link {
                     self.link.switch(link, leader);
                 }
             }
-            Action::Wake(at) => self.wake = Some(at),
-            Action::Act(right) => {
+            Action::Wake(at) => self.wake_at = Some(at),
+            Action::Act(permission) => {
                 info!(
                     at,
                     gateway,
-                    token = right.token.0,
-                    until = right.until,
+                    token = permission.token.0,
+                    until = permission.until,
                     "registration: acting"
                 );
             }
-            Action::Stop(why) => warn!(at, gateway, "registration: stopped: {why}"),
+            Action::Stop(reason) => warn!(at, gateway, "registration: stopped: {reason}"),
             Action::Validate {
                 topic,
                 number,
                 content,
             } => {
+                // Lost only where the program has ended.
                 let _ = self
-                    .notices
+                    .program
                     .send(ControlEvent::Validate(topic, number, content));
             }
             Action::Activate {
@@ -183,7 +187,7 @@
                     before = previous,
                     "version: in force"
                 );
-                let _ = self.notices.send(ControlEvent::Activated(topic, number));
+                let _ = self.program.send(ControlEvent::Activated(topic, number));
             }
             Action::ProposalRejected {
                 topic,
@@ -194,7 +198,9 @@
                 let by = by.gateway;
                 warn!(at, gateway, ?topic, number, by, reason, "version: refused");
             }
-            Action::RequestRejected(why) => warn!(at, gateway, "version: not taken: {why}"),
+            Action::RequestRejected(reason) => {
+                warn!(at, gateway, "version: not taken: {reason}");
+            }
         }
     }
 }
--- a/control/src/service/member.rs
+++ b/control/src/service/member.rs
@@ -1,7 +1,9 @@
-//! A control member's part of the loop: the log with the other members, and the gateways that it serves.
+//! A control member's part of the loop: the replicated log with the other members, and the gateways that it serves.
+//!
+//! Nothing is sent to a gateway before the entries that it rests on are stored and applied.
 
 use super::gateway::loopback;
-use super::{digest, PeerError};
+use super::{digest, ControlError};
 use crate::clock::Clock;
 use crate::frame::{self, Hello, Payload};
 use crate::lease::{self, NodeIdentity, Timing};
@@ -23,68 +25,66 @@
 use tokio::time::{interval, Interval, MissedTickBehavior};
 use tracing::{info, warn};
 
-/// Ticks of an election timeout, of which the consensus draws one to two: two members that draw the same number split the
-/// votes, and the election costs twice the time.
+/// Ticks of an election timeout. Raft draws from one to two timeouts: with more ticks, split votes are rarer.
 const ELECTION_TICKS: usize = 20;
-/// Parts of the time that a gateway has left after a renewal was due, one of which is an election timeout: an election and
-/// one more after a split take four of them at most.
-const ELECTION_PARTS: u64 = 6;
-/// The shortest election timeout: below it a busy disk costs the leader its place.
-const ELECTION_LEAST: Micros = 200_000;
-/// How long a gateway may be silent at least until its link is closed, whatever the leases: it has no right any more long
-/// before, and a process that stood still is spared a new link.
-const SILENCE_LEAST: Duration = Duration::from_secs(10);
-/// Waits of a lease after which a silent gateway's link is closed.
-const SILENCE_WAITS: u64 = 2;
+/// Election timeouts in the time that a gateway has left after a renewal was due: an election and another after a split
+/// vote take four of them at most.
+const ELECTIONS_PER_SPARE_TIME: u64 = 6;
+/// The shortest election timeout: with less, a busy disk costs the leader its leadership.
+const MIN_ELECTION_TIMEOUT_US: Micros = 200_000;
+/// The shortest idle timeout of a gateway's link, whatever the leases: it spares a process that stalled a new link.
+const MIN_GATEWAY_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// The idle timeout of a gateway's link, in waits of a lease.
+const GATEWAY_IDLE_WAITS: u64 = 2;
 
-/// Ticks of the consensus, so that rights outlast the loss of a leader.
+/// The ticks of Raft, short enough for permissions to outlast the loss of a leader.
 pub(super) fn ticks(timing: &Timing) -> Interval {
     let spare = timing
         .lease_us
         .saturating_sub(timing.renew_us + timing.margin_us);
-    let election = (spare / ELECTION_PARTS).max(ELECTION_LEAST);
+    let election = (spare / ELECTIONS_PER_SPARE_TIME).max(MIN_ELECTION_TIMEOUT_US);
     let mut ticks = interval(Duration::from_micros(election / ELECTION_TICKS as u64));
-    // A process that stood still has not lived through the ticks that it missed.
+    // Ticks that were missed while the process stalled must not count towards an election timeout.
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     ticks
 }
 
 /// Whether this member has a log.
-enum Stage {
-    /// None; it waits until it is known that no member has one, or that there is one to learn.
-    Waits(Store),
-    Runs(Box<Node>),
+enum LogState {
+    /// It has none, and waits until it knows whether another member has one.
+    Waiting(Store),
+    Running(Box<Node>),
     /// Between the two.
-    Starts,
+    Starting,
 }
 
 /// A control member.
 pub(super) struct Member {
-    asked: Lease,
+    settings: Lease,
     clock: Clock,
     me: NodeIdentity,
     /// See [`digest`].
     digest: u64,
-    stage: Stage,
+    log: LogState,
     voters: BTreeSet<u64>,
     links: BTreeMap<u64, Link>,
-    /// What each other member said last.
+    /// The last hello of each other member.
     hellos: BTreeMap<u64, Hello>,
     own_hello: SharedHello,
     /// The newest link of each incarnation of a gateway that is served.
     gateways: BTreeMap<NodeIdentity, GatewayLink>,
-    /// What was logged last.
+    /// The position that was logged last.
     logged_place: Place,
-    /// Ticks since this process began to drain.
-    drains: Option<usize>,
-    /// To be carried out once all that is ready is stored and applied.
+    /// Ticks since graceful shutdown began.
+    draining_ticks: Option<usize>,
+    /// Actions to carry out once all that is ready is stored and applied.
     out: Vec<Action>,
     traffic: MemberTraffic,
-    /// When it logs its traffic next.
-    logs_traffic_at: Micros,
+    /// When the traffic is logged next.
+    next_traffic_log_at: Micros,
 }
 
-/// Sends a gateway a frame; false where its link is to be closed.
+/// Queues a frame for a gateway; false where its link is to be closed.
 fn try_send(gateway: &GatewayLink, frame: Bytes) -> bool {
     let sent = gateway.send(frame);
     if !sent {
@@ -96,15 +96,15 @@
     sent
 }
 
-/// This member's part in the consensus, in its incarnation `me`, on a store that has a number.
-fn node(
+/// The Raft node with this id, on a store that has a log.
+fn open_node(
     id: u64,
     store: Store,
     me: NodeIdentity,
-    asked: &Lease,
+    settings: &Lease,
     now: Micros,
 ) -> Result<Box<Node>, NodeError> {
-    let state_machine = StateMachine::new(me, asked.timing());
+    let state_machine = StateMachine::new(me, settings.timing());
     Ok(Box::new(Node::new(
         id,
         store,
@@ -116,69 +116,75 @@
 
 impl Member {
     /// Opens this member's store.
-    pub(super) fn open(asked: &Lease, clock: Clock, me: NodeIdentity) -> Result<Member, PeerError> {
-        let store = Store::open(&asked.store, asked.me.into())?;
-        let stage = match store.id() {
-            Some(id) => Stage::Runs(node(id, store, me, asked, clock.now())?),
-            None => Stage::Waits(store),
+    pub(super) fn open(
+        settings: &Lease,
+        clock: Clock,
+        me: NodeIdentity,
+    ) -> Result<Member, ControlError> {
+        let store = Store::open(&settings.store, settings.me.into())?;
+        let log = match store.id() {
+            Some(id) => LogState::Running(open_node(id, store, me, settings, clock.now())?),
+            None => LogState::Waiting(store),
         };
         Ok(Member {
-            digest: digest(asked),
-            voters: asked.voters().map(|peer| peer.id.into()).collect(),
-            asked: asked.clone(),
+            digest: digest(settings),
+            voters: settings.voters().map(|peer| peer.id.into()).collect(),
+            settings: settings.clone(),
             clock,
             me,
-            stage,
+            log,
             links: BTreeMap::new(),
             hellos: BTreeMap::new(),
             own_hello: SharedHello::default(),
             gateways: BTreeMap::new(),
             logged_place: Place::default(),
-            drains: None,
+            draining_ticks: None,
             out: Vec::new(),
             traffic: MemberTraffic::default(),
-            logs_traffic_at: 0,
+            next_traffic_log_at: 0,
         })
     }
 
-    /// Dials the other members and takes links; what comes in on all of them.
+    /// Dials the other members and accepts links; returns the events of all of them.
     pub(super) fn link_up(
         &mut self,
         listener: std::net::TcpListener,
-    ) -> Result<mpsc::Receiver<LinkEvent>, PeerError> {
-        let listen = listener.local_addr().map_err(|_| PeerError::NoListener)?;
+    ) -> Result<mpsc::Receiver<LinkEvent>, ControlError> {
+        let listen = listener
+            .local_addr()
+            .map_err(|_| ControlError::NoListener)?;
         let listener = tokio::net::TcpListener::from_std(listener);
-        let listener = listener.map_err(|fault| PeerError::Listen(listen, fault))?;
+        let listener = listener.map_err(|fault| ControlError::Listen(listen, fault))?;
         let (events, received) = mpsc::channel(link::EVENT_QUEUE_LENGTH);
         self.own_hello.set(self.hello());
-        // Its own gateway comes from here.
-        let mut allow = self.asked.allow.clone();
+        // The gateway of this process connects from here.
+        let mut allow = self.settings.allow.clone();
         allow.push(IpNet::from(loopback(listen).ip()));
-        let silence =
-            Duration::from_micros(SILENCE_WAITS * self.asked.timing().wait_us()).max(SILENCE_LEAST);
+        let idle_timeout =
+            Duration::from_micros(GATEWAY_IDLE_WAITS * self.settings.timing().wait_us())
+                .max(MIN_GATEWAY_IDLE_TIMEOUT);
         let acceptor = Acceptor {
             allow,
             voters: self.voters.clone(),
             own: self.own_hello.clone(),
-            idle_timeout: silence,
+            idle_timeout,
             events: events.clone(),
             traffic: self.traffic.clone(),
         };
         accept::listen(listener, acceptor);
         for peer in self
-            .asked
+            .settings
             .voters()
             .filter(|peer| peer.id != self.me.gateway)
         {
-            let (own, events, traffic) = (
+            let link = Link::dial(
+                peer.id.into(),
+                peer.address,
                 self.own_hello.clone(),
                 events.clone(),
                 self.traffic.members.clone(),
             );
-            self.links.insert(
-                peer.id.into(),
-                Link::dial(peer.id.into(), peer.address, own, events, traffic),
-            );
+            self.links.insert(peer.id.into(), link);
         }
         self.request_duties()?;
         Ok(received)
@@ -186,13 +192,13 @@
 
     /// Whether it leads the log.
     pub(super) fn leads(&self) -> bool {
-        matches!(&self.stage, Stage::Runs(node) if node.place().leads)
+        matches!(&self.log, LogState::Running(node) if node.place().leads)
     }
 
     fn hello(&self) -> Hello {
-        let (id, fresh) = match &self.stage {
-            Stage::Runs(node) => (node.id(), node.place().applied == 0),
-            Stage::Waits(_) | Stage::Starts => (0, true),
+        let (id, fresh) = match &self.log {
+            LogState::Running(node) => (node.id(), node.place().applied == 0),
+            LogState::Waiting(_) | LogState::Starting => (0, true),
         };
         let (oldest, newest, fleet) = (frame::OLDEST_FORMAT, frame::NEWEST_FORMAT, self.digest);
         let (gateway, incarnation) = (self.me.gateway.into(), self.me.incarnation);
@@ -208,7 +214,7 @@
         }
     }
 
-    /// Says hello again where what it says has changed.
+    /// Sends the hello again where it has changed.
     fn update_hello(&self) {
         let hello = self.hello();
         if self.own_hello.set(hello.clone()) {
@@ -218,39 +224,38 @@
         }
     }
 
-    /// Feeds what is agreed with an event, where there is a log.
-    fn event(&mut self, event: Event) -> Result<(), PeerError> {
-        let Stage::Runs(node) = &mut self.stage else {
+    /// Hands the state machine an event, where there is a log.
+    fn handle(&mut self, event: Event) -> Result<(), ControlError> {
+        let LogState::Running(node) = &mut self.log else {
             return Ok(());
         };
         Ok(node.event(self.clock.now(), event, &mut self.out)?)
     }
 
-    /// Says which duties this member wants.
-    fn request_duties(&mut self) -> Result<(), PeerError> {
-        self.asked
+    /// Requests the duties that the settings list.
+    fn request_duties(&mut self) -> Result<(), ControlError> {
+        self.settings
             .duties()
             .into_iter()
-            .try_for_each(|duty| self.event(Event::Want(duty)))
+            .try_for_each(|duty| self.handle(Event::Want(duty)))
     }
 
-    /// Begins or learns the log, once it is clear whether there is one. A member that lost its log may have voted for what
-    /// is no longer there, so it takes part under a new number; and a log is begun only where every voter is there and
-    /// says that it has none, so that two that lost theirs never begin another beside the third's.
-    fn begin_log(&mut self) -> Result<(), PeerError> {
-        if !matches!(self.stage, Stage::Waits(_)) {
+    /// Begins a log, or prepares to learn the existing one, once it is clear whether there is one. A member that lost its log
+    /// may have cast votes that it forgot, so it takes part under a new Raft id. A log is begun only where every voter is
+    /// connected and has none, so that two members that lost theirs never begin another beside the third's.
+    fn begin_log(&mut self) -> Result<(), ControlError> {
+        if !matches!(self.log, LogState::Waiting(_)) {
             return Ok(());
         }
         let me = u64::from(self.me.gateway);
         let fresh = |id: &u64| *id == me || self.hellos.get(id).is_some_and(|hello| hello.fresh);
-        let (learn, begin) = (
-            self.hellos.values().any(|hello| !hello.fresh),
-            self.voters.iter().all(fresh),
-        );
+        let learn = self.hellos.values().any(|hello| !hello.fresh);
+        let begin = self.voters.iter().all(fresh);
         if !(learn || begin) {
             return Ok(());
         }
-        let Stage::Waits(mut store) = std::mem::replace(&mut self.stage, Stage::Starts) else {
+        let LogState::Waiting(mut store) = std::mem::replace(&mut self.log, LogState::Starting)
+        else {
             return Ok(());
         };
         let id = if learn {
@@ -265,40 +270,40 @@
         store.begin(id, &members)?;
         let now = self.clock.now();
         info!(at = now, gateway = me, id, learn, "log: begun");
-        self.stage = Stage::Runs(node(id, store, self.me, &self.asked, now)?);
+        self.log = LogState::Running(open_node(id, store, self.me, &self.settings, now)?);
         self.request_duties()
     }
 
-    /// A tick of the consensus has passed; they come often enough for all that is due here.
-    pub(super) fn tick(&mut self) -> Result<(), PeerError> {
+    /// A Raft tick has passed. Ticks are frequent enough for all other timers of a control member.
+    pub(super) fn tick(&mut self) -> Result<(), ControlError> {
         let known = self
             .hellos
             .iter()
             .filter(|(_, hello)| hello.id != 0)
             .map(|(gateway, hello)| (*gateway, hello.id));
         let known: BTreeMap<u64, u64> = known.collect();
-        if let Stage::Runs(node) = &mut self.stage {
+        if let LogState::Running(node) = &mut self.log {
             node.tick();
             node.reconcile(&known, &self.voters);
-            if let Some(ticks) = &mut self.drains {
+            if let Some(ticks) = &mut self.draining_ticks {
                 *ticks += 1;
-                // What it gave back is in the log by then.
+                // By then the log has what this member gave up.
                 if *ticks % ELECTION_TICKS == ELECTION_TICKS / 2 {
                     node.hand_over();
                 }
             }
         }
         self.log_traffic();
-        self.event(Event::Tick)
+        self.handle(Event::Tick)
     }
 
-    /// Logs what it has sent and received since its start, once each renewal.
+    /// Logs the traffic since the start, once each renewal interval.
     fn log_traffic(&mut self) {
         let (at, gateway) = (self.clock.now(), self.me.gateway);
-        if at < self.logs_traffic_at {
+        if at < self.next_traffic_log_at {
             return;
         }
-        self.logs_traffic_at = at + self.asked.timing().renew_us;
+        self.next_traffic_log_at = at + self.settings.timing().renew_us;
         let (members, gateways) = (
             self.traffic.members.totals(),
             self.traffic.gateways.totals(),
@@ -318,26 +323,26 @@
         );
     }
 
-    /// Gives its duties back, and soon the leadership as well.
-    pub(super) fn drain(&mut self) -> Result<(), PeerError> {
-        self.drains = Some(0);
-        self.event(Event::Drain)
+    /// Graceful shutdown: gives up its duties, and soon the leadership.
+    pub(super) fn drain(&mut self) -> Result<(), ControlError> {
+        self.draining_ticks = Some(0);
+        self.handle(Event::Drain)
     }
 
-    /// Handles what a link of a member or of a gateway brings.
-    pub(super) fn on_link_event(&mut self, event: LinkEvent) -> Result<(), PeerError> {
-        match (event, &mut self.stage) {
+    /// Handles an event of a link, of a member or a gateway.
+    pub(super) fn on_link_event(&mut self, event: LinkEvent) -> Result<(), ControlError> {
+        match (event, &mut self.log) {
             (LinkEvent::Hello(hello), _) => drop(self.hellos.insert(hello.gateway, hello)),
-            (LinkEvent::Raft(message), Stage::Runs(node)) => node.step(*message),
-            (LinkEvent::PeerLost(peer), Stage::Runs(node)) => node.unreachable(peer),
-            (LinkEvent::SnapshotSent { peer, complete }, Stage::Runs(node)) => {
+            (LinkEvent::Raft(message), LogState::Running(node)) => node.step(*message),
+            (LinkEvent::PeerLost(peer), LogState::Running(node)) => node.unreachable(peer),
+            (LinkEvent::SnapshotSent { peer, complete }, LogState::Running(node)) => {
                 node.snapshot_sent(peer, complete)
             }
             (LinkEvent::GatewayConnected(gateway), _) => {
                 let who = gateway.who;
-                // The newest link counts; dropped, the former one is closed.
+                // Dropping the handle of a former link closes it.
                 self.gateways.insert(who, gateway);
-                self.event(Event::Connected(who))?;
+                self.handle(Event::Connected(who))?;
             }
             (LinkEvent::GatewayDisconnected { who, link }, _) => {
                 if self
@@ -348,25 +353,25 @@
                     self.gateways.remove(&who);
                 }
             }
-            (LinkEvent::GatewayMessage(message), Stage::Runs(_)) => {
-                self.event(Event::Received(message))?
+            (LinkEvent::GatewayMessage(message), LogState::Running(_)) => {
+                self.handle(Event::Received(message))?
             }
-            // No log here yet: another member may know who leads.
+            // No log here yet: another member may know the leader.
             (LinkEvent::GatewayMessage(message), _) => {
                 self.send(message.who(), &ToGateway::NotLeader { leader: None })
             }
             (
                 LinkEvent::Raft(_) | LinkEvent::PeerLost(_) | LinkEvent::SnapshotSent { .. },
-                Stage::Waits(_) | Stage::Starts,
+                LogState::Waiting(_) | LogState::Starting,
             ) => {}
         }
         Ok(())
     }
 
-    /// Has all that is ready stored, sent and applied, carries out what follows, and says what has changed.
-    pub(super) fn settle(&mut self) -> Result<(), PeerError> {
+    /// Has all that is ready stored, sent and applied, carries out the resulting actions, and sends a changed hello.
+    pub(super) fn drive(&mut self) -> Result<(), ControlError> {
         self.begin_log()?;
-        let Stage::Runs(node) = &mut self.stage else {
+        let LogState::Running(node) = &mut self.log else {
             self.update_hello();
             return Ok(());
         };
@@ -379,7 +384,7 @@
         node.drive(self.clock.now(), &mut self.out, &mut send)?;
         let (now, place) = (self.clock.now(), node.place());
         for action in std::mem::take(&mut self.out) {
-            self.carry_out(action, place.leads);
+            self.execute(action, place.leads);
         }
         if (place.leader, place.term) != (self.logged_place.leader, self.logged_place.term) {
             info!(
@@ -395,7 +400,7 @@
         Ok(())
     }
 
-    /// Sends a gateway something on its newest link; nothing where it has another incarnation or no link.
+    /// Sends a gateway a message on its newest link, if this incarnation has one.
     fn send(&mut self, who: NodeIdentity, message: &ToGateway) {
         let Some(gateway) = self.gateways.get(&who) else {
             return;
@@ -410,7 +415,7 @@
         }
     }
 
-    /// Sends all gateways the same.
+    /// Sends all connected gateways a message.
     fn broadcast(&mut self, message: &ToGateway) {
         match frame::encode_to_gateway(message) {
             Ok(frame) => self
@@ -420,7 +425,7 @@
         }
     }
 
-    fn carry_out(&mut self, action: Action, leads: bool) {
+    fn execute(&mut self, action: Action, leads: bool) {
         let (at, gateway) = (self.clock.now(), self.me.gateway);
         match action {
             Action::Lease(lease::Action::Act { duty, token, until }) => {
@@ -444,7 +449,7 @@
             }
             Action::Send(who, message) => self.send(who, &message),
             Action::Broadcast(message) => self.broadcast(&message),
-            // One line for the fleet: its leader's.
+            // Only the leader logs: one line for the fleet.
             Action::Counted { who, spans } if leads => {
                 for span in spans {
                     let (topic, number, count) = (span.topic, span.number, span.count);
@@ -464,7 +469,7 @@
                 }
             }
             Action::Counted { .. } => {}
-            // The node has taken these; ticks come often enough.
+            // The node has handled proposals and rounds; ticks are frequent enough for wakeups.
             Action::Propose(_) | Action::Confirm(_) | Action::Wake(_) | Action::Lease(_) => {}
         }
     }
