--- a/src/interface.rs
+++ b/src/interface.rs
@@ -463,7 +463,31 @@
     SetTimer(Micros),
 }
 
-/// Settings that contradict themselves.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("settings: {0}")]
-pub struct SettingsError(pub String);
+/// Settings that contradict themselves, with the keys of the settings file to correct.
+#[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
+pub enum SettingsError {
+    /// No gateways.
+    #[error("settings: FleetSize is 0; set it to the number of gateways")]
+    NoGateways,
+    /// No attempts.
+    #[error("settings: Allowed.MaxAttempts is 0; a request needs one attempt at least")]
+    NoAttempts,
+    /// The lists that have an element for each class differ in length.
+    #[error("settings: {classes} classes have {consistency_levels} consistency levels and {staleness_bounds} staleness bounds")]
+    UnequalClassLists {
+        /// How many classes there are.
+        classes: usize,
+        /// How many consistency levels.
+        consistency_levels: usize,
+        /// How many staleness bounds.
+        staleness_bounds: usize,
+    },
+    /// The shares of slow start are negative or not finite.
+    #[error("settings: Rules.StartCapacity is {initial_share} and Rules.FallMultiple is {overload_multiple}; neither may be below 0 or infinite")]
+    InvalidSlowStart {
+        /// [`Settings::slow_start_initial_share`].
+        initial_share: f64,
+        /// [`Settings::overload_multiple`].
+        overload_multiple: f64,
+    },
+}
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -131,20 +131,30 @@
 
 /// Checks that settings do not contradict themselves.
 fn check_settings(settings: &Settings) -> Result<(), SettingsError> {
-    let count = settings.classes.len();
-    let is_empty = settings.fleet_size == 0 || settings.max_attempts == 0;
-    if is_empty
-        || settings.consistency_levels.len() != count
-        || settings.staleness_bounds.len() != count
-    {
-        let fault = "no fronts, no attempts, or class arrays of unequal length";
-        return Err(SettingsError(fault.into()));
+    if settings.fleet_size == 0 {
+        return Err(SettingsError::NoGateways);
+    }
+    if settings.max_attempts == 0 {
+        return Err(SettingsError::NoAttempts);
+    }
+    let classes = settings.classes.len();
+    let consistency_levels = settings.consistency_levels.len();
+    let staleness_bounds = settings.staleness_bounds.len();
+    if consistency_levels != classes || staleness_bounds != classes {
+        return Err(SettingsError::UnequalClassLists {
+            classes,
+            consistency_levels,
+            staleness_bounds,
+        });
     }
     let initial_share = settings.slow_start_initial_share;
     let overload_multiple = settings.overload_multiple;
     let is_finite = (initial_share + overload_multiple).is_finite();
     if !is_finite || initial_share.min(overload_multiple) < 0.0 {
-        return Err(SettingsError("a share below zero".into()));
+        return Err(SettingsError::InvalidSlowStart {
+            initial_share,
+            overload_multiple,
+        });
     }
     Ok(())
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -121,9 +121,28 @@
 /// Settings that contradict themselves are an error.
 #[test]
 fn contradictory_settings_are_an_error() {
-    let mut settings = settings();
-    settings.staleness_bounds.pop();
-    assert!(asterreel::policy::Router::new(settings, 1, 0).is_err());
+    let error_of = |change: fn(&mut Settings)| {
+        let mut settings = settings();
+        change(&mut settings);
+        asterreel::policy::Router::new(settings, 1, 0).err()
+    };
+    let unequal = SettingsError::UnequalClassLists {
+        classes: 6,
+        consistency_levels: 6,
+        staleness_bounds: 5,
+    };
+    let missing_bound = |settings: &mut Settings| settings.staleness_bounds.truncate(5);
+    assert_eq!(error_of(missing_bound), Some(unequal));
+    let no_gateways = |settings: &mut Settings| settings.fleet_size = 0;
+    assert_eq!(error_of(no_gateways), Some(SettingsError::NoGateways));
+    let no_attempts = |settings: &mut Settings| settings.max_attempts = 0;
+    assert_eq!(error_of(no_attempts), Some(SettingsError::NoAttempts));
+    let negative = |settings: &mut Settings| settings.overload_multiple = -1.0;
+    let invalid = SettingsError::InvalidSlowStart {
+        initial_share: 0.2,
+        overload_multiple: -1.0,
+    };
+    assert_eq!(error_of(negative), Some(invalid));
 }
 
 /// Unknown class or group gets a final answer and unknown names are ignored.
