--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -157,10 +157,15 @@
     /// The same, after a good health check of each: member 0 is the primary, the others are in sync.
     pub(crate) fn ready(settings: Settings, members: u32) -> TestGateway {
         let (mut gateway, _) = TestGateway::new(settings, members);
+        gateway.report_roles(members);
+        gateway
+    }
+
+    /// A good health check of each member: member 0 is the primary, the others are in sync.
+    pub(crate) fn report_roles(&mut self, members: u32) {
         for m in 0..members {
-            gateway.report_role(m, if m == 0 { Role::Primary } else { Role::Replica });
+            self.report_role(m, if m == 0 { Role::Primary } else { Role::Replica });
         }
-        gateway
     }
 
     pub(crate) fn event(&mut self, event: Event) -> Vec<Action> {
@@ -248,6 +253,17 @@
         )))
     }
 
+    /// A first attempt that was served.
+    pub(crate) fn serve(
+        &mut self,
+        request: RequestId,
+        latency: Micros,
+        report: MemberReport,
+    ) -> Vec<Action> {
+        let served = attempt_ended(request, 0, Outcome::Served, latency, report);
+        self.event(Event::AttemptEnded(served))
+    }
+
     /// A first attempt that got no answer in time, and ended its request.
     pub(crate) fn time_out(&mut self, request: RequestId, latency: Micros) -> Vec<Action> {
         let late = attempt_ended(
@@ -306,3 +322,10 @@
 pub(crate) fn is_failed(actions: &[Action], request: RequestId) -> bool {
     actions.contains(&Action::Fail(request))
 }
+
+pub(crate) fn transition(member: u32, transition: MemberTransition) -> Action {
+    Action::ReportTransition {
+        member: MemberId(member),
+        transition,
+    }
+}
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -16,10 +16,7 @@
         gateway.end_attempt(quick, 0, Outcome::Served, replica);
         gateway.now += MS;
         let actions = gateway.time_out(slow, 311 * MS);
-        let failed = Action::ReportTransition {
-            member: MemberId(1),
-            transition: MemberTransition::Failed,
-        };
+        let failed = transition(1, MemberTransition::Failed);
         assert!(!actions.contains(&failed));
     }
 }
@@ -170,18 +167,10 @@
             let (read, actions) = gateway.arrive(BOUNDED);
             rejections += usize::from(is_rejected(&actions, read));
             gateway.advance(20 * MS);
-            for m in 0..4 {
-                gateway.report_role(m, if m == 0 { Role::Primary } else { Role::Replica });
-            }
+            gateway.report_roles(4);
             if !dispatches(&actions).is_empty() {
                 let replica = member_report(Role::Replica, gateway.now);
-                gateway.event(Event::AttemptEnded(attempt_ended(
-                    read,
-                    0,
-                    Outcome::Served,
-                    latency,
-                    replica,
-                )));
+                gateway.serve(read, latency, replica);
             }
         }
         rejections
@@ -278,13 +267,7 @@
     let (read, _) = gateway.arrive(EVENTUAL);
     gateway.advance(350 * MS);
     let replica = member_report(Role::Replica, gateway.now);
-    gateway.event(Event::AttemptEnded(attempt_ended(
-        read,
-        0,
-        Outcome::Served,
-        350 * MS,
-        replica,
-    )));
+    gateway.serve(read, 350 * MS, replica);
     for _ in 0..4 {
         let (read, actions) = gateway.arrive(EVENTUAL);
         assert_eq!(dispatches(&actions), [(read, 1)]);
@@ -300,9 +283,7 @@
     let mut trials = 0;
     for seed in 0..80 {
         let mut gateway = TestGateway::seeded(settings.clone(), 3, seed);
-        for m in 0..3 {
-            gateway.report_role(m, if m == 0 { Role::Primary } else { Role::Replica });
-        }
+        gateway.report_roles(3);
         // Member 1 hangs: reads sent there come to nothing, until the gateway has left it.
         for round in 0..400 {
             let (read, actions) = gateway.arrive(EVENTUAL);
@@ -377,10 +358,7 @@
         let replica = member_report(Role::Replica, gateway.now);
         actions.extend(gateway.end_attempt(read, 0, outcome, replica));
     }
-    assert!(actions.contains(&Action::ReportTransition {
-        member: MemberId(2),
-        transition: MemberTransition::Failed
-    }));
+    assert!(actions.contains(&transition(2, MemberTransition::Failed)));
 }
 
 /// A dispatch delayed by its connection is not written on old data or into a drain.
@@ -513,13 +491,7 @@
             sent[to as usize] += u32::from(round >= 40);
             gateway.now += latency;
             let behind = member_report(Role::Replica, gateway.now - lag - u64::from(to) * 10 * MS);
-            gateway.event(Event::AttemptEnded(attempt_ended(
-                read,
-                0,
-                Outcome::Served,
-                latency,
-                behind,
-            )));
+            gateway.serve(read, latency, behind);
         }
         sent
     };
@@ -561,16 +533,10 @@
     gateway.now += MS;
     let primary = member_report(Role::Primary, gateway.now);
     let actions = gateway.end_attempt(old, 0, Outcome::Served, primary);
-    assert!(!actions.contains(&Action::ReportTransition {
-        member: MemberId(0),
-        transition: MemberTransition::Promoted
-    }));
+    assert!(!actions.contains(&transition(0, MemberTransition::Promoted)));
     // A health check from before the rejection proves nothing; one from long enough after it does.
     let actions = gateway.report_role(0, Role::Primary);
-    assert!(!actions.contains(&Action::ReportTransition {
-        member: MemberId(0),
-        transition: MemberTransition::Promoted
-    }));
+    assert!(!actions.contains(&transition(0, MemberTransition::Promoted)));
     for _ in 0..3 {
         let actions = gateway.advance(1_500 * MS);
         assert!(actions.contains(&Action::CheckHealth(MemberId(0))));
@@ -595,10 +561,7 @@
         gateway.now += MS;
         let primary = member_report(Role::Primary, gateway.now);
         actions.extend(gateway.end_attempt(read, 0, Outcome::Served, primary));
-        assert!(!actions.contains(&Action::ReportTransition {
-            member: MemberId(0),
-            transition: MemberTransition::Promoted
-        }));
+        assert!(!actions.contains(&transition(0, MemberTransition::Promoted)));
         // Writes look for the primary, there too.
         actions.extend(gateway.arrive(WRITE).1);
         asked.extend(
@@ -610,10 +573,7 @@
     let (found, _) = *asked.last().expect("a write looks for the primary there");
     let primary = member_report(Role::Primary, gateway.now);
     let actions = gateway.end_attempt(found, 0, Outcome::Served, primary);
-    assert!(actions.contains(&Action::ReportTransition {
-        member: MemberId(0),
-        transition: MemberTransition::Promoted
-    }));
+    assert!(actions.contains(&transition(0, MemberTransition::Promoted)));
 }
 
 /// Passes time until a member is checked, for two seconds at most.
@@ -647,18 +607,12 @@
         Outcome::Served,
         member_report(Role::Replica, stood),
     );
-    assert!(actions.contains(&Action::ReportTransition {
-        member: MemberId(0),
-        transition: MemberTransition::Demoted
-    }));
+    assert!(actions.contains(&transition(0, MemberTransition::Demoted)));
     advance_until_checked(&mut gateway, 0);
     let lag = gateway.now - stood;
     let actions = gateway.report_lag(0, Role::Primary, lag);
     assert!(
-        !actions.contains(&Action::ReportTransition {
-            member: MemberId(0),
-            transition: MemberTransition::Promoted
-        }),
+        !actions.contains(&transition(0, MemberTransition::Promoted)),
         "{actions:?}"
     );
     // The other one is 0.8 s behind and more: 300 ms are allowed.
@@ -671,10 +625,7 @@
     // It has been elected again since: a report that was asked for later says so in time.
     advance_until_checked(&mut gateway, 0);
     let actions = gateway.report_role(0, Role::Primary);
-    assert!(actions.contains(&Action::ReportTransition {
-        member: MemberId(0),
-        transition: MemberTransition::Promoted
-    }));
+    assert!(actions.contains(&transition(0, MemberTransition::Promoted)));
 }
 
 /// A replica that answers reads all the time is elected: the next answer that says so promotes it, and a write that
@@ -703,10 +654,7 @@
             member_report(Role::Primary, gateway.now),
         );
         assert!(
-            actions.contains(&Action::ReportTransition {
-                member: MemberId(0),
-                transition: MemberTransition::Promoted
-            }),
+            actions.contains(&transition(0, MemberTransition::Promoted)),
             "class {class}"
         );
     }
@@ -798,13 +746,7 @@
                 let (read, actions) = gateway.arrive(class);
                 assert_eq!(dispatches(&actions).len(), 1);
                 let replica = member_report(Role::Replica, gateway.now);
-                gateway.event(Event::AttemptEnded(attempt_ended(
-                    read,
-                    0,
-                    Outcome::Served,
-                    latency,
-                    replica,
-                )));
+                gateway.serve(read, latency, replica);
                 gateway.report_role(0, Role::Primary);
             }
         }
@@ -826,13 +768,7 @@
                 };
                 let answer = member_report(role, gateway.now);
                 let latency = if class == EVENTUAL { 200 * MS } else { 20 * MS };
-                gateway.event(Event::AttemptEnded(attempt_ended(
-                    read,
-                    0,
-                    Outcome::Served,
-                    latency,
-                    answer,
-                )));
+                gateway.serve(read, latency, answer);
             }
         }
         sent
