--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -73,7 +73,7 @@
         )
     }
 
-    /// The index of its class.
+    /// The index of its class; [`super::admission`] rejects a request whose class is not in the settings.
     pub(super) fn class(&self) -> usize {
         self.arrival.class.0
     }
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -171,8 +171,11 @@
             self.actions.push(Action::Fail(id));
             return self.complete(id);
         }
-        let cost = self.retry_cost(ended);
-        if !self.may_retry(&self.requests[&id]) || !self.retry_budget.try_spend(cost) {
+        let Some(request) = self.requests.get(&id) else {
+            return;
+        };
+        let cost = self.retry_cost(request, ended);
+        if !self.may_retry(request) || !self.retry_budget.try_spend(cost) {
             return self.reject_or_fail(id);
         }
         if !self.try_dispatch(id) {
@@ -191,11 +194,8 @@
     }
 
     /// What a retry takes from the budget: nothing after an attempt that cost next to nothing.
-    fn retry_cost(&self, ended: &AttemptEnded) -> f64 {
-        let mean_latency = self
-            .requests
-            .get(&ended.request)
-            .map_or(0.0, |request| self.classes.mean_latency(request.class()));
+    fn retry_cost(&self, request: &Request, ended: &AttemptEnded) -> f64 {
+        let mean_latency = self.classes.mean_latency(request.class());
         let is_quick_error = ended.outcome == Outcome::Error
             && (ended.latency as f64) < mean_latency / QUICK_ERROR_DIVISOR;
         if is_quick_error || ended.outcome.proves_no_effect() {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -178,10 +178,20 @@
     done: bool,
 }
 
+/// An attempt that was dispatched and has not ended.
+#[derive(Clone, Copy)]
+struct AttemptInFlight {
+    request: RequestId,
+    number: u32,
+    member: u32,
+    times_out_at: Micros,
+}
+
+/// Checks the rules on every action.
 #[derive(Default)]
 struct RuleChecker {
     requests: BTreeMap<RequestId, SeenRequest>,
-    out: Vec<(RequestId, u32, u32, Micros)>,
+    in_flight: Vec<AttemptInFlight>,
     drained: BTreeMap<u32, Micros>,
     position: BTreeMap<u32, Micros>,
     been_primary: BTreeSet<u32>,
@@ -226,7 +236,12 @@
                     let number = seen.sends;
                     seen.sends += 1;
                     seen.out.push(number);
-                    self.out.push((id, number, m, now + timeout));
+                    self.in_flight.push(AttemptInFlight {
+                        request: id,
+                        number,
+                        member: m,
+                        times_out_at: now + timeout,
+                    });
                 }
                 Action::Reject { request: id, .. } | Action::Fail(id) => {
                     let seen = self.requests.get_mut(&id).expect("a known request");
@@ -277,8 +292,8 @@
                 let (_, actions) = gateway.arrive_with(class, Some(u64::from(b)), None);
                 checker.check(&settings, gateway.now, &actions);
             }
-            3 | 4 if !checker.out.is_empty() => {
-                let (id, number, m, _) = checker.out[usize::from(a) % checker.out.len()];
+            3 | 4 if !checker.in_flight.is_empty() => {
+                let attempt = checker.in_flight[usize::from(a) % checker.in_flight.len()];
                 let outcome = [
                     Outcome::Served,
                     Outcome::Served,
@@ -289,14 +304,7 @@
                     Outcome::ConnectFailed,
                     Outcome::Cancelled,
                 ][usize::from(b) % 8];
-                end(
-                    &mut checker,
-                    &mut gateway,
-                    &settings,
-                    (id, number, m),
-                    outcome,
-                    a,
-                );
+                end(&mut checker, &mut gateway, &settings, attempt, outcome, a);
             }
             5 => {
                 let m = u32::from(a) % 4;
@@ -344,10 +352,9 @@
 
 /// Attempts that reach their time-out end with it, as the wire would have it.
 fn expire(checker: &mut RuleChecker, gateway: &mut TestGateway, settings: &Settings) {
-    let mut late = checker.out.clone();
-    late.retain(|out| out.3 <= gateway.now);
-    for (id, number, member, _) in late {
-        let attempt = (id, number, member);
+    let mut late = checker.in_flight.clone();
+    late.retain(|attempt| attempt.times_out_at <= gateway.now);
+    for attempt in late {
         end(checker, gateway, settings, attempt, Outcome::TimedOut, 0);
     }
 }
@@ -370,11 +377,14 @@
     checker: &mut RuleChecker,
     gateway: &mut TestGateway,
     settings: &Settings,
-    (id, number, m): (RequestId, u32, u32),
+    attempt: AttemptInFlight,
     outcome: Outcome,
     a: u8,
 ) {
-    checker.out.retain(|o| (o.0, o.1) != (id, number));
+    let (id, number, m) = (attempt.request, attempt.number, attempt.member);
+    checker
+        .in_flight
+        .retain(|other| (other.request, other.number) != (id, number));
     let seen = checker.requests.get_mut(&id).expect("a known request");
     seen.out.retain(|other| *other != number);
     use Outcome::*;
--- a/tests/settings/world.rs
+++ b/tests/settings/world.rs
@@ -27,6 +27,15 @@
     excused: bool,
 }
 
+#[derive(Clone, Copy)]
+struct Attempt {
+    member: u32,
+    dispatched_at: Micros,
+    in_flight: bool,
+    may_have_run: bool,
+}
+
+/// A request that has no answer, or an attempt in flight.
 struct Open {
     class: usize,
     group: u64,
@@ -35,8 +44,7 @@
     session: Option<u64>,
     /// The last commit of its session when it came.
     token: Micros,
-    /// Attempts: member, sent, still out, may have run.
-    attempts: Vec<(u32, Micros, bool, bool)>,
+    attempts: Vec<Attempt>,
     answered: bool,
 }
 
@@ -200,7 +208,7 @@
                     return Ok(());
                 };
                 let idempotency = self.settings.classes[open.class].idempotency;
-                let may_have_run = open.attempts.iter().any(|attempt| attempt.3);
+                let may_have_run = open.attempts.iter().any(|attempt| attempt.may_have_run);
                 let harmless = matches!(
                     idempotency,
                     Idempotency::Idempotent
@@ -287,18 +295,19 @@
         if open.attempts.len() >= settings.max_attempts as usize {
             return Err(format!("{request} has too many attempts"));
         }
-        if open.attempts.iter().any(|attempt| attempt.2) {
+        if open.attempts.iter().any(|attempt| attempt.in_flight) {
             return Err(format!("{request} has two attempts out"));
         }
-        let first = open.attempts.iter().find(|attempt| attempt.3);
+        let first = open.attempts.iter().find(|attempt| attempt.may_have_run);
         match (first, class.idempotency) {
             (None, _) | (_, Idempotency::Idempotent) => {}
             (Some(_), Idempotency::NonIdempotent) => {
                 return Err(format!("{request} may have run and is sent again"))
             }
-            (Some((earlier, sent, ..)), Idempotency::IdempotencyKey { scope, window }) => {
-                let zone = self.members[earlier].zone;
-                if now >= sent + window || scope == DeduplicationScope::Zone && zone != member.zone
+            (Some(earlier), Idempotency::IdempotencyKey { scope, window }) => {
+                let zone = self.members[&earlier.member].zone;
+                if now >= earlier.dispatched_at + window
+                    || scope == DeduplicationScope::Zone && zone != member.zone
                 {
                     return Err(format!(
                         "{request} is repeated where its key is not known any more"
@@ -326,7 +335,12 @@
             ));
         }
         let at = open.attempts.len();
-        open.attempts.push((to, now, true, true));
+        open.attempts.push(Attempt {
+            member: to,
+            dispatched_at: now,
+            in_flight: true,
+            may_have_run: true,
+        });
         let took = self.rng.f64() * 2.0 * member.work as f64 + 1.0;
         let after = if member.alive {
             (took as Micros).min(timeout)
@@ -342,7 +356,13 @@
         let Some(open) = self.open.get(&request) else {
             return Ok(());
         };
-        let Some(&(to, sent, true, _)) = open.attempts.get(at) else {
+        let Some(&Attempt {
+            member: to,
+            dispatched_at,
+            in_flight: true,
+            ..
+        }) = open.attempts.get(at)
+        else {
             return Ok(());
         };
         let member = self.members[&to].clone();
@@ -375,8 +395,8 @@
         };
         let now = self.now;
         let open = self.open.get_mut(&request).expect("it is there");
-        open.attempts[at].2 = false;
-        open.attempts[at].3 = !outcome.proves_no_effect();
+        open.attempts[at].in_flight = false;
+        open.attempts[at].may_have_run = !outcome.proves_no_effect();
         let answered = matches!(
             outcome,
             Outcome::Served | Outcome::Misrouted | Outcome::Error | Outcome::Rejected
@@ -413,7 +433,7 @@
             request: RequestId(request),
             attempt: AttemptNo(at as u32),
             outcome,
-            latency: now - sent,
+            latency: now - dispatched_at,
             answer_report: note,
             load_report: MemberReport::default(),
             answer: standing,
@@ -594,8 +614,9 @@
                 }
             }
             self.check_deadlines()?;
-            self.open
-                .retain(|_, open| !open.answered || open.attempts.iter().any(|attempt| attempt.2));
+            self.open.retain(|_, open| {
+                !open.answered || open.attempts.iter().any(|attempt| attempt.in_flight)
+            });
         }
         if self.open.values().any(|open| !open.answered) {
             return Err("requests were left without an answer".into());
