--- a/src/bin/asterreel-operator/collected.rs
+++ b/src/bin/asterreel-operator/collected.rs
@@ -19,7 +19,7 @@
     pub(crate) health: Call<Health>,
     pub(crate) cells: Call<Cells>,
     pub(crate) lease: Call<Lease>,
-    pub(crate) readmission: Call<readmission::Knobs>,
+    pub(crate) readmission: Call<readmission::Options>,
     first_error: Option<OperatorFileError>,
 }
 
@@ -98,11 +98,11 @@
             operator.lease = Some(lease);
             evaluated.lease_at = Some(call);
         }
-        if let Some((knobs, call)) = self.readmission {
-            knobs
+        if let Some((options, call)) = self.readmission {
+            options
                 .check()
-                .map_err(|fault| call.error(SettingError::from(fault).below("readmission")))?;
-            operator.readmission = Some(knobs);
+                .map_err(|error| call.error(error.below("readmission")))?;
+            operator.readmission = Some(options);
         }
         Ok(())
     }
--- a/src/bin/asterreel-operator/functions.rs
+++ b/src/bin/asterreel-operator/functions.rs
@@ -207,8 +207,8 @@
         #[starlark(kwargs)] arguments: DictRef<'v>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<Value<'v>> {
-        let (knobs, call) = parse::<readmission::Knobs>("readmission", &arguments, eval)?;
-        set_once("readmission", knobs, call, |collected| {
+        let (options, call) = parse::<readmission::Options>("readmission", &arguments, eval)?;
+        set_once("readmission", options, call, |collected| {
             &mut collected.readmission
         });
         Ok(Value::new_none())
--- a/src/bin/asterreel/client/session.rs
+++ b/src/bin/asterreel/client/session.rs
@@ -134,7 +134,7 @@
                 }
                 Opening::Start => match self.gateway.readmits(self.client.address) {
                     Answer::Admit => break,
-                    Answer::ComeAgain(wait) => {
+                    Answer::RetryAfter(wait) => {
                         self.come_again(wait)?;
                         return Ok(false);
                     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -22,6 +22,7 @@
 pub mod policy;
 pub mod readmission;
 pub mod roles;
+mod setting_error;
 pub mod settings;
 mod state;
 pub mod statements;
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -10,8 +10,9 @@
 mod location;
 mod settings;
 
+pub use crate::setting_error::SettingError;
 pub use asterreel_control::settings::{Lease, Peer};
-pub use error::{OperatorFileError, SettingError};
+pub use error::OperatorFileError;
 pub use evaluator::{evaluate, evaluator, Reply};
 pub use location::SourceLocation;
 pub use settings::{Agent, CellBounds, Cells, Health, Listener, Operator};
--- a/src/operator/settings.rs
+++ b/src/operator/settings.rs
@@ -27,7 +27,7 @@
     pub lease: Option<Lease>,
     /// `readmission(...)`: how many clients may reconnect at once.
     #[serde(default)]
-    pub readmission: Option<crate::readmission::Knobs>,
+    pub readmission: Option<crate::readmission::Options>,
 }
 
 /// What a cell may hold of this gateway, as far as it is enforced; 0 is no bound.
--- a/src/readmission/tests.rs
+++ b/src/readmission/tests.rs
@@ -9,20 +9,20 @@
     IpAddr::V4(Ipv4Addr::from(0x0A00_0000 + number))
 }
 
-fn knobs() -> Knobs {
-    Knobs {
+fn options() -> Options {
+    Options {
         sessions_per_s: 500.0,
         burst: 20.0,
         longest_ms: 20_000,
     }
 }
 
-/// Clients of one address each that come within 100 ms, and again when told, or every 50 ms where they don't listen.
-/// When each was admitted.
-fn storm(gateways: usize, clients: u32, deaf: impl Fn(u32) -> bool) -> Vec<(u32, Micros)> {
+/// Clients of one address each that come within 100 ms, and retry when told to, or every 50 ms where they are eager.
+/// Returns when each was admitted.
+fn storm(gateways: usize, clients: u32, is_eager: impl Fn(u32) -> bool) -> Vec<(u32, Micros)> {
     let mut rng = fastrand::Rng::with_seed(3);
     let mut all: Vec<Readmission> = (0..gateways)
-        .map(|n| Readmission::new(knobs(), gateways as u32, n as u64))
+        .map(|n| Readmission::new(options(), gateways as u32, n as u64))
         .collect();
     let mut next = BinaryHeap::new();
     (0..clients).for_each(|client| next.push(Reverse((SECOND + rng.u64(0..SECOND / 10), client))));
@@ -36,9 +36,9 @@
         // The front layer sends a client back to where it was.
         match all[client as usize % gateways].arrive(now, address(client)) {
             Answer::Admit => admitted.push((client, now)),
-            Answer::ComeAgain(wait) => {
+            Answer::RetryAfter(wait) => {
                 next.push(Reverse((
-                    now + if deaf(client) { SECOND / 20 } else { wait },
+                    now + if is_eager(client) { SECOND / 20 } else { wait },
                     client,
                 )));
             }
@@ -48,10 +48,10 @@
 }
 
 #[test]
-fn a_storm_is_spread_within_the_budget_and_everybody_comes_in() {
+fn reconnect_storm_is_spread_within_the_budget() {
     for gateways in [1, 2, 5, 9] {
-        for share in [0, 5] {
-            let admitted = storm(gateways, 2_000, |client| client % 10 < share);
+        for eager_in_ten in [0, 5] {
+            let admitted = storm(gateways, 2_000, |client| client % 10 < eager_in_ten);
             let times: Vec<Micros> = admitted.iter().map(|(_, at)| *at).collect();
             // In any second: the budget, and a burst of each gateway once.
             for (n, at) in times.iter().enumerate() {
@@ -62,130 +62,130 @@
                 let most = 500.0 + 20.0 * gateways as f64 + 1.0;
                 assert!(
                     within as f64 <= most,
-                    "{gateways} gateways, {share} deaf: {within} in a second"
+                    "{gateways} gateways, {eager_in_ten} in ten eager: {within} in a second"
                 );
             }
-            // 2000 clients at 500 a second, and the jitter of a place.
+            // 2000 clients at 500 a second, and the jitter of a slot.
             let last = times.last().copied().unwrap_or(0) - SECOND;
             assert!(
                 last < 6 * SECOND,
-                "{gateways} gateways, {share} deaf: the last after {last} us"
+                "{gateways} gateways, {eager_in_ten} in ten eager: the last after {last} us"
             );
         }
     }
 }
 
 #[test]
-fn whoever_asks_early_keeps_its_place_and_one_not_taken_up_lapses() {
-    let mut door = Readmission::new(knobs(), 1, 1);
-    let mut crowd = 0;
-    while door.arrive(SECOND, address(1_000 + crowd)) == Answer::Admit {
-        crowd += 1;
+fn early_retry_keeps_its_slot_and_unused_slots_lapse() {
+    let mut pacing = Readmission::new(options(), 1, 1);
+    let mut admitted = 0;
+    while pacing.arrive(SECOND, address(1_000 + admitted)) == Answer::Admit {
+        admitted += 1;
     }
-    assert_eq!(crowd, 20, "a burst");
-    let Answer::ComeAgain(wait) = door.arrive(SECOND, address(1)) else {
+    assert_eq!(admitted, 20, "a burst");
+    let Answer::RetryAfter(wait) = pacing.arrive(SECOND, address(1)) else {
         panic!("admitted beyond the burst")
     };
-    // Others queue behind it; it asks early, again and again.
+    // Others queue behind it; it retries early, again and again.
     for n in 0..100 {
-        door.arrive(SECOND, address(5_000 + n));
+        pacing.arrive(SECOND, address(5_000 + n));
     }
     for n in 1..9 {
-        door.arrive(SECOND + n, address(1));
+        pacing.arrive(SECOND + n, address(1));
     }
     assert_eq!(
-        door.arrive(SECOND + wait, address(1)),
+        pacing.arrive(SECOND + wait, address(1)),
         Answer::Admit,
         "at its time"
     );
     // Long after, with nobody there, all is as at the start.
-    assert_eq!(door.arrive(100 * SECOND, address(2)), Answer::Admit);
+    assert_eq!(pacing.arrive(100 * SECOND, address(2)), Answer::Admit);
     assert_eq!(
-        (door.taken, door.places.len()),
+        (pacing.slot_count, pacing.slots.len()),
         (0, 0),
-        "what was not taken up has lapsed"
+        "unused slots have lapsed"
     );
 }
 
 #[test]
-fn the_row_is_bounded_and_no_wait_is_longer_than_told() {
-    let mut door = Readmission::new(
-        Knobs {
+fn queue_and_waits_are_bounded() {
+    let mut pacing = Readmission::new(
+        Options {
             sessions_per_s: 10.0,
-            ..knobs()
+            ..options()
         },
         1,
         1,
     );
     for n in 0..50_000 {
-        if let Answer::ComeAgain(wait) = door.arrive(SECOND, address(n)) {
+        if let Answer::RetryAfter(wait) = pacing.arrive(SECOND, address(n)) {
             assert!(wait <= 20 * SECOND + 100_000, "{wait}");
         }
     }
     assert!(
-        door.taken <= 200,
-        "{} places within the longest wait",
-        door.taken
+        pacing.slot_count <= 200,
+        "{} slots within the longest wait",
+        pacing.slot_count
     );
-    // An address that asks without end holds so many places at most.
-    let mut door = Readmission::new(
-        Knobs {
+    // An address that retries without end has so many slots at most.
+    let mut pacing = Readmission::new(
+        Options {
             sessions_per_s: 100_000.0,
-            ..knobs()
+            ..options()
         },
         1,
         1,
     );
     for _ in 0..10_000 {
-        door.arrive(SECOND, address(1));
+        pacing.arrive(SECOND, address(1));
     }
-    assert!(door.taken <= PLACES_EACH);
+    assert!(pacing.slot_count <= MAX_SLOTS_PER_ADDRESS);
 }
 
 #[test]
-fn a_part_follows_how_many_share_and_is_never_none() {
+fn share_follows_the_number_of_gateways() {
     let rate = |gateways: u32| {
-        let mut door = Readmission::new(knobs(), 5, 1);
-        door.share(gateways);
-        let came = (0..100_000).map(|n| door.arrive(SECOND + n * 100, address(7)));
+        let mut pacing = Readmission::new(options(), 5, 1);
+        pacing.share(gateways);
+        let came = (0..100_000).map(|n| pacing.arrive(SECOND + n * 100, address(7)));
         came.filter(|answer| *answer == Answer::Admit).count()
     };
-    // Ten seconds of one who asks all the time: the part, and a burst.
+    // Ten seconds of one that retries all the time: the share, and a burst.
     let (alone, five) = (rate(1), rate(5));
     assert!((4_000..=5_030).contains(&alone), "{alone}");
     assert!((800..=1_030).contains(&five), "{five}");
 }
 
 #[test]
-fn bad_knobs_name_their_key() {
-    assert_eq!(knobs().check(), Ok(()));
-    let key = |knobs: Knobs| knobs.check().map_err(|(key, _)| key);
+fn option_errors_name_their_key() {
+    assert_eq!(options().check(), Ok(()));
+    let key = |options: Options| options.check().map_err(|error| error.key);
     assert_eq!(
-        key(Knobs {
+        key(Options {
             sessions_per_s: 0.0,
-            ..knobs()
+            ..options()
         }),
-        Err("sessions_per_s")
+        Err("sessions_per_s".to_owned())
     );
     assert_eq!(
-        key(Knobs {
+        key(Options {
             sessions_per_s: f64::NAN,
-            ..knobs()
+            ..options()
         }),
-        Err("sessions_per_s")
+        Err("sessions_per_s".to_owned())
     );
     assert_eq!(
-        key(Knobs {
+        key(Options {
             burst: 0.5,
-            ..knobs()
+            ..options()
         }),
-        Err("burst")
+        Err("burst".to_owned())
     );
     assert_eq!(
-        key(Knobs {
+        key(Options {
             longest_ms: 0,
-            ..knobs()
+            ..options()
         }),
-        Err("longest_ms")
+        Err("longest_ms".to_owned())
     );
 }
