--- a/src/statements/tests.rs
+++ b/src/statements/tests.rs
@@ -173,3 +173,17 @@
         Err(BadCatalog::Unreadable(_))
     ));
 }
+
+/// Gateways of the builds before read this form, and the fleet's log keeps it.
+#[test]
+fn stored_form_is_stable() {
+    let stored = concat!(
+        r#"{"shapes":{"1":{"tenant":"a","class":"read","form":1,"groups":{"3":[0,4]}},"#,
+        r#""2":{"tenant":"a","class":"read","form":1,"groups":{"3":[5,null]}},"#,
+        r#""3":{"tenant":"a","class":"read","form":1,"groups":{"3":[0,null]}}},"#,
+        r#""schemas":{"3":4},"changes":{"3":{"to":5,"step":"Both","position":500}},"unknown":"Refuse"}"#,
+    );
+    let catalog = catalog(Some(Step::Both), Some(AT));
+    assert_eq!(String::from_utf8_lossy(&catalog.write()), stored);
+    assert_eq!(Catalog::read(stored.as_bytes()), Ok(catalog));
+}
