--- /dev/null
+++ b/src/statements/fingerprint.rs
@@ -0,0 +1,148 @@
+//! Fingerprints of statements: a digest of their text without values, comments, case and spacing.
+
+use serde::{Deserialize, Serialize};
+use xxhash_rust::xxh3::Xxh3;
+
+/// The fingerprint of a statement: a digest of its normalized text.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct StatementFingerprint(pub u64);
+
+impl StatementFingerprint {
+    /// The fingerprint of a statement, in one pass and without a copy of the text. Strings in single quotes, numbers and
+    /// parameters count as one value each; names in double quotes are taken as they are.
+    pub fn of(text: &[u8]) -> StatementFingerprint {
+        let mut normalizer = Normalizer::default();
+        let mut rest = text;
+        while !rest.is_empty() {
+            let token = Token::first(rest, normalizer.in_word);
+            let (text, after) = rest.split_at(token.length);
+            normalizer.add(token.kind, text);
+            rest = after;
+        }
+        StatementFingerprint(normalizer.digest.digest())
+    }
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum TokenKind {
+    /// White space or a comment.
+    Space,
+    /// A string, a number or a parameter.
+    Value,
+    /// A name in double quotes.
+    QuotedName,
+    /// A character of a name or a keyword.
+    Word,
+    /// Any other character.
+    Symbol,
+}
+
+struct Token {
+    kind: TokenKind,
+    /// At least 1.
+    length: usize,
+}
+
+impl Token {
+    /// The token that a text begins with, which is not empty. Within a word a digit is no value: `a1` keeps its `1`.
+    fn first(text: &[u8], in_word: bool) -> Token {
+        let (kind, length) = match text {
+            [b'\'', ..] => (TokenKind::Value, quoted_length(text, b'\'')),
+            [b'"', ..] => (TokenKind::QuotedName, quoted_length(text, b'"')),
+            [b'-', b'-', ..] => (TokenKind::Space, line_length(text)),
+            [b'/', b'*', ..] => (TokenKind::Space, comment_length(text)),
+            [b'0'..=b'9', ..] if !in_word => (TokenKind::Value, number_length(text)),
+            [b'$', b'0'..=b'9', ..] if !in_word => {
+                (TokenKind::Value, 1 + number_length(&text[1..]))
+            }
+            [byte, ..] if byte.is_ascii_whitespace() => (TokenKind::Space, 1),
+            [byte, ..] if is_word(*byte) => (TokenKind::Word, 1),
+            _ => (TokenKind::Symbol, 1),
+        };
+        Token { kind, length }
+    }
+}
+
+fn is_word(byte: u8) -> bool {
+    byte.is_ascii_alphanumeric() || byte == b'_' || byte >= 0x80
+}
+
+/// Digests tokens in their normalized form.
+#[derive(Default)]
+struct Normalizer {
+    digest: Xxh3,
+    /// Space came since the last token that counts.
+    spaced: bool,
+    /// The last token belongs to a word.
+    in_word: bool,
+}
+
+impl Normalizer {
+    fn add(&mut self, kind: TokenKind, text: &[u8]) {
+        self.in_word = kind == TokenKind::Word;
+        if kind == TokenKind::Space {
+            self.spaced = true;
+            return;
+        }
+        // Spacing counts only where it parts two words.
+        if self.spaced && kind == TokenKind::Word {
+            self.digest.update(b" ");
+        }
+        self.spaced = false;
+        match kind {
+            TokenKind::Value => self.digest.update(b"?"),
+            TokenKind::QuotedName => self.digest.update(text),
+            TokenKind::Space | TokenKind::Word | TokenKind::Symbol => {
+                for byte in text {
+                    self.digest.update(&[byte.to_ascii_lowercase()]);
+                }
+            }
+        }
+    }
+}
+
+/// The length of a comment up to the end of its line.
+fn line_length(text: &[u8]) -> usize {
+    text.iter()
+        .position(|byte| *byte == b'\n')
+        .unwrap_or(text.len())
+}
+
+/// The length of a quoted text, up to the closing quote; a doubled quote stands for itself.
+fn quoted_length(text: &[u8], quote: u8) -> usize {
+    let mut at = 1;
+    while let Some(found) = text
+        .get(at..)
+        .and_then(|rest| rest.iter().position(|byte| *byte == quote))
+    {
+        at += found + 1;
+        if text.get(at) != Some(&quote) {
+            return at;
+        }
+        at += 1;
+    }
+    text.len()
+}
+
+/// The length of a block comment; they nest.
+fn comment_length(text: &[u8]) -> usize {
+    let (mut at, mut depth) = (2, 1);
+    while depth > 0 && at < text.len() {
+        match &text[at..] {
+            [b'/', b'*', ..] => (depth, at) = (depth + 1, at + 2),
+            [b'*', b'/', ..] => (depth, at) = (depth - 1, at + 2),
+            _ => at += 1,
+        }
+    }
+    at
+}
+
+/// The length of a number, with its exponent or suffix.
+fn number_length(text: &[u8]) -> usize {
+    text.iter()
+        .take_while(|byte| byte.is_ascii_alphanumeric() || **byte == b'.')
+        .count()
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/statements/shape/tests.rs
+++ b/src/statements/fingerprint/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 
 #[test]
-fn values_comments_case_and_spacing_make_no_difference_and_names_do() {
-    let shape = |text: &str| Shape::of(text.as_bytes());
-    let one = shape("SELECT payload FROM entries WHERE ref = '7f3a''x' /* id=9b,c=basket */");
+fn only_names_and_structure_make_a_difference() {
+    let fingerprint = |text: &str| StatementFingerprint::of(text.as_bytes());
+    let one = fingerprint("SELECT payload FROM entries WHERE ref = '7f3a''x' /* id=9b,c=basket */");
     for same in [
         "select payload  from entries\nwhere ref='' /* a /* nested */ one */",
         "SELECT payload FROM entries WHERE ref = 'x' -- and more\n",
         "SELECT payload FROM entries WHERE ref = 12.5",
         "SELECT payload FROM entries WHERE ref = $1",
     ] {
-        assert_eq!(shape(same), one, "{same}");
+        assert_eq!(fingerprint(same), one, "{same}");
     }
     for other in [
         "SELECT payload2 FROM entries WHERE ref = 'x'",
@@ -19,18 +19,18 @@
         "SELECT \"Payload\" FROM entries WHERE ref = 'x'",
         "SELECT payload FROM entries WHERE ref = 'x' AND a = 1",
     ] {
-        assert_ne!(shape(other), one, "{other}");
+        assert_ne!(fingerprint(other), one, "{other}");
     }
 }
 
 #[test]
-fn what_never_ends_is_read_to_its_end_and_garbage_has_a_shape() {
+fn unterminated_and_garbage_text_has_a_fingerprint() {
     for text in ["'", "\"", "/*", "/* /* */", "--", "$", "$1", "''", "1"] {
-        Shape::of(text.as_bytes());
+        StatementFingerprint::of(text.as_bytes());
     }
     let good = b"SELECT a, 'b' FROM \"c\" WHERE d = $1 /* e */ -- f";
     crate::fuzz::garbage(good, |bytes| {
-        // That it ends, and without a panic, is what is asked here.
-        let _ = Shape::of(bytes);
+        // It has to end, without a panic.
+        let _ = StatementFingerprint::of(bytes);
     });
 }
--- a/src/statements/mod.rs
+++ b/src/statements/mod.rs
@@ -1,29 +1,29 @@
 //! Which statements are valid in which group while its schema changes, and which members may get them.
 //!
 //! The catalog is what gateways agree on as [`crate::versions::Topic::Catalog`]: each step of a schema change is a
-//! version of it, in force by the fleet's log, so that no two gateways are ever more than one step apart. A change takes
+//! version of it, made active by the fleet's log, so that no two gateways are ever more than one step apart. A change takes
 //! effect in a group at a position of the group's own log, and members reach that position at different times. So a
 //! statement that needs the new schema goes only to members that are known to have passed it; one of the old schema goes
-//! where that is still valid. This narrows the candidates before the decision module chooses; it never chooses.
+//! where that is still valid. This narrows the candidates before the router selects a member; it never selects one.
 //!
 //! The steps are those of an online schema change in F1 (Rae et al. 2013): what is new is there before it is used, and
-//! what is old is used no more before it goes. [`Catalog`] is the agreed part, [`Evidence`] a gateway's own: what members
-//! answered that did not fit.
+//! what is old is used no more before it goes. [`Catalog`] is the agreed part, [`MismatchTracker`] a gateway's own: which
+//! statements members rejected. A catalog is stored as JSON, so renamed fields keep their former names there.
 
-mod evidence;
-mod shape;
+mod fingerprint;
+mod mismatches;
 
-pub use evidence::{Evidence, Told};
-pub use shape::Shape;
+pub use fingerprint::StatementFingerprint;
+pub use mismatches::{MemberError, Mismatch, MismatchTracker};
 
 use crate::interface::{GroupId, Micros};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Shapes that a catalog may hold, of one tenant and in all: with its bounds it stays within what a version may be.
-pub const SHAPES_EACH: usize = 256;
-/// See [`SHAPES_EACH`].
-pub const SHAPES: usize = 1_024;
+/// The most statements of one tenant in a catalog, which so stays within the size of a version.
+pub const MAX_STATEMENTS_PER_TENANT: usize = 256;
+/// The most statements in a catalog.
+pub const MAX_STATEMENTS: usize = 1_024;
 
 /// A step of a schema change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -61,7 +61,7 @@
 
 /// A schema change of one group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Change {
+pub struct SchemaChange {
     /// The schema that it leads to; it leads from the one before.
     pub to: u64,
     /// How far it is.
@@ -70,27 +70,58 @@
     pub position: Option<Micros>,
 }
 
-/// A shape of statement, and the schemas of its group that it fits.
+/// The schemas that a statement fits; stored as a pair.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+#[serde(from = "(u64, Option<u64>)", into = "(u64, Option<u64>)")]
+pub struct SchemaRange {
+    /// The first that it fits.
+    pub first: u64,
+    /// The last that it fits; none is until further notice.
+    pub last: Option<u64>,
+}
+
+impl SchemaRange {
+    fn contains(self, schema: u64) -> bool {
+        self.first <= schema && self.last.is_none_or(|last| schema <= last)
+    }
+}
+
+impl From<(u64, Option<u64>)> for SchemaRange {
+    fn from((first, last): (u64, Option<u64>)) -> SchemaRange {
+        SchemaRange { first, last }
+    }
+}
+
+impl From<SchemaRange> for (u64, Option<u64>) {
+    fn from(range: SchemaRange) -> (u64, Option<u64>) {
+        (range.first, range.last)
+    }
+}
+
+/// A statement that the fleet knows, and the schemas that it fits.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Known {
-    /// Whose.
+pub struct KnownStatement {
+    /// The tenant that uses it.
     pub tenant: String,
     /// The class that its requests name.
     pub class: String,
-    /// A digest of the form of its result.
-    pub form: u64,
-    /// By group, the first schema that it fits and the last; no last is until further notice.
-    pub groups: BTreeMap<u64, (u64, Option<u64>)>,
+    /// A digest of the columns of its result.
+    #[serde(rename = "form")]
+    pub result_digest: u64,
+    /// The schemas that it fits, by group.
+    #[serde(rename = "groups")]
+    pub schemas: BTreeMap<u64, SchemaRange>,
 }
 
-/// What a statement of no known shape gets.
+/// What happens to a statement that the catalog does not know.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Unknown {
+pub enum UnknownStatements {
     /// It passes, to any member.
     #[default]
     Pass,
-    /// It is refused untouched.
-    Refuse,
+    /// It is rejected unsent.
+    #[serde(rename = "Refuse")]
+    Reject,
 }
 
 /// Which members may get a statement.
@@ -98,9 +129,9 @@
 pub enum Candidates {
     /// All of the group.
     All,
-    /// Those known to have applied the group's log up to here.
-    Past(Micros),
-    /// None as yet: it waits within its deadline, or is refused untouched.
+    /// Those known to have applied the group's log up to this position.
+    AtPosition(Micros),
+    /// None as yet: it waits within its deadline, or is rejected unsent.
     NoneYet,
     /// None: its schema is not valid here, or not any more.
     Never,
@@ -109,19 +140,20 @@
 /// All that gateways agree on about statements.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Catalog {
-    /// By shape.
-    pub shapes: BTreeMap<u64, Known>,
-    /// By group, the schema in use.
+    /// The statements that are known, by fingerprint.
+    #[serde(rename = "shapes")]
+    pub statements: BTreeMap<u64, KnownStatement>,
+    /// The schema in use, by group.
     pub schemas: BTreeMap<u64, u64>,
-    /// By group, the change under way.
-    pub changes: BTreeMap<u64, Change>,
-    /// What others get.
-    pub unknown: Unknown,
+    /// The change under way, by group.
+    pub changes: BTreeMap<u64, SchemaChange>,
+    /// What happens to all others.
+    pub unknown: UnknownStatements,
 }
 
 /// Why a catalog can't follow another.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadCatalog {
+pub enum CatalogError {
     /// Not a catalog.
     #[error("it can't be read: {0}; write it with the build that the fleet runs")]
     Unreadable(String),
@@ -139,7 +171,7 @@
         /// To which step; none is that it is gone.
         step: Option<Step>,
     },
-    /// New statements would be let in at no known position.
+    /// New statements would be admitted at no known position.
     #[error(
         "group {0}: only the new schema is valid, and its position is not known; apply the change first"
     )]
@@ -154,7 +186,7 @@
         /// The one in use.
         before: u64,
     },
-    /// Too many shapes.
+    /// Too many statements.
     #[error("{0} holds too many shapes; drop those that are used least")]
     TooMany(String),
 }
@@ -164,9 +196,9 @@
     ///
     /// # Errors
     ///
-    /// [`BadCatalog`], where the content is no catalog.
-    pub fn read(bytes: &[u8]) -> Result<Catalog, BadCatalog> {
-        serde_json::from_slice(bytes).map_err(|fault| BadCatalog::Unreadable(fault.to_string()))
+    /// [`CatalogError`], where the content is no catalog.
+    pub fn read(bytes: &[u8]) -> Result<Catalog, CatalogError> {
+        serde_json::from_slice(bytes).map_err(|fault| CatalogError::Unreadable(fault.to_string()))
     }
 
     /// The content of a version.
@@ -183,122 +215,127 @@
     ///
     /// # Errors
     ///
-    /// [`BadCatalog`] names the group whose change has gone more than one step.
-    pub fn follows(&self, before: &Catalog) -> Result<(), BadCatalog> {
-        let tenants =
-            self.shapes
-                .values()
-                .fold(BTreeMap::<&str, usize>::new(), |mut all, known| {
-                    *all.entry(&known.tenant).or_default() += 1;
-                    all
-                });
-        if let Some((tenant, _)) = tenants.iter().find(|(_, count)| **count > SHAPES_EACH) {
-            return Err(BadCatalog::TooMany(format!("tenant {tenant}")));
-        }
-        if self.shapes.len() > SHAPES {
-            return Err(BadCatalog::TooMany("the catalog".into()));
-        }
+    /// [`CatalogError`] names the group whose change has gone more than one step.
+    pub fn follows(&self, before: &Catalog) -> Result<(), CatalogError> {
+        self.check_size()?;
         for group in self
             .changes
             .keys()
             .chain(before.changes.keys())
             .chain(self.schemas.keys())
         {
-            self.one_step(before, *group)?;
+            self.check_group(before, *group)?;
         }
         Ok(())
     }
 
-    fn one_step(&self, before: &Catalog, group: u64) -> Result<(), BadCatalog> {
+    fn check_size(&self) -> Result<(), CatalogError> {
+        let mut tenants = BTreeMap::<&str, usize>::new();
+        for statement in self.statements.values() {
+            *tenants.entry(&statement.tenant).or_default() += 1;
+        }
+        let mut counts = tenants.iter();
+        if let Some((tenant, _)) = counts.find(|(_, count)| **count > MAX_STATEMENTS_PER_TENANT) {
+            return Err(CatalogError::TooMany(format!("tenant {tenant}")));
+        }
+        if self.statements.len() > MAX_STATEMENTS {
+            return Err(CatalogError::TooMany("the catalog".into()));
+        }
+        Ok(())
+    }
+
+    fn check_group(&self, before: &Catalog, group: u64) -> Result<(), CatalogError> {
+        self.check_schema(before, group)?;
+        self.check_step(before, group)?;
+        let change = self.changes.get(&group);
+        let has_position =
+            change.is_none_or(|new| new.step < Step::NewOnly || new.position.is_some());
+        if !has_position {
+            return Err(CatalogError::Position(group));
+        }
+        Ok(())
+    }
+
+    /// The schema in use changes only to that of a change that is over, or to a group's first.
+    fn check_schema(&self, before: &Catalog, group: u64) -> Result<(), CatalogError> {
         let (old, new) = (before.changes.get(&group), self.changes.get(&group));
-        let (schema, was) = (self.schema(group), before.schema(group));
-        // A change that is over leaves its schema in use.
-        let over = old
-            .filter(|old| old.step == Step::Forgotten && new.is_none())
-            .map(|old| old.to);
-        if schema != was && over != Some(schema) && !(was == 0 && old.is_none()) {
-            return Err(BadCatalog::Schema {
-                group,
-                schema,
-                before: was,
-            });
+        let (schema, schema_before) = (self.schema(group), before.schema(group));
+        let completed = old.filter(|old| old.step == Step::Forgotten && new.is_none());
+        let is_completed = completed.is_some_and(|change| change.to == schema);
+        let is_first = schema_before == 0 && old.is_none();
+        if schema == schema_before || is_completed || is_first {
+            return Ok(());
         }
-        let may = match (old, new) {
+        Err(CatalogError::Schema {
+            group,
+            schema,
+            before: schema_before,
+        })
+    }
+
+    fn check_step(&self, before: &Catalog, group: u64) -> Result<(), CatalogError> {
+        let (old, new) = (before.changes.get(&group), self.changes.get(&group));
+        let is_one_step = match (old, new) {
             (None, None) => true,
-            (None, Some(new)) => new.step == Step::Proposed && new.to > was,
+            (None, Some(new)) => new.step == Step::Proposed && new.to > before.schema(group),
             (Some(old), None) => {
-                old.step == Step::Proposed || old.step == Step::Forgotten && schema == old.to
+                let is_applied = old.step == Step::Forgotten && self.schema(group) == old.to;
+                old.step == Step::Proposed || is_applied
             }
             (Some(old), Some(new)) => {
                 let steps = [Some(old.step), old.step.next(), old.step.back()];
                 old.to == new.to && steps.contains(&Some(new.step))
             }
         };
-        if !may {
-            let to = new.or(old).map_or(0, |change| change.to);
-            let (from, step) = (old.map(|old| old.step), new.map(|new| new.step));
-            return Err(BadCatalog::Steps {
-                group,
-                to,
-                from,
-                step,
-            });
+        if is_one_step {
+            return Ok(());
         }
-        let placed = new.is_none_or(|new| new.step < Step::NewOnly || new.position.is_some());
-        placed.then_some(()).ok_or(BadCatalog::Position(group))
+        Err(CatalogError::Steps {
+            group,
+            to: new.or(old).map_or(0, |change| change.to),
+            from: old.map(|old| old.step),
+            step: new.map(|new| new.step),
+        })
     }
 
     /// Which members of a group may get a statement.
-    pub fn candidates(&self, shape: Shape, group: GroupId) -> Candidates {
-        let Some(known) = self.shapes.get(&shape.0) else {
-            return if self.unknown == Unknown::Pass {
-                Candidates::All
-            } else {
-                Candidates::Never
+    pub fn candidates(&self, statement: StatementFingerprint, group: GroupId) -> Candidates {
+        let Some(known) = self.statements.get(&statement.0) else {
+            return match self.unknown {
+                UnknownStatements::Pass => Candidates::All,
+                UnknownStatements::Reject => Candidates::Never,
             };
         };
-        let Some(&(first, last)) = known.groups.get(&group.0) else {
+        let Some(range) = known.schemas.get(&group.0) else {
             return Candidates::Never;
         };
-        let fits = |schema: u64| first <= schema && last.is_none_or(|last| schema <= last);
-        let schema = self.schema(group.0);
+        let fits_old = range.contains(self.schema(group.0));
         let Some(change) = self.changes.get(&group.0) else {
-            return if fits(schema) {
+            return if fits_old {
                 Candidates::All
             } else {
                 Candidates::Never
             };
         };
-        let (old, new) = (fits(schema), fits(change.to));
-        let past = change
+        change.candidates(fits_old, range.contains(change.to))
+    }
+}
+
+impl SchemaChange {
+    /// Which members may get a statement that fits the schema before the change, or the one that it leads to, or both.
+    fn candidates(&self, fits_old: bool, fits_new: bool) -> Candidates {
+        let where_applied = self
             .position
-            .map_or(Candidates::NoneYet, Candidates::Past);
-        match change.step {
-            Step::Proposed => {
-                if old {
-                    Candidates::All
-                } else if new {
-                    Candidates::NoneYet
-                } else {
-                    Candidates::Never
-                }
-            }
+            .map_or(Candidates::NoneYet, Candidates::AtPosition);
+        match (self.step, fits_old, fits_new) {
+            (_, true, true) => Candidates::All,
+            (_, false, false) => Candidates::Never,
             // The old schema is still there wherever the new one has been applied.
-            Step::Both => {
-                if old {
-                    Candidates::All
-                } else if new {
-                    past
-                } else {
-                    Candidates::Never
-                }
-            }
-            // One that fits both goes anywhere; what fits only the old one is used no more.
-            Step::NewOnly | Step::Forgotten => match (old, new) {
-                (true, true) => Candidates::All,
-                (false, true) => past,
-                (_, false) => Candidates::Never,
-            },
+            (Step::Proposed | Step::Both, true, false) => Candidates::All,
+            // What fits only the old schema is used no more.
+            (Step::NewOnly | Step::Forgotten, true, false) => Candidates::Never,
+            (Step::Proposed, false, true) => Candidates::NoneYet,
+            (Step::Both | Step::NewOnly | Step::Forgotten, false, true) => where_applied,
         }
     }
 }
--- a/src/statements/tests.rs
+++ b/src/statements/tests.rs
@@ -3,19 +3,19 @@
 const GROUP: u64 = 3;
 const AT: Micros = 500;
 
-fn known(first: u64, last: Option<u64>) -> Known {
-    let groups = BTreeMap::from([(GROUP, (first, last))]);
-    Known {
+fn known(first: u64, last: Option<u64>) -> KnownStatement {
+    let schemas = BTreeMap::from([(GROUP, SchemaRange { first, last })]);
+    KnownStatement {
         tenant: "a".into(),
         class: "read".into(),
-        form: 1,
-        groups,
+        result_digest: 1,
+        schemas,
     }
 }
 
-/// Shapes 1, 2 and 3 fit the old schema, the new one, and both.
+/// Statements 1, 2 and 3 fit the old schema, the new one, and both.
 fn catalog(step: Option<Step>, position: Option<Micros>) -> Catalog {
-    let shapes = [
+    let statements = [
         (1, known(0, Some(4))),
         (2, known(5, None)),
         (3, known(0, None)),
@@ -23,7 +23,7 @@
     let change = step.map(|step| {
         (
             GROUP,
-            Change {
+            SchemaChange {
                 to: 5,
                 step,
                 position,
@@ -31,20 +31,20 @@
         )
     });
     Catalog {
-        shapes: shapes.into(),
+        statements: statements.into(),
         schemas: [(GROUP, 4)].into(),
         changes: change.into_iter().collect(),
-        unknown: Unknown::Refuse,
+        unknown: UnknownStatements::Reject,
     }
 }
 
 fn all(catalog: &Catalog) -> [Candidates; 3] {
-    [1, 2, 3].map(|shape| catalog.candidates(Shape(shape), GroupId(GROUP)))
+    [1, 2, 3].map(|statement| catalog.candidates(StatementFingerprint(statement), GroupId(GROUP)))
 }
 
 #[test]
-fn statements_go_where_their_schema_is_at_each_step() {
-    use Candidates::{All, Never, NoneYet, Past};
+fn candidates_follow_each_step() {
+    use Candidates::{All, AtPosition, Never, NoneYet};
     assert_eq!(all(&catalog(None, None)), [All, Never, All]);
     assert_eq!(
         all(&catalog(Some(Step::Proposed), None)),
@@ -57,37 +57,44 @@
     );
     assert_eq!(
         all(&catalog(Some(Step::Both), Some(AT))),
-        [All, Past(AT), All]
+        [All, AtPosition(AT), All]
     );
     assert_eq!(
         all(&catalog(Some(Step::NewOnly), Some(AT))),
-        [Never, Past(AT), All]
+        [Never, AtPosition(AT), All]
     );
     assert_eq!(
         all(&catalog(Some(Step::Forgotten), Some(AT))),
-        [Never, Past(AT), All]
+        [Never, AtPosition(AT), All]
     );
     let mut done = catalog(None, None);
     done.schemas.insert(GROUP, 5);
     assert_eq!(all(&done), [Never, All, All]);
     let one = catalog(None, None);
     assert_eq!(
-        one.candidates(Shape(9), GroupId(GROUP)),
+        one.candidates(StatementFingerprint(9), GroupId(GROUP)),
         Never,
-        "an unknown shape"
+        "an unknown statement"
+    );
+    assert_eq!(
+        one.candidates(StatementFingerprint(1), GroupId(8)),
+        Never,
+        "another group"
     );
-    assert_eq!(one.candidates(Shape(1), GroupId(8)), Never, "another group");
     let lenient = Catalog {
-        unknown: Unknown::Pass,
+        unknown: UnknownStatements::Pass,
         ..one
     };
-    assert_eq!(lenient.candidates(Shape(9), GroupId(GROUP)), All);
+    assert_eq!(
+        lenient.candidates(StatementFingerprint(9), GroupId(GROUP)),
+        All
+    );
 }
 
 /// What two gateways that are one step apart may send, whatever step: never an old statement where the old schema may
 /// be gone, never a new one where the new schema is not.
 #[test]
-fn no_two_adjacent_steps_disagree_on_what_a_member_bears() {
+fn adjacent_steps_agree_on_candidates() {
     let steps = [
         (None, None),
         (Some(Step::Proposed), None),
@@ -121,7 +128,7 @@
 }
 
 #[test]
-fn a_catalog_takes_one_step_at_a_time_and_may_go_back() {
+fn catalog_takes_one_step_forward_or_back() {
     let at = |step, position| catalog(Some(step), position);
     let (proposed, both) = (at(Step::Proposed, None), at(Step::Both, Some(AT)));
     let (new_only, forgotten) = (at(Step::NewOnly, Some(AT)), at(Step::Forgotten, Some(AT)));
@@ -137,40 +144,40 @@
         (&none, &both),
     ] {
         assert!(
-            matches!(next.follows(before), Err(BadCatalog::Steps { .. })),
+            matches!(next.follows(before), Err(CatalogError::Steps { .. })),
             "{next:?} after {before:?}"
         );
     }
     assert_eq!(
         at(Step::NewOnly, None).follows(&both),
-        Err(BadCatalog::Position(GROUP))
+        Err(CatalogError::Position(GROUP))
     );
     let mut done = none.clone();
     done.schemas.insert(GROUP, 5);
     assert_eq!(done.follows(&forgotten), Ok(()));
     assert!(matches!(
         done.follows(&new_only),
-        Err(BadCatalog::Schema { .. })
+        Err(CatalogError::Schema { .. })
     ));
     assert!(
-        matches!(done.follows(&none), Err(BadCatalog::Schema { .. })),
+        matches!(done.follows(&none), Err(CatalogError::Schema { .. })),
         "without any step"
     );
-    let many = (0..=SHAPES_EACH as u64)
-        .map(|shape| (shape, known(0, None)))
+    let many = (0..=MAX_STATEMENTS_PER_TENANT as u64)
+        .map(|statement| (statement, known(0, None)))
         .collect();
     assert!(matches!(
         Catalog {
-            shapes: many,
+            statements: many,
             ..none.clone()
         }
         .follows(&none),
-        Err(BadCatalog::TooMany(_))
+        Err(CatalogError::TooMany(_))
     ));
     assert_eq!(Catalog::read(&both.write()), Ok(both));
     assert!(matches!(
         Catalog::read(b"{"),
-        Err(BadCatalog::Unreadable(_))
+        Err(CatalogError::Unreadable(_))
     ));
 }
 
