--- a/control/src/settings.rs
+++ b/control/src/settings.rs
@@ -9,7 +9,6 @@
 use crate::lease::{self, Duty, Timing};
 use ipnet::IpNet;
 use serde::{Deserialize, Serialize};
-use std::borrow::Cow;
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
@@ -272,6 +271,6 @@
     }
 }
 
-fn reject(key: impl Into<Cow<'static, str>>, fault: impl Into<String>) -> Result<(), SettingError> {
+fn reject(key: impl Into<String>, fault: impl Into<String>) -> Result<(), SettingError> {
     Err(SettingError::new(key, fault))
 }
--- a/control/src/settings/error.rs
+++ b/control/src/settings/error.rs
@@ -1,20 +1,18 @@
 //! The error of a setting whose value is rejected.
 
-use std::borrow::Cow;
-
 /// A value that is rejected, by its key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{key}: {fault}")]
 pub struct SettingError {
     /// The key, down to the index in a list, as in `peers[2].id`.
-    pub key: Cow<'static, str>,
+    pub key: String,
     /// What is wrong with its value, and where it helps what to do.
     pub fault: String,
 }
 
 impl SettingError {
     /// An error of `key`.
-    pub fn new(key: impl Into<Cow<'static, str>>, fault: impl Into<String>) -> SettingError {
+    pub fn new(key: impl Into<String>, fault: impl Into<String>) -> SettingError {
         SettingError {
             key: key.into(),
             fault: fault.into(),
@@ -25,13 +23,13 @@
     #[must_use]
     pub fn below(self, parent: &str) -> SettingError {
         SettingError {
-            key: format!("{parent}.{}", self.key).into(),
+            key: format!("{parent}.{}", self.key),
             ..self
         }
     }
 }
 
-impl<Key: Into<Cow<'static, str>>> From<(Key, String)> for SettingError {
+impl<Key: Into<String>> From<(Key, String)> for SettingError {
     fn from((key, fault): (Key, String)) -> SettingError {
         SettingError::new(key, fault)
     }
--- a/src/bin/asterreel/front/session.rs
+++ b/src/bin/asterreel/front/session.rs
@@ -147,7 +147,7 @@
                 }
                 Opening::Start => match self.gateway.pace_admission(self.client.address) {
                     Answer::Admit => break,
-                    Answer::ComeAgain(delay) => {
+                    Answer::RetryAfter(delay) => {
                         self.reject_connection(delay)?;
                         return Ok(false);
                     }
--- a/src/operator/error.rs
+++ b/src/operator/error.rs
@@ -1,6 +1,4 @@
-//! The errors of an operator's file: of one setting, and placed in the file.
-
-pub use asterreel_control::settings::SettingError;
+//! The error of an operator's file, placed in it.
 
 use serde::{Deserialize, Serialize};
 
--- a/src/operator/location.rs
+++ b/src/operator/location.rs
@@ -22,7 +22,7 @@
         OperatorFileError {
             file: self.file.clone(),
             at: Some(self.position_of(&error.key)),
-            key: Some(error.key.into_owned()),
+            key: Some(error.key),
             fault: error.fault,
         }
     }
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -10,8 +10,9 @@
 mod location;
 mod settings;
 
+pub use asterreel_control::settings::SettingError;
 pub use asterreel_control::settings::{Lease, Peer};
-pub use error::{OperatorFileError, SettingError};
+pub use error::OperatorFileError;
 pub use evaluator::{evaluate, evaluator, Reply};
 pub use location::SourceLocation;
 pub use settings::{Agent, CellBounds, Cells, Health, Listener, Operator};
@@ -78,7 +79,7 @@
         match call {
             Some(call) => call.error(error),
             None => OperatorFileError {
-                key: Some(error.key.into_owned()),
+                key: Some(error.key),
                 ..OperatorFileError::of_file(&self.file, error.fault)
             },
         }
