--- a/src/bin/asterreel/core.rs
+++ b/src/bin/asterreel/core.rs
@@ -11,6 +11,7 @@
 
 use members::Members;
 
+use crate::runtime::sync::lock;
 use crate::runtime::timer::Timer;
 use asterreel::config::{Config, Listing};
 use asterreel::health::{Observer, Report};
@@ -20,7 +21,7 @@
 use may::sync::mpsc::Sender;
 use std::collections::HashMap;
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, PoisonError, TryLockError};
+use std::sync::{Arc, Mutex, TryLockError};
 use tracing::{debug, info, warn};
 
 /// The router, and everything that its actions reach.
@@ -102,7 +103,7 @@
     }
 
     fn with<T>(&self, work: impl FnOnce(&mut State) -> T) -> T {
-        work(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
+        work(&mut lock(&self.state))
     }
 
     /// From now on an observer follows events and actions. Call it before the first list, or it misses that.
@@ -269,12 +270,12 @@
             Action::Fail(request) => self.send(request, Command::Fail),
             Action::CheckHealth(member) => {
                 if let Some(address) = self.members.address(member) {
-                    // Without a receiver the process is ending.
+                    // The receiver lasts as long as the process.
                     let _ = self.health_checks.send(HealthCheck { member, address });
                 }
             }
             Action::Watch => {
-                // Without a receiver the process is ending.
+                // The receiver lasts as long as the process.
                 let _ = self.watches.send(());
             }
             Action::ReportTransition { member, transition } => {
--- a/src/bin/asterreel/front/accept.rs
+++ b/src/bin/asterreel/front/accept.rs
@@ -15,7 +15,7 @@
 
 /// Accepts clients for as long as the process runs. Running out of descriptors only delays the next one.
 pub(crate) fn accept(gateway: &Arc<Gateway>, listener: &TcpListener) {
-    gateway.set_accept_waker(listener.waker());
+    gateway.sessions.set_accept_waker(listener.waker());
     let pause = || {
         let at = gateway.core.clock.now() + ACCEPT_RETRY_DELAY_US;
         let _alarm = gateway.core.timer.alarm(at, listener.waker());
--- a/src/bin/asterreel/front/admission.rs
+++ b/src/bin/asterreel/front/admission.rs
@@ -1,7 +1,7 @@
 //! Whether a request is admitted, and what the router gets to know of it.
 
 use super::error_answer::ErrorAnswer;
-use super::gateway::OpenRequestId;
+use super::open_requests::OpenRequestId;
 use super::session::Session;
 use crate::cells::Placed;
 use crate::postgres::Statement;
@@ -38,9 +38,13 @@
             .class(&statement.class)
             .ok_or(ErrorAnswer::InvalidRequest("unknown class"))?;
         // Two open requests with one id could get each other's answers from a server.
-        let open_id = OpenRequestId::reserve(gateway, &statement.id).ok_or(
-            ErrorAnswer::InvalidRequest("a request with this id is open"),
-        )?;
+        let open_id =
+            gateway
+                .open_requests
+                .reserve(&statement.id)
+                .ok_or(ErrorAnswer::InvalidRequest(
+                    "a request with this id is open",
+                ))?;
         // No client waits longer than its class allows: a huge deadline must not hold capacity.
         let wait = statement.wait_ms.saturating_mul(1000).min(class.deadline);
         let due = received_at
--- a/src/bin/asterreel/front/mailbox.rs
+++ b/src/bin/asterreel/front/mailbox.rs
@@ -2,11 +2,12 @@
 
 use crate::core::{Command, CommandCounters, CommandMailbox};
 use crate::request::attempt::AttemptResult;
+use crate::runtime::sync::lock;
 use asterreel::interface::{AttemptNo, Micros};
 use may::io::WaitIoWaker;
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard};
 
 /// What a session waits for while a request is open, beside its client.
 pub(super) enum SessionEvent {
@@ -122,13 +123,11 @@
     }
 
     fn events(&self) -> MutexGuard<'_, VecDeque<SessionEvent>> {
-        self.events.lock().unwrap_or_else(PoisonError::into_inner)
+        lock(&self.events)
     }
 
     fn lock_client_wait(&self) -> MutexGuard<'_, Option<ClientWait>> {
-        self.client_wait
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
+        lock(&self.client_wait)
     }
 }
 
--- a/src/bin/asterreel/front/session.rs
+++ b/src/bin/asterreel/front/session.rs
@@ -107,7 +107,7 @@
                 .close_gracefully(clock, CLOSE_TIMEOUT_US, CLOSE_MAX_BYTES);
         }
         drop(self);
-        gateway.session_ended(number);
+        gateway.sessions.remove(number);
     }
 
     fn serve(&mut self) -> Result<(), SessionError> {
@@ -115,7 +115,7 @@
             return Ok(());
         }
         let mut out = Vec::new();
-        pg::session_started(&mut out, self.gateway.cancel_key(self.number));
+        pg::session_started(&mut out, self.gateway.sessions.cancel_key(self.number));
         self.write(&out)?;
         while let Some(message) = self.next_message()? {
             if message.tag == b'X' {
@@ -142,7 +142,7 @@
             match opening {
                 Opening::Encrypt => self.write(b"N")?,
                 Opening::Cancel(key) => {
-                    self.gateway.cancel(key);
+                    self.gateway.sessions.cancel(key);
                     return Ok(false);
                 }
                 Opening::Start => match self.gateway.pace_admission(self.client.address) {
--- a/src/bin/asterreel/front/shed.rs
+++ b/src/bin/asterreel/front/shed.rs
@@ -4,9 +4,8 @@
 
 use super::gateway::Gateway;
 use super::mailbox::{ClientWait, Mailbox, ReadState};
+use super::sessions::SessionMap;
 use asterreel::interface::Micros;
-use std::collections::BTreeMap;
-use std::sync::Arc;
 
 /// How long a connection may be silent in its opening before it is closed first.
 const OPENING_SILENCE_US: Micros = 50_000;
@@ -55,7 +54,7 @@
     /// Asks sessions to close where capacity runs out: first those that connected and sent nothing, then those that
     /// have been idle for longest. Neither may keep out clients that send requests.
     pub(super) fn shed(&self) {
-        self.with_sessions(|sessions| {
+        self.sessions.with_open(|sessions| {
             // Ranking looks at every session, at every accept: far from the limits it would cost the square of the
             // sessions for nothing.
             if self.pressure(sessions.len(), sessions.len()).any() {
@@ -71,7 +70,7 @@
         }
     }
 
-    fn shed_by_rank(&self, sessions: &BTreeMap<u32, Arc<Mailbox>>) {
+    fn shed_by_rank(&self, sessions: &SessionMap) {
         let now = self.core.clock.now();
         let (mut remaining, mut served, mut candidates) = (0, 0, Vec::new());
         for mailbox in sessions
--- a/src/bin/asterreel/front/tests.rs
+++ b/src/bin/asterreel/front/tests.rs
@@ -86,7 +86,8 @@
     fn send(&self, command: Command) {
         let mailbox = self
             .gateway
-            .with_sessions(|sessions| sessions.values().next().cloned());
+            .sessions
+            .with_open(|sessions| sessions.values().next().cloned());
         mailbox.expect("a session").send(command);
     }
 }
--- a/src/bin/asterreel/request/cancellation.rs
+++ b/src/bin/asterreel/request/cancellation.rs
@@ -1,10 +1,11 @@
 //! Cancellation of an attempt: by its deadline, or by a decision taken elsewhere.
 
+use crate::runtime::sync::lock;
 use asterreel::interface::Micros;
 use asterreel_control::clock::Clock;
 use may::io::WaitIoWaker;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::{Mutex, PoisonError};
+use std::sync::Mutex;
 
 /// Tells an attempt when to stop waiting: at its deadline, or as soon as it is cancelled.
 pub(crate) struct CancellationToken {
@@ -49,6 +50,6 @@
     }
 
     fn waker(&self) -> std::sync::MutexGuard<'_, Option<WaitIoWaker>> {
-        self.waker.lock().unwrap_or_else(PoisonError::into_inner)
+        lock(&self.waker)
     }
 }
--- a/src/bin/asterreel/request/pool.rs
+++ b/src/bin/asterreel/request/pool.rs
@@ -7,6 +7,7 @@
 use crate::request::cancellation::CancellationToken;
 use crate::request::round_trip::{round_trip, ConnectionError};
 use crate::runtime::net::Stream;
+use crate::runtime::sync::lock;
 use crate::runtime::timer::Timer;
 use asterreel::interface::Micros;
 use asterreel_control::clock::Clock;
@@ -14,7 +15,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex};
 use thiserror::Error;
 
 /// Connections to all servers.
@@ -92,7 +93,7 @@
     }
 
     fn with_idle<T>(&self, work: impl FnOnce(&mut IdleConnections) -> T) -> T {
-        work(&mut self.idle.lock().unwrap_or_else(PoisonError::into_inner))
+        work(&mut lock(&self.idle))
     }
 
     /// An idle connection to a server, or a new one that is ready by the connect timeout and by `deadline`.
--- a/src/bin/asterreel/runtime/mod.rs
+++ b/src/bin/asterreel/runtime/mod.rs
@@ -3,4 +3,5 @@
 pub(crate) mod buffer;
 pub(crate) mod coroutine;
 pub(crate) mod net;
+pub(crate) mod sync;
 pub(crate) mod timer;
--- a/src/bin/asterreel/runtime/timer.rs
+++ b/src/bin/asterreel/runtime/timer.rs
@@ -3,6 +3,7 @@
 //! may's timed waits resume a coroutine on may's timer thread, beside the worker. Here a coroutine waits on its socket
 //! without a limit, and an alarm wakes it through the worker's queue.
 
+use crate::runtime::sync::lock;
 use asterreel::interface::Micros;
 use asterreel_control::clock::Clock;
 use may::io::WaitIoWaker;
@@ -84,7 +85,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Queue> {
-        self.queue.lock().unwrap_or_else(PoisonError::into_inner)
+        lock(&self.queue)
     }
 
     /// Wakes a coroutine that waits on its socket at this time.
