--- a/src/bin/asterreel/core.rs
+++ b/src/bin/asterreel/core.rs
@@ -128,7 +128,7 @@
     }
 
     /// Whether a group has lost all its members; false without an observer.
-    pub(crate) fn lost(&self, group: GroupId) -> bool {
+    pub(crate) fn has_lost_all_members(&self, group: GroupId) -> bool {
         self.with(|state| {
             state
                 .observer
@@ -170,7 +170,7 @@
     }
 
     /// An attempt has ended.
-    pub(crate) fn ended(&self, ended: AttemptEnded) {
+    pub(crate) fn attempt_ended(&self, ended: AttemptEnded) {
         self.feed(Event::AttemptEnded(ended));
     }
 
@@ -180,12 +180,17 @@
     }
 
     /// The client of a request has gone.
-    pub(crate) fn departed(&self, request: RequestId) {
+    pub(crate) fn client_gone(&self, request: RequestId) {
         self.feed(Event::ClientGone(request));
     }
 
     /// A health check has ended.
-    pub(crate) fn probed(&self, member: MemberId, outcome: Outcome, report: MemberReport) {
+    pub(crate) fn health_check_ended(
+        &self,
+        member: MemberId,
+        outcome: Outcome,
+        report: MemberReport,
+    ) {
         self.feed(Event::HealthChecked(member, outcome, report));
     }
 
@@ -195,7 +200,7 @@
     }
 
     /// The time has come for which the router set its timer.
-    pub(crate) fn wake(&self) {
+    pub(crate) fn timer_fired(&self) {
         self.feed(Event::TimerFired);
     }
 
--- a/src/bin/asterreel/core/tests.rs
+++ b/src/bin/asterreel/core/tests.rs
@@ -56,7 +56,7 @@
         role: Some(Role::Primary),
         position: None,
     };
-    core.probed(checks[0].member, Outcome::Served, primary);
+    core.health_check_ended(checks[0].member, Outcome::Served, primary);
     let mailbox = Arc::new(RecordedCommands::default());
     let arrival = Arrival {
         request: RequestId(0),
--- a/src/bin/asterreel/front/accept.rs
+++ b/src/bin/asterreel/front/accept.rs
@@ -31,8 +31,8 @@
             Ok((socket, from)) => {
                 let stream = Stream::new(socket, gateway.core.timer.clone());
                 // Registered here, so that the limit counts sessions whose coroutines have not run yet.
-                let (number, mailbox) = gateway.register(stream.waker());
-                let session = Session::new(gateway.clone(), number, stream, mailbox, from.ip());
+                let registered = gateway.register(stream.waker());
+                let session = Session::new(gateway.clone(), registered, stream, from.ip());
                 spawn(move || session.run());
             }
             Err(error) => {
--- a/src/bin/asterreel/front/admission.rs
+++ b/src/bin/asterreel/front/admission.rs
@@ -34,7 +34,7 @@
         received_at: Micros,
     ) -> Result<Admitted, ErrorAnswer> {
         let gateway = &self.gateway;
-        let (number, class) = gateway
+        let class = gateway
             .class(&statement.class)
             .ok_or(ErrorAnswer::InvalidRequest("unknown class"))?;
         // Two open requests with one id could get each other's answers from a server.
@@ -54,7 +54,7 @@
             // Its time passed while it was queued behind others: an attempt could not be written any more, and would
             // cost the connection that it takes.
             debug!(
-                class = number.0,
+                class = class.id.0,
                 wait = statement.wait_ms,
                 "out of time before its turn"
             );
@@ -62,7 +62,7 @@
         }
         let placed = self.placed(statement, class.consistency)?;
         Ok(Admitted {
-            class: number,
+            class: class.id,
             idempotency: class.idempotency,
             consistency: class.consistency,
             due,
@@ -100,7 +100,11 @@
             consistency == ConsistencyLevel::Write,
         )?;
         // It would wait in vain: nothing of another cell may serve it.
-        if self.gateway.core.lost(placed.admitted.group) {
+        if self
+            .gateway
+            .core
+            .has_lost_all_members(placed.admitted.group)
+        {
             return Err(Refusal::Lost(LOST));
         }
         Ok(Some(placed))
--- a/src/bin/asterreel/front/gateway.rs
+++ b/src/bin/asterreel/front/gateway.rs
@@ -4,7 +4,7 @@
 
 use super::mailbox::Mailbox;
 use super::open_requests::OpenRequests;
-use super::sessions::Sessions;
+use super::sessions::{RegisteredSession, Sessions};
 use crate::cells::Cells;
 use crate::core::Core;
 use crate::request::pool::Pool;
@@ -23,6 +23,8 @@
 
 /// What a session needs to know of a class of requests.
 pub(super) struct Class {
+    /// Its number.
+    pub id: ClassId,
     name: String,
     /// What data its requests need.
     pub consistency: ConsistencyLevel,
@@ -74,12 +76,15 @@
             .iter()
             .zip(&settings.consistency_levels)
             .zip(&settings.classes);
-        let classes = classes.map(|((profile, consistency), class)| Class {
-            name: profile.name.clone(),
-            consistency: *consistency,
-            idempotency: class.idempotency,
-            deadline: class.deadline,
-        });
+        let classes = classes
+            .enumerate()
+            .map(|(number, ((profile, consistency), class))| Class {
+                id: ClassId(number),
+                name: profile.name.clone(),
+                consistency: *consistency,
+                idempotency: class.idempotency,
+                deadline: class.deadline,
+            });
         Gateway {
             core,
             pool,
@@ -142,10 +147,9 @@
         self.draining.load(Ordering::Acquire)
     }
 
-    /// The number of a class, and what is known of it.
-    pub(super) fn class(&self, name: &str) -> Option<(ClassId, &Class)> {
-        let number = self.classes.iter().position(|class| class.name == name)?;
-        Some((ClassId(number), &self.classes[number]))
+    /// The class of this name.
+    pub(super) fn class(&self, name: &str) -> Option<&Class> {
+        self.classes.iter().find(|class| class.name == name)
     }
 
     /// How many sessions are open.
@@ -169,7 +173,7 @@
     }
 
     /// Registers a new session that is woken by this waker, and numbers it.
-    pub(super) fn register(&self, waker: WaitIoWaker) -> (u32, Arc<Mailbox>) {
+    pub(super) fn register(&self, waker: WaitIoWaker) -> RegisteredSession {
         self.sessions
             .register(|| Mailbox::new(waker, self.core.clock.now(), self.core.commands.clone()))
     }
--- a/src/bin/asterreel/front/request.rs
+++ b/src/bin/asterreel/front/request.rs
@@ -192,7 +192,7 @@
             SessionEvent::CancelRequested if !request.answer_owed => {}
             SessionEvent::CancelRequested => {
                 request.conclude(&ErrorAnswer::Cancelled, out);
-                self.gateway.core.departed(request.id);
+                self.gateway.core.client_gone(request.id);
             }
             SessionEvent::ClientGone | SessionEvent::DeadlinePassed => {
                 if request.answer_owed {
@@ -202,7 +202,7 @@
                     );
                 }
                 request.conclude(&ErrorAnswer::Failed("out of time"), out);
-                self.gateway.core.departed(request.id);
+                self.gateway.core.client_gone(request.id);
             }
         }
     }
@@ -227,7 +227,7 @@
             }
         }
         if !request.answer_owed {
-            self.gateway.core.ended(request.never_started());
+            self.gateway.core.attempt_ended(request.never_started());
             return;
         }
         let token = Arc::new(CancellationToken::new(deadline));
@@ -278,7 +278,7 @@
             ?role,
             latency
         );
-        core.ended(AttemptEnded {
+        core.attempt_ended(AttemptEnded {
             request: request.id,
             attempt: number,
             outcome,
@@ -298,7 +298,7 @@
     fn return_dispatches(&self, request: &mut Request) {
         while let Some(event) = self.mailbox.take() {
             if matches!(event, SessionEvent::Command(Command::Dispatch(_))) {
-                self.gateway.core.ended(request.never_started());
+                self.gateway.core.attempt_ended(request.never_started());
             }
         }
     }
--- a/src/bin/asterreel/front/session.rs
+++ b/src/bin/asterreel/front/session.rs
@@ -6,6 +6,7 @@
 use super::gateway::Gateway;
 use super::local_statement::{local_statement, LocalStatement};
 use super::mailbox::{ClientWait, Mailbox, ReadState};
+use super::sessions::RegisteredSession;
 use crate::postgres::{self as pg, sqlstate, Malformed, Message, Opening, Severity, Statement};
 use crate::runtime::net::Stream;
 use asterreel::cells::who;
@@ -67,12 +68,11 @@
 }
 
 impl Session {
-    /// The session of a connection that was registered under this number.
+    /// The session of a connection that was registered.
     pub(super) fn new(
         gateway: Arc<Gateway>,
-        number: u32,
+        registered: RegisteredSession,
         stream: Stream,
-        mailbox: Arc<Mailbox>,
         address: IpAddr,
     ) -> Session {
         let client = Client {
@@ -83,10 +83,10 @@
         Session {
             gateway,
             stream,
-            mailbox,
+            mailbox: registered.mailbox,
             client,
             client_gone: false,
-            number,
+            number: registered.number,
             reads: 0,
             is_skipping: false,
         }
--- a/src/bin/asterreel/front/sessions.rs
+++ b/src/bin/asterreel/front/sessions.rs
@@ -12,6 +12,14 @@
 /// The mailboxes of open sessions, by session number.
 pub(super) type SessionMap = BTreeMap<u32, Arc<Mailbox>>;
 
+/// A session that was registered and has not run yet.
+pub(super) struct RegisteredSession {
+    /// The number of the session.
+    pub number: u32,
+    /// Its mailbox.
+    pub mailbox: Arc<Mailbox>,
+}
+
 /// The sessions that are open.
 #[derive(Default)]
 pub(super) struct Sessions {
@@ -45,11 +53,11 @@
     }
 
     /// Registers a new session, whose mailbox `new_mailbox` makes, and numbers it.
-    pub(super) fn register(&self, new_mailbox: impl FnOnce() -> Mailbox) -> (u32, Arc<Mailbox>) {
+    pub(super) fn register(&self, new_mailbox: impl FnOnce() -> Mailbox) -> RegisteredSession {
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let mailbox = Arc::new(new_mailbox());
         self.with_open(|open| open.insert(number, mailbox.clone()));
-        (number, mailbox)
+        RegisteredSession { number, mailbox }
     }
 
     /// Removes a session that has ended; the next client is accepted at once.
--- a/src/bin/asterreel/front/tests.rs
+++ b/src/bin/asterreel/front/tests.rs
@@ -20,14 +20,14 @@
 const PATIENCE: Duration = Duration::from_secs(20);
 
 /// A gateway in front of one primary, in this process, with its clients' and the database's addresses.
-struct Stage {
+struct Fixture {
     gateway: Arc<Gateway>,
     clients: SocketAddr,
     database: std::net::TcpListener,
 }
 
-impl Stage {
-    fn new() -> Stage {
+impl Fixture {
+    fn new() -> Fixture {
         may::config().set_workers(1).set_worker_pin(false);
         let database = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let place = database.local_addr().expect("bound").to_string();
@@ -49,9 +49,9 @@
         let listed = checks
             .iter()
             .find(|check| check.address.to_string() == place);
-        core.probed(listed.expect("probed").member, Outcome::Served, primary);
+        core.health_check_ended(listed.expect("probed").member, Outcome::Served, primary);
         let woken = core.clone();
-        thread::spawn(move || timer.clone().run(|| woken.wake()));
+        thread::spawn(move || timer.clone().run(|| woken.timer_fired()));
         let connect_timeout = PATIENCE.as_micros() as Micros;
         let pool = Arc::new(Pool::new(
             clock,
@@ -66,7 +66,7 @@
         let clients = listener.local_addr().expect("bound");
         let accepting = gateway.clone();
         spawn(move || accept(&accepting, &listener));
-        Stage {
+        Fixture {
             gateway,
             clients,
             database,
@@ -110,16 +110,16 @@
 /// shortens. The client gets the rejection at once, once, and its next request waits for the end of that attempt.
 #[test]
 fn rejection_is_sent_before_cancelled_attempt_ends() {
-    let stage = Stage::new();
-    let mut client = stage.client();
+    let fixture = Fixture::new();
+    let mut client = fixture.client();
     client
         .write_all(&[write("first"), write("second")].concat())
         .expect("sent");
-    let (mut silent, _) = stage.database.accept().expect("an attempt");
+    let (mut silent, _) = fixture.database.accept().expect("an attempt");
     toy::read_body(&mut silent).expect("a startup message, which is not answered");
     let decided = Instant::now();
-    stage.send(Command::Reject { retry_after: None });
-    stage.send(Command::CancelAttempt(AttemptNo(0)));
+    fixture.send(Command::Reject { retry_after: None });
+    fixture.send(Command::CancelAttempt(AttemptNo(0)));
     assert_eq!(message(&mut client), b'E');
     assert!(
         decided.elapsed() < Duration::from_secs(2),
@@ -129,24 +129,27 @@
     // Neither the end of the answer nor another attempt.
     thread::sleep(Duration::from_millis(300));
     client.set_nonblocking(true).expect("set");
-    stage.database.set_nonblocking(true).expect("set");
+    fixture.database.set_nonblocking(true).expect("set");
     assert_eq!(
         client.peek(&mut [0]).expect_err("no more").kind(),
         ErrorKind::WouldBlock
     );
     assert_eq!(
-        stage.database.accept().expect_err("no attempt").kind(),
+        fixture.database.accept().expect_err("no attempt").kind(),
         ErrorKind::WouldBlock
     );
     client.set_nonblocking(false).expect("set");
-    stage.database.set_nonblocking(false).expect("set");
+    fixture.database.set_nonblocking(false).expect("set");
     // The connection comes up now, too late: nothing is written to it, and it isn't used for the next request either.
     silent
         .write_all(b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I")
         .expect("welcomed");
     assert_eq!(silent.read(&mut [0]).expect("an end"), 0);
     assert_eq!(message(&mut client), b'Z');
-    let (serving, _) = stage.database.accept().expect("the next request's attempt");
+    let (serving, _) = fixture
+        .database
+        .accept()
+        .expect("the next request's attempt");
     let answer = [
         toy::row(b"second"),
         toy::note(toy::Role::Primary, asterreel_rig::now() / 1000),
--- a/src/bin/asterreel/fuzz.rs
+++ b/src/bin/asterreel/fuzz.rs
@@ -2,7 +2,7 @@
 
 use quickcheck::{Arbitrary, Gen};
 
-/// Hands out growing beginnings of the bytes, cut at random places, then all of them; many times over.
+/// Calls `run` with ascending ends of prefixes of the bytes, the last of them the length of all; many times over.
 pub(crate) fn cuts(bytes: &[u8], mut run: impl FnMut(&[usize])) {
     for seed in 0..200 {
         let mut gen = Gen::from_size_and_seed(64, seed);
@@ -14,16 +14,16 @@
     }
 }
 
-/// Hands out garbage: random bytes, and the valid ones with some of them replaced.
+/// Calls `run` with garbage: random bytes, and the valid ones with some of them replaced.
 pub(crate) fn garbage(valid: &[u8], mut run: impl FnMut(&[u8])) {
     for seed in 0..500 {
         let mut gen = Gen::from_size_and_seed(256, seed);
         run(&Vec::<u8>::arbitrary(&mut gen));
-        let mut spoilt = valid.to_vec();
+        let mut corrupted = valid.to_vec();
         for _ in 0..1 + seed % 8 {
-            let at = usize::arbitrary(&mut gen) % spoilt.len();
-            spoilt[at] = u8::arbitrary(&mut gen);
+            let at = usize::arbitrary(&mut gen) % corrupted.len();
+            corrupted[at] = u8::arbitrary(&mut gen);
         }
-        run(&spoilt);
+        run(&corrupted);
     }
 }
--- a/src/bin/asterreel/health/tests.rs
+++ b/src/bin/asterreel/health/tests.rs
@@ -34,7 +34,7 @@
     core.observe(&config.settings);
     let pool = Arc::new(Pool::new(clock, timer.clone(), 8, 15_000_000, 250_000));
     let woken = core.clone();
-    std::thread::spawn(move || timer.run(|| woken.wake()));
+    std::thread::spawn(move || timer.run(|| woken.timer_fired()));
     core.listed(UpdateKind::Snapshot, &config.known)
         .expect("good");
     // Free a moment ago; nothing else of this machine picks an address of its own there.
--- a/src/bin/asterreel/postgres/framing.rs
+++ b/src/bin/asterreel/postgres/framing.rs
@@ -3,12 +3,14 @@
 //! No input or output. A length outside the bounds is an error, so that no peer can make a buffer grow without limit.
 
 use std::ops::Range;
+use thiserror::Error;
 
 /// The longest message accepted: a value of 64 KiB in hex, and its statement.
 pub(crate) const MAX_MESSAGE_BYTES: usize = 132 * 1024;
 
-/// Bytes that are no message of this protocol.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Bytes that are no message of this protocol, and why; clients get the text.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("{0}")]
 pub(crate) struct Malformed(pub &'static str);
 
 /// A complete message at the front of some bytes.
--- a/src/bin/asterreel/startup.rs
+++ b/src/bin/asterreel/startup.rs
@@ -114,7 +114,7 @@
     let woken = core.clone();
     std::thread::Builder::new()
         .name("timer".into())
-        .spawn(move || timer.run(|| woken.wake()))?;
+        .spawn(move || timer.run(|| woken.timer_fired()))?;
     Ok(())
 }
 
@@ -139,7 +139,7 @@
         let (core, pool) = (core.clone(), pool.clone());
         coroutine::spawn(move || {
             let (outcome, report) = probe::run(&pool, address);
-            core.probed(member, outcome, report);
+            core.health_check_ended(member, outcome, report);
         });
     }
 }
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -51,25 +51,25 @@
         .to_owned()
 }
 
-/// A stage of two replicas: writes wait in the gateway until one of them says that it is the primary.
-struct Stage {
+/// A gateway in front of two replicas: writes are queued until one of them reports that it is the primary.
+struct Fixture {
     gateway: Gateway,
     log: Log,
     databases: [Database; 2],
     seen: Receiver<Vec<u8>>,
 }
 
-impl Stage {
-    fn new() -> Stage {
-        Stage::answering(|_| None)
+impl Fixture {
+    fn new() -> Fixture {
+        Fixture::answering(|_| None)
     }
 
-    fn answering(instead: fn(&[u8]) -> Option<Vec<u8>>) -> Stage {
+    fn answering(instead: fn(&[u8]) -> Option<Vec<u8>>) -> Fixture {
         let (tell, seen) = channel();
         let databases = [(); 2].map(|()| Database::start(false, true, &tell, instead));
         let places = addresses_of(&databases);
         let (gateway, log) = staged(places, nowhere(), |config| config);
-        Stage {
+        Fixture {
             gateway,
             log,
             databases,
@@ -78,40 +78,40 @@
     }
 
     /// The same, and neither database answers statements.
-    fn hanging() -> Stage {
-        let stage = Stage::new();
-        stage
+    fn hanging() -> Fixture {
+        let fixture = Fixture::new();
+        fixture
             .databases
             .iter()
             .for_each(|database| database.gate.set(false));
-        stage
+        fixture
     }
 
-    /// The same, and a client whose write waits there.
-    fn with_a_waiting_write(name: &str) -> (Stage, Client) {
-        let stage = Stage::new();
-        let mut client = Client::ready(&stage.gateway);
+    /// The same, and a client whose write is queued.
+    fn with_queued_write(name: &str) -> (Fixture, Client) {
+        let fixture = Fixture::new();
+        let mut client = Client::ready(&fixture.gateway);
         client.send(&query(&write(name)));
-        stage.waits(name);
-        (stage, client)
+        fixture.wait_until_queued(name);
+        (fixture, client)
     }
 
-    /// The gateway takes the client for gone, and not even a primary that turns up gets anything of it.
-    fn leaves_and_nothing_is_sent(&self) {
+    /// Asserts that the gateway takes the client for gone, and dispatches nothing of it even to a primary that turns up.
+    fn assert_gone_and_nothing_dispatched(&self) {
         assert!(self.log.says("session ended: Left"));
-        self.primary_comes();
-        assert_eq!(self.reached(), [""; 0]);
+        self.promote_primary();
+        assert_eq!(self.take_reached_ids(), [""; 0]);
     }
 
-    /// Waits until this write has been offered to replicas as often as it may be, and only waits from then on.
-    fn waits(&self, write: &str) {
+    /// Waits until this write has been tried at replicas as often as it may be, and is only queued from then on.
+    fn wait_until_queued(&self, write: &str) {
         for _ in 0..7 {
             while id(&self.seen.recv_timeout(PATIENCE).expect("offered")) != write {}
         }
     }
 
-    /// A primary turns up; what a client sends then goes through, and what was waiting has had its turn before.
-    fn primary_comes(&self) {
+    /// Makes the first replica the primary and waits until new writes are served, before which queued ones had their turn.
+    fn promote_primary(&self) {
         self.databases[0].primary.store(true, Ordering::SeqCst);
         for proof in ["proof-1", "proof-2"] {
             let mut client = Client::ready(&self.gateway);
@@ -120,8 +120,8 @@
         }
     }
 
-    /// The ids of the statements that have reached a database and were not noted yet, but for the proofs.
-    fn reached(&self) -> Vec<String> {
+    /// The ids of the statements that have reached a server since the last call, but for those of `promote_primary`.
+    fn take_reached_ids(&self) -> Vec<String> {
         let ids = self.seen.try_iter().map(|statement| id(&statement));
         ids.filter(|id| !id.starts_with("proof")).collect()
     }
@@ -130,77 +130,81 @@
 /// A write that is queued is not dispatched once its client has closed the connection.
 #[test]
 fn queued_write_is_dropped_when_client_closes() {
-    let (stage, client) = Stage::with_a_waiting_write("gone");
+    let (fixture, client) = Fixture::with_queued_write("gone");
     drop(client);
-    stage.leaves_and_nothing_is_sent();
+    fixture.assert_gone_and_nothing_dispatched();
 }
 
 /// A write that is queued is not dispatched once its client has reset the connection.
 #[test]
 fn queued_write_is_dropped_when_client_resets() {
-    let stage = Stage::new();
-    let mut client = Client::connect(&stage.gateway);
+    let fixture = Fixture::new();
+    let mut client = Client::connect(&fixture.gateway);
     client.send(&[startup(), query(&write("gone"))].concat());
-    stage.waits("gone");
+    fixture.wait_until_queued("gone");
     // The welcome is still unread: this close is a reset.
     drop(client);
-    stage.leaves_and_nothing_is_sent();
+    fixture.assert_gone_and_nothing_dispatched();
 }
 
 /// A client that closes only its sending side has gone: nothing can tell it from one that closed both.
 #[test]
 fn half_closed_client_counts_as_gone() {
-    let (stage, mut client) = Stage::with_a_waiting_write("half");
+    let (fixture, mut client) = Fixture::with_queued_write("half");
     client.0.shutdown(std::net::Shutdown::Write).expect("shut");
-    stage.leaves_and_nothing_is_sent();
+    fixture.assert_gone_and_nothing_dispatched();
     assert_eq!(client.answer().0, "", "closed");
 }
 
 /// What a client sent ahead of its close is not dispatched either.
 #[test]
 fn pipelined_request_of_gone_client_is_dropped() {
-    let (stage, mut client) = Stage::with_a_waiting_write("first");
+    let (fixture, mut client) = Fixture::with_queued_write("first");
     let ahead: Vec<u8> = (0..5)
         .flat_map(|n| query(&read(&format!("ahead-{n}"))))
         .collect();
     client.send(&ahead);
     drop(client);
-    stage.leaves_and_nothing_is_sent();
+    fixture.assert_gone_and_nothing_dispatched();
 }
 
 /// A session stops reading at the longest message sent ahead; the close behind that must be seen all the same, and neither
 /// the queued write nor what was sent after it is dispatched.
 #[test]
 fn client_close_is_seen_behind_unread_bytes() {
-    let (stage, mut client) = Stage::with_a_waiting_write("first");
+    let (fixture, mut client) = Fixture::with_queued_write("first");
     let one = query(&[&read("ahead")[..], &vec![b' '; 20_000]].concat());
     (0..10).for_each(|_| client.send(&one));
     drop(client);
-    stage
+    fixture
         .log
         .says_within("session ended: Left", Duration::from_secs(5));
-    stage.primary_comes();
-    assert_eq!(stage.reached(), [""; 0]);
+    fixture.promote_primary();
+    assert_eq!(fixture.take_reached_ids(), [""; 0]);
 }
 
 /// The gateway is stopped while thirty clients leave and a primary turns up: nothing of theirs is dispatched.
 #[test]
 fn requests_of_a_burst_of_gone_clients_are_dropped() {
-    let stage = Stage::new();
-    let mut clients: Vec<Client> = (0..30).map(|_| Client::ready(&stage.gateway)).collect();
+    let fixture = Fixture::new();
+    let mut clients: Vec<Client> = (0..30).map(|_| Client::ready(&fixture.gateway)).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client.send(&query(&write(&format!("gone-{n}"))));
     }
-    stage.waits("gone-0");
+    fixture.wait_until_queued("gone-0");
     // Those behind it in the queue were offered less often or not at all.
-    while stage.seen.recv_timeout(Duration::from_millis(300)).is_ok() {}
-    stage.gateway.signal("-STOP");
+    while fixture
+        .seen
+        .recv_timeout(Duration::from_millis(300))
+        .is_ok()
+    {}
+    fixture.gateway.signal("-STOP");
     drop(clients);
-    stage.databases[0].primary.store(true, Ordering::SeqCst);
-    stage.gateway.signal("-CONT");
-    (0..30).for_each(|_| assert!(stage.log.says("session ended: Left")));
-    stage.primary_comes();
-    assert_eq!(stage.reached(), [""; 0]);
+    fixture.databases[0].primary.store(true, Ordering::SeqCst);
+    fixture.gateway.signal("-CONT");
+    (0..30).for_each(|_| assert!(fixture.log.says("session ended: Left")));
+    fixture.promote_primary();
+    assert_eq!(fixture.take_reached_ids(), [""; 0]);
 }
 
 /// The first attempt ends with an error in the very moment in which the client leaves: no second one starts.
@@ -211,33 +215,36 @@
             .starts_with(b"SELECT")
             .then(|| toy::error("XX000", "broken"))
     };
-    let stage = Stage::answering(broken);
-    stage
+    let fixture = Fixture::answering(broken);
+    fixture
         .databases
         .iter()
         .for_each(|database| database.gate.set(false));
-    let mut client = Client::ready(&stage.gateway);
+    let mut client = Client::ready(&fixture.gateway);
     client.send(&query(&read("gone")));
-    stage.seen.recv_timeout(PATIENCE).expect("a first attempt");
-    stage.gateway.signal("-STOP");
+    fixture
+        .seen
+        .recv_timeout(PATIENCE)
+        .expect("a first attempt");
+    fixture.gateway.signal("-STOP");
     drop(client);
-    stage
+    fixture
         .databases
         .iter()
         .for_each(|database| database.gate.set(true));
     // Both are there before it goes on: what a database writes is on its way at once on this machine.
     thread::sleep(Duration::from_millis(100));
-    stage.gateway.signal("-CONT");
-    stage.leaves_and_nothing_is_sent();
+    fixture.gateway.signal("-CONT");
+    fixture.assert_gone_and_nothing_dispatched();
 }
 
 /// A cancel request with the key of a session ends its request, as in PostgreSQL; one with any other key does nothing.
 #[test]
 fn cancel_requires_the_right_key() {
-    let stage = Stage::new();
-    stage.databases[0].primary.store(true, Ordering::SeqCst);
-    let (mut client, key) = Client::with_key(&stage.gateway);
-    let (other, others) = Client::with_key(&stage.gateway);
+    let fixture = Fixture::new();
+    fixture.databases[0].primary.store(true, Ordering::SeqCst);
+    let (mut client, key) = Client::with_key(&fixture.gateway);
+    let (other, others) = Client::with_key(&fixture.gateway);
     assert_ne!(
         key[4..],
         others[4..],
@@ -246,16 +253,16 @@
     drop(other);
     // Between two requests there is nothing to cancel, and the next is not touched.
     let cancel = |key: &[u8]| {
-        let mut asks = Client::connect(&stage.gateway);
+        let mut asks = Client::connect(&fixture.gateway);
         asks.send(&cancel_request(key));
         assert_eq!(asks.answer().0, "", "no answer");
     };
     cancel(&key);
     client.send(&query(&write("before")));
     assert_eq!(client.answer().0, "TDCZ");
-    stage.databases[0].gate.set(false);
+    fixture.databases[0].gate.set(false);
     client.send(&query(&write("held")));
-    while id(&stage.seen.recv_timeout(PATIENCE).expect("sent")) != "held" {}
+    while id(&fixture.seen.recv_timeout(PATIENCE).expect("sent")) != "held" {}
     let wrong = [&key[..4], &[key[4] ^ 1], &key[5..]].concat();
     cancel(&wrong);
     cancel(&others);
@@ -268,11 +275,11 @@
     cancel(&key);
     let (tags, bytes) = client.answer();
     assert_eq!((tags.as_str(), code(&bytes)), ("EZ", &b"57014"[..]));
-    stage.databases[0].gate.set(true);
+    fixture.databases[0].gate.set(true);
     client.send(&query(&read("after")));
     assert_eq!(client.answer().0, "TDCZ", "the session goes on");
     assert_eq!(
-        stage.reached(),
+        fixture.take_reached_ids(),
         ["after"],
         "what was cancelled is not sent again"
     );
@@ -281,16 +288,16 @@
 /// A request that is queued when its client cancels it is answered and never dispatched.
 #[test]
 fn cancelled_request_is_not_dispatched() {
-    let stage = Stage::new();
-    let (mut client, key) = Client::with_key(&stage.gateway);
+    let fixture = Fixture::new();
+    let (mut client, key) = Client::with_key(&fixture.gateway);
     client.send(&query(&write("waits")));
-    stage.waits("waits");
-    let mut asks = Client::connect(&stage.gateway);
+    fixture.wait_until_queued("waits");
+    let mut asks = Client::connect(&fixture.gateway);
     asks.send(&cancel_request(&key));
     let (tags, bytes) = client.answer();
     assert_eq!((tags.as_str(), code(&bytes)), ("EZ", &b"57014"[..]));
-    stage.primary_comes();
-    assert_eq!(stage.reached(), [""; 0]);
+    fixture.promote_primary();
+    assert_eq!(fixture.take_reached_ids(), [""; 0]);
 }
 
 /// After SIGTERM clients send on every connection that stays open, up to SIGKILL. A client that always has a next request
@@ -458,8 +465,8 @@
 /// answered in its time while a server hangs.
 #[test]
 fn pipelined_requests_keep_their_own_deadlines() {
-    let stage = Stage::hanging();
-    let mut client = Client::ready(&stage.gateway);
+    let fixture = Fixture::hanging();
+    let mut client = Client::ready(&fixture.gateway);
     let sent = Instant::now();
     let all: Vec<u8> = (0..5)
         .flat_map(|n| query(&read_within(&format!("r-{n}"), WAIT)))
@@ -474,14 +481,14 @@
         );
     }
     // The session goes on, and a request that comes later has all of its time.
-    stage
+    fixture
         .databases
         .iter()
         .for_each(|database| database.gate.set(true));
     client.send(&query(&read("after")));
     assert_eq!(client.answer().0, "TDCZ");
     // Nothing was begun for those whose time was over when their turn came.
-    let lines = stage
+    let lines = fixture
         .log
         .lines_up_to("done request=2 ", PATIENCE)
         .expect("logged");
@@ -500,8 +507,8 @@
 /// complete third: the time of the second and third runs from then on, neither from their first bytes nor from their turn.
 #[test]
 fn deadline_runs_from_the_last_byte_of_a_request() {
-    let stage = Stage::hanging();
-    let mut client = Client::ready(&stage.gateway);
+    let fixture = Fixture::hanging();
+    let mut client = Client::ready(&fixture.gateway);
     let [first, second, third] = ["r-1", "r-2", "r-3"].map(|id| query(&read_within(id, WAIT)));
     let (front, back) = second.split_at(second.len() / 2);
     let (pieces, end) = back.split_at(back.len() - 3);
