--- a/src/bin/asterreel/front/gateway.rs
+++ b/src/bin/asterreel/front/gateway.rs
@@ -18,8 +18,28 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// The part of all descriptors that clients with requests may hold.
-const SOCKETS_PER_SERVED: usize = 3;
+/// How many clients a gateway may have.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) struct ClientLimits {
+    /// How many sessions may be open.
+    pub max_sessions: usize,
+    /// How many sessions past their opening and how many requests there may be.
+    pub max_served: usize,
+}
+
+impl ClientLimits {
+    /// The part of all descriptors that sessions past their opening may hold: each of their requests needs a connection
+    /// to a server as well.
+    const DESCRIPTORS_PER_SERVED: usize = 3;
+
+    /// The limits of a process with so many descriptors, of which clients may hold `max_sessions`.
+    pub(crate) fn new(max_sessions: usize, all_descriptors: usize) -> ClientLimits {
+        ClientLimits {
+            max_sessions,
+            max_served: all_descriptors / ClientLimits::DESCRIPTORS_PER_SERVED,
+        }
+    }
+}
 
 /// What a session needs to know of a class of requests.
 pub(super) struct Class {
@@ -44,11 +64,8 @@
     classes: Vec<Class>,
     /// Which tenants may reach which groups, where the operator's file says so.
     pub(super) cells: Option<Cells>,
-    /// How many sessions may be open.
-    pub(super) max_sessions: usize,
-    /// How many sessions past their opening and how many requests there may be: each request needs a connection to a
-    /// server as well.
-    pub(super) max_served: usize,
+    /// How many clients may be connected and served.
+    pub(super) limits: ClientLimits,
     draining: AtomicBool,
     /// When the last answer must have been sent, once that is known.
     last_answer_at: AtomicU64,
@@ -61,14 +78,13 @@
 }
 
 impl Gateway {
-    /// A gateway of at most `max_sessions` sessions; `max_sockets` is the descriptor limit of the process.
+    /// A gateway without sessions.
     pub(crate) fn new(
         core: Arc<Core>,
         pool: Arc<Pool>,
         setup: &Setup,
         settings: &Settings,
-        max_sessions: usize,
-        max_sockets: usize,
+        limits: ClientLimits,
         cells: Option<Cells>,
     ) -> Gateway {
         let classes = setup
@@ -90,8 +106,7 @@
             pool,
             classes: classes.collect(),
             cells,
-            max_sessions,
-            max_served: max_sockets / SOCKETS_PER_SERVED,
+            limits,
             draining: AtomicBool::new(false),
             last_answer_at: AtomicU64::new(Micros::MAX),
             sessions: Sessions::default(),
@@ -161,15 +176,15 @@
     pub(crate) fn capacity(&self) -> Option<Room> {
         Some(Room {
             sessions: self.sessions.try_count()?,
-            most_sessions: self.max_sessions,
+            most_sessions: self.limits.max_sessions,
             requests: self.open_requests.try_count()?,
-            most_requests: self.max_served,
+            most_requests: self.limits.max_served,
         })
     }
 
     /// Whether no more sessions may be opened.
     pub(super) fn is_full(&self) -> bool {
-        self.open_sessions() >= self.max_sessions
+        self.open_sessions() >= self.limits.max_sessions
     }
 
     /// Registers a new session that is woken by this waker, and numbers it.
--- a/src/bin/asterreel/front/mod.rs
+++ b/src/bin/asterreel/front/mod.rs
@@ -19,7 +19,7 @@
 mod shed;
 
 pub(crate) use accept::accept;
-pub(crate) use gateway::Gateway;
+pub(crate) use gateway::{ClientLimits, Gateway};
 
 #[cfg(test)]
 mod tests;
--- a/src/bin/asterreel/front/request.rs
+++ b/src/bin/asterreel/front/request.rs
@@ -143,7 +143,7 @@
     fn next_event(&mut self, decision_deadline: Option<Micros>) -> SessionEvent {
         loop {
             // Before any command is taken: nothing is started for a client that has gone. What it sends ahead stays in
-            // the buffer, up to a limit; beyond that only the socket can tell.
+            // the buffer, up to a limit; beyond that only the socket shows its close.
             if !self.client_gone && self.client_has_gone() {
                 self.client_gone = true;
                 return SessionEvent::ClientGone;
--- a/src/bin/asterreel/front/shed.rs
+++ b/src/bin/asterreel/front/shed.rs
@@ -65,8 +65,8 @@
 
     fn pressure(&self, sessions: usize, served: usize) -> Pressure {
         Pressure {
-            all: sessions + self.max_sessions / HEADROOM_OF_ALL >= self.max_sessions,
-            served: served + self.max_served / HEADROOM_OF_SERVED >= self.max_served,
+            all: sessions + self.limits.max_sessions / HEADROOM_OF_ALL >= self.limits.max_sessions,
+            served: served + self.limits.max_served / HEADROOM_OF_SERVED >= self.limits.max_served,
         }
     }
 
--- a/src/bin/asterreel/front/tests.rs
+++ b/src/bin/asterreel/front/tests.rs
@@ -61,7 +61,14 @@
             connect_timeout,
         ));
         let (setup, settings) = (&config.setup, &config.settings);
-        let gateway = Arc::new(Gateway::new(core, pool, setup, settings, 100, 1024, None));
+        let gateway = Arc::new(Gateway::new(
+            core,
+            pool,
+            setup,
+            settings,
+            ClientLimits::new(100, 1024),
+            None,
+        ));
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let clients = listener.local_addr().expect("bound");
         let accepting = gateway.clone();
@@ -123,7 +130,7 @@
     assert_eq!(message(&mut client), b'E');
     assert!(
         decided.elapsed() < Duration::from_secs(2),
-        "heard after {:?}",
+        "rejected after {:?}",
         decided.elapsed()
     );
     // Neither the end of the answer nor another attempt.
--- a/src/bin/asterreel/health/tests.rs
+++ b/src/bin/asterreel/health/tests.rs
@@ -49,8 +49,7 @@
         pool,
         &config.setup,
         &config.settings,
-        64,
-        256,
+        crate::front::ClientLimits::new(64, 256),
         None,
     ));
     let listener = may::net::TcpListener::bind(client).expect("bound");
--- a/src/bin/asterreel/main.rs
+++ b/src/bin/asterreel/main.rs
@@ -25,7 +25,7 @@
 use crate::cli::{Cli, Command, Files, LogFormat};
 use crate::control::client::ControlClient;
 use crate::discovery::{FirstList, Source};
-use crate::front::Gateway;
+use crate::front::{ClientLimits, Gateway};
 use crate::runtime::coroutine;
 use crate::server::Server;
 use crate::startup::{Descriptors, RequestPath};
@@ -179,8 +179,7 @@
         pool,
         &config.setup,
         &config.settings,
-        descriptors.clients,
-        config.sockets,
+        ClientLimits::new(descriptors.clients, config.sockets),
         cells,
     ));
     if let Some(pacing) = operator.readmission.clone() {
--- a/src/bin/asterreel/request/cancellation.rs
+++ b/src/bin/asterreel/request/cancellation.rs
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Cancels the attempt and wakes whoever waits for its answer.
+    /// Cancels the attempt and wakes the coroutine that waits for its answer.
     pub(crate) fn cancel(&self) {
         self.cancelled.store(true, Ordering::Release);
         if let Some(waker) = self.waker().as_ref() {
--- a/src/bin/asterreel/runtime/net.rs
+++ b/src/bin/asterreel/runtime/net.rs
@@ -14,7 +14,7 @@
 
 /// A connection and its buffer.
 ///
-/// Waits have no limit of their own: whoever waits sets an alarm first.
+/// Waits have no limit of their own: the caller sets an alarm first.
 pub(crate) struct Stream {
     socket: TcpStream,
     /// What was read and not consumed.
--- a/src/bin/asterreel/runtime/timer.rs
+++ b/src/bin/asterreel/runtime/timer.rs
@@ -29,7 +29,7 @@
     router_wake_at: Option<Micros>,
 }
 
-/// Alarms are due in this order; the number tells those of one time apart.
+/// Alarms are due in this order; the number orders those of one time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct AlarmKey {
     at: Micros,
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -65,8 +65,8 @@
     }
 
     fn answering(instead: fn(&[u8]) -> Option<Vec<u8>>) -> Fixture {
-        let (tell, seen) = channel();
-        let databases = [(); 2].map(|()| Database::start(false, true, &tell, instead));
+        let (statements, seen) = channel();
+        let databases = [(); 2].map(|()| Database::start(false, true, &statements, instead));
         let places = addresses_of(&databases);
         let (gateway, log) = staged(places, nowhere(), |config| config);
         Fixture {
@@ -304,8 +304,8 @@
 /// must not keep its session, and the process, until it is killed with one unanswered.
 #[test]
 fn busy_client_does_not_delay_a_drain() {
-    let (tell, seen) = channel();
-    let databases = primary_and_replica(&tell);
+    let (statements, seen) = channel();
+    let databases = primary_and_replica(&statements);
     let (mut gateway, log) = staged(addresses_of(&databases), nowhere(), |config| config);
     // One waits for each answer, the other sends on and on without looking.
     let mut asks = Client::ready(&gateway);
@@ -363,7 +363,7 @@
     let served = reader.join().expect("no reset");
     writer.join().expect("it ends");
     drop(gateway);
-    // Each that reached a database was answered: nothing that was read after the end was sent on.
+    // Each that reached a database was answered: nothing that was read after the end was forwarded.
     let reached = seen
         .try_iter()
         .filter(|statement| id(statement).starts_with("sent"))
@@ -375,8 +375,8 @@
 /// than was read still gets its last answer and an end.
 #[test]
 fn unread_bytes_do_not_reset_the_last_answer() {
-    let (tell, _seen) = channel();
-    let databases = primary_and_replica(&tell);
+    let (statements, _seen) = channel();
+    let databases = primary_and_replica(&statements);
     let (gateway, _log) = staged(addresses_of(&databases), nowhere(), |config| config);
     let mut client = Client::ready(&gateway);
     // No message, and then far more than one read takes in.
@@ -403,8 +403,8 @@
 /// A server sends notices without end, as fast as it can: the request ends at its deadline, and others are served meanwhile.
 #[test]
 fn endless_answer_is_stopped_at_its_deadline() {
-    let (tell, _seen) = channel();
-    let good = Database::start(true, true, &tell, |_| None);
+    let (statements, _seen) = channel();
+    let good = Database::start(true, true, &statements, |_| None);
     let listener = listen();
     let endless = listener.local_addr().expect("bound");
     thread::spawn(move || {
@@ -620,8 +620,8 @@
     let places = [nowhere(), silent.local_addr().expect("bound"), place];
     for place in places {
         for fleet in [1, 300] {
-            let (tell, _seen) = channel();
-            let databases = primary_and_replica(&tell);
+            let (statements, _seen) = channel();
+            let databases = primary_and_replica(&statements);
             let begun = Instant::now();
             let addresses = addresses_of(&databases);
             let change = |config: String| {
@@ -649,8 +649,8 @@
 fn idle_clients_leave_descriptors_for_the_rest() {
     let mut place = own_address();
     place.set_port(8_500);
-    let (tell, seen) = channel();
-    let databases = primary_and_replica(&tell);
+    let (statements, seen) = channel();
+    let databases = primary_and_replica(&statements);
     let addresses = addresses_of(&databases);
     let (gateway, log) = staged(addresses, place, |config| config.replace("1024", "96"));
     let mut resting: Vec<Client> = (0..60).map(|_| Client::ready(&gateway)).collect();
@@ -668,7 +668,7 @@
     let mut watch = toy::Watch::begin(called(&discovery).expect("it calls")).expect("begun");
     watch
         .tell(&format!("{}\n", list_of(&gateway.config)))
-        .expect("told");
+        .expect("sent");
     assert!(
         back.elapsed() < Duration::from_secs(5),
         "called after {:?}",
@@ -695,8 +695,8 @@
 /// go to the next, and a write in the way of such a close has not run twice.
 #[test]
 fn hanging_connect_costs_a_read_only_time() {
-    let (tell, _seen) = channel::<Vec<u8>>();
-    let good = Database::start(true, true, &tell, |_| None);
+    let (statements, _seen) = channel::<Vec<u8>>();
+    let good = Database::start(true, true, &statements, |_| None);
     let listener = listen();
     let place = listener.local_addr().expect("bound");
     let kept: Sender<TcpStream> = {
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -66,7 +66,7 @@
 /// More clients than descriptors are served in turn, by closing idle connections.
 #[test]
 fn idle_connections_are_closed_at_the_descriptor_limit() {
-    // 96 descriptors leave room for 40 clients.
+    // 96 descriptors leave 40 for clients.
     let gateway = start_with(1000, 96, |_| None);
     let mut clients: Vec<Client> = (0..60).map(|_| Client::ready(&gateway)).collect();
     let last = clients.last_mut().expect("60 clients");
@@ -78,7 +78,7 @@
 /// Clients that send one request and stay leave connections for others.
 #[test]
 fn idle_served_clients_are_closed_for_others() {
-    // Of 384 descriptors clients hold 128 for requests, and whoever finds none left has nowhere to ask.
+    // Of 384 descriptors clients with requests hold 128, and one that finds none left gets no answer.
     let gateway = start_with(1000, 384, |_| None);
     let mut stayed: Vec<Client> = vec![];
     for n in 0..128 {
@@ -113,7 +113,7 @@
     let mut answers = silent.iter_mut().map(|one| one.answer().0);
     assert!(
         answers.any(|tags| tags == "E"),
-        "those left over are told that they took too long"
+        "the others get an error, as they took too long"
     );
 }
 
@@ -217,12 +217,12 @@
             .set_read_timeout(Some(Duration::from_millis(200)))
             .expect("set");
     }
-    // Whichever came in second hears before any database has answered.
+    // Whichever came second gets its error before any server has answered.
     let refused =
         |clients: &[Client; 2]| clients.iter().position(|one| one.0.peek(&mut [0]).is_ok());
     let second = (0..50)
         .find_map(|_| refused(&clients))
-        .expect("one of them hears");
+        .expect("one of them gets an error");
     for client in &mut clients {
         client
             .0
@@ -415,8 +415,8 @@
     let _gateway = pushed(&agent, 300);
     let mut watch = toy::Watch::begin(called(&agent).expect("a watch")).expect("begun");
     let list = "{\n  \"revision\": 777,\n  \"complete\": true,\n\n  \"members\": [\n  ]\n}\n";
-    watch.tell(&list[..9]).expect("told");
-    watch.tell(&list[9..]).expect("told");
+    watch.tell(&list[..9]).expect("sent");
+    watch.tell(&list[9..]).expect("sent");
     let silent = Instant::now();
     let mut call = called(&agent).expect("it calls again");
     let took = silent.elapsed();
--- a/tests/process/mod.rs
+++ b/tests/process/mod.rs
@@ -35,13 +35,13 @@
         assert!(status.expect("kill runs").success());
     }
 
-    /// Replaces the configuration file and says so.
+    /// Replaces the configuration file and sends SIGHUP.
     pub(crate) fn reload(&self, config: &str) {
         std::fs::write(self.file.path(), config).expect("written");
         self.signal("-HUP");
     }
 
-    /// Waits for its end, and has it end well.
+    /// Waits for the process to end, and asserts success.
     pub(crate) fn exits_well(&mut self) {
         assert!(bounded::exit(&mut self.process, PATIENCE)
             .expect("it ends")
@@ -64,21 +64,21 @@
     start_with(1000, 1024, |_| None)
 }
 
-/// A gateway whose databases answer a statement once it is among so many that are still to be taken note of.
+/// A gateway whose databases hold back answers while more than `unseen` statements have not been received from `seen`.
 pub(crate) fn start_with(unseen: usize, sockets: u32, spoil: toy::Spoil) -> Gateway {
     start_logging(unseen, sockets, spoil, Stdio::null())
 }
 
 pub(crate) fn start_logging(unseen: usize, sockets: u32, spoil: toy::Spoil, log: Stdio) -> Gateway {
-    let (tell, seen) = sync_channel(unseen);
+    let (statements, seen) = sync_channel(unseen);
     // A slow machine must not run into a deadline.
     let config = EXAMPLE.replace("\"DeadlineUs\": 1200000", "\"DeadlineUs\": 20000000");
     let mut config = config.replace("1024", &sockets.to_string());
     for (port, role) in [("5501", toy::Role::Primary), ("5502", toy::Role::Replica)] {
-        let (listener, tell) = (listen(), tell.clone());
+        let (listener, statements) = (listen(), statements.clone());
         let address = listener.local_addr().expect("bound").to_string();
         config = config.replace(&format!("127.0.0.1:{port}"), &address);
-        thread::spawn(move || toy::toy(&listener, role, Some(tell), spoil));
+        thread::spawn(move || toy::toy(&listener, role, Some(statements), spoil));
     }
     let list = list_of(&config);
     let discovery = listen();
@@ -127,7 +127,7 @@
     ))
 }
 
-/// A gate that statements wait at.
+/// A gate at which databases hold statements back while it is closed.
 #[derive(Clone)]
 pub(crate) struct Gate(Arc<(Mutex<bool>, Condvar)>);
 
@@ -163,7 +163,7 @@
 }
 
 impl Database {
-    /// Serves; tells each statement, but for reports, before it waits at the gate.
+    /// Serves; each statement but those for load reports goes to `seen` before it waits at the gate.
     pub(crate) fn start(
         primary: bool,
         open: bool,
