--- a/src/bin/asterreel/core.rs
+++ b/src/bin/asterreel/core.rs
@@ -11,6 +11,7 @@
 
 use members::Members;
 
+use crate::runtime::sync::lock;
 use crate::runtime::timer::Timer;
 use asterreel::config::{Config, EndpointList};
 use asterreel::health::{Observer, Report};
@@ -20,7 +21,7 @@
 use may::sync::mpsc::Sender;
 use std::collections::HashMap;
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, PoisonError, TryLockError};
+use std::sync::{Arc, Mutex, TryLockError};
 use tracing::{debug, info, warn};
 
 /// The router, and everything that its actions reach.
@@ -102,7 +103,7 @@
     }
 
     fn with<T>(&self, work: impl FnOnce(&mut State) -> T) -> T {
-        work(&mut self.state.lock().unwrap_or_else(PoisonError::into_inner))
+        work(&mut lock(&self.state))
     }
 
     /// From now on an observer follows events and actions. Call it before the first list, or it misses that.
@@ -127,7 +128,7 @@
     }
 
     /// Whether a group has lost all its members; false without an observer.
-    pub(crate) fn lost(&self, group: GroupId) -> bool {
+    pub(crate) fn has_lost_all_members(&self, group: GroupId) -> bool {
         self.with(|state| {
             state
                 .observer
@@ -169,7 +170,7 @@
     }
 
     /// An attempt has ended.
-    pub(crate) fn ended(&self, ended: AttemptEnded) {
+    pub(crate) fn attempt_ended(&self, ended: AttemptEnded) {
         self.feed(Event::AttemptEnded(ended));
     }
 
@@ -179,12 +180,17 @@
     }
 
     /// The client of a request has gone.
-    pub(crate) fn departed(&self, request: RequestId) {
+    pub(crate) fn client_gone(&self, request: RequestId) {
         self.feed(Event::ClientGone(request));
     }
 
     /// A health check has ended.
-    pub(crate) fn probed(&self, member: MemberId, outcome: Outcome, report: MemberReport) {
+    pub(crate) fn health_check_ended(
+        &self,
+        member: MemberId,
+        outcome: Outcome,
+        report: MemberReport,
+    ) {
         self.feed(Event::HealthChecked(member, outcome, report));
     }
 
@@ -194,7 +200,7 @@
     }
 
     /// The time has come for which the router set its timer.
-    pub(crate) fn wake(&self) {
+    pub(crate) fn timer_fired(&self) {
         self.feed(Event::TimerFired);
     }
 
@@ -273,12 +279,12 @@
             Action::Fail(request) => self.send(request, Command::Fail),
             Action::CheckHealth(member) => {
                 if let Some(address) = self.members.address(member) {
-                    // Without a receiver the process is ending.
+                    // The receiver lasts as long as the process.
                     let _ = self.health_checks.send(HealthCheck { member, address });
                 }
             }
             Action::Watch => {
-                // Without a receiver the process is ending.
+                // The receiver lasts as long as the process.
                 let _ = self.watches.send(());
             }
             Action::ReportTransition { member, transition } => {
--- a/src/bin/asterreel/front/accept.rs
+++ b/src/bin/asterreel/front/accept.rs
@@ -15,7 +15,7 @@
 
 /// Accepts clients for as long as the process runs. Running out of descriptors only delays the next one.
 pub(crate) fn accept(gateway: &Arc<Gateway>, listener: &TcpListener) {
-    gateway.set_accept_waker(listener.waker());
+    gateway.sessions.set_accept_waker(listener.waker());
     let pause = || {
         let at = gateway.core.clock.now() + ACCEPT_RETRY_DELAY_US;
         let _alarm = gateway.core.timer.alarm(at, listener.waker());
@@ -31,8 +31,8 @@
             Ok((socket, from)) => {
                 let stream = Stream::new(socket, gateway.core.timer.clone());
                 // Registered here, so that the limit counts sessions whose coroutines have not run yet.
-                let (number, mailbox) = gateway.register(stream.waker());
-                let session = Session::new(gateway.clone(), number, stream, mailbox, from.ip());
+                let registered = gateway.register(stream.waker());
+                let session = Session::new(gateway.clone(), registered, stream, from.ip());
                 spawn(move || session.run());
             }
             Err(error) => {
--- a/src/bin/asterreel/front/session.rs
+++ b/src/bin/asterreel/front/session.rs
@@ -6,6 +6,7 @@
 use super::gateway::Gateway;
 use super::local_statement::{local_statement, LocalStatement};
 use super::mailbox::{ClientWait, Mailbox, ReadState};
+use super::sessions::RegisteredSession;
 use crate::postgres::{self as pg, sqlstate, Malformed, Message, Opening, Severity, Statement};
 use crate::runtime::net::Stream;
 use asterreel::cells::who;
@@ -67,12 +68,11 @@
 }
 
 impl Session {
-    /// The session of a connection that was registered under this number.
+    /// The session of a connection that was registered.
     pub(super) fn new(
         gateway: Arc<Gateway>,
-        number: u32,
+        registered: RegisteredSession,
         stream: Stream,
-        mailbox: Arc<Mailbox>,
         address: IpAddr,
     ) -> Session {
         let client = Client {
@@ -83,10 +83,10 @@
         Session {
             gateway,
             stream,
-            mailbox,
+            mailbox: registered.mailbox,
             client,
             client_gone: false,
-            number,
+            number: registered.number,
             reads: 0,
             is_skipping: false,
         }
@@ -107,7 +107,7 @@
                 .close_gracefully(clock, CLOSE_TIMEOUT_US, CLOSE_MAX_BYTES);
         }
         drop(self);
-        gateway.session_ended(number);
+        gateway.sessions.remove(number);
     }
 
     fn serve(&mut self) -> Result<(), SessionError> {
@@ -115,7 +115,7 @@
             return Ok(());
         }
         let mut out = Vec::new();
-        pg::session_started(&mut out, self.gateway.cancel_key(self.number));
+        pg::session_started(&mut out, self.gateway.sessions.cancel_key(self.number));
         self.write(&out)?;
         while let Some(message) = self.next_message()? {
             if message.tag == b'X' {
@@ -142,7 +142,7 @@
             match opening {
                 Opening::Encrypt => self.write(b"N")?,
                 Opening::Cancel(key) => {
-                    self.gateway.cancel(key);
+                    self.gateway.sessions.cancel(key);
                     return Ok(false);
                 }
                 Opening::Start => match self.gateway.pace_admission(self.client.address) {
--- a/src/bin/asterreel/runtime/timer.rs
+++ b/src/bin/asterreel/runtime/timer.rs
@@ -3,6 +3,7 @@
 //! may's timed waits resume a coroutine on may's timer thread, beside the worker. Here a coroutine waits on its socket
 //! without a limit, and an alarm wakes it through the worker's queue.
 
+use crate::runtime::sync::lock;
 use asterreel::interface::Micros;
 use asterreel_control::clock::Clock;
 use may::io::WaitIoWaker;
@@ -28,7 +29,7 @@
     router_wake_at: Option<Micros>,
 }
 
-/// Alarms are due in this order; the number tells those of one time apart.
+/// Alarms are due in this order; the number orders those of one time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct AlarmKey {
     at: Micros,
@@ -84,7 +85,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Queue> {
-        self.queue.lock().unwrap_or_else(PoisonError::into_inner)
+        lock(&self.queue)
     }
 
     /// Wakes a coroutine that waits on its socket at this time.
