--- a/src/bin/asterreel-config-eval/functions.rs
+++ b/src/bin/asterreel-config-eval/functions.rs
@@ -181,7 +181,7 @@
         #[starlark(kwargs)] arguments: DictRef<'v>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<Value<'v>> {
-        plain_data::<quarantine::Knobs>("quarantine", &arguments, eval)
+        plain_data::<quarantine::QuarantineOptions>("quarantine", &arguments, eval)
     }
 
     /// A control member, or a gateway that the control members serve.
--- a/src/bin/asterreel/cells.rs
+++ b/src/bin/asterreel/cells.rs
@@ -4,9 +4,9 @@
 //! changes nothing: the placement in force stays until its lease is over, and writes stop then.
 
 use asterreel::cells::placement::Placement;
-use asterreel::cells::quarantine::{Aftermath, Verdict};
-use asterreel::cells::who::Caller;
-use asterreel::cells::{record, Admitted, Epoch, Gate, Refusal};
+use asterreel::cells::quarantine::{AttemptEffect, QuarantineDecision};
+use asterreel::cells::tenants::Caller;
+use asterreel::cells::{record, Admitted, CellAdmission, Epoch, Rejection};
 use asterreel::interface::{Idempotency, MemberId, Micros, Outcome};
 use asterreel::operator::{self, SettingError};
 use asterreel_control::clock::Clock;
@@ -19,7 +19,7 @@
 /// The door of sessions to the gate.
 #[derive(Clone)]
 pub(crate) struct Cells {
-    gate: Arc<Mutex<Gate>>,
+    gate: Arc<Mutex<CellAdmission>>,
     clock: Clock,
     /// The tenant can differ from statement to statement.
     pub by_statement: bool,
@@ -39,7 +39,11 @@
             io::Error::other(SettingError::new("cells.placement", fault))
         })?;
         let cells = Cells {
-            gate: Arc::new(Mutex::new(Gate::new(rules, placement, fresh_until))),
+            gate: Arc::new(Mutex::new(CellAdmission::new(
+                rules,
+                placement,
+                fresh_until,
+            ))),
             clock,
             by_statement,
         };
@@ -88,7 +92,7 @@
         Ok(())
     }
 
-    fn with_gate<T>(&self, work: impl FnOnce(&mut Gate) -> T) -> T {
+    fn with_gate<T>(&self, work: impl FnOnce(&mut CellAdmission) -> T) -> T {
         work(&mut self.gate.lock().unwrap_or_else(PoisonError::into_inner))
     }
 
@@ -99,7 +103,7 @@
         target: (u64, &[u8]),
         statement: &[u8],
         is_write: bool,
-    ) -> Result<Placed, Refusal> {
+    ) -> Result<Placed, Rejection> {
         let now = self.clock.now();
         let admitted =
             self.with_gate(|gate| gate.admit(now, caller, target, statement, is_write))?;
@@ -150,7 +154,12 @@
 impl Placed {
     /// Whether an attempt may be dispatched: `ran` when an earlier one of the request may have run, and `victims` the number
     /// of members that crashed after its attempts.
-    pub(crate) fn attempt(&self, idempotency: Idempotency, ran: bool, victims: usize) -> Verdict {
+    pub(crate) fn attempt(
+        &self,
+        idempotency: Idempotency,
+        ran: bool,
+        victims: usize,
+    ) -> QuarantineDecision {
         let now = self.cells.clock.now();
         self.cells
             .with_gate(|gate| gate.attempt(now, &self.admitted, idempotency, ran, victims))
@@ -159,9 +168,9 @@
     /// An attempt has ended. Only a connection that broke under it is a sign of a crash; silence may be load.
     pub(crate) fn attempted(&self, member: MemberId, outcome: Outcome) {
         let after = match outcome {
-            Outcome::Reset => Aftermath::Died,
+            Outcome::Reset => AttemptEffect::Died,
             Outcome::Served | Outcome::Error | Outcome::Misrouted | Outcome::Rejected => {
-                Aftermath::Answered
+                AttemptEffect::Answered
             }
             _ => return,
         };
--- a/src/bin/asterreel/front/admission.rs
+++ b/src/bin/asterreel/front/admission.rs
@@ -5,8 +5,8 @@
 use super::session::Session;
 use crate::cells::Placed;
 use crate::postgres::Statement;
-use asterreel::cells::who::Caller;
-use asterreel::cells::{Refusal, LOST};
+use asterreel::cells::tenants::Caller;
+use asterreel::cells::{Rejection, LOST_CELL_RETRY_AFTER_US};
 use asterreel::interface::*;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use tracing::debug;
@@ -76,7 +76,7 @@
         &self,
         statement: &Statement,
         consistency: ConsistencyLevel,
-    ) -> Result<Option<Placed>, Refusal> {
+    ) -> Result<Option<Placed>, Rejection> {
         let Some(cells) = &self.gateway.cells else {
             return Ok(None);
         };
@@ -105,7 +105,7 @@
             .core
             .has_lost_all_members(placed.admitted.group)
         {
-            return Err(Refusal::Lost(LOST));
+            return Err(Rejection::Lost(LOST_CELL_RETRY_AFTER_US));
         }
         Ok(Some(placed))
     }
--- a/src/bin/asterreel/front/error_answer.rs
+++ b/src/bin/asterreel/front/error_answer.rs
@@ -1,7 +1,7 @@
 //! Final answers to a request other than a row.
 
 use crate::postgres::{self as pg, sqlstate, Severity};
-use asterreel::cells::Refusal;
+use asterreel::cells::Rejection;
 use asterreel::interface::Micros;
 
 /// A final answer other than a row, with the text that its client gets.
@@ -42,10 +42,10 @@
     }
 }
 
-impl From<Refusal> for ErrorAnswer {
-    fn from(refusal: Refusal) -> ErrorAnswer {
-        let (text, retry_after) = refusal.told();
-        if refusal == Refusal::Nobody {
+impl From<Rejection> for ErrorAnswer {
+    fn from(refusal: Rejection) -> ErrorAnswer {
+        let (text, retry_after) = refusal.message();
+        if refusal == Rejection::Nobody {
             ErrorAnswer::UnknownClient(text)
         } else {
             ErrorAnswer::Rejected { text, retry_after }
--- a/src/bin/asterreel/front/request.rs
+++ b/src/bin/asterreel/front/request.rs
@@ -14,7 +14,7 @@
 use crate::request::attempt::{self, AttemptResult};
 use crate::request::cancellation::CancellationToken;
 use crate::runtime::coroutine::spawn;
-use asterreel::cells::quarantine::Verdict;
+use asterreel::cells::quarantine::QuarantineDecision;
 use asterreel::interface::*;
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -56,12 +56,12 @@
             self.may_have_run,
             self.failed_members.len(),
         ) {
-            Verdict::Go => Ok(()),
-            Verdict::Refuse => Err(ErrorAnswer::Rejected {
+            QuarantineDecision::Go => Ok(()),
+            QuarantineDecision::Refuse => Err(ErrorAnswer::Rejected {
                 text,
                 retry_after: None,
             }),
-            Verdict::Fail => Err(ErrorAnswer::Failed(text)),
+            QuarantineDecision::Fail => Err(ErrorAnswer::Failed(text)),
         }
     }
 
--- a/src/bin/asterreel/front/session.rs
+++ b/src/bin/asterreel/front/session.rs
@@ -9,7 +9,7 @@
 use super::sessions::RegisteredSession;
 use crate::postgres::{self as pg, sqlstate, Malformed, Message, Opening, Severity, Statement};
 use crate::runtime::net::Stream;
-use asterreel::cells::who;
+use asterreel::cells::tenants;
 use asterreel::interface::Micros;
 use asterreel::readmission::Answer;
 use std::net::IpAddr;
@@ -163,7 +163,7 @@
         let message = &self.stream.buffer.data()[..length];
         let name = |parameter| {
             pg::parameter(message, parameter)
-                .filter(|name| name.len() <= who::LONGEST)
+                .filter(|name| name.len() <= tenants::MAX_LENGTH_BYTES)
                 .unwrap_or_default()
                 .to_owned()
         };
--- a/src/cells/gate.rs
+++ b/src/cells/admission.rs
@@ -1,30 +1,32 @@
 //! What a session asks before a request goes to the decision module, and while it is there: who asks, where that tenant
 //! lives, whether its cell has room, whether its shape is shut out.
 
-use super::bulkhead::{Bounds, Bulkheads, Full, Want};
+use super::bulkhead::{Bounds, Bulkheads, Exhausted, Resource};
 use super::placement::Placement;
-use super::quarantine::{fingerprint, Aftermath, Fingerprint, Knobs, Quarantine, Verdict};
-use super::who::{Caller, Who};
+use super::quarantine::{
+    fingerprint, AttemptEffect, Fingerprint, Quarantine, QuarantineDecision, QuarantineOptions,
+};
+use super::tenants::{Caller, TenantResolver};
 use super::{stable_hash, CellId, Epoch};
 use crate::interface::{GroupId, Idempotency, MemberId, Micros};
 
-/// A come-back time for what a move or a placement that is too old holds up. Ours: a move is meant to take a second.
-const MOVING: Micros = 250_000;
+/// A retry-after time for what a migration or a placement that is too old holds up. A migration is meant to take a second.
+const MIGRATING_RETRY_AFTER_US: Micros = 250_000;
 
 /// The same for a cell that has lost all its members: about how often those are probed.
-pub const LOST: Micros = 1_000_000;
+pub const LOST_CELL_RETRY_AFTER_US: Micros = 1_000_000;
 
 /// What the operator's file says of cells.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Rules {
     /// Who asks.
-    pub who: Who,
+    pub who: TenantResolver,
     /// Bounds of cells by name; `default` for those that are not named.
     pub bounds: Vec<(String, Bounds)>,
     /// See `bounds`.
     pub default_bounds: Bounds,
     /// Of poison.
-    pub quarantine: Knobs,
+    pub quarantine: QuarantineOptions,
 }
 
 impl Rules {
@@ -45,11 +47,11 @@
 
 /// Why a request, or a session, is not taken. Nothing of it ran: it may come again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum Rejection {
     /// Nobody knows who asks.
     Nobody,
     /// Its cell is full.
-    Full(Full, Micros),
+    Exhausted(Exhausted, Micros),
     /// Its tenant is being moved: no writes now.
     Moving(Micros),
     /// Its shape or its tenant is quarantined.
@@ -60,22 +62,22 @@
     Lost(Micros),
 }
 
-impl Refusal {
-    /// What to tell the client, and when to come back.
-    pub fn told(self) -> (&'static str, Option<Micros>) {
+impl Rejection {
+    /// What to tell the client, and when to retry.
+    pub fn message(self) -> (&'static str, Option<Micros>) {
         match self {
-            Refusal::Nobody => ("no tenant is known for this client", None),
-            Refusal::Full(Full::Requests | Full::Held, wait) => {
+            Rejection::Nobody => ("no tenant is known for this client", None),
+            Rejection::Exhausted(Exhausted::Requests | Exhausted::Held, wait) => {
                 ("the cell has too many requests", Some(wait))
             }
-            Refusal::Full(Full::Sessions | Full::Descriptors, wait) => {
+            Rejection::Exhausted(Exhausted::Sessions | Exhausted::Descriptors, wait) => {
                 ("the cell has too many connections", Some(wait))
             }
-            Refusal::Full(Full::Bytes, wait) => ("the cell holds too much", Some(wait)),
-            Refusal::Moving(wait) => ("the tenant is being moved", Some(wait)),
-            Refusal::Poison => ("this statement is quarantined", None),
-            Refusal::Lost(wait) => ("the cell has lost all its members", Some(wait)),
-            Refusal::Stale(wait) => ("the placement is too old", Some(wait)),
+            Rejection::Exhausted(Exhausted::Bytes, wait) => ("the cell holds too much", Some(wait)),
+            Rejection::Moving(wait) => ("the tenant is being moved", Some(wait)),
+            Rejection::Poison => ("this statement is quarantined", None),
+            Rejection::Lost(wait) => ("the cell has lost all its members", Some(wait)),
+            Rejection::Stale(wait) => ("the placement is too old", Some(wait)),
         }
     }
 }
@@ -98,7 +100,7 @@
 }
 
 /// All of it; see the module.
-pub struct Gate {
+pub struct CellAdmission {
     rules: Rules,
     placement: Placement,
     bulkheads: Bulkheads,
@@ -107,10 +109,10 @@
     fresh_until: Micros,
 }
 
-impl Gate {
+impl CellAdmission {
     /// With a placement that may be written by until a time.
-    pub fn new(rules: Rules, placement: Placement, fresh_until: Micros) -> Gate {
-        Gate {
+    pub fn new(rules: Rules, placement: Placement, fresh_until: Micros) -> CellAdmission {
+        CellAdmission {
             bulkheads: Bulkheads::new(rules.bounds_of(&placement)),
             quarantine: Quarantine::new(rules.quarantine),
             rules,
@@ -124,7 +126,7 @@
         if placement.epoch < self.placement.epoch {
             return false;
         }
-        self.bulkheads.rebound(self.rules.bounds_of(&placement));
+        self.bulkheads.set_bounds(self.rules.bounds_of(&placement));
         (self.placement, self.fresh_until) = (placement, fresh_until.max(self.fresh_until));
         true
     }
@@ -151,29 +153,29 @@
         (cluster, key): (u64, &[u8]),
         statement: &[u8],
         write: bool,
-    ) -> Result<Admitted, Refusal> {
-        let name = self.rules.who.asks(caller).ok_or(Refusal::Nobody)?;
+    ) -> Result<Admitted, Rejection> {
+        let name = self.rules.who.resolve(caller).ok_or(Rejection::Nobody)?;
         let place = self.placement.place(name, key);
         if write && place.home.held {
-            return Err(Refusal::Moving(MOVING));
+            return Err(Rejection::Moving(MIGRATING_RETRY_AFTER_US));
         }
-        // Who can't hear of a move must not write by what it last knew; reads go on.
+        // Who can't hear of a migration must not write by what it last knew; reads go on.
         if write && now >= self.fresh_until {
-            return Err(Refusal::Stale(MOVING));
+            return Err(Rejection::Stale(MIGRATING_RETRY_AFTER_US));
         }
         let (tenant, shape) = (stable_hash(name.as_bytes()), fingerprint(name, statement));
         if self
             .quarantine
             .admit(now, (tenant, shape), Idempotency::Idempotent, false, 0)
-            != Verdict::Go
+            != QuarantineDecision::Go
         {
-            return Err(Refusal::Poison);
+            return Err(Rejection::Poison);
         }
         let bytes = u32::try_from(statement.len()).unwrap_or(u32::MAX);
         let cell = place.home.cell;
         self.bulkheads
-            .take(cell, Want::Request(bytes))
-            .map_err(|(full, wait)| Refusal::Full(full, wait))?;
+            .acquire(cell, Resource::Request(bytes))
+            .map_err(|(full, wait)| Rejection::Exhausted(full, wait))?;
         Ok(Admitted {
             cell,
             epoch: place.home.epoch,
@@ -194,7 +196,7 @@
         idempotency: Idempotency,
         ran: bool,
         victims: usize,
-    ) -> Verdict {
+    ) -> QuarantineDecision {
         self.quarantine.admit(
             now,
             (admitted.tenant, admitted.shape),
@@ -210,7 +212,7 @@
         now: Micros,
         admitted: &Admitted,
         member: MemberId,
-        after: Aftermath,
+        after: AttemptEffect,
     ) {
         self.quarantine
             .ended(now, (admitted.tenant, admitted.shape), member, after);
@@ -220,7 +222,7 @@
     pub fn ended(&mut self, now: Micros, admitted: &Admitted) {
         let open = now.saturating_sub(admitted.at);
         self.bulkheads
-            .give_back(admitted.cell, Want::Request(admitted.bytes), open);
+            .release(admitted.cell, Resource::Request(admitted.bytes), open);
     }
 
     /// Requests in hand and refusals, by cell's name.
--- a/src/cells/gate/tests.rs
+++ b/src/cells/admission/tests.rs
@@ -1,5 +1,5 @@
 use super::super::placement::{Cell, Home, Order, Published};
-use super::super::who::Source;
+use super::super::tenants::Source;
 use super::*;
 
 fn placement(epoch: u64, homes: Vec<(String, Home)>) -> Placement {
@@ -28,9 +28,9 @@
     }
 }
 
-fn gate(homes: Vec<(String, Home)>) -> Gate {
+fn gate(homes: Vec<(String, Home)>) -> CellAdmission {
     let rules = Rules {
-        who: Who::new(vec![Source::User]).expect("good"),
+        who: TenantResolver::new(vec![Source::User]).expect("good"),
         bounds: vec![(
             "one".into(),
             Bounds {
@@ -40,12 +40,17 @@
         )],
         ..Rules::default()
     };
-    Gate::new(rules, placement(1, homes), 1_000)
+    CellAdmission::new(rules, placement(1, homes), 1_000)
 }
 
 const READ: &[u8] = b"SELECT 1 /* c=a */";
 
-fn ask(gate: &mut Gate, now: Micros, user: &str, write: bool) -> Result<Admitted, Refusal> {
+fn ask(
+    gate: &mut CellAdmission,
+    now: Micros,
+    user: &str,
+    write: bool,
+) -> Result<Admitted, Rejection> {
     let caller = Caller {
         user,
         ..Caller::default()
@@ -63,14 +68,14 @@
     assert!([GroupId(10), GroupId(11)].contains(&first.group));
     assert!(matches!(
         ask(&mut gate, 0, "a", false),
-        Err(Refusal::Full(Full::Requests, _))
+        Err(Rejection::Exhausted(Exhausted::Requests, _))
     ));
     assert!(
         [GroupId(20), GroupId(21)].contains(&ask(&mut gate, 0, "b", false).expect("room").group)
     );
     gate.ended(50, &first);
     ask(&mut gate, 60, "a", false).expect("room again");
-    assert_eq!(ask(&mut gate, 60, "", false), Err(Refusal::Nobody));
+    assert_eq!(ask(&mut gate, 60, "", false), Err(Rejection::Nobody));
     assert_eq!(
         gate.counts(),
         [("one".to_owned(), 1, 1), ("two".to_owned(), 1, 0)]
@@ -80,7 +85,10 @@
 #[test]
 fn writes_wait_out_a_move_and_a_placement_that_is_too_old_while_reads_go_on() {
     let mut gate = gate(vec![("b".into(), home(1, 1, true))]);
-    assert_eq!(ask(&mut gate, 0, "b", true), Err(Refusal::Moving(MOVING)));
+    assert_eq!(
+        ask(&mut gate, 0, "b", true),
+        Err(Rejection::Moving(MIGRATING_RETRY_AFTER_US))
+    );
     ask(&mut gate, 0, "b", false).expect("a read");
     assert!(!gate.placed(placement(0, vec![]), 9_000), "back in epoch");
     assert!(gate.placed(placement(2, vec![("b".into(), home(0, 2, false))]), 2_000));
@@ -89,13 +97,13 @@
     gate.ended(1_600, &moved);
     assert_eq!(
         ask(&mut gate, 2_000, "b", true),
-        Err(Refusal::Stale(MOVING))
+        Err(Rejection::Stale(MIGRATING_RETRY_AFTER_US))
     );
     ask(&mut gate, 2_000, "b", false).expect("a read");
     gate.renewed(3_000);
     assert!(matches!(
         ask(&mut gate, 2_000, "b", true),
-        Err(Refusal::Full(..))
+        Err(Rejection::Exhausted(..))
     ));
 }
 
@@ -105,19 +113,19 @@
     let admitted = ask(&mut gate, 0, "b", false).expect("room");
     assert_eq!(
         gate.attempt(0, &admitted, Idempotency::Idempotent, true, 2),
-        Verdict::Refuse
+        QuarantineDecision::Refuse
     );
     for member in [MemberId(1), MemberId(2)] {
         assert_eq!(
             gate.attempt(0, &admitted, Idempotency::Idempotent, false, 0),
-            Verdict::Go
+            QuarantineDecision::Go
         );
-        gate.attempted(0, &admitted, member, Aftermath::Died);
+        gate.attempted(0, &admitted, member, AttemptEffect::Died);
     }
     assert_eq!(
         gate.attempt(0, &admitted, Idempotency::NonIdempotent, true, 0),
-        Verdict::Fail
+        QuarantineDecision::Fail
     );
-    assert_eq!(ask(&mut gate, 0, "b", false), Err(Refusal::Poison));
+    assert_eq!(ask(&mut gate, 0, "b", false), Err(Rejection::Poison));
     assert_eq!(gate.quarantined(0).len(), 1);
 }
--- a/src/cells/bulkhead.rs
+++ b/src/cells/bulkhead.rs
@@ -23,7 +23,7 @@
 
 /// What is wanted, and given back, one at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Want {
+pub enum Resource {
     /// A request of so many bytes, which needs a descriptor to a database as well.
     Request(u32),
     /// A place to wait for a first send.
@@ -34,7 +34,7 @@
 
 /// Why there is no room: what the cell has too much of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Full {
+pub enum Exhausted {
     /// Requests.
     Requests,
     /// Requests that wait.
@@ -47,10 +47,10 @@
     Bytes,
 }
 
-/// Least and most time that a refused client is told to stay away. Ours.
-const COME_BACK_LEAST: Micros = 20_000;
-const COME_BACK_MOST: Micros = 2_000_000;
-/// Share of a newly measured service time in the running mean. Ours.
+/// Least and most time that a refused client is told to stay away.
+const MIN_RETRY_AFTER_US: Micros = 20_000;
+const MAX_RETRY_AFTER_US: Micros = 2_000_000;
+/// Share of a newly measured service time in the running mean.
 const LEARN: f64 = 0.1;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -82,27 +82,29 @@
         }
     }
 
-    /// Takes what is wanted, or says what is full and when to come back. A cell that is not known has no room.
+    /// Takes what is wanted, or says what is full and when to retry. A cell that is not known has no room.
     ///
     /// # Errors
     ///
-    /// What is full, and when to come back, microseconds.
-    pub fn take(&mut self, cell: CellId, want: Want) -> Result<(), (Full, Micros)> {
+    /// What is full, and when to retry, microseconds.
+    pub fn acquire(&mut self, cell: CellId, want: Resource) -> Result<(), (Exhausted, Micros)> {
         let Some((bounds, held)) = self.cells.get_mut(usize::from(cell.0)) else {
-            return Err((Full::Requests, COME_BACK_MOST));
+            return Err((Exhausted::Requests, MAX_RETRY_AFTER_US));
         };
         let at = |held: u32, most: u32| most > 0 && held >= most;
         let full = match want {
-            Want::Request(_) if at(held.requests, bounds.requests) => Some(Full::Requests),
-            Want::Request(bytes)
+            Resource::Request(_) if at(held.requests, bounds.requests) => Some(Exhausted::Requests),
+            Resource::Request(bytes)
                 if bounds.bytes > 0 && held.bytes + u64::from(bytes) > bounds.bytes =>
             {
-                Some(Full::Bytes)
+                Some(Exhausted::Bytes)
             }
-            Want::Hold if at(held.held, bounds.held) => Some(Full::Held),
-            Want::Session if at(held.sessions, bounds.sessions) => Some(Full::Sessions),
-            Want::Request(_) | Want::Session if at(held.descriptors, bounds.descriptors) => {
-                Some(Full::Descriptors)
+            Resource::Hold if at(held.held, bounds.held) => Some(Exhausted::Held),
+            Resource::Session if at(held.sessions, bounds.sessions) => Some(Exhausted::Sessions),
+            Resource::Request(_) | Resource::Session
+                if at(held.descriptors, bounds.descriptors) =>
+            {
+                Some(Exhausted::Descriptors)
             }
             _ => None,
         };
@@ -111,16 +113,16 @@
             // About when one of those in hand ends: they end one by one.
             let share = held.usual / f64::from(held.requests.max(1));
             let wait = (share * f64::from(held.held + 1)) as Micros;
-            return Err((full, wait.clamp(COME_BACK_LEAST, COME_BACK_MOST)));
+            return Err((full, wait.clamp(MIN_RETRY_AFTER_US, MAX_RETRY_AFTER_US)));
         }
         match want {
-            Want::Request(bytes) => {
+            Resource::Request(bytes) => {
                 held.requests += 1;
                 held.descriptors += 1;
                 held.bytes += u64::from(bytes);
             }
-            Want::Hold => held.held += 1,
-            Want::Session => {
+            Resource::Hold => held.held += 1,
+            Resource::Session => {
                 held.sessions += 1;
                 held.descriptors += 1;
             }
@@ -129,19 +131,19 @@
     }
 
     /// Gives back what was taken; `open` is how long a request was.
-    pub fn give_back(&mut self, cell: CellId, want: Want, open: Micros) {
+    pub fn release(&mut self, cell: CellId, want: Resource, open: Micros) {
         let Some((_, held)) = self.cells.get_mut(usize::from(cell.0)) else {
             return;
         };
         match want {
-            Want::Request(bytes) => {
+            Resource::Request(bytes) => {
                 held.requests = held.requests.saturating_sub(1);
                 held.descriptors = held.descriptors.saturating_sub(1);
                 held.bytes = held.bytes.saturating_sub(u64::from(bytes));
                 held.usual += LEARN * (open as f64 - held.usual);
             }
-            Want::Hold => held.held = held.held.saturating_sub(1),
-            Want::Session => {
+            Resource::Hold => held.held = held.held.saturating_sub(1),
+            Resource::Session => {
                 held.sessions = held.sessions.saturating_sub(1);
                 held.descriptors = held.descriptors.saturating_sub(1);
             }
@@ -149,7 +151,7 @@
     }
 
     /// Other bounds from now on, for as many cells as there are then; what is held stays counted.
-    pub fn rebound(&mut self, bounds: Vec<Bounds>) {
+    pub fn set_bounds(&mut self, bounds: Vec<Bounds>) {
         self.cells
             .resize(bounds.len(), (Bounds::default(), Held::default()));
         self.cells
--- a/src/cells/moves.rs
+++ b/src/cells/migration.rs
@@ -1,6 +1,6 @@
 //! Moving a tenant from one cell to another, so that no two gateways ever write it to two cells.
 //!
-//! [`Move`] is the mover's side: placed, preparing, holding, fencing, cut over, settling, placed. Every step is recorded
+//! [`Move`] is the migrator's side: placed, preparing, holding, fencing, cut over, settling, placed. Every step is recorded
 //! before it takes effect, and resuming from any record repeats that step's effects, which do no harm twice. Before
 //! the cut-over it can be aborted at any point; after it, it only goes forward. [`Holder`] is the gateway's side: a
 //! lease on the placement, and what writes of a tenant may still run.
@@ -15,20 +15,20 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GatewayId(pub u16);
 
-/// The times of a move, in microseconds.
+/// The times of a migration, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Times {
     /// How long a lease lasts.
     pub lease: Micros,
     /// How far two clocks may run apart while a lease lasts: 0.1% and a step would be much.
     pub drift: Micros,
-    /// How long writes may be held before the move is aborted.
+    /// How long writes may be held before the migration is aborted.
     pub hold: Micros,
     /// How long reads of what a session wrote go to the primary after the cut-over.
     pub settle: Micros,
 }
 
-/// Where a move stands, as it is recorded.
+/// Where a migration stands, as it is recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Step {
@@ -56,22 +56,22 @@
         matches!(self, Step::Preparing | Step::Holding | Step::Fencing)
     }
 
-    /// Whether the move has come to its end.
+    /// Whether the migration has come to its end.
     pub fn is_over(self) -> bool {
         matches!(self, Step::Placed | Step::Aborted)
     }
 }
 
-/// What is recorded of a move: all that resuming it needs.
+/// What is recorded of a migration: all that resuming it needs.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// Who moves.
+    /// Who migrations.
     pub tenant: String,
     /// From this cell.
     pub from: CellId,
     /// To that.
     pub to: CellId,
-    /// The epoch before it began; the move uses the three that follow.
+    /// The epoch before it began; the migration uses the three that follow.
     pub base: Epoch,
     /// Where it stands.
     pub step: Step,
@@ -91,14 +91,14 @@
     }
 }
 
-/// What happens to a move.
+/// What happens to a migration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A record is where a crash leaves it.
     Recorded(Step),
     /// The target can take the tenant's data.
     Prepared,
-    /// A gateway was granted a lease, which by the mover's clock ends then.
+    /// A gateway was granted a lease, which by the migrator's clock ends then.
     Leased(GatewayId, Micros),
     /// A gateway sends no writes at epochs before this, and none that it sent can still run.
     Acknowledged(GatewayId, Epoch),
@@ -114,7 +114,7 @@
     Tick,
 }
 
-/// What a move wants done. All but `Record` may be done twice.
+/// What a migration wants done. All but `Record` may be done twice.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Write the record; nothing follows before it is safe.
@@ -133,13 +133,13 @@
     Finished(Step),
 }
 
-/// Why a move can't begin, or be called off.
+/// Why a migration can't begin, or be called off.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Refused(pub String);
+pub struct MigrationError(pub String);
 
-/// The mover's side of one move.
+/// The migrator's side of one move.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Move {
+pub struct Migration {
     record: Record,
     times: Times,
     /// The record of this step is safe, and its effects may be had.
@@ -147,7 +147,7 @@
     since: Micros,
     /// When leases end that were granted before the hold was published.
     leases: BTreeMap<GatewayId, Micros>,
-    /// Leases that this mover may know nothing of, granted before it began, end by then.
+    /// Leases that this migrator may know nothing of, granted before it began, end by then.
     blanket: Micros,
     caught_up: bool,
     fenced: bool,
@@ -156,12 +156,12 @@
     over: bool,
 }
 
-impl Move {
+impl Migration {
     /// A new move, at the epoch that is in force.
     ///
     /// # Errors
     ///
-    /// [`Refused`], where the placement does not allow the move.
+    /// [`Refused`], where the placement does not allow the migration.
     pub fn begin(
         tenant: &str,
         (from, to): (CellId, CellId),
@@ -169,9 +169,12 @@
         times: Times,
         now: Micros,
         actions: &mut Vec<Action>,
-    ) -> Result<Move, Refused> {
+    ) -> Result<Migration, MigrationError> {
         if from == to {
-            return Err(Refused(format!("{tenant} lives in cell {} already", to.0)));
+            return Err(MigrationError(format!(
+                "{tenant} lives in cell {} already",
+                to.0
+            )));
         }
         let record = Record {
             tenant: tenant.to_owned(),
@@ -180,21 +183,26 @@
             base,
             step: Step::Preparing,
         };
-        let mut this = Move::at(record, times, now);
+        let mut this = Migration::at(record, times, now);
         this.enter(now, Step::Preparing, actions);
         Ok(this)
     }
 
-    /// Takes up a move where its last record left it; the effects of that step are had again.
-    pub fn resume(record: Record, times: Times, now: Micros, actions: &mut Vec<Action>) -> Move {
-        let mut this = Move::at(record, times, now);
+    /// Takes up a migration where its last record left it; the effects of that step are had again.
+    pub fn resume(
+        record: Record,
+        times: Times,
+        now: Micros,
+        actions: &mut Vec<Action>,
+    ) -> Migration {
+        let mut this = Migration::at(record, times, now);
         this.recorded = true;
         this.effects(actions);
         this
     }
 
-    fn at(record: Record, times: Times, now: Micros) -> Move {
-        Move {
+    fn at(record: Record, times: Times, now: Micros) -> Migration {
+        Migration {
             record,
             times,
             recorded: false,
@@ -318,11 +326,11 @@
 
 /// Moves that are under way, by tenant.
 #[derive(Clone, Debug, Default)]
-pub struct Moves {
+pub struct Migrations {
     under_way: BTreeMap<String, Record>,
 }
 
-impl Moves {
+impl Migrations {
     /// Takes in a record; one that is over ends its move.
     pub fn recorded(&mut self, record: &Record) {
         if record.step.is_over() {
@@ -332,31 +340,31 @@
         }
     }
 
-    /// Whether a tenant may begin to move: not while it moves.
+    /// Whether a tenant may begin to move: not while it migrations.
     ///
     /// # Errors
     ///
-    /// [`Refused`], while the tenant moves.
-    pub fn may_begin(&self, tenant: &str) -> Result<(), Refused> {
+    /// [`Refused`], while the tenant migrations.
+    pub fn may_begin(&self, tenant: &str) -> Result<(), MigrationError> {
         self.under_way.get(tenant).map_or(Ok(()), |record| {
             let text = format!(
                 "{tenant} moves already, from cell {} to {}: {:?}",
                 record.from.0, record.to.0, record.step
             );
-            Err(Refused(text))
+            Err(MigrationError(text))
         })
     }
 
-    /// Whether a move may be called off.
+    /// Whether a migration may be called off.
     ///
     /// # Errors
     ///
     /// [`Refused`], where it does not move, or has passed the point of no return.
-    pub fn may_abort(&self, tenant: &str) -> Result<(), Refused> {
+    pub fn may_abort(&self, tenant: &str) -> Result<(), MigrationError> {
         match self.under_way.get(tenant) {
-            None => Err(Refused(format!("{tenant} does not move"))),
+            None => Err(MigrationError(format!("{tenant} does not move"))),
             Some(record) if record.step.may_abort() => Ok(()),
-            Some(record) => Err(Refused(format!(
+            Some(record) => Err(MigrationError(format!(
                 "{tenant} is past the point of return: {:?}",
                 record.step
             ))),
@@ -375,14 +383,14 @@
 
 /// The gateway's side: its lease, and what it has sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Holder {
+pub struct GatewayLease {
     /// The epoch of the placement that it holds.
     epoch: Epoch,
     lease_until: Micros,
     sent: BTreeMap<String, Sent>,
 }
 
-impl Holder {
+impl GatewayLease {
     /// The placement's source answered a call that was *made* at this time: the lease counts from then, however long
     /// the answer took. One of an older epoch is refused.
     pub fn learned(&mut self, asked: Micros, times: &Times, epoch: Epoch) -> bool {
--- a/src/cells/mod.rs
+++ b/src/cells/mod.rs
@@ -1,20 +1,20 @@
-//! Which part of the fleet a tenant may reach, and how tenants move between parts.
+//! Which part of the fleet a tenant may reach, and how tenants migrate between parts.
 //!
-//! A *cell* is a set of database groups with bounds on what it may hold of this gateway. [`who`] says who asks,
-//! [`placement`] where that tenant's requests may go, [`bulkhead`] whether its cell has room, [`quarantine`] whether
-//! what it asks kills members, and [`moves`] takes a tenant from one cell to another so that no two gateways write it to
-//! two cells. The decision module still picks the member; nothing here sends, waits or reads a clock.
+//! A *cell* is a set of database groups with bounds on what it may hold of this gateway. [`tenants`] resolves who asks,
+//! [`placement`] where that tenant's requests may go, [`bulkhead`] whether its cell has capacity, [`quarantine`] whether
+//! what it asks kills members, and [`migration`] takes a tenant from one cell to another so that no two gateways write it to
+//! two cells. The router still selects the member; nothing here sends, waits or reads a clock.
 //! `docs/design/cells.md` says why it decides as it does.
 
+mod admission;
 pub mod bulkhead;
-mod gate;
-pub mod moves;
+pub mod migration;
 pub mod placement;
 pub mod quarantine;
 pub mod record;
-pub mod who;
+pub mod tenants;
 
-pub use gate::{Admitted, Gate, Refusal, Rules, LOST};
+pub use admission::{Admitted, CellAdmission, Rejection, Rules, LOST_CELL_RETRY_AFTER_US};
 
 use serde::{Deserialize, Serialize};
 
--- a/src/cells/placement.rs
+++ b/src/cells/placement.rs
@@ -52,7 +52,7 @@
     }
 }
 
-/// A tenant that lives where the operator or a move put it.
+/// A tenant that lives where the operator or a migration put it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Home {
     /// Its cell.
@@ -74,11 +74,11 @@
     pub home: Home,
     /// How many groups the tenant has, and which.
     count: u8,
-    groups: [u64; MOST_GROUPS],
+    groups: [u64; MAX_GROUPS],
 }
 
 /// The most groups that one tenant is spread over.
-pub const MOST_GROUPS: usize = 8;
+pub const MAX_GROUPS: usize = 8;
 
 impl Place {
     /// The groups that the tenant's requests may reach, best first.
@@ -150,10 +150,10 @@
         if cells.is_empty() || cells.len() > usize::from(u16::MAX) {
             return bad("cells".into(), format!("{} of them", cells.len()));
         }
-        if !(1..=MOST_GROUPS).contains(&spread) {
+        if !(1..=MAX_GROUPS).contains(&spread) {
             return bad(
                 "spread".into(),
-                format!("{spread} is not within 1 to {MOST_GROUPS}"),
+                format!("{spread} is not within 1 to {MAX_GROUPS}"),
             );
         }
         for (place, cell) in cells.iter().enumerate() {
@@ -254,9 +254,9 @@
         let mut place = Place {
             home,
             count: 0,
-            groups: [0; MOST_GROUPS],
+            groups: [0; MAX_GROUPS],
         };
-        let mut scores = [0; MOST_GROUPS];
+        let mut scores = [0; MAX_GROUPS];
         let Some(cell) = self.cells.get(usize::from(home.cell.0)) else {
             return place;
         };
--- a/src/cells/quarantine.rs
+++ b/src/cells/quarantine.rs
@@ -11,19 +11,21 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Answers that make a shape or tenant known. Ours.
-const KNOWN: u32 = 4;
-/// Time between two looks for who can be forgotten. Ours.
-const AGE_EVERY: Micros = 1_000_000;
+/// Answers that make a shape or tenant known.
+const MIN_ANSWERS: u32 = 4;
+/// Time between two looks for who can be forgotten.
+const DECAY_INTERVAL_US: Micros = 1_000_000;
 
 /// Tenant and shape, hashed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint(pub u64);
 
-/// The knobs.
+/// What an operator may set of the quarantine.
+///
+/// A value of another type is reported with the name that serde is told here; operators' files have met it so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(default, deny_unknown_fields)]
-pub struct Knobs {
+#[serde(default, deny_unknown_fields, expecting = "struct Knobs")]
+pub struct QuarantineOptions {
     /// Members that must die or hang after one fingerprint before it is quarantined; 1 to 16, default 2.
     pub members: usize,
     /// The window in which they must, milliseconds; 1000 to 3600000, default 30000.
@@ -36,9 +38,9 @@
     pub entries: usize,
 }
 
-impl Default for Knobs {
-    fn default() -> Knobs {
-        Knobs {
+impl Default for QuarantineOptions {
+    fn default() -> QuarantineOptions {
+        QuarantineOptions {
             members: 2,
             window_ms: 30_000,
             lasts_ms: 300_000,
@@ -50,7 +52,7 @@
 
 /// How an attempt's member fared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Aftermath {
+pub enum AttemptEffect {
     /// It answered, whatever it said.
     Answered,
     /// Its connections broke, or new ones were refused, while the attempt was out.
@@ -61,7 +63,7 @@
 
 /// What to do about an attempt that is to go out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum QuarantineDecision {
     /// Let it go.
     Go,
     /// No attempt: nothing of the request ran, or it may be repeated, so it is refused.
@@ -86,7 +88,7 @@
 
 /// All suspects; see the module.
 pub struct Quarantine {
-    knobs: Knobs,
+    options: QuarantineOptions,
     shapes: BTreeMap<Fingerprint, Suspect>,
     tenants: BTreeMap<u64, Suspect>,
     aged_at: Micros,
@@ -94,9 +96,9 @@
 
 impl Quarantine {
     /// None suspected.
-    pub fn new(knobs: Knobs) -> Quarantine {
+    pub fn new(options: QuarantineOptions) -> Quarantine {
         Quarantine {
-            knobs,
+            options,
             shapes: BTreeMap::new(),
             tenants: BTreeMap::new(),
             aged_at: 0,
@@ -112,7 +114,7 @@
         idempotency: Idempotency,
         ran: bool,
         victims: usize,
-    ) -> Verdict {
+    ) -> QuarantineDecision {
         self.age(now);
         let shut = self
             .shapes
@@ -122,12 +124,12 @@
                 .tenants
                 .get(&tenant)
                 .is_some_and(|suspect| suspect.until > now)
-            || victims >= self.knobs.members;
+            || victims >= self.options.members;
         match (shut, idempotency) {
-            (false, _) => Verdict::Go,
-            (true, Idempotency::Idempotent) => Verdict::Refuse,
-            (true, _) if !ran => Verdict::Refuse,
-            (true, _) => Verdict::Fail,
+            (false, _) => QuarantineDecision::Go,
+            (true, Idempotency::Idempotent) => QuarantineDecision::Refuse,
+            (true, _) if !ran => QuarantineDecision::Refuse,
+            (true, _) => QuarantineDecision::Fail,
         }
     }
 
@@ -140,9 +142,9 @@
         now: Micros,
         (tenant, shape): (u64, Fingerprint),
         member: MemberId,
-        after: Aftermath,
+        after: AttemptEffect,
     ) {
-        if after == Aftermath::Answered {
+        if after == AttemptEffect::Answered {
             let answered = |suspect: &mut Suspect| {
                 let count = if suspect.victims.is_empty() {
                     &mut suspect.known
@@ -157,8 +159,8 @@
             self.make_room();
             return;
         }
-        let knobs = self.knobs;
-        let (window, lasts) = (knobs.window_ms * 1000, knobs.lasts_ms * 1000);
+        let options = self.options;
+        let (window, lasts) = (options.window_ms * 1000, options.lasts_ms * 1000);
         let hurt = |suspect: &mut Suspect, most: usize| {
             suspect
                 .victims
@@ -170,7 +172,7 @@
             suspect.died = suspect.died.saturating_add(1);
             suspect.last = now;
             let own = suspect.died >= suspect.answered;
-            let enough = if suspect.known >= KNOWN {
+            let enough = if suspect.known >= MIN_ANSWERS {
                 suspect.died as usize >= 2 * most
             } else {
                 suspect.victims.len() >= most
@@ -182,17 +184,17 @@
                 suspect.known = 0;
             }
         };
-        hurt(self.shapes.entry(shape).or_default(), knobs.members);
+        hurt(self.shapes.entry(shape).or_default(), options.members);
         hurt(
             self.tenants.entry(tenant).or_default(),
-            knobs.tenant_members,
+            options.tenant_members,
         );
         self.make_room();
     }
 
     fn make_room(&mut self) {
-        bound(&mut self.shapes, self.knobs.entries);
-        bound(&mut self.tenants, self.knobs.entries);
+        bound(&mut self.shapes, self.options.entries);
+        bound(&mut self.tenants, self.options.entries);
     }
 
     /// Lifts a quarantine by hand; false when there is none.
@@ -223,11 +225,11 @@
     /// Forgets who has been quiet for long: a window, and as long again as its last quarantine lasted.
     fn age(&mut self, now: Micros) {
         // All are looked at: not at every request.
-        if now.saturating_sub(self.aged_at) < AGE_EVERY {
+        if now.saturating_sub(self.aged_at) < DECAY_INTERVAL_US {
             return;
         }
         self.aged_at = now;
-        let (window, lasts) = (self.knobs.window_ms * 1000, self.knobs.lasts_ms * 1000);
+        let (window, lasts) = (self.options.window_ms * 1000, self.options.lasts_ms * 1000);
         let stays = |suspect: &mut Suspect| {
             let remembered = if suspect.times > 0 {
                 lasts << suspect.times.min(5)
--- a/src/cells/record.rs
+++ b/src/cells/record.rs
@@ -7,11 +7,11 @@
 const MAGIC: &str = "asterreel-placement";
 const VERSION: u32 = 1;
 /// The longest file that is taken in: 100,000 tenants take about 10 MiB.
-pub const LONGEST: usize = 64 << 20;
+pub const MAX_LENGTH_BYTES: usize = 64 << 20;
 
 /// Why a file was not taken. The placement in force stays.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Unusable {
+pub enum RecordError {
     /// Cut short, or not such a file at all.
     Truncated,
     /// Of another version.
@@ -24,26 +24,26 @@
     Faulty(String, String),
 }
 
-impl std::fmt::Display for Unusable {
+impl std::fmt::Display for RecordError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Unusable::Truncated => write!(f, "it is cut short, or no placement"),
-            Unusable::Version(found) => {
+            RecordError::Truncated => write!(f, "it is cut short, or no placement"),
+            RecordError::Version(found) => {
                 write!(
                     f,
                     "it is of version {found}, and this program reads {VERSION}"
                 )
             }
-            Unusable::Checksum => write!(f, "its checksum does not match"),
-            Unusable::GoesBack(found, held) => {
+            RecordError::Checksum => write!(f, "its checksum does not match"),
+            RecordError::GoesBack(found, held) => {
                 write!(f, "its epoch {} is older than {}", found.0, held.0)
             }
-            Unusable::Faulty(key, fault) => write!(f, "{key}: {fault}"),
+            RecordError::Faulty(key, fault) => write!(f, "{key}: {fault}"),
         }
     }
 }
 
-impl std::error::Error for Unusable {}
+impl std::error::Error for RecordError {}
 
 /// The bytes of a placement: a head line with version, length and checksum, then JSON.
 ///
@@ -65,33 +65,34 @@
 /// # Errors
 ///
 /// [`Unusable`], where the bytes are damaged, or older than what is held.
-pub fn decode(bytes: &[u8], held: Epoch) -> Result<Placement, Unusable> {
+pub fn decode(bytes: &[u8], held: Epoch) -> Result<Placement, RecordError> {
     let end = bytes
         .iter()
         .take(128)
         .position(|byte| *byte == b'\n')
-        .ok_or(Unusable::Truncated)?;
-    let head = std::str::from_utf8(&bytes[..end]).map_err(|_| Unusable::Truncated)?;
+        .ok_or(RecordError::Truncated)?;
+    let head = std::str::from_utf8(&bytes[..end]).map_err(|_| RecordError::Truncated)?;
     let words: Vec<&str> = head.split(' ').collect();
     let [MAGIC, version, length, sum] = words[..] else {
-        return Err(Unusable::Truncated);
+        return Err(RecordError::Truncated);
     };
-    let version: u32 = version.parse().map_err(|_| Unusable::Truncated)?;
+    let version: u32 = version.parse().map_err(|_| RecordError::Truncated)?;
     if version != VERSION {
-        return Err(Unusable::Version(version));
+        return Err(RecordError::Version(version));
     }
     let body = &bytes[end + 1..];
-    if length.parse() != Ok(body.len()) || body.len() > LONGEST {
-        return Err(Unusable::Truncated);
+    if length.parse() != Ok(body.len()) || body.len() > MAX_LENGTH_BYTES {
+        return Err(RecordError::Truncated);
     }
     if u64::from_str_radix(sum, 16) != Ok(stable_hash(body)) {
-        return Err(Unusable::Checksum);
+        return Err(RecordError::Checksum);
     }
     let mut json = serde_json::Deserializer::from_slice(body);
-    let published: Published = serde_path_to_error::deserialize(&mut json)
-        .map_err(|error| Unusable::Faulty(error.path().to_string(), error.inner().to_string()))?;
+    let published: Published = serde_path_to_error::deserialize(&mut json).map_err(|error| {
+        RecordError::Faulty(error.path().to_string(), error.inner().to_string())
+    })?;
     if published.epoch < held {
-        return Err(Unusable::GoesBack(published.epoch, held));
+        return Err(RecordError::GoesBack(published.epoch, held));
     }
-    Placement::new(published).map_err(|(key, fault)| Unusable::Faulty(key, fault))
+    Placement::new(published).map_err(|(key, fault)| RecordError::Faulty(key, fault))
 }
--- a/src/cells/who.rs
+++ b/src/cells/tenants.rs
@@ -33,21 +33,21 @@
 }
 
 /// The longest name of a tenant, bytes: names are keys of maps.
-pub const LONGEST: usize = 63;
+pub const MAX_LENGTH_BYTES: usize = 63;
 
 /// Says who asks: the first source that knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Who {
+pub struct TenantResolver {
     sources: Vec<Source>,
 }
 
-impl Who {
+impl TenantResolver {
     /// Asks these, in order; a fault names the key.
     ///
     /// # Errors
     ///
     /// The key at fault and what is wrong with its value.
-    pub fn new(sources: Vec<Source>) -> Result<Who, (String, String)> {
+    pub fn new(sources: Vec<Source>) -> Result<TenantResolver, (String, String)> {
         for (place, source) in sources.iter().enumerate() {
             let key = |part: &str| format!("who[{place}]{part}");
             if sources[..place]
@@ -81,11 +81,11 @@
                 Source::User | Source::Application | Source::TrustedComment(_) => {}
             }
         }
-        Ok(Who { sources })
+        Ok(TenantResolver { sources })
     }
 
     /// The tenant's name; nothing when no source knows one that can be a name.
-    pub fn asks<'a>(&'a self, caller: &Caller<'a>) -> Option<&'a str> {
+    pub fn resolve<'a>(&'a self, caller: &Caller<'a>) -> Option<&'a str> {
         self.sources.iter().find_map(|source| {
             let name = match source {
                 Source::User => Some(caller.user),
@@ -117,7 +117,7 @@
 
 /// A name that can be logged, told and stored.
 fn sound(name: &str) -> bool {
-    (1..=LONGEST).contains(&name.len())
+    (1..=MAX_LENGTH_BYTES).contains(&name.len())
         && name
             .bytes()
             .all(|byte| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.' | b'@'))
--- a/src/cells/who/tests.rs
+++ b/src/cells/tenants/tests.rs
@@ -11,7 +11,7 @@
         net("10.1.0.0/16", "narrow"),
         net("2001:db8::/32", "six"),
     ];
-    let who = Who::new(vec![
+    let who = TenantResolver::new(vec![
         Source::Network(nets),
         Source::Application,
         Source::User,
@@ -23,41 +23,42 @@
         address: address.parse().ok(),
         comment: &[("tenant", "forged")],
     };
-    assert_eq!(who.asks(&caller("10.1.2.3")), Some("narrow"));
-    assert_eq!(who.asks(&caller("::ffff:10.2.0.1")), Some("wide"));
-    assert_eq!(who.asks(&caller("2001:db8::1")), Some("six"));
-    assert_eq!(who.asks(&caller("192.0.2.1")), Some("app"));
+    assert_eq!(who.resolve(&caller("10.1.2.3")), Some("narrow"));
+    assert_eq!(who.resolve(&caller("::ffff:10.2.0.1")), Some("wide"));
+    assert_eq!(who.resolve(&caller("2001:db8::1")), Some("six"));
+    assert_eq!(who.resolve(&caller("192.0.2.1")), Some("app"));
     let nameless = Caller {
         application: "no name\n",
         user: "",
         ..caller("192.0.2.1")
     };
-    assert_eq!(who.asks(&nameless), None);
+    assert_eq!(who.resolve(&nameless), None);
     assert!(!who.by_statement());
 }
 
 #[test]
 fn a_comment_counts_only_where_the_file_trusts_it_and_faults_name_their_key() {
-    let who = Who::new(vec![Source::TrustedComment("tenant".into()), Source::User]).expect("good");
+    let who = TenantResolver::new(vec![Source::TrustedComment("tenant".into()), Source::User])
+        .expect("good");
     let comment = [("tenant", "seven")];
     let caller = Caller {
         user: "web",
         comment: &comment,
         ..Caller::default()
     };
-    assert_eq!(who.asks(&caller), Some("seven"));
+    assert_eq!(who.resolve(&caller), Some("seven"));
     assert_eq!(
-        who.asks(&Caller {
+        who.resolve(&Caller {
             comment: &[],
             ..caller
         }),
         Some("web")
     );
     assert!(who.by_statement());
-    let twice = Who::new(vec![Source::User, Source::User]).expect_err("twice");
+    let twice = TenantResolver::new(vec![Source::User, Source::User]).expect_err("twice");
     assert_eq!(twice.0, "who[1]");
     let nets = vec![net("10.0.0.0/8", "one"), net("10.0.0.0/8", "two")];
-    let double = Who::new(vec![Source::Network(nets)]).expect_err("twice");
+    let double = TenantResolver::new(vec![Source::Network(nets)]).expect_err("twice");
     assert_eq!(
         (double.0.as_str(), double.1.as_str()),
         ("who[0].network[1]", "10.0.0.0/8 is one's already")
--- a/src/operator/settings.rs
+++ b/src/operator/settings.rs
@@ -2,7 +2,7 @@
 
 use super::SettingError;
 use crate::cells::bulkhead::Bounds;
-use crate::cells::who::{Source, Who};
+use crate::cells::tenants::{Source, TenantResolver};
 use crate::cells::{quarantine, Rules};
 use crate::config::Config;
 use crate::health::drain::{Balancer, Drain, Hearing, Timetable};
@@ -66,7 +66,7 @@
     pub default_bounds: CellBounds,
     /// When statements that crash members are quarantined.
     #[serde(default)]
-    pub quarantine: quarantine::Knobs,
+    pub quarantine: quarantine::QuarantineOptions,
     /// Time between two reads of the placement, milliseconds; 50 to 60000, default 500.
     #[serde(default = "reread")]
     pub reread_ms: u64,
@@ -105,7 +105,7 @@
         self.check_quarantine()?;
         let bounds = self.bounds.iter();
         Ok(Rules {
-            who: Who::new(self.who.clone())?,
+            who: TenantResolver::new(self.who.clone())?,
             bounds: bounds
                 .map(|(cell, bounds)| (cell.clone(), bounds.enforced()))
                 .collect(),
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -1,9 +1,13 @@
 //! Cells: where tenants live, what a cell may hold, what is poison, and what is published.
-use asterreel::cells::bulkhead::{Bounds, Bulkheads, Full, Want};
-use asterreel::cells::moves::{Action, Event, GatewayId, Holder, Move, Moves, Record, Step, Times};
+use asterreel::cells::bulkhead::{Bounds, Bulkheads, Exhausted, Resource};
+use asterreel::cells::migration::{
+    Action, Event, GatewayId, GatewayLease, Migration, Migrations, Record, Step, Times,
+};
 use asterreel::cells::placement::{Cell, Home, Order, Placement, Published, Range};
-use asterreel::cells::quarantine::{fingerprint, Aftermath, Knobs, Quarantine, Verdict};
-use asterreel::cells::record::{decode, encode, Unusable};
+use asterreel::cells::quarantine::{
+    fingerprint, AttemptEffect, Quarantine, QuarantineDecision, QuarantineOptions,
+};
+use asterreel::cells::record::{decode, encode, RecordError};
 use asterreel::cells::{CellId, Epoch};
 use asterreel::interface::{Idempotency, MemberId};
 
@@ -222,14 +226,14 @@
     }
     assert_eq!(
         decode(&bytes, Epoch(8)).expect_err("old"),
-        Unusable::GoesBack(Epoch(7), Epoch(8))
+        RecordError::GoesBack(Epoch(7), Epoch(8))
     );
     let other = String::from_utf8(bytes)
         .expect("text")
         .replacen("placement 1 ", "placement 2 ", 1);
     assert_eq!(
         decode(other.as_bytes(), Epoch(0)).expect_err("newer"),
-        Unusable::Version(2)
+        RecordError::Version(2)
     );
 }
 
@@ -244,50 +248,54 @@
     };
     let mut cells = Bulkheads::new(vec![bounds, bounds]);
     let (one, two) = (CellId(0), CellId(1));
-    assert_eq!(cells.take(one, Want::Request(60)), Ok(()));
+    assert_eq!(cells.acquire(one, Resource::Request(60)), Ok(()));
     assert_eq!(
-        cells.take(one, Want::Request(60)).map_err(|full| full.0),
-        Err(Full::Bytes)
+        cells
+            .acquire(one, Resource::Request(60))
+            .map_err(|full| full.0),
+        Err(Exhausted::Bytes)
     );
-    assert_eq!(cells.take(one, Want::Request(30)), Ok(()));
+    assert_eq!(cells.acquire(one, Resource::Request(30)), Ok(()));
     assert_eq!(
-        cells.take(one, Want::Request(1)).map_err(|full| full.0),
-        Err(Full::Requests)
+        cells
+            .acquire(one, Resource::Request(1))
+            .map_err(|full| full.0),
+        Err(Exhausted::Requests)
     );
-    assert_eq!(cells.take(two, Want::Request(60)), Ok(()));
-    assert_eq!(cells.take(one, Want::Hold), Ok(()));
+    assert_eq!(cells.acquire(two, Resource::Request(60)), Ok(()));
+    assert_eq!(cells.acquire(one, Resource::Hold), Ok(()));
     assert_eq!(
-        cells.take(one, Want::Hold).map_err(|full| full.0),
-        Err(Full::Held)
+        cells.acquire(one, Resource::Hold).map_err(|full| full.0),
+        Err(Exhausted::Held)
     );
     assert_eq!(
         [
-            cells.take(one, Want::Session),
-            cells.take(one, Want::Session)
+            cells.acquire(one, Resource::Session),
+            cells.acquire(one, Resource::Session)
         ],
         [Ok(()), Ok(())]
     );
     assert_eq!(
-        cells.take(one, Want::Session).map_err(|full| full.0),
-        Err(Full::Descriptors)
+        cells.acquire(one, Resource::Session).map_err(|full| full.0),
+        Err(Exhausted::Descriptors)
     );
     for _ in 0..50 {
-        cells.give_back(one, Want::Request(30), 400_000);
-        assert_eq!(cells.take(one, Want::Request(30)), Ok(()));
+        cells.release(one, Resource::Request(30), 400_000);
+        assert_eq!(cells.acquire(one, Resource::Request(30)), Ok(()));
     }
     // Two in hand, each open for 0.4 s, one waiting already: the one after it finds room in about that.
-    let (_, wait) = cells.take(one, Want::Request(30)).expect_err("full");
+    let (_, wait) = cells.acquire(one, Resource::Request(30)).expect_err("full");
     assert!((300_000..=500_000).contains(&wait), "{wait}");
     assert_eq!(
         (cells.counts(one), cells.counts(two)),
         ((2, 2, 5), (1, 0, 0))
     );
-    assert!(cells.take(CellId(9), Want::Session).is_err());
+    assert!(cells.acquire(CellId(9), Resource::Session).is_err());
 }
 
 #[test]
 fn a_shape_that_kills_two_members_goes_to_no_third_and_its_class_decides_what_is_said() {
-    let mut quarantine = Quarantine::new(Knobs::default());
+    let mut quarantine = Quarantine::new(QuarantineOptions::default());
     let shape = fingerprint("one", b"SELECT x FROM t WHERE a = 'p' /* id=1,c=search */");
     let whose = (1, shape);
     let mut now = 100 * S;
@@ -296,82 +304,82 @@
     };
     assert_eq!(
         admit(&mut quarantine, now, Idempotency::Idempotent, false),
-        Verdict::Go
+        QuarantineDecision::Go
     );
-    quarantine.ended(now, whose, MemberId(1), Aftermath::Died);
-    quarantine.ended(now, whose, MemberId(1), Aftermath::Hung);
-    quarantine.ended(now, whose, MemberId(2), Aftermath::Answered);
+    quarantine.ended(now, whose, MemberId(1), AttemptEffect::Died);
+    quarantine.ended(now, whose, MemberId(1), AttemptEffect::Hung);
+    quarantine.ended(now, whose, MemberId(2), AttemptEffect::Answered);
     assert_eq!(
         admit(&mut quarantine, now, Idempotency::Idempotent, false),
-        Verdict::Go,
+        QuarantineDecision::Go,
         "one member only, twice"
     );
-    quarantine.ended(now, whose, MemberId(2), Aftermath::Died);
+    quarantine.ended(now, whose, MemberId(2), AttemptEffect::Died);
     assert_eq!(
         admit(&mut quarantine, now, Idempotency::Idempotent, true),
-        Verdict::Refuse
+        QuarantineDecision::Refuse
     );
     assert_eq!(
         admit(&mut quarantine, now, Idempotency::NonIdempotent, false),
-        Verdict::Refuse
+        QuarantineDecision::Refuse
     );
     assert_eq!(
         admit(&mut quarantine, now, Idempotency::NonIdempotent, true),
-        Verdict::Fail
+        QuarantineDecision::Fail
     );
     assert_eq!(quarantine.list(now), [(shape, now + 300 * S)]);
     // Another tenant's same query is another's.
     let other = (2, fingerprint("two", b"SELECT x FROM t WHERE a = 'p'"));
     assert_eq!(
         quarantine.admit(now, other, Idempotency::Idempotent, false, 0),
-        Verdict::Go
+        QuarantineDecision::Go
     );
     // It ages out; when it comes back, it is shut for twice as long.
     now += 301 * S;
     assert_eq!(
         admit(&mut quarantine, now, Idempotency::Idempotent, false),
-        Verdict::Go
+        QuarantineDecision::Go
     );
-    quarantine.ended(now, whose, MemberId(1), Aftermath::Died);
-    quarantine.ended(now, whose, MemberId(2), Aftermath::Died);
+    quarantine.ended(now, whose, MemberId(1), AttemptEffect::Died);
+    quarantine.ended(now, whose, MemberId(2), AttemptEffect::Died);
     assert_eq!(quarantine.list(now), [(shape, now + 600 * S)]);
     assert!(quarantine.lift(shape) && !quarantine.lift(shape));
     assert_eq!(
         admit(&mut quarantine, now, Idempotency::Idempotent, false),
-        Verdict::Go
+        QuarantineDecision::Go
     );
 }
 
 #[test]
 fn one_request_one_tenant_and_the_memory_are_bounded() {
-    let mut quarantine = Quarantine::new(Knobs {
+    let mut quarantine = Quarantine::new(QuarantineOptions {
         entries: 100,
-        ..Knobs::default()
+        ..QuarantineOptions::default()
     });
     let now = 100 * S;
     // The request's own attempts have killed two: no third, before any fingerprint is shut.
     let whose = (1, fingerprint("one", b"a"));
     assert_eq!(
         quarantine.admit(now, whose, Idempotency::Idempotent, true, 2),
-        Verdict::Refuse
+        QuarantineDecision::Refuse
     );
     // Four shapes, a member each: the tenant is shut.
     for member in 0..4 {
         let shape = fingerprint("one", format!("SELECT c{member}_").as_bytes());
-        quarantine.ended(now, (1, shape), MemberId(member), Aftermath::Hung);
+        quarantine.ended(now, (1, shape), MemberId(member), AttemptEffect::Hung);
     }
     assert_eq!(
         quarantine.admit(now, whose, Idempotency::Idempotent, false, 0),
-        Verdict::Refuse
+        QuarantineDecision::Refuse
     );
     for shape in 0..10_000u32 {
         let shape = fingerprint(&format!("t{shape}"), b"x");
-        quarantine.ended(now, (shape.0, shape), MemberId(1), Aftermath::Died);
+        quarantine.ended(now, (shape.0, shape), MemberId(1), AttemptEffect::Died);
     }
     assert!(quarantine.len() <= 200, "{}", quarantine.len());
     assert_eq!(
         quarantine.admit(now, whose, Idempotency::Idempotent, false, 0),
-        Verdict::Refuse,
+        QuarantineDecision::Refuse,
         "the shut one stays"
     );
     quarantine.admit(now + 10_000 * S, whose, Idempotency::Idempotent, false, 0);
@@ -411,7 +419,7 @@
 
 /// A mover, and what it did, with everything but acknowledgements and leases had at once.
 struct Mover {
-    under_way: Move,
+    under_way: Migration,
     records: Vec<Record>,
     homes: Vec<Home>,
     fenced: Vec<CellId>,
@@ -421,7 +429,7 @@
 impl Mover {
     fn begin() -> Mover {
         let mut actions = Vec::new();
-        let under_way = Move::begin(
+        let under_way = Migration::begin(
             "one",
             (CellId(0), CellId(1)),
             Epoch(7),
@@ -535,7 +543,7 @@
     assert_eq!(whole.len(), 6);
     for record in whole {
         let (step, mut actions) = (record.step, Vec::new());
-        let under_way = Move::resume(record, TIMES, 10 * S, &mut actions);
+        let under_way = Migration::resume(record, TIMES, 10 * S, &mut actions);
         let mut mover = Mover {
             under_way,
             records: vec![],
@@ -554,7 +562,7 @@
 
 #[test]
 fn one_tenant_moves_once_at_a_time_and_nobody_moves_to_where_it_lives() {
-    let mut moves = Moves::default();
+    let mut moves = Migrations::default();
     let mover = Mover::begin();
     moves.recorded(mover.under_way.record());
     let refused = moves.may_begin("one").expect_err("it moves");
@@ -575,7 +583,7 @@
     record.step = Step::Placed;
     moves.recorded(&record);
     assert!(moves.may_begin("one").is_ok());
-    assert!(Move::begin(
+    assert!(Migration::begin(
         "one",
         (CellId(1), CellId(1)),
         Epoch(1),
@@ -588,7 +596,7 @@
 
 #[test]
 fn a_gateway_writes_only_under_its_lease_and_acknowledges_only_when_nothing_can_still_run() {
-    let mut holder = Holder::default();
+    let mut holder = GatewayLease::default();
     let (now, place) = (10 * S, home(0, 7));
     assert!(!holder.may_write(now, &place), "it holds none");
     assert!(holder.learned(now - S, &TIMES, Epoch(7)));
@@ -617,49 +625,49 @@
 
 #[test]
 fn a_shape_that_is_asked_often_is_not_blamed_for_the_deaths_that_it_meets() {
-    let mut quarantine = Quarantine::new(Knobs::default());
+    let mut quarantine = Quarantine::new(QuarantineOptions::default());
     let (now, whose) = (100 * S, (1, fingerprint("one", b"SELECT everyday")));
     for death in 0..6 {
-        quarantine.ended(now, whose, MemberId(death), Aftermath::Died);
+        quarantine.ended(now, whose, MemberId(death), AttemptEffect::Died);
         for _ in 0..100 {
-            quarantine.ended(now, whose, MemberId(9), Aftermath::Answered);
+            quarantine.ended(now, whose, MemberId(9), AttemptEffect::Answered);
         }
         let verdict = quarantine.admit(now, whose, Idempotency::Idempotent, false, 0);
         // The second death of two in a row would shut it; with answers between them it is nobody's doing.
-        assert_eq!(verdict, Verdict::Go, "after {death}");
+        assert_eq!(verdict, QuarantineDecision::Go, "after {death}");
     }
 }
 
 #[test]
 fn a_shape_that_was_answered_before_is_shut_later_than_a_new_one_but_it_is() {
-    let mut quarantine = Quarantine::new(Knobs::default());
+    let mut quarantine = Quarantine::new(QuarantineOptions::default());
     let (now, known, new) = (
         100 * S,
         (1, fingerprint("one", b"SELECT known")),
         (2, fingerprint("two", b"SELECT new")),
     );
     for _ in 0..10 {
-        quarantine.ended(now, known, MemberId(1), Aftermath::Answered);
+        quarantine.ended(now, known, MemberId(1), AttemptEffect::Answered);
     }
     // Both are in flight when two members die, one after the other, and only the new one is to blame.
     for death in 0..2 {
-        quarantine.ended(now, known, MemberId(death), Aftermath::Died);
-        quarantine.ended(now, new, MemberId(death), Aftermath::Died);
+        quarantine.ended(now, known, MemberId(death), AttemptEffect::Died);
+        quarantine.ended(now, new, MemberId(death), AttemptEffect::Died);
     }
     assert_eq!(
         quarantine.admit(now, known, Idempotency::Idempotent, false, 0),
-        Verdict::Go
+        QuarantineDecision::Go
     );
     assert_eq!(
         quarantine.admit(now, new, Idempotency::Idempotent, false, 0),
-        Verdict::Refuse
+        QuarantineDecision::Refuse
     );
     // A release that turned it into poison: deaths go on, and answers don't.
     for death in 2..4 {
-        quarantine.ended(now, known, MemberId(death), Aftermath::Died);
+        quarantine.ended(now, known, MemberId(death), AttemptEffect::Died);
     }
     assert_eq!(
         quarantine.admit(now, known, Idempotency::Idempotent, false, 0),
-        Verdict::Refuse
+        QuarantineDecision::Refuse
     );
 }
--- a/tests/cells_model.rs
+++ b/tests/cells_model.rs
@@ -1,7 +1,9 @@
 //! All interleavings of a move: two gateways, one mover, crashes, lost messages, and a pause at any point between a
 //! gateway's decision to write and the write's arrival. The machines are the program's own.
 
-use asterreel::cells::moves::{Action, Event, GatewayId, Holder, Move, Record, Step, Times};
+use asterreel::cells::migration::{
+    Action, Event, GatewayId, GatewayLease, Migration, Record, Step, Times,
+};
 use asterreel::cells::placement::Home;
 use asterreel::cells::{CellId, Epoch};
 use stateright::{Checker, Model, Property};
@@ -29,7 +31,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Gateway {
-    holder: Holder,
+    holder: GatewayLease,
     home: Option<Home>,
     /// A write that was decided on and has not arrived: the process may pause here for ever.
     air: Option<(CellId, Epoch)>,
@@ -38,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
     now: u64,
-    mover: Option<Move>,
+    mover: Option<Migration>,
     record: Option<Record>,
     /// What the mover has yet to do.
     todo: Vec<Deed>,
@@ -173,7 +175,7 @@
             settling: false,
         };
         let gateway = Gateway {
-            holder: Holder::default(),
+            holder: GatewayLease::default(),
             home: None,
             air: None,
         };
@@ -193,7 +195,7 @@
             losses: 0,
         };
         let mut actions = Vec::new();
-        let begun = Move::begin(
+        let begun = Migration::begin(
             TENANT,
             (SOURCE, TARGET),
             Epoch(1),
@@ -277,7 +279,7 @@
             }
             Do::Resume => {
                 let (mut actions, record) = (Vec::new(), world.record.clone()?);
-                world.mover = Some(Move::resume(record, TIMES, world.now, &mut actions));
+                world.mover = Some(Migration::resume(record, TIMES, world.now, &mut actions));
                 world.owe(actions);
             }
             Do::Fetch(number, arrives) => {
@@ -317,7 +319,7 @@
                 // What it had on the way may still arrive.
                 world.crashes += 1;
                 (world.gateways[number].holder, world.gateways[number].home) =
-                    (Holder::default(), None);
+                    (GatewayLease::default(), None);
             }
         }
         (world != *before).then_some(world)
