--- a/control/src/store/error.rs
+++ b/control/src/store/error.rs
@@ -43,17 +43,17 @@
     /// Its folder can't be created.
     #[error(transparent)]
     Folder(#[from] io::Error),
-    /// The database itself.
+    /// The database itself. Boxed, as the error is large.
     #[error(transparent)]
-    Database(#[from] redb::DatabaseError),
+    Database(Box<redb::DatabaseError>),
 }
 
 /// Why a transaction failed.
 #[derive(Debug, thiserror::Error)]
 pub enum WriteError {
-    /// The database.
+    /// The database. Boxed, as the error is large.
     #[error(transparent)]
-    Database(#[from] redb::Error),
+    Database(Box<redb::Error>),
     /// A message can't be encoded.
     #[error(transparent)]
     Encode(protobuf::ProtobufError),
@@ -99,26 +99,38 @@
     }
 }
 
+impl From<redb::DatabaseError> for OpenError {
+    fn from(error: redb::DatabaseError) -> OpenError {
+        OpenError::Database(Box::new(error))
+    }
+}
+
+impl From<redb::Error> for StoreError {
+    fn from(error: redb::Error) -> StoreError {
+        StoreError::Write(WriteError::Database(Box::new(error)))
+    }
+}
+
 impl From<redb::TransactionError> for StoreError {
     fn from(error: redb::TransactionError) -> StoreError {
-        StoreError::Write(WriteError::Database(error.into()))
+        redb::Error::from(error).into()
     }
 }
 
 impl From<redb::TableError> for StoreError {
     fn from(error: redb::TableError) -> StoreError {
-        StoreError::Write(WriteError::Database(error.into()))
+        redb::Error::from(error).into()
     }
 }
 
 impl From<redb::StorageError> for StoreError {
     fn from(error: redb::StorageError) -> StoreError {
-        StoreError::Write(WriteError::Database(error.into()))
+        redb::Error::from(error).into()
     }
 }
 
 impl From<redb::CommitError> for StoreError {
     fn from(error: redb::CommitError) -> StoreError {
-        StoreError::Write(WriteError::Database(error.into()))
+        redb::Error::from(error).into()
     }
 }
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -97,6 +97,23 @@
         (self.offset_us as i128 + real + real * self.rate_ppm as i128 / 1_000_000) as u64
     }
 
+    /// Applies the entries that were committed at least `lag` ago.
+    fn apply_entries(&mut self, log: &[TimedCommand], lag: u64, real: u64, out: &mut Vec<Action>) {
+        let now = self.clock(real);
+        let not_applied = &log[self.applied..];
+        for entry in not_applied
+            .iter()
+            .take_while(|entry| entry.at + lag <= real)
+        {
+            self.applied += 1;
+            let applied = Event::Applied {
+                index: Index(self.applied as u64),
+                command: entry.command,
+            };
+            self.leases.handle(now, applied, out);
+        }
+    }
+
     fn is_running(&self, real: u64) -> bool {
         self.alive && self.stalled_until <= real
     }
@@ -188,6 +205,10 @@
         self.check_exclusivity();
     }
 
+    fn is_over(&self) -> bool {
+        self.real >= self.scenario.length_us
+    }
+
     /// Whether faults are still injected.
     fn is_faulty(&self) -> bool {
         self.real < self.scenario.length_us - self.scenario.calm_us
@@ -237,17 +258,8 @@
         let partitioned = gateway.partitioned_until > self.real;
         let lag = self.rng.u64(0..TRAVEL_US);
         let mut out = Vec::new();
-        while !partitioned {
-            let entry = self.log.get(gateway.applied);
-            let Some(entry) = entry.filter(|entry| entry.at + lag <= self.real) else {
-                break;
-            };
-            gateway.applied += 1;
-            let applied = Event::Applied {
-                index: Index(gateway.applied as u64),
-                command: entry.command,
-            };
-            gateway.leases.handle(now, applied, &mut out);
+        if !partitioned {
+            gateway.apply_entries(&self.log, lag, self.real, &mut out);
         }
         gateway.leases.handle(now, Event::Tick, &mut out);
         for action in out {
@@ -331,7 +343,7 @@
 
 fn simulate(scenario: Scenario) -> Report {
     let mut simulation = Simulation::new(scenario);
-    while simulation.real < scenario.length_us {
+    while !simulation.is_over() {
         simulation.step();
     }
     simulation.finish()
