--- a/control/src/frame/tests.rs
+++ b/control/src/frame/tests.rs
@@ -94,8 +94,9 @@
     }
 }
 
+/// Truncated frames are never decoded in part, and garbage is a typed error.
 #[test]
-fn frames_cut_short_are_never_half_taken_and_garbage_is_an_error_of_a_type() {
+fn truncated_frames_are_never_decoded() {
     let (bytes, count) = frames();
     let (all, fault) = read(&bytes);
     assert!(fault.is_none() && all.len() == count, "{all:?}");
@@ -114,8 +115,9 @@
     );
 }
 
+/// Garbage within a complete frame is a typed error.
 #[test]
-fn garbage_within_a_whole_frame_is_an_error_of_a_type() {
+fn garbage_in_complete_frame_is_an_error() {
     let (bytes, _) = frames();
     for kind in [
         Kind::ToControl as fn(Vec<u8>) -> Kind,
@@ -153,8 +155,9 @@
     );
 }
 
+/// A hello without a shared format, of another fleet or of another gateway is rejected.
 #[test]
-fn a_hello_of_no_shared_format_of_another_fleet_or_gateway_is_turned_away() {
+fn hello_of_other_format_fleet_or_gateway_is_rejected() {
     let good = Hello {
         gateway: 2,
         ..Hello::of_client(ME, 9)
--- a/control/src/link/tests.rs
+++ b/control/src/link/tests.rs
@@ -135,8 +135,9 @@
         .expect("written");
 }
 
+/// A gateway goes to the leader, and to another member when that one is lost.
 #[test]
-fn a_gateway_goes_to_the_member_that_leads_and_to_another_when_that_is_lost() {
+fn gateway_follows_leader_and_fails_over() {
     played(async {
         let mut members = [
             member(1, LONG).await,
@@ -213,8 +214,9 @@
     });
 }
 
+/// A gateway sends only its own messages, and none of the log.
 #[test]
-fn a_gateway_speaks_for_itself_alone_and_takes_no_part_in_the_log() {
+fn gateway_cannot_impersonate_or_send_raft() {
     played(async {
         let mut member = member(1, LONG).await;
         let own = Hello::of_client(ME, FLEET);
@@ -266,8 +268,9 @@
     });
 }
 
+/// A gateway of another fleet is rejected, and learns why.
 #[test]
-fn a_gateway_of_another_fleet_is_told_so_and_turned_away() {
+fn gateway_of_other_fleet_is_rejected() {
     played(async {
         let member = member(1, LONG).await;
         let own = Hello::of_client(ME, FLEET + 1);
@@ -282,8 +285,9 @@
     });
 }
 
+/// A gateway that is silent for too long loses its link.
 #[test]
-fn a_gateway_that_is_silent_loses_its_link() {
+fn idle_gateway_loses_its_link() {
     played(async {
         let mut member = member(1, Duration::from_millis(100)).await;
         let (mut frames, mut write) = connect(member.address, &Hello::of_client(ME, FLEET)).await;
@@ -294,8 +298,9 @@
     });
 }
 
+/// A gateway that receives nothing is detected by its full queue.
 #[test]
-fn a_gateway_that_takes_nothing_in_is_found_out_by_its_full_queue() {
+fn full_queue_detects_stuck_gateway() {
     played(async {
         let mut member = member(1, LONG).await;
         let _link = connect(member.address, &Hello::of_client(ME, FLEET)).await;
@@ -324,8 +329,9 @@
     });
 }
 
+/// Traffic of members and of gateways is counted apart.
 #[test]
-fn what_comes_of_members_and_of_gateways_is_counted_apart() {
+fn traffic_is_counted_by_kind_of_peer() {
     played(async {
         let mut member = member(1, LONG).await;
         let own = Hello::of_client(ME, FLEET);
--- a/control/src/state_machine/entry/tests.rs
+++ b/control/src/state_machine/entry/tests.rs
@@ -98,8 +98,9 @@
         .collect()
 }
 
+/// Entries are read as they were written, and garbage is a typed error.
 #[test]
-fn entries_are_read_as_they_were_written_and_garbage_is_an_error_of_a_type() {
+fn entries_round_trip_and_garbage_is_an_error() {
     for command in commands() {
         let bytes = encode(&command);
         assert_eq!(decode(&bytes), Ok(command.clone()));
@@ -113,8 +114,9 @@
     }
 }
 
+/// An entry of another format is rejected, and the error says what to do.
 #[test]
-fn an_entry_of_another_format_is_refused_whole_and_says_what_to_do() {
+fn entry_of_other_format_is_rejected() {
     let body = Some(Body::BeginEpoch(A.into()));
     let older = Entry {
         format: FORMAT - 1,
--- a/control/src/versions/client/tests.rs
+++ b/control/src/versions/client/tests.rs
@@ -32,20 +32,20 @@
             client: Client::new(ME, TIMING, FORMATS, 1),
             now: 10 * RENEW,
         };
-        gateway.feed(Event::Serve);
-        gateway.feed(Event::Connected);
+        gateway.handle(Event::Serve);
+        gateway.handle(Event::Connected);
         gateway
     }
 
     /// One that has a registration, and knows of this version in force.
     fn acting(active: u64) -> Gateway {
         let mut gateway = Gateway::serving();
-        gateway.state(1, 0, active, None);
-        gateway.kept(TOKEN, gateway.now, 1);
+        gateway.topic_state(1, 0, active, None);
+        gateway.renew(TOKEN, gateway.now, 1);
         gateway
     }
 
-    fn feed(&mut self, event: Event) -> Vec<Action> {
+    fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.client.handle(self.now, event, &mut out);
         out.retain(|action| !matches!(action, Action::Wake(_)));
@@ -54,16 +54,16 @@
 
     fn tick(&mut self, after: Micros) -> Vec<Action> {
         self.now += after;
-        self.feed(Event::Tick)
+        self.handle(Event::Tick)
     }
 
-    fn hear(&mut self, message: ToGateway) -> Vec<Action> {
-        self.feed(Event::Received(message))
+    fn receive(&mut self, message: ToGateway) -> Vec<Action> {
+        self.handle(Event::Received(message))
     }
 
-    fn kept(&mut self, token: Token, sent: Micros, required: u64) -> Vec<Action> {
+    fn renew(&mut self, token: Token, sent: Micros, required: u64) -> Vec<Action> {
         let required = Index(required);
-        self.hear(ToGateway::RegistrationRenewed {
+        self.receive(ToGateway::RegistrationRenewed {
             who: ME,
             token,
             sent_at: sent,
@@ -72,14 +72,14 @@
         })
     }
 
-    fn state(
+    fn topic_state(
         &mut self,
         as_of: u64,
         since: u64,
         active: u64,
-        open: Option<(u64, u32)>,
+        proposed: Option<(u64, u32)>,
     ) -> Vec<Action> {
-        let proposal = open.map(|(number, format)| Version {
+        let proposal = proposed.map(|(number, format)| Version {
             number,
             content: Content {
                 format,
@@ -92,116 +92,121 @@
             previous: 0,
             proposal,
         }];
-        self.hear(ToGateway::TopicStates {
+        self.receive(ToGateway::TopicStates {
             as_of: Index(as_of),
             since: Index(since),
             topics,
         })
     }
 
-    fn acts_on(&self) -> Option<u64> {
+    fn acting_on(&self) -> Option<u64> {
         self.client
             .acting(TOPIC, self.now)
             .map(|(number, _)| number)
     }
 }
 
-fn beats(actions: &[Action]) -> usize {
-    let beat = |action: &&Action| matches!(action, Action::Send(ToControl::Heartbeat { .. }));
-    actions.iter().filter(beat).count()
+fn heartbeats(actions: &[Action]) -> usize {
+    let is_heartbeat =
+        |action: &&Action| matches!(action, Action::Send(ToControl::Heartbeat { .. }));
+    actions.iter().filter(is_heartbeat).count()
 }
 
+/// A lease counts from when the heartbeat was sent.
 #[test]
-fn a_right_counts_from_when_the_heartbeat_was_sent() {
+fn permission_counts_from_heartbeat() {
     let mut gateway = Gateway::serving();
-    gateway.state(1, 0, 1, None);
+    gateway.topic_state(1, 0, 1, None);
     let sent = gateway.now;
     gateway.tick(RENEW / 2);
     let until = sent + LEASE;
     assert_eq!(
-        gateway.kept(TOKEN, sent, 1),
+        gateway.renew(TOKEN, sent, 1),
         [Action::Act(Permission {
             token: TOKEN,
             until
         })]
     );
     assert_eq!(
-        (gateway.acts_on(), gateway.client.registrations()),
+        (gateway.acting_on(), gateway.client.registrations()),
         (Some(1), 3)
     );
-    assert_eq!(gateway.kept(TOKEN, sent, 1), [], "doubled");
+    assert_eq!(gateway.renew(TOKEN, sent, 1), [], "doubled");
     assert_eq!(
-        gateway.kept(TOKEN, sent + LEASE, 1),
+        gateway.renew(TOKEN, sent + LEASE, 1),
         [],
         "sent later than now: not its own"
     );
     gateway.now = until - 1;
-    assert_eq!(gateway.acts_on(), Some(1));
+    assert_eq!(gateway.acting_on(), Some(1));
     gateway.now = until;
-    assert_eq!(gateway.acts_on(), None);
+    assert_eq!(gateway.acting_on(), None);
     assert!(gateway.tick(0).contains(&Action::Stop(StopReason::Lapsed)));
 }
 
+/// A gateway takes no permission before it knows the last change.
 #[test]
-fn it_takes_no_right_before_it_has_seen_the_last_change() {
+fn permission_requires_latest_states() {
     let mut gateway = Gateway::serving();
-    assert_eq!(gateway.kept(TOKEN, gateway.now, 4), []);
-    gateway.state(3, 0, 2, None);
-    assert_eq!(gateway.kept(TOKEN, gateway.now, 4), []);
-    gateway.state(4, 3, 4, None);
+    assert_eq!(gateway.renew(TOKEN, gateway.now, 4), []);
+    gateway.topic_state(3, 0, 2, None);
+    assert_eq!(gateway.renew(TOKEN, gateway.now, 4), []);
+    gateway.topic_state(4, 3, 4, None);
     assert!(matches!(
-        gateway.kept(TOKEN, gateway.now, 4)[..],
+        gateway.renew(TOKEN, gateway.now, 4)[..],
         [Action::Act(_)]
     ));
-    assert_eq!(gateway.acts_on(), Some(4));
+    assert_eq!(gateway.acting_on(), Some(4));
 }
 
+/// Older states, and states after a gap, change nothing.
 #[test]
-fn older_word_and_word_with_a_gap_change_nothing() {
+fn late_or_gapped_states_are_ignored() {
     let mut gateway = Gateway::acting(1);
-    gateway.state(6, 1, 5, None);
-    assert_eq!(gateway.acts_on(), Some(5));
-    assert_eq!(gateway.state(6, 1, 1, None), [], "doubled");
-    assert_eq!(gateway.state(4, 0, 3, None), [], "late");
-    assert_eq!(gateway.state(9, 7, 8, None), [], "it has not seen 7");
-    assert_eq!(gateway.acts_on(), Some(5));
+    gateway.topic_state(6, 1, 5, None);
+    assert_eq!(gateway.acting_on(), Some(5));
+    assert_eq!(gateway.topic_state(6, 1, 1, None), [], "doubled");
+    assert_eq!(gateway.topic_state(4, 0, 3, None), [], "late");
+    assert_eq!(gateway.topic_state(9, 7, 8, None), [], "it has not seen 7");
+    assert_eq!(gateway.acting_on(), Some(5));
     assert!(gateway.client.active_versions().eq([(TOPIC, 5)]));
 }
 
+/// A result is repeated while the version is proposed.
 #[test]
-fn a_verdict_is_said_again_while_the_version_is_open() {
+fn validation_result_is_repeated() {
     let mut gateway = Gateway::acting(1);
-    let asked = gateway.state(2, 1, 1, Some((2, 1)));
+    let validate = gateway.topic_state(2, 1, 1, Some((2, 1)));
     assert!(
-        matches!(asked[..], [Action::Validate { number: 2, .. }]),
-        "{asked:?}"
+        matches!(validate[..], [Action::Validate { number: 2, .. }]),
+        "{validate:?}"
     );
-    let verdict = Action::Send(ToControl::ValidationResult {
+    let result = Action::Send(ToControl::ValidationResult {
         who: ME,
         token: TOKEN,
         topic: TOPIC,
         number: 2,
         result: Ok(()),
     });
-    let judged = Event::Validated {
+    let validated = Event::Validated {
         topic: TOPIC,
         number: 2,
         result: Ok(()),
     };
-    assert_eq!(gateway.feed(judged), std::slice::from_ref(&verdict));
-    assert!(gateway.tick(RENEW).contains(&verdict));
+    assert_eq!(gateway.handle(validated), std::slice::from_ref(&result));
+    assert!(gateway.tick(RENEW).contains(&result));
     assert!(
-        gateway.feed(Event::Connected).contains(&verdict),
+        gateway.handle(Event::Connected).contains(&result),
         "to the next leader at once"
     );
-    let enforced = gateway.state(3, 2, 2, None);
+    let activated = gateway.topic_state(3, 2, 2, None);
     assert!(
-        matches!(enforced[..], [Action::Activate { number: 2, .. }]),
-        "{enforced:?}"
+        matches!(activated[..], [Action::Activate { number: 2, .. }]),
+        "{activated:?}"
     );
-    assert!(!gateway.tick(RENEW).contains(&verdict));
+    assert!(!gateway.tick(RENEW).contains(&result));
     // One whose format it does not understand it refuses by itself.
-    let refused = gateway.state(5, 3, 2, Some((5, 2)));
+    let rejected = gateway.topic_state(5, 3, 2, Some((5, 2)));
     let says = |action: &Action| {
         matches!(
             action,
@@ -212,32 +217,33 @@
             })
         )
     };
-    assert!(matches!(&refused[..], [one] if says(one)), "{refused:?}");
+    assert!(matches!(&rejected[..], [one] if says(one)), "{rejected:?}");
 }
 
+/// Silence and the name of another leader redirect a gateway.
 #[test]
-fn silence_and_word_of_another_leader_redirect_it() {
+fn silence_or_another_leader_redirects() {
     let mut gateway = Gateway::acting(1);
     assert_eq!(
-        gateway.hear(ToGateway::NotLeader { leader: Some(2) }),
+        gateway.receive(ToGateway::NotLeader { leader: Some(2) }),
         [Action::Redirect(Some(2))]
     );
-    let lately = gateway.hear(ToGateway::NotLeader { leader: Some(3) });
+    let lately = gateway.receive(ToGateway::NotLeader { leader: Some(3) });
     assert_eq!(
         lately,
         [Action::Redirect(None)],
         "two that point at each other"
     );
     gateway.now += RENEW / 4;
-    gateway.feed(Event::Connected);
+    gateway.handle(Event::Connected);
     let silent = gateway.tick(RENEW);
     assert!(
-        silent.contains(&Action::Redirect(None)) && beats(&silent) == 1,
+        silent.contains(&Action::Redirect(None)) && heartbeats(&silent) == 1,
         "{silent:?}"
     );
     // One that is answered stays, whatever the answer says.
-    gateway.feed(Event::Connected);
-    gateway.hear(ToGateway::TopicStates {
+    gateway.handle(Event::Connected);
+    gateway.receive(ToGateway::TopicStates {
         as_of: Index(1),
         since: Index(1),
         topics: Vec::new(),
@@ -245,8 +251,9 @@
     assert!(!gateway.tick(RENEW).contains(&Action::Redirect(None)));
 }
 
+/// The heartbeats of a fleet spread out.
 #[test]
-fn heartbeats_of_a_fleet_spread_out() {
+fn heartbeats_of_fleet_are_spread() {
     let phase = |seed: u64| {
         let mut client = Client::new(ME, TIMING, FORMATS, seed);
         client.handle(RENEW, Event::Serve, &mut Vec::new());
@@ -270,24 +277,25 @@
     );
 }
 
+/// A lost registration stops a gateway, and it joins again after a growing backoff.
 #[test]
-fn a_lost_registration_stops_it_and_it_joins_again_after_a_wait_that_grows() {
+fn rejoin_backs_off_after_expiry() {
     let mut gateway = Gateway::acting(1);
     let mut waits = Vec::new();
     for token in [8, 9, 10, 11] {
-        gateway.kept(Token(token), gateway.now, 1);
-        let gone = gateway.hear(ToGateway::RegistrationExpired {
+        gateway.renew(Token(token), gateway.now, 1);
+        let expired = gateway.receive(ToGateway::RegistrationExpired {
             who: ME,
             token: Token(token),
         });
-        assert_eq!(gone, [Action::Stop(StopReason::Expelled)]);
+        assert_eq!(expired, [Action::Stop(StopReason::Expelled)]);
         assert_eq!(
-            gateway.kept(Token(token), gateway.now, 1),
+            gateway.renew(Token(token), gateway.now, 1),
             [],
             "late word of the lost registration"
         );
         let lost_at = gateway.now;
-        while beats(&gateway.tick(RENEW / 4)) == 0 {}
+        while heartbeats(&gateway.tick(RENEW / 4)) == 0 {}
         waits.push((gateway.now - lost_at) / RENEW);
     }
     assert_eq!(waits, [1, 2, 4, 8]);
@@ -295,19 +303,20 @@
         incarnation: 3,
         ..ME
     };
-    gateway.kept(Token(12), gateway.now, 1);
+    gateway.renew(Token(12), gateway.now, 1);
     assert_eq!(
-        gateway.hear(ToGateway::RegistrationExpired {
+        gateway.receive(ToGateway::RegistrationExpired {
             who: other,
             token: Token(12)
         }),
         []
     );
-    assert_eq!(gateway.acts_on(), Some(1));
+    assert_eq!(gateway.acting_on(), Some(1));
 }
 
+/// Actions are reported until they are counted.
 #[test]
-fn what_was_done_is_reported_until_it_is_counted() {
+fn reports_repeat_until_counted() {
     let mut gateway = Gateway::acting(1);
     let reports = |actions: Vec<Action>| -> Vec<(u64, u64)> {
         let report = |action| match action {
@@ -323,19 +332,19 @@
         number: 1,
         count,
     };
-    assert_eq!(reports(gateway.feed(acted(3))), [(1, 3)]);
-    assert_eq!(reports(gateway.feed(acted(4))), []);
+    assert_eq!(reports(gateway.handle(acted(3))), [(1, 3)]);
+    assert_eq!(reports(gateway.handle(acted(4))), []);
     assert_eq!(
         reports(gateway.tick(RENEW)),
         [(1, 3)],
         "again, and the same"
     );
-    gateway.hear(ToGateway::ReportCounted {
+    gateway.receive(ToGateway::ReportCounted {
         who: ME,
         sequence: 7,
     });
     assert_eq!(reports(gateway.tick(RENEW)), [(1, 3)]);
-    gateway.hear(ToGateway::ReportCounted {
+    gateway.receive(ToGateway::ReportCounted {
         who: ME,
         sequence: 1,
     });
@@ -346,60 +355,62 @@
     );
 }
 
+/// A proposal is repeated until it is known to be proposed, or was rejected once.
 #[test]
-fn an_offer_is_made_again_until_it_is_open_or_refused_once() {
+fn proposal_repeats_until_settled() {
     let mut gateway = Gateway::acting(1);
-    let offers = |actions: &[Action]| {
-        let offer = |action: &&Action| {
+    let proposals = |actions: &[Action]| {
+        let propose = |action: &&Action| {
             matches!(
                 action,
                 Action::Send(ToControl::ProposeVersion { replaces: 1, .. })
             )
         };
-        actions.iter().filter(offer).count()
+        actions.iter().filter(propose).count()
     };
     let content = Content {
         format: 1,
         bytes: vec![1],
     };
-    let offer = Event::ProposeVersion {
+    let propose = Event::ProposeVersion {
         topic: TOPIC,
         content,
     };
-    assert_eq!(offers(&gateway.feed(offer.clone())), 1);
-    assert_eq!(offers(&gateway.tick(RENEW)), 1);
-    gateway.state(2, 1, 1, Some((2, 1)));
-    assert_eq!(offers(&gateway.tick(RENEW)), 0);
-    gateway.state(3, 2, 1, None);
-    gateway.feed(offer);
+    assert_eq!(proposals(&gateway.handle(propose.clone())), 1);
+    assert_eq!(proposals(&gateway.tick(RENEW)), 1);
+    gateway.topic_state(2, 1, 1, Some((2, 1)));
+    assert_eq!(proposals(&gateway.tick(RENEW)), 0);
+    gateway.topic_state(3, 2, 1, None);
+    gateway.handle(propose);
     let busy = ToGateway::RequestRejected {
         who: ME,
         reason: Rejection::ProposalPending(7),
     };
     assert_eq!(
-        gateway.hear(busy.clone()),
+        gateway.receive(busy.clone()),
         [Action::RequestRejected(Rejection::ProposalPending(7))]
     );
-    assert_eq!(gateway.hear(busy), [], "doubled");
-    assert_eq!(offers(&gateway.tick(RENEW)), 0);
+    assert_eq!(gateway.receive(busy), [], "doubled");
+    assert_eq!(proposals(&gateway.tick(RENEW)), 0);
 }
 
+/// A gateway that drains stops first, and then gives its registration back.
 #[test]
-fn one_that_drains_stops_first_and_gives_its_registration_back() {
+fn drain_stops_then_leaves() {
     let mut gateway = Gateway::acting(1);
     let leave = Action::Send(ToControl::Leave {
         who: ME,
         token: TOKEN,
     });
     assert_eq!(
-        gateway.feed(Event::Drain),
+        gateway.handle(Event::Drain),
         [Action::Stop(StopReason::Drained), leave]
     );
     assert_eq!(
-        gateway.kept(TOKEN, gateway.now, 1),
+        gateway.renew(TOKEN, gateway.now, 1),
         [],
         "an answer that was on its way"
     );
-    assert_eq!(beats(&gateway.tick(LEASE)), 0);
-    assert_eq!(gateway.acts_on(), None);
+    assert_eq!(heartbeats(&gateway.tick(LEASE)), 0);
+    assert_eq!(gateway.acting_on(), None);
 }
--- a/control/src/versions/coordinator/tests.rs
+++ b/control/src/versions/coordinator/tests.rs
@@ -44,7 +44,7 @@
             now: 1,
             out: Vec::new(),
         };
-        member.feed(Event::Leading(true));
+        member.handle(Event::Leading(true));
         member.commit();
         for number in gateways {
             let formats = Formats {
@@ -60,27 +60,27 @@
         member
     }
 
-    fn feed(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         self.coordinator.handle(self.now, event, &mut self.out);
     }
 
     fn tick(&mut self, after: Micros) {
         self.now += after;
-        self.feed(Event::Tick);
+        self.handle(Event::Tick);
     }
 
     /// Ticks as a caller does, for some time, with heartbeats of some gateways each renewal.
-    fn pass(&mut self, time: Micros, beating: &[u32]) {
+    fn advance(&mut self, time: Micros, reachable: &[u32]) {
         let end = self.now + time;
         while self.now < end {
-            beating.iter().for_each(|number| self.beat(*number));
+            reachable.iter().for_each(|number| self.heartbeat(*number));
             (0..10).for_each(|_| self.tick(RENEW / 10));
         }
     }
 
     fn apply(&mut self, command: Command) {
         let index = Index(self.coordinator.table().applied().0 + 1);
-        self.feed(Event::Applied { index, command });
+        self.handle(Event::Applied { index, command });
     }
 
     fn proposed(&mut self) -> Vec<Command> {
@@ -103,7 +103,7 @@
     }
 
     /// The round that was asked for last since the last look.
-    fn asked(&mut self) -> Option<u64> {
+    fn requested_round(&mut self) -> Option<u64> {
         let mut rounds = self.out.iter().filter_map(|action| match action {
             Action::Confirm(round) => Some(*round),
             _ => None,
@@ -130,9 +130,9 @@
             .token
     }
 
-    fn beat(&mut self, number: u32) {
+    fn heartbeat(&mut self, number: u32) {
         let registration = self.coordinator.table().registration(gateway(number));
-        let (token, seen) = (
+        let (token, known_index) = (
             registration.map(|registration| registration.token),
             self.coordinator.table().changed(),
         );
@@ -141,32 +141,32 @@
             newest: 1,
         };
         let (who, sent) = (gateway(number), self.now);
-        self.feed(Event::Received(ToControl::Heartbeat {
+        self.handle(Event::Received(ToControl::Heartbeat {
             who,
             formats,
             token,
             sent_at: sent,
-            known_index: seen,
+            known_index,
         }));
     }
 
     /// Has all heartbeats answered that wait, and forgets the answers.
-    fn settle(&mut self) {
+    fn answer_all(&mut self) {
         self.out.clear();
-        self.feed(Event::Confirmed(self.coordinator.last_round));
+        self.handle(Event::Confirmed(self.coordinator.last_round));
         self.tick(RENEW / ROUND_RETRIES_PER_RENEWAL);
-        self.feed(Event::Confirmed(self.coordinator.last_round));
+        self.handle(Event::Confirmed(self.coordinator.last_round));
         self.out.clear();
     }
 
-    fn kept(&mut self) -> Vec<u32> {
-        let kept = |(number, message)| {
+    fn renewed(&mut self) -> Vec<u32> {
+        let renewed = |(number, message)| {
             matches!(message, ToGateway::RegistrationRenewed { .. }).then_some(number)
         };
-        self.sent().into_iter().filter_map(kept).collect()
+        self.sent().into_iter().filter_map(renewed).collect()
     }
 
-    fn offer(&mut self, number: u32) -> u64 {
+    fn propose(&mut self, number: u32) -> u64 {
         let content = Content {
             format: 1,
             bytes: Vec::new(),
@@ -182,96 +182,104 @@
         self.coordinator.table().applied().0
     }
 
-    fn accept(&mut self, number: u32, version: u64) {
+    fn ack(&mut self, number: u32, version: u64) {
         let (who, token) = (gateway(number), self.token(number));
-        let verdict = ToControl::ValidationResult {
+        let result = ToControl::ValidationResult {
             who,
             token,
             topic: TOPIC,
             number: version,
             result: Ok(()),
         };
-        self.feed(Event::Received(verdict));
+        self.handle(Event::Received(result));
     }
 }
 
+/// A heartbeat is answered by a round that was requested after it arrived.
 #[test]
-fn a_heartbeat_is_answered_by_a_round_that_began_after_it_came() {
+fn heartbeat_waits_for_later_round() {
     let mut member = Member::leading(1..=2);
-    member.beat(1);
-    let first = member.asked().expect("a round");
-    member.beat(2);
-    assert_eq!(member.asked(), None, "one round at a time");
-    member.feed(Event::Confirmed(first + 7));
+    member.heartbeat(1);
+    let first = member.requested_round().expect("a round");
+    member.heartbeat(2);
+    assert_eq!(member.requested_round(), None, "one round at a time");
+    member.handle(Event::Confirmed(first + 7));
     assert_eq!(
-        member.kept(),
+        member.renewed(),
         Vec::<u32>::new(),
         "a round that nobody asked for"
     );
-    member.feed(Event::Confirmed(first));
-    assert_eq!(member.kept(), [1]);
+    member.handle(Event::Confirmed(first));
+    assert_eq!(member.renewed(), [1]);
     member.tick(RENEW / ROUNDS_PER_RENEWAL);
-    let second = member.asked().expect("a round for the other");
-    member.feed(Event::Confirmed(first));
-    assert_eq!(member.kept(), Vec::<u32>::new(), "a doubled confirmation");
-    member.feed(Event::Confirmed(second));
-    assert_eq!(member.kept(), [2]);
+    let second = member.requested_round().expect("a round for the other");
+    member.handle(Event::Confirmed(first));
+    assert_eq!(
+        member.renewed(),
+        Vec::<u32>::new(),
+        "a doubled confirmation"
+    );
+    member.handle(Event::Confirmed(second));
+    assert_eq!(member.renewed(), [2]);
 }
 
+/// A round without a confirmation is replaced, and a late confirmation still counts.
 #[test]
-fn a_round_without_an_answer_is_replaced_and_a_late_answer_still_counts() {
+fn unconfirmed_round_is_replaced() {
     let mut member = Member::leading(1..=2);
-    member.beat(1);
-    let first = member.asked().expect("a round");
-    member.beat(2);
+    member.heartbeat(1);
+    let first = member.requested_round().expect("a round");
+    member.heartbeat(2);
     member.tick(RENEW / ROUND_RETRIES_PER_RENEWAL - 1);
-    assert_eq!(member.asked(), None);
+    assert_eq!(member.requested_round(), None);
     member.tick(1);
-    let second = member.asked().expect("another round");
-    member.feed(Event::Confirmed(first));
-    assert_eq!(member.kept(), [1], "what came before the first");
-    member.feed(Event::Confirmed(second));
-    assert_eq!(member.kept(), [2], "and all that waited for the second");
+    let second = member.requested_round().expect("another round");
+    member.handle(Event::Confirmed(first));
+    assert_eq!(member.renewed(), [1], "what came before the first");
+    member.handle(Event::Confirmed(second));
+    assert_eq!(member.renewed(), [2], "and all that waited for the second");
     // What waited for longer than a lease is not worth an answer.
-    member.beat(1);
-    member.pass(4 * RENEW, &[]);
-    let last = member.asked();
+    member.heartbeat(1);
+    member.advance(4 * RENEW, &[]);
+    let last = member.requested_round();
     assert!(last.is_none_or(|round| round > second));
-    member.feed(Event::Confirmed(last.unwrap_or(second)));
-    assert_eq!(member.kept(), Vec::<u32>::new());
+    member.handle(Event::Confirmed(last.unwrap_or(second)));
+    assert_eq!(member.renewed(), Vec::<u32>::new());
 }
 
+/// A follower names the leader; a member that is about to lead stays silent.
 #[test]
-fn who_does_not_lead_says_who_does_and_who_is_about_to_says_nothing() {
+fn follower_redirects_and_new_leader_stays_silent() {
     let mut member = Member::leading(1..=1);
-    member.feed(Event::Leading(false));
-    member.feed(Event::Leader(Some(2)));
-    member.beat(1);
+    member.handle(Event::Leading(false));
+    member.handle(Event::Leader(Some(2)));
+    member.heartbeat(1);
     assert_eq!(
         member.sent(),
         [(1, ToGateway::NotLeader { leader: Some(2) })]
     );
-    member.feed(Event::Leader(Some(ME.gateway)));
-    member.beat(1);
+    member.handle(Event::Leader(Some(ME.gateway)));
+    member.heartbeat(1);
     assert_eq!(
         member.sent(),
         [(1, ToGateway::NotLeader { leader: None })],
         "late word of itself"
     );
-    member.feed(Event::Leading(true));
-    member.beat(1);
+    member.handle(Event::Leading(true));
+    member.heartbeat(1);
     assert_eq!(member.proposed(), [Command::BeginEpoch { who: ME }]);
     assert_eq!(member.sent(), []);
 }
 
+/// An epoch of another member ends its own, and it begins again while it leads.
 #[test]
-fn another_ones_epoch_ends_its_own_and_it_begins_again_while_it_leads() {
+fn another_epoch_ends_its_own() {
     let mut member = Member::leading(1..=1);
-    member.beat(1);
-    let round = member.asked().expect("a round");
+    member.heartbeat(1);
+    let round = member.requested_round().expect("a round");
     member.apply(Command::BeginEpoch { who: OTHER });
-    member.feed(Event::Confirmed(round));
-    assert_eq!(member.kept(), Vec::<u32>::new());
+    member.handle(Event::Confirmed(round));
+    assert_eq!(member.renewed(), Vec::<u32>::new());
     member.tick(RENEW);
     assert_eq!(member.proposed(), [Command::BeginEpoch { who: ME }]);
     member.tick(RENEW / 2);
@@ -279,49 +287,50 @@
     member.tick(RENEW / 2);
     assert_eq!(member.proposed(), [Command::BeginEpoch { who: ME }]);
     member.apply(Command::BeginEpoch { who: ME });
-    member.feed(Event::Confirmed(round));
+    member.handle(Event::Confirmed(round));
     assert_eq!(
-        member.kept(),
+        member.renewed(),
         Vec::<u32>::new(),
         "a round of the former epoch"
     );
-    member.beat(1);
-    let round = member.asked().expect("a round");
-    member.feed(Event::Confirmed(round));
-    assert_eq!(member.kept(), [1]);
+    member.heartbeat(1);
+    let round = member.requested_round().expect("a round");
+    member.handle(Event::Confirmed(round));
+    assert_eq!(member.renewed(), [1]);
 }
 
+/// A new leader waits a full wait before it expires a registration.
 #[test]
-fn a_new_leader_waits_a_whole_wait_before_it_takes_a_registration_away() {
+fn new_leader_waits_before_expiry() {
     let mut member = Member::leading(1..=2);
-    member.pass(10 * RENEW, &[1, 2]);
-    member.feed(Event::Leading(false));
-    member.feed(Event::Leading(true));
+    member.advance(10 * RENEW, &[1, 2]);
+    member.handle(Event::Leading(false));
+    member.handle(Event::Leading(true));
     member.commit();
     let epoch = member.coordinator.table().epoch();
     let (began, who, token) = (member.now, gateway(2), member.token(2));
-    let expel = loop {
-        member.beat(1);
+    let expire = loop {
+        member.heartbeat(1);
         member.tick(RENEW / 8);
-        if let [expel] = &member.proposed()[..] {
-            break expel.clone();
+        if let [expire] = &member.proposed()[..] {
+            break expire.clone();
         }
     };
     let waited = member.now - began;
-    assert_eq!(expel, Command::Expire { who, token, epoch });
+    assert_eq!(expire, Command::Expire { who, token, epoch });
     assert!(
         (TIMING.wait_us()..TIMING.wait_us() + RENEW / 4).contains(&waited),
         "{waited}"
     );
     // From now on it is not kept, even if it comes back before the log has the entry; and it is asked for again.
-    member.settle();
-    member.beat(2);
+    member.answer_all();
+    member.heartbeat(2);
     member.tick(RENEW / ROUND_RETRIES_PER_RENEWAL);
-    let round = member.asked().expect("a round");
-    member.feed(Event::Confirmed(round));
-    assert!(!member.kept().contains(&2));
+    let round = member.requested_round().expect("a round");
+    member.handle(Event::Confirmed(round));
+    assert!(!member.renewed().contains(&2));
     member.tick(RENEW - RENEW / ROUND_RETRIES_PER_RENEWAL);
-    assert_eq!(member.proposed(), [expel]);
+    assert_eq!(member.proposed(), [expire]);
     member.apply(Command::Expire { who, token, epoch });
     assert_eq!(
         member.sent(),
@@ -329,10 +338,11 @@
     );
 }
 
+/// Time in which the leader stalled does not count as silence of gateways.
 #[test]
-fn time_in_which_the_leader_stood_still_is_no_silence_of_gateways() {
+fn stall_of_leader_expires_nobody() {
     let mut member = Member::leading(1..=2);
-    member.pass(5 * RENEW, &[1, 2]);
+    member.advance(5 * RENEW, &[1, 2]);
     member.out.clear();
     member.tick(60 * RENEW);
     assert_eq!(
@@ -340,20 +350,21 @@
         [],
         "they may have been heard, had it listened"
     );
-    member.pass(10 * RENEW, &[1]);
-    let expelled = member
+    member.advance(10 * RENEW, &[1]);
+    let expired = member
         .proposed()
         .into_iter()
         .all(|command| matches!(command, Command::Expire { who, .. } if who == gateway(2)));
-    assert!(expelled, "the one that is silent still, and nobody else");
+    assert!(expired, "the one that is silent still, and nobody else");
 }
 
+/// Acks are written together: at once where they complete a version, after a delay otherwise.
 #[test]
-fn verdicts_are_written_together_at_once_where_they_decide_and_after_a_moment_otherwise() {
+fn acks_are_batched_unless_they_complete() {
     let mut member = Member::leading(1..=3);
-    let version = member.offer(1);
-    member.accept(1, version);
-    member.accept(2, version);
+    let version = member.propose(1);
+    member.ack(1, version);
+    member.ack(2, version);
     assert_eq!(member.proposed(), []);
     member.tick(RENEW / ACK_BATCHES_PER_RENEWAL);
     let accepted = member.proposed();
@@ -361,10 +372,10 @@
         matches!(&accepted[..], [Command::Ack { by, .. }] if by.len() == 2),
         "{accepted:?}"
     );
-    member.accept(2, version);
+    member.ack(2, version);
     assert_eq!(member.proposed(), [], "said again");
     // The proposal is lost: it is made again, with the last one, which decides.
-    member.accept(3, version);
+    member.ack(3, version);
     let accepted = member.proposed();
     assert!(
         matches!(&accepted[..], [Command::Ack { by, .. }] if by.len() == 1),
@@ -389,23 +400,24 @@
     );
 }
 
+/// A straggler is not renewed any more, and a gateway that acks in time is.
 #[test]
-fn a_straggler_is_not_kept_any_more_and_one_that_accepts_in_time_is() {
+fn straggler_is_not_renewed() {
     let mut member = Member::leading(1..=3);
-    let version = member.offer(1);
-    member.accept(1, version);
+    let version = member.propose(1);
+    member.ack(1, version);
     member.commit();
-    member.pass(TIMING.wait_us() + RENEW, &[1, 2, 3]);
+    member.advance(TIMING.wait_us() + RENEW, &[1, 2, 3]);
     member.commit();
-    member.settle();
-    member.accept(2, version);
-    (1..=3).for_each(|number| member.beat(number));
+    member.answer_all();
+    member.ack(2, version);
+    (1..=3).for_each(|number| member.heartbeat(number));
     member.tick(RENEW / ROUND_RETRIES_PER_RENEWAL);
-    let round = member.asked().expect("a round");
-    member.feed(Event::Confirmed(round));
-    assert_eq!(member.kept(), [1, 2]);
-    member.pass(TIMING.wait_us(), &[1, 2, 3]);
-    let expelled: Vec<NodeIdentity> = member
+    let round = member.requested_round().expect("a round");
+    member.handle(Event::Confirmed(round));
+    assert_eq!(member.renewed(), [1, 2]);
+    member.advance(TIMING.wait_us(), &[1, 2, 3]);
+    let expired: Vec<NodeIdentity> = member
         .proposed()
         .into_iter()
         .filter_map(|command| match command {
@@ -414,15 +426,16 @@
         })
         .collect();
     assert!(
-        !expelled.is_empty() && expelled.iter().all(|who| *who == gateway(3)),
-        "{expelled:?}"
+        !expired.is_empty() && expired.iter().all(|who| *who == gateway(3)),
+        "{expired:?}"
     );
 }
 
+/// A gateway that missed a change is sent it once, and again on a new link.
 #[test]
-fn a_gateway_that_missed_a_change_is_sent_it_once_and_again_on_a_new_link() {
+fn missed_states_are_resent_once_per_link() {
     let mut member = Member::leading(1..=1);
-    member.offer(1);
+    member.propose(1);
     let published =
         |action: &Action| matches!(action, Action::Broadcast(ToGateway::TopicStates { .. }));
     assert!(member.out.iter().any(published));
@@ -445,11 +458,11 @@
             .filter(|(_, message)| matches!(message, ToGateway::TopicStates { .. }))
             .count()
     };
-    member.feed(Event::Received(behind.clone()));
+    member.handle(Event::Received(behind.clone()));
     assert_eq!(states(&mut member), 1);
-    member.feed(Event::Received(behind.clone()));
+    member.handle(Event::Received(behind.clone()));
     assert_eq!(states(&mut member), 0, "it is on its way");
-    member.feed(Event::Connected(who));
-    member.feed(Event::Received(behind));
+    member.handle(Event::Connected(who));
+    member.handle(Event::Received(behind));
     assert_eq!(states(&mut member), 1);
 }
--- a/control/src/versions/table/tests.rs
+++ b/control/src/versions/table/tests.rs
@@ -28,9 +28,9 @@
         out
     }
 
-    fn refused(&mut self, command: Command) -> Rejection {
+    fn rejection(&mut self, command: Command) -> Rejection {
         match self.apply(command).as_slice() {
-            [Outcome::Rejected(why)] => *why,
+            [Outcome::Rejected(reason)] => *reason,
             other => panic!("{other:?}"),
         }
     }
@@ -46,8 +46,8 @@
             .token
     }
 
-    fn offer(&mut self, gateway: u32, token: Token) -> u64 {
-        let seen = self.table.topic(TOPIC).map_or(0, TopicStatus::number);
+    fn propose(&mut self, gateway: u32, token: Token) -> u64 {
+        let replaces = self.table.topic(TOPIC).map_or(0, TopicStatus::number);
         let content = Content {
             format: 1,
             bytes: Vec::new(),
@@ -56,13 +56,13 @@
             who: who(gateway),
             token,
             topic: TOPIC,
-            replaces: seen,
+            replaces,
             content,
         });
         self.table.applied().0
     }
 
-    fn accept(&mut self, number: u64, by: &[(u32, Token)]) -> Vec<Outcome> {
+    fn ack(&mut self, number: u64, by: &[(u32, Token)]) -> Vec<Outcome> {
         let by = by
             .iter()
             .map(|(gateway, token)| (who(*gateway), *token))
@@ -75,12 +75,13 @@
     }
 }
 
+/// A registration expires only by the latest epoch.
 #[test]
-fn a_registration_is_taken_away_by_the_last_epoch_alone() {
+fn expiry_requires_latest_epoch() {
     let mut log = Log::default();
     log.apply(Command::BeginEpoch { who: who(1) });
     let (first, token) = (log.table.epoch(), log.join(2));
-    let expel = |epoch| Command::Expire {
+    let expire = |epoch| Command::Expire {
         who: who(2),
         token,
         epoch,
@@ -88,50 +89,50 @@
     log.apply(Command::BeginEpoch { who: who(3) });
     let second = log.table.epoch();
     assert!(second > first);
-    assert_eq!(log.refused(expel(first)), Rejection::StaleEpoch);
+    assert_eq!(log.rejection(expire(first)), Rejection::StaleEpoch);
     let other = Command::Expire {
         who: who(2),
         token: Token(token.0 + 1),
         epoch: second,
     };
-    assert_eq!(log.refused(other), Rejection::StaleRegistration);
+    assert_eq!(log.rejection(other), Rejection::StaleRegistration);
     assert_eq!(log.table.registrations().count(), 1);
     assert!(
-        matches!(log.apply(expel(second))[..], [Outcome::Expired(registration)] if registration.token == token)
+        matches!(log.apply(expire(second))[..], [Outcome::Expired(registration)] if registration.token == token)
     );
     assert_eq!(log.table.registrations().count(), 0);
     assert_eq!(
-        log.refused(expel(second)),
+        log.rejection(expire(second)),
         Rejection::StaleRegistration,
         "doubled"
     );
 }
 
+/// A version is active once every registration has acked it, each by its token.
 #[test]
-fn a_version_is_in_force_once_every_registration_accepted_it_and_each_registration_counts_by_its_token(
-) {
+fn activation_requires_acks_of_all_registrations() {
     let mut log = Log::default();
     let (one, two) = (log.join(1), log.join(2));
-    let number = log.offer(1, one);
+    let number = log.propose(1, one);
     assert_eq!(log.table.changed(), Index(number));
     assert_eq!(
-        log.accept(number, &[(2, Token(99))]),
+        log.ack(number, &[(2, Token(99))]),
         [Outcome::Rejected(Rejection::StaleRegistration)]
     );
     assert_eq!(
-        log.accept(number, &[(1, one)]),
+        log.ack(number, &[(1, one)]),
         [Outcome::Acked {
             topic: TOPIC,
             number
         }]
     );
     assert_eq!(
-        log.accept(number + 1, &[(2, two)]),
+        log.ack(number + 1, &[(2, two)]),
         [Outcome::Rejected(Rejection::AlreadyDecided)]
     );
-    let done = log.accept(number, &[(1, one), (2, two)]);
+    let outcomes = log.ack(number, &[(1, one), (2, two)]);
     assert_eq!(
-        done[1],
+        outcomes[1],
         Outcome::Activated {
             topic: TOPIC,
             number,
@@ -140,8 +141,8 @@
     );
     assert_eq!(log.table.changed(), log.table.applied());
     // The registration that holds up the next one goes, and the others' acceptances decide.
-    let next = log.offer(2, two);
-    log.accept(next, &[(1, one)]);
+    let next = log.propose(2, two);
+    log.ack(next, &[(1, one)]);
     let left = log.apply(Command::Leave {
         who: who(2),
         token: two,
@@ -156,43 +157,45 @@
     );
 }
 
+/// One nack rejects a proposal, and the active version stays.
 #[test]
-fn one_refusal_drops_a_version_and_the_former_stays() {
+fn one_nack_rejects_a_proposal() {
     let mut log = Log::default();
     let (one, two) = (log.join(1), log.join(2));
-    let number = log.offer(1, one);
-    let refuse = |token| Command::Nack {
+    let number = log.propose(1, one);
+    let nack = |token| Command::Nack {
         who: who(2),
         token,
         topic: TOPIC,
         number,
         reason: "spoilt".into(),
     };
-    assert_eq!(log.refused(refuse(one)), Rejection::StaleRegistration);
+    assert_eq!(log.rejection(nack(one)), Rejection::StaleRegistration);
     let by = who(2);
-    let dropped = Outcome::ProposalRejected {
+    let rejected = Outcome::ProposalRejected {
         topic: TOPIC,
         number,
         by,
         reason: "spoilt".into(),
     };
-    assert_eq!(log.apply(refuse(two)), [dropped]);
+    assert_eq!(log.apply(nack(two)), [rejected]);
     assert_eq!(log.table.changed(), log.table.applied());
-    assert_eq!(log.refused(refuse(two)), Rejection::AlreadyDecided);
+    assert_eq!(log.rejection(nack(two)), Rejection::AlreadyDecided);
     assert_eq!(log.table.topic(TOPIC).map(TopicStatus::number), Some(0));
 }
 
+/// No gateway joins under a proposal, unless no registration is left.
 #[test]
-fn nobody_joins_under_an_open_version_but_where_no_registration_is_left() {
+fn join_waits_for_pending_proposal() {
     let mut log = Log::default();
     let one = log.join(1);
-    let number = log.offer(1, one);
+    let number = log.propose(1, one);
     let join = Command::Join {
         who: who(2),
         formats: FORMATS,
     };
     assert_eq!(
-        log.refused(join.clone()),
+        log.rejection(join.clone()),
         Rejection::ProposalPending(number)
     );
     log.apply(Command::Leave {
@@ -205,12 +208,12 @@
         formats: FORMATS,
     };
     assert_eq!(
-        log.refused(third.clone()),
+        log.rejection(third.clone()),
         Rejection::ProposalPending(number)
     );
-    let done = log.accept(number, &[(2, two)]);
+    let outcomes = log.ack(number, &[(2, two)]);
     assert_eq!(
-        done[1],
+        outcomes[1],
         Outcome::Activated {
             topic: TOPIC,
             number,
@@ -218,7 +221,7 @@
         }
     );
     assert!(matches!(log.apply(third)[..], [Outcome::Registered(_)]));
-    assert_eq!(log.refused(join), Rejection::AlreadyRegistered);
+    assert_eq!(log.rejection(join), Rejection::AlreadyRegistered);
     let old = Command::Join {
         who: who(4),
         formats: Formats {
@@ -226,5 +229,8 @@
             newest: 3,
         },
     };
-    assert_eq!(log.refused(old), Rejection::UnsupportedFormat { needed: 1 });
+    assert_eq!(
+        log.rejection(old),
+        Rejection::UnsupportedFormat { needed: 1 }
+    );
 }
--- a/control/src/versions/wire/tests.rs
+++ b/control/src/versions/wire/tests.rs
@@ -28,7 +28,7 @@
         oldest: 1,
         newest: 2,
     };
-    let judge = |result| ToControl::ValidationResult {
+    let validation = |result| ToControl::ValidationResult {
         who: A,
         token: TOKEN,
         topic: Topic::Operator,
@@ -50,8 +50,8 @@
             sent_at: u64::MAX,
             known_index: Index(3),
         },
-        judge(Ok(())),
-        judge(Err("spoilt".into())),
+        validation(Ok(())),
+        validation(Err("spoilt".into())),
         ToControl::ProposeVersion {
             who: A,
             token: TOKEN,
@@ -140,44 +140,46 @@
 }
 
 /// Garbage is an error of a type, or a message that is written and read alike: nothing panics.
-fn survives<M: PartialEq + std::fmt::Debug>(
+fn assert_reads_garbage_safely<M: PartialEq + std::fmt::Debug>(
     bytes: &[u8],
     decode: impl Fn(&[u8]) -> Result<M, DecodeError>,
     encode: impl Fn(&M) -> Vec<u8>,
 ) {
-    let again = |spoilt: &[u8]| {
+    let check = |spoilt: &[u8]| {
         if let Ok(message) = decode(spoilt) {
             assert_eq!(decode(&encode(&message)), Ok(message));
         }
     };
-    (0..bytes.len()).for_each(|end| again(&bytes[..end]));
+    (0..bytes.len()).for_each(|end| check(&bytes[..end]));
     fuzz::cuts(bytes, |ends| {
-        ends.iter().for_each(|end| again(&bytes[..*end]))
+        ends.iter().for_each(|end| check(&bytes[..*end]))
     });
-    fuzz::garbage(bytes, again);
+    fuzz::garbage(bytes, check);
 }
 
+/// Messages are read as they were written, and garbage is a typed error.
 #[test]
-fn messages_are_read_as_they_were_written_and_garbage_is_an_error_of_a_type() {
+fn messages_round_trip_and_garbage_is_an_error() {
     for message in to_control() {
         assert_eq!(ToControl::decode(&message.encode()), Ok(message.clone()));
         assert_eq!(message.who(), A);
-        survives(&message.encode(), ToControl::decode, ToControl::encode);
+        assert_reads_garbage_safely(&message.encode(), ToControl::decode, ToControl::encode);
     }
     for message in to_gateway() {
         assert_eq!(ToGateway::decode(&message.encode()), Ok(message.clone()));
-        survives(&message.encode(), ToGateway::decode, ToGateway::encode);
+        assert_reads_garbage_safely(&message.encode(), ToGateway::decode, ToGateway::encode);
     }
     assert_eq!(ToControl::decode(&[]), Err(DecodeError::Unknown("kind")));
 }
 
+/// What is longer than any build writes is rejected, and a long reason is truncated.
 #[test]
-fn what_is_longer_than_any_build_writes_is_refused_and_a_long_reason_is_cut() {
+fn overlong_messages_are_rejected() {
     let content = Content {
         format: 1,
         bytes: vec![0; MAX_CONTENT_BYTES + 1],
     };
-    let offer = ToControl::ProposeVersion {
+    let proposal = ToControl::ProposeVersion {
         who: A,
         token: TOKEN,
         topic: Topic::Catalog,
@@ -185,7 +187,7 @@
         content,
     };
     assert_eq!(
-        ToControl::decode(&offer.encode()),
+        ToControl::decode(&proposal.encode()),
         Err(DecodeError::TooLong("content"))
     );
     let span = Span {
@@ -233,8 +235,9 @@
     assert_eq!(truncate_reason("short"), "short");
 }
 
+/// The proposed versions of all topics fit into one message.
 #[test]
-fn the_open_versions_of_all_topics_fit_into_one_message() {
+fn proposals_of_all_topics_fit_one_message() {
     let content = Content {
         format: u32::MAX,
         bytes: vec![255; MAX_CONTENT_BYTES],
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -16,8 +16,9 @@
     cluster
 }
 
+/// Gateways of a minority lose their permission by themselves, and the majority activates new versions.
 #[test]
-fn a_minority_that_is_cut_off_stops_by_itself_and_the_majority_goes_on() {
+fn partitioned_minority_stops_and_majority_continues() {
     let _alone = alone();
     let mut cluster = agreed(5, 5);
     let before = cluster.in_force()[0];
@@ -70,8 +71,9 @@
     no_violation(&cluster);
 }
 
+/// A file that one gateway finds invalid becomes active nowhere.
 #[test]
-fn a_file_that_one_gateway_finds_bad_is_put_in_force_nowhere() {
+fn nacked_file_becomes_active_nowhere() {
     let _alone = alone();
     let mut cluster = agreed(5, 3);
     let before = cluster.in_force();
@@ -98,7 +100,7 @@
 
 /// Two hundred clients of a gateway that died come to the next one at once.
 #[test]
-fn clients_that_come_back_together_are_admitted_at_the_fleets_pace() {
+fn returning_clients_are_admitted_at_fleet_rate() {
     let _alone = alone();
     let mut cluster = Cluster::start_with(
         program(),
@@ -130,8 +132,9 @@
     no_violation(&cluster);
 }
 
+/// A gateway that stalls beyond its lease finds that it has no permission.
 #[test]
-fn one_that_stood_still_past_its_right_finds_that_it_has_none() {
+fn stalled_gateway_loses_its_permission() {
     let _alone = alone();
     let mut cluster = agreed(3, 3);
     cluster.signal(0, Signal::SIGSTOP);
@@ -150,8 +153,9 @@
     no_violation(&cluster);
 }
 
+/// A voter that lost its disk learns the log again, and then another one does.
 #[test]
-fn a_voter_that_lost_its_disk_learns_the_log_again_and_then_another() {
+fn voters_that_lost_their_disks_rejoin() {
     let _alone = alone();
     let mut cluster = agreed(3, 3);
     for voter in [0, 1] {
@@ -166,8 +170,9 @@
     no_violation(&cluster);
 }
 
+/// All of a fleet, restarted at once, continue from their disks.
 #[test]
-fn all_of_a_fleet_started_again_at_once_go_on_from_their_disks() {
+fn restarted_fleet_continues_from_disk() {
     let _alone = alone();
     let mut cluster = agreed(3, 3);
     let before = cluster.in_force()[0];
@@ -185,8 +190,9 @@
     no_violation(&cluster);
 }
 
+/// Fleets under random faults violate no invariant, and recover soon after.
 #[test]
-fn fleets_under_random_faults_break_nothing_and_are_well_soon_after() {
+fn fleets_recover_from_random_faults() {
     let _alone = alone();
     for (seed, gateways) in [(1, 5), (2, 3)] {
         let found = play(program(), seed, gateways, Duration::from_secs(10)).expect("played");
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -89,8 +89,9 @@
     agree(cluster, ELECTIONS);
 }
 
+/// A gateway that no peer lists takes versions, and stops when it is partitioned from all members.
 #[test]
-fn a_gateway_that_no_peer_lists_takes_versions_and_stops_when_it_is_cut_off_from_all_members() {
+fn unlisted_gateway_is_served_until_partitioned() {
     let _alone = alone();
     let mut cluster = agreed(
         &[Role::Voter, Role::Voter, Role::Voter, Role::Client],
@@ -128,8 +129,9 @@
     no_violation(&cluster);
 }
 
+/// Control members without clients of their own serve gateways through the loss of leaders.
 #[test]
-fn a_fleet_of_control_members_alone_serves_gateways_through_the_loss_of_its_leaders() {
+fn member_only_fleet_survives_loss_of_leaders() {
     let _alone = alone();
     let (member, client) = (Role::Member, Role::Client);
     let mut cluster = agreed(&[member, member, member, client, client], LASTING);
@@ -160,8 +162,9 @@
     no_violation(&cluster);
 }
 
+/// A gateway that is partitioned from the leader alone loses its permission, and no other does.
 #[test]
-fn a_gateway_that_is_cut_off_from_the_leader_alone_loses_its_right_and_no_other() {
+fn gateway_partitioned_from_leader_loses_permission() {
     let _alone = alone();
     let mut cluster = agreed(
         &[
@@ -195,8 +198,9 @@
     no_violation(&cluster);
 }
 
+/// Settings that make a control member no voter are rejected with their key.
 #[test]
-fn a_file_that_makes_it_no_voter_is_refused_with_its_key() {
+fn settings_without_own_vote_are_rejected() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("operator.star");
     let peers =
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -457,7 +457,7 @@
                 client::Event::Validated {
                     topic: TOPIC,
                     number: version,
-                    result: result,
+                    result,
                 },
             );
         }
--- a/tests/versions_model.rs
+++ b/tests/versions_model.rs
@@ -1,6 +1,7 @@
-//! All interleavings of gateways with registrations and the control members that share a log: frames, proposals and confirmations
-//! that are late, swapped or lost, entries applied late, elections of which members hear late, looks and crashes at any
-//! point. The machines are the program's own ([`Client`], [`Coordinator`]).
+//! Model check of versions: all interleavings of registered gateways and the control members that share a log.
+//!
+//! Messages, proposals and confirmations are delayed, reordered or lost, entries are applied late, members learn of elections
+//! late, timers fire and gateways crash at any point. The state machines are the program's own ([`Client`], [`Coordinator`]).
 
 use asterreel::lease::{Index, NodeIdentity, Timing, Token};
 use asterreel::versions::{client, coordinator, Client, Command, Content, Coordinator, Formats};
@@ -15,34 +16,34 @@
     oldest: 1,
     newest: 1,
 };
-/// A tick of the model. Most parts of a renewal that the machines know are none at all then: verdicts are written and
-/// rounds asked for at once, and a round without an answer is replaced after a tick.
+/// A tick of the model, so short that most parts of a renewal interval are zero: acks are written and rounds requested at
+/// once, and an unconfirmed round is replaced after a tick.
 const TICK: u64 = 4;
 #[derive(Clone, Copy)]
-struct Explored {
-    /// How many ticks a right lasts. It is asked for again after one; clocks run at one rate.
+struct Exploration {
+    /// The lease in ticks. It is renewed after one; all clocks run at one rate.
     lease: u64,
     gateways: usize,
     members: usize,
     ticks: u64,
-    /// Entries the log may hold beside those that it begins with.
+    /// Entries of the log beside the initial ones.
     log: usize,
-    /// What may be on its way at once.
-    mail: usize,
-    offers: u8,
+    /// Messages in flight at once.
+    in_flight: usize,
+    proposals: u8,
     crashes: u8,
     elections: u8,
-    /// All look, send and apply all, in turn, before time moves on; what is sent arrives.
+    /// All timers fire, and all messages and entries arrive, before time advances.
     fair: bool,
 }
 
-/// What is on its way.
+/// A message in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Parcel {
+enum InFlight {
     ToControl(usize, ToControl),
     ToGateway(usize, ToGateway),
     Proposal(Command),
-    /// A confirmation round on its way to a quorum, with the entries that were committed when it was asked for.
+    /// A read-index round on its way to a quorum, with the number of entries committed when it was requested.
     Round {
         member: usize,
         round: u64,
@@ -55,9 +56,9 @@
     },
 }
 
-impl Parcel {
-    /// The order in a world's mail does not matter: equal worlds are to look equal.
-    fn place(&self) -> u64 {
+impl InFlight {
+    /// The order of messages in flight does not matter: sorted by this, equal worlds compare equal.
+    fn sort_key(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.hash(&mut hasher);
         hasher.finish()
@@ -68,43 +69,43 @@
 struct World {
     now: u64,
     log: Vec<Command>,
-    /// Entries that it began with: an epoch, the registrations, an offer and the verdicts on it.
-    begun: usize,
-    /// The whole log applied, and by version the one before it.
-    truth: Table,
-    before: BTreeMap<u64, u64>,
+    /// The number of initial entries: an epoch, the registrations, a proposal and its acks.
+    initial_entries: usize,
+    /// The table of the complete log, and the predecessor of each version.
+    reference: Table,
+    predecessors: BTreeMap<u64, u64>,
     gateways: Vec<Client>,
     incarnations: Vec<u32>,
     members: Vec<Coordinator>,
-    /// Who was elected, in order, and by member the last election that it heard of.
+    /// The elected members, in order, and by member how many elections it knows.
     elections: Vec<usize>,
-    heard_of: Vec<usize>,
-    mail: Vec<Parcel>,
-    offers: u8,
-    /// Gateways that offered, and have not crashed since.
-    offerers: BTreeSet<usize>,
+    known_elections: Vec<usize>,
+    in_flight: Vec<InFlight>,
+    proposals: u8,
+    /// Gateways that proposed, and have not crashed since.
+    proposers: BTreeSet<usize>,
     crashes: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Do {
+enum Step {
     Tick,
-    /// A gateway looks; what it says is on its way to a member.
-    Look(usize, usize),
-    LookMember(usize),
+    /// A gateway's timer fires; its messages are sent to a member.
+    RunGateway(usize, usize),
+    RunMember(usize),
     Apply(usize),
-    /// A member hears who was elected last.
-    Tell(usize),
-    Arrive(usize),
-    Lose(usize),
-    Offer(usize),
+    /// A member learns who was elected last.
+    ObserveElection(usize),
+    Deliver(usize),
+    Drop(usize),
+    Propose(usize),
     Elect(usize),
     Crash(usize),
-    /// On fair paths: all that is on its way arrives, everyone looks and applies, then time moves on.
+    /// On fair paths: all messages and entries arrive, all timers fire, then time advances.
     Round,
 }
 
-fn holder(number: usize, incarnation: u32) -> NodeIdentity {
+fn identity(number: usize, incarnation: u32) -> NodeIdentity {
     NodeIdentity {
         gateway: number as u32,
         incarnation,
@@ -112,70 +113,84 @@
 }
 
 impl World {
-    fn begin(explored: &Explored) -> World {
-        let members = (0..explored.members)
-            .map(|number| Coordinator::new(holder(100 + number, 0), explored.timing()));
+    fn begin(exploration: &Exploration) -> World {
+        let members = (0..exploration.members)
+            .map(|number| Coordinator::new(identity(100 + number, 0), exploration.timing()));
         let mut world = World {
             now: 0,
             log: Vec::new(),
-            begun: 0,
-            truth: Table::default(),
-            before: BTreeMap::new(),
+            initial_entries: 0,
+            reference: Table::default(),
+            predecessors: BTreeMap::new(),
             gateways: Vec::new(),
-            incarnations: vec![0; explored.gateways],
+            incarnations: vec![0; exploration.gateways],
             members: members.collect(),
             elections: vec![0],
-            heard_of: vec![0; explored.members],
-            mail: Vec::new(),
-            offers: 0,
-            offerers: BTreeSet::new(),
+            known_elections: vec![0; exploration.members],
+            in_flight: Vec::new(),
+            proposals: 0,
+            proposers: BTreeSet::new(),
             crashes: 0,
         };
-        for number in 0..explored.gateways {
-            world.gateways.push(World::born(explored, number, 0, 0));
+        for number in 0..exploration.gateways {
+            world
+                .gateways
+                .push(World::start_gateway(exploration, number, 0, 0));
         }
-        for member in 0..explored.members {
-            world.tell(member);
+        for member in 0..exploration.members {
+            world.observe_election(member);
         }
-        // The first version is in force, all have registrations and act on it: the next is the second, the one after a third.
-        world.settle();
+        // The first version is active, all are registered and act on it: the next is the second, the one after a third.
+        world.run_until_quiet();
         world.now += TICK;
-        world.settle();
-        world.offer(0);
-        world.settle();
+        world.run_until_quiet();
+        world.propose(0);
+        world.run_until_quiet();
         assert_eq!(
-            world.acted_on().len(),
+            world.versions_in_use().len(),
             1,
             "a version is acted on: {world:#?}"
         );
-        assert!((0..explored.gateways).all(|number| world.acting(number).is_some()));
-        world.offers = 0;
-        world.offerers.clear();
-        world.begun = world.log.len();
+        assert!((0..exploration.gateways).all(|number| world.acting(number).is_some()));
+        world.proposals = 0;
+        world.proposers.clear();
+        world.initial_entries = world.log.len();
         world
     }
 
-    fn born(explored: &Explored, number: usize, incarnation: u32, now: u64) -> Client {
-        let mut client = Client::new(holder(number, incarnation), explored.timing(), FORMATS, 0);
+    fn start_gateway(
+        exploration: &Exploration,
+        number: usize,
+        incarnation: u32,
+        now: u64,
+    ) -> Client {
+        let mut client = Client::new(
+            identity(number, incarnation),
+            exploration.timing(),
+            FORMATS,
+            0,
+        );
         client.handle(now, client::Event::Serve, &mut Vec::new());
         client
     }
 
-    /// Hands a gateway an event, and has it judge at once what it is asked to. What it says goes to a member.
+    /// Hands a gateway an event, and validates proposals at once. Its messages are sent to a member.
     fn gateway(&mut self, number: usize, member: usize, event: client::Event) {
         let mut out = Vec::new();
         let client = &mut self.gateways[number];
         client.handle(self.now, event, &mut out);
         while let Some(action) = out.pop() {
             match action {
-                client::Action::Send(message) => self.mail.push(Parcel::ToControl(member, message)),
+                client::Action::Send(message) => {
+                    self.in_flight.push(InFlight::ToControl(member, message))
+                }
                 client::Action::Validate { number, .. } => {
-                    let judged = client::Event::Validated {
+                    let validated = client::Event::Validated {
                         topic: TOPIC,
                         number,
                         result: Ok(()),
                     };
-                    client.handle(self.now, judged, &mut out);
+                    client.handle(self.now, validated, &mut out);
                 }
                 _ => {}
             }
@@ -187,23 +202,25 @@
         self.members[number].handle(self.now, event, &mut out);
         for action in out {
             match action {
-                coordinator::Action::Propose(command) => self.mail.push(Parcel::Proposal(command)),
+                coordinator::Action::Propose(command) => {
+                    self.in_flight.push(InFlight::Proposal(command))
+                }
                 coordinator::Action::Confirm(round) => {
                     let committed = self.log.len();
-                    self.mail.push(Parcel::Round {
+                    self.in_flight.push(InFlight::Round {
                         member: number,
                         round,
                         committed,
                     });
                 }
                 coordinator::Action::Send(who, message) => {
-                    self.mail
-                        .push(Parcel::ToGateway(who.gateway as usize, message));
+                    self.in_flight
+                        .push(InFlight::ToGateway(who.gateway as usize, message));
                 }
                 coordinator::Action::Broadcast(message) => {
                     let all = 0..self.gateways.len();
-                    self.mail
-                        .extend(all.map(|gateway| Parcel::ToGateway(gateway, message.clone())));
+                    self.in_flight
+                        .extend(all.map(|gateway| InFlight::ToGateway(gateway, message.clone())));
                 }
                 coordinator::Action::Counted { .. } | coordinator::Action::Wake(_) => {}
             }
@@ -214,16 +231,16 @@
         self.elections.last().copied().unwrap_or(0)
     }
 
-    fn tell(&mut self, number: usize) {
-        self.heard_of[number] = self.elections.len();
+    fn observe_election(&mut self, number: usize) {
+        self.known_elections[number] = self.elections.len();
         let leader = self.leader();
         self.member(number, coordinator::Event::Leading(leader == number));
     }
 
-    fn offer(&mut self, number: usize) {
+    fn propose(&mut self, number: usize) {
         let content = Content {
             format: 1,
-            bytes: vec![self.offers],
+            bytes: vec![self.proposals],
         };
         let member = self.leader();
         self.gateway(
@@ -234,8 +251,8 @@
                 content,
             },
         );
-        self.offers += 1;
-        self.offerers.insert(number);
+        self.proposals += 1;
+        self.proposers.insert(number);
     }
 
     fn applied(&self, number: usize) -> usize {
@@ -258,64 +275,62 @@
         let mut outcomes = Vec::new();
         self.log.push(command.clone());
         let index = Index(self.log.len() as u64);
-        self.truth
+        self.reference
             .apply(index, &command, &mut outcomes)
             .expect("the next entry");
         for outcome in outcomes {
             if let Outcome::Activated {
-                number,
-                previous: before,
-                ..
+                number, previous, ..
             } = outcome
             {
-                self.before.insert(number, before);
+                self.predecessors.insert(number, previous);
             }
         }
     }
 
-    /// Hands over what is on its way. What comes of it for a gateway goes to the leader.
-    fn arrive(&mut self, parcel: Parcel) {
-        match parcel {
-            Parcel::ToControl(member, message) => {
+    /// Delivers a message. Messages of a gateway that result from it are sent to the leader.
+    fn deliver(&mut self, message: InFlight) {
+        match message {
+            InFlight::ToControl(member, message) => {
                 self.member(member, coordinator::Event::Received(message));
             }
-            Parcel::ToGateway(gateway, message) => {
+            InFlight::ToGateway(gateway, message) => {
                 let member = self.leader();
                 self.gateway(gateway, member, client::Event::Received(message));
             }
-            Parcel::Proposal(command) => self.commit(command),
-            Parcel::Round {
+            InFlight::Proposal(command) => self.commit(command),
+            InFlight::Round {
                 member,
                 round,
                 committed,
             } => {
-                // The truth of a confirmation: at this moment, after it was asked for, no other had been elected.
+                // A confirmation is true: at this moment, after the request, no other member had been elected.
                 if self.leader() == member {
-                    self.mail.push(Parcel::Confirmed {
+                    self.in_flight.push(InFlight::Confirmed {
                         member,
                         round,
                         committed,
                     });
                 }
             }
-            Parcel::Confirmed { member, round, .. } => {
+            InFlight::Confirmed { member, round, .. } => {
                 self.member(member, coordinator::Event::Confirmed(round));
             }
         }
     }
 
-    /// Whether a parcel may arrive: a confirmation does after the entries that it stands for.
-    fn ready(&self, parcel: &Parcel) -> bool {
-        match parcel {
-            Parcel::Confirmed {
+    /// Whether a message may arrive: a confirmation does after the entries that it covers.
+    fn is_deliverable(&self, message: &InFlight) -> bool {
+        match message {
+            InFlight::Confirmed {
                 member, committed, ..
             } => self.applied(*member) >= *committed,
             _ => true,
         }
     }
 
-    /// Everyone looks, applies all, and gets all that is on its way, until nothing is left to do.
-    fn settle(&mut self) {
+    /// Fires all timers, applies all entries and delivers all messages, until none is left.
+    fn run_until_quiet(&mut self) {
         loop {
             for number in 0..self.members.len() {
                 while self.applied(number) < self.log.len() {
@@ -327,12 +342,12 @@
             for number in 0..self.gateways.len() {
                 self.gateway(number, leader, client::Event::Tick);
             }
-            if self.mail.is_empty() {
+            if self.in_flight.is_empty() {
                 return;
             }
-            std::mem::take(&mut self.mail)
+            std::mem::take(&mut self.in_flight)
                 .into_iter()
-                .for_each(|parcel| self.arrive(parcel));
+                .for_each(|message| self.deliver(message));
         }
     }
 
@@ -340,169 +355,174 @@
         self.gateways[number].acting(TOPIC, self.now)
     }
 
-    fn acted_on(&self) -> BTreeSet<u64> {
+    fn versions_in_use(&self) -> BTreeSet<u64> {
         (0..self.gateways.len())
             .filter_map(|number| Some(self.acting(number)?.0))
             .collect()
     }
 
-    /// Whether a gateway acts under no registration, or under the one that the log gives it.
+    /// Whether a gateway acts under no registration, or under the one that the log grants it.
     fn registered(&self, number: usize) -> bool {
         let registration = self
-            .truth
-            .registration(holder(number, self.incarnations[number]));
+            .reference
+            .registration(identity(number, self.incarnations[number]));
         self.acting(number).is_none_or(|(_, token)| {
             registration.is_some_and(|registration| registration.token == token)
         })
     }
 }
 
-impl Model for Explored {
+impl Model for Exploration {
     type State = World;
-    type Action = Do;
+    type Action = Step;
 
     fn init_states(&self) -> Vec<World> {
         vec![World::begin(self)]
     }
 
-    fn actions(&self, world: &World, actions: &mut Vec<Do>) {
+    fn actions(&self, world: &World, actions: &mut Vec<Step>) {
         let end = self.end();
         let early = !self.fair || world.now + 14 * TICK < end;
         let gateways = 0..self.gateways;
-        if world.offers < self.offers && early {
+        if world.proposals < self.proposals && early {
             // The second and the third are alike.
-            actions.extend([0, 1].map(Do::Offer));
+            actions.extend([0, 1].map(Step::Propose));
         }
         if world.crashes < self.crashes && early {
-            actions.extend(gateways.clone().map(Do::Crash));
+            actions.extend(gateways.clone().map(Step::Crash));
         }
         if world.elections.len() <= usize::from(self.elections) && early {
             let others = (0..self.members).filter(|member| *member != world.leader());
-            actions.extend(others.map(Do::Elect));
+            actions.extend(others.map(Step::Elect));
         }
         if self.fair {
-            actions.extend((world.now < end).then_some(Do::Round));
+            actions.extend((world.now < end).then_some(Step::Round));
             return;
         }
         if world.now < end {
-            actions.push(Do::Tick);
+            actions.push(Step::Tick);
         }
         for number in gateways {
-            actions.extend((0..self.members).map(|member| Do::Look(number, member)));
+            actions.extend((0..self.members).map(|member| Step::RunGateway(number, member)));
         }
         for member in 0..self.members {
-            actions.push(Do::LookMember(member));
+            actions.push(Step::RunMember(member));
             if world.applied(member) < world.log.len() {
-                actions.push(Do::Apply(member));
+                actions.push(Step::Apply(member));
             }
-            if world.heard_of[member] < world.elections.len() {
-                actions.push(Do::Tell(member));
+            if world.known_elections[member] < world.elections.len() {
+                actions.push(Step::ObserveElection(member));
             }
         }
-        for (place, parcel) in world.mail.iter().enumerate() {
-            actions.extend(world.ready(parcel).then_some(Do::Arrive(place)));
-            actions.push(Do::Lose(place));
+        for (sort_key, message) in world.in_flight.iter().enumerate() {
+            actions.extend(
+                world
+                    .is_deliverable(message)
+                    .then_some(Step::Deliver(sort_key)),
+            );
+            actions.push(Step::Drop(sort_key));
         }
     }
 
-    fn next_state(&self, before: &World, action: Do) -> Option<World> {
+    fn next_state(&self, before: &World, action: Step) -> Option<World> {
         let mut world = before.clone();
         match action {
-            Do::Tick => world.now += TICK,
-            Do::Look(number, member) => world.gateway(number, member, client::Event::Tick),
-            Do::LookMember(member) => world.member(member, coordinator::Event::Tick),
-            Do::Apply(member) => world.apply(member),
-            Do::Tell(member) => world.tell(member),
-            Do::Arrive(place) => {
-                let parcel = world.mail.remove(place);
-                world.arrive(parcel);
+            Step::Tick => world.now += TICK,
+            Step::RunGateway(number, member) => world.gateway(number, member, client::Event::Tick),
+            Step::RunMember(member) => world.member(member, coordinator::Event::Tick),
+            Step::Apply(member) => world.apply(member),
+            Step::ObserveElection(member) => world.observe_election(member),
+            Step::Deliver(sort_key) => {
+                let message = world.in_flight.remove(sort_key);
+                world.deliver(message);
             }
-            Do::Lose(place) => drop(world.mail.remove(place)),
-            Do::Offer(number) => {
-                world.offer(number);
-                // One without a right offers nothing.
-                let offer = |parcel: &Parcel| {
+            Step::Drop(sort_key) => drop(world.in_flight.remove(sort_key)),
+            Step::Propose(number) => {
+                world.propose(number);
+                // A gateway without permission proposes nothing.
+                let propose = |message: &InFlight| {
                     matches!(
-                        parcel,
-                        Parcel::ToControl(_, ToControl::ProposeVersion { .. })
+                        message,
+                        InFlight::ToControl(_, ToControl::ProposeVersion { .. })
                     )
                 };
-                world.mail.iter().any(offer).then_some(())?;
+                world.in_flight.iter().any(propose).then_some(())?;
             }
-            Do::Elect(member) => world.elections.push(member),
-            Do::Crash(number) => {
+            Step::Elect(member) => world.elections.push(member),
+            Step::Crash(number) => {
                 world.incarnations[number] += 1;
-                world.offerers.remove(&number);
+                world.proposers.remove(&number);
                 world.gateways[number] =
-                    World::born(self, number, world.incarnations[number], world.now);
+                    World::start_gateway(self, number, world.incarnations[number], world.now);
                 world.crashes += 1;
             }
-            Do::Round => {
-                (0..self.members).for_each(|member| world.tell(member));
-                world.settle();
+            Step::Round => {
+                (0..self.members).for_each(|member| world.observe_election(member));
+                world.run_until_quiet();
                 world.now += TICK;
             }
         }
-        world.mail.sort_by_key(Parcel::place);
-        world.mail.dedup();
-        let room = world.mail.len() <= self.mail && world.log.len() <= world.begun + self.log;
-        (world != *before && (self.fair || room)).then_some(world)
+        world.in_flight.sort_by_key(InFlight::sort_key);
+        world.in_flight.dedup();
+        let within_limits = world.in_flight.len() <= self.in_flight
+            && world.log.len() <= world.initial_entries + self.log;
+        (world != *before && (self.fair || within_limits)).then_some(world)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("no third version is acted on", |_, world: &World| {
-                let acted = world.acted_on();
+                let acted = world.versions_in_use();
                 let Some(newest) = acted.last() else {
                     return true;
                 };
-                let before = world.before.get(newest).copied().unwrap_or(0);
+                let predecessor = world.predecessors.get(newest).copied().unwrap_or(0);
                 acted
                     .iter()
-                    .all(|version| version == newest || *version == before)
+                    .all(|version| version == newest || *version == predecessor)
             }),
             Property::always(
                 "nobody acts under a registration that is not its own",
                 |_, world: &World| (0..world.gateways.len()).all(|number| world.registered(number)),
             ),
             Property::eventually(
-                "every offer ends and all act on the newest",
-                |explored: &Explored, world: &World| {
-                    let all: Vec<_> = (0..explored.gateways)
+                "every proposal ends and all act on the newest",
+                |exploration: &Exploration, world: &World| {
+                    let all: Vec<_> = (0..exploration.gateways)
                         .map(|number| world.acting(number).map(|(one, _)| one))
                         .collect();
                     let same = all[0].is_some() && all.iter().all(|one| *one == all[0]);
                     let open = world
-                        .truth
+                        .reference
                         .topic(TOPIC)
                         .is_some_and(|status| status.proposal.is_some());
-                    // A path that makes no offer stays with the version that it began with. So does one whose offer
-                    // came to a former leader, if the gateway that offered crashed before it could offer again.
+                    // A path without a proposal stays with the first version. So does one whose proposal reached a former
+                    // leader, if the proposer crashed before it could repeat it.
                     let one_leader = world.elections.len() == 1;
-                    let offered = if one_leader {
-                        world.offers > 0
+                    let must_change = if one_leader {
+                        world.proposals > 0
                     } else {
-                        !world.offerers.is_empty()
+                        !world.proposers.is_empty()
                     };
-                    let first = world.before.keys().next().copied();
-                    let moved = !offered || all[0] > first;
-                    world.now == explored.end() && same && moved && !open
+                    let first = world.predecessors.keys().next().copied();
+                    let changed = !must_change || all[0] > first;
+                    world.now == exploration.end() && same && changed && !open
                 },
             ),
             Property::sometimes("two versions are acted on at once", |_, world: &World| {
-                world.acted_on().len() == 2
+                world.versions_in_use().len() == 2
             }),
             Property::sometimes(
-                "a registration is taken away",
-                |explored: &Explored, world: &World| {
-                    world.truth.registrations().count() < explored.gateways
+                "a registration expires",
+                |exploration: &Exploration, world: &World| {
+                    world.reference.registrations().count() < exploration.gateways
                 },
             ),
         ]
     }
 }
 
-impl Explored {
+impl Exploration {
     fn timing(&self) -> Timing {
         Timing {
             lease_us: self.lease * TICK,
@@ -512,14 +532,14 @@
         }
     }
 
-    /// When time is over: it begins after one tick.
+    /// When time ends; it begins after one tick.
     fn end(&self) -> u64 {
         (self.ticks + 1) * TICK
     }
 }
 
-fn explore(explored: Explored) -> (usize, Vec<&'static str>) {
-    let checker = explored.checker().threads(4).spawn_dfs().join();
+fn explore(exploration: Exploration) -> (usize, Vec<&'static str>) {
+    let checker = exploration.checker().threads(4).spawn_dfs().join();
     let found: Vec<&'static str> = checker.discoveries().into_keys().collect();
     println!(
         "{} states, {} unique, found {found:?}",
@@ -529,21 +549,21 @@
     (checker.unique_state_count(), found)
 }
 
-const QUICK: Explored = Explored {
+const QUICK: Exploration = Exploration {
     lease: 2,
     gateways: 3,
     members: 1,
     ticks: 0,
     log: 2,
-    mail: 3,
-    offers: 1,
+    in_flight: 3,
+    proposals: 1,
     crashes: 0,
     elections: 0,
     fair: false,
 };
 
-fn is_safe(explored: Explored, seen: &'static str) -> usize {
-    let (states, found) = explore(explored);
+fn is_safe(exploration: Exploration, expected: &'static str) -> usize {
+    let (states, found) = explore(exploration);
     assert!(
         !found.contains(&"no third version is acted on"),
         "{found:?}"
@@ -552,11 +572,11 @@
         !found.contains(&"nobody acts under a registration that is not its own"),
         "{found:?}"
     );
-    assert!(found.contains(&seen), "{found:?}");
+    assert!(found.contains(&expected), "{found:?}");
     states
 }
 
-const FAIR: Explored = Explored {
+const FAIR: Exploration = Exploration {
     lease: 3,
     ticks: 20,
     crashes: 1,
@@ -564,33 +584,33 @@
     ..QUICK
 };
 
-/// Two members that may both believe that they lead, and one gateway that may hear either.
-const LED_BY_TWO: Explored = Explored {
+/// Two members that may both believe that they lead, and one gateway that may reach either.
+const LED_BY_TWO: Exploration = Exploration {
     gateways: 1,
     members: 2,
     ticks: 2,
-    mail: 1,
-    offers: 0,
+    in_flight: 1,
+    proposals: 0,
     elections: 1,
     ..QUICK
 };
 
 #[test]
-fn in_no_interleaving_is_a_third_version_acted_on() {
-    // The second offer can come in force while some act on the first version still: a third would show.
+fn no_interleaving_uses_third_version() {
+    // The second proposal can become active while some still act on the first version: a third would show.
     let third = is_safe(
-        Explored {
+        Exploration {
             log: 8,
-            offers: 2,
+            proposals: 2,
             ..QUICK
         },
         "two versions are acted on at once",
     );
-    let later = Explored {
+    let later = Exploration {
         gateways: 2,
         ticks: 1,
         log: 3,
-        mail: 2,
+        in_flight: 2,
         ..QUICK
     };
     let states = third + is_safe(later, "two versions are acted on at once");
@@ -601,53 +621,59 @@
 }
 
 #[test]
-fn in_no_interleaving_does_a_gateway_act_after_a_leader_took_its_registration_away() {
-    let states = is_safe(LED_BY_TWO, "a registration is taken away");
+fn no_interleaving_acts_after_expiry() {
+    let states = is_safe(LED_BY_TWO, "a registration expires");
     assert!(
         states > 20_000,
         "{states} states are too few to mean anything"
     );
 }
 
-/// More on its way at once, and more time: `cargo test --release --test versions_model -- --ignored --nocapture`.
+/// More messages in flight, and more time: `cargo test --release --test versions_model -- --ignored --nocapture`.
 #[test]
 #[ignore = "a measurement"]
-fn the_same_with_more_on_its_way_and_more_time() {
+fn larger_explorations_are_safe() {
     is_safe(
-        Explored {
-            mail: 2,
+        Exploration {
+            in_flight: 2,
             ..LED_BY_TWO
         },
-        "a registration is taken away",
+        "a registration expires",
     );
     is_safe(
-        Explored {
+        Exploration {
             ticks: 3,
             ..LED_BY_TWO
         },
-        "a registration is taken away",
+        "a registration expires",
     );
-    let more = Explored {
+    let more = Exploration {
         gateways: 2,
         ticks: 1,
         log: 3,
-        mail: 3,
+        in_flight: 3,
         ..QUICK
     };
     is_safe(more, "two versions are acted on at once");
 }
 
 #[test]
-fn on_fair_paths_every_offer_ends_whoever_crashes_or_leads() {
-    let two_leaders = Explored {
+fn fair_paths_complete_every_proposal() {
+    let two_leaders = Exploration {
         members: 2,
         elections: 1,
         ..FAIR
     };
-    for explored in [Explored { offers: 2, ..FAIR }, two_leaders] {
-        let (_, found) = explore(explored);
+    for exploration in [
+        Exploration {
+            proposals: 2,
+            ..FAIR
+        },
+        two_leaders,
+    ] {
+        let (_, found) = explore(exploration);
         assert!(
-            !found.contains(&"every offer ends and all act on the newest"),
+            !found.contains(&"every proposal ends and all act on the newest"),
             "{found:?}"
         );
         assert!(
