--- /dev/null
+++ b/src/policy/dispatch.rs
@@ -0,0 +1,95 @@
+//! Dispatch: whether the rules let a request go to a member, and what a dispatch changes.
+//!
+//! A request has one attempt in flight, unless the settings allow parallel ones. A request that may have run goes only
+//! where running it again has no further effect. Nothing is dispatched to a member that drains, during a retry
+//! backoff, or beyond the slow-start tokens of a member that is warming up.
+
+use super::member::Member;
+use super::requests::{Attempt, Request};
+use super::slow_start::TokenBucket;
+use super::Router;
+use crate::interface::{Action, DeduplicationScope, Idempotency, MemberId, RequestId};
+
+impl Router {
+    /// Whether the rules on repeats, drains, backoff and slow start let a request go to a member.
+    pub(super) fn may_dispatch(&self, request: &Request, member: &Member) -> bool {
+        let is_second = request.has_attempt_in_flight() && !self.settings.parallel.granted();
+        let backs_off = self.now < request.backoff_until;
+        if is_second || backs_off || member.must_drain(self.settings.drain_signal) {
+            return false;
+        }
+        self.has_slow_start_tokens(request, member) && self.may_repeat(request, member)
+    }
+
+    /// Whether a member may run a request, given the attempts that may have run already.
+    fn may_repeat(&self, request: &Request, member: &Member) -> bool {
+        match (request.first_may_have_run(), request.idempotency) {
+            (None, _) | (_, Idempotency::Idempotent) => true,
+            (Some(_), Idempotency::NonIdempotent) => false,
+            (Some(first), Idempotency::IdempotencyKey { scope, window }) => {
+                self.shares_deduplication(scope, first, member)
+                    && self.now < first.dispatched_at.saturating_add(window)
+            }
+        }
+    }
+
+    fn shares_deduplication(
+        &self,
+        scope: DeduplicationScope,
+        first: &Attempt,
+        member: &Member,
+    ) -> bool {
+        let first_zone = self.topology.member(first.member).map(|first| first.zone);
+        scope != DeduplicationScope::Zone || Some(member.zone) == first_zone
+    }
+
+    /// Dispatches a request, if a member can take it now.
+    pub(super) fn try_dispatch(&mut self, id: RequestId) -> bool {
+        let selected = self
+            .requests
+            .get(&id)
+            .and_then(|request| self.select_member(request));
+        if let Some(member) = selected {
+            self.dispatch(id, member);
+        }
+        selected.is_some()
+    }
+
+    /// Dispatches an attempt of a request to a member.
+    pub(super) fn dispatch(&mut self, id: RequestId, to: MemberId) {
+        let now = self.now;
+        self.rng.u64(..);
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        request.record_dispatch(to, now);
+        let class = request.class();
+        let useful_until = request.useful_until(&self.settings.classes[class]);
+        self.record_dispatch(class, to);
+        self.actions.push(Action::Dispatch {
+            request: id,
+            member: to,
+            timeout: useful_until.saturating_sub(now).max(1),
+        });
+    }
+
+    fn record_dispatch(&mut self, class: usize, to: MemberId) {
+        let now = self.now;
+        let next_trial_at = self.next_trial_at();
+        let tokens = self
+            .topology
+            .member(to)
+            .map_or(0.0, |member| self.slow_start_tokens(member));
+        // The throughput of a warm member is mostly of the lightest class: long work costs more.
+        let cost = self.classes.relative_work(class);
+        if let Some((member, group)) = self.topology.member_and_group_mut(to) {
+            member.next_trial_at = next_trial_at;
+            if member.in_flight == 0 && !member.unresponsive {
+                member.unanswered_since = now;
+            }
+            member.in_flight += 1;
+            member.slow_start_tokens = TokenBucket::new(tokens - cost, now);
+            group.in_flight += 1;
+        }
+    }
+}
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -9,6 +9,7 @@
 //! - `primary`, `role_arbitration`: which member is the known primary, and which role report is current.
 //! - `admission`, `load_shedding`, `queues`: whether an arrival is dispatched, queued or rejected.
 //! - `selection`, `consistency`: which member takes a request, and which replicas have what it must see.
+//! - `dispatch`: whether the rules let a request go there, and what a dispatch changes.
 //! - `slow_start`, `limits`: what a member may be sent while it warms up, and how many attempts at once.
 //! - `retries`, `completion`: what follows an attempt, and the final answer.
 //!
@@ -22,6 +23,7 @@
 mod admission;
 mod completion;
 mod consistency;
+mod dispatch;
 mod endpoints;
 mod estimates;
 pub mod fleet;
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -8,14 +8,10 @@
 use super::limits::HIGH_PRESSURE;
 use super::load_shedding::LOADED_PRESSURE;
 use super::member::Member;
-use super::requests::{Attempt, Request};
-use super::slow_start::TokenBucket;
+use super::requests::Request;
 use super::topology::Group;
 use super::Router;
-use crate::interface::{
-    Action, ConsistencyLevel, DeduplicationScope, Idempotency, MemberId, Micros, ReplicaChecks,
-    RequestId,
-};
+use crate::interface::{ConsistencyLevel, Idempotency, MemberId, Micros, ReplicaChecks};
 use std::cmp::Reverse;
 
 /// Replication lag from which a replica is far behind, microseconds: many times what shipping the log takes.
@@ -60,7 +56,7 @@
 
 impl Router {
     /// Where a request goes now, if anywhere.
-    fn select_member(&self, request: &Request) -> Option<MemberId> {
+    pub(super) fn select_member(&self, request: &Request) -> Option<MemberId> {
         let group = self.topology.group(request.arrival.group)?;
         if !request.may_use_replica() {
             return self.primary_with_capacity(request, group, 1.0);
@@ -155,38 +151,6 @@
             .collect()
     }
 
-    /// Whether the rules on repeats, drains, backoff and slow start let a request go to a member.
-    pub(super) fn may_dispatch(&self, request: &Request, member: &Member) -> bool {
-        let is_second = request.has_attempt_in_flight() && !self.settings.parallel.granted();
-        let backs_off = self.now < request.backoff_until;
-        if is_second || backs_off || member.must_drain(self.settings.drain_signal) {
-            return false;
-        }
-        self.has_slow_start_tokens(request, member) && self.may_repeat(request, member)
-    }
-
-    /// Whether a member may run a request, given the attempts that may have run already.
-    fn may_repeat(&self, request: &Request, member: &Member) -> bool {
-        match (request.first_may_have_run(), request.idempotency) {
-            (None, _) | (_, Idempotency::Idempotent) => true,
-            (Some(_), Idempotency::NonIdempotent) => false,
-            (Some(first), Idempotency::IdempotencyKey { scope, window }) => {
-                self.shares_deduplication(scope, first, member)
-                    && self.now < first.dispatched_at.saturating_add(window)
-            }
-        }
-    }
-
-    fn shares_deduplication(
-        &self,
-        scope: DeduplicationScope,
-        first: &Attempt,
-        member: &Member,
-    ) -> bool {
-        let first_zone = self.topology.member(first.member).map(|first| first.zone);
-        scope != DeduplicationScope::Zone || Some(member.zone) == first_zone
-    }
-
     /// Whether a member's attempts in flight are below a share of its concurrency limit.
     fn has_capacity(&self, member: &Member, limit_share: f64) -> bool {
         let limit = member.limit.max_in_flight * limit_share * self.slow_start_fraction(member);
@@ -257,7 +221,7 @@
     /// The less loaded of two random members, by own attempts in flight; of equals the one in this gateway's zone.
     pub(super) fn less_loaded_of_two(&self, members: &[&Member]) -> Option<MemberId> {
         members.first()?;
-        // A copy: the generator itself advances with each dispatch, so that a refused choice draws nothing.
+        // A copy: the generator itself advances with each dispatch, so that a choice that leads to none draws nothing.
         let mut rng = self.rng.clone();
         let first = rng.usize(0..members.len());
         let offset = rng.usize(0..members.len().max(2) - 1) + 1;
@@ -270,54 +234,4 @@
         let less_loaded = if rank(other) < rank(one) { other } else { one };
         Some(less_loaded.id)
     }
-
-    /// Dispatches a request, if a member can take it now.
-    pub(super) fn try_dispatch(&mut self, id: RequestId) -> bool {
-        let selected = self
-            .requests
-            .get(&id)
-            .and_then(|request| self.select_member(request));
-        if let Some(member) = selected {
-            self.dispatch(id, member);
-        }
-        selected.is_some()
-    }
-
-    /// Dispatches an attempt of a request to a member.
-    pub(super) fn dispatch(&mut self, id: RequestId, to: MemberId) {
-        let now = self.now;
-        self.rng.u64(..);
-        let Some(request) = self.requests.get_mut(&id) else {
-            return;
-        };
-        request.record_dispatch(to, now);
-        let class = request.class();
-        let useful_until = request.useful_until(&self.settings.classes[class]);
-        self.record_dispatch(class, to);
-        self.actions.push(Action::Dispatch {
-            request: id,
-            member: to,
-            timeout: useful_until.saturating_sub(now).max(1),
-        });
-    }
-
-    fn record_dispatch(&mut self, class: usize, to: MemberId) {
-        let now = self.now;
-        let next_trial_at = self.next_trial_at();
-        let tokens = self
-            .topology
-            .member(to)
-            .map_or(0.0, |member| self.slow_start_tokens(member));
-        // The throughput of a warm member is mostly of the lightest class: long work costs more.
-        let cost = self.classes.relative_work(class);
-        if let Some((member, group)) = self.topology.member_and_group_mut(to) {
-            member.next_trial_at = next_trial_at;
-            if member.in_flight == 0 && !member.unresponsive {
-                member.unanswered_since = now;
-            }
-            member.in_flight += 1;
-            member.slow_start_tokens = TokenBucket::new(tokens - cost, now);
-            group.in_flight += 1;
-        }
-    }
 }
