--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -161,3 +161,6 @@
         self.received_at.saturating_add(available / 2)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -221,3 +221,6 @@
         request.backoff_until = now.saturating_add(backoff);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/policy/sessions.rs
+++ b/src/policy/sessions.rs
@@ -44,3 +44,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/policy/timers.rs
+++ b/src/policy/timers.rs
@@ -114,3 +114,6 @@
         self.actions.extend(wake_up.map(Action::SetTimer));
     }
 }
+
+#[cfg(test)]
+mod tests;
