--- a/tests/settings/world.rs
+++ b/tests/settings/world.rs
@@ -351,6 +351,40 @@
         Ok(())
     }
 
+    /// Whether a member rejects a request of this class for its role or its lag.
+    fn misroutes(&self, class: usize, member: &Member, primary: bool) -> bool {
+        let checked = self.settings.replica_checks == ReplicaChecks::RejectStale;
+        match self.settings.consistency_levels[class] {
+            ConsistencyLevel::Write => !primary,
+            ConsistencyLevel::Strong => checked && !primary,
+            ConsistencyLevel::Session => checked && !primary && member.lag > 0,
+            ConsistencyLevel::BoundedStaleness => {
+                checked && member.lag > self.settings.staleness_bounds[class]
+            }
+            ConsistencyLevel::Eventual => false,
+        }
+    }
+
+    fn draw_outcome(&mut self, alive: bool, misroutes: bool) -> Outcome {
+        if !alive {
+            return if self.rng.bool() {
+                Outcome::ConnectFailed
+            } else {
+                Outcome::TimedOut
+            };
+        }
+        if misroutes {
+            return Outcome::Misrouted;
+        }
+        match self.rng.u8(0..40) {
+            0 => Outcome::Error,
+            1 => Outcome::Rejected,
+            2 => Outcome::Reset,
+            3 => Outcome::InvalidRequest,
+            _ => Outcome::Served,
+        }
+    }
+
     /// An attempt ends, one way or another.
     fn end(&mut self, request: u64, at: usize) -> RuleCheck {
         let Some(open) = self.open.get(&request) else {
@@ -369,29 +403,11 @@
         let consistency = self.settings.consistency_levels[open.class];
         let primary = self.primaries.get(&member.group) == Some(&to);
         let session = open.session;
-        let checked = self.settings.replica_checks == ReplicaChecks::RejectStale;
-        let behind = consistency == ConsistencyLevel::BoundedStaleness
-            && member.lag > self.settings.staleness_bounds[open.class]
-            || consistency == ConsistencyLevel::Strong && !primary
-            || consistency == ConsistencyLevel::Session && !primary && member.lag > 0;
+        let misroutes = self.misroutes(open.class, &member, primary);
         let outcome = if self.cancelled.contains(&(request, at)) {
             Outcome::Cancelled
-        } else if !member.alive {
-            if self.rng.bool() {
-                Outcome::ConnectFailed
-            } else {
-                Outcome::TimedOut
-            }
-        } else if consistency == ConsistencyLevel::Write && !primary || checked && behind {
-            Outcome::Misrouted
         } else {
-            match self.rng.u8(0..40) {
-                0 => Outcome::Error,
-                1 => Outcome::Rejected,
-                2 => Outcome::Reset,
-                3 => Outcome::InvalidRequest,
-                _ => Outcome::Served,
-            }
+            self.draw_outcome(member.alive, misroutes)
         };
         let now = self.now;
         let open = self.open.get_mut(&request).expect("it is there");
@@ -408,7 +424,7 @@
         };
         let served = outcome == Outcome::Served;
         let owed = !self.open[&request].answered;
-        let standing = if served || !owed {
+        let answer_status = if served || !owed {
             AnswerStatus::Finished
         } else {
             AnswerStatus::Owed
@@ -436,7 +452,7 @@
             latency: now - dispatched_at,
             answer_report: note,
             load_report: MemberReport::default(),
-            answer: standing,
+            answer: answer_status,
         };
         if answered && !primary {
             self.members
