--- a/src/bin/asterreel-operator/functions.rs
+++ b/src/bin/asterreel-operator/functions.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Records an error of an argument, or of the call as a whole, and ends the evaluation.
+    /// Records an error of an argument, or of the call itself, and ends the evaluation.
     fn error(&self, argument: &str, fault: &str) -> anyhow::Error {
         let key = if argument.is_empty() || argument == "." {
             self.function.to_owned()
--- a/src/bin/asterreel/discovery/mod.rs
+++ b/src/bin/asterreel/discovery/mod.rs
@@ -1,7 +1,7 @@
 //! Carries out the subscription to discovery's list of endpoints: connects, calls, reads and applies updates.
 //!
 //! [`Subscription`] decides when a watch is broken and how stale the list is; the router asks for each call after a loss.
-//! A bad update changes nothing: the list held stays.
+//! A bad update changes nothing: the list in force stays.
 
 mod first_list;
 mod reader;
@@ -200,7 +200,7 @@
         Ok(used > 0)
     }
 
-    /// Applies an update; one that makes no sense leaves the list held as it is, and the next watch starts from there.
+    /// Applies an update; one that makes no sense leaves the list in force as it is, and the next watch starts from there.
     fn apply(&mut self, list: &EndpointList) -> Result<(), String> {
         let kind = if list.complete {
             UpdateKind::Snapshot
--- a/src/bin/asterreel/discovery/tests.rs
+++ b/src/bin/asterreel/discovery/tests.rs
@@ -28,14 +28,14 @@
 
 #[test]
 fn lists_do_not_depend_on_indentation_or_cuts() {
-    let (answer, whole) = (answer(), [(1, false, 1), (2, true, 0)]);
+    let (answer, expected) = (answer(), [(1, false, 1), (2, true, 0)]);
     fuzz::cuts(&answer, |ends| {
         let (mut reader, mut used, mut found) = (AnswerReader::default(), 0, Vec::new());
         for end in ends {
             used += reader.take(&answer[used..*end]).expect("valid");
             found.extend(lists(&mut reader));
         }
-        assert_eq!(found, whole);
+        assert_eq!(found, expected);
     });
     // At every byte.
     let (mut reader, mut used, mut found) = (AnswerReader::default(), 0, Vec::new());
@@ -43,7 +43,7 @@
         used += reader.take(&answer[used..end]).expect("valid");
         found.extend(lists(&mut reader));
     }
-    assert_eq!(found, whole);
+    assert_eq!(found, expected);
 }
 
 #[test]
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Three parts decide, from times that the caller passes in; none does input or output:
 //!
-//! - [`Subscription`] owns the version held, the last contact and the watch under way, and says what is lost with it.
+//! - [`Subscription`] owns the version in force, the last contact and the watch under way, and says what is lost with it.
 //! - [`Watch`] decides when one call or watch has failed, and up to when it reported every change.
 //! - [`CallBackoff`] decides the delay before the next call. A [`crate::policy::Router`] owns it, as the delay is drawn
 //!   from the router's random numbers.
--- a/src/discovery/subscription.rs
+++ b/src/discovery/subscription.rs
@@ -1,6 +1,6 @@
-//! What a gateway holds of discovery's list, since when it may be out of date, and what its calls came to.
+//! The version of the list that a gateway has from discovery, since when it may be stale, and the outcome of its calls.
 //!
-//! Invariants: the version held changes only with an update that was applied, or with a move to another discovery; the
+//! Invariants: the version changes only with an update that was applied, or with a move to another discovery; the
 //! list counts as current up to the last contact of a watch that has brought an update, never by a call alone.
 //! Never decides when the next call is made: that is [`super::CallBackoff`].
 
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Subscription {
     revision: u64,
-    /// Up to when the list held is known to have every change; the start, before the first update.
+    /// Up to when the list in force is known to have every change; the start, before the first update.
     current_at: Micros,
     calls: u64,
     updates: u64,
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The version of the list held, which the next call names.
+    /// The version of the list in force, which the next call names.
     pub fn revision(&self) -> u64 {
         self.revision
     }
@@ -55,7 +55,7 @@
         self.consecutive_failures
     }
 
-    /// For how long the list held may have been out of date, microseconds.
+    /// For how long the list in force may have been out of date, microseconds.
     pub fn staleness(&self, now: Micros) -> Micros {
         now.saturating_sub(self.current_at)
     }
--- a/src/operator/error.rs
+++ b/src/operator/error.rs
@@ -17,7 +17,7 @@
 }
 
 impl OperatorFileError {
-    /// An error of a file as a whole.
+    /// An error of a file, at no place in it.
     pub fn of_file(file: impl Into<String>, fault: impl Into<String>) -> OperatorFileError {
         OperatorFileError {
             file: file.into(),
--- a/src/readmission/mod.rs
+++ b/src/readmission/mod.rs
@@ -6,7 +6,7 @@
 //! tell. Within its share a client is admitted at once. Beyond it, the client is told at once when to retry, at a time of
 //! its own: the next free slot of a queue that is as dense as the budget allows, so that retries come spread.
 //!
-//! Invariants: admissions never exceed the budget and one burst; a client is never held back without an answer; a gateway
+//! Invariants: admissions never exceed the budget and one burst; every client is answered at once; a gateway
 //! never has a share of none. A slot belongs to the client's address: whoever retries early keeps the slots of its address,
 //! and a slot that is not used lapses. Time is an argument, and nothing here opens sockets.
 
--- a/src/statements/fingerprint.rs
+++ b/src/statements/fingerprint.rs
@@ -14,7 +14,7 @@
         let mut normalizer = Normalizer::default();
         let mut rest = text;
         while !rest.is_empty() {
-            let token = Token::first(rest, normalizer.in_word);
+            let token = Token::first(rest, normalizer.in_identifier);
             let (text, after) = rest.split_at(token.length);
             normalizer.add(token.kind, text);
             rest = after;
@@ -32,7 +32,7 @@
     /// A name in double quotes.
     QuotedName,
     /// A character of a name or a keyword.
-    Word,
+    Identifier,
     /// Any other character.
     Symbol,
 }
@@ -44,26 +44,26 @@
 }
 
 impl Token {
-    /// The token that a text begins with, which is not empty. Within a word a digit is no value: `a1` keeps its `1`.
-    fn first(text: &[u8], in_word: bool) -> Token {
+    /// The token that a text begins with, which is not empty. Within an identifier a digit is no value: `a1` keeps its `1`.
+    fn first(text: &[u8], in_identifier: bool) -> Token {
         let (kind, length) = match text {
             [b'\'', ..] => (TokenKind::Value, quoted_length(text, b'\'')),
             [b'"', ..] => (TokenKind::QuotedName, quoted_length(text, b'"')),
             [b'-', b'-', ..] => (TokenKind::Space, line_length(text)),
             [b'/', b'*', ..] => (TokenKind::Space, comment_length(text)),
-            [b'0'..=b'9', ..] if !in_word => (TokenKind::Value, number_length(text)),
-            [b'$', b'0'..=b'9', ..] if !in_word => {
+            [b'0'..=b'9', ..] if !in_identifier => (TokenKind::Value, number_length(text)),
+            [b'$', b'0'..=b'9', ..] if !in_identifier => {
                 (TokenKind::Value, 1 + number_length(&text[1..]))
             }
             [byte, ..] if byte.is_ascii_whitespace() => (TokenKind::Space, 1),
-            [byte, ..] if is_word(*byte) => (TokenKind::Word, 1),
+            [byte, ..] if is_identifier(*byte) => (TokenKind::Identifier, 1),
             _ => (TokenKind::Symbol, 1),
         };
         Token { kind, length }
     }
 }
 
-fn is_word(byte: u8) -> bool {
+fn is_identifier(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || byte == b'_' || byte >= 0x80
 }
 
@@ -73,26 +73,26 @@
     digest: Xxh3,
     /// Space came since the last token that counts.
     spaced: bool,
-    /// The last token belongs to a word.
-    in_word: bool,
+    /// The last token belongs to an identifier or a keyword.
+    in_identifier: bool,
 }
 
 impl Normalizer {
     fn add(&mut self, kind: TokenKind, text: &[u8]) {
-        self.in_word = kind == TokenKind::Word;
+        self.in_identifier = kind == TokenKind::Identifier;
         if kind == TokenKind::Space {
             self.spaced = true;
             return;
         }
-        // Spacing counts only where it parts two words.
-        if self.spaced && kind == TokenKind::Word {
+        // Spacing counts only where it parts two identifiers.
+        if self.spaced && kind == TokenKind::Identifier {
             self.digest.update(b" ");
         }
         self.spaced = false;
         match kind {
             TokenKind::Value => self.digest.update(b"?"),
             TokenKind::QuotedName => self.digest.update(text),
-            TokenKind::Space | TokenKind::Word | TokenKind::Symbol => {
+            TokenKind::Space | TokenKind::Identifier | TokenKind::Symbol => {
                 for byte in text {
                     self.digest.update(&[byte.to_ascii_lowercase()]);
                 }
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -24,11 +24,11 @@
 
 impl RecordedDatabase {
     fn start(primary: bool) -> RecordedDatabase {
-        let (tell, seen) = channel();
-        let database = Database::start(primary, true, &tell, |_| None);
+        let (sender, statements) = channel();
+        let database = Database::start(primary, true, &sender, |_| None);
         let arrivals = Arc::new(Mutex::new(Vec::new()));
         let recording = arrivals.clone();
-        thread::spawn(move || record_arrivals(&seen, &recording));
+        thread::spawn(move || record_arrivals(&statements, &recording));
         RecordedDatabase { database, arrivals }
     }
 
@@ -50,8 +50,8 @@
     )
 }
 
-fn record_arrivals(seen: &Receiver<Vec<u8>>, arrivals: &Mutex<Vec<Instant>>) {
-    for _ in seen {
+fn record_arrivals(statements: &Receiver<Vec<u8>>, arrivals: &Mutex<Vec<Instant>>) {
+    for _ in statements {
         arrivals.lock().expect("not poisoned").push(Instant::now());
     }
 }
@@ -137,8 +137,8 @@
 }
 
 /// What discovery wrote counts as notified even where it did not arrive complete: an update that is truncated, or that
-/// stops while heartbeats go on, says nothing of what else it held, and the next call is made at once. The next call once
-/// came up to 4 s after a truncated update, and heartbeats after a piece of one kept the watch for good.
+/// stops while heartbeats go on, says nothing of the rest, and the next call is made at once. The next call once
+/// came up to 4 s after a truncated update, and heartbeats after a part of one kept the watch open for good.
 #[test]
 fn truncated_update_is_requested_again_at_once() {
     let (primary, replica) = primary_and_replica();
