--- a/src/bin/asterreel/discovery/mod.rs
+++ b/src/bin/asterreel/discovery/mod.rs
@@ -4,6 +4,7 @@
 //! A bad update changes nothing: the list in force stays.
 
 mod first_list;
+mod framing;
 mod reader;
 mod source;
 
@@ -15,8 +16,9 @@
 use asterreel::config::EndpointList;
 use asterreel::discovery::{Subscription, WatchEnd};
 use asterreel::interface::{Micros, UpdateKind, WatchLoss};
+use framing::AnswerError;
 use may::sync::mpsc::Receiver;
-use reader::{AnswerError, AnswerReader};
+use reader::AnswerReader;
 use std::convert::Infallible;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
--- a/src/bin/asterreel/discovery/reader.rs
+++ b/src/bin/asterreel/discovery/reader.rs
@@ -1,33 +1,19 @@
 //! Splits discovery's HTTP answers into lists of endpoints, bounded in bytes. No input or output.
 
+use super::framing::{AnswerError, Framing};
 use asterreel::config::EndpointList;
 use asterreel::discovery::Received;
 
-/// The longest head of an answer that is read.
-const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// The longest list that is read: 3,200 databases take 0.9 MB indented.
 pub(super) const MAX_LIST_BYTES: usize = 2 << 20;
 
-/// Why an answer can't be read.
-#[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub(super) enum AnswerError {
-    #[error("status {0}")]
-    Status(u16),
-    #[error("head: {0}")]
-    Head(httparse::Error),
-    #[error("longer than {0} bytes")]
-    TooLong(usize),
-    #[error("bad chunk")]
-    Chunk,
-}
-
 /// The length from which text that is not a complete list yet is first decoded, to find nonsense.
 const MIN_DECODE_BYTES: usize = 4 * 1024;
 
 /// Reads an HTTP answer as it comes and splits its body into lists.
 #[derive(Default)]
 pub(super) struct AnswerReader {
-    body: Body,
+    framing: Framing,
     /// The part of the body that is not decoded yet.
     undecoded: Vec<u8>,
     /// The length from which it is decoded although no list has ended.
@@ -39,29 +25,15 @@
     decoded_bytes: u64,
 }
 
-#[derive(Clone, Copy, Default)]
-enum Body {
-    #[default]
-    Head,
-    /// Sent without chunks, until the connection ends.
-    Plain,
-    ChunkSize,
-    Chunk(usize),
-    /// The line end after a chunk.
-    ChunkEnd,
-    /// The answer is complete.
-    Over,
-}
-
 impl AnswerReader {
     /// The answer's head is complete.
     pub(super) fn is_answered(&self) -> bool {
-        !matches!(self.body, Body::Head)
+        self.framing != Framing::Head
     }
 
     /// The answer has come to its end, though the connection may stay.
     pub(super) fn is_over(&self) -> bool {
-        matches!(self.body, Body::Over)
+        self.framing == Framing::Over
     }
 
     /// Bytes decoded so far, each counted as often as it was.
@@ -86,55 +58,21 @@
     /// Takes in bytes and returns how many were used; the rest is to be offered again with more.
     pub(super) fn take(&mut self, bytes: &[u8]) -> Result<usize, AnswerError> {
         let mut used = 0;
-        loop {
-            let rest = &bytes[used..];
-            match self.body {
-                Body::Head => match parse_head(rest)? {
-                    Some((length, body)) => (self.body, used) = (body, used + length),
-                    None => return Ok(used),
-                },
-                Body::Plain => {
-                    self.buffer(rest);
-                    used = bytes.len();
-                }
-                Body::ChunkSize => match httparse::parse_chunk_size(rest) {
-                    Ok(httparse::Status::Complete((length, 0))) => {
-                        (self.body, used) = (Body::Over, used + length);
-                    }
-                    Ok(httparse::Status::Complete((length, size))) => {
-                        let size = usize::try_from(size).map_err(|_| AnswerError::Chunk)?;
-                        (self.body, used) = (Body::Chunk(size), used + length);
-                    }
-                    Ok(httparse::Status::Partial) if rest.len() < MAX_HEAD_BYTES => {
-                        return Ok(used)
-                    }
-                    _ => return Err(AnswerError::Chunk),
-                },
-                Body::Chunk(left) => {
-                    let count = left.min(rest.len());
-                    self.buffer(&rest[..count]);
-                    used += count;
-                    self.body = if count == left {
-                        Body::ChunkEnd
-                    } else {
-                        Body::Chunk(left - count)
-                    };
-                }
-                Body::ChunkEnd => match rest {
-                    [b'\r', b'\n', ..] => (self.body, used) = (Body::ChunkSize, used + 2),
-                    [] | [b'\r'] => return Ok(used),
-                    _ => return Err(AnswerError::Chunk),
-                },
-                Body::Over => return Ok(bytes.len()),
+        while let Some(piece) = self.framing.next_piece(&bytes[used..])? {
+            let end = used + piece.length;
+            if piece.is_payload {
+                self.buffer(&bytes[used..end]);
             }
+            used = end;
             // Fewer than 8 KiB are offered at once, so this stops one long list, not many complete ones.
             if self.undecoded.len() > MAX_LIST_BYTES {
                 return Err(AnswerError::TooLong(MAX_LIST_BYTES));
             }
             if used == bytes.len() {
-                return Ok(used);
+                break;
             }
         }
+        Ok(used)
     }
 
     /// Buffers bytes of the body until they are decoded.
@@ -201,29 +139,3 @@
         }
     }
 }
-
-/// The length of an answer's head and how its body comes, once the head is complete.
-fn parse_head(bytes: &[u8]) -> Result<Option<(usize, Body)>, AnswerError> {
-    let mut headers = [httparse::EMPTY_HEADER; 32];
-    let mut response = httparse::Response::new(&mut headers);
-    let length = match response.parse(bytes).map_err(AnswerError::Head)? {
-        httparse::Status::Complete(length) => length,
-        httparse::Status::Partial if bytes.len() < MAX_HEAD_BYTES => return Ok(None),
-        httparse::Status::Partial => return Err(AnswerError::TooLong(MAX_HEAD_BYTES)),
-    };
-    if response.code != Some(200) {
-        return Err(AnswerError::Status(response.code.unwrap_or(0)));
-    }
-    let chunked = response.headers.iter().any(|header| {
-        header.name.eq_ignore_ascii_case("transfer-encoding")
-            && header.value.to_ascii_lowercase().ends_with(b"chunked")
-    });
-    Ok(Some((
-        length,
-        if chunked {
-            Body::ChunkSize
-        } else {
-            Body::Plain
-        },
-    )))
-}
--- a/src/bin/asterreel/discovery/tests.rs
+++ b/src/bin/asterreel/discovery/tests.rs
@@ -1,4 +1,5 @@
-use super::reader::{AnswerError, AnswerReader, MAX_LIST_BYTES};
+use super::framing::AnswerError;
+use super::reader::{AnswerReader, MAX_LIST_BYTES};
 use super::Source;
 use crate::fuzz;
 use asterreel::config::EndpointList;
