--- a/src/bin/asterreel/probe.rs
+++ b/src/bin/asterreel/probe.rs
@@ -1,4 +1,4 @@
-//! Probes: a question for a database's load report.
+//! Health checks of databases: one query for the load report, on a pooled connection or a new one.
 
 use crate::postgres::{self as pg, sqlstate, Answer, QueryResult};
 use crate::request::cancellation::CancellationToken;
@@ -8,19 +8,23 @@
 use asterreel::interface::{MemberReport, Outcome};
 use std::net::SocketAddr;
 
-/// Asks a database for its report. A probe that takes longer than a connection may has failed.
+/// The query for the load report.
+const REPORT_QUERY: &str = "SHOW usage";
+
+/// Checks a database; returns the outcome, and its report where it was served. A check that takes longer than a connection
+/// may has failed.
 pub(crate) fn run(pool: &Pool, address: SocketAddr) -> (Outcome, MemberReport) {
     let token = CancellationToken::new(pool.clock.now() + pool.connect_timeout);
     let mut connection = match pool.acquire(address, token.deadline) {
         Ok(connection) => connection,
-        // Too few descriptors here tell nothing of the database.
+        // A lack of descriptors here says nothing of the database.
         Err(fault) => match outcome::without_connection(fault, false) {
             Outcome::NotSent => return (Outcome::Rejected, MemberReport::default()),
             outcome => return (outcome, MemberReport::default()),
         },
     };
     let mut answer = Answer::default();
-    let query = pg::simple_query("SHOW usage");
+    let query = pg::simple_query(REPORT_QUERY);
     let end = round_trip(
         &mut connection.stream,
         &query,
@@ -34,12 +38,7 @@
             Outcome::Served,
             answer.value().map(pg::load_report).unwrap_or_default(),
         ),
-        (Some(QueryResult::Error(code)), _)
-            if matches!(
-                *code,
-                sqlstate::TOO_MANY_CONNECTIONS | sqlstate::CANNOT_CONNECT_NOW
-            ) =>
-        {
+        (Some(QueryResult::Error(code)), _) if is_rejection(*code) => {
             (Outcome::Rejected, MemberReport::default())
         }
         (_, Err(ConnectionError::Stopped { .. })) => (Outcome::TimedOut, MemberReport::default()),
@@ -47,3 +46,11 @@
         _ => (Outcome::Error, MemberReport::default()),
     }
 }
+
+/// Whether an error says that the database is up and takes no connections now.
+fn is_rejection(code: sqlstate::SqlState) -> bool {
+    matches!(
+        code,
+        sqlstate::TOO_MANY_CONNECTIONS | sqlstate::CANNOT_CONNECT_NOW
+    )
+}
