--- a/tests/process/mod.rs
+++ b/tests/process/mod.rs
@@ -14,10 +14,14 @@
 /// How long anything is waited for: far longer than it takes on a slow machine.
 pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
 
+/// The example configuration, which tests change by replacing parts of its text.
 pub(crate) const EXAMPLE: &str = include_str!("../../examples/config.json");
 
+/// The process of a gateway, killed when dropped.
 pub(crate) struct Gateway {
+    /// The process.
     pub process: Child,
+    /// Where clients connect.
     pub address: SocketAddr,
     /// The statements that the databases got.
     pub seen: Receiver<Vec<u8>>,
@@ -27,6 +31,7 @@
 }
 
 impl Gateway {
+    /// Sends a signal, named as for kill(1).
     pub(crate) fn signal(&self, name: &str) {
         let status = Command::new("kill")
             .arg(name)
@@ -56,10 +61,12 @@
     }
 }
 
+/// A listener on a free port.
 pub(crate) fn listen() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").expect("a free port")
 }
 
+/// A gateway in front of a primary and a replica that answer at once.
 pub(crate) fn start() -> Gateway {
     start_with(1000, 1024, |_| None)
 }
@@ -69,6 +76,7 @@
     start_logging(unseen, sockets, spoil, Stdio::null())
 }
 
+/// The same, with its log going to `log`.
 pub(crate) fn start_logging(unseen: usize, sockets: u32, spoil: toy::Spoil, log: Stdio) -> Gateway {
     let (statements, seen) = sync_channel(unseen);
     // A slow machine must not run into a deadline.
@@ -132,15 +140,18 @@
 pub(crate) struct Gate(Arc<(Mutex<bool>, Condvar)>);
 
 impl Gate {
+    /// A gate, open or closed.
     pub(crate) fn new(open: bool) -> Gate {
         Gate(Arc::new((Mutex::new(open), Condvar::new())))
     }
 
+    /// Opens or closes the gate.
     pub(crate) fn set(&self, open: bool) {
         *self.0 .0.lock().expect("not poisoned") = open;
         self.0 .1.notify_all();
     }
 
+    /// Waits while the gate is closed.
     fn pass(&self) {
         let closed = self.0 .0.lock().expect("not poisoned");
         drop(
@@ -155,8 +166,11 @@
 /// A database whose role, time and answers a test decides.
 #[derive(Clone)]
 pub(crate) struct Database {
+    /// Where it listens.
     pub address: SocketAddr,
+    /// Whether it is the primary.
     pub primary: Arc<AtomicBool>,
+    /// Holds its answers back while closed.
     pub gate: Gate,
     /// What it answers statements with instead, and goes on.
     pub instead: fn(&[u8]) -> Option<Vec<u8>>,
@@ -260,6 +274,7 @@
         self.says_within(what, Duration::from_secs(20))
     }
 
+    /// Waits for a line that holds this, for this long at most; whether it came.
     pub(crate) fn says_within(&self, what: &str, within: Duration) -> bool {
         self.lines_up_to(what, within).is_some()
     }
@@ -280,18 +295,22 @@
     }
 }
 
+/// A client's connection.
 pub(crate) struct Client(pub TcpStream);
 
+/// A startup message.
 pub(crate) fn startup() -> Vec<u8> {
     let parameters = b"user\0web\0database\0orders\0\0";
     let length = (parameters.len() as u32 + 8).to_be_bytes();
     [&length[..], &[0, 3, 0, 0], parameters].concat()
 }
 
+/// A query message of this statement.
 pub(crate) fn query(statement: &[u8]) -> Vec<u8> {
     toy::message(b'Q', &[statement, b"\0"].concat())
 }
 
+/// A read.
 pub(crate) fn read(id: &str) -> Vec<u8> {
     let comment = format!("/* id={id},c=search,d=60000,cluster=0,k=1 */");
     [
@@ -304,19 +323,20 @@
 impl Client {
     /// Connects as soon as the gateway listens.
     pub(crate) fn connect(gateway: &Gateway) -> Client {
-        let mut tries = 0;
+        let mut attempts = 0;
         let stream = loop {
             match TcpStream::connect(gateway.address) {
                 Ok(stream) => break stream,
-                Err(error) => assert!(tries < 500, "the gateway does not listen: {error}"),
+                Err(error) => assert!(attempts < 500, "the gateway does not listen: {error}"),
             }
-            tries += 1;
+            attempts += 1;
             thread::sleep(Duration::from_millis(20));
         };
         stream.set_read_timeout(Some(PATIENCE)).expect("set");
         Client(stream)
     }
 
+    /// A client whose session has started.
     pub(crate) fn ready(gateway: &Gateway) -> Client {
         let mut client = Client::connect(gateway);
         client.send(&startup());
@@ -324,6 +344,7 @@
         client
     }
 
+    /// Sends these bytes.
     pub(crate) fn send(&mut self, bytes: &[u8]) {
         self.0.write_all(bytes).expect("sent");
     }
@@ -344,7 +365,7 @@
             }
             let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
             let mut body = vec![0; length - 4];
-            self.0.read_exact(&mut body).expect("a whole message");
+            self.0.read_exact(&mut body).expect("a complete message");
             bytes.extend_from_slice(&head);
             bytes.extend(body);
             tags.push(char::from(head[0]));
@@ -354,29 +375,27 @@
         }
         (tags, bytes)
     }
-}
 
-impl Client {
-    /// A client that has been welcomed, with the key that it may cancel with.
+    /// A client whose session has started, with the key that it may cancel with.
     pub(crate) fn with_key(gateway: &Gateway) -> (Client, Vec<u8>) {
         let mut client = Client::connect(gateway);
         client.send(&startup());
-        let (_, welcome) = client.answer();
-        let at = welcome
+        let (_, session_started) = client.answer();
+        let at = session_started
             .windows(5)
             .position(|head| head == b"K\0\0\0\x0c")
             .expect("a key");
-        (client, welcome[at + 5..at + 13].to_vec())
+        (client, session_started[at + 5..at + 13].to_vec())
     }
 
-    /// How the connection ends once all that is still to come has been read: with an end, or a reset.
+    /// Reads what is still to come until the connection is closed; an error where it is reset.
     pub(crate) fn end(&mut self) -> std::io::Result<Vec<u8>> {
         let mut rest = Vec::new();
         self.0.read_to_end(&mut rest).map(|_| rest)
     }
 }
 
-/// What a client sends on a connection of its own to cancel what another is doing.
+/// A cancel request, which is sent on a connection of its own.
 pub(crate) fn cancel_request(key: &[u8]) -> Vec<u8> {
     [&16u32.to_be_bytes()[..], &80_877_102u32.to_be_bytes(), key].concat()
 }
@@ -396,7 +415,7 @@
     &bytes[at + 2..at + 7]
 }
 
-/// A gateway of a fleet of so many whose list is pushed by this agent.
+/// A gateway in a fleet of this size whose list is pushed by this agent.
 pub(crate) fn pushed(agent: &TcpListener, fleet: u32) -> Gateway {
     let config = EXAMPLE
         .replace(
