--- a/src/bin/asterreel-config-eval/collected.rs
+++ b/src/bin/asterreel-config-eval/collected.rs
@@ -91,7 +91,7 @@
         if let Some((mut lease, call)) = self.lease {
             lease
                 .check()
-                .map_err(|fault| call.error(SettingError::from(fault).below("lease")))?;
+                .map_err(|fault| call.error(fault.below("lease")))?;
             if !lease.client {
                 lease.store = folder.join(&lease.store);
             }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,7 +7,6 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod calls;
 pub mod cells;
 pub mod config;
 pub mod discovery;
--- a/src/operator/settings.rs
+++ b/src/operator/settings.rs
@@ -237,9 +237,7 @@
                 "names no network: nobody could ask",
             ));
         }
-        self.knobs
-            .check()
-            .map_err(|fault| SettingError::from(fault).below("knobs"))?;
+        self.knobs.check().map_err(|fault| fault.below("knobs"))?;
         // With the longest deadline there is; the gateway's own may leave less.
         self.timetable(u64::MAX)?;
         Ok(())
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -34,10 +34,10 @@
         let starts_watch =
             kind == UpdateKind::CachedSnapshot && self.settings.discovery == DiscoveryMode::Watch;
         if !starts_watch {
-            self.discovery.answered();
+            self.discovery.update_received();
             return;
         }
-        match self.discovery.begin(&mut self.rng) {
+        match self.discovery.initial_delay(&mut self.rng) {
             0 => self.actions.push(Action::Watch),
             wait => self.schedule(wait, Timer::CallDiscovery),
         }
@@ -45,7 +45,7 @@
 
     /// A call to discovery failed, or the watch was lost: calls again after a backoff.
     pub(super) fn on_watch_lost(&mut self, loss: WatchLoss) {
-        let wait = self.discovery.again(loss, &mut self.rng);
+        let wait = self.discovery.next_retry_delay(loss, &mut self.rng);
         self.schedule(wait, Timer::CallDiscovery);
     }
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -42,7 +42,7 @@
 mod timers;
 mod topology;
 
-use crate::calls::Calls;
+use crate::discovery::CallBackoff;
 use crate::interface::{Action, Event, MemberId, Micros, RequestId, Settings, SettingsError};
 use estimates::ClassEstimates;
 use fleet::Fleet;
@@ -70,7 +70,7 @@
     timers: TimerQueue,
     watchdog: Watchdog,
     retry_budget: RetryBudget,
-    discovery: Calls,
+    discovery: CallBackoff,
     error_rate: ErrorRate,
     replication_delay: ReplicationDelay,
 }
@@ -95,7 +95,7 @@
             timers: TimerQueue::default(),
             watchdog: Watchdog::default(),
             retry_budget: RetryBudget::default(),
-            discovery: Calls::new(&settings),
+            discovery: CallBackoff::new(&settings),
             error_rate: ErrorRate::default(),
             replication_delay: ReplicationDelay::new(settings.classes.len()),
             settings,
--- a/tests/architecture.rs
+++ b/tests/architecture.rs
@@ -57,7 +57,7 @@
                 !next.is_some_and(|c| c.is_alphanumeric() || c == '_')
             })
         };
-        kinds.iter().any(|kind| defined(kind))
+        kinds.iter().any(defined)
     };
     let mut checked = 0;
     for (path, name) in named() {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -4,13 +4,6 @@
 use asterreel::interface::*;
 use asterreel::policy::Router;
 
-// The names that tests/health.rs uses.
-#[allow(unused_imports)]
-pub(crate) use self::{
-    attempt_ended as ended, dispatches as sends, endpoint as entry, member_report as note,
-    TestGateway as Front,
-};
-
 pub(crate) const MS: Micros = 1_000;
 pub(crate) const START: Micros = 100_000_000;
 pub(crate) const GROUP: GroupId = GroupId(7);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -162,7 +162,7 @@
         SECOND,
         CALL,
         2_500 * MS,
-        asterreel::calls::SILENCE,
+        asterreel::discovery::WATCH_SILENCE_TIMEOUT_US,
     ] {
         for fleet in [1, 3, 8, 9, 30, 100, 300, 5_000] {
             for (poll_interval, seed) in [
@@ -279,7 +279,7 @@
 #[test]
 fn pushing_agent_is_called_again_at_once() {
     for fleet in [1, 30, 300] {
-        for staleness in [0, CALL, asterreel::calls::SILENCE] {
+        for staleness in [0, CALL, asterreel::discovery::WATCH_SILENCE_TIMEOUT_US] {
             let settings = Settings {
                 fleet_size: fleet,
                 discovery: DiscoveryMode::Push,
--- a/tests/fleet/world.rs
+++ b/tests/fleet/world.rs
@@ -285,7 +285,7 @@
     Endpoint {
         group,
         tie_break_hash: u64::from(member).wrapping_mul(0x9E37_79B9),
-        ..entry(member, state, started)
+        ..endpoint(member, state, started)
     }
 }
 
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -6,7 +6,7 @@
     Scope, State, Status, WeightRamp, WeightSteps, FULL,
 };
 use asterreel::interface::{Event as Told, *};
-use common::{ended, entry, settings, Front, GROUP, MS, START};
+use common::{attempt_ended, endpoint, settings, TestGateway, GROUP, MS, START};
 use proptest::prelude::*;
 
 const S: Micros = 1_000 * MS;
@@ -487,7 +487,7 @@
 /// A router with an observer beside it, fed as the program feeds both.
 struct Observed {
     observer: Observer,
-    front: Front,
+    gateway: TestGateway,
 }
 
 impl Observed {
@@ -495,28 +495,28 @@
         let settings = settings();
         Observed {
             observer: Observer::new(&settings),
-            front: Front::new(settings, 0).0,
+            gateway: TestGateway::new(settings, 0).0,
         }
     }
 
     /// The observer is given each event first, then the router's actions. Where attempts go out by them.
     fn feed(&mut self, event: Told) -> Vec<RequestId> {
-        self.observer.event(self.front.now, &event);
-        let actions = self.front.event(event);
+        self.observer.event(self.gateway.now, &event);
+        let actions = self.gateway.event(event);
         for action in &actions {
-            self.observer.action(self.front.now, action);
+            self.observer.action(self.gateway.now, action);
         }
-        let sent = common::sends(&actions);
+        let sent = common::dispatches(&actions);
         sent.iter().map(|(request, _)| *request).collect()
     }
 
     /// The only group, as it is seen now.
     fn group(&mut self) -> GroupReport {
-        self.observer.report(self.front.now).groups[0].clone()
+        self.observer.report(self.gateway.now).groups[0].clone()
     }
 
     fn list(&mut self, members: u32) {
-        let list = (0..members).map(|m| entry(m, EndpointState::Ready, 0));
+        let list = (0..members).map(|m| endpoint(m, EndpointState::Ready, 0));
         let list = list.collect();
         self.feed(Told::EndpointsUpdated(UpdateKind::Snapshot, list));
     }
@@ -528,13 +528,13 @@
 
     /// A write for a group arrives; the attempts that go out.
     fn write(&mut self, group: GroupId) -> Vec<RequestId> {
-        self.front.next += 1;
+        self.gateway.next += 1;
         self.feed(Told::RequestArrived(Arrival {
-            request: RequestId(self.front.next),
+            request: RequestId(self.gateway.next),
             class: ClassId(common::WRITE),
             tenant: TenantId(0),
             session: None,
-            due: self.front.now + 2 * S,
+            due: self.gateway.now + 2 * S,
             estimate: None,
             group,
             since_write: None,
@@ -545,26 +545,26 @@
     fn write_served_after(&mut self, took: Micros) {
         assert_eq!(self.write(GROUP).len(), 1);
         assert_eq!(self.group().in_flight, 1);
-        self.front.now += took;
-        let request = RequestId(self.front.next);
-        let report = common::note(Role::Primary, self.front.now);
-        let served = ended(request, 0, Outcome::Served, took, report);
+        self.gateway.now += took;
+        let request = RequestId(self.gateway.next);
+        let report = common::member_report(Role::Primary, self.gateway.now);
+        let served = attempt_ended(request, 0, Outcome::Served, took, report);
         self.feed(Told::AttemptEnded(served));
     }
 
     /// Time passes in which every attempt is misrouted, these that are out first.
     fn misroute_attempts(&mut self, mut attempts: Vec<RequestId>, time: Micros) {
-        let end = self.front.now + time;
-        while self.front.now < end {
-            self.front.now += 20 * MS;
+        let end = self.gateway.now + time;
+        while self.gateway.now < end {
+            self.gateway.now += 20 * MS;
             attempts.extend(self.feed(Told::TimerFired));
             let mut ended_attempts = 0;
             while ended_attempts < attempts.len() {
                 let request = attempts[ended_attempts];
                 let earlier = attempts[..ended_attempts].iter();
                 let number = earlier.filter(|other| **other == request).count() as u32;
-                let report = common::note(Role::Replica, self.front.now);
-                let misrouted = ended(request, number, Outcome::Misrouted, MS, report);
+                let report = common::member_report(Role::Replica, self.gateway.now);
+                let misrouted = attempt_ended(request, number, Outcome::Misrouted, MS, report);
                 attempts.extend(self.feed(Told::AttemptEnded(misrouted)));
                 ended_attempts += 1;
             }
@@ -583,10 +583,10 @@
         } else {
             Role::Replica
         };
-        let report = common::note(role, observed.front.now);
+        let report = common::member_report(role, observed.gateway.now);
         observed.healthy(member, report);
     }
-    let report = observed.observer.report(observed.front.now);
+    let report = observed.observer.report(observed.gateway.now);
     assert!(report.list_received && report.groups[0].primary);
     assert_eq!((report.groups[0].usable, report.groups[0].members), (3, 3));
 
@@ -600,7 +600,7 @@
     assert!(group.needs_primary > 0.8, "{group:?}");
 
     // The primary reports as a replica: it is demoted, writes are queued and then rejected, which is no overload.
-    observed.healthy(0, common::note(Role::Replica, 0));
+    observed.healthy(0, common::member_report(Role::Replica, 0));
     assert!(!observed.group().primary);
     let attempts: Vec<RequestId> = (0..10).flat_map(|_| observed.write(GROUP)).collect();
     let group = observed.group();
@@ -615,10 +615,10 @@
 
     // A client that names a group that does not exist leaves nothing behind.
     observed.write(GroupId(99));
-    let groups = observed.observer.report(observed.front.now).groups.len();
+    let groups = observed.observer.report(observed.gateway.now).groups.len();
     assert_eq!((observed.observer.open_requests(), groups), (0, 1));
     observed.list(0);
-    assert_eq!(observed.observer.report(observed.front.now).groups, []);
+    assert_eq!(observed.observer.report(observed.gateway.now).groups, []);
 }
 
 #[derive(Clone, Copy, Debug)]
