--- a/control/src/state_machine/snapshot.rs
+++ b/control/src/state_machine/snapshot.rs
@@ -52,3 +52,6 @@
     }
     serde_json::from_slice(state).map_err(|error| damaged(&error.to_string()))
 }
+
+#[cfg(test)]
+mod tests;
