--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -1,8 +1,9 @@
-//! What a fleet of gateways agrees on, and how: the log at its control members, and the gateways that are their clients.
+//! The control plane of a fleet of gateways: a replicated log at its control members, and the gateways that are their
+//! clients.
 //!
-//! [`lease`], [`versions`] and [`state_machine`] decide, free of input and output: events in, actions out, time an argument.
-//! [`service`] runs them: the replicated log with its store, the links between gateways, and one loop on a thread of its
-//! own. The gateway starts it with [`service::start`]; so do the experiments that play many gateways in one process.
+//! [`lease`], [`versions`] and [`state_machine`] are state machines without I/O: events in, actions out, time an argument.
+//! [`service`] runs them on a Raft log with its store, on links between the processes, and in one loop on a thread of its
+//! own. A gateway starts it with [`service::start`], and so do experiments that run many gateways in one process.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/control/src/service/member.rs
+++ b/control/src/service/member.rs
@@ -3,11 +3,12 @@
 //! Nothing is sent to a gateway before the entries that it rests on are stored and applied.
 
 use super::gateway::loopback;
+use super::served::ServedGateways;
 use super::{digest, ControlError};
 use crate::clock::Clock;
 use crate::frame::{self, Hello, Payload};
 use crate::lease::{self, NodeIdentity, Timing};
-use crate::link::accept::{self, Acceptor, GatewayLink, LinkEvent};
+use crate::link::accept::{self, Acceptor, LinkEvent};
 use crate::link::{self, member::Link, SharedHello};
 use crate::node::{self, Node, NodeError, Place};
 use crate::settings::Lease;
@@ -16,14 +17,13 @@
 use crate::traffic::MemberTraffic;
 use crate::versions::ToGateway;
 use crate::Micros;
-use bytes::Bytes;
 use ipnet::IpNet;
 use raft::eraftpb::ConfState;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use tokio::sync::mpsc;
 use tokio::time::{interval, Interval, MissedTickBehavior};
-use tracing::{info, warn};
+use tracing::info;
 
 /// Ticks of an election timeout. Raft draws from one to two timeouts: with more ticks, split votes are rarer.
 const ELECTION_TICKS: usize = 20;
@@ -71,8 +71,7 @@
     /// The last hello of each other member.
     hellos: BTreeMap<u64, Hello>,
     own_hello: SharedHello,
-    /// The newest link of each incarnation of a gateway that is served.
-    gateways: BTreeMap<NodeIdentity, GatewayLink>,
+    gateways: ServedGateways,
     /// The position that was logged last.
     logged_place: Place,
     /// Ticks since graceful shutdown began.
@@ -84,18 +83,6 @@
     next_traffic_log_at: Micros,
 }
 
-/// Queues a frame for a gateway; false where its link is to be closed.
-fn try_send(gateway: &GatewayLink, frame: Bytes) -> bool {
-    let sent = gateway.send(frame);
-    if !sent {
-        warn!(
-            gateway = gateway.who.gateway,
-            "control: link closed: the gateway takes nothing in"
-        );
-    }
-    sent
-}
-
 /// The Raft node with this id, on a store that has a log.
 fn open_node(
     id: u64,
@@ -136,7 +123,7 @@
             links: BTreeMap::new(),
             hellos: BTreeMap::new(),
             own_hello: SharedHello::default(),
-            gateways: BTreeMap::new(),
+            gateways: ServedGateways::default(),
             logged_place: Place::default(),
             draining_ticks: None,
             out: Vec::new(),
@@ -340,26 +327,19 @@
             }
             (LinkEvent::GatewayConnected(gateway), _) => {
                 let who = gateway.who;
-                // Dropping the handle of a former link closes it.
-                self.gateways.insert(who, gateway);
+                self.gateways.connect(gateway);
                 self.handle(Event::Connected(who))?;
             }
             (LinkEvent::GatewayDisconnected { who, link }, _) => {
-                if self
-                    .gateways
-                    .get(&who)
-                    .is_some_and(|gateway| gateway.link == link)
-                {
-                    self.gateways.remove(&who);
-                }
+                self.gateways.disconnect(who, link);
             }
             (LinkEvent::GatewayMessage(message), LogState::Running(_)) => {
                 self.handle(Event::Received(message))?
             }
             // No log here yet: another member may know the leader.
-            (LinkEvent::GatewayMessage(message), _) => {
-                self.send(message.who(), &ToGateway::NotLeader { leader: None })
-            }
+            (LinkEvent::GatewayMessage(message), _) => self
+                .gateways
+                .send(message.who(), &ToGateway::NotLeader { leader: None }),
             (
                 LinkEvent::Raft(_) | LinkEvent::PeerLost(_) | LinkEvent::SnapshotSent { .. },
                 LogState::Waiting(_) | LogState::Starting,
@@ -400,31 +380,6 @@
         Ok(())
     }
 
-    /// Sends a gateway a message on its newest link, if this incarnation has one.
-    fn send(&mut self, who: NodeIdentity, message: &ToGateway) {
-        let Some(gateway) = self.gateways.get(&who) else {
-            return;
-        };
-        match frame::encode_to_gateway(message) {
-            Ok(frame) => {
-                if !try_send(gateway, frame) {
-                    self.gateways.remove(&who);
-                }
-            }
-            Err(fault) => warn!(gateway = who.gateway, "control: not sent: {fault}"),
-        }
-    }
-
-    /// Sends all connected gateways a message.
-    fn broadcast(&mut self, message: &ToGateway) {
-        match frame::encode_to_gateway(message) {
-            Ok(frame) => self
-                .gateways
-                .retain(|_, gateway| try_send(gateway, frame.clone())),
-            Err(fault) => warn!("control: not sent: {fault}"),
-        }
-    }
-
     fn execute(&mut self, action: Action, leads: bool) {
         let (at, gateway) = (self.clock.now(), self.me.gateway);
         match action {
@@ -447,8 +402,8 @@
                     "duty: stopped"
                 );
             }
-            Action::Send(who, message) => self.send(who, &message),
-            Action::Broadcast(message) => self.broadcast(&message),
+            Action::Send(who, message) => self.gateways.send(who, &message),
+            Action::Broadcast(message) => self.gateways.broadcast(&message),
             // Only the leader logs: one line for the fleet.
             Action::Counted { who, spans } if leads => {
                 for span in spans {
--- a/control/src/service/mod.rs
+++ b/control/src/service/mod.rs
@@ -9,6 +9,7 @@
 mod gateway;
 mod member;
 mod run;
+mod served;
 
 use crate::clock::Clock;
 use crate::lease::{self, NodeIdentity};
--- a/control/src/service/run.rs
+++ b/control/src/service/run.rs
@@ -16,6 +16,9 @@
 use tokio::sync::mpsc;
 use tracing::info;
 
+/// The target of the loop's log lines, which operators may select.
+const LOG_TARGET: &str = "asterreel_control::service";
+
 /// The next event of a part's links; pending for ever where there is no such part.
 async fn next_event<T>(events: &mut Option<mpsc::Receiver<T>>) -> T {
     if let Some(events) = events {
@@ -90,6 +93,7 @@
             view,
         };
         info!(
+            target: LOG_TARGET,
             at = clock.now(),
             gateway = me.gateway,
             incarnation = me.incarnation,
--- /dev/null
+++ b/control/src/service/served.rs
@@ -0,0 +1,71 @@
+//! The gateways that a control member serves, and their links.
+
+use crate::frame;
+use crate::lease::NodeIdentity;
+use crate::link::accept::GatewayLink;
+use crate::versions::ToGateway;
+use bytes::Bytes;
+use std::collections::BTreeMap;
+use tracing::warn;
+
+/// The target of the log lines on served gateways: that of the control member, which operators may select.
+const LOG_TARGET: &str = "asterreel_control::service::member";
+
+/// The newest link of each incarnation of a gateway. Dropping a handle closes its link.
+#[derive(Default)]
+pub(super) struct ServedGateways {
+    links: BTreeMap<NodeIdentity, GatewayLink>,
+}
+
+impl ServedGateways {
+    /// Takes a new link in place of the gateway's former one.
+    pub(super) fn connect(&mut self, link: GatewayLink) {
+        self.links.insert(link.who, link);
+    }
+
+    /// A link has ended; a newer one of the same gateway stays.
+    pub(super) fn disconnect(&mut self, who: NodeIdentity, link: u64) {
+        let current = self.links.get(&who);
+        if current.is_some_and(|current| current.link == link) {
+            self.links.remove(&who);
+        }
+    }
+
+    /// Sends a gateway a message on its newest link, if this incarnation has one.
+    pub(super) fn send(&mut self, who: NodeIdentity, message: &ToGateway) {
+        let Some(link) = self.links.get(&who) else {
+            return;
+        };
+        match frame::encode_to_gateway(message) {
+            Ok(frame) => {
+                if !try_send(link, frame) {
+                    self.links.remove(&who);
+                }
+            }
+            Err(error) => {
+                warn!(target: LOG_TARGET, gateway = who.gateway, "control: not sent: {error}")
+            }
+        }
+    }
+
+    /// Sends all connected gateways a message.
+    pub(super) fn broadcast(&mut self, message: &ToGateway) {
+        match frame::encode_to_gateway(message) {
+            Ok(frame) => self.links.retain(|_, link| try_send(link, frame.clone())),
+            Err(error) => warn!(target: LOG_TARGET, "control: not sent: {error}"),
+        }
+    }
+}
+
+/// Queues a frame for a gateway; false where its link is to be closed.
+fn try_send(link: &GatewayLink, frame: Bytes) -> bool {
+    let sent = link.send(frame);
+    if !sent {
+        warn!(
+            target: LOG_TARGET,
+            gateway = link.who.gateway,
+            "control: link closed: the gateway takes nothing in"
+        );
+    }
+    sent
+}
--- a/control/src/versions/client/mod.rs
+++ b/control/src/versions/client/mod.rs
@@ -8,6 +8,7 @@
 //! `registration` holds the lease, `heartbeats` their times and redirections, `topics` the cached view, `validations` and
 //! `proposal` the two sides of a rollout, `reports` the audit.
 
+mod event;
 mod heartbeats;
 mod proposal;
 mod registration;
@@ -18,6 +19,7 @@
 use super::{Content, Formats, Rejection, ToControl, ToGateway, Topic, TopicState, Version};
 use crate::lease::{NodeIdentity, Timing, Token};
 use crate::Micros;
+pub use event::{Action, Event, Permission, StopReason};
 use heartbeats::{Heartbeats, Redirects};
 use proposal::PendingProposal;
 use registration::RegistrationLease;
@@ -25,125 +27,6 @@
 use topics::CachedTopics;
 use validations::Validations;
 
-/// An input of a [`Client`].
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Event {
-    /// Register this gateway whenever that is possible.
-    Serve,
-    /// A link to a control member is up.
-    Connected,
-    /// A message of the connected control member.
-    Received(ToGateway),
-    /// The caller has validated a version.
-    Validated {
-        /// The topic.
-        topic: Topic,
-        /// The number of the version.
-        number: u64,
-        /// Whether it is valid; if not, why.
-        result: Result<(), String>,
-    },
-    /// The operator has a new version here: propose it to the fleet.
-    ProposeVersion {
-        /// The topic.
-        topic: Topic,
-        /// Its content.
-        content: Content,
-    },
-    /// Actions were begun under a version.
-    Acted {
-        /// The topic.
-        topic: Topic,
-        /// The number of the version.
-        number: u64,
-        /// How many.
-        count: u64,
-    },
-    /// A timer fired. Harmless at any time.
-    Tick,
-    /// Graceful shutdown: the gateway stops acting and gives its registration back.
-    Drain,
-}
-
-/// Permission to act on the active versions, as a lease.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Permission {
-    /// The registration, as the fencing token of every action under it.
-    pub token: Token,
-    /// When it ends: nothing may begin at or after this, microseconds on this gateway's monotonic clock.
-    pub until: Micros,
-}
-
-impl Permission {
-    /// Whether an action may begin under it at a time.
-    pub fn is_valid(&self, now: Micros) -> bool {
-        now < self.until
-    }
-}
-
-/// Why a gateway's permission to act ended.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
-pub enum StopReason {
-    /// Its registration could not be renewed in time.
-    #[error("the fleet's log could not be reached in time; look at the links to its voters and how many of them run")]
-    Lapsed,
-    /// Its registration expired in the log.
-    #[error(
-        "the others took its registration away after hearing nothing; it joins again by itself"
-    )]
-    Expelled,
-    /// It is shutting down gracefully.
-    #[error("it drains")]
-    Drained,
-}
-
-/// An output of a [`Client`], to be carried out by the caller.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Action {
-    /// Send the connected control member a message. It may be lost.
-    Send(ToControl),
-    /// The connected control member does not lead, or does not answer: connect to the one with this gateway number, or to
-    /// another one after a backoff where the leader is unknown.
-    Redirect(Option<u32>),
-    /// It may act on the active versions.
-    Act(Permission),
-    /// It may not act from now on.
-    Stop(StopReason),
-    /// Validate this version, and answer with [`Event::Validated`].
-    Validate {
-        /// The topic.
-        topic: Topic,
-        /// The number of the version.
-        number: u64,
-        /// Its content.
-        content: Content,
-    },
-    /// A version is active: what begins from now on begins under it.
-    Activate {
-        /// The topic.
-        topic: Topic,
-        /// The number of the version.
-        number: u64,
-        /// The one before it, which others may act on for a moment still; 0 is none.
-        previous: u64,
-    },
-    /// A proposed version was rejected; the active one stays.
-    ProposalRejected {
-        /// The topic.
-        topic: Topic,
-        /// The number of the version.
-        number: u64,
-        /// The gateway that rejected it.
-        by: NodeIdentity,
-        /// Why.
-        reason: String,
-    },
-    /// A registration or a proposal of this gateway was rejected.
-    RequestRejected(Rejection),
-    /// Send [`Event::Tick`] at this time at the latest, microseconds on this gateway's monotonic clock.
-    Wake(Micros),
-}
-
 /// Whether a message that is repeated each renewal interval is to be sent (again).
 fn is_send_due(last_sent_at: Option<Micros>, now: Micros, renew_us: Micros) -> bool {
     last_sent_at.is_none_or(|at| now >= at.saturating_add(renew_us))
@@ -243,7 +126,7 @@
 
     fn drain(&mut self, out: &mut Vec<Action>) {
         self.serving = false;
-        self.stop(StopReason::Drained, out);
+        self.stop(StopReason::Draining, out);
         if let Some(token) = self.registration.release() {
             out.push(Action::Send(ToControl::Leave {
                 who: self.me,
@@ -363,7 +246,7 @@
 
     /// The registration is gone: the gateway stops, and joins again after a backoff.
     fn lose_registration(&mut self, now: Micros, out: &mut Vec<Action>) {
-        self.stop(StopReason::Expelled, out);
+        self.stop(StopReason::RegistrationExpired, out);
         self.registration.release();
         if self.proposal.take().is_some() {
             out.push(Action::RequestRejected(Rejection::StaleRegistration));
@@ -392,7 +275,7 @@
         let permission = self.registration.permission();
         if permission.is_some_and(|permission| !permission.is_valid(now)) {
             // The registration may still be in the log: once it is renewed, the gateway acts again.
-            self.stop(StopReason::Lapsed, out);
+            self.stop(StopReason::LeaseExpired, out);
         }
         if !self.serving {
             return;
--- a/control/src/versions/client/tests.rs
+++ b/control/src/versions/client/tests.rs
@@ -141,7 +141,9 @@
     assert_eq!(gateway.acting_on(), Some(1));
     gateway.now = until;
     assert_eq!(gateway.acting_on(), None);
-    assert!(gateway.tick(0).contains(&Action::Stop(StopReason::Lapsed)));
+    assert!(gateway
+        .tick(0)
+        .contains(&Action::Stop(StopReason::LeaseExpired)));
 }
 
 /// A gateway takes no permission before it knows the last change.
@@ -288,7 +290,7 @@
             who: ME,
             token: Token(token),
         });
-        assert_eq!(expired, [Action::Stop(StopReason::Expelled)]);
+        assert_eq!(expired, [Action::Stop(StopReason::RegistrationExpired)]);
         assert_eq!(
             gateway.renew(Token(token), gateway.now, 1),
             [],
@@ -404,7 +406,7 @@
     });
     assert_eq!(
         gateway.handle(Event::Drain),
-        [Action::Stop(StopReason::Drained), leave]
+        [Action::Stop(StopReason::Draining), leave]
     );
     assert_eq!(
         gateway.renew(TOKEN, gateway.now, 1),
