--- a/control/src/versions/client/heartbeats.rs
+++ b/control/src/versions/client/heartbeats.rs
@@ -51,7 +51,7 @@
         self.unanswered_since = None;
     }
 
-    /// Whether a heartbeat has been unanswered for too long. Says so once: the link or the leader is lost.
+    /// Whether a heartbeat has been unanswered for too long. True once for each: the link or the leader is lost.
     pub(super) fn take_timeout(&mut self, now: Micros, renew_us: Micros) -> bool {
         let timeout_us = renew_us / ANSWER_TIMEOUT_PARTS;
         let timed_out = self
--- a/control/src/versions/client/registration.rs
+++ b/control/src/versions/client/registration.rs
@@ -97,7 +97,7 @@
         self.permission
     }
 
-    /// Ends the permission; says whether there was one.
+    /// Ends the permission; returns whether there was one.
     pub(super) fn revoke_permission(&mut self) -> bool {
         self.permission.take().is_some()
     }
--- a/control/src/versions/client/topics.rs
+++ b/control/src/versions/client/topics.rs
@@ -48,13 +48,13 @@
         active.filter(|(_, number)| *number > 0)
     }
 
-    /// Takes the active version of a topic; says whether that is another than before.
+    /// Takes the active version of a topic; returns whether that is another than before.
     pub(super) fn set_active(&mut self, topic: Topic, number: u64) -> bool {
         let cached = self.by_topic.entry(topic).or_default();
         std::mem::replace(&mut cached.active, number) != number
     }
 
-    /// Takes the rejection of a version; says whether it is a new one.
+    /// Takes the rejection of a version; returns whether it is a new one.
     pub(super) fn record_rejection(&mut self, topic: Topic, number: u64) -> bool {
         let cached = self.by_topic.entry(topic).or_default();
         let new = number > cached.last_rejected;
--- a/control/src/versions/client/validations.rs
+++ b/control/src/versions/client/validations.rs
@@ -22,7 +22,7 @@
 }
 
 impl Validations {
-    /// A version is proposed; says whether the caller is to validate its content. One whose format is not supported is
+    /// A version is proposed; returns whether the caller is to validate its content. One whose format is not supported is
     /// rejected here.
     pub(super) fn begin(
         &mut self,
--- a/control/src/versions/coordinator/read_index.rs
+++ b/control/src/versions/coordinator/read_index.rs
@@ -67,7 +67,7 @@
             .retain(|heartbeat| now < heartbeat.received_at.saturating_add(lease_us));
     }
 
-    /// Notes that a round is requested now, where heartbeats wait and one is due; says whether it is.
+    /// Notes that a round is requested now, where heartbeats wait and one is due; returns whether it is.
     pub(super) fn begin_if_due(&mut self, now: Micros, renew_us: Micros) -> bool {
         let waits = !self.pending.is_empty();
         let due = waits && self.earliest_next(renew_us).is_none_or(|at| now >= at);
--- a/control/src/versions/message.rs
+++ b/control/src/versions/message.rs
@@ -86,7 +86,7 @@
         who: NodeIdentity,
         /// Its registration.
         token: Token,
-        /// When the heartbeat was sent, as it said.
+        /// When the heartbeat was sent, as stated in it.
         sent_at: Micros,
         /// The entry that last changed a topic: only a gateway that knows it may act.
         required_index: Index,
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! Fleets of real gateway processes that share a log, with faults put between them.
+//! Fleets of real gateway processes that share a log, with injected faults.
 
 mod fleets;
 
@@ -7,12 +7,12 @@
 use nix::sys::signal::Signal;
 use std::time::Duration;
 
-const LONG: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A fleet, each gateway of which acts on a first version.
-fn agreed(gateways: usize, voters: usize) -> Cluster {
+/// A fleet whose gateways all act on a first version.
+fn start_fleet(gateways: usize, voters: usize) -> Cluster {
     let mut cluster = Cluster::start(program(), gateways, voters).expect("started");
-    agree(&mut cluster, LONG);
+    agree(&mut cluster, TIMEOUT);
     cluster
 }
 
@@ -20,7 +20,7 @@
 #[test]
 fn partitioned_minority_stops_and_majority_continues() {
     let _alone = alone();
-    let mut cluster = agreed(5, 5);
+    let mut cluster = start_fleet(5, 5);
     let before = cluster.in_force()[0];
     cluster.part(&[0, 1], true);
     let stopped = |gateway: u64| {
@@ -35,37 +35,39 @@
     };
     for gateway in [1, 2] {
         assert!(
-            cluster.wait(LONG, stopped(gateway)).is_some(),
+            cluster.wait(TIMEOUT, stopped(gateway)).is_some(),
             "gateway {gateway} goes on without the log"
         );
     }
-    let moved = |cluster: &Cluster| {
+    let has_new_version = |cluster: &Cluster| {
         cluster.in_force()[2..]
             .iter()
             .all(|number| *number > before)
     };
-    let mut offered = false;
+    let mut activated = false;
     for by in [2, 3, 4, 2, 3, 4] {
         cluster.offer(by, None).expect("offered");
-        offered |= cluster.wait(Duration::from_secs(3), moved).is_some();
-        if offered {
+        activated |= cluster
+            .wait(Duration::from_secs(3), has_new_version)
+            .is_some();
+        if activated {
             break;
         }
     }
     assert!(
-        offered,
+        activated,
         "three of five agree on a version: {:?}",
         cluster.in_force()
     );
     assert_eq!(
         cluster.in_force()[..2],
         [before, before],
-        "and the others have not heard of it"
+        "the others do not know it"
     );
     cluster.heal();
     assert!(
-        cluster.agree(LONG).expect("played").is_some(),
-        "after that all agree again: {:?}",
+        cluster.agree(TIMEOUT).expect("played").is_some(),
+        "once healed, all agree again: {:?}",
         cluster.in_force()
     );
     no_violation(&cluster);
@@ -75,30 +77,30 @@
 #[test]
 fn nacked_file_becomes_active_nowhere() {
     let _alone = alone();
-    let mut cluster = agreed(5, 3);
+    let mut cluster = start_fleet(5, 3);
     let before = cluster.in_force();
     cluster.spoil(4).expect("written");
     cluster.offer(0, Some(4)).expect("offered");
-    let refused = |cluster: &Cluster| {
+    let rejected_everywhere = |cluster: &Cluster| {
         let history = cluster.history();
-        let refusals = history
+        let rejections = history
             .iter()
             .filter(|line| line.fields["message"] == "version: refused");
-        refusals.filter(|line| line.fields["by"] == 5).count() >= 5
+        rejections.filter(|line| line.fields["by"] == 5).count() >= 5
     };
     assert!(
-        cluster.wait(LONG, refused).is_some(),
-        "each gateway hears who refused it"
+        cluster.wait(TIMEOUT, rejected_everywhere).is_some(),
+        "each gateway learns who rejected it"
     );
     assert_eq!(cluster.in_force(), before);
     assert!(
-        cluster.agree(LONG).expect("played").is_some(),
-        "a good one is taken"
+        cluster.agree(TIMEOUT).expect("played").is_some(),
+        "a valid one becomes active"
     );
     no_violation(&cluster);
 }
 
-/// Two hundred clients of a gateway that died come to the next one at once.
+/// Two hundred clients of a gateway that died connect to the next one at once.
 #[test]
 fn returning_clients_are_admitted_at_fleet_rate() {
     let _alone = alone();
@@ -109,25 +111,25 @@
         "readmission(sessions_per_s = 90, burst = 5)\n",
     )
     .expect("started");
-    assert!(cluster.agree(LONG).expect("played").is_some());
+    assert!(cluster.agree(TIMEOUT).expect("played").is_some());
     cluster.kill(0);
-    // Two are left once the dead one's registration is taken away: each admits 45 a second.
-    assert!(cluster.agree_without(LONG, 0).expect("played").is_some());
+    // Two are left once the dead one's registration has expired: each admits 45 a second.
+    assert!(cluster.agree_without(TIMEOUT, 0).expect("played").is_some());
     let storm = cluster.storm(1, 200, Duration::from_secs(20));
     let mut admitted = storm.admitted.clone();
     admitted.sort_unstable();
-    assert_eq!(admitted.len(), 200, "everybody comes in");
+    assert_eq!(admitted.len(), 200, "all are admitted");
     for (n, at) in admitted.iter().enumerate() {
         let within = admitted[n..]
             .iter()
             .take_while(|other| **other < at + 1_000_000)
             .count();
-        // The part, the burst, and a tenth for the client's own way.
+        // The gateway's share, the burst, and a tenth for the clients' own delays.
         assert!(within <= 55, "{within} in a second");
     }
     assert!(
         storm.refused >= 150 && storm.told,
-        "each refusal says when to come again"
+        "each rejection says when to retry"
     );
     no_violation(&cluster);
 }
@@ -136,17 +138,17 @@
 #[test]
 fn stalled_gateway_loses_its_permission() {
     let _alone = alone();
-    let mut cluster = agreed(3, 3);
+    let mut cluster = start_fleet(3, 3);
     cluster.signal(0, Signal::SIGSTOP);
-    // A version that all others act on without its verdict: its registration is taken away by then.
+    // All others act on a version without its ack: its registration has expired by then.
     assert!(
-        cluster.agree_without(LONG, 0).expect("played").is_some(),
+        cluster.agree_without(TIMEOUT, 0).expect("played").is_some(),
         "{:?}",
         cluster.in_force()
     );
     cluster.signal(0, Signal::SIGCONT);
     assert!(
-        cluster.agree(LONG).expect("played").is_some(),
+        cluster.agree(TIMEOUT).expect("played").is_some(),
         "it comes back: {:?}",
         cluster.in_force()
     );
@@ -157,12 +159,12 @@
 #[test]
 fn voters_that_lost_their_disks_rejoin() {
     let _alone = alone();
-    let mut cluster = agreed(3, 3);
+    let mut cluster = start_fleet(3, 3);
     for voter in [0, 1] {
         cluster.wipe(voter).expect("wiped");
         cluster.revive(voter).expect("started");
         assert!(
-            cluster.agree(LONG).expect("played").is_some(),
+            cluster.agree(TIMEOUT).expect("played").is_some(),
             "{:?}",
             cluster.in_force()
         );
@@ -174,18 +176,18 @@
 #[test]
 fn restarted_fleet_continues_from_disk() {
     let _alone = alone();
-    let mut cluster = agreed(3, 3);
+    let mut cluster = start_fleet(3, 3);
     let before = cluster.in_force()[0];
     (0..3).for_each(|gateway| cluster.kill(gateway));
     (0..3).for_each(|gateway| cluster.revive(gateway).expect("started"));
     assert!(
-        cluster.agree(LONG).expect("played").is_some(),
+        cluster.agree(TIMEOUT).expect("played").is_some(),
         "{:?}",
         cluster.in_force()
     );
     assert!(
         cluster.in_force()[0] > before,
-        "its versions are numbered on"
+        "the numbers of versions go on"
     );
     no_violation(&cluster);
 }
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -1,4 +1,4 @@
-//! Control members and the gateways that they serve, as processes: who keeps acting when control members fall, and who not.
+//! Control members and the gateways that they serve, as processes: which gateways keep acting when control members fail.
 
 mod fleets;
 
@@ -8,27 +8,31 @@
 use std::process::Command;
 use std::time::Duration;
 
-const LONG: Duration = Duration::from_secs(20);
-/// Rights that end soon, in milliseconds, and when they are renewed.
-const SHORT: (u64, u64) = (1_200, 200);
-/// Rights that outlast two elections by ten seconds, as a busy machine may take them; elections are the longer for it, five
-/// to ten seconds.
-const LASTING: (u64, u64) = (30_000, 500);
-const ELECTIONS: Duration = Duration::from_secs(60);
-/// What a leader has answered before it fell is with its gateways by then: later renewals are another's.
-const ON_ITS_WAY_MS: u64 = 3_000;
+const TIMEOUT: Duration = Duration::from_secs(20);
+/// A short lease and its renewal interval, milliseconds.
+const SHORT_LEASE_MS: (u64, u64) = (1_200, 200);
+/// A lease that outlasts two elections by ten seconds on a busy machine, and its renewal interval, milliseconds. Election
+/// timeouts follow it: five to ten seconds.
+const LONG_LEASE_MS: (u64, u64) = (30_000, 500);
+const ELECTION_TIMEOUT: Duration = Duration::from_secs(60);
+/// Answers of a failed leader have reached its gateways by then: later renewals are another leader's.
+const IN_FLIGHT_MS: u64 = 3_000;
 
-/// A fleet of such processes, each gateway of which acts on a first version.
-fn agreed(roles: &[Role], times: (u64, u64)) -> Cluster {
+/// A fleet of processes with these roles, whose gateways all act on a first version.
+fn start_fleet(roles: &[Role], times: (u64, u64)) -> Cluster {
     let mut cluster = Cluster::start_as(program(), roles.to_vec(), times, "").expect("started");
     agree(
         &mut cluster,
-        if times == LASTING { ELECTIONS } else { LONG },
+        if times == LONG_LEASE_MS {
+            ELECTION_TIMEOUT
+        } else {
+            TIMEOUT
+        },
     );
     cluster
 }
 
-/// What a gateway said of its registration, in order: when, the registration, and whether it may act.
+/// What a gateway logged of its registration, in order: when, the token, and whether it may act.
 fn registrations(cluster: &Cluster, gateway: usize) -> Vec<(u64, u64, bool)> {
     let own = cluster
         .history()
@@ -46,7 +50,7 @@
     said.collect()
 }
 
-/// Whether a gateway's right was renewed after some moment.
+/// Whether a gateway's permission was renewed after some moment.
 fn renewed(gateway: usize, after: u64) -> impl Fn(&Cluster) -> bool {
     move |cluster| {
         let last = registrations(cluster, gateway).last().copied();
@@ -54,8 +58,13 @@
     }
 }
 
-/// Has a leader fall in some way; gateways go on under the registrations that they had, and a version comes in force after that.
-fn outlives(cluster: &mut Cluster, served: &[usize], fall: impl FnOnce(&mut Cluster, usize)) {
+/// Makes the leader fail in some way. Gateways must go on under the registrations that they had, and a version must become
+/// active after that.
+fn assert_survives(
+    cluster: &mut Cluster,
+    served: &[usize],
+    fail: impl FnOnce(&mut Cluster, usize),
+) {
     let registered: Vec<_> = served
         .iter()
         .map(|gateway| registrations(cluster, *gateway))
@@ -63,12 +72,15 @@
     let all_act = registered
         .iter()
         .all(|said| said.last().is_some_and(|(_, _, acting)| *acting));
-    assert!(all_act, "before the fall: {registered:?}");
+    assert!(all_act, "before the failure: {registered:?}");
     let leader = cluster.leader().expect("one leads");
     let at = asterreel_rig::now();
-    fall(cluster, leader);
+    fail(cluster, leader);
     for (gateway, before) in served.iter().zip(&registered) {
-        let kept = cluster.wait(ELECTIONS, renewed(*gateway, at + ON_ITS_WAY_MS * 1_000));
+        let kept = cluster.wait(
+            ELECTION_TIMEOUT,
+            renewed(*gateway, at + IN_FLIGHT_MS * 1_000),
+        );
         assert!(
             kept.is_some(),
             "gateway {gateway}: {:?}",
@@ -86,16 +98,16 @@
         );
     }
     assert_ne!(cluster.leader(), Some(leader), "another leads");
-    agree(cluster, ELECTIONS);
+    agree(cluster, ELECTION_TIMEOUT);
 }
 
 /// A gateway that no peer lists takes versions, and stops when it is partitioned from all members.
 #[test]
 fn unlisted_gateway_is_served_until_partitioned() {
     let _alone = alone();
-    let mut cluster = agreed(
+    let mut cluster = start_fleet(
         &[Role::Voter, Role::Voter, Role::Voter, Role::Client],
-        SHORT,
+        SHORT_LEASE_MS,
     );
     let served = 3;
     let before = cluster.in_force()[served];
@@ -112,20 +124,24 @@
             .is_some_and(|(_, _, acting)| !acting)
     };
     assert!(
-        cluster.wait(LONG, stopped).is_some(),
+        cluster.wait(TIMEOUT, stopped).is_some(),
         "it acts without any member"
     );
     assert!(
         cluster
-            .agree_without(LONG, served)
+            .agree_without(TIMEOUT, served)
             .expect("played")
             .is_some(),
         "{:?}",
         cluster.in_force()
     );
-    assert_eq!(cluster.in_force()[served], before, "it has not heard of it");
+    assert_eq!(
+        cluster.in_force()[served],
+        before,
+        "it does not know the version"
+    );
     cluster.heal();
-    agree(&mut cluster, LONG);
+    agree(&mut cluster, TIMEOUT);
     no_violation(&cluster);
 }
 
@@ -134,7 +150,7 @@
 fn member_only_fleet_survives_loss_of_leaders() {
     let _alone = alone();
     let (member, client) = (Role::Member, Role::Client);
-    let mut cluster = agreed(&[member, member, member, client, client], LASTING);
+    let mut cluster = start_fleet(&[member, member, member, client, client], LONG_LEASE_MS);
     assert_eq!(
         cluster.in_force()[..3],
         [0, 0, 0],
@@ -142,23 +158,26 @@
     );
     let served = [3, 4];
     // One that is killed, and comes back.
-    outlives(&mut cluster, &served, |cluster, leader| {
+    assert_survives(&mut cluster, &served, |cluster, leader| {
         cluster.kill(leader);
     });
     (0..3).for_each(|member| cluster.revive(member).expect("started"));
-    // One that ends in order.
-    outlives(&mut cluster, &served, |cluster, leader| {
-        assert!(cluster.end(leader, LONG).expect("in time"), "it ends well");
+    // One that shuts down gracefully.
+    assert_survives(&mut cluster, &served, |cluster, leader| {
+        assert!(
+            cluster.end(leader, TIMEOUT).expect("in time"),
+            "it ends well"
+        );
     });
     (0..3).for_each(|member| cluster.revive(member).expect("started"));
-    // One that stands still: its links stay open and say nothing.
+    // One that stalls: its links stay open and idle.
     let mut stalled = None;
-    outlives(&mut cluster, &served, |cluster, leader| {
+    assert_survives(&mut cluster, &served, |cluster, leader| {
         cluster.signal(leader, Signal::SIGSTOP);
         stalled = Some(leader);
     });
     cluster.signal(stalled.expect("it was stopped"), Signal::SIGCONT);
-    agree(&mut cluster, ELECTIONS);
+    agree(&mut cluster, ELECTION_TIMEOUT);
     no_violation(&cluster);
 }
 
@@ -166,7 +185,7 @@
 #[test]
 fn gateway_partitioned_from_leader_loses_permission() {
     let _alone = alone();
-    let mut cluster = agreed(
+    let mut cluster = start_fleet(
         &[
             Role::Voter,
             Role::Voter,
@@ -174,9 +193,9 @@
             Role::Client,
             Role::Listed,
         ],
-        SHORT,
+        SHORT_LEASE_MS,
     );
-    // It asks the others meanwhile, who send it to the leader again; on a busy machine another may lead by then.
+    // The other members redirect it to the leader meanwhile; on a busy machine another may lead by then.
     let stopped = |cluster: &Cluster| {
         cluster.part_two(cluster.leader().expect("one leads"), 3);
         registrations(cluster, 3)
@@ -184,17 +203,17 @@
             .is_some_and(|(_, _, acting)| !acting)
     };
     assert!(
-        cluster.wait(LONG, stopped).is_some(),
+        cluster.wait(TIMEOUT, stopped).is_some(),
         "{:?}",
         registrations(&cluster, 3).last()
     );
     assert!(
-        cluster.agree_without(LONG, 3).expect("played").is_some(),
+        cluster.agree_without(TIMEOUT, 3).expect("played").is_some(),
         "{:?}",
         cluster.in_force()
     );
     cluster.heal();
-    agree(&mut cluster, LONG);
+    agree(&mut cluster, TIMEOUT);
     no_violation(&cluster);
 }
 
