--- a/src/bin/asterreel/cli/cells.rs
+++ b/src/bin/asterreel/cli/cells.rs
@@ -71,8 +71,7 @@
     let mut json = serde_json::Deserializer::from_slice(&text);
     let published: Published = serde_path_to_error::deserialize(&mut json)
         .map_err(|error| at(path, &format!("{}: {}", error.path(), error.inner())))?;
-    let placement = Placement::new(published.clone());
-    let placement = placement.map_err(|(key, fault)| at(path, &format!("{key}: {fault}")))?;
+    let placement = Placement::new(published.clone()).map_err(|error| at(path, &error))?;
     Ok((published, placement))
 }
 
--- a/src/cells/placement.rs
+++ b/src/cells/placement.rs
@@ -128,16 +128,33 @@
     pub homes: Vec<(String, Home)>,
 }
 
-/// The key at fault, and why.
-pub type Fault = (String, String);
+/// A published placement that contradicts itself.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{key}: {fault}")]
+pub struct PlacementError {
+    /// The key to correct, as `cells[2]`.
+    pub key: String,
+    /// What is wrong with it.
+    pub fault: String,
+}
+
+impl PlacementError {
+    /// `key` is at fault, for the reason `fault`.
+    pub fn new(key: impl Into<String>, fault: impl Into<String>) -> PlacementError {
+        PlacementError {
+            key: key.into(),
+            fault: fault.into(),
+        }
+    }
+}
 
 impl Placement {
     /// Checks what was published.
     ///
     /// # Errors
     ///
-    /// [`Fault`]: the key at fault and what is wrong with it.
-    pub fn new(published: Published) -> Result<Placement, Fault> {
+    /// [`PlacementError`]: the key at fault and what is wrong with it.
+    pub fn new(published: Published) -> Result<Placement, PlacementError> {
         let Published {
             epoch,
             cells,
@@ -146,86 +163,15 @@
             mut ranges,
             homes,
         } = published;
-        let bad = |key: String, fault: String| Err((key, fault));
-        if cells.is_empty() || cells.len() > usize::from(u16::MAX) {
-            return bad("cells".into(), format!("{} of them", cells.len()));
+        check_sizes(&cells, spread)?;
+        for place in 0..cells.len() {
+            check_cell(&cells, place, spread)?;
         }
-        if !(1..=MAX_GROUPS).contains(&spread) {
-            return bad(
-                "spread".into(),
-                format!("{spread} is not within 1 to {MAX_GROUPS}"),
-            );
-        }
-        for (place, cell) in cells.iter().enumerate() {
-            let key = format!("cells[{place}]");
-            if cells[..place].iter().any(|other| other.name == cell.name) {
-                return bad(key, format!("{:?} is the name of two", cell.name));
-            }
-            if cell.groups.len() < spread {
-                let fault = format!(
-                    "{:?} has {} groups, and spread is {spread}",
-                    cell.name,
-                    cell.groups.len()
-                );
-                return bad(key, fault);
-            }
-            for group in &cell.groups {
-                // A group in two cells would carry what harms one into the other.
-                let elsewhere = |other: &&Cell| other.groups.contains(group);
-                if let Some(other) = cells[..place].iter().find(elsewhere) {
-                    let fault = format!(
-                        "group {group} is in {:?} and in {:?}",
-                        other.name, cell.name
-                    );
-                    return bad(key, fault);
-                }
-                if cell.groups.iter().filter(|other| *other == group).count() > 1 {
-                    return bad(
-                        key,
-                        format!("group {group} is named twice in {:?}", cell.name),
-                    );
-                }
-            }
-        }
-        let known = |cell: CellId| usize::from(cell.0) < cells.len();
-        for (place, range) in ranges.iter().enumerate() {
-            let key = format!("ranges[{place}]");
-            if !known(range.cell) {
-                return bad(
-                    key,
-                    format!(
-                        "{:?} names cell {}, which is none",
-                        range.name, range.cell.0
-                    ),
-                );
-            }
-            if range.to.as_ref().is_some_and(|to| *to <= range.from) {
-                return bad(
-                    key,
-                    format!("{:?} ends where it begins, or before", range.name),
-                );
-            }
-            if let Some(other) = ranges[..place].iter().find(|other| other.overlaps(range)) {
-                return bad(
-                    key,
-                    format!("{:?} and {:?} overlap", other.name, range.name),
-                );
-            }
+        for place in 0..ranges.len() {
+            check_range(&ranges, place, cells.len())?;
         }
         ranges.sort_by(|one, other| one.from.cmp(&other.from));
-        let mut map = HashMap::with_capacity(homes.len());
-        for (place, (name, home)) in homes.into_iter().enumerate() {
-            if !known(home.cell) || home.epoch > epoch {
-                return bad(
-                    format!("homes[{place}]"),
-                    format!("{name:?}: cell {} at epoch {}", home.cell.0, home.epoch.0),
-                );
-            }
-            if map.insert(name.clone().into_boxed_str(), home).is_some() {
-                return bad(format!("homes[{place}]"), format!("{name:?} lives twice"));
-            }
-        }
-        map.shrink_to_fit();
+        let homes = homes_by_tenant(homes, cells.len(), epoch)?;
         let salts = cells
             .iter()
             .map(|cell| stable_hash(cell.name.as_bytes()))
@@ -237,7 +183,7 @@
             spread,
             order,
             ranges,
-            homes: map,
+            homes,
         })
     }
 
@@ -351,3 +297,89 @@
     /// See `pairs`.
     pub whole: u64,
 }
+
+/// There are cells, and no more than a [`CellId`] can number; tenants are spread over a possible number of groups.
+fn check_sizes(cells: &[Cell], spread: usize) -> Result<(), PlacementError> {
+    if cells.is_empty() || cells.len() > usize::from(u16::MAX) {
+        let fault = format!("{} of them", cells.len());
+        return Err(PlacementError::new("cells", fault));
+    }
+    if !(1..=MAX_GROUPS).contains(&spread) {
+        let fault = format!("{spread} is not within 1 to {MAX_GROUPS}");
+        return Err(PlacementError::new("spread", fault));
+    }
+    Ok(())
+}
+
+/// The cell at `place` has a name of its own and enough groups, which no other cell has.
+fn check_cell(cells: &[Cell], place: usize, spread: usize) -> Result<(), PlacementError> {
+    let (cell, earlier) = (&cells[place], &cells[..place]);
+    let error = |fault: String| Err(PlacementError::new(format!("cells[{place}]"), fault));
+    if earlier.iter().any(|other| other.name == cell.name) {
+        return error(format!("{:?} is the name of two", cell.name));
+    }
+    if cell.groups.len() < spread {
+        return error(format!(
+            "{:?} has {} groups, and spread is {spread}",
+            cell.name,
+            cell.groups.len()
+        ));
+    }
+    for group in &cell.groups {
+        // A group in two cells would carry what harms one into the other.
+        let same_group = |other: &&Cell| other.groups.contains(group);
+        if let Some(other) = earlier.iter().find(same_group) {
+            return error(format!(
+                "group {group} is in {:?} and in {:?}",
+                other.name, cell.name
+            ));
+        }
+        if cell.groups.iter().filter(|other| *other == group).count() > 1 {
+            return error(format!("group {group} is named twice in {:?}", cell.name));
+        }
+    }
+    Ok(())
+}
+
+/// The range at `place` names one of the `cell_count` cells, is not empty, and overlaps none before it.
+fn check_range(ranges: &[Range], place: usize, cell_count: usize) -> Result<(), PlacementError> {
+    let (range, earlier) = (&ranges[place], &ranges[..place]);
+    let error = |fault: String| Err(PlacementError::new(format!("ranges[{place}]"), fault));
+    if usize::from(range.cell.0) >= cell_count {
+        return error(format!(
+            "{:?} names cell {}, which is none",
+            range.name, range.cell.0
+        ));
+    }
+    if range.to.as_ref().is_some_and(|to| *to <= range.from) {
+        return error(format!("{:?} ends where it begins, or before", range.name));
+    }
+    if let Some(other) = earlier.iter().find(|other| other.overlaps(range)) {
+        return error(format!("{:?} and {:?} overlap", other.name, range.name));
+    }
+    Ok(())
+}
+
+/// The homes of tenants placed explicitly, each in one of the `cell_count` cells and no newer than `epoch`.
+fn homes_by_tenant(
+    homes: Vec<(String, Home)>,
+    cell_count: usize,
+    epoch: Epoch,
+) -> Result<HashMap<Box<str>, Home>, PlacementError> {
+    let mut by_tenant = HashMap::with_capacity(homes.len());
+    for (place, (tenant, home)) in homes.into_iter().enumerate() {
+        let error = |fault: String| Err(PlacementError::new(format!("homes[{place}]"), fault));
+        if usize::from(home.cell.0) >= cell_count || home.epoch > epoch {
+            let (cell, epoch) = (home.cell.0, home.epoch.0);
+            return error(format!("{tenant:?}: cell {cell} at epoch {epoch}"));
+        }
+        if by_tenant
+            .insert(tenant.clone().into_boxed_str(), home)
+            .is_some()
+        {
+            return error(format!("{tenant:?} lives twice"));
+        }
+    }
+    by_tenant.shrink_to_fit();
+    Ok(by_tenant)
+}
--- a/src/cells/record.rs
+++ b/src/cells/record.rs
@@ -1,6 +1,6 @@
 //! A published placement as bytes: versioned, checksummed, and never taken back to an older epoch.
 
-use super::placement::{Placement, Published};
+use super::placement::{Placement, PlacementError, Published};
 use super::{stable_hash, Epoch};
 
 /// The first line of a file; its version changes when an older program could misread what follows.
@@ -10,41 +10,25 @@
 pub const MAX_LENGTH_BYTES: usize = 64 << 20;
 
 /// Why a file was not taken. The placement in force stays.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
     /// Cut short, or not such a file at all.
+    #[error("it is cut short, or no placement")]
     Truncated,
     /// Of another version.
+    #[error("it is of version {0}, and this program reads {VERSION}")]
     Version(u32),
     /// What it holds is not what was written.
+    #[error("its checksum does not match")]
     Checksum,
-    /// Its epoch is older than the one in force.
-    GoesBack(Epoch, Epoch),
-    /// It contradicts itself: the key, and how.
-    Faulty(String, String),
+    /// Its epoch, the first, is older than the second, which is in force.
+    #[error("its epoch {} is older than {}", .0.0, .1.0)]
+    Outdated(Epoch, Epoch),
+    /// It contradicts itself.
+    #[error(transparent)]
+    Contradictory(#[from] PlacementError),
 }
 
-impl std::fmt::Display for RecordError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            RecordError::Truncated => write!(f, "it is cut short, or no placement"),
-            RecordError::Version(found) => {
-                write!(
-                    f,
-                    "it is of version {found}, and this program reads {VERSION}"
-                )
-            }
-            RecordError::Checksum => write!(f, "its checksum does not match"),
-            RecordError::GoesBack(found, held) => {
-                write!(f, "its epoch {} is older than {}", found.0, held.0)
-            }
-            RecordError::Faulty(key, fault) => write!(f, "{key}: {fault}"),
-        }
-    }
-}
-
-impl std::error::Error for RecordError {}
-
 /// The bytes of a placement: a head line with version, length and checksum, then JSON.
 ///
 /// # Errors
@@ -64,7 +48,7 @@
 ///
 /// # Errors
 ///
-/// [`Unusable`], where the bytes are damaged, or older than what is held.
+/// [`RecordError`], where the bytes are damaged, or older than what is held.
 pub fn decode(bytes: &[u8], held: Epoch) -> Result<Placement, RecordError> {
     let end = bytes
         .iter()
@@ -89,10 +73,10 @@
     }
     let mut json = serde_json::Deserializer::from_slice(body);
     let published: Published = serde_path_to_error::deserialize(&mut json).map_err(|error| {
-        RecordError::Faulty(error.path().to_string(), error.inner().to_string())
+        PlacementError::new(error.path().to_string(), error.inner().to_string())
     })?;
     if published.epoch < held {
-        return Err(RecordError::GoesBack(published.epoch, held));
+        return Err(RecordError::Outdated(published.epoch, held));
     }
-    Placement::new(published).map_err(|(key, fault)| RecordError::Faulty(key, fault))
+    Ok(Placement::new(published)?)
 }
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -198,7 +198,7 @@
         told.ranges = ranges;
         spoil(&mut told);
         let found = Placement::new(told).expect_err(fault);
-        assert!(found.0 == key && found.1.contains(fault), "{found:?}");
+        assert!(found.key == key && found.fault.contains(fault), "{found:?}");
     }
 }
 
@@ -226,7 +226,7 @@
     }
     assert_eq!(
         decode(&bytes, Epoch(8)).expect_err("old"),
-        RecordError::GoesBack(Epoch(7), Epoch(8))
+        RecordError::Outdated(Epoch(7), Epoch(8))
     );
     let other = String::from_utf8(bytes)
         .expect("text")
