--- a/src/bin/asterreel/cli/health.rs
+++ b/src/bin/asterreel/cli/health.rs
@@ -51,56 +51,67 @@
 }
 
 fn table(value: &Value) -> String {
-    let text = |value: &Value| {
-        value
-            .as_str()
-            .map_or_else(|| value.to_string(), str::to_owned)
-    };
-    let mut rows = vec![[
-        "scope",
-        "state",
-        "weight",
-        "reason",
-        "in flight",
-        "held",
-        "members",
-    ]
-    .map(str::to_owned)];
-    let row = |scope: String, entry: &Value| {
-        let members = match (&entry["usable_members"], &entry["members"]) {
-            (Value::Null, _) | (_, Value::Null) => String::new(),
-            (usable, all) => format!("{usable} of {all}"),
-        };
-        let number = |key: &str| {
-            if entry[key].is_null() {
-                String::new()
-            } else {
-                entry[key].to_string()
-            }
-        };
-        let [state, weight, reason] = ["state", "weight", "reason"].map(|key| text(&entry[key]));
-        [
-            scope,
-            state,
-            weight,
-            reason,
-            number("in_flight"),
-            number("held"),
-            members,
-        ]
-    };
-    rows.push(row(format!("gateway {}", text(&value["serviceId"])), value));
+    let mut rows = vec![COLUMNS.map(str::to_owned)];
+    let gateway = format!("gateway {}", plain(&value["serviceId"]));
+    rows.push(row(gateway, value));
     for (name, entries) in value["checks"].as_object().into_iter().flatten() {
         rows.push(row(name.replace(':', " "), &entries[0]));
     }
+    aligned(&rows)
+}
+
+const COLUMNS: [&str; 7] = [
+    "scope",
+    "state",
+    "weight",
+    "reason",
+    "in flight",
+    "held",
+    "members",
+];
+
+/// A JSON value as text, a string without its quotes.
+fn plain(value: &Value) -> String {
+    value
+        .as_str()
+        .map_or_else(|| value.to_string(), str::to_owned)
+}
+
+/// The row of a scope; columns that it has no values for are empty.
+fn row(scope: String, entry: &Value) -> [String; COLUMNS.len()] {
+    let members = match (&entry["usable_members"], &entry["members"]) {
+        (Value::Null, _) | (_, Value::Null) => String::new(),
+        (usable, all) => format!("{usable} of {all}"),
+    };
+    let number = |key: &str| {
+        if entry[key].is_null() {
+            String::new()
+        } else {
+            entry[key].to_string()
+        }
+    };
+    let [state, weight, reason] = ["state", "weight", "reason"].map(|key| plain(&entry[key]));
+    [
+        scope,
+        state,
+        weight,
+        reason,
+        number("in_flight"),
+        number("held"),
+        members,
+    ]
+}
+
+/// Rows as lines of text, each column as wide as its widest cell.
+fn aligned<const N: usize>(rows: &[[String; N]]) -> String {
     let width = |column: usize| {
         rows.iter()
             .map(|row| row[column].chars().count())
             .max()
             .unwrap_or(0)
     };
-    let widths: Vec<usize> = (0..7).map(width).collect();
-    let line = |row: &[String; 7]| {
+    let widths: Vec<usize> = (0..N).map(width).collect();
+    let line = |row: &[String; N]| {
         let cells: Vec<String> = row
             .iter()
             .zip(&widths)
