--- a/src/bin/asterreel-config-eval/functions.rs
+++ b/src/bin/asterreel-config-eval/functions.rs
@@ -6,7 +6,7 @@
 use crate::collected::{location_of, record_error, set_once};
 use asterreel::cells::quarantine;
 use asterreel::health::drain::{Balancer, Drain};
-use asterreel::health::Knobs;
+use asterreel::health::HealthOptions;
 use asterreel::operator::{
     Agent, CellBounds, Cells, Health, Lease, Listener, Peer, SettingError, SourceLocation,
 };
@@ -155,7 +155,7 @@
         #[starlark(kwargs)] arguments: DictRef<'v>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<Value<'v>> {
-        plain_data::<Knobs>("knobs", &arguments, eval)
+        plain_data::<HealthOptions>("knobs", &arguments, eval)
     }
 
     /// Health for balancers; called once at most.
--- a/src/bin/asterreel/cli/probe.rs
+++ b/src/bin/asterreel/cli/probe.rs
@@ -72,7 +72,8 @@
                 let line = group.map_or("\n".to_owned(), |group| format!("group {group}\n"));
                 let answer = exchange(self.address, line.as_bytes(), left, |_| false)?;
                 let text = String::from_utf8_lossy(&answer).trim().to_owned();
-                let told = agent::parse(&answer).ok_or_else(|| Fault::Senseless(text.clone()))?;
+                let told =
+                    agent::parse_reply(&answer).ok_or_else(|| Fault::Senseless(text.clone()))?;
                 match (told.up, told.ready, told.weight) {
                     (Some(false), ..) | (_, Some(false), _) => Ok((false, text)),
                     (Some(true), _, weight) => Ok((weight != Some(0), text)),
--- a/src/bin/asterreel/core.rs
+++ b/src/bin/asterreel/core.rs
@@ -133,7 +133,7 @@
             state
                 .observer
                 .as_ref()
-                .is_some_and(|observer| observer.lost(group))
+                .is_some_and(|observer| observer.has_lost_all_members(group))
         })
     }
 
--- a/src/bin/asterreel/health/fronts.rs
+++ b/src/bin/asterreel/health/fronts.rs
@@ -104,25 +104,25 @@
             agent.is_some_and(|agent| agent.maxconn),
         )
     };
-    let mut bytes = Vec::with_capacity(agent::LONGEST);
+    let mut bytes = Vec::with_capacity(agent::MAX_QUERY_BYTES);
     // Most balancers send nothing and wait for the line.
     let first = timeout(Duration::from_millis(wait), stream.read_buf(&mut bytes)).await;
     let mut selector = agent::Selector::Gateway;
     if let Ok(count) = first {
         if count? > 0 {
-            selector = agent::selector(&bytes);
+            selector = agent::parse_selector(&bytes);
         }
-        while selector == agent::Selector::More {
+        while selector == agent::Selector::Incomplete {
             if stream.read_buf(&mut bytes).await? == 0 {
                 return Ok(());
             }
-            selector = agent::selector(&bytes);
+            selector = agent::parse_selector(&bytes);
         }
     }
     let scope = match selector {
         agent::Selector::Group(group) => Scope::Group(group),
         agent::Selector::Gateway => Scope::Gateway,
-        agent::Selector::Bad | agent::Selector::More => {
+        agent::Selector::Invalid | agent::Selector::Incomplete => {
             return stream.write_all(b"#unknown selector\n").await
         }
     };
@@ -130,7 +130,7 @@
     let maxconn = maxconn
         .then_some(capacity.max_sessions)
         .filter(|most| *most > 0);
-    let line = agent::line(client.shared.status(scope), maxconn);
+    let line = agent::reply_line(client.shared.status(scope), maxconn);
     stream.write_all(line.as_bytes()).await?;
     stream.shutdown().await
 }
@@ -149,7 +149,7 @@
         client.touch();
         let whole = async {
             loop {
-                match http::request(&bytes) {
+                match http::parse_request(&bytes) {
                     Ok(None) if stream.read_buf(&mut bytes).await? == 0 => return Ok(Ok(None)),
                     Ok(None) => {}
                     Ok(Some(request)) => return Ok(Ok(Some(request))),
@@ -159,7 +159,7 @@
         };
         let parsed = match timeout(CHECK_TIMEOUT, whole)
             .await
-            .unwrap_or(Ok(Err(http::Refused(408))))?
+            .unwrap_or(Ok(Err(http::Rejected(408))))?
         {
             Ok(None) => return Ok(()),
             Ok(Some(request)) => Ok(request),
--- a/src/bin/asterreel/health/heartbeat.rs
+++ b/src/bin/asterreel/health/heartbeat.rs
@@ -45,7 +45,7 @@
                     () = shared.connect_check.notified() => {}
                 }
             }
-            // Refused or closed: the knock that is out counts on.
+            // Refused or closed: the age of this connection attempt keeps growing.
             Ok(Err(_)) => sleep(RETRY_DELAY).await,
             Err(_) => {}
         }
@@ -113,7 +113,7 @@
             shared.event(Event::Heartbeat(Heartbeat::SessionLost));
             shared.connect_check.notify_waiters();
         }
-        let every = Duration::from_millis(shared.settings.borrow().knobs.beat_every_ms);
+        let every = Duration::from_millis(shared.settings.borrow().options.beat_every_ms);
         sleep(every).await;
     }
 }
--- a/src/bin/asterreel/health/mod.rs
+++ b/src/bin/asterreel/health/mod.rs
@@ -15,7 +15,8 @@
 use crate::front::Gateway;
 use asterreel::health::connection_limit::ConnectionLimiter;
 use asterreel::health::{
-    http::Facts, Action, Capacity, CommandAge, Event, Machine, Scope, State, Status,
+    http::{Facts, GroupCounts},
+    Action, Capacity, CommandAge, Event, Machine, Scope, State, Status,
 };
 use asterreel::operator::Health;
 use asterreel_control::clock::Clock;
@@ -35,7 +36,7 @@
 /// Time between two observations: the longest that a change waits before it is announced.
 const TICK: Duration = Duration::from_millis(25);
 /// Changes that may wait to be logged; more are dropped, as the next one says the same.
-const LOG_AHEAD: usize = 256;
+const LOG_QUEUE_LENGTH: usize = 256;
 /// Descriptors held in reserve, given up when accepting finds none.
 const RESERVED_DESCRIPTORS: usize = 2;
 
@@ -43,8 +44,8 @@
 enum Command {
     Terminate,
     Stopping,
-    ShutOut(bool),
-    Again(Box<Health>),
+    RegistrationLost(bool),
+    Reload(Box<Health>),
 }
 
 /// Sends commands to the health thread.
@@ -66,12 +67,12 @@
     }
 
     /// Whether the gateway has no registration in the fleet's log.
-    pub(crate) fn shut_out(&self, shut_out: bool) {
-        let _ = self.commands.send(Command::ShutOut(shut_out));
+    pub(crate) fn registration_lost(&self, lost: bool) {
+        let _ = self.commands.send(Command::RegistrationLost(lost));
     }
 
     /// Puts what was read again into force; the keys that have to wait for the next start.
-    pub(crate) fn again(&mut self, settings: Health) -> Vec<&'static str> {
+    pub(crate) fn reload(&mut self, settings: Health) -> Vec<&'static str> {
         let before = &self.settings;
         let later = [
             (
@@ -87,7 +88,7 @@
                 (&before.balancer, &before.drain) != (&settings.balancer, &settings.drain)
             }),
         ];
-        let _ = self.commands.send(Command::Again(Box::new(settings)));
+        let _ = self.commands.send(Command::Reload(Box::new(settings)));
         later
             .into_iter()
             .filter(|(_, changed)| *changed)
@@ -159,23 +160,21 @@
             groups: machine
                 .seen_groups()
                 .map(|seen| {
-                    (
-                        seen.group,
-                        [seen.in_flight, seen.held, seen.usable, seen.members],
-                    )
+                    let counts = GroupCounts {
+                        in_flight: seen.in_flight,
+                        queued: seen.queued,
+                        usable_members: seen.usable,
+                        members: seen.members,
+                    };
+                    (seen.group, counts)
                 })
                 .collect(),
         }
     }
 }
 
-/// Binds the fronts and starts the thread; an error names the key.
-pub(crate) fn start(
-    name: &str,
-    settings: &Health,
-    gateway: Arc<Gateway>,
-    client: SocketAddr,
-) -> io::Result<Handle> {
+/// Binds the listeners; an error names the key.
+fn bind_listeners(settings: &Health) -> io::Result<Vec<(&'static str, TcpListener)>> {
     let mut listeners = Vec::new();
     for (key, address) in settings.listeners() {
         let bound = TcpListener::bind(address).and_then(|listener| {
@@ -186,7 +185,12 @@
             bound.map_err(|error| io::Error::other(format!("health.{key}: {address}: {error}")))?;
         listeners.push((key, bound));
     }
-    let (log, logged) = sync_channel::<(Scope, Option<Status>)>(LOG_AHEAD);
+    Ok(listeners)
+}
+
+/// Starts the thread that writes the log, which a full pipe may hold up.
+fn start_log() -> io::Result<SyncSender<(Scope, Option<Status>)>> {
+    let (log, logged) = sync_channel::<(Scope, Option<Status>)>(LOG_QUEUE_LENGTH);
     std::thread::Builder::new()
         .name("health-log".into())
         .spawn(move || {
@@ -194,6 +198,18 @@
                 write_log(scope, status);
             }
         })?;
+    Ok(log)
+}
+
+/// Binds the fronts and starts the thread; an error names the key.
+pub(crate) fn start(
+    name: &str,
+    settings: &Health,
+    gateway: Arc<Gateway>,
+    client: SocketAddr,
+) -> io::Result<Handle> {
+    let listeners = bind_listeners(settings)?;
+    let log = start_log()?;
     let notify = if settings.notify {
         notify::start()?
     } else {
@@ -212,7 +228,7 @@
             let shared = Rc::new(Shared {
                 name,
                 clock,
-                machine: RefCell::new(Machine::new(own.knobs.clone(), clock.now())),
+                machine: RefCell::new(Machine::new(own.options.clone(), clock.now())),
                 connections: RefCell::new(ConnectionLimiter::new(
                     own.allow.clone(),
                     own.connections,
@@ -273,56 +289,88 @@
         let front = fronts::Front::of(key);
         tokio::task::spawn_local(fronts::accept(shared.clone(), listener, front));
     }
-    // A place to connect to, where all addresses are listened on.
-    let client = match client {
-        SocketAddr::V4(any) if any.ip().is_unspecified() => {
-            (Ipv4Addr::LOCALHOST, any.port()).into()
-        }
-        SocketAddr::V6(any) if any.ip().is_unspecified() => {
-            (Ipv4Addr::LOCALHOST, any.port()).into()
-        }
-        address => address,
-    };
-    heartbeat::start(&shared, client);
+    heartbeat::start(&shared, connectable(client));
     let mut ticks = tokio::time::interval(TICK);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let (mut age, mut look) = (CommandAge::default(), true);
+    let mut command_age = CommandAge::default();
+    let mut observe = true;
     loop {
         tokio::select! {
             biased;
-            word = commands.recv() => match word {
-                Some(Command::Terminate) => {
-                    shared.ending.set(true);
-                    shared.connect_check.notify_waiters();
-                    shared.event(Event::Terminate);
-                }
-                Some(Command::Stopping) => shared.event(Event::Stopping),
-                Some(Command::ShutOut(shut_out)) => shared.event(Event::RegistrationLost(shut_out)),
-                Some(Command::Again(settings)) => {
-                    shared.connections.borrow_mut().allow(settings.allow.clone());
-                    shared.event(Event::Configured(settings.knobs.clone()));
-                    let mut own = shared.settings.borrow_mut();
-                    (own.knobs, own.allow) = (settings.knobs, settings.allow);
-                }
+            command = commands.recv() => match command {
+                Some(command) => shared.apply(command),
                 // The program is gone, but for its exit.
                 None => return,
             },
             _ = ticks.tick() => {
-                let (given, taken) = shared.gateway.core.commands.counts();
-                shared.event(Event::OldestCommandAge(age.sample(shared.clock.now(), given, taken)));
+                shared.measure_command_age(&mut command_age);
                 // Every other tick: observing takes the core's lock, if only for some microseconds.
-                look = !look;
-                if look {
-                    let capacity = shared.gateway.capacity().unwrap_or(shared.capacity.get());
-                    shared.capacity.set(capacity);
-                    let seen = shared.gateway.core.look();
-                    shared.event(seen.map_or(Event::ObservationMissed, |report| Event::Observed(report, capacity)));
-                }
-                if let Some(notify) = &shared.notify {
-                    if shared.machine.borrow().moves() {
-                        let _ = notify.try_send(notify::Command::Moves);
-                    }
+                observe = !observe;
+                if observe {
+                    shared.observe();
                 }
+                shared.notify_service_manager();
+            }
+        }
+    }
+}
+
+/// An address to connect to: one that stands for all of the machine's is replaced by a loopback address.
+fn connectable(address: SocketAddr) -> SocketAddr {
+    match address {
+        SocketAddr::V4(any) if any.ip().is_unspecified() => {
+            (Ipv4Addr::LOCALHOST, any.port()).into()
+        }
+        SocketAddr::V6(any) if any.ip().is_unspecified() => {
+            (Ipv4Addr::LOCALHOST, any.port()).into()
+        }
+        address => address,
+    }
+}
+
+impl Shared {
+    /// Does what the program asks for.
+    fn apply(&self, command: Command) {
+        match command {
+            Command::Terminate => {
+                self.ending.set(true);
+                self.connect_check.notify_waiters();
+                self.event(Event::Terminate);
+            }
+            Command::Stopping => self.event(Event::Stopping),
+            Command::RegistrationLost(lost) => self.event(Event::RegistrationLost(lost)),
+            Command::Reload(settings) => {
+                self.connections.borrow_mut().allow(settings.allow.clone());
+                self.event(Event::Configured(settings.options.clone()));
+                let mut own = self.settings.borrow_mut();
+                (own.options, own.allow) = (settings.options, settings.allow);
+            }
+        }
+    }
+
+    /// Reports how old the oldest command is that the request path has not taken.
+    fn measure_command_age(&self, command_age: &mut CommandAge) {
+        let (given, taken) = self.gateway.core.commands.counts();
+        let age = command_age.sample(self.clock.now(), given, taken);
+        self.event(Event::OldestCommandAge(age));
+    }
+
+    /// Reports what the decision module did since the last time, if its lock is free.
+    fn observe(&self) {
+        let capacity = self.gateway.capacity().unwrap_or(self.capacity.get());
+        self.capacity.set(capacity);
+        let seen = self.gateway.core.look();
+        let event = seen.map_or(Event::ObservationMissed, |report| {
+            Event::Observed(report, capacity)
+        });
+        self.event(event);
+    }
+
+    /// Tells the service manager that the request path moves; while it does not, nothing is told.
+    fn notify_service_manager(&self) {
+        if let Some(notify) = &self.notify {
+            if self.machine.borrow().moves() {
+                let _ = notify.try_send(notify::Command::Moves);
             }
         }
     }
--- a/src/bin/asterreel/server.rs
+++ b/src/bin/asterreel/server.rs
@@ -101,7 +101,7 @@
         info!(file = evaluated.file, "operator's file read again");
         match (&mut self.health, evaluated.operator.health) {
             (Some(handle), Some(health)) => {
-                for key in handle.again(health) {
+                for key in handle.reload(health) {
                     warn!("{key}: the change takes effect at the next start");
                 }
             }
@@ -121,7 +121,7 @@
         control.report_requests(gateway);
         let is_unregistered = control.update_fleet_size(gateway);
         if let (Some(is_unregistered), Some(health)) = (is_unregistered, &self.health) {
-            health.shut_out(is_unregistered);
+            health.registration_lost(is_unregistered);
         }
         while let Some(event) = control.next_event() {
             match event {
--- a/src/health/agent.rs
+++ b/src/health/agent.rs
@@ -1,41 +1,41 @@
 //! HAProxy's agent-check (HAProxy Configuration Manual, `agent-check`): one ASCII line per connection.
 //!
-//! No input or output: bytes in, words out.
+//! No input or output: parses queries and formats replies.
 
 use super::{Reason, State, Status};
 use crate::interface::GroupId;
 
 /// The longest text of a balancer's `agent-send` that is taken in.
-pub const LONGEST: usize = 64;
+pub const MAX_QUERY_BYTES: usize = 64;
 
 /// What a balancer asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Selector {
     /// Its line has not ended yet.
-    More,
+    Incomplete,
     /// The whole gateway.
     Gateway,
     /// One group.
     Group(GroupId),
-    /// Nothing that makes sense.
-    Bad,
+    /// Not a valid query.
+    Invalid,
 }
 
 /// Reads the text of `agent-send`: an empty line or `gateway`, or a group's number, also as `group N`.
-pub fn selector(bytes: &[u8]) -> Selector {
+pub fn parse_selector(bytes: &[u8]) -> Selector {
     let Some(end) = bytes.iter().position(|byte| *byte == b'\n') else {
-        return if bytes.len() < LONGEST {
-            Selector::More
+        return if bytes.len() < MAX_QUERY_BYTES {
+            Selector::Incomplete
         } else {
-            Selector::Bad
+            Selector::Invalid
         };
     };
     let Ok(line) = std::str::from_utf8(&bytes[..end]) else {
-        return Selector::Bad;
+        return Selector::Invalid;
     };
     let line = line.trim();
-    if end >= LONGEST {
-        return Selector::Bad;
+    if end >= MAX_QUERY_BYTES {
+        return Selector::Invalid;
     }
     if line.is_empty() || line == "gateway" {
         return Selector::Gateway;
@@ -45,18 +45,18 @@
         .map_or(line, |rest| rest.trim_start_matches([' ', '=', '/', ':']));
     number
         .parse()
-        .map_or(Selector::Bad, |number| Selector::Group(GroupId(number)))
+        .map_or(Selector::Invalid, |number| Selector::Group(GroupId(number)))
 }
 
-/// The line that tells a status; `maxconn` is told where given.
-pub fn line(status: Option<Status>, maxconn: Option<usize>) -> String {
+/// The line that states a status, with `maxconn` where given.
+pub fn reply_line(status: Option<Status>, maxconn: Option<usize>) -> String {
     let Some(status) = status else {
         return "down #unknown-group\n".into();
     };
     match (status.state, status.reason) {
         (State::Starting, _) => format!("down #{}\n", status.reason.word()),
         (State::Hung, _) => "down #hung\n".into(),
-        // `maint` takes the operator's word over; `drain` keeps what is there.
+        // `maint` takes the gateway out by the operator's wish; `drain` keeps existing sessions.
         (_, Reason::Maintenance) => "maint\n".into(),
         (State::Draining, _) => "drain 0%\n".into(),
         (State::Stopping, _) => "stopped #drained\n".into(),
@@ -65,7 +65,7 @@
         }
         (State::Up | State::Degraded, _) => {
             let maxconn = maxconn.map_or(String::new(), |most| format!(" maxconn:{most}"));
-            // `ready` takes back a drain or `maint` of this gateway's earlier life.
+            // `ready` takes back a drain or `maint` of this gateway's earlier incarnation.
             format!("ready up {}%{maxconn}\n", status.weight)
         }
     }
@@ -73,7 +73,7 @@
 
 /// What a line says, as a balancer reads it; words that are not known are skipped, as HAProxy does.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct AgentReply {
     /// `up` or `down` (also `fail` and `stopped`).
     pub up: Option<bool>,
     /// `ready`, or `drain` and `maint`, which take it out of service.
@@ -87,7 +87,7 @@
 }
 
 /// Reads a line as a balancer does; nothing while it has not ended.
-pub fn parse(bytes: &[u8]) -> Option<Told> {
+pub fn parse_reply(bytes: &[u8]) -> Option<AgentReply> {
     let end = bytes
         .iter()
         .position(|byte| matches!(byte, b'\n' | b'\r'))?;
@@ -95,9 +95,9 @@
     let (words, remark) = line
         .split_once('#')
         .map_or((&*line, None), |(words, rest)| (words, Some(rest)));
-    let mut told = Told {
+    let mut reply = AgentReply {
         remark: remark.map(|rest| rest.trim().to_owned()),
-        ..Told::default()
+        ..AgentReply::default()
     };
     for word in words
         .split([' ', ',', '\t'])
@@ -105,17 +105,17 @@
     {
         let number = |text: Option<&str>| text.and_then(|text| text.parse().ok());
         match word.to_ascii_lowercase().as_str() {
-            "up" => told.up = Some(true),
-            "down" | "fail" | "stopped" => told.up = Some(false),
-            "ready" => told.ready = Some(true),
-            "drain" | "maint" => told.ready = Some(false),
+            "up" => reply.up = Some(true),
+            "down" | "fail" | "stopped" => reply.up = Some(false),
+            "ready" => reply.ready = Some(true),
+            "drain" | "maint" => reply.ready = Some(false),
             other => {
-                told.weight = number(other.strip_suffix('%')).or(told.weight);
-                told.maxconn = number(other.strip_prefix("maxconn:")).or(told.maxconn);
+                reply.weight = number(other.strip_suffix('%')).or(reply.weight);
+                reply.maxconn = number(other.strip_prefix("maxconn:")).or(reply.maxconn);
             }
         }
     }
-    Some(told)
+    Some(reply)
 }
 
 #[cfg(test)]
--- a/src/health/agent/tests.rs
+++ b/src/health/agent/tests.rs
@@ -55,9 +55,9 @@
         (None, None, "down #unknown-group\n"),
     ];
     for (status, maxconn, wanted) in cases {
-        let said = line(status, maxconn);
+        let said = reply_line(status, maxconn);
         assert_eq!(said, wanted);
-        let told = parse(said.as_bytes()).expect("a whole line");
+        let told = parse_reply(said.as_bytes()).expect("a whole line");
         let takes = told.up != Some(false) && told.ready != Some(false);
         assert_eq!(takes, status.is_some_and(|status| status.ready()), "{said}");
         assert_eq!(
@@ -66,7 +66,7 @@
         );
     }
     assert_eq!(
-        parse(b"up 75%"),
+        parse_reply(b"up 75%"),
         None,
         "a line that has not ended says nothing"
     );
@@ -74,20 +74,20 @@
 
 #[test]
 fn a_selector_names_a_group_and_is_bounded() {
-    assert_eq!(selector(b"gro"), Selector::More);
-    assert_eq!(selector(b"\r\n"), Selector::Gateway);
+    assert_eq!(parse_selector(b"gro"), Selector::Incomplete);
+    assert_eq!(parse_selector(b"\r\n"), Selector::Gateway);
     for text in ["7\n", "group 7\r\n", "group=7\n", "group/7\n"] {
         assert_eq!(
-            selector(text.as_bytes()),
+            parse_selector(text.as_bytes()),
             Selector::Group(GroupId(7)),
             "{text:?}"
         );
     }
-    assert_eq!(selector(b"group x\n"), Selector::Bad);
-    assert_eq!(selector(b"\xff\n"), Selector::Bad);
+    assert_eq!(parse_selector(b"group x\n"), Selector::Invalid);
+    assert_eq!(parse_selector(b"\xff\n"), Selector::Invalid);
     assert_eq!(
-        selector(&[b'1'; LONGEST]),
-        Selector::Bad,
+        parse_selector(&[b'1'; MAX_QUERY_BYTES]),
+        Selector::Invalid,
         "a megabyte without a line end"
     );
 }
@@ -100,18 +100,18 @@
             let wanted = if *end == whole.len() {
                 Selector::Group(GroupId(17))
             } else {
-                Selector::More
+                Selector::Incomplete
             };
-            assert_eq!(selector(&whole[..*end]), wanted);
+            assert_eq!(parse_selector(&whole[..*end]), wanted);
         }
     });
     fuzz::garbage(b"ready up 75% maxconn:9 #fine\n", |bytes| {
-        let told = parse(bytes);
+        let told = parse_reply(bytes);
         assert_eq!(
             told.is_some(),
             bytes.iter().any(|byte| matches!(byte, b'\n' | b'\r'))
         );
-        let more = selector(bytes) == Selector::More;
-        assert!(!more || bytes.len() < LONGEST && !bytes.contains(&b'\n'));
+        let more = parse_selector(bytes) == Selector::Incomplete;
+        assert!(!more || bytes.len() < MAX_QUERY_BYTES && !bytes.contains(&b'\n'));
     });
 }
--- a/src/health/drain.rs
+++ b/src/health/drain.rs
@@ -6,16 +6,16 @@
 use serde::{Deserialize, Serialize};
 
 /// Nothing is sent to a gateway later than this after its drain was announced.
-const LIMIT_MS: u64 = 2_000;
+const MAX_ANNOUNCE_MS: u64 = 2_000;
 /// What the status needs to reach the checks, and a client that was sent at the last moment to arrive.
-const MARGIN_MS: u64 = 150;
+const PROPAGATION_MARGIN_MS: u64 = 150;
 /// A gateway keeps serving for this long in any case: the platform's front sends new connections for 0.4 s, and
 /// what comes after 0.7 s must be answered before the process may be killed.
-const LEAST_MS: u64 = 750;
+const MIN_ANNOUNCE_MS: u64 = 750;
 /// Nobody kills the process earlier than the longest deadline, this much of it at most, ...
-const DEADLINE_COUNTED: Micros = 3_000_000;
+const MAX_COUNTED_DEADLINE: Micros = 3_000_000;
 /// ... and so much more after SIGTERM.
-const KILL_AFTER: Micros = 700_000;
+const KILL_GRACE_PERIOD: Micros = 700_000;
 /// Time for the last answers.
 pub const LAST_ANSWERS: Micros = 100_000;
 
@@ -63,38 +63,38 @@
 
 /// When the platform may kill the process, after SIGTERM.
 fn killed_after(longest_deadline: Micros) -> Micros {
-    longest_deadline.min(DEADLINE_COUNTED) + KILL_AFTER
+    longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_GRACE_PERIOD
 }
 
 impl Timetable {
     /// Without balancers to tell: what the platform's front needs.
     pub fn plain(longest_deadline: Micros) -> Timetable {
         Timetable {
-            announce: LEAST_MS * 1000,
+            announce: MIN_ANNOUNCE_MS * 1000,
             answer_until: killed_after(longest_deadline) - LAST_ANSWERS,
         }
     }
 }
 
-/// Whether a balancer's word is had by one check (an agent's) or by failed checks in a row.
+/// How a balancer finds out that a gateway drains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Hearing {
-    /// The agent-check's word counts at once.
-    Agent,
-    /// A check must fail as often as `fall` says.
-    Checks,
+pub enum DetectionMethod {
+    /// An agent-check: one answer counts at once.
+    AgentCheck,
+    /// Health checks: `fall` of them must fail in a row.
+    FailedChecks,
 }
 
 impl Balancer {
-    /// The longest it takes from a change until the balancer acts on it.
-    pub fn hears_within_ms(&self, hearing: Hearing) -> u64 {
-        let checks = if hearing == Hearing::Agent {
+    /// The longest time from a change until the balancer acts on it, milliseconds.
+    pub fn detection_time_ms(&self, detection_method: DetectionMethod) -> u64 {
+        let checks = if detection_method == DetectionMethod::AgentCheck {
             1
         } else {
             self.fall
         };
         // The change may come just after a check; each answer takes as long as it may.
-        checks * self.interval_ms + self.timeout_ms + MARGIN_MS
+        checks * self.interval_ms + self.timeout_ms + PROPAGATION_MARGIN_MS
     }
 }
 
@@ -107,27 +107,32 @@
     pub fn timetable(
         &self,
         balancer: &Balancer,
-        hearing: Hearing,
+        detection_method: DetectionMethod,
         longest_deadline: Micros,
     ) -> Result<Timetable, SettingError> {
         within("balancer.interval_ms", balancer.interval_ms, 10, 2_000)?;
         within("balancer.fall", balancer.fall, 1, 10)?;
         within("balancer.timeout_ms", balancer.timeout_ms, 10, 2_000)?;
-        let heard = balancer.hears_within_ms(hearing);
+        let heard = balancer.detection_time_ms(detection_method);
         let keys = "balancer.interval_ms, balancer.fall and balancer.timeout_ms";
-        if heard > LIMIT_MS {
+        if heard > MAX_ANNOUNCE_MS {
             let fault =
-                format!("with balancer.fall and balancer.timeout_ms a drain is heard after {heard} ms, and nothing may be sent {LIMIT_MS} ms after its word");
+                format!("with balancer.fall and balancer.timeout_ms a drain is heard after {heard} ms, and nothing may be sent {MAX_ANNOUNCE_MS} ms after its word");
             return Err(SettingError::new("balancer.interval_ms", fault));
         }
-        let announce = self.announce_ms.unwrap_or(heard.max(LEAST_MS));
+        let announce = self.announce_ms.unwrap_or(heard.max(MIN_ANNOUNCE_MS));
         if announce < heard {
             let fault = format!(
                 "{announce} is less than the {heard} ms after which {keys} let a drain be heard"
             );
             return Err(SettingError::new("drain.announce_ms", fault));
         }
-        within("drain.announce_ms", announce, LEAST_MS, LIMIT_MS)?;
+        within(
+            "drain.announce_ms",
+            announce,
+            MIN_ANNOUNCE_MS,
+            MAX_ANNOUNCE_MS,
+        )?;
         let killed = self
             .kill_after_ms
             .map_or(killed_after(longest_deadline), |ms| ms.saturating_mul(1000));
--- a/src/health/drain/tests.rs
+++ b/src/health/drain/tests.rs
@@ -9,7 +9,7 @@
         announce_ms: announce,
         kill_after_ms: kill,
     };
-    drain.timetable(balancer, Hearing::Checks, 10_000_000)
+    drain.timetable(balancer, DetectionMethod::FailedChecks, 10_000_000)
 }
 
 #[test]
@@ -34,7 +34,7 @@
         Ok(1_750_000)
     );
     assert_eq!(Timetable::plain(10_000_000), wanted, "the least there is");
-    let agent = Drain::default().timetable(&slow, Hearing::Agent, 10_000_000);
+    let agent = Drain::default().timetable(&slow, DetectionMethod::AgentCheck, 10_000_000);
     assert_eq!(agent.map(|table| table.announce), Ok(750_000));
 }
 
--- a/src/health/http.rs
+++ b/src/health/http.rs
@@ -9,12 +9,13 @@
 use serde_json::{json, Value};
 
 /// The longest head of a request that is taken in.
-pub const LONGEST: usize = 4096;
-const HEADERS: usize = 32;
+pub const MAX_HEAD_BYTES: usize = 4096;
+const MAX_HEADERS: usize = 32;
+const PLAIN_TEXT: &str = "text/plain";
 
 /// A status code for a request that can't be served as it is; its connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refused(pub u16);
+pub struct Rejected(pub u16);
 
 /// A request whose head is whole.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -33,16 +34,16 @@
 ///
 /// # Errors
 ///
-/// [`Refused`], with the status to answer with.
-pub fn request(bytes: &[u8]) -> Result<Option<Request>, Refused> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS];
+/// [`Rejected`], with the status to answer with.
+pub fn parse_request(bytes: &[u8]) -> Result<Option<Request>, Rejected> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
     let length = match parsed.parse(bytes) {
-        Ok(httparse::Status::Complete(length)) if length <= LONGEST => length,
-        Ok(httparse::Status::Partial) if bytes.len() < LONGEST => return Ok(None),
-        Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(Refused(431)),
-        Err(httparse::Error::Version) => return Err(Refused(505)),
-        Err(_) => return Err(Refused(400)),
+        Ok(httparse::Status::Complete(length)) if length <= MAX_HEAD_BYTES => length,
+        Ok(httparse::Status::Partial) if bytes.len() < MAX_HEAD_BYTES => return Ok(None),
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(Rejected(431)),
+        Err(httparse::Error::Version) => return Err(Rejected(505)),
+        Err(_) => return Err(Rejected(400)),
     };
     let named = |name: &str| -> Vec<&[u8]> {
         let found = parsed
@@ -55,11 +56,11 @@
     if !named("transfer-encoding").is_empty()
         || named("content-length").iter().any(|length| *length != b"0")
     {
-        return Err(Refused(413));
+        return Err(Rejected(413));
     }
     let newer = parsed.version == Some(1);
     if newer && named("host").len() != 1 {
-        return Err(Refused(400));
+        return Err(Rejected(400));
     }
     let says = |word: &[u8]| {
         let tokens = named("connection");
@@ -76,7 +77,7 @@
     let target = parsed.path.unwrap_or_default();
     let path = target.split('?').next().unwrap_or_default();
     if !path.starts_with('/') {
-        return Err(Refused(400));
+        return Err(Rejected(400));
     }
     let method = parsed.method.unwrap_or_default().to_owned();
     Ok(Some(Request {
@@ -87,115 +88,158 @@
     }))
 }
 
-/// What the endpoints tell from.
+/// What answers are made from.
 pub struct Facts {
     /// The gateway's name.
     pub name: String,
     /// The version of the program.
     pub version: &'static str,
-    /// All that is told.
+    /// The status of each scope.
     pub statuses: Vec<(Scope, Status)>,
-    /// The room taken.
+    /// The capacity in use.
     pub capacity: Capacity,
-    /// How often balancers should come again, seconds.
+    /// The `Retry-After` of answers that are not good, seconds.
     pub retry_after: u64,
     /// Whether the start is over.
     pub started: bool,
-    /// Facts by group: attempts in flight, requests held, usable members, all members.
-    pub groups: Vec<(GroupId, [u32; 4])>,
+    /// Counts by group.
+    pub groups: Vec<(GroupId, GroupCounts)>,
+}
+
+/// What is counted of a group.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct GroupCounts {
+    /// Attempts in flight.
+    pub in_flight: u32,
+    /// Requests that are queued.
+    pub queued: u32,
+    /// Members that serve.
+    pub usable_members: u32,
+    /// All members.
+    pub members: u32,
 }
 
 impl Facts {
     fn status(&self, scope: Scope) -> Option<Status> {
         self.statuses
             .iter()
-            .find(|(told, _)| *told == scope)
+            .find(|(known, _)| *known == scope)
             .map(|(_, status)| *status)
     }
 }
 
 /// The answer to a request, and whether its connection ends with it.
-pub fn answer(request: &Result<Request, Refused>, facts: &Facts) -> (Vec<u8>, bool) {
+pub fn answer(request: &Result<Request, Rejected>, facts: &Facts) -> (Vec<u8>, bool) {
     let request = match request {
         Ok(request) => request,
-        Err(Refused(code)) => {
-            return (
-                write(*code, &[], "text/plain", "", Some(false), false),
-                true,
-            )
+        Err(Rejected(code)) => {
+            let bytes = write(*code, &[], PLAIN_TEXT, "", Some(false), false);
+            return (bytes, true);
         }
     };
     let keep = Some(request.keep_alive);
     let head = request.method == "HEAD";
-    if !head && request.method != "GET" {
+    let bytes = if !head && request.method != "GET" {
         let allow = [("allow", "GET, HEAD".to_owned())];
-        return (
-            write(405, &allow, "text/plain", "", keep, false),
-            !request.keep_alive,
-        );
-    }
-    let gateway = facts.status(Scope::Gateway);
-    let group = request
-        .path
-        .strip_prefix("/health/groups/")
-        .map(|rest| rest.parse().map(GroupId));
-    let (status, good) = match (request.path.as_str(), &group) {
-        // A process that drains is alive; to end it for that would lose what it owes.
-        ("/livez", _) => (
-            gateway,
-            gateway.is_none_or(|status| status.state != State::Hung),
-        ),
-        ("/startupz", _) => (gateway, facts.started),
-        ("/readyz" | "/health", _) => (gateway, gateway.is_some_and(|status| status.ready())),
-        (_, Some(Ok(group))) if facts.status(Scope::Group(*group)).is_some() => {
-            let status = facts.status(Scope::Group(*group));
-            (status, status.is_some_and(|status| status.ready()))
-        }
-        _ => {
-            return (
-                write(404, &[], "text/plain", "not found\n", keep, head),
-                !request.keep_alive,
-            )
-        }
+        write(405, &allow, PLAIN_TEXT, "", keep, false)
+    } else if let Some(resource) = Resource::at(&request.path, facts) {
+        let code = if resource.good { 200 } else { 503 };
+        let headers = status_headers(&resource, facts);
+        let (kind, body) = (resource.content_type(), resource.body(facts));
+        write(code, &headers, kind, &body, keep, head)
+    } else {
+        write(404, &[], PLAIN_TEXT, "not found\n", keep, head)
     };
-    let mut headers = Vec::new();
-    if let Some(status) = status {
-        if !good {
-            headers.push(("retry-after", facts.retry_after.to_string()));
-        }
-        if status.state == State::Degraded {
-            headers.push(("x-envoy-degraded", "true".to_owned()));
+    (bytes, !request.keep_alive)
+}
+
+/// The form in which a path tells its status.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Form {
+    /// One line of text.
+    Line,
+    /// The gateway and all its groups, as JSON.
+    Gateway,
+    /// One group, as JSON.
+    Group(GroupId),
+}
+
+/// What a path tells about, and whether that is good.
+struct Resource {
+    form: Form,
+    status: Option<Status>,
+    good: bool,
+}
+
+impl Resource {
+    /// The resource at `path`, if there is one.
+    fn at(path: &str, facts: &Facts) -> Option<Resource> {
+        if let Some(number) = path.strip_prefix("/health/groups/") {
+            let id = GroupId(number.parse().ok()?);
+            let status = facts.status(Scope::Group(id))?;
+            return Some(Resource {
+                form: Form::Group(id),
+                status: Some(status),
+                good: status.ready(),
+            });
         }
-        if matches!(
-            status.state,
-            State::Draining | State::Stopping | State::Hung
-        ) {
-            headers.push(("x-envoy-immediate-health-check-fail", "true".to_owned()));
+        let status = facts.status(Scope::Gateway);
+        let ready = status.is_some_and(|status| status.ready());
+        let (form, good) = match path {
+            // A process that drains is alive; to end it for that would lose what it owes.
+            "/livez" => (
+                Form::Line,
+                status.is_none_or(|status| status.state != State::Hung),
+            ),
+            "/startupz" => (Form::Line, facts.started),
+            "/readyz" => (Form::Line, ready),
+            "/health" => (Form::Gateway, ready),
+            _ => return None,
+        };
+        Some(Resource { form, status, good })
+    }
+
+    fn content_type(&self) -> &'static str {
+        match self.form {
+            Form::Line => PLAIN_TEXT,
+            Form::Gateway | Form::Group(_) => "application/health+json",
         }
-        headers.push((
-            "endpoint-load-metrics",
-            load_report(status, &facts.capacity),
-        ));
-        headers.push(("x-asterreel-weight", status.weight.to_string()));
     }
-    let (kind, body) = match (request.path.as_str(), &group) {
-        ("/health", _) => ("application/health+json", gateway_body(facts)),
-        (_, Some(Ok(id))) => {
-            let body = status
-                .map(|status| group_body(facts, *id, status))
-                .unwrap_or_default();
-            ("application/health+json", body)
+
+    fn body(&self, facts: &Facts) -> String {
+        match (self.form, self.status) {
+            (Form::Gateway, _) => gateway_body(facts),
+            (Form::Group(id), Some(status)) => group_body(facts, id, status),
+            (Form::Line, Some(status)) => format!("{}\n", plain(status)),
+            (Form::Group(_) | Form::Line, None) => String::new(),
         }
-        _ => (
-            "text/plain",
-            status.map_or(String::new(), |status| format!("{}\n", plain(status))),
-        ),
+    }
+}
+
+/// The headers by which balancers read a status.
+fn status_headers(resource: &Resource, facts: &Facts) -> Vec<(&'static str, String)> {
+    let Some(status) = resource.status else {
+        return Vec::new();
     };
-    let code = if good { 200 } else { 503 };
-    (
-        write(code, &headers, kind, &body, keep, head),
-        !request.keep_alive,
-    )
+    let mut headers = Vec::new();
+    if !resource.good {
+        headers.push(("retry-after", facts.retry_after.to_string()));
+    }
+    if status.state == State::Degraded {
+        headers.push(("x-envoy-degraded", "true".to_owned()));
+    }
+    if matches!(
+        status.state,
+        State::Draining | State::Stopping | State::Hung
+    ) {
+        headers.push(("x-envoy-immediate-health-check-fail", "true".to_owned()));
+    }
+    headers.push((
+        "endpoint-load-metrics",
+        load_report(status, &facts.capacity),
+    ));
+    headers.push(("x-asterreel-weight", status.weight.to_string()));
+    headers
 }
 
 fn plain(status: Status) -> String {
@@ -232,13 +276,11 @@
 
 fn group_value(facts: &Facts, id: GroupId, status: Status) -> Value {
     let mut value = entry(status);
-    if let Some((_, [in_flight, held, usable, members])) =
-        facts.groups.iter().find(|(group, _)| *group == id)
-    {
-        value["in_flight"] = json!(in_flight);
-        value["held"] = json!(held);
-        value["usable_members"] = json!(usable);
-        value["members"] = json!(members);
+    if let Some((_, counts)) = facts.groups.iter().find(|(group, _)| *group == id) {
+        value["in_flight"] = json!(counts.in_flight);
+        value["held"] = json!(counts.queued);
+        value["usable_members"] = json!(counts.usable_members);
+        value["members"] = json!(counts.members);
     }
     value
 }
--- a/src/health/http/tests.rs
+++ b/src/health/http/tests.rs
@@ -19,12 +19,20 @@
         },
         retry_after: 1,
         started: state != State::Starting,
-        groups: vec![(GroupId(3), [1, 2, 3, 4])],
+        groups: vec![(
+            GroupId(3),
+            GroupCounts {
+                in_flight: 1,
+                queued: 2,
+                usable_members: 3,
+                members: 4,
+            },
+        )],
     }
 }
 
 fn ask(text: &str, facts: &Facts) -> (u16, String, bool) {
-    let parsed = request(text.as_bytes()).map(|found| found.expect("whole"));
+    let parsed = parse_request(text.as_bytes()).map(|found| found.expect("whole"));
     let (bytes, ends) = answer(&parsed, facts);
     let text = String::from_utf8(bytes).expect("text");
     (text[9..12].parse().expect("a code"), text, ends)
@@ -108,7 +116,10 @@
 #[test]
 fn everything_else_is_a_proper_error() {
     let facts = facts(State::Up, 100, Reason::Fine);
-    let long = format!("GET /{} HTTP/1.1\r\nHost: x\r\n\r\n", "x".repeat(LONGEST));
+    let long = format!(
+        "GET /{} HTTP/1.1\r\nHost: x\r\n\r\n",
+        "x".repeat(MAX_HEAD_BYTES)
+    );
     let cases = [
         (get("/"), 404, false),
         (get("/health/groups/9"), 404, false),
@@ -148,16 +159,18 @@
 #[test]
 fn a_request_is_the_same_however_it_is_cut_and_garbage_is_bounded() {
     let text = get("/health/groups/3");
-    let whole = request(text.as_bytes()).expect("valid").expect("whole");
+    let whole = parse_request(text.as_bytes())
+        .expect("valid")
+        .expect("whole");
     fuzz::cuts(text.as_bytes(), |ends| {
         for end in ends {
-            let found = request(&text.as_bytes()[..*end]).expect("valid");
+            let found = parse_request(&text.as_bytes()[..*end]).expect("valid");
             assert_eq!(found.as_ref(), Some(&whole).filter(|_| *end == text.len()));
         }
     });
     let facts = facts(State::Up, 100, Reason::Fine);
     fuzz::garbage(text.as_bytes(), |bytes| {
-        let found = request(bytes);
+        let found = parse_request(bytes);
         assert!(!matches!(&found, Ok(Some(request)) if request.length > bytes.len()));
         if let Some(found) = found.transpose() {
             assert!(answer(&found, &facts).0.starts_with(b"HTTP/1.1 "));
--- a/src/health/liveness.rs
+++ b/src/health/liveness.rs
@@ -1,6 +1,6 @@
 //! Liveness of the request path, from the heartbeat, the age of commands that no session has taken, and the core's lock.
 
-use super::Knobs;
+use super::HealthOptions;
 use crate::interface::Micros;
 
 /// Longest gap between two events that is taken for ordinary, microseconds; in a longer one this thread itself stood
@@ -132,8 +132,8 @@
     }
 
     /// Decides anew whether the path hangs.
-    pub fn evaluate(&mut self, now: Micros, knobs: &Knobs) {
-        let bound = knobs.hung_after();
+    pub fn evaluate(&mut self, now: Micros, options: &HealthOptions) {
+        let bound = options.hung_after();
         let old = |since: Option<Micros>| since.is_some_and(|at| now.saturating_sub(at) >= bound);
         // A connection attempt that waits for capacity shows load; one that waits while no session is open to ask and
         // there is capacity shows a path that hangs.
@@ -164,7 +164,7 @@
             // Not stuck any more, but nothing has shown that it moves.
             self.good_since = now;
         }
-        let proof = knobs
+        let proof = options
             .recover_after()
             .saturating_mul(1 << self.relapses.min(8))
             .min(MAX_RECOVERY_PROOF);
--- a/src/health/mod.rs
+++ b/src/health/mod.rs
@@ -1,24 +1,24 @@
-//! What this gateway is worth to whoever spreads clients over gateways.
+//! How much load this gateway should get from whoever balances clients over gateways.
 //!
 //! Decides a [`State`] and a weight of 0 to 100, for the whole gateway and for each group, from what
 //! [`Observer`] saw of the decision module's events and actions, from the heartbeat of the request path, from the
-//! room that is left, and from the drain's timetable. One door: [`Machine::handle`]. It never routes, refuses or
-//! delays a request, and does no input or output; `docs/design/health.md` says why it decides as it does.
+//! capacity that is left, and from the drain's timetable. One entry point: [`Machine::handle`]. It never routes, rejects
+//! or delays a request, and does no input or output; `docs/design/health.md` says why it decides as it does.
 
 pub mod agent;
 pub mod connection_limit;
 pub mod drain;
 pub mod grpc;
 pub mod http;
-pub mod knobs;
 mod liveness;
 mod observer;
+pub mod options;
 pub mod postgres;
 mod weight;
 
-pub use knobs::Knobs;
 pub use liveness::{CommandAge, Heartbeat, Liveness};
 pub use observer::{GroupReport, Observer, Report};
+pub use options::HealthOptions;
 pub use weight::{WeightRamp, WeightSteps};
 
 use crate::interface::{GroupId, Micros};
@@ -42,7 +42,7 @@
     Draining,
     /// Closing what is left.
     Stopping,
-    /// The request path does not move, whatever its port says.
+    /// The request path makes no progress, whether or not its port accepts connections.
     Hung,
 }
 
@@ -52,13 +52,13 @@
 pub enum Reason {
     /// Nothing is wrong.
     Fine,
-    /// Discovery has not told, or a group has no member heard from yet.
+    /// No endpoint list yet, or a group with no reachable member yet.
     Start,
     /// It recovers: the weight rises slowly.
     Recovering,
     /// No member is marked primary.
     NoPrimary,
-    /// Refusals and late answers, or little room left.
+    /// Rejections and late answers, or little capacity left.
     Overload,
     /// No member can serve.
     NoMember,
@@ -93,7 +93,7 @@
     }
 }
 
-/// What is told about a scope.
+/// What is reported about a scope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
     /// Fitness.
@@ -159,13 +159,13 @@
 /// What happens to a [`Machine`].
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The core was asked, and said this.
+    /// The decision module's report and the capacity in use.
     Observed(Report, Capacity),
-    /// The core could not be asked: its lock is held.
+    /// The decision module could not be asked: its lock is held.
     ObservationMissed,
-    /// Word of the heartbeat.
+    /// Progress of the heartbeat.
     Heartbeat(Heartbeat),
-    /// The age of the oldest order that no session has taken.
+    /// The age of the oldest command that no session has taken.
     OldestCommandAge(Micros),
     /// The program was told to end.
     Terminate,
@@ -174,7 +174,7 @@
     /// Whether the gateway has no registration in the fleet's log, where there is one.
     RegistrationLost(bool),
     /// The operator's file was read again.
-    Configured(Knobs),
+    Configured(HealthOptions),
     /// Time passed.
     Tick,
 }
@@ -182,9 +182,9 @@
 /// What a [`Machine`] wants done.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Tell this from now on.
+    /// Report this status from now on.
     Announce(Scope, Status),
-    /// A scope is no longer served and not told about.
+    /// A scope is no longer served or reported.
     Withdraw(Scope),
 }
 
@@ -196,10 +196,10 @@
     Stopping,
 }
 
-/// What is kept of a group.
+/// The state of a group.
 struct Group {
-    /// The share of its worth that needs the primary, as it was when the primary was lost.
-    lost: Option<f64>,
+    /// The share of its priority weight that needs the primary, as it was when the primary was lost.
+    lost_primary_share: Option<f64>,
     steps: WeightSteps,
     ramp: WeightRamp,
     /// The last that was seen of it.
@@ -208,7 +208,7 @@
 
 /// The state machine; see the module.
 pub struct Machine {
-    knobs: Knobs,
+    options: HealthOptions,
     started_at: Micros,
     now: Micros,
     phase: Phase,
@@ -217,16 +217,16 @@
     steps: WeightSteps,
     ramp: WeightRamp,
     list_received: bool,
-    shut_out: bool,
+    registration_lost: bool,
     announced: BTreeMap<Scope, Status>,
 }
 
 impl Machine {
-    /// A gateway that has just started; `knobs` must have passed [`Knobs::check`].
-    pub fn new(knobs: Knobs, now: Micros) -> Machine {
+    /// A gateway that has just started; `options` must have passed [`HealthOptions::check`].
+    pub fn new(options: HealthOptions, now: Micros) -> Machine {
         Machine {
             liveness: Liveness::new(now),
-            knobs,
+            options,
             started_at: now,
             now,
             phase: Phase::Starting,
@@ -234,7 +234,7 @@
             steps: WeightSteps::default(),
             ramp: WeightRamp::new(0, now),
             list_received: false,
-            shut_out: false,
+            registration_lost: false,
             announced: BTreeMap::new(),
         }
     }
@@ -244,36 +244,38 @@
         self.now = self.now.max(now);
         self.liveness.advance(self.now);
         match event {
-            Event::Observed(report, capacity) => self.seen(report, capacity),
+            Event::Observed(report, capacity) => self.observed(report, capacity),
             Event::ObservationMissed => self.liveness.observation_missed(self.now),
             Event::Heartbeat(beat) => self.liveness.heartbeat(self.now, beat),
             Event::OldestCommandAge(age) => self.liveness.oldest_command_age(age),
             // A second signal changes nothing, and nothing leads back.
             Event::Terminate if self.phase < Phase::Draining => self.phase = Phase::Draining,
             Event::Stopping => self.phase = Phase::Stopping,
-            Event::Configured(knobs) => self.knobs = knobs,
-            Event::RegistrationLost(shut_out) => self.shut_out = shut_out,
+            Event::Configured(options) => self.options = options,
+            Event::RegistrationLost(registration_lost) => {
+                self.registration_lost = registration_lost
+            }
             Event::Terminate | Event::Tick => {}
         }
-        self.liveness.evaluate(self.now, &self.knobs);
+        self.liveness.evaluate(self.now, &self.options);
         self.leave_start();
         self.move_weights();
         self.announce(actions);
     }
 
-    /// What is told of a scope now.
+    /// The status of a scope that is reported now.
     pub fn status(&self, scope: Scope) -> Option<Status> {
         self.announced.get(&scope).copied()
     }
 
-    /// All that is told now.
+    /// All statuses that are reported now.
     pub fn statuses(&self) -> impl Iterator<Item = (Scope, Status)> + '_ {
         self.announced
             .iter()
             .map(|(scope, status)| (*scope, *status))
     }
 
-    /// Whether the request path is taken to move: what a watchdog may be told.
+    /// Whether the request path makes progress, as far as is known: what a watchdog may be told.
     pub fn moves(&self) -> bool {
         !self.liveness.is_hung()
     }
@@ -283,29 +285,30 @@
         self.groups.values().map(|group| &group.seen)
     }
 
-    fn seen(&mut self, report: Report, capacity: Capacity) {
-        let (now, knobs) = (self.now, &self.knobs);
+    fn observed(&mut self, report: Report, capacity: Capacity) {
+        let (now, options) = (self.now, &self.options);
         self.liveness.observed(capacity.is_full());
         self.list_received |= report.list_received;
         self.groups
             .retain(|id, _| report.groups.iter().any(|group| group.group == *id));
         for seen in report.groups {
             let group = self.groups.entry(seen.group).or_insert_with(|| Group {
-                lost: None,
+                lost_primary_share: None,
                 steps: WeightSteps::default(),
                 ramp: WeightRamp::new(0, 0),
                 seen: seen.clone(),
             });
-            // Frozen when it is lost: without a primary, what clients ask again would count over and over.
-            group.lost = match (seen.primary, group.lost) {
+            // Frozen when it is lost: without a primary, clients' retries would count over and over.
+            group.lost_primary_share = match (seen.primary, group.lost_primary_share) {
                 (true, _) => None,
                 (false, None) => Some(seen.needs_primary),
-                (false, lost) => lost,
+                (false, share) => share,
             };
-            group.steps.update(now, seen.overload_share(), 0.0, knobs);
+            group.steps.update(now, seen.overload_share(), 0.0, options);
             group.seen = seen;
         }
-        self.steps.update(now, None, capacity.utilization(), knobs);
+        self.steps
+            .update(now, None, capacity.utilization(), options);
     }
 
     fn leave_start(&mut self) {
@@ -314,14 +317,14 @@
         }
         let usable =
             !self.groups.is_empty() && self.groups.values().all(|group| group.seen.usable > 0);
-        let waited = self.now.saturating_sub(self.started_at) >= self.knobs.start_wait();
+        let waited = self.now.saturating_sub(self.started_at) >= self.options.start_wait();
         if (self.list_received && usable) || waited {
             self.phase = Phase::Serving;
-            // A new gateway is not worth all at once.
-            self.ramp = WeightRamp::new(self.knobs.floor, self.now);
+            // A new gateway starts slowly.
+            self.ramp = WeightRamp::new(self.options.floor, self.now);
             for group in self.groups.values_mut() {
                 let floor = if group.seen.usable > 0 {
-                    self.knobs.floor
+                    self.options.floor
                 } else {
                     0
                 };
@@ -335,18 +338,18 @@
         if group.seen.usable == 0 {
             return (0, Reason::NoMember);
         }
-        let level = group.steps.weight(&self.knobs);
-        let served = f64::from(level) * (1.0 - group.lost.unwrap_or(0.0));
+        let level = group.steps.weight(&self.options);
+        let served = f64::from(level) * (1.0 - group.lost_primary_share.unwrap_or(0.0));
         // Reads can be served: never 0, or the last gateways of a group would be taken out with it.
-        let weight = (served.round() as u8).clamp(self.knobs.floor, FULL);
-        match group.lost {
+        let weight = (served.round() as u8).clamp(self.options.floor, FULL);
+        match group.lost_primary_share {
             Some(_) => (weight, Reason::NoPrimary),
             None if level < FULL => (weight, Reason::Overload),
             None => (weight, Reason::Fine),
         }
     }
 
-    /// The weight of the whole gateway: its groups' by the worth they carry, less what it lacks room for.
+    /// The weight of the whole gateway: its groups' by their priority weight, less what it lacks capacity for.
     fn target(&self) -> (u8, Reason) {
         let (mut weight_sum, mut sum, mut reason) = (0.0, 0.0, Reason::Fine);
         for group in self.groups.values() {
@@ -358,19 +361,19 @@
         if weight_sum <= 0.0 || sum <= 0.0 {
             return (0, Reason::NoMember);
         }
-        let level = self.steps.weight(&self.knobs);
+        let level = self.steps.weight(&self.options);
         let weight = sum / weight_sum * f64::from(level) / f64::from(FULL);
-        let weight = (weight.round() as u8).clamp(self.knobs.floor, FULL);
+        let weight = (weight.round() as u8).clamp(self.options.floor, FULL);
         let accepts = self.liveness.accepts();
-        // Never 0 for one that is shut out: it serves clients on, and if all are, there is no one better.
-        let weight = if accepts && !self.shut_out {
+        // Never 0 without a registration: it serves clients on, and if all gateways lost theirs, none is better.
+        let weight = if accepts && !self.registration_lost {
             weight
         } else {
-            self.knobs.floor
+            self.options.floor
         };
         let reason = match reason {
             _ if !accepts => Reason::Accept,
-            _ if self.shut_out => Reason::ShutOut,
+            _ if self.registration_lost => Reason::ShutOut,
             Reason::Fine if level < FULL => Reason::Overload,
             reason => reason,
         };
@@ -385,22 +388,22 @@
             .map(|(id, group)| (*id, self.group_target(group).0))
             .collect();
         let whole = if hung {
-            self.knobs.floor
+            self.options.floor
         } else {
             self.target().0
         };
         for (id, target) in targets {
             if let Some(group) = self.groups.get_mut(&id) {
                 let target = if hung {
-                    target.min(self.knobs.floor)
+                    target.min(self.options.floor)
                 } else {
                     target
                 };
-                group.ramp.move_towards(now, target, &self.knobs);
+                group.ramp.move_towards(now, target, &self.options);
             }
         }
         if self.phase == Phase::Serving {
-            self.ramp.move_towards(now, whole, &self.knobs);
+            self.ramp.move_towards(now, whole, &self.options);
         }
     }
 
@@ -418,7 +421,7 @@
             Phase::Draining => status(State::Draining, Reason::Drain),
             _ if self.liveness.is_hung() => status(State::Hung, Reason::Hung),
             Phase::Starting => status(State::Starting, Reason::Start),
-            Phase::Serving if self.knobs.maintenance => {
+            Phase::Serving if self.options.maintenance => {
                 status(State::Draining, Reason::Maintenance)
             }
             Phase::Serving => None,
--- a/src/health/observer.rs
+++ b/src/health/observer.rs
@@ -5,15 +5,15 @@
 use crate::interface::*;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// The window over which fates are counted, in slots.
-const SLOT: Micros = 100_000;
-const SLOTS: usize = 10;
+/// The window over which outcomes are counted, in slots.
+const SLOT_LENGTH: Micros = 100_000;
+const SLOT_COUNT: usize = 10;
 /// Fewest ended requests in the window from which an overload share is computed.
 const MIN_SAMPLES: u32 = 10;
-/// Half-life of the mix of classes, microseconds: long enough that a quiet moment does not change it.
-const MIX_HALF_LIFE_US: f64 = 10e6;
+/// Half-life of the recent weights, microseconds: long enough that a quiet moment does not change it.
+const WEIGHT_HALF_LIFE_US: f64 = 10e6;
 
-/// What is seen of one group.
+/// Counts of one group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GroupReport {
     /// The group.
@@ -26,10 +26,10 @@
     pub usable: u32,
     /// See `usable`.
     pub members: u32,
-    /// Attempts that are out.
+    /// Attempts in flight.
     pub in_flight: u32,
     /// Requests that are queued: not dispatched yet.
-    pub held: u32,
+    pub queued: u32,
     /// Requests that ended within the last second, and those of them that were rejected, failed or late.
     pub ended: u32,
     /// See `ended`.
@@ -47,7 +47,7 @@
     }
 }
 
-/// What is seen of all groups.
+/// Counts of all groups.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
     /// A list of discovery has been received.
@@ -69,46 +69,61 @@
     primary: Option<MemberId>,
     primary_since: Micros,
     in_flight: u32,
-    held: u32,
-    /// By slot: its number, and the ended and strained requests of it.
-    outcomes: [(u64, u32, u32); SLOTS],
-    mix: f64,
-    mix_primary: f64,
-    mix_at: Micros,
+    queued: u32,
+    slots: [Slot; SLOT_COUNT],
+    recent_weight: f64,
+    recent_primary_weight: f64,
+    decayed_at: Micros,
 }
 
-struct Open {
+/// Requests that ended within one slot of time.
+#[derive(Clone, Copy, Default)]
+struct Slot {
+    number: u64,
+    ended: u32,
+    overloaded: u32,
+}
+
+struct OpenRequest {
     group: GroupId,
     class: usize,
-    arrived: Micros,
-    out: u32,
-    sent: bool,
-    /// It has its final answer; only attempts that are still out keep it here.
-    over: bool,
+    arrived_at: Micros,
+    in_flight: u32,
+    dispatched: bool,
+    /// It has its final answer; only attempts in flight keep it here.
+    answered: bool,
+}
+
+/// Whether only the primary can serve requests of this consistency level.
+fn needs_primary(consistency: ConsistencyLevel) -> bool {
+    matches!(
+        consistency,
+        ConsistencyLevel::Write | ConsistencyLevel::Strong
+    )
 }
 
 /// How a request ended, and when.
 #[derive(Clone, Copy)]
 enum RequestOutcome {
     Served(Micros),
-    /// Refused or failed.
+    /// Rejected or failed.
     NotServed(Micros),
     /// Its client has left; that tells nothing.
     Left,
 }
 
-/// Looks on; see the module.
+/// Counts what happens to requests and members; see the module.
 pub struct Observer {
     classes: Vec<(Class, ConsistencyLevel)>,
     probes: Permit,
     list_received: bool,
     members: BTreeMap<MemberId, Member>,
     groups: BTreeMap<GroupId, Group>,
-    open: HashMap<RequestId, Open>,
+    open: HashMap<RequestId, OpenRequest>,
 }
 
 impl Observer {
-    /// Looks on with the settings that the router has.
+    /// An observer with the settings that the router has.
     pub fn new(settings: &Settings) -> Observer {
         let classes = settings
             .classes
@@ -125,34 +140,34 @@
         }
     }
 
-    /// Sees an event, before the router does.
+    /// Counts an event, before the router gets it.
     pub fn event(&mut self, now: Micros, event: &Event) {
         match event {
-            Event::RequestArrived(arrival) => self.arrives(now, arrival),
-            Event::AttemptEnded(ended) => self.ended(now, ended),
-            Event::ClientGone(id) => self.over(*id, RequestOutcome::Left),
+            Event::RequestArrived(arrival) => self.request_arrived(now, arrival),
+            Event::AttemptEnded(ended) => self.attempt_ended(now, ended),
+            Event::ClientGone(id) => self.request_ended(*id, RequestOutcome::Left),
             Event::HealthChecked(member, outcome, _) => {
                 self.health_checked(*member, *outcome == Outcome::Served)
             }
-            Event::EndpointsUpdated(kind, entries) => self.listed(now, *kind, entries),
+            Event::EndpointsUpdated(kind, entries) => self.endpoints_updated(now, *kind, entries),
             Event::StreamStarted(_) | Event::WatchLost(_) | Event::TimerFired => {}
         }
     }
 
-    /// Sees an action of the router.
+    /// Counts an action of the router.
     pub fn action(&mut self, now: Micros, action: &Action) {
         match action {
             Action::Dispatch { request: id, .. } => {
                 if let Some(open) = self.open.get_mut(id) {
-                    open.out += 1;
-                    let first = !std::mem::replace(&mut open.sent, true);
+                    open.in_flight += 1;
+                    let first = !std::mem::replace(&mut open.dispatched, true);
                     let group = self.groups.entry(open.group).or_default();
                     group.in_flight += 1;
-                    group.held -= u32::from(first && group.held > 0);
+                    group.queued -= u32::from(first && group.queued > 0);
                 }
             }
             Action::Reject { request: id, .. } | Action::Fail(id) => {
-                self.over(*id, RequestOutcome::NotServed(now))
+                self.request_ended(*id, RequestOutcome::NotServed(now))
             }
             Action::ReportTransition {
                 member: id,
@@ -165,7 +180,7 @@
         }
     }
 
-    fn listed(&mut self, now: Micros, kind: UpdateKind, entries: &[Endpoint]) {
+    fn endpoints_updated(&mut self, now: Micros, kind: UpdateKind, entries: &[Endpoint]) {
         self.list_received |= kind != UpdateKind::CachedSnapshot;
         if kind != UpdateKind::Delta {
             let named: HashSet<MemberId> = entries.iter().map(|entry| entry.member).collect();
@@ -207,7 +222,7 @@
 
     fn transition(&mut self, now: Micros, id: MemberId, transition: MemberTransition) {
         let Some(member) = self.members.get_mut(&id) else {
-            // It left the list, and so leaves its mark, too.
+            // A member that left the list is no longer primary.
             for group in self
                 .groups
                 .values_mut()
@@ -231,7 +246,7 @@
         }
     }
 
-    fn arrives(&mut self, now: Micros, arrival: &Arrival) {
+    fn request_arrived(&mut self, now: Micros, arrival: &Arrival) {
         let Some((class, consistency)) = self.classes.get(arrival.class.0) else {
             return;
         };
@@ -240,38 +255,35 @@
             return;
         };
         group.decay(now);
-        group.mix += class.priority_weight;
-        group.mix_primary += if matches!(
-            consistency,
-            ConsistencyLevel::Write | ConsistencyLevel::Strong
-        ) {
+        group.recent_weight += class.priority_weight;
+        group.recent_primary_weight += if needs_primary(*consistency) {
             class.priority_weight
         } else {
             0.0
         };
-        group.held += 1;
-        let open = Open {
+        group.queued += 1;
+        let open = OpenRequest {
             group: arrival.group,
             class: arrival.class.0,
-            arrived: now,
-            out: 0,
-            sent: false,
-            over: false,
+            arrived_at: now,
+            in_flight: 0,
+            dispatched: false,
+            answered: false,
         };
         self.open.insert(arrival.request, open);
     }
 
-    fn ended(&mut self, now: Micros, ended: &AttemptEnded) {
+    fn attempt_ended(&mut self, now: Micros, ended: &AttemptEnded) {
         let Some(open) = self.open.get_mut(&ended.request) else {
             return;
         };
-        open.out = open.out.saturating_sub(1);
+        open.in_flight = open.in_flight.saturating_sub(1);
         let served = ended.outcome == Outcome::Served;
         if let Some(group) = self.groups.get_mut(&open.group) {
             group.in_flight = group.in_flight.saturating_sub(1);
         }
         if served || ended.answer == AnswerStatus::Finished {
-            self.over(
+            self.request_ended(
                 ended.request,
                 if served {
                     RequestOutcome::Served(now)
@@ -280,41 +292,37 @@
                 },
             );
         }
-        self.settle(ended.request);
+        self.forget_if_done(ended.request);
     }
 
     /// A request has its final answer, or nobody waits for one.
-    fn over(&mut self, id: RequestId, outcome: RequestOutcome) {
-        let Some(open) = self.open.get_mut(&id).filter(|open| !open.over) else {
+    fn request_ended(&mut self, id: RequestId, outcome: RequestOutcome) {
+        let Some(open) = self.open.get_mut(&id).filter(|open| !open.answered) else {
             return;
         };
-        open.over = true;
+        open.answered = true;
         let (class, consistency) = &self.classes[open.class];
         if let Some(group) = self.groups.get_mut(&open.group) {
-            group.held -= u32::from(!open.sent && group.held > 0);
+            group.queued -= u32::from(!open.dispatched && group.queued > 0);
             // What waits for a primary that is not there tells nothing of load.
-            let excused = group.primary.is_none()
-                && matches!(
-                    consistency,
-                    ConsistencyLevel::Write | ConsistencyLevel::Strong
-                );
+            let excused = group.primary.is_none() && needs_primary(*consistency);
             match outcome {
                 RequestOutcome::Served(now) => group.count(
                     now,
-                    now.saturating_sub(open.arrived) > class.latency_objective,
+                    now.saturating_sub(open.arrived_at) > class.latency_objective,
                 ),
                 RequestOutcome::NotServed(now) if !excused => group.count(now, true),
                 RequestOutcome::NotServed(_) | RequestOutcome::Left => {}
             }
         }
-        self.settle(id);
+        self.forget_if_done(id);
     }
 
-    fn settle(&mut self, id: RequestId) {
+    fn forget_if_done(&mut self, id: RequestId) {
         if self
             .open
             .get(&id)
-            .is_some_and(|open| open.over && open.out == 0)
+            .is_some_and(|open| open.answered && open.in_flight == 0)
         {
             self.open.remove(&id);
         }
@@ -322,14 +330,14 @@
 
     /// Whether a group has lost all its members: each has failed, or none is listed. One that was not heard from yet is
     /// not lost.
-    pub fn lost(&self, group: GroupId) -> bool {
+    pub fn has_lost_all_members(&self, group: GroupId) -> bool {
         self.members
             .values()
             .filter(|member| member.group == group)
             .all(|member| member.failed)
     }
 
-    /// What is seen now.
+    /// The counts of now.
     pub fn report(&mut self, now: Micros) -> Report {
         let mut members: BTreeMap<GroupId, (u32, u32)> = BTreeMap::new();
         for member in self.members.values() {
@@ -343,13 +351,11 @@
             .iter()
             .map(|(class, _)| class.priority_weight)
             .sum();
-        let writes = self.classes.iter().filter(|(_, consistency)| {
-            matches!(
-                consistency,
-                ConsistencyLevel::Write | ConsistencyLevel::Strong
-            )
-        });
-        let prior_primary: f64 = writes.map(|(class, _)| class.priority_weight).sum();
+        let primary_only = self
+            .classes
+            .iter()
+            .filter(|(_, consistency)| needs_primary(*consistency));
+        let prior_primary: f64 = primary_only.map(|(class, _)| class.priority_weight).sum();
         let groups = self.groups.iter_mut().map(|(id, group)| {
             group.decay(now);
             let (usable, all) = members.get(id).copied().unwrap_or_default();
@@ -361,12 +367,12 @@
                 usable,
                 members: all,
                 in_flight: group.in_flight,
-                held: group.held,
+                queued: group.queued,
                 ended,
                 overloaded,
-                needs_primary: (group.mix_primary + prior_primary)
-                    / (group.mix + prior).max(f64::MIN_POSITIVE),
-                recent_weight: group.mix + prior.max(f64::MIN_POSITIVE),
+                needs_primary: (group.recent_primary_weight + prior_primary)
+                    / (group.recent_weight + prior).max(f64::MIN_POSITIVE),
+                recent_weight: group.recent_weight + prior.max(f64::MIN_POSITIVE),
             }
         });
         Report {
@@ -375,7 +381,7 @@
         }
     }
 
-    /// Requests that are kept in mind; for tests of leaks.
+    /// Requests that are remembered; for tests of leaks.
     pub fn open_requests(&self) -> usize {
         self.open.len()
     }
@@ -383,24 +389,31 @@
 
 impl Group {
     fn decay(&mut self, now: Micros) {
-        let share = 0.5_f64.powf(now.saturating_sub(self.mix_at) as f64 / MIX_HALF_LIFE_US);
-        (self.mix, self.mix_primary, self.mix_at) =
-            (self.mix * share, self.mix_primary * share, now);
+        let share = 0.5_f64.powf(now.saturating_sub(self.decayed_at) as f64 / WEIGHT_HALF_LIFE_US);
+        self.recent_weight *= share;
+        self.recent_primary_weight *= share;
+        self.decayed_at = now;
     }
 
     fn count(&mut self, now: Micros, overloaded: bool) {
-        let number = now / SLOT;
-        let slot = &mut self.outcomes[number as usize % SLOTS];
-        if slot.0 != number {
-            *slot = (number, 0, 0);
+        let number = now / SLOT_LENGTH;
+        let slot = &mut self.slots[number as usize % SLOT_COUNT];
+        if slot.number != number {
+            *slot = Slot {
+                number,
+                ..Slot::default()
+            };
         }
-        slot.1 += 1;
-        slot.2 += u32::from(overloaded);
+        slot.ended += 1;
+        slot.overloaded += u32::from(overloaded);
     }
 
+    /// Requests that ended within the window, and those of them that were rejected, failed or late.
     fn outcomes(&self, now: Micros) -> (u32, u32) {
-        let oldest = (now / SLOT).saturating_sub(SLOTS as u64 - 1);
-        let recent = self.outcomes.iter().filter(|slot| slot.0 >= oldest);
-        recent.fold((0, 0), |sum, slot| (sum.0 + slot.1, sum.1 + slot.2))
+        let oldest = (now / SLOT_LENGTH).saturating_sub(SLOT_COUNT as u64 - 1);
+        let recent = self.slots.iter().filter(|slot| slot.number >= oldest);
+        recent.fold((0, 0), |(ended, overloaded), slot| {
+            (ended + slot.ended, overloaded + slot.overloaded)
+        })
     }
 }
--- a/src/health/options.rs
+++ b/src/health/options.rs
@@ -4,10 +4,11 @@
 use asterreel_control::settings::{within, SettingError};
 use serde::{Deserialize, Serialize};
 
-/// The knobs; milliseconds where a name ends in `_ms`.
+/// The options, `knobs` in the operator's file; milliseconds where a name ends in `_ms`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-#[serde(default, deny_unknown_fields)]
-pub struct Knobs {
+// The error message of an operator's file names the type that it expected.
+#[serde(default, deny_unknown_fields, expecting = "struct Knobs")]
+pub struct HealthOptions {
     /// Least weight while anything can be served; 1 to 50, default 10.
     pub floor: u8,
     /// Share of requests refused, failed or late from which a step down is due; default 0.2.
@@ -34,9 +35,9 @@
     pub maintenance: bool,
 }
 
-impl Default for Knobs {
-    fn default() -> Knobs {
-        Knobs {
+impl Default for HealthOptions {
+    fn default() -> HealthOptions {
+        HealthOptions {
             floor: 10,
             strain_high: 0.2,
             strain_low: 0.05,
@@ -53,7 +54,7 @@
     }
 }
 
-impl Knobs {
+impl HealthOptions {
     /// Whether the values make sense, each and together; a fault names the key.
     ///
     /// # Errors
--- a/src/health/weight.rs
+++ b/src/health/weight.rs
@@ -1,6 +1,6 @@
 //! Weights under load: steps down and up, and a ramp that falls at once and rises slowly.
 
-use super::{Knobs, FULL};
+use super::{HealthOptions, FULL};
 use crate::interface::Micros;
 use std::collections::VecDeque;
 
@@ -30,11 +30,12 @@
         now: Micros,
         overload_share: Option<f64>,
         utilization: f64,
-        knobs: &Knobs,
+        options: &HealthOptions,
     ) {
-        let high = overload_share.is_some_and(|overload_share| overload_share >= knobs.strain_high)
+        let high = overload_share
+            .is_some_and(|overload_share| overload_share >= options.strain_high)
             || utilization >= UTILIZATION_HIGH;
-        let low = overload_share.is_none_or(|overload_share| overload_share <= knobs.strain_low)
+        let low = overload_share.is_none_or(|overload_share| overload_share <= options.strain_low)
             && utilization <= UTILIZATION_LOW;
         if !low {
             self.overloaded_at = now;
@@ -44,18 +45,18 @@
             (self.step, self.moved_at) = (self.step + 1, now);
         } else if low
             && self.step > 0
-            && now.saturating_sub(self.overloaded_at) >= knobs.calm()
-            && rested >= knobs.rise_every()
+            && now.saturating_sub(self.overloaded_at) >= options.calm()
+            && rested >= options.rise_every()
         {
             (self.step, self.moved_at) = (self.step - 1, now);
         }
     }
 
     /// The weight of the step it stands on; the floor is the last.
-    pub fn weight(&self, knobs: &Knobs) -> u8 {
+    pub fn weight(&self, options: &HealthOptions) -> u8 {
         STEPS
             .get(self.step)
-            .map_or(knobs.floor, |step| (*step).max(knobs.floor))
+            .map_or(options.floor, |step| (*step).max(options.floor))
     }
 }
 
@@ -86,7 +87,7 @@
     }
 
     /// Moves towards a target.
-    pub fn move_towards(&mut self, now: Micros, target: u8, knobs: &Knobs) {
+    pub fn move_towards(&mut self, now: Micros, target: u8, options: &HealthOptions) {
         let target = target.min(FULL);
         while self
             .turns
@@ -99,19 +100,22 @@
             (self.weight, self.moved_at, self.fell) = (target, now, true);
             return;
         }
-        if target == self.weight || now.saturating_sub(self.moved_at) < knobs.rise_every() {
+        if target == self.weight || now.saturating_sub(self.moved_at) < options.rise_every() {
             return;
         }
         if self.fell {
             // Up again after a fall: a flap, and only so many of them in a minute.
-            if self.turns.len() >= knobs.flaps_per_minute as usize {
+            if self.turns.len() >= options.flaps_per_minute as usize {
                 return;
             }
             self.turns.push_back(now);
             self.fell = false;
         }
         // From nothing, the floor is the first step.
-        let next = self.weight.saturating_add(knobs.rise_step).max(knobs.floor);
+        let next = self
+            .weight
+            .saturating_add(options.rise_step)
+            .max(options.floor);
         (self.weight, self.moved_at) = (next.min(target), now);
     }
 }
--- a/src/operator/settings.rs
+++ b/src/operator/settings.rs
@@ -5,8 +5,8 @@
 use crate::cells::tenants::{Source, TenantResolver};
 use crate::cells::{quarantine, Rules};
 use crate::config::Config;
-use crate::health::drain::{Balancer, Drain, Hearing, Timetable};
-use crate::health::Knobs;
+use crate::health::drain::{Balancer, DetectionMethod, Drain, Timetable};
+use crate::health::HealthOptions;
 use crate::interface::Micros;
 use asterreel_control::settings::{within, Lease};
 use ipnet::IpNet;
@@ -115,13 +115,13 @@
     }
 
     fn check_quarantine(&self) -> Result<(), SettingError> {
-        let knobs = &self.quarantine;
-        let tenant_members = knobs.tenant_members as u64;
-        within("quarantine.members", knobs.members as u64, 1, 16)?;
+        let options = &self.quarantine;
+        let tenant_members = options.tenant_members as u64;
+        within("quarantine.members", options.members as u64, 1, 16)?;
         within("quarantine.tenant_members", tenant_members, 1, 64)?;
-        within("quarantine.window_ms", knobs.window_ms, 1_000, 3_600_000)?;
-        within("quarantine.lasts_ms", knobs.lasts_ms, 1_000, 86_400_000)?;
-        within("quarantine.entries", knobs.entries as u64, 16, 65_536)?;
+        within("quarantine.window_ms", options.window_ms, 1_000, 3_600_000)?;
+        within("quarantine.lasts_ms", options.lasts_ms, 1_000, 86_400_000)?;
+        within("quarantine.entries", options.entries as u64, 16, 65_536)?;
         Ok(())
     }
 }
@@ -188,8 +188,8 @@
     #[serde(default)]
     pub drain: Drain,
     /// The options of health decisions.
-    #[serde(default)]
-    pub knobs: Knobs,
+    #[serde(default, rename = "knobs")]
+    pub options: HealthOptions,
 }
 
 /// Descriptors that health needs beside its connections: listeners, the event queue, its heartbeat (two connections,
@@ -237,7 +237,7 @@
                 "names no network: nobody could ask",
             ));
         }
-        self.knobs.check().map_err(|fault| fault.below("knobs"))?;
+        self.options.check().map_err(|fault| fault.below("knobs"))?;
         // With the longest deadline there is; the gateway's own may leave less.
         self.timetable(u64::MAX)?;
         Ok(())
@@ -267,19 +267,19 @@
 
     /// The drain's timetable where no request lasts longer than this, microseconds.
     fn timetable(&self, longest_deadline: Micros) -> Result<Timetable, SettingError> {
-        let timetable = self
-            .drain
-            .timetable(&self.balancer, self.hearing(), longest_deadline)?;
+        let timetable =
+            self.drain
+                .timetable(&self.balancer, self.detection_method(), longest_deadline)?;
         Ok(timetable)
     }
 
     /// How balancers learn of a drain.
-    fn hearing(&self) -> Hearing {
+    fn detection_method(&self) -> DetectionMethod {
         let others = self.http.is_some() || self.postgres.is_some() || self.grpc.is_some();
         if others {
-            Hearing::Checks
+            DetectionMethod::FailedChecks
         } else {
-            Hearing::Agent
+            DetectionMethod::AgentCheck
         }
     }
 
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -2,10 +2,10 @@
 mod common;
 
 use asterreel::health::{
-    Action, Capacity, Event, GroupReport, Heartbeat, Knobs, Machine, Observer, Reason, Report,
-    Scope, State, Status, WeightRamp, WeightSteps, FULL,
+    Action, Capacity, Event, GroupReport, HealthOptions, Heartbeat, Machine, Observer, Reason,
+    Report, Scope, State, Status, WeightRamp, WeightSteps, FULL,
 };
-use asterreel::interface::{Event as Told, *};
+use asterreel::interface::{Event as RouterEvent, *};
 use common::{attempt_ended, endpoint, settings, TestGateway, GROUP, MS, START};
 use proptest::prelude::*;
 
@@ -32,7 +32,7 @@
         usable: 3,
         members: 3,
         in_flight: 0,
-        held: 0,
+        queued: 0,
         ended: 100,
         overloaded: 0,
         needs_primary: 0.4,
@@ -41,10 +41,10 @@
 }
 
 impl Subject {
-    fn new(knobs: Knobs) -> Subject {
-        knobs.check().expect("good knobs");
+    fn new(options: HealthOptions) -> Subject {
+        options.check().expect("good options");
         let mut subject = Subject {
-            machine: Machine::new(knobs, START),
+            machine: Machine::new(options, START),
             now: START,
             history: Vec::new(),
             group: group_report(),
@@ -65,7 +65,7 @@
 
     /// One that has started and risen to its full weight.
     fn up() -> Subject {
-        let mut subject = Subject::new(Knobs::default());
+        let mut subject = Subject::new(HealthOptions::default());
         subject.pass(10 * S);
         assert_eq!(subject.told(), (State::Up, FULL, Reason::Fine));
         subject.history.clear();
@@ -122,7 +122,7 @@
 
 #[test]
 fn it_starts_once_discovery_told_and_each_group_has_a_member_and_rises_slowly() {
-    let mut subject = Subject::new(Knobs::default());
+    let mut subject = Subject::new(HealthOptions::default());
     subject.group.usable = 0;
     subject.pass(S);
     assert_eq!(subject.told(), (State::Starting, 0, Reason::Start));
@@ -141,11 +141,11 @@
 
 #[test]
 fn with_discovery_down_from_the_start_it_serves_what_it_knows_after_the_stated_wait() {
-    let knobs = Knobs {
+    let options = HealthOptions {
         start_wait_ms: 3_000,
-        ..Knobs::default()
+        ..HealthOptions::default()
     };
-    let mut machine = Machine::new(knobs, START);
+    let mut machine = Machine::new(options, START);
     let mut actions = Vec::new();
     let mut look = |machine: &mut Machine, at, usable| {
         let group = GroupReport {
@@ -191,7 +191,7 @@
     // A group of writes alone still keeps the floor: its reads could be served.
     subject.group.primary = false;
     subject.pass(25 * MS);
-    assert_eq!(subject.told().1, Knobs::default().floor);
+    assert_eq!(subject.told().1, HealthOptions::default().floor);
 }
 
 #[test]
@@ -423,7 +423,7 @@
     assert_eq!(subject.told(), (State::Draining, 0, Reason::Drain));
     assert_eq!(subject.told_of_group().state, State::Draining);
     subject.group.primary = true;
-    subject.event(Event::Configured(Knobs::default()));
+    subject.event(Event::Configured(HealthOptions::default()));
     subject.pass(S);
     assert_eq!(subject.told().0, State::Draining);
     subject.event(Event::Stopping);
@@ -435,22 +435,22 @@
 #[test]
 fn maintenance_takes_it_out_and_the_file_read_again_brings_it_back() {
     let mut subject = Subject::up();
-    subject.event(Event::Configured(Knobs {
+    subject.event(Event::Configured(HealthOptions {
         maintenance: true,
-        ..Knobs::default()
+        ..HealthOptions::default()
     }));
     assert_eq!(subject.told(), (State::Draining, 0, Reason::Maintenance));
-    subject.event(Event::Configured(Knobs::default()));
+    subject.event(Event::Configured(HealthOptions::default()));
     assert_eq!(subject.told().0, State::Up);
 }
 
 #[test]
 fn a_primary_lost_and_found_over_and_over_turns_the_weight_no_oftener_than_allowed() {
-    let knobs = Knobs {
+    let options = HealthOptions {
         flaps_per_minute: 3,
-        ..Knobs::default()
+        ..HealthOptions::default()
     };
-    let mut subject = Subject::new(knobs);
+    let mut subject = Subject::new(options);
     subject.pass(10 * S);
     subject.history.clear();
     for _ in 0..60 {
@@ -500,7 +500,7 @@
     }
 
     /// The observer is given each event first, then the router's actions. Where attempts go out by them.
-    fn feed(&mut self, event: Told) -> Vec<RequestId> {
+    fn feed(&mut self, event: RouterEvent) -> Vec<RequestId> {
         self.observer.event(self.gateway.now, &event);
         let actions = self.gateway.event(event);
         for action in &actions {
@@ -518,18 +518,18 @@
     fn list(&mut self, members: u32) {
         let list = (0..members).map(|m| endpoint(m, EndpointState::Ready, 0));
         let list = list.collect();
-        self.feed(Told::EndpointsUpdated(UpdateKind::Snapshot, list));
+        self.feed(RouterEvent::EndpointsUpdated(UpdateKind::Snapshot, list));
     }
 
     fn healthy(&mut self, member: u32, report: MemberReport) {
         let member = MemberId(member);
-        self.feed(Told::HealthChecked(member, Outcome::Served, report));
+        self.feed(RouterEvent::HealthChecked(member, Outcome::Served, report));
     }
 
     /// A write for a group arrives; the attempts that go out.
     fn write(&mut self, group: GroupId) -> Vec<RequestId> {
         self.gateway.next += 1;
-        self.feed(Told::RequestArrived(Arrival {
+        self.feed(RouterEvent::RequestArrived(Arrival {
             request: RequestId(self.gateway.next),
             class: ClassId(common::WRITE),
             tenant: TenantId(0),
@@ -549,7 +549,7 @@
         let request = RequestId(self.gateway.next);
         let report = common::member_report(Role::Primary, self.gateway.now);
         let served = attempt_ended(request, 0, Outcome::Served, took, report);
-        self.feed(Told::AttemptEnded(served));
+        self.feed(RouterEvent::AttemptEnded(served));
     }
 
     /// Time passes in which every attempt is misrouted, these that are out first.
@@ -557,7 +557,7 @@
         let end = self.gateway.now + time;
         while self.gateway.now < end {
             self.gateway.now += 20 * MS;
-            attempts.extend(self.feed(Told::TimerFired));
+            attempts.extend(self.feed(RouterEvent::TimerFired));
             let mut ended_attempts = 0;
             while ended_attempts < attempts.len() {
                 let request = attempts[ended_attempts];
@@ -565,7 +565,7 @@
                 let number = earlier.filter(|other| **other == request).count() as u32;
                 let report = common::member_report(Role::Replica, self.gateway.now);
                 let misrouted = attempt_ended(request, number, Outcome::Misrouted, MS, report);
-                attempts.extend(self.feed(Told::AttemptEnded(misrouted)));
+                attempts.extend(self.feed(RouterEvent::AttemptEnded(misrouted)));
                 ended_attempts += 1;
             }
         }
@@ -604,12 +604,12 @@
     assert!(!observed.group().primary);
     let attempts: Vec<RequestId> = (0..10).flat_map(|_| observed.write(GROUP)).collect();
     let group = observed.group();
-    let open = group.held + group.in_flight;
+    let open = group.queued + group.in_flight;
     assert_eq!(open, 10, "one of them may seek the primary");
     observed.misroute_attempts(attempts, 3 * S);
     let group = observed.group();
     let open = observed.observer.open_requests();
-    assert_eq!((group.held, group.in_flight, open), (0, 0, 0));
+    assert_eq!((group.queued, group.in_flight, open), (0, 0, 0));
     let share = group.overload_share();
     assert_eq!(share, None, "rejected for lack of a primary: {group:?}");
 
@@ -659,8 +659,8 @@
         floor in 1u8..=50,
         flaps in 1u32..6,
     ) {
-        let knobs = Knobs { floor, flaps_per_minute: flaps, start_wait_ms: 1_000, ..Knobs::default() };
-        let mut subject = Subject::new(knobs);
+        let options = HealthOptions { floor, flaps_per_minute: flaps, start_wait_ms: 1_000, ..HealthOptions::default() };
+        let mut subject = Subject::new(options);
         let (mut drained, mut stopped) = (false, false);
         for (step, ticks) in steps {
             match step {
@@ -695,14 +695,14 @@
         targets in proptest::collection::vec((0u8..=120, 10u64..3_000), 1..200),
         flaps in 1u32..10,
     ) {
-        let knobs = Knobs { flaps_per_minute: flaps, ..Knobs::default() };
+        let options = HealthOptions { flaps_per_minute: flaps, ..HealthOptions::default() };
         let (mut ramp, mut now, mut history) = (WeightRamp::new(100, 0), 0, Vec::new());
         for (target, wait) in targets {
             now += wait * MS;
             let before = ramp.weight();
-            ramp.move_towards(now, target, &knobs);
+            ramp.move_towards(now, target, &options);
             let after = ramp.weight();
-            let step = knobs.rise_step.max(knobs.floor);
+            let step = options.rise_step.max(options.floor);
             prop_assert!(after <= FULL && after <= before.saturating_add(step));
             prop_assert!(target.min(FULL) >= before || after == target);
             if after != before {
@@ -717,12 +717,12 @@
         strains in proptest::collection::vec((proptest::option::of(0.0..=1.0f64), 0.0..=1.5f64, 1u64..900), 1..100),
         floor in 1u8..=50,
     ) {
-        let knobs = Knobs { floor, ..Knobs::default() };
+        let options = HealthOptions { floor, ..HealthOptions::default() };
         let (mut steps, mut now) = (WeightSteps::default(), 0);
         for (share, taken, wait) in strains {
             now += wait * MS;
-            steps.update(now, share, taken, &knobs);
-            prop_assert!(steps.weight(&knobs) >= floor);
+            steps.update(now, share, taken, &options);
+            prop_assert!(steps.weight(&options) >= floor);
         }
     }
 }
