--- a/control/src/link/gateway.rs
+++ b/control/src/link/gateway.rs
@@ -128,12 +128,12 @@
             margin_us,
             ..
         } = search.timing;
-        let spare = Duration::from_micros(lease_us.saturating_sub(renew_us + margin_us));
+        let slack = Duration::from_micros(lease_us.saturating_sub(renew_us + margin_us));
         LinkTask {
             search,
             rng,
-            handshake_timeout: (spare / 4).clamp(MIN_HANDSHAKE_TIMEOUT, HANDSHAKE_TIMEOUT),
-            short_max_delay: (spare / 8).clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY),
+            handshake_timeout: (slack / 4).clamp(MIN_HANDSHAKE_TIMEOUT, HANDSHAKE_TIMEOUT),
+            short_max_delay: (slack / 8).clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY),
             link: LinkId(0),
             current: 0,
             renewed_on_link: false,
--- a/control/src/service/member.rs
+++ b/control/src/service/member.rs
@@ -29,7 +29,7 @@
 const ELECTION_TICKS: usize = 20;
 /// Election timeouts in the time that a gateway has left after a renewal was due: an election and another after a split
 /// vote take four of them at most.
-const ELECTIONS_PER_SPARE_TIME: u64 = 6;
+const ELECTIONS_PER_SLACK: u64 = 6;
 /// The shortest election timeout: with less, a busy disk costs the leader its leadership.
 const MIN_ELECTION_TIMEOUT_US: Micros = 200_000;
 /// The shortest idle timeout of a gateway's link, whatever the leases: it spares a process that stalled a new link.
@@ -39,10 +39,10 @@
 
 /// The ticks of Raft, short enough for permissions to outlast the loss of a leader.
 pub(super) fn ticks(timing: &Timing) -> Interval {
-    let spare = timing
+    let slack = timing
         .lease_us
         .saturating_sub(timing.renew_us + timing.margin_us);
-    let election = (spare / ELECTIONS_PER_SPARE_TIME).max(MIN_ELECTION_TIMEOUT_US);
+    let election = (slack / ELECTIONS_PER_SLACK).max(MIN_ELECTION_TIMEOUT_US);
     let mut ticks = interval(Duration::from_micros(election / ELECTION_TICKS as u64));
     // Ticks that were missed while the process stalled must not count towards an election timeout.
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/src/bin/asterreel-sim-adapter/wire.rs
+++ b/src/bin/asterreel-sim-adapter/wire.rs
@@ -357,7 +357,7 @@
             }),
             Action::ReportTransition { member, transition } => {
                 store(member).map(|store| Output::NoteDown {
-                    text: format!("{store}: {}", transition_word(transition)),
+                    text: format!("{store}: {}", transition_name(transition)),
                 })
             }
         };
@@ -549,7 +549,7 @@
 }
 
 /// The simulator's word for a transition.
-fn transition_word(transition: MemberTransition) -> &'static str {
+fn transition_name(transition: MemberTransition) -> &'static str {
     match transition {
         MemberTransition::Promoted => "active",
         MemberTransition::Demoted => "unmarked",
--- a/src/bin/asterreel/cli/cells.rs
+++ b/src/bin/asterreel/cli/cells.rs
@@ -100,9 +100,9 @@
         ));
     }
     let overlap = placement.overlap(names.iter().map(String::as_str));
-    let whole = overlap.whole as f64 * 100.0 / overlap.pairs.max(1) as f64;
+    let full_overlap = overlap.full as f64 * 100.0 / overlap.pairs.max(1) as f64;
     say(&format!(
-        "two tenants share {} groups at most; {whole:.1}% of pairs share all of theirs",
+        "two tenants share {} groups at most; {full_overlap:.1}% of pairs share all of theirs",
         overlap.most
     ));
     Ok(())
@@ -138,7 +138,7 @@
         name.to_string_lossy(),
         std::process::id()
     ));
-    let written = write_whole(&next, &record::encode(&published)?)
+    let written = write_and_sync(&next, &record::encode(&published)?)
         .and_then(|()| std::fs::rename(&next, target));
     if let Err(error) = written {
         let _ = std::fs::remove_file(&next);
@@ -156,7 +156,7 @@
     Ok(())
 }
 
-fn write_whole(path: &Path, bytes: &[u8]) -> io::Result<()> {
+fn write_and_sync(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let mut file = std::fs::File::create(path)?;
     file.write_all(bytes)?;
     file.sync_all()
--- a/src/bin/asterreel/health/fronts.rs
+++ b/src/bin/asterreel/health/fronts.rs
@@ -59,11 +59,11 @@
 }
 
 fn admit(shared: &Rc<Shared>, stream: TcpStream, from: std::net::IpAddr, front: Front) {
-    let verdict = shared
+    let admission = shared
         .connections
         .borrow_mut()
         .admit(shared.clock.now(), from);
-    let (number, replaced) = match verdict {
+    let (number, replaced) = match admission {
         connection_limit::Admission::Admit(number) => (number, None),
         connection_limit::Admission::Replace(number, old) => (number, Some(old)),
         connection_limit::Admission::Reject => return,
@@ -147,7 +147,7 @@
             return Ok(());
         }
         client.touch();
-        let whole = async {
+        let complete_request = async {
             loop {
                 match http::parse_request(&bytes) {
                     Ok(None) if stream.read_buf(&mut bytes).await? == 0 => return Ok(Ok(None)),
@@ -157,7 +157,7 @@
                 }
             }
         };
-        let parsed = match timeout(CHECK_TIMEOUT, whole)
+        let parsed = match timeout(CHECK_TIMEOUT, complete_request)
             .await
             .unwrap_or(Ok(Err(http::Rejected(408))))?
         {
--- a/src/bin/asterreel/health/mod.rs
+++ b/src/bin/asterreel/health/mod.rs
@@ -265,7 +265,7 @@
             weight,
             reason,
         }) => {
-            info!(scope, ?state, weight, reason = reason.word(), "health");
+            info!(scope, ?state, weight, reason = reason.code(), "health");
         }
         None => info!(scope, "health: no longer served"),
     }
--- a/src/bin/asterreel/health/notify.rs
+++ b/src/bin/asterreel/health/notify.rs
@@ -48,7 +48,7 @@
                         text = format!(
                             "{state}, weight {}, {}",
                             status.weight,
-                            status.reason.word()
+                            status.reason.code()
                         );
                         states.push(NotifyState::Status(&text));
                     }
--- a/src/bin/asterreel/postgres/answer.rs
+++ b/src/bin/asterreel/postgres/answer.rs
@@ -50,12 +50,12 @@
 }
 
 impl Answer {
-    /// Takes in one message, `whole` being all its bytes.
+    /// Takes in one message, given as all its bytes and as its body.
     ///
     /// # Errors
     ///
     /// Messages out of order, a result other than one row of one column, and an error without a code.
-    pub(crate) fn take(&mut self, tag: u8, whole: &[u8], body: &[u8]) -> Result<(), Malformed> {
+    pub(crate) fn take(&mut self, tag: u8, message: &[u8], body: &[u8]) -> Result<(), Malformed> {
         if self.ready {
             return Err(Malformed("a message after the end of the answer"));
         }
@@ -64,13 +64,13 @@
             (b'N' | b'A' | b'K' | b'R', _) => {}
             (b'S', _) => self.take_status(body),
             (b'T', RowProgress::Nothing) if !has_result => {
-                self.take_row_message(tag, whole, body, RowProgress::Description)?;
+                self.take_row_message(tag, message, body, RowProgress::Description)?;
             }
             (b'D', RowProgress::Description) if !has_result => {
-                self.take_row_message(tag, whole, body, RowProgress::Values)?;
+                self.take_row_message(tag, message, body, RowProgress::Values)?;
             }
             (b'C', RowProgress::Values) if !has_result => {
-                self.take_row_message(tag, whole, body, RowProgress::Complete)?;
+                self.take_row_message(tag, message, body, RowProgress::Complete)?;
                 self.result = Some(QueryResult::Row);
             }
             (b'E', _) if !has_result => {
@@ -87,7 +87,7 @@
     fn take_row_message(
         &mut self,
         tag: u8,
-        whole: &[u8],
+        message: &[u8],
         body: &[u8],
         progress: RowProgress,
     ) -> Result<(), Malformed> {
@@ -101,7 +101,7 @@
         if !is_well_formed {
             return Err(Malformed("not a row of one column"));
         }
-        self.rows.extend_from_slice(whole);
+        self.rows.extend_from_slice(message);
         self.progress = progress;
         Ok(())
     }
--- a/src/bin/asterreel/request/round_trip.rs
+++ b/src/bin/asterreel/request/round_trip.rs
@@ -112,9 +112,9 @@
     let malformed = |_| ConnectionError::Malformed;
     while let Some(message) = pg::message(stream.buffer.data()).map_err(malformed)? {
         let bytes = stream.buffer.data();
-        let whole = &bytes[..message.body.end];
+        let message_bytes = &bytes[..message.body.end];
         answer
-            .take(message.tag, whole, &bytes[message.body.clone()])
+            .take(message.tag, message_bytes, &bytes[message.body.clone()])
             .map_err(malformed)?;
         stream.buffer.consume(message.body.end);
         if answer.ready {
--- a/src/cells/mod.rs
+++ b/src/cells/mod.rs
@@ -44,8 +44,8 @@
 /// Mixes a hash with the salt of a candidate, for rendezvous hashing (Thaler and Ravishankar, 1998): the finalizer of
 /// SplitMix64 (Steele, Lea and Flood, 2014).
 pub(crate) fn mixed(hash: u64, salt: u64) -> u64 {
-    let mut word = hash ^ salt.wrapping_mul(0x9E37_79B9_7F4A_7C15);
-    word = (word ^ (word >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
-    word = (word ^ (word >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
-    word ^ (word >> 31)
+    let mut mixed = hash ^ salt.wrapping_mul(0x9E37_79B9_7F4A_7C15);
+    mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
+    mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
+    mixed ^ (mixed >> 31)
 }
--- a/src/cells/placement.rs
+++ b/src/cells/placement.rs
@@ -278,7 +278,7 @@
                 overlap.most = overlap.most.max(shared);
                 overlap.pairs += 1;
                 overlap.shared += shared as u64;
-                overlap.whole += u64::from(shared == self.spread);
+                overlap.full += u64::from(shared == self.spread);
             }
         }
         overlap
@@ -295,7 +295,7 @@
     /// See `pairs`.
     pub shared: u64,
     /// See `pairs`.
-    pub whole: u64,
+    pub full: u64,
 }
 
 /// There are cells, and no more than a [`CellId`] can number; tenants are spread over a possible number of groups.
--- a/src/cells/quarantine.rs
+++ b/src/cells/quarantine.rs
@@ -156,7 +156,7 @@
             };
             answered(self.shapes.entry(shape).or_default());
             answered(self.tenants.entry(tenant).or_default());
-            self.make_room();
+            self.evict_excess();
             return;
         }
         let options = self.options;
@@ -189,10 +189,10 @@
             self.tenants.entry(tenant).or_default(),
             options.tenant_members,
         );
-        self.make_room();
+        self.evict_excess();
     }
 
-    fn make_room(&mut self) {
+    fn evict_excess(&mut self) {
         bound(&mut self.shapes, self.options.entries);
         bound(&mut self.tenants, self.options.entries);
     }
--- a/src/cells/record.rs
+++ b/src/cells/record.rs
@@ -56,8 +56,8 @@
         .position(|byte| *byte == b'\n')
         .ok_or(RecordError::Truncated)?;
     let head = std::str::from_utf8(&bytes[..end]).map_err(|_| RecordError::Truncated)?;
-    let words: Vec<&str> = head.split(' ').collect();
-    let [MAGIC, version, length, sum] = words[..] else {
+    let fields: Vec<&str> = head.split(' ').collect();
+    let [MAGIC, version, length, sum] = fields[..] else {
         return Err(RecordError::Truncated);
     };
     let version: u32 = version.parse().map_err(|_| RecordError::Truncated)?;
--- a/src/health/agent.rs
+++ b/src/health/agent.rs
@@ -54,14 +54,14 @@
         return "down #unknown-group\n".into();
     };
     match (status.state, status.reason) {
-        (State::Starting, _) => format!("down #{}\n", status.reason.word()),
+        (State::Starting, _) => format!("down #{}\n", status.reason.code()),
         (State::Hung, _) => "down #hung\n".into(),
         // `maint` takes the gateway out by the operator's wish; `drain` keeps existing sessions.
         (_, Reason::Maintenance) => "maint\n".into(),
         (State::Draining, _) => "drain 0%\n".into(),
         (State::Stopping, _) => "stopped #drained\n".into(),
         (State::Up | State::Degraded, _) if status.weight == 0 => {
-            format!("down #{}\n", status.reason.word())
+            format!("down #{}\n", status.reason.code())
         }
         (State::Up | State::Degraded, _) => {
             let maxconn = maxconn.map_or(String::new(), |most| format!(" maxconn:{most}"));
--- a/src/health/http.rs
+++ b/src/health/http.rs
@@ -248,7 +248,7 @@
         "{} {} {}",
         state.as_str().unwrap_or("?"),
         status.weight,
-        status.reason.word()
+        status.reason.code()
     )
 }
 
--- a/src/health/mod.rs
+++ b/src/health/mod.rs
@@ -75,8 +75,8 @@
 }
 
 impl Reason {
-    /// The word that protocols and logs use.
-    pub fn word(self) -> &'static str {
+    /// Its code in protocols and logs.
+    pub fn code(self) -> &'static str {
         match self {
             Reason::Fine => "fine",
             Reason::Start => "start",
@@ -387,7 +387,7 @@
             .iter()
             .map(|(id, group)| (*id, self.group_target(group).0))
             .collect();
-        let whole = if hung {
+        let gateway_target = if hung {
             self.options.floor
         } else {
             self.target().0
@@ -403,7 +403,7 @@
             }
         }
         if self.phase == Phase::Serving {
-            self.ramp.move_towards(now, whole, &self.options);
+            self.ramp.move_towards(now, gateway_target, &self.options);
         }
     }
 
--- a/src/health/postgres.rs
+++ b/src/health/postgres.rs
@@ -85,8 +85,8 @@
 
 /// The group that the database's name selects: `group7` or `group-7`.
 fn group(parameters: &[u8]) -> Option<GroupId> {
-    let mut words = parameters.split(|byte| *byte == 0);
-    while let (Some(name), Some(value)) = (words.next(), words.next()) {
+    let mut fields = parameters.split(|byte| *byte == 0);
+    while let (Some(name), Some(value)) = (fields.next(), fields.next()) {
         if name == b"database" {
             let text = std::str::from_utf8(value).ok()?;
             return text
@@ -103,7 +103,7 @@
 /// The greeting, and whether the connection ends with it.
 pub fn greet(status: Option<Status>, out: &mut Vec<u8>) -> bool {
     let Some(status) = status.filter(Status::ready) else {
-        let why = status.map_or("unknown group", |status| status.reason.word());
+        let why = status.map_or("unknown group", |status| status.reason.code());
         error(out, "57P03", &format!("not accepting connections: {why}"));
         return true;
     };
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -112,7 +112,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionTokens {
     /// The request carries how long ago its session last wrote.
-    Carried,
+    FromClient,
     /// This router remembers the commits of its answers.
     Remembered,
 }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -61,8 +61,8 @@
     /// The log position that a session read must see.
     fn required_position(&self, arrival: &Arrival) -> Micros {
         match (self.settings.session_tokens, arrival.since_write) {
-            (SessionTokens::Carried, Some(since_write)) => self.now.saturating_sub(since_write),
-            (SessionTokens::Carried, None) => 0,
+            (SessionTokens::FromClient, Some(since_write)) => self.now.saturating_sub(since_write),
+            (SessionTokens::FromClient, None) => 0,
             (SessionTokens::Remembered, _) => self.sessions.required_position(arrival.session),
         }
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -395,7 +395,7 @@
 
     fn session_tokens(&self) -> Result<SessionTokens, UnknownValue> {
         match self.session_marks.as_str() {
-            "brought" => Ok(SessionTokens::Carried),
+            "brought" => Ok(SessionTokens::FromClient),
             "kept" => Ok(SessionTokens::Remembered),
             other => Err(UnknownValue::new("session marks", other)),
         }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -55,7 +55,7 @@
         zone: ZoneId(0),
         discovery: DiscoveryMode::Push,
         replica_checks: ReplicaChecks::RejectStale,
-        session_tokens: SessionTokens::Carried,
+        session_tokens: SessionTokens::FromClient,
         positions: Permit::Allowed,
         listed_role: ListedRole::Delayed,
         probes: Permit::Allowed,
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -79,7 +79,7 @@
         prop_oneof![Just(DiscoveryMode::Push), Just(DiscoveryMode::Watch)],
         prop_oneof![Just(ReplicaChecks::None), Just(ReplicaChecks::RejectStale)],
         prop_oneof![
-            Just(SessionTokens::Carried),
+            Just(SessionTokens::FromClient),
             Just(SessionTokens::Remembered)
         ],
         prop_oneof![
--- a/tests/settings/world.rs
+++ b/tests/settings/world.rs
@@ -469,12 +469,12 @@
         let group = self.rng.u64(0..groups);
         let due = self.now + self.settings.classes[class].deadline * self.rng.u64(4..=10) / 10;
         let session = Some(self.rng.u64(0..20));
-        let carried = self.settings.session_tokens == SessionTokens::Carried;
+        let from_client = self.settings.session_tokens == SessionTokens::FromClient;
         // What a session carries is how long ago it last wrote.
         let wrote = session
             .and_then(|session| self.commits.get(&session))
             .copied();
-        let since_write = wrote.filter(|_| carried).map(|at| self.now - at);
+        let since_write = wrote.filter(|_| from_client).map(|at| self.now - at);
         let token = wrote.unwrap_or(0);
         let (received, attempts, answered) = (self.now, Vec::new(), false);
         self.open.insert(
