--- a/src/interface.rs
+++ b/src/interface.rs
@@ -473,7 +473,7 @@
     #[error("settings: Allowed.MaxAttempts is 0; a request needs one attempt at least")]
     NoAttempts,
     /// The lists that have an element for each class differ in length.
-    #[error("settings: {classes} classes have {consistency_levels} consistency levels and {staleness_bounds} staleness bounds")]
+    #[error("settings: class arrays of unequal length: {classes} classes, {consistency_levels} consistency levels and {staleness_bounds} staleness bounds")]
     UnequalClassLists {
         /// How many classes there are.
         classes: usize,
