--- a/src/bin/asterreel/health/mod.rs
+++ b/src/bin/asterreel/health/mod.rs
@@ -15,8 +15,7 @@
 use crate::front::Gateway;
 use asterreel::health::connection_limit::ConnectionLimiter;
 use asterreel::health::{
-    http::{Facts, GroupCounts},
-    Action, Capacity, CommandAge, Event, Machine, Scope, State, Status,
+    http::Facts, Action, Capacity, CommandAge, Event, Machine, Scope, State, Status,
 };
 use asterreel::operator::Health;
 use asterreel_control::clock::Clock;
@@ -157,18 +156,7 @@
             capacity: self.capacity.get(),
             retry_after: settings.balancer.interval_ms.div_ceil(1000).max(1),
             started: self.started.get(),
-            groups: machine
-                .seen_groups()
-                .map(|seen| {
-                    let counts = GroupCounts {
-                        in_flight: seen.in_flight,
-                        queued: seen.queued,
-                        usable_members: seen.usable,
-                        members: seen.members,
-                    };
-                    (seen.group, counts)
-                })
-                .collect(),
+            groups: machine.seen_groups().cloned().collect(),
         }
     }
 }
@@ -317,14 +305,10 @@
 
 /// An address to connect to: one that stands for all of the machine's is replaced by a loopback address.
 fn connectable(address: SocketAddr) -> SocketAddr {
-    match address {
-        SocketAddr::V4(any) if any.ip().is_unspecified() => {
-            (Ipv4Addr::LOCALHOST, any.port()).into()
-        }
-        SocketAddr::V6(any) if any.ip().is_unspecified() => {
-            (Ipv4Addr::LOCALHOST, any.port()).into()
-        }
-        address => address,
+    if address.ip().is_unspecified() {
+        (Ipv4Addr::LOCALHOST, address.port()).into()
+    } else {
+        address
     }
 }
 
--- a/src/cells/placement.rs
+++ b/src/cells/placement.rs
@@ -6,6 +6,7 @@
 
 use super::{mixed, stable_hash, CellId, Epoch};
 use crate::interface::GroupId;
+use asterreel_control::settings::{within, SettingError};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
@@ -128,33 +129,13 @@
     pub homes: Vec<(String, Home)>,
 }
 
-/// A published placement that contradicts itself.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{key}: {fault}")]
-pub struct PlacementError {
-    /// The key to correct, as `cells[2]`.
-    pub key: String,
-    /// What is wrong with it.
-    pub fault: String,
-}
-
-impl PlacementError {
-    /// `key` is at fault, for the reason `fault`.
-    pub fn new(key: impl Into<String>, fault: impl Into<String>) -> PlacementError {
-        PlacementError {
-            key: key.into(),
-            fault: fault.into(),
-        }
-    }
-}
-
 impl Placement {
     /// Checks what was published.
     ///
     /// # Errors
     ///
-    /// [`PlacementError`]: the key at fault and what is wrong with it.
-    pub fn new(published: Published) -> Result<Placement, PlacementError> {
+    /// [`SettingError`]: the key at fault and what is wrong with it.
+    pub fn new(published: Published) -> Result<Placement, SettingError> {
         let Published {
             epoch,
             cells,
@@ -299,22 +280,18 @@
 }
 
 /// There are cells, and no more than a [`CellId`] can number; tenants are spread over a possible number of groups.
-fn check_sizes(cells: &[Cell], spread: usize) -> Result<(), PlacementError> {
+fn check_sizes(cells: &[Cell], spread: usize) -> Result<(), SettingError> {
     if cells.is_empty() || cells.len() > usize::from(u16::MAX) {
         let fault = format!("{} of them", cells.len());
-        return Err(PlacementError::new("cells", fault));
+        return Err(SettingError::new("cells", fault));
     }
-    if !(1..=MAX_GROUPS).contains(&spread) {
-        let fault = format!("{spread} is not within 1 to {MAX_GROUPS}");
-        return Err(PlacementError::new("spread", fault));
-    }
-    Ok(())
+    within("spread", spread as u64, 1, MAX_GROUPS as u64)
 }
 
 /// The cell at `place` has a name of its own and enough groups, which no other cell has.
-fn check_cell(cells: &[Cell], place: usize, spread: usize) -> Result<(), PlacementError> {
+fn check_cell(cells: &[Cell], place: usize, spread: usize) -> Result<(), SettingError> {
     let (cell, earlier) = (&cells[place], &cells[..place]);
-    let error = |fault: String| Err(PlacementError::new(format!("cells[{place}]"), fault));
+    let error = |fault: String| Err(SettingError::new(format!("cells[{place}]"), fault));
     if earlier.iter().any(|other| other.name == cell.name) {
         return error(format!("{:?} is the name of two", cell.name));
     }
@@ -342,9 +319,9 @@
 }
 
 /// The range at `place` names one of the `cell_count` cells, is not empty, and overlaps none before it.
-fn check_range(ranges: &[Range], place: usize, cell_count: usize) -> Result<(), PlacementError> {
+fn check_range(ranges: &[Range], place: usize, cell_count: usize) -> Result<(), SettingError> {
     let (range, earlier) = (&ranges[place], &ranges[..place]);
-    let error = |fault: String| Err(PlacementError::new(format!("ranges[{place}]"), fault));
+    let error = |fault: String| Err(SettingError::new(format!("ranges[{place}]"), fault));
     if usize::from(range.cell.0) >= cell_count {
         return error(format!(
             "{:?} names cell {}, which is none",
@@ -365,10 +342,10 @@
     homes: Vec<(String, Home)>,
     cell_count: usize,
     epoch: Epoch,
-) -> Result<HashMap<Box<str>, Home>, PlacementError> {
+) -> Result<HashMap<Box<str>, Home>, SettingError> {
     let mut by_tenant = HashMap::with_capacity(homes.len());
     for (place, (tenant, home)) in homes.into_iter().enumerate() {
-        let error = |fault: String| Err(PlacementError::new(format!("homes[{place}]"), fault));
+        let error = |fault: String| Err(SettingError::new(format!("homes[{place}]"), fault));
         if usize::from(home.cell.0) >= cell_count || home.epoch > epoch {
             let (cell, epoch) = (home.cell.0, home.epoch.0);
             return error(format!("{tenant:?}: cell {cell} at epoch {epoch}"));
--- a/src/cells/record.rs
+++ b/src/cells/record.rs
@@ -1,7 +1,8 @@
 //! A published placement as bytes: versioned, checksummed, and never taken back to an older epoch.
 
-use super::placement::{Placement, PlacementError, Published};
+use super::placement::{Placement, Published};
 use super::{stable_hash, Epoch};
+use asterreel_control::settings::SettingError;
 
 /// The first line of a file; its version changes when an older program could misread what follows.
 const MAGIC: &str = "asterreel-placement";
@@ -26,7 +27,7 @@
     Outdated(Epoch, Epoch),
     /// It contradicts itself.
     #[error(transparent)]
-    Contradictory(#[from] PlacementError),
+    Contradictory(#[from] SettingError),
 }
 
 /// The bytes of a placement: a head line with version, length and checksum, then JSON.
@@ -72,9 +73,8 @@
         return Err(RecordError::Checksum);
     }
     let mut json = serde_json::Deserializer::from_slice(body);
-    let published: Published = serde_path_to_error::deserialize(&mut json).map_err(|error| {
-        PlacementError::new(error.path().to_string(), error.inner().to_string())
-    })?;
+    let published: Published = serde_path_to_error::deserialize(&mut json)
+        .map_err(|error| SettingError::new(error.path().to_string(), error.inner().to_string()))?;
     if published.epoch < held {
         return Err(RecordError::Outdated(published.epoch, held));
     }
--- a/src/health/connection_limit.rs
+++ b/src/health/connection_limit.rs
@@ -56,17 +56,8 @@
         if !self.allow.is_empty() && !self.allow.iter().any(|net| net.contains(&address)) {
             return Admission::Reject;
         }
-        let number = self.next;
         if self.connections.len() < self.most {
-            self.next += 1;
-            self.connections.insert(
-                number,
-                Connection {
-                    address,
-                    last_active: now,
-                },
-            );
-            return Admission::Admit(number);
+            return Admission::Admit(self.insert(now, address));
         }
         // The address that holds most gives up its oldest, so that one that floods displaces itself; where all hold
         // alike, whoever has rested longest does, and one that has only just come keeps its place.
@@ -91,15 +82,19 @@
             return Admission::Reject;
         }
         self.connections.remove(&oldest);
+        Admission::Replace(self.insert(now, address), oldest)
+    }
+
+    /// Adds a connection and returns its number.
+    fn insert(&mut self, now: Micros, address: IpAddr) -> u64 {
+        let number = self.next;
         self.next += 1;
-        self.connections.insert(
-            number,
-            Connection {
-                address,
-                last_active: now,
-            },
-        );
-        Admission::Replace(number, oldest)
+        let connection = Connection {
+            address,
+            last_active: now,
+        };
+        self.connections.insert(number, connection);
+        number
     }
 
     /// A connection has sent a request: it counts as active.
--- a/src/health/http.rs
+++ b/src/health/http.rs
@@ -4,7 +4,7 @@
 //! `x-envoy-immediate-health-check-fail`) and the load report of ORCA (`endpoint-load-metrics`, JSON form); the body
 //! of `/health` is `application/health+json` (draft-inadarei-api-health-check). No input or output.
 
-use super::{Capacity, Reason, Scope, State, Status};
+use super::{Capacity, GroupReport, Reason, Scope, State, Status};
 use crate::interface::GroupId;
 use serde_json::{json, Value};
 
@@ -102,21 +102,8 @@
     pub retry_after: u64,
     /// Whether the start is over.
     pub started: bool,
-    /// Counts by group.
-    pub groups: Vec<(GroupId, GroupCounts)>,
-}
-
-/// What is counted of a group.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct GroupCounts {
-    /// Attempts in flight.
-    pub in_flight: u32,
-    /// Requests that are queued.
-    pub queued: u32,
-    /// Members that serve.
-    pub usable_members: u32,
-    /// All members.
-    pub members: u32,
+    /// Counts of each group.
+    pub groups: Vec<GroupReport>,
 }
 
 impl Facts {
@@ -276,10 +263,10 @@
 
 fn group_value(facts: &Facts, id: GroupId, status: Status) -> Value {
     let mut value = entry(status);
-    if let Some((_, counts)) = facts.groups.iter().find(|(group, _)| *group == id) {
+    if let Some(counts) = facts.groups.iter().find(|counts| counts.group == id) {
         value["in_flight"] = json!(counts.in_flight);
         value["held"] = json!(counts.queued);
-        value["usable_members"] = json!(counts.usable_members);
+        value["usable_members"] = json!(counts.usable);
         value["members"] = json!(counts.members);
     }
     value
--- a/src/health/http/tests.rs
+++ b/src/health/http/tests.rs
@@ -19,15 +19,19 @@
         },
         retry_after: 1,
         started: state != State::Starting,
-        groups: vec![(
-            GroupId(3),
-            GroupCounts {
-                in_flight: 1,
-                queued: 2,
-                usable_members: 3,
-                members: 4,
-            },
-        )],
+        groups: vec![GroupReport {
+            group: GroupId(3),
+            primary: true,
+            primary_since: 0,
+            usable: 3,
+            members: 4,
+            in_flight: 1,
+            queued: 2,
+            ended: 0,
+            overloaded: 0,
+            needs_primary: 0.5,
+            recent_weight: 1.0,
+        }],
     }
 }
 
--- a/src/health/observer.rs
+++ b/src/health/observer.rs
@@ -94,14 +94,6 @@
     answered: bool,
 }
 
-/// Whether only the primary can serve requests of this consistency level.
-fn needs_primary(consistency: ConsistencyLevel) -> bool {
-    matches!(
-        consistency,
-        ConsistencyLevel::Write | ConsistencyLevel::Strong
-    )
-}
-
 /// How a request ended, and when.
 #[derive(Clone, Copy)]
 enum RequestOutcome {
@@ -256,7 +248,7 @@
         };
         group.decay(now);
         group.recent_weight += class.priority_weight;
-        group.recent_primary_weight += if needs_primary(*consistency) {
+        group.recent_primary_weight += if consistency.needs_primary() {
             class.priority_weight
         } else {
             0.0
@@ -305,7 +297,7 @@
         if let Some(group) = self.groups.get_mut(&open.group) {
             group.queued -= u32::from(!open.dispatched && group.queued > 0);
             // What waits for a primary that is not there tells nothing of load.
-            let excused = group.primary.is_none() && needs_primary(*consistency);
+            let excused = group.primary.is_none() && consistency.needs_primary();
             match outcome {
                 RequestOutcome::Served(now) => group.count(
                     now,
@@ -354,7 +346,7 @@
         let primary_only = self
             .classes
             .iter()
-            .filter(|(_, consistency)| needs_primary(*consistency));
+            .filter(|(_, consistency)| consistency.needs_primary());
         let prior_primary: f64 = primary_only.map(|(class, _)| class.priority_weight).sum();
         let groups = self.groups.iter_mut().map(|(id, group)| {
             group.decay(now);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -75,6 +75,13 @@
     Eventual,
 }
 
+impl ConsistencyLevel {
+    /// Whether only the primary can serve such requests.
+    pub fn needs_primary(self) -> bool {
+        matches!(self, ConsistencyLevel::Write | ConsistencyLevel::Strong)
+    }
+}
+
 /// A request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -67,10 +67,7 @@
 
     /// Whether replicas may serve it.
     pub(super) fn may_use_replica(&self) -> bool {
-        !matches!(
-            self.consistency,
-            ConsistencyLevel::Write | ConsistencyLevel::Strong
-        )
+        !self.consistency.needs_primary()
     }
 
     /// The index of its class; [`super::admission`] rejects a request whose class is not in the settings.
