--- a/src/bin/asterreel/core.rs
+++ b/src/bin/asterreel/core.rs
@@ -223,7 +223,7 @@
             let endpoints = state.members.endpoints(listing)?;
             state.feed(self, Event::EndpointsUpdated(kind, endpoints.into()));
             let router = &state.router;
-            state.members.retain(|member| router.knows(member));
+            state.members.retain(|member| router.has_member(member));
             Ok(())
         })
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -126,7 +126,7 @@
     }
 
     /// Whether a member that was listed is not forgotten yet.
-    pub fn knows(&self, id: MemberId) -> bool {
+    pub fn has_member(&self, id: MemberId) -> bool {
         self.topology.contains(id)
     }
 }
--- a/tests/failures/endpoints.rs
+++ b/tests/failures/endpoints.rs
@@ -86,7 +86,10 @@
     let (write, actions) = gateway.arrive(WRITE);
     assert_eq!(dispatches(&actions), [(write, 0)]);
     gateway.update_endpoint(0, EndpointState::Removed, 0);
-    assert!(gateway.router.knows(MemberId(0)), "it still owes an answer");
+    assert!(
+        gateway.router.has_member(MemberId(0)),
+        "it still owes an answer"
+    );
     gateway.end_attempt(write, 0, Outcome::Served, MemberReport::default());
-    assert!(!gateway.router.knows(MemberId(0)));
+    assert!(!gateway.router.has_member(MemberId(0)));
 }
