--- a/src/bin/asterreel/core.rs
+++ b/src/bin/asterreel/core.rs
@@ -176,7 +176,7 @@
 
     /// Whether an attempt that was dispatched earlier may be written now.
     pub(crate) fn may_write(&self, request: RequestId, member: MemberId) -> bool {
-        self.with(|state| state.router.may_write(self.clock.now(), request, member))
+        self.with(|state| state.router.may_send(self.clock.now(), request, member))
     }
 
     /// The client of a request has gone.
--- a/src/policy/consistency.rs
+++ b/src/policy/consistency.rs
@@ -59,7 +59,7 @@
 
     /// Whether an attempt decided on earlier may be written now: opening its connection took time, in which data ages
     /// and drains are notified. A caller that writes at once need not ask.
-    pub fn may_write(&self, now: Micros, id: RequestId, to: MemberId) -> bool {
+    pub fn may_send(&self, now: Micros, id: RequestId, to: MemberId) -> bool {
         let Some((request, member)) = self.requests.get(&id).zip(self.topology.member(to)) else {
             return false;
         };
--- a/tests/failures/selection.rs
+++ b/tests/failures/selection.rs
@@ -27,27 +27,25 @@
     let to = dispatches(&actions)[0].1;
     assert_ne!(to, 0, "a replica in sync is picked");
     let member = MemberId(to);
-    assert!(gateway.router.may_write(gateway.now, read, member));
+    assert!(gateway.router.may_send(gateway.now, read, member));
     // The bound is 300 ms and counts from the last byte: what was in sync at the decision no longer is.
     assert!(gateway
         .router
-        .may_write(gateway.now + 290 * MS, read, member));
+        .may_send(gateway.now + 290 * MS, read, member));
     assert!(!gateway
         .router
-        .may_write(gateway.now + 299 * MS, read, member));
+        .may_send(gateway.now + 299 * MS, read, member));
     assert!(!gateway
         .router
-        .may_write(gateway.now + 301 * MS, read, member));
+        .may_send(gateway.now + 301 * MS, read, member));
     // The known primary stands at the present, and any data does for an eventual read.
     assert!(gateway
         .router
-        .may_write(gateway.now + 301 * MS, read, MemberId(0)));
+        .may_send(gateway.now + 301 * MS, read, MemberId(0)));
     let (any, _) = gateway.arrive(EVENTUAL);
-    assert!(gateway
-        .router
-        .may_write(gateway.now + 301 * MS, any, member));
+    assert!(gateway.router.may_send(gateway.now + 301 * MS, any, member));
     gateway.update_endpoint(to, EndpointState::Draining, 0);
-    assert!(!gateway.router.may_write(gateway.now, any, member));
+    assert!(!gateway.router.may_send(gateway.now, any, member));
 }
 
 /// A gateway whose member 2 lags and concentrates the eventual reads, one of which stays in flight if `one_out`; the
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -301,10 +301,10 @@
         let mut gateway = TestGateway::ready(settings(), 3);
         let (write, actions) = gateway.arrive(WRITE);
         let (_, to) = dispatches(&actions)[0];
-        assert!(gateway.router.may_write(gateway.now, write, MemberId(to)));
+        assert!(gateway.router.may_send(gateway.now, write, MemberId(to)));
         gateway.update_endpoint(to, ending, 0);
         assert!(
-            !gateway.router.may_write(gateway.now, write, MemberId(to)),
+            !gateway.router.may_send(gateway.now, write, MemberId(to)),
             "{ending:?}"
         );
     }
@@ -312,5 +312,5 @@
     let (write, actions) = gateway.arrive(WRITE);
     let (_, to) = dispatches(&actions)[0];
     gateway.event(Event::ClientGone(write));
-    assert!(!gateway.router.may_write(gateway.now, write, MemberId(to)));
+    assert!(!gateway.router.may_send(gateway.now, write, MemberId(to)));
 }
