--- a/src/bin/asterreel-sim-adapter/wire.rs
+++ b/src/bin/asterreel-sim-adapter/wire.rs
@@ -466,7 +466,7 @@
             answer: if reply.last {
                 AnswerStatus::Finished
             } else {
-                AnswerStatus::Owed
+                AnswerStatus::Pending
             },
         })))
     }
--- a/src/bin/asterreel/front/request.rs
+++ b/src/bin/asterreel/front/request.rs
@@ -288,7 +288,7 @@
             answer: if is_finished {
                 AnswerStatus::Finished
             } else {
-                AnswerStatus::Owed
+                AnswerStatus::Pending
             },
         });
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -286,7 +286,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerStatus {
     /// The router owes a final answer.
-    Owed,
+    Pending,
     /// The request is finished.
     Finished,
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -291,7 +291,7 @@
         answer: if outcome == Outcome::Served {
             AnswerStatus::Finished
         } else {
-            AnswerStatus::Owed
+            AnswerStatus::Pending
         },
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -404,7 +404,7 @@
     let answer = if seen.done {
         AnswerStatus::Finished
     } else {
-        AnswerStatus::Owed
+        AnswerStatus::Pending
     };
     observe(checker, m, report);
     let actions = gateway.event(Event::AttemptEnded(AttemptEnded {
--- a/tests/settings/world.rs
+++ b/tests/settings/world.rs
@@ -427,7 +427,7 @@
         let answer_status = if served || !owed {
             AnswerStatus::Finished
         } else {
-            AnswerStatus::Owed
+            AnswerStatus::Pending
         };
         if served && owed {
             self.answer(request)?;
