--- a/control/src/service/gateway.rs
+++ b/control/src/service/gateway.rs
@@ -5,7 +5,7 @@
 use crate::frame::Hello;
 use crate::lease::NodeIdentity;
 use crate::link::gateway::{LeaderSearch, Link, LinkEvent, LinkId};
-use crate::settings::Lease;
+use crate::settings::ControlSettings;
 use crate::state_machine::FORMAT;
 use crate::traffic::Traffic;
 use crate::versions::client::{Action, Event};
@@ -39,7 +39,7 @@
 }
 
 /// The control members, by number, with the addresses at which this process reaches them.
-fn members(settings: &Lease) -> Vec<(u64, SocketAddr)> {
+fn members(settings: &ControlSettings) -> Vec<(u64, SocketAddr)> {
     let own = settings.listen.map(loopback);
     let address = |id: u32, address| {
         if id == settings.me {
@@ -70,7 +70,7 @@
 impl Gateway {
     /// Starts the search for the leader, and the registration.
     pub(super) fn start(
-        settings: &Lease,
+        settings: &ControlSettings,
         clock: Clock,
         me: NodeIdentity,
         program: Sender<ControlEvent>,
--- a/control/src/service/member.rs
+++ b/control/src/service/member.rs
@@ -11,7 +11,7 @@
 use crate::link::accept::{self, Acceptor, LinkEvent};
 use crate::link::{self, member::Link, SharedHello};
 use crate::node::{self, Node, NodeError, RaftStatus};
-use crate::settings::Lease;
+use crate::settings::ControlSettings;
 use crate::state_machine::{Action, Event, StateMachine};
 use crate::store::Store;
 use crate::traffic::MemberTraffic;
@@ -60,7 +60,7 @@
 
 /// A control member.
 pub(super) struct Member {
-    settings: Lease,
+    settings: ControlSettings,
     clock: Clock,
     me: NodeIdentity,
     /// See [`digest`].
@@ -88,7 +88,7 @@
     id: u64,
     store: Store,
     me: NodeIdentity,
-    settings: &Lease,
+    settings: &ControlSettings,
     now: Micros,
 ) -> Result<Box<Node>, NodeError> {
     let state_machine = StateMachine::new(me, settings.timing());
@@ -104,7 +104,7 @@
 impl Member {
     /// Opens this member's store.
     pub(super) fn open(
-        settings: &Lease,
+        settings: &ControlSettings,
         clock: Clock,
         me: NodeIdentity,
     ) -> Result<Member, ControlError> {
--- a/control/src/service/mod.rs
+++ b/control/src/service/mod.rs
@@ -14,7 +14,7 @@
 use crate::clock::Clock;
 use crate::lease::{self, NodeIdentity};
 use crate::node::NodeError;
-use crate::settings::Lease;
+use crate::settings::ControlSettings;
 use crate::store::StoreError;
 use crate::traffic::{Traffic, TrafficTotals};
 use crate::versions::{self, Content, Topic};
@@ -150,7 +150,7 @@
 ///
 /// [`ControlError`], where the store cannot be opened, or the listener cannot be bound.
 pub fn start(
-    settings: &Lease,
+    settings: &ControlSettings,
     clock: Clock,
 ) -> Result<(Handle, Receiver<ControlEvent>), ControlError> {
     begin(settings, clock, true)
@@ -161,7 +161,7 @@
 /// # Errors
 ///
 /// [`ControlError`], where the store cannot be opened, or the listener cannot be bound.
-pub fn start_member(settings: &Lease, clock: Clock) -> Result<Handle, ControlError> {
+pub fn start_member(settings: &ControlSettings, clock: Clock) -> Result<Handle, ControlError> {
     if !settings.votes() {
         return Err(ControlError::NoVoter(settings.me));
     }
@@ -169,7 +169,7 @@
 }
 
 fn begin(
-    settings: &Lease,
+    settings: &ControlSettings,
     clock: Clock,
     registers: bool,
 ) -> Result<(Handle, Receiver<ControlEvent>), ControlError> {
@@ -217,7 +217,7 @@
 
 /// Opens the store and the listener of a voter; none for a process that does not vote.
 fn open_member(
-    settings: &Lease,
+    settings: &ControlSettings,
     clock: Clock,
     me: NodeIdentity,
 ) -> Result<Option<(Member, TcpListener)>, ControlError> {
@@ -237,7 +237,7 @@
 
 /// A digest of the voters and the lease times, which must be the same at all processes of a fleet: a leader with a shorter
 /// wait than a gateway's lease would expire registrations too early.
-fn digest(settings: &Lease) -> u64 {
+fn digest(settings: &ControlSettings) -> u64 {
     let mut voters: Vec<u32> = settings.voters().map(|peer| peer.id).collect();
     voters.sort_unstable();
     xxh3_64(format!("{voters:?} {:?}", settings.timing()).as_bytes())
--- a/control/src/service/run.rs
+++ b/control/src/service/run.rs
@@ -7,7 +7,7 @@
 use crate::clock::Clock;
 use crate::lease::NodeIdentity;
 use crate::link;
-use crate::settings::Lease;
+use crate::settings::ControlSettings;
 use crate::traffic::Traffic;
 use crate::versions;
 use std::net::TcpListener;
@@ -40,7 +40,7 @@
 /// What the loop is started with.
 pub(super) struct Startup {
     /// The settings of the control plane.
-    pub(super) settings: Lease,
+    pub(super) settings: ControlSettings,
     /// The monotonic clock of the loop.
     pub(super) clock: Clock,
     /// The identity of this process.
--- a/control/src/settings.rs
+++ b/control/src/settings.rs
@@ -42,7 +42,7 @@
 /// The control members, which share the replicated log, and this gateway's part among them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Lease {
+pub struct ControlSettings {
     /// This gateway's number in the fleet, which no other has.
     pub me: u32,
     /// The control members, 3 or 5 voters; gateways that are their clients may be listed as well.
@@ -93,7 +93,7 @@
     50
 }
 
-impl Lease {
+impl ControlSettings {
     /// The timing of leases, in microseconds.
     pub fn timing(&self) -> Timing {
         Timing {
--- a/src/bin/asterreel-config-eval/collected.rs
+++ b/src/bin/asterreel-config-eval/collected.rs
@@ -3,7 +3,8 @@
 //! Each part may be set once. Of all errors the first is kept, with its key: an error of the evaluation would lose it.
 
 use asterreel::operator::{
-    qualified, Cells, Evaluated, Health, Lease, OperatorFileError, SettingError, SourceLocation,
+    qualified, Cells, ControlSettings, Evaluated, Health, OperatorFileError, SettingError,
+    SourceLocation,
 };
 use asterreel::readmission;
 use starlark::codemap::FileSpan;
@@ -18,7 +19,7 @@
 pub(crate) struct Collected {
     pub(crate) health: Call<Health>,
     pub(crate) cells: Call<Cells>,
-    pub(crate) lease: Call<Lease>,
+    pub(crate) lease: Call<ControlSettings>,
     pub(crate) readmission: Call<readmission::Options>,
     first_error: Option<OperatorFileError>,
 }
--- a/src/bin/asterreel-config-eval/functions.rs
+++ b/src/bin/asterreel-config-eval/functions.rs
@@ -8,7 +8,7 @@
 use asterreel::health::drain::{Balancer, Drain};
 use asterreel::health::HealthOptions;
 use asterreel::operator::{
-    Agent, CellBounds, Cells, Health, Lease, Listener, Peer, SettingError, SourceLocation,
+    Agent, CellBounds, Cells, ControlSettings, Health, Listener, Peer, SettingError, SourceLocation,
 };
 use asterreel::readmission;
 use serde::de::DeserializeOwned;
@@ -197,7 +197,7 @@
         #[starlark(kwargs)] arguments: DictRef<'v>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<Value<'v>> {
-        let (lease, call) = parse::<Lease>("lease", &arguments, eval)?;
+        let (lease, call) = parse::<ControlSettings>("lease", &arguments, eval)?;
         set_once("lease", lease, call, |collected| &mut collected.lease);
         Ok(Value::new_none())
     }
--- a/src/bin/asterreel/cli/check.rs
+++ b/src/bin/asterreel/cli/check.rs
@@ -2,7 +2,7 @@
 
 use super::{Files, EVALUATION};
 use asterreel::config::Config;
-use asterreel::operator::Lease;
+use asterreel::operator::ControlSettings;
 use std::error::Error;
 
 /// Checks both files.
@@ -36,8 +36,8 @@
 }
 
 /// What part a gateway has in its fleet's control plane, and how long its rights last.
-fn part(lease: &Lease) -> String {
-    let Lease { me, lease_ms, .. } = lease;
+fn part(lease: &ControlSettings) -> String {
+    let ControlSettings { me, lease_ms, .. } = lease;
     let wait = lease.timing().wait_us().div_ceil(1000);
     if !lease.votes() {
         let members = lease.voters().count();
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -11,7 +11,7 @@
 mod settings;
 
 pub use asterreel_control::settings::SettingError;
-pub use asterreel_control::settings::{Lease, Peer};
+pub use asterreel_control::settings::{ControlSettings, Peer};
 pub use error::OperatorFileError;
 pub use evaluator::{evaluate, evaluator, Reply};
 pub use location::SourceLocation;
@@ -61,7 +61,7 @@
     /// # Errors
     ///
     /// [`OperatorFileError`] names the file, the place and the key at fault.
-    pub fn member(&self) -> Result<&Lease, OperatorFileError> {
+    pub fn member(&self) -> Result<&ControlSettings, OperatorFileError> {
         let Some(lease) = &self.operator.lease else {
             let fault = "is not called: there is no control plane to be a member of";
             return Err(self.error_in(&None, SettingError::new("lease", fault)));
--- a/src/operator/settings.rs
+++ b/src/operator/settings.rs
@@ -8,7 +8,7 @@
 use crate::health::drain::{Balancer, DetectionMethod, Drain, Timetable};
 use crate::health::HealthOptions;
 use crate::interface::Micros;
-use asterreel_control::settings::{within, Lease};
+use asterreel_control::settings::{within, ControlSettings};
 use ipnet::IpNet;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -24,7 +24,7 @@
     pub cells: Option<Cells>,
     /// `lease(...)`: the fleet's control plane, and the duties with one holder in the fleet.
     #[serde(default)]
-    pub lease: Option<Lease>,
+    pub lease: Option<ControlSettings>,
     /// `readmission(...)`: how many clients may reconnect at once.
     #[serde(default)]
     pub readmission: Option<crate::readmission::Options>,
--- a/testbench/src/scale/fleet.rs
+++ b/testbench/src/scale/fleet.rs
@@ -10,7 +10,7 @@
 use crate::standing::Standing;
 use crate::{fleet, now};
 use anyhow::{bail, ensure};
-use asterreel_control::settings::Lease;
+use asterreel_control::settings::ControlSettings;
 use nix::sys::signal::Signal;
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
@@ -71,7 +71,7 @@
     size: Size,
     voters: BTreeMap<u32, Gateway>,
     plans: BTreeMap<u32, Plan>,
-    leases: BTreeMap<u32, Lease>,
+    leases: BTreeMap<u32, ControlSettings>,
     groups: Vec<Group>,
     edition: u64,
     available_kib: u64,
--- a/testbench/src/scale/group.rs
+++ b/testbench/src/scale/group.rs
@@ -3,7 +3,7 @@
 use super::cut::Forward;
 use super::hollow::{self, Answer, Order};
 use anyhow::{bail, Context};
-use asterreel_control::settings::Lease;
+use asterreel_control::settings::ControlSettings;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use std::io::{BufRead, BufReader, Write};
@@ -50,14 +50,14 @@
 /// Hollow gateways that live and die together.
 pub struct Group {
     part: Part,
-    leases: Vec<Lease>,
+    leases: Vec<ControlSettings>,
     forwards: Vec<Forward>,
     running: Option<Running>,
 }
 
 impl Group {
     /// A group that does not run yet.
-    pub fn new(part: Part, leases: Vec<Lease>, forwards: Vec<Forward>) -> Group {
+    pub fn new(part: Part, leases: Vec<ControlSettings>, forwards: Vec<Forward>) -> Group {
         Group {
             part,
             leases,
--- a/testbench/src/scale/hollow.rs
+++ b/testbench/src/scale/hollow.rs
@@ -10,7 +10,7 @@
 use crate::standing::Standing;
 use asterreel_control::clock::Clock;
 use asterreel_control::service::{self, ControlEvent, ControlRequest, Handle};
-use asterreel_control::settings::Lease;
+use asterreel_control::settings::ControlSettings;
 use asterreel_control::traffic::TrafficTotals;
 use asterreel_control::versions::{Content, Topic};
 use serde::{Deserialize, Serialize};
@@ -29,7 +29,7 @@
     /// Start these gateways, behind these forwarders where there are any.
     Begin {
         /// The gateways' settings.
-        leases: Vec<Lease>,
+        leases: Vec<ControlSettings>,
         /// Forwarders that [`Order::Cut`] cuts.
         forwards: Vec<Forward>,
     },
@@ -186,7 +186,7 @@
         }
     }
 
-    fn start(&mut self, lease: &Lease) -> anyhow::Result<()> {
+    fn start(&mut self, lease: &ControlSettings) -> anyhow::Result<()> {
         let (handle, notices) = service::start(lease, self.clock)?;
         let (handle, known) = (Arc::new(handle), Arc::<Mutex<Known>>::default());
         let (asked, learned, clock) = (handle.clone(), known.clone(), self.clock);
--- a/testbench/src/scale/layout.rs
+++ b/testbench/src/scale/layout.rs
@@ -3,7 +3,7 @@
 use super::cut::Forward;
 use super::group::{Group, Part};
 use crate::gateway::free;
-use asterreel_control::settings::{this_machine, Lease, Peer};
+use asterreel_control::settings::{this_machine, ControlSettings, Peer};
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
@@ -27,14 +27,19 @@
 
 /// The control plane's settings of gateway `me`, which reaches the control members 1 to `voters` at these addresses. A
 /// control member listens at its own and keeps its log in a folder.
-fn lease(me: u32, voters: u32, store: &Path, reached: impl Fn(u32) -> SocketAddr) -> Lease {
+fn lease(
+    me: u32,
+    voters: u32,
+    store: &Path,
+    reached: impl Fn(u32) -> SocketAddr,
+) -> ControlSettings {
     let votes = me <= voters;
     let peer = |id| Peer {
         id,
         address: reached(id),
         voter: true,
     };
-    Lease {
+    ControlSettings {
         me,
         peers: (1..=voters).map(peer).collect(),
         client: !votes,
@@ -59,7 +64,7 @@
 
 /// A control member's settings as a call of the operator's file. Editions differ in a network that may connect, and in
 /// nothing that gateways greet each other with.
-pub fn operator_file(lease: &Lease, edition: u64) -> String {
+pub fn operator_file(lease: &ControlSettings, edition: u64) -> String {
     let peers = lease
         .peers
         .iter()
@@ -101,7 +106,7 @@
 /// Where everybody is.
 pub struct Placement {
     /// The voters' settings, by number.
-    pub leases: BTreeMap<u32, Lease>,
+    pub leases: BTreeMap<u32, ControlSettings>,
     /// The hollow gateways.
     pub groups: Vec<Group>,
 }
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -384,7 +384,7 @@
     assert_eq!(error.key.as_deref(), Some("lease.listen"), "{error}");
 }
 
-fn lease(text: &str) -> asterreel::operator::Lease {
+fn lease(text: &str) -> asterreel::operator::ControlSettings {
     OperatorFile::new(text).operator().lease.expect("set")
 }
 
