--- a/control/src/link/tests.rs
+++ b/control/src/link/tests.rs
@@ -55,7 +55,7 @@
         gateway,
         ..Hello::of_client(ME, FLEET)
     });
-    let allow = crate::settings::this_machine();
+    let allow = crate::settings::loopback_networks();
     let (voters, traffic) = ([1, 2, 3].into(), MemberTraffic::default());
     accept::listen(
         listener,
--- a/control/src/settings.rs
+++ b/control/src/settings.rs
@@ -17,7 +17,7 @@
 const GATEWAY_IDS: RangeInclusive<u32> = 1..=65_535;
 
 /// The loopback networks.
-pub fn this_machine() -> Vec<IpNet> {
+pub fn loopback_networks() -> Vec<IpNet> {
     let nets = ["127.0.0.0/8", "::1/128"];
     nets.iter().filter_map(|net| net.parse().ok()).collect()
 }
@@ -54,7 +54,7 @@
     #[serde(default)]
     pub listen: Option<SocketAddr>,
     /// The networks from which control members and gateways may connect; default the loopback networks.
-    #[serde(default = "this_machine")]
+    #[serde(default = "loopback_networks")]
     pub allow: Vec<IpNet>,
     /// The folder of the log; relative to the operator's file. A client has none.
     #[serde(default)]
--- a/src/operator/settings.rs
+++ b/src/operator/settings.rs
@@ -176,7 +176,7 @@
     #[serde(default)]
     pub notify: bool,
     /// The networks that may check health; default this machine.
-    #[serde(default = "asterreel_control::settings::this_machine")]
+    #[serde(default = "asterreel_control::settings::loopback_networks")]
     pub allow: Vec<IpNet>,
     /// Connections of all health listeners together; 4 to 128, default 32.
     #[serde(default = "connections")]
--- a/testbench/src/scale/layout.rs
+++ b/testbench/src/scale/layout.rs
@@ -3,7 +3,7 @@
 use super::cut::Forward;
 use super::group::{Group, Part};
 use crate::gateway::free;
-use asterreel_control::settings::{this_machine, ControlSettings, Peer};
+use asterreel_control::settings::{loopback_networks, ControlSettings, Peer};
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
@@ -44,7 +44,7 @@
         peers: (1..=voters).map(peer).collect(),
         client: !votes,
         listen: votes.then(|| reached(me)),
-        allow: this_machine(),
+        allow: loopback_networks(),
         store: if votes {
             store.to_owned()
         } else {
