--- a/control/src/settings.rs
+++ b/control/src/settings.rs
@@ -4,7 +4,7 @@
 
 mod error;
 
-pub use error::{within, SettingError};
+pub use error::{check_within, SettingError};
 
 use crate::lease::{self, Duty, Timing};
 use ipnet::IpNet;
@@ -134,9 +134,9 @@
         } else {
             self.check_listed()?;
         }
-        within("lease_ms", self.lease_ms, 100, 600_000)?;
-        within("renew_ms", self.renew_ms, 10, 60_000)?;
-        within("margin_ms", self.margin_ms, 0, 10_000)?;
+        check_within("lease_ms", self.lease_ms, 100, 600_000)?;
+        check_within("renew_ms", self.renew_ms, 10, 60_000)?;
+        check_within("margin_ms", self.margin_ms, 0, 10_000)?;
         self.timing()
             .check()
             .map_err(|error| SettingError::new(error.key(), error.to_string()))
--- a/control/src/settings/error.rs
+++ b/control/src/settings/error.rs
@@ -40,7 +40,12 @@
 /// # Errors
 ///
 /// [`SettingError`] with the bounds.
-pub fn within(key: &'static str, value: u64, least: u64, most: u64) -> Result<(), SettingError> {
+pub fn check_within(
+    key: &'static str,
+    value: u64,
+    least: u64,
+    most: u64,
+) -> Result<(), SettingError> {
     if (least..=most).contains(&value) {
         return Ok(());
     }
--- a/src/cells/placement.rs
+++ b/src/cells/placement.rs
@@ -6,7 +6,7 @@
 
 use super::{mixed, stable_hash, CellId, Epoch};
 use crate::interface::GroupId;
-use asterreel_control::settings::{within, SettingError};
+use asterreel_control::settings::{check_within, SettingError};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
@@ -285,7 +285,7 @@
         let fault = format!("{} of them", cells.len());
         return Err(SettingError::new("cells", fault));
     }
-    within("spread", spread as u64, 1, MAX_GROUPS as u64)
+    check_within("spread", spread as u64, 1, MAX_GROUPS as u64)
 }
 
 /// The cell at `place` has a name of its own and enough groups, which no other cell has.
--- a/src/health/drain.rs
+++ b/src/health/drain.rs
@@ -2,7 +2,7 @@
 //! sends a client to a closed door, and until when it answers.
 
 use crate::interface::Micros;
-use asterreel_control::settings::{within, SettingError};
+use asterreel_control::settings::{check_within, SettingError};
 use serde::{Deserialize, Serialize};
 
 /// Nothing is sent to a gateway later than this after its drain was announced.
@@ -110,9 +110,9 @@
         detection_method: DetectionMethod,
         longest_deadline: Micros,
     ) -> Result<Timetable, SettingError> {
-        within("balancer.interval_ms", balancer.interval_ms, 10, 2_000)?;
-        within("balancer.fall", balancer.fall, 1, 10)?;
-        within("balancer.timeout_ms", balancer.timeout_ms, 10, 2_000)?;
+        check_within("balancer.interval_ms", balancer.interval_ms, 10, 2_000)?;
+        check_within("balancer.fall", balancer.fall, 1, 10)?;
+        check_within("balancer.timeout_ms", balancer.timeout_ms, 10, 2_000)?;
         let heard = balancer.detection_time_ms(detection_method);
         let keys = "balancer.interval_ms, balancer.fall and balancer.timeout_ms";
         if heard > MAX_ANNOUNCE_MS {
@@ -127,7 +127,7 @@
             );
             return Err(SettingError::new("drain.announce_ms", fault));
         }
-        within(
+        check_within(
             "drain.announce_ms",
             announce,
             MIN_ANNOUNCE_MS,
--- a/src/health/options.rs
+++ b/src/health/options.rs
@@ -1,7 +1,7 @@
 //! What an operator may set of the decisions on health, with units, defaults and bounds.
 
 use crate::interface::Micros;
-use asterreel_control::settings::{within, SettingError};
+use asterreel_control::settings::{check_within, SettingError};
 use serde::{Deserialize, Serialize};
 
 /// The options, `knobs` in the operator's file; milliseconds where a name ends in `_ms`.
@@ -61,15 +61,15 @@
     ///
     /// The key at fault and what is wrong with its value.
     pub fn check(&self) -> Result<(), SettingError> {
-        within("floor", u64::from(self.floor), 1, 50)?;
-        within("rise_step", u64::from(self.rise_step), 1, 100)?;
-        within("rise_every_ms", self.rise_every_ms, 50, 60_000)?;
-        within("calm_ms", self.calm_ms, 100, 60_000)?;
-        within("flaps_per_minute", u64::from(self.flaps_per_minute), 1, 60)?;
-        within("beat_every_ms", self.beat_every_ms, 20, 1_000)?;
-        within("hung_after_ms", self.hung_after_ms, 100, 10_000)?;
-        within("recover_after_ms", self.recover_after_ms, 100, 30_000)?;
-        within("start_wait_ms", self.start_wait_ms, 0, 600_000)?;
+        check_within("floor", u64::from(self.floor), 1, 50)?;
+        check_within("rise_step", u64::from(self.rise_step), 1, 100)?;
+        check_within("rise_every_ms", self.rise_every_ms, 50, 60_000)?;
+        check_within("calm_ms", self.calm_ms, 100, 60_000)?;
+        check_within("flaps_per_minute", u64::from(self.flaps_per_minute), 1, 60)?;
+        check_within("beat_every_ms", self.beat_every_ms, 20, 1_000)?;
+        check_within("hung_after_ms", self.hung_after_ms, 100, 10_000)?;
+        check_within("recover_after_ms", self.recover_after_ms, 100, 30_000)?;
+        check_within("start_wait_ms", self.start_wait_ms, 0, 600_000)?;
         if !(self.strain_high > 0.0 && self.strain_high <= 1.0) {
             return Err(SettingError::new(
                 "strain_high",
--- a/src/operator/settings.rs
+++ b/src/operator/settings.rs
@@ -8,7 +8,7 @@
 use crate::health::drain::{Balancer, DetectionMethod, Drain, Timetable};
 use crate::health::HealthOptions;
 use crate::interface::Micros;
-use asterreel_control::settings::{within, ControlSettings};
+use asterreel_control::settings::{check_within, ControlSettings};
 use ipnet::IpNet;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -100,8 +100,8 @@
         if self.placement.as_os_str().is_empty() {
             return Err(SettingError::new("placement", "names no file"));
         }
-        within("reread_ms", self.reread_ms, 50, 60_000)?;
-        within("lease_ms", self.lease_ms, 2 * self.reread_ms, 600_000)?;
+        check_within("reread_ms", self.reread_ms, 50, 60_000)?;
+        check_within("lease_ms", self.lease_ms, 2 * self.reread_ms, 600_000)?;
         self.check_quarantine()?;
         let bounds = self.bounds.iter();
         Ok(Rules {
@@ -117,11 +117,11 @@
     fn check_quarantine(&self) -> Result<(), SettingError> {
         let options = &self.quarantine;
         let tenant_members = options.tenant_members as u64;
-        within("quarantine.members", options.members as u64, 1, 16)?;
-        within("quarantine.tenant_members", tenant_members, 1, 64)?;
-        within("quarantine.window_ms", options.window_ms, 1_000, 3_600_000)?;
-        within("quarantine.lasts_ms", options.lasts_ms, 1_000, 86_400_000)?;
-        within("quarantine.entries", options.entries as u64, 16, 65_536)?;
+        check_within("quarantine.members", options.members as u64, 1, 16)?;
+        check_within("quarantine.tenant_members", tenant_members, 1, 64)?;
+        check_within("quarantine.window_ms", options.window_ms, 1_000, 3_600_000)?;
+        check_within("quarantine.lasts_ms", options.lasts_ms, 1_000, 86_400_000)?;
+        check_within("quarantine.entries", options.entries as u64, 16, 65_536)?;
         Ok(())
     }
 }
@@ -227,9 +227,9 @@
     /// The key at fault and what is wrong with its value.
     pub fn check(&self) -> Result<(), SettingError> {
         self.check_listeners()?;
-        within("connections", self.connections as u64, 4, 128)?;
+        check_within("connections", self.connections as u64, 4, 128)?;
         if let Some(agent) = &self.agent {
-            within("agent.wait_ms", agent.wait_ms, 0, 500)?;
+            check_within("agent.wait_ms", agent.wait_ms, 0, 500)?;
         }
         if self.allow.is_empty() {
             return Err(SettingError::new(
