--- a/control/src/settings.rs
+++ b/control/src/settings.rs
@@ -246,7 +246,7 @@
     /// # Errors
     ///
     /// [`SettingError`] of the first value that is rejected.
-    pub fn beside(&self, clients: SocketAddr) -> Result<(), SettingError> {
+    pub fn check_with_client_listener(&self, clients: SocketAddr) -> Result<(), SettingError> {
         self.check()?;
         if self.listen == Some(clients) {
             let fault = format!("{clients} is where clients connect (listen)");
@@ -260,7 +260,7 @@
     /// # Errors
     ///
     /// [`SettingError`] of the first value that is rejected; of `me` where this gateway is no voter.
-    pub fn member(&self) -> Result<(), SettingError> {
+    pub fn check_control_member(&self) -> Result<(), SettingError> {
         self.check()?;
         if !self.votes() {
             let hint =
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -44,7 +44,7 @@
     pub fn beside(&self, config: &Config) -> Result<Option<Timetable>, OperatorFileError> {
         if let Some(lease) = &self.operator.lease {
             lease
-                .beside(config.listen)
+                .check_with_client_listener(config.listen)
                 .map_err(|fault| self.lease_error(fault))?;
         }
         let Some(health) = &self.operator.health else {
@@ -66,7 +66,9 @@
             let fault = "is not called: there is no control plane to be a member of";
             return Err(self.error_in(&None, SettingError::new("lease", fault)));
         };
-        lease.member().map_err(|fault| self.lease_error(fault))?;
+        lease
+            .check_control_member()
+            .map_err(|fault| self.lease_error(fault))?;
         Ok(lease)
     }
 
