--- a/control/src/service/mod.rs
+++ b/control/src/service/mod.rs
@@ -162,7 +162,7 @@
 ///
 /// [`ControlError`], where the store cannot be opened, or the listener cannot be bound.
 pub fn start_member(settings: &ControlSettings, clock: Clock) -> Result<Handle, ControlError> {
-    if !settings.votes() {
+    if !settings.is_voter() {
         return Err(ControlError::NoVoter(settings.me));
     }
     begin(settings, clock, false).map(|(handle, _)| handle)
@@ -221,7 +221,7 @@
     clock: Clock,
     me: NodeIdentity,
 ) -> Result<Option<(Member, TcpListener)>, ControlError> {
-    if !settings.votes() {
+    if !settings.is_voter() {
         if !settings.duties.is_empty() {
             warn!("lease.duties: not held here: duties are held by control members (voters) only");
         }
--- a/control/src/settings.rs
+++ b/control/src/settings.rs
@@ -118,7 +118,7 @@
     }
 
     /// Whether this gateway is a control member.
-    pub fn votes(&self) -> bool {
+    pub fn is_voter(&self) -> bool {
         self.voters().any(|peer| peer.id == self.me)
     }
 
@@ -174,7 +174,7 @@
         if !GATEWAY_IDS.contains(&me) {
             return reject("me", format!("{me} is not within 1 to 65535"));
         }
-        if self.votes() {
+        if self.is_voter() {
             let fault = format!("{me} is the number of a peer that votes; a client needs its own");
             return reject("me", fault);
         }
@@ -262,7 +262,7 @@
     /// [`SettingError`] of the first value that is rejected; of `me` where this gateway is no voter.
     pub fn check_control_member(&self) -> Result<(), SettingError> {
         self.check()?;
-        if !self.votes() {
+        if !self.is_voter() {
             let hint =
                 "a control member has to be one: give its number, or run this file with `asterreel run`";
             return reject("me", format!("{} is no voter among peers; {hint}", self.me));
--- a/src/bin/asterreel/cli/check.rs
+++ b/src/bin/asterreel/cli/check.rs
@@ -39,7 +39,7 @@
 fn part(lease: &ControlSettings) -> String {
     let ControlSettings { me, lease_ms, .. } = lease;
     let wait = lease.timing().wait_us().div_ceil(1000);
-    if !lease.votes() {
+    if !lease.is_voter() {
         let members = lease.voters().count();
         return format!(
             "gateway {me}, served by {members} control members, acts for {lease_ms} ms, others wait {wait} ms"
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -391,7 +391,7 @@
 #[test]
 fn client_needs_no_listener_store_or_duties() {
     let client = lease(&format!("lease(me = 17, client = True, {FLEET})\n"));
-    assert!(!client.votes() && client.client, "{client:?}");
+    assert!(!client.is_voter() && client.client, "{client:?}");
     assert_eq!(
         (
             client.listen,
@@ -401,14 +401,14 @@
         (None, true, 0)
     );
     // One that is listed may say so; and a file of the build before, for one that does not vote, is one.
-    assert!(!lease(&format!("lease(me = 4, client = True, {FLEET})\n")).votes());
+    assert!(!lease(&format!("lease(me = 4, client = True, {FLEET})\n")).is_voter());
     let former = "listen = '127.0.0.1:7104', store = 'log', duties = ['probes']";
-    assert!(!lease(&format!("lease(me = 4, {former}, {FLEET})\n")).votes());
+    assert!(!lease(&format!("lease(me = 4, {former}, {FLEET})\n")).is_voter());
     let member = former.replace("7104", "7101");
     assert!(lease(&format!(
         "lease(me = 1, {member}, client = False, {FLEET})\n"
     ))
-    .votes());
+    .is_voter());
 }
 
 #[test]
