--- a/control/src/settings/error.rs
+++ b/control/src/settings/error.rs
@@ -21,7 +21,7 @@
 
     /// The same error, with its key below a call or another key.
     #[must_use]
-    pub fn below(self, parent: &str) -> SettingError {
+    pub fn under_key(self, parent: &str) -> SettingError {
         SettingError {
             key: format!("{parent}.{}", self.key),
             ..self
--- a/src/bin/asterreel-config-eval/collected.rs
+++ b/src/bin/asterreel-config-eval/collected.rs
@@ -85,14 +85,14 @@
         if let Some((mut cells, call)) = self.cells {
             cells
                 .rules()
-                .map_err(|error| call.error(error.below("cells")))?;
+                .map_err(|error| call.error(error.under_key("cells")))?;
             cells.placement = folder.join(&cells.placement);
             operator.cells = Some(cells);
         }
         if let Some((mut lease, call)) = self.lease {
             lease
                 .check()
-                .map_err(|fault| call.error(fault.below("lease")))?;
+                .map_err(|fault| call.error(fault.under_key("lease")))?;
             if !lease.client {
                 lease.store = folder.join(&lease.store);
             }
@@ -102,7 +102,7 @@
         if let Some((options, call)) = self.readmission {
             options
                 .check()
-                .map_err(|error| call.error(error.below("readmission")))?;
+                .map_err(|error| call.error(error.under_key("readmission")))?;
             operator.readmission = Some(options);
         }
         Ok(())
--- a/src/bin/asterreel/cells.rs
+++ b/src/bin/asterreel/cells.rs
@@ -30,7 +30,7 @@
     pub(crate) fn start(settings: &operator::Cells, clock: Clock) -> io::Result<Cells> {
         let rules = settings
             .rules()
-            .map_err(|error| io::Error::other(error.below("cells")))?;
+            .map_err(|error| io::Error::other(error.under_key("cells")))?;
         let by_statement = rules.who.by_statement();
         let mut file = PlacementFile::new(settings, clock);
         let fresh_until = file.fresh_until();
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -73,7 +73,7 @@
     }
 
     fn lease_error(&self, error: impl Into<SettingError>) -> OperatorFileError {
-        self.error_in(&self.lease_at, error.into().below("lease"))
+        self.error_in(&self.lease_at, error.into().under_key("lease"))
     }
 
     /// An error of a key, placed in the call that sets it where that is known.
@@ -93,5 +93,5 @@
     if error.key == "health" {
         return error;
     }
-    error.below("health")
+    error.under_key("health")
 }
--- a/src/operator/settings.rs
+++ b/src/operator/settings.rs
@@ -237,7 +237,9 @@
                 "names no network: nobody could ask",
             ));
         }
-        self.options.check().map_err(|fault| fault.below("knobs"))?;
+        self.options
+            .check()
+            .map_err(|fault| fault.under_key("knobs"))?;
         // With the longest deadline there is; the gateway's own may leave less.
         self.timetable(u64::MAX)?;
         Ok(())
