--- a/control/src/lease/leases.rs
+++ b/control/src/lease/leases.rs
@@ -167,7 +167,7 @@
                 }
             }
             Event::Applied { index, command } => match self.table.apply(index, &command) {
-                Err(gap) => actions.push(Action::Replay { from: gap.due }),
+                Err(gap) => actions.push(Action::Replay { from: gap.expected }),
                 Ok(outcome) => {
                     self.observe(now, outcome, &command, actions);
                     self.advance(command.duty(), now, actions);
--- a/control/src/lease/table.rs
+++ b/control/src/lease/table.rs
@@ -70,9 +70,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Gap {
     /// The index expected next.
-    pub due: Index,
+    pub expected: Index,
     /// The index that came.
-    pub came: Index,
+    pub found: Index,
 }
 
 /// The leases of all duties. Deterministic: the same entries give the same table on every gateway.
@@ -102,9 +102,12 @@
         if index <= self.applied {
             return Ok(Outcome::AlreadyApplied);
         }
-        let due = Index(self.applied.0 + 1);
-        if index != due {
-            return Err(Gap { due, came: index });
+        let expected = Index(self.applied.0 + 1);
+        if index != expected {
+            return Err(Gap {
+                expected,
+                found: index,
+            });
         }
         self.applied = index;
         let (duty, holder) = (command.duty(), command.holder());
--- a/control/src/lease/table/tests.rs
+++ b/control/src/lease/table/tests.rs
@@ -130,8 +130,8 @@
     assert_eq!(
         table.apply(Index(2), &claim(A, 0)),
         Err(Gap {
-            due: Index(1),
-            came: Index(2)
+            expected: Index(1),
+            found: Index(2)
         })
     );
     assert_eq!(table, Table::default());
--- a/control/src/versions/table.rs
+++ b/control/src/versions/table.rs
@@ -159,9 +159,12 @@
         if index <= self.applied {
             return Ok(());
         }
-        let due = Index(self.applied.0 + 1);
-        if index != due {
-            return Err(Gap { due, came: index });
+        let expected = Index(self.applied.0 + 1);
+        if index != expected {
+            return Err(Gap {
+                expected,
+                found: index,
+            });
         }
         self.applied = index;
         let outcome = self.execute(index, command);
