--- a/control/src/frame.rs
+++ b/control/src/frame.rs
@@ -121,12 +121,12 @@
     pub(crate) async fn next(&mut self) -> Result<Payload, FrameError> {
         loop {
             if let Some(frame) = self.codec.decode(&mut self.bytes)? {
-                self.traffic.received();
+                self.traffic.count_frame_received();
                 return decode(&frame);
             }
             match self.from.read_buf(&mut self.bytes).await? {
                 0 => return Err(FrameError::Closed),
-                read => self.traffic.read(read),
+                read => self.traffic.count_bytes_read(read),
             }
         }
     }
@@ -159,7 +159,7 @@
     traffic: &Traffic,
 ) -> Result<(), FrameError> {
     to.write_all(frame).await?;
-    traffic.wrote(frame.len());
+    traffic.count_frame_written(frame.len());
     Ok(())
 }
 
--- a/control/src/traffic.rs
+++ b/control/src/traffic.rs
@@ -33,19 +33,19 @@
 
 impl Traffic {
     /// Counts bytes read from a link.
-    pub(crate) fn read(&self, bytes: usize) {
+    pub(crate) fn count_bytes_read(&self, bytes: usize) {
         self.counters
             .bytes_in
             .fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
     /// Counts a complete frame received.
-    pub(crate) fn received(&self) {
+    pub(crate) fn count_frame_received(&self) {
         self.counters.frames_in.fetch_add(1, Ordering::Relaxed);
     }
 
     /// Counts a complete frame written, by its size in bytes.
-    pub(crate) fn wrote(&self, bytes: usize) {
+    pub(crate) fn count_frame_written(&self, bytes: usize) {
         self.counters.frames_out.fetch_add(1, Ordering::Relaxed);
         self.counters
             .bytes_out
