--- a/control/src/settings.rs
+++ b/control/src/settings.rs
@@ -4,7 +4,7 @@
 
 mod error;
 
-pub use error::{within, SettingError};
+pub use error::{check_within, SettingError};
 
 use crate::lease::{self, Duty, Timing};
 use ipnet::IpNet;
@@ -17,7 +17,7 @@
 const GATEWAY_IDS: RangeInclusive<u32> = 1..=65_535;
 
 /// The loopback networks.
-pub fn this_machine() -> Vec<IpNet> {
+pub fn loopback_networks() -> Vec<IpNet> {
     let nets = ["127.0.0.0/8", "::1/128"];
     nets.iter().filter_map(|net| net.parse().ok()).collect()
 }
@@ -42,7 +42,7 @@
 /// The control members, which share the replicated log, and this gateway's part among them.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Lease {
+pub struct ControlSettings {
     /// This gateway's number in the fleet, which no other has.
     pub me: u32,
     /// The control members, 3 or 5 voters; gateways that are their clients may be listed as well.
@@ -54,7 +54,7 @@
     #[serde(default)]
     pub listen: Option<SocketAddr>,
     /// The networks from which control members and gateways may connect; default the loopback networks.
-    #[serde(default = "this_machine")]
+    #[serde(default = "loopback_networks")]
     pub allow: Vec<IpNet>,
     /// The folder of the log; relative to the operator's file. A client has none.
     #[serde(default)]
@@ -93,7 +93,7 @@
     50
 }
 
-impl Lease {
+impl ControlSettings {
     /// The timing of leases, in microseconds.
     pub fn timing(&self) -> Timing {
         Timing {
@@ -118,7 +118,7 @@
     }
 
     /// Whether this gateway is a control member.
-    pub fn votes(&self) -> bool {
+    pub fn is_voter(&self) -> bool {
         self.voters().any(|peer| peer.id == self.me)
     }
 
@@ -134,9 +134,9 @@
         } else {
             self.check_listed()?;
         }
-        within("lease_ms", self.lease_ms, 100, 600_000)?;
-        within("renew_ms", self.renew_ms, 10, 60_000)?;
-        within("margin_ms", self.margin_ms, 0, 10_000)?;
+        check_within("lease_ms", self.lease_ms, 100, 600_000)?;
+        check_within("renew_ms", self.renew_ms, 10, 60_000)?;
+        check_within("margin_ms", self.margin_ms, 0, 10_000)?;
         self.timing()
             .check()
             .map_err(|error| SettingError::new(error.key(), error.to_string()))
@@ -174,7 +174,7 @@
         if !GATEWAY_IDS.contains(&me) {
             return reject("me", format!("{me} is not within 1 to 65535"));
         }
-        if self.votes() {
+        if self.is_voter() {
             let fault = format!("{me} is the number of a peer that votes; a client needs its own");
             return reject("me", fault);
         }
@@ -246,7 +246,7 @@
     /// # Errors
     ///
     /// [`SettingError`] of the first value that is rejected.
-    pub fn beside(&self, clients: SocketAddr) -> Result<(), SettingError> {
+    pub fn check_with_client_listener(&self, clients: SocketAddr) -> Result<(), SettingError> {
         self.check()?;
         if self.listen == Some(clients) {
             let fault = format!("{clients} is where clients connect (listen)");
@@ -260,9 +260,9 @@
     /// # Errors
     ///
     /// [`SettingError`] of the first value that is rejected; of `me` where this gateway is no voter.
-    pub fn member(&self) -> Result<(), SettingError> {
+    pub fn check_control_member(&self) -> Result<(), SettingError> {
         self.check()?;
-        if !self.votes() {
+        if !self.is_voter() {
             let hint =
                 "a control member has to be one: give its number, or run this file with `asterreel run`";
             return reject("me", format!("{} is no voter among peers; {hint}", self.me));
--- a/control/src/settings/error.rs
+++ b/control/src/settings/error.rs
@@ -21,7 +21,7 @@
 
     /// The same error, with its key below a call or another key.
     #[must_use]
-    pub fn below(self, parent: &str) -> SettingError {
+    pub fn under_key(self, parent: &str) -> SettingError {
         SettingError {
             key: format!("{parent}.{}", self.key),
             ..self
@@ -40,7 +40,12 @@
 /// # Errors
 ///
 /// [`SettingError`] with the bounds.
-pub fn within(key: &'static str, value: u64, least: u64, most: u64) -> Result<(), SettingError> {
+pub fn check_within(
+    key: &'static str,
+    value: u64,
+    least: u64,
+    most: u64,
+) -> Result<(), SettingError> {
     if (least..=most).contains(&value) {
         return Ok(());
     }
--- a/src/bin/asterreel-config-eval/collected.rs
+++ b/src/bin/asterreel-config-eval/collected.rs
@@ -3,7 +3,8 @@
 //! Each part may be set once. Of all errors the first is kept, with its key: an error of the evaluation would lose it.
 
 use asterreel::operator::{
-    qualified, Cells, Evaluated, Health, Lease, OperatorFileError, SettingError, SourceLocation,
+    qualified, Cells, ControlSettings, Evaluated, Health, OperatorFileError, SettingError,
+    SourceLocation,
 };
 use asterreel::readmission;
 use starlark::codemap::FileSpan;
@@ -18,7 +19,7 @@
 pub(crate) struct Collected {
     pub(crate) health: Call<Health>,
     pub(crate) cells: Call<Cells>,
-    pub(crate) lease: Call<Lease>,
+    pub(crate) lease: Call<ControlSettings>,
     pub(crate) readmission: Call<readmission::Options>,
     first_error: Option<OperatorFileError>,
 }
@@ -84,14 +85,14 @@
         if let Some((mut cells, call)) = self.cells {
             cells
                 .rules()
-                .map_err(|error| call.error(error.below("cells")))?;
+                .map_err(|error| call.error(error.under_key("cells")))?;
             cells.placement = folder.join(&cells.placement);
             operator.cells = Some(cells);
         }
         if let Some((mut lease, call)) = self.lease {
             lease
                 .check()
-                .map_err(|fault| call.error(fault.below("lease")))?;
+                .map_err(|fault| call.error(fault.under_key("lease")))?;
             if !lease.client {
                 lease.store = folder.join(&lease.store);
             }
@@ -101,7 +102,7 @@
         if let Some((options, call)) = self.readmission {
             options
                 .check()
-                .map_err(|error| call.error(error.below("readmission")))?;
+                .map_err(|error| call.error(error.under_key("readmission")))?;
             operator.readmission = Some(options);
         }
         Ok(())
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -11,7 +11,7 @@
 mod settings;
 
 pub use asterreel_control::settings::SettingError;
-pub use asterreel_control::settings::{Lease, Peer};
+pub use asterreel_control::settings::{ControlSettings, Peer};
 pub use error::OperatorFileError;
 pub use evaluator::{evaluate, evaluator, Reply};
 pub use location::SourceLocation;
@@ -44,7 +44,7 @@
     pub fn beside(&self, config: &Config) -> Result<Option<Timetable>, OperatorFileError> {
         if let Some(lease) = &self.operator.lease {
             lease
-                .beside(config.listen)
+                .check_with_client_listener(config.listen)
                 .map_err(|fault| self.lease_error(fault))?;
         }
         let Some(health) = &self.operator.health else {
@@ -61,17 +61,19 @@
     /// # Errors
     ///
     /// [`OperatorFileError`] names the file, the place and the key at fault.
-    pub fn member(&self) -> Result<&Lease, OperatorFileError> {
+    pub fn member(&self) -> Result<&ControlSettings, OperatorFileError> {
         let Some(lease) = &self.operator.lease else {
             let fault = "is not called: there is no control plane to be a member of";
             return Err(self.error_in(&None, SettingError::new("lease", fault)));
         };
-        lease.member().map_err(|fault| self.lease_error(fault))?;
+        lease
+            .check_control_member()
+            .map_err(|fault| self.lease_error(fault))?;
         Ok(lease)
     }
 
     fn lease_error(&self, error: impl Into<SettingError>) -> OperatorFileError {
-        self.error_in(&self.lease_at, error.into().below("lease"))
+        self.error_in(&self.lease_at, error.into().under_key("lease"))
     }
 
     /// An error of a key, placed in the call that sets it where that is known.
@@ -91,5 +93,5 @@
     if error.key == "health" {
         return error;
     }
-    error.below("health")
+    error.under_key("health")
 }
