--- a/control/src/golden_tests.rs
+++ b/control/src/golden_tests.rs
@@ -626,7 +626,7 @@
         .expect("it was offered");
     let open = status.proposal.as_ref().expect("one is open");
     assert_eq!(
-        (status.number(), status.previous, open.by),
+        (status.active_number(), status.previous, open.by),
         (4, 0, SERVED[0])
     );
     assert_eq!(
@@ -666,7 +666,7 @@
         .topic(Topic::Operator)
         .expect("it was offered");
     assert_eq!(
-        (status.number(), status.previous, &status.proposal),
+        (status.active_number(), status.previous, &status.proposal),
         (8, 4, &None)
     );
     let last = std::fs::read(file("last-snapshot.bin")).expect("a record");
--- a/control/src/versions/coordinator/applied.rs
+++ b/control/src/versions/coordinator/applied.rs
@@ -72,7 +72,7 @@
             .filter(|(_, status)| status.changed > since);
         let topics = changed.map(|(topic, status)| TopicState {
             topic,
-            active: status.number(),
+            active: status.active_number(),
             previous: status.previous,
             proposal: status
                 .proposal
--- a/control/src/versions/coordinator/tests.rs
+++ b/control/src/versions/coordinator/tests.rs
@@ -395,7 +395,7 @@
             .coordinator
             .table()
             .topic(TOPIC)
-            .map(|status| status.number()),
+            .map(|status| status.active_number()),
         Some(version)
     );
 }
--- a/control/src/versions/table.rs
+++ b/control/src/versions/table.rs
@@ -135,7 +135,7 @@
         if let Some(proposal) = status.and_then(|status| status.proposal.as_ref()) {
             return Err(Rejection::ProposalPending(proposal.version.number));
         }
-        let number = status.map_or(0, TopicStatus::number);
+        let number = status.map_or(0, TopicStatus::active_number);
         if number != replaces {
             return Err(Rejection::ActiveVersionChanged(number));
         }
@@ -347,7 +347,7 @@
                     .all(|gateway| proposal.acked_by.contains(gateway))
             };
             if let Some(proposal) = status.proposal.take_if(all) {
-                let (number, previous) = (proposal.version.number, status.number());
+                let (number, previous) = (proposal.version.number, status.active_number());
                 status.previous = previous;
                 status.active = Some(proposal.version);
                 status.changed = index;
--- a/control/src/versions/table/tests.rs
+++ b/control/src/versions/table/tests.rs
@@ -47,7 +47,10 @@
     }
 
     fn propose(&mut self, gateway: u32, token: Token) -> u64 {
-        let replaces = self.table.topic(TOPIC).map_or(0, TopicStatus::number);
+        let replaces = self
+            .table
+            .topic(TOPIC)
+            .map_or(0, TopicStatus::active_number);
         let content = Content {
             format: 1,
             bytes: Vec::new(),
@@ -181,7 +184,10 @@
     assert_eq!(log.apply(nack(two)), [rejected]);
     assert_eq!(log.table.changed(), log.table.applied());
     assert_eq!(log.rejection(nack(two)), Rejection::AlreadyDecided);
-    assert_eq!(log.table.topic(TOPIC).map(TopicStatus::number), Some(0));
+    assert_eq!(
+        log.table.topic(TOPIC).map(TopicStatus::active_number),
+        Some(0)
+    );
 }
 
 /// No gateway joins under a proposal, unless no registration is left.
--- a/control/src/versions/topic.rs
+++ b/control/src/versions/topic.rs
@@ -118,7 +118,7 @@
 
 impl TopicStatus {
     /// The number of the active version; 0 is none.
-    pub fn number(&self) -> u64 {
+    pub fn active_number(&self) -> u64 {
         self.active.as_ref().map_or(0, |version| version.number)
     }
 
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -883,7 +883,7 @@
 
     /// How long a version proposed since a time took to become active everywhere, if it has.
     fn agreed(&self, since: u64) -> Option<u64> {
-        let newest = self.reference.topic(TOPIC)?.number();
+        let newest = self.reference.topic(TOPIC)?.active_number();
         let proposed_at = self.proposed_at.get(&newest).filter(|at| **at >= since)?;
         let everywhere =
             (0..GATEWAYS).all(|number| self.acting(number).is_some_and(|(one, _)| one == newest));
@@ -895,7 +895,7 @@
         let newest = self
             .reference
             .topic(TOPIC)
-            .map_or(0, |status| status.number());
+            .map_or(0, |status| status.active_number());
         self.proposed_at.get(&newest).is_some_and(|at| *at >= since)
     }
 
