--- a/control/src/golden_tests.rs
+++ b/control/src/golden_tests.rs
@@ -465,7 +465,7 @@
             versions
                 .registration(who)
                 .map(|registration| registration.token),
-            versions.changed(),
+            versions.last_changed(),
         );
         let (formats, sent) = (
             Formats {
--- a/control/src/versions/coordinator/applied.rs
+++ b/control/src/versions/coordinator/applied.rs
@@ -14,7 +14,7 @@
         command: &Command,
         out: &mut Vec<Action>,
     ) {
-        let changed_before = self.table.changed();
+        let changed_before = self.table.last_changed();
         let mut outcomes = Vec::new();
         // Entries are numbered by the table that counts them; a gap is the caller's fault and changes nothing.
         if self.table.apply(index, command, &mut outcomes).is_err() {
@@ -23,7 +23,7 @@
         for outcome in outcomes {
             self.handle_outcome(now, index, command, outcome, out);
         }
-        if self.table.changed() > changed_before {
+        if self.table.last_changed() > changed_before {
             self.publish(now, changed_before, out);
         }
     }
@@ -56,7 +56,7 @@
 
     /// Sends every gateway the topics that changed after an entry.
     fn publish(&mut self, now: Micros, since: Index, out: &mut Vec<Action>) {
-        let as_of = self.table.changed();
+        let as_of = self.table.last_changed();
         let Some(leadership) = &mut self.leadership else {
             return;
         };
@@ -80,7 +80,7 @@
                 .map(|proposal| proposal.version.clone()),
         });
         ToGateway::TopicStates {
-            as_of: self.table.changed(),
+            as_of: self.table.last_changed(),
             since,
             topics: topics.collect(),
         }
--- a/control/src/versions/coordinator/requests.rs
+++ b/control/src/versions/coordinator/requests.rs
@@ -96,7 +96,7 @@
         known_index: Index,
         out: &mut Vec<Action>,
     ) {
-        let as_of = self.table.changed();
+        let as_of = self.table.last_changed();
         let Some(leadership) = &mut self.leadership else {
             return;
         };
@@ -228,7 +228,7 @@
             sent_at,
             ..
         } = *heartbeat;
-        let required_index = self.table.changed();
+        let required_index = self.table.last_changed();
         let expiring = self
             .leadership
             .as_ref()
--- a/control/src/versions/coordinator/tests.rs
+++ b/control/src/versions/coordinator/tests.rs
@@ -134,7 +134,7 @@
         let registration = self.coordinator.table().registration(gateway(number));
         let (token, known_index) = (
             registration.map(|registration| registration.token),
-            self.coordinator.table().changed(),
+            self.coordinator.table().last_changed(),
         );
         let formats = Formats {
             oldest: 1,
--- a/control/src/versions/table.rs
+++ b/control/src/versions/table.rs
@@ -74,7 +74,7 @@
     }
 
     /// The entry that last changed any topic; 0 before the first.
-    pub fn changed(&self) -> Index {
+    pub fn last_changed(&self) -> Index {
         self.topics
             .values()
             .map(|status| status.changed)
--- a/control/src/versions/table/tests.rs
+++ b/control/src/versions/table/tests.rs
@@ -117,7 +117,7 @@
     let mut log = Log::default();
     let (one, two) = (log.join(1), log.join(2));
     let number = log.propose(1, one);
-    assert_eq!(log.table.changed(), Index(number));
+    assert_eq!(log.table.last_changed(), Index(number));
     assert_eq!(
         log.ack(number, &[(2, Token(99))]),
         [Outcome::Rejected(Rejection::StaleRegistration)]
@@ -142,7 +142,7 @@
             previous: 0
         }
     );
-    assert_eq!(log.table.changed(), log.table.applied());
+    assert_eq!(log.table.last_changed(), log.table.applied());
     // The registration that holds up the next one goes, and the others' acceptances decide.
     let next = log.propose(2, two);
     log.ack(next, &[(1, one)]);
@@ -182,7 +182,7 @@
         reason: "spoilt".into(),
     };
     assert_eq!(log.apply(nack(two)), [rejected]);
-    assert_eq!(log.table.changed(), log.table.applied());
+    assert_eq!(log.table.last_changed(), log.table.applied());
     assert_eq!(log.rejection(nack(two)), Rejection::AlreadyDecided);
     assert_eq!(
         log.table.topic(TOPIC).map(TopicStatus::active_number),
