--- a/control/src/service/run.rs
+++ b/control/src/service/run.rs
@@ -212,7 +212,7 @@
         if let Some(gateway) = &self.gateway {
             let client = gateway.client();
             view.permission = client.permission(self.clock.now());
-            view.registrations = client.registrations();
+            view.registrations = client.registration_count();
             view.active_versions = client.active_versions().collect();
         }
         self.view.store(view);
--- a/control/src/versions/client/mod.rs
+++ b/control/src/versions/client/mod.rs
@@ -86,7 +86,7 @@
     }
 
     /// How many gateways were registered when this one's registration was last renewed.
-    pub fn registrations(&self) -> u32 {
+    pub fn registration_count(&self) -> u32 {
         self.registration.registrations()
     }
 
--- a/control/src/versions/client/tests.rs
+++ b/control/src/versions/client/tests.rs
@@ -128,7 +128,7 @@
         })]
     );
     assert_eq!(
-        (gateway.acting_on(), gateway.client.registrations()),
+        (gateway.acting_on(), gateway.client.registration_count()),
         (Some(1), 3)
     );
     assert_eq!(gateway.renew(TOKEN, sent, 1), [], "doubled");
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -1082,7 +1082,7 @@
         },
     );
     let everyone = |world: &World| {
-        (0..GATEWAYS).all(|number| world.gateways[number].client.registrations() == 6)
+        (0..GATEWAYS).all(|number| world.gateways[number].client.registration_count() == 6)
     };
     while !everyone(&world) {
         world.step();
