--- a/control/src/versions/coordinator/tests.rs
+++ b/control/src/versions/coordinator/tests.rs
@@ -134,7 +134,7 @@
         let registration = self.coordinator.table().registration(gateway(number));
         let (token, known_index) = (
             registration.map(|registration| registration.token),
-            self.coordinator.table().changed(),
+            self.coordinator.table().last_changed(),
         );
         let formats = Formats {
             oldest: 1,
@@ -395,7 +395,7 @@
             .coordinator
             .table()
             .topic(TOPIC)
-            .map(|status| status.number()),
+            .map(|status| status.active_number()),
         Some(version)
     );
 }
