--- a/control/src/frame.rs
+++ b/control/src/frame.rs
@@ -94,17 +94,17 @@
 }
 
 /// Reads frames from a link.
-pub(crate) struct Frames<R> {
+pub(crate) struct FrameReader<R> {
     from: R,
     codec: LengthDelimitedCodec,
     bytes: BytesMut,
     traffic: Traffic,
 }
 
-impl<R: AsyncRead + Unpin> Frames<R> {
+impl<R: AsyncRead + Unpin> FrameReader<R> {
     /// Reads from `from`, and counts with `traffic`.
-    pub(crate) fn new(from: R, traffic: Traffic) -> Frames<R> {
-        Frames {
+    pub(crate) fn new(from: R, traffic: Traffic) -> FrameReader<R> {
+        FrameReader {
             from,
             codec: codec(),
             bytes: BytesMut::new(),
--- a/control/src/frame/tests.rs
+++ b/control/src/frame/tests.rs
@@ -83,7 +83,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
         .expect("a runtime");
-    let mut frames = Frames::new(bytes, Traffic::default());
+    let mut frames = FrameReader::new(bytes, Traffic::default());
     let mut all = Vec::new();
     loop {
         match runtime.block_on(frames.next()) {
@@ -146,7 +146,7 @@
         (sent.totals().frames_out, sent.totals().bytes_out),
         (1, bytes.len() as u64)
     );
-    let mut frames = Frames::new(&wire[..], received.clone());
+    let mut frames = FrameReader::new(&wire[..], received.clone());
     (0..count).for_each(|_| drop(runtime.block_on(frames.next()).expect("a frame")));
     let expected = (count as u64, bytes.len() as u64);
     assert_eq!(
--- a/control/src/golden_tests.rs
+++ b/control/src/golden_tests.rs
@@ -381,7 +381,7 @@
         .build()
         .expect("a runtime");
     let decode = |bytes: &[u8]| {
-        let mut frames = frame::Frames::new(bytes, crate::traffic::Traffic::default());
+        let mut frames = frame::FrameReader::new(bytes, crate::traffic::Traffic::default());
         runtime.block_on(frames.next()).expect("a frame")
     };
     assert_matches("frames.txt", frames, encode, decode);
--- a/control/src/link/accept.rs
+++ b/control/src/link/accept.rs
@@ -4,7 +4,7 @@
 //! in the name of another closes its link.
 
 use super::{write, Established, SharedHello, HANDSHAKE_TIMEOUT, MIN_RETRY_DELAY};
-use crate::frame::{self, FrameError, Frames, Hello, Payload};
+use crate::frame::{self, FrameError, FrameReader, Hello, Payload};
 use crate::lease::NodeIdentity;
 use crate::node::gateway_id_of;
 use crate::traffic::MemberTraffic;
@@ -156,7 +156,7 @@
     async fn handshake(&self, link: TcpStream) -> Result<Established, FrameError> {
         link.set_nodelay(true)?;
         let (read, mut link) = link.into_split();
-        let mut frames = Frames::new(read, self.traffic.members.clone());
+        let mut frames = FrameReader::new(read, self.traffic.members.clone());
         let received = timeout(HANDSHAKE_TIMEOUT, frames.next())
             .await
             .map_err(|_| FrameError::TimedOut)??;
--- a/control/src/link/mod.rs
+++ b/control/src/link/mod.rs
@@ -12,7 +12,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::frame::{self, FrameError, Frames, Hello, Payload};
+use crate::frame::{self, FrameError, FrameReader, Hello, Payload};
 use crate::traffic::Traffic;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -55,7 +55,7 @@
 
 /// A link after the handshake.
 struct Established {
-    frames: Frames<OwnedReadHalf>,
+    frames: FrameReader<OwnedReadHalf>,
     write: OwnedWriteHalf,
     hello: Hello,
 }
@@ -72,7 +72,7 @@
         let link = TcpStream::connect(address).await?;
         link.set_nodelay(true)?;
         let (read, mut write) = link.into_split();
-        let mut frames = Frames::new(read, traffic.clone());
+        let mut frames = FrameReader::new(read, traffic.clone());
         frame::write(&mut write, &frame::encode_hello(own)?, traffic).await?;
         let Payload::Hello(hello) = frames.next().await? else {
             return Err(FrameError::UnexpectedKind);
--- a/control/src/link/tests.rs
+++ b/control/src/link/tests.rs
@@ -3,7 +3,7 @@
 use super::accept::{self, Acceptor, GatewayLink};
 use super::gateway::{self, LeaderSearch, Link};
 use super::SharedHello;
-use crate::frame::{self, FrameError, Frames, Hello, Payload};
+use crate::frame::{self, FrameError, FrameReader, Hello, Payload};
 use crate::lease::{Index, NodeIdentity, Timing, Token};
 use crate::traffic::{MemberTraffic, Traffic, TrafficTotals};
 use crate::versions::{Content, Formats, ToControl, ToGateway, Topic, TopicState, Version};
@@ -100,7 +100,10 @@
 }
 
 /// A link by hand, on which both sides have said hello.
-async fn connect(address: SocketAddr, hello: &Hello) -> (Frames<OwnedReadHalf>, OwnedWriteHalf) {
+async fn connect(
+    address: SocketAddr,
+    hello: &Hello,
+) -> (FrameReader<OwnedReadHalf>, OwnedWriteHalf) {
     let (read, mut write) = TcpStream::connect(address)
         .await
         .expect("connected")
@@ -109,7 +112,7 @@
     frame::write(&mut write, &hello, &Traffic::default())
         .await
         .expect("written");
-    let mut frames = Frames::new(read, Traffic::default());
+    let mut frames = FrameReader::new(read, Traffic::default());
     assert!(matches!(frames.next().await, Ok(Payload::Hello(_))));
     (frames, write)
 }
