--- a/control/src/frame/hello.rs
+++ b/control/src/frame/hello.rs
@@ -14,7 +14,7 @@
     pub newest: u32,
     /// A digest of the voters and the lease times, which are the same in all settings of a fleet.
     #[prost(uint64, tag = "3")]
-    pub fleet: u64,
+    pub fleet_digest: u64,
     /// The number of the sender's gateway.
     #[prost(uint64, tag = "4")]
     pub gateway: u64,
@@ -34,11 +34,11 @@
 
 impl Hello {
     /// The first frame of a gateway that wants to be served.
-    pub(crate) fn of_client(me: NodeIdentity, fleet: u64) -> Hello {
+    pub(crate) fn of_client(me: NodeIdentity, fleet_digest: u64) -> Hello {
         Hello {
             oldest: OLDEST_FORMAT,
             newest: NEWEST_FORMAT,
-            fleet,
+            fleet_digest,
             gateway: me.gateway.into(),
             id: 0,
             fresh: false,
@@ -48,11 +48,11 @@
     }
 
     /// Checks that the sender shares a format, is of this fleet, and is gateway `expected` where that is given.
-    pub(crate) fn check(&self, fleet: u64, expected: Option<u64>) -> Result<(), FrameError> {
+    pub(crate) fn check(&self, fleet_digest: u64, expected: Option<u64>) -> Result<(), FrameError> {
         if self.newest < OLDEST_FORMAT || self.oldest > NEWEST_FORMAT {
             return Err(FrameError::UnsupportedFormats(self.oldest, self.newest));
         }
-        if self.fleet != fleet {
+        if self.fleet_digest != fleet_digest {
             return Err(FrameError::OtherFleet);
         }
         match expected {
--- a/control/src/frame/tests.rs
+++ b/control/src/frame/tests.rs
@@ -12,7 +12,7 @@
     let first = Hello {
         oldest: 1,
         newest: 3,
-        fleet: 9,
+        fleet_digest: 9,
         gateway: 2,
         id: 2,
         fresh: true,
--- a/control/src/golden_tests.rs
+++ b/control/src/golden_tests.rs
@@ -333,7 +333,7 @@
     let member = Hello {
         oldest: frame::OLDEST_FORMAT,
         newest: frame::NEWEST_FORMAT,
-        fleet: 0xfeed_beef_0bad_cafe,
+        fleet_digest: 0xfeed_beef_0bad_cafe,
         gateway: 2,
         id: 70_000 << 16 | 2,
         fresh: true,
--- a/control/src/link/accept.rs
+++ b/control/src/link/accept.rs
@@ -171,7 +171,7 @@
             &self.traffic.members,
         )
         .await?;
-        hello.check(own.fleet, None)?;
+        hello.check(own.fleet_digest, None)?;
         Ok(Established {
             hello,
             frames,
@@ -207,7 +207,7 @@
             mut frames,
             write: _keep,
         } = established;
-        let (fleet, peer) = (hello.fleet, hello.gateway);
+        let (fleet_digest, peer) = (hello.fleet_digest, hello.gateway);
         let _ = self.events.send(LinkEvent::Hello(hello)).await;
         loop {
             match timeout(MEMBER_IDLE_TIMEOUT, frames.next())
@@ -222,7 +222,7 @@
                 }
                 Payload::Raft(_) => return Err(FrameError::UnexpectedGateway(peer)),
                 Payload::Hello(hello) => {
-                    hello.check(fleet, Some(peer))?;
+                    hello.check(fleet_digest, Some(peer))?;
                     if hello.client {
                         return Err(FrameError::UnexpectedKind);
                     }
--- a/control/src/link/mod.rs
+++ b/control/src/link/mod.rs
@@ -77,7 +77,7 @@
         let Payload::Hello(hello) = frames.next().await? else {
             return Err(FrameError::UnexpectedKind);
         };
-        hello.check(own.fleet, Some(expected))?;
+        hello.check(own.fleet_digest, Some(expected))?;
         Ok(Established {
             frames,
             write,
--- a/control/src/service/member.rs
+++ b/control/src/service/member.rs
@@ -187,12 +187,13 @@
             LogState::Running(node) => (node.id(), node.status().applied == 0),
             LogState::Waiting(_) | LogState::Starting => (0, true),
         };
-        let (oldest, newest, fleet) = (frame::OLDEST_FORMAT, frame::NEWEST_FORMAT, self.digest);
+        let (oldest, newest, fleet_digest) =
+            (frame::OLDEST_FORMAT, frame::NEWEST_FORMAT, self.digest);
         let (gateway, incarnation) = (self.me.gateway.into(), self.me.incarnation);
         Hello {
             oldest,
             newest,
-            fleet,
+            fleet_digest,
             gateway,
             id,
             fresh,
