--- a/control/src/frame/hello.rs
+++ b/control/src/frame/hello.rs
@@ -20,7 +20,7 @@
     pub gateway: u64,
     /// The sender's Raft id; 0 in a control member that has no log yet, and in a gateway.
     #[prost(uint64, tag = "5")]
-    pub id: u64,
+    pub raft_id: u64,
     /// The sender knows of no entry that was ever committed.
     #[prost(bool, tag = "6")]
     pub fresh: bool,
@@ -40,7 +40,7 @@
             newest: NEWEST_FORMAT,
             fleet_digest,
             gateway: me.gateway.into(),
-            id: 0,
+            raft_id: 0,
             fresh: false,
             client: true,
             incarnation: me.incarnation,
--- a/control/src/frame/tests.rs
+++ b/control/src/frame/tests.rs
@@ -14,7 +14,7 @@
         newest: 3,
         fleet_digest: 9,
         gateway: 2,
-        id: 2,
+        raft_id: 2,
         fresh: true,
         client: false,
         incarnation: 5,
--- a/control/src/golden_tests.rs
+++ b/control/src/golden_tests.rs
@@ -335,7 +335,7 @@
         newest: frame::NEWEST_FORMAT,
         fleet_digest: 0xfeed_beef_0bad_cafe,
         gateway: 2,
-        id: 70_000 << 16 | 2,
+        raft_id: 70_000 << 16 | 2,
         fresh: true,
         client: false,
         incarnation: 70_000,
--- a/control/src/service/member.rs
+++ b/control/src/service/member.rs
@@ -183,7 +183,7 @@
     }
 
     fn hello(&self) -> Hello {
-        let (id, fresh) = match &self.log {
+        let (raft_id, fresh) = match &self.log {
             LogState::Running(node) => (node.id(), node.status().applied == 0),
             LogState::Waiting(_) | LogState::Starting => (0, true),
         };
@@ -195,7 +195,7 @@
             newest,
             fleet_digest,
             gateway,
-            id,
+            raft_id,
             fresh,
             client: false,
             incarnation,
@@ -267,8 +267,8 @@
         let known = self
             .hellos
             .iter()
-            .filter(|(_, hello)| hello.id != 0)
-            .map(|(gateway, hello)| (*gateway, hello.id));
+            .filter(|(_, hello)| hello.raft_id != 0)
+            .map(|(gateway, hello)| (*gateway, hello.raft_id));
         let known: BTreeMap<u64, u64> = known.collect();
         if let LogState::Running(node) = &mut self.log {
             node.tick();
