--- a/control/src/golden_tests.rs
+++ b/control/src/golden_tests.rs
@@ -333,9 +333,9 @@
     let member = Hello {
         oldest: frame::OLDEST_FORMAT,
         newest: frame::NEWEST_FORMAT,
-        fleet: 0xfeed_beef_0bad_cafe,
+        fleet_digest: 0xfeed_beef_0bad_cafe,
         gateway: 2,
-        id: 70_000 << 16 | 2,
+        raft_id: 70_000 << 16 | 2,
         fresh: true,
         client: false,
         incarnation: 70_000,
@@ -381,7 +381,7 @@
         .build()
         .expect("a runtime");
     let decode = |bytes: &[u8]| {
-        let mut frames = frame::Frames::new(bytes, crate::traffic::Traffic::default());
+        let mut frames = frame::FrameReader::new(bytes, crate::traffic::Traffic::default());
         runtime.block_on(frames.next()).expect("a frame")
     };
     assert_matches("frames.txt", frames, encode, decode);
--- a/control/src/link/accept.rs
+++ b/control/src/link/accept.rs
@@ -4,7 +4,7 @@
 //! in the name of another closes its link.
 
 use super::{write, Established, SharedHello, HANDSHAKE_TIMEOUT, MIN_RETRY_DELAY};
-use crate::frame::{self, FrameError, Frames, Hello, Payload};
+use crate::frame::{self, FrameError, FrameReader, Hello, Payload};
 use crate::lease::NodeIdentity;
 use crate::node::gateway_id_of;
 use crate::traffic::MemberTraffic;
@@ -156,7 +156,7 @@
     async fn handshake(&self, link: TcpStream) -> Result<Established, FrameError> {
         link.set_nodelay(true)?;
         let (read, mut link) = link.into_split();
-        let mut frames = Frames::new(read, self.traffic.members.clone());
+        let mut frames = FrameReader::new(read, self.traffic.members.clone());
         let received = timeout(HANDSHAKE_TIMEOUT, frames.next())
             .await
             .map_err(|_| FrameError::TimedOut)??;
@@ -171,7 +171,7 @@
             &self.traffic.members,
         )
         .await?;
-        hello.check(own.fleet, None)?;
+        hello.check(own.fleet_digest, None)?;
         Ok(Established {
             hello,
             frames,
@@ -207,7 +207,7 @@
             mut frames,
             write: _keep,
         } = established;
-        let (fleet, peer) = (hello.fleet, hello.gateway);
+        let (fleet_digest, peer) = (hello.fleet_digest, hello.gateway);
         let _ = self.events.send(LinkEvent::Hello(hello)).await;
         loop {
             match timeout(MEMBER_IDLE_TIMEOUT, frames.next())
@@ -222,7 +222,7 @@
                 }
                 Payload::Raft(_) => return Err(FrameError::UnexpectedGateway(peer)),
                 Payload::Hello(hello) => {
-                    hello.check(fleet, Some(peer))?;
+                    hello.check(fleet_digest, Some(peer))?;
                     if hello.client {
                         return Err(FrameError::UnexpectedKind);
                     }
--- a/control/src/service/member.rs
+++ b/control/src/service/member.rs
@@ -183,18 +183,19 @@
     }
 
     fn hello(&self) -> Hello {
-        let (id, fresh) = match &self.log {
+        let (raft_id, fresh) = match &self.log {
             LogState::Running(node) => (node.id(), node.status().applied == 0),
             LogState::Waiting(_) | LogState::Starting => (0, true),
         };
-        let (oldest, newest, fleet) = (frame::OLDEST_FORMAT, frame::NEWEST_FORMAT, self.digest);
+        let (oldest, newest, fleet_digest) =
+            (frame::OLDEST_FORMAT, frame::NEWEST_FORMAT, self.digest);
         let (gateway, incarnation) = (self.me.gateway.into(), self.me.incarnation);
         Hello {
             oldest,
             newest,
-            fleet,
+            fleet_digest,
             gateway,
-            id,
+            raft_id,
             fresh,
             client: false,
             incarnation,
@@ -266,8 +267,8 @@
         let known = self
             .hellos
             .iter()
-            .filter(|(_, hello)| hello.id != 0)
-            .map(|(gateway, hello)| (*gateway, hello.id));
+            .filter(|(_, hello)| hello.raft_id != 0)
+            .map(|(gateway, hello)| (*gateway, hello.raft_id));
         let known: BTreeMap<u64, u64> = known.collect();
         if let LogState::Running(node) = &mut self.log {
             node.tick();
