--- a/src/bin/asterreel/front/error_answer.rs
+++ b/src/bin/asterreel/front/error_answer.rs
@@ -45,7 +45,7 @@
 impl From<Rejection> for ErrorAnswer {
     fn from(refusal: Rejection) -> ErrorAnswer {
         let (text, retry_after) = refusal.message();
-        if refusal == Rejection::Nobody {
+        if refusal == Rejection::UnknownTenant {
             ErrorAnswer::UnknownClient(text)
         } else {
             ErrorAnswer::Rejected { text, retry_after }
--- a/src/cells/admission.rs
+++ b/src/cells/admission.rs
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
     /// Nobody knows who asks.
-    Nobody,
+    UnknownTenant,
     /// Its cell is full.
     Exhausted(Exhausted, Micros),
     /// Its tenant is being moved: no writes now.
@@ -66,7 +66,7 @@
     /// What to tell the client, and when to retry.
     pub fn message(self) -> (&'static str, Option<Micros>) {
         match self {
-            Rejection::Nobody => ("no tenant is known for this client", None),
+            Rejection::UnknownTenant => ("no tenant is known for this client", None),
             Rejection::Exhausted(Exhausted::Requests | Exhausted::Held, wait) => {
                 ("the cell has too many requests", Some(wait))
             }
@@ -154,7 +154,11 @@
         statement: &[u8],
         write: bool,
     ) -> Result<Admitted, Rejection> {
-        let name = self.rules.who.resolve(caller).ok_or(Rejection::Nobody)?;
+        let name = self
+            .rules
+            .who
+            .resolve(caller)
+            .ok_or(Rejection::UnknownTenant)?;
         let place = self.placement.place(name, key);
         if write && place.home.held {
             return Err(Rejection::Moving(MIGRATING_RETRY_AFTER_US));
--- a/src/cells/admission/tests.rs
+++ b/src/cells/admission/tests.rs
@@ -75,7 +75,7 @@
     );
     gate.ended(50, &first);
     ask(&mut gate, 60, "a", false).expect("room again");
-    assert_eq!(ask(&mut gate, 60, "", false), Err(Rejection::Nobody));
+    assert_eq!(ask(&mut gate, 60, "", false), Err(Rejection::UnknownTenant));
     assert_eq!(
         gate.counts(),
         [("one".to_owned(), 1, 1), ("two".to_owned(), 1, 0)]
