--- a/src/bin/asterreel/front/admission.rs
+++ b/src/bin/asterreel/front/admission.rs
@@ -105,7 +105,7 @@
             .core
             .has_lost_all_members(placed.admitted.group)
         {
-            return Err(Rejection::Lost(LOST_CELL_RETRY_AFTER_US));
+            return Err(Rejection::AllMembersLost(LOST_CELL_RETRY_AFTER_US));
         }
         Ok(Some(placed))
     }
--- a/src/cells/admission.rs
+++ b/src/cells/admission.rs
@@ -59,7 +59,7 @@
     /// The placement is too old to write by.
     Stale(Micros),
     /// Its group has lost all its members, and it may go nowhere else.
-    Lost(Micros),
+    AllMembersLost(Micros),
 }
 
 impl Rejection {
@@ -76,7 +76,7 @@
             Rejection::Exhausted(Exhausted::Bytes, wait) => ("the cell holds too much", Some(wait)),
             Rejection::Moving(wait) => ("the tenant is being moved", Some(wait)),
             Rejection::Poison => ("this statement is quarantined", None),
-            Rejection::Lost(wait) => ("the cell has lost all its members", Some(wait)),
+            Rejection::AllMembersLost(wait) => ("the cell has lost all its members", Some(wait)),
             Rejection::Stale(wait) => ("the placement is too old", Some(wait)),
         }
     }
