--- a/src/cells/admission.rs
+++ b/src/cells/admission.rs
@@ -18,9 +18,9 @@
 
 /// What the operator's file says of cells.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Rules {
+pub struct AdmissionRules {
     /// Who asks.
-    pub who: TenantResolver,
+    pub tenant_resolver: TenantResolver,
     /// Bounds of cells by name; `default` for those that are not named.
     pub bounds: Vec<(String, Bounds)>,
     /// See `bounds`.
@@ -29,7 +29,7 @@
     pub quarantine: QuarantineOptions,
 }
 
-impl Rules {
+impl AdmissionRules {
     fn bounds_of(&self, placement: &Placement) -> Vec<Bounds> {
         let named = |name: &str| {
             self.bounds
@@ -101,7 +101,7 @@
 
 /// All of it; see the module.
 pub struct CellAdmission {
-    rules: Rules,
+    rules: AdmissionRules,
     placement: Placement,
     bulkheads: Bulkheads,
     quarantine: Quarantine,
@@ -111,7 +111,7 @@
 
 impl CellAdmission {
     /// With a placement that may be written by until a time.
-    pub fn new(rules: Rules, placement: Placement, fresh_until: Micros) -> CellAdmission {
+    pub fn new(rules: AdmissionRules, placement: Placement, fresh_until: Micros) -> CellAdmission {
         CellAdmission {
             bulkheads: Bulkheads::new(rules.bounds_of(&placement)),
             quarantine: Quarantine::new(rules.quarantine),
@@ -156,7 +156,7 @@
     ) -> Result<Admitted, Rejection> {
         let name = self
             .rules
-            .who
+            .tenant_resolver
             .resolve(caller)
             .ok_or(Rejection::UnknownTenant)?;
         let place = self.placement.place(name, key);
--- a/src/cells/admission/tests.rs
+++ b/src/cells/admission/tests.rs
@@ -29,8 +29,8 @@
 }
 
 fn gate(homes: Vec<(String, Home)>) -> CellAdmission {
-    let rules = Rules {
-        who: TenantResolver::new(vec![Source::User]).expect("good"),
+    let rules = AdmissionRules {
+        tenant_resolver: TenantResolver::new(vec![Source::User]).expect("good"),
         bounds: vec![(
             "one".into(),
             Bounds {
@@ -38,7 +38,7 @@
                 ..Bounds::default()
             },
         )],
-        ..Rules::default()
+        ..AdmissionRules::default()
     };
     CellAdmission::new(rules, placement(1, homes), 1_000)
 }
--- a/src/cells/mod.rs
+++ b/src/cells/mod.rs
@@ -14,7 +14,7 @@
 pub mod record;
 pub mod tenants;
 
-pub use admission::{Admitted, CellAdmission, Rejection, Rules, LOST_CELL_RETRY_AFTER_US};
+pub use admission::{AdmissionRules, Admitted, CellAdmission, Rejection, LOST_CELL_RETRY_AFTER_US};
 
 use serde::{Deserialize, Serialize};
 
--- a/src/operator/settings.rs
+++ b/src/operator/settings.rs
@@ -3,7 +3,7 @@
 use super::SettingError;
 use crate::cells::bulkhead::Bounds;
 use crate::cells::tenants::{Source, TenantResolver};
-use crate::cells::{quarantine, Rules};
+use crate::cells::{quarantine, AdmissionRules};
 use crate::config::Config;
 use crate::health::drain::{Balancer, DetectionMethod, Drain, Timetable};
 use crate::health::HealthOptions;
@@ -90,7 +90,7 @@
     /// # Errors
     ///
     /// The key at fault and what is wrong with its value.
-    pub fn rules(&self) -> Result<Rules, SettingError> {
+    pub fn rules(&self) -> Result<AdmissionRules, SettingError> {
         if self.who.is_empty() {
             return Err(SettingError::new(
                 "who",
@@ -104,8 +104,8 @@
         within("lease_ms", self.lease_ms, 2 * self.reread_ms, 600_000)?;
         self.check_quarantine()?;
         let bounds = self.bounds.iter();
-        Ok(Rules {
-            who: TenantResolver::new(self.who.clone())?,
+        Ok(AdmissionRules {
+            tenant_resolver: TenantResolver::new(self.who.clone())?,
             bounds: bounds
                 .map(|(cell, bounds)| (cell.clone(), bounds.enforced()))
                 .collect(),
