--- a/src/bin/asterreel/cells.rs
+++ b/src/bin/asterreel/cells.rs
@@ -31,7 +31,7 @@
         let rules = settings
             .rules()
             .map_err(|error| io::Error::other(error.below("cells")))?;
-        let by_statement = rules.tenant_resolver.by_statement();
+        let by_statement = rules.tenant_resolver.varies_by_statement();
         let mut file = PlacementFile::new(settings, clock);
         let fresh_until = file.fresh_until();
         let placement = file.read_first().map_err(|error| {
--- a/src/cells/tenants.rs
+++ b/src/cells/tenants.rs
@@ -108,7 +108,7 @@
     }
 
     /// Whether a tenant can differ from statement to statement of one session.
-    pub fn by_statement(&self) -> bool {
+    pub fn varies_by_statement(&self) -> bool {
         self.sources
             .iter()
             .any(|source| matches!(source, Source::TrustedComment(_)))
--- a/src/cells/tenants/tests.rs
+++ b/src/cells/tenants/tests.rs
@@ -33,7 +33,7 @@
         ..caller("192.0.2.1")
     };
     assert_eq!(who.resolve(&nameless), None);
-    assert!(!who.by_statement());
+    assert!(!who.varies_by_statement());
 }
 
 #[test]
@@ -54,7 +54,7 @@
         }),
         Some("web")
     );
-    assert!(who.by_statement());
+    assert!(who.varies_by_statement());
     let twice = TenantResolver::new(vec![Source::User, Source::User]).expect_err("twice");
     assert_eq!(twice.0, "who[1]");
     let nets = vec![net("10.0.0.0/8", "one"), net("10.0.0.0/8", "two")];
