--- a/src/bin/asterreel/cells.rs
+++ b/src/bin/asterreel/cells.rs
@@ -4,7 +4,7 @@
 //! changes nothing: the placement in force stays until its lease is over, and writes stop then.
 
 use asterreel::cells::placement::Placement;
-use asterreel::cells::quarantine::{AttemptEffect, QuarantineDecision};
+use asterreel::cells::quarantine::{MemberOutcome, QuarantineDecision};
 use asterreel::cells::tenants::Caller;
 use asterreel::cells::{record, Admitted, CellAdmission, Epoch, Rejection};
 use asterreel::interface::{Idempotency, MemberId, Micros, Outcome};
@@ -168,9 +168,9 @@
     /// An attempt has ended. Only a connection that broke under it is a sign of a crash; silence may be load.
     pub(crate) fn attempted(&self, member: MemberId, outcome: Outcome) {
         let after = match outcome {
-            Outcome::Reset => AttemptEffect::Died,
+            Outcome::Reset => MemberOutcome::Crashed,
             Outcome::Served | Outcome::Error | Outcome::Misrouted | Outcome::Rejected => {
-                AttemptEffect::Answered
+                MemberOutcome::Answered
             }
             _ => return,
         };
--- a/src/cells/admission.rs
+++ b/src/cells/admission.rs
@@ -4,7 +4,7 @@
 use super::bulkhead::{Bounds, Bulkheads, Exhausted, Resource};
 use super::placement::Placement;
 use super::quarantine::{
-    fingerprint, AttemptEffect, Fingerprint, Quarantine, QuarantineDecision, QuarantineOptions,
+    fingerprint, Fingerprint, MemberOutcome, Quarantine, QuarantineDecision, QuarantineOptions,
 };
 use super::tenants::{Caller, TenantResolver};
 use super::{stable_hash, CellId, Epoch};
@@ -216,7 +216,7 @@
         now: Micros,
         admitted: &Admitted,
         member: MemberId,
-        after: AttemptEffect,
+        after: MemberOutcome,
     ) {
         self.quarantine
             .ended(now, (admitted.tenant, admitted.shape), member, after);
--- a/src/cells/admission/tests.rs
+++ b/src/cells/admission/tests.rs
@@ -120,7 +120,7 @@
             gate.attempt(0, &admitted, Idempotency::Idempotent, false, 0),
             QuarantineDecision::Go
         );
-        gate.attempted(0, &admitted, member, AttemptEffect::Died);
+        gate.attempted(0, &admitted, member, MemberOutcome::Crashed);
     }
     assert_eq!(
         gate.attempt(0, &admitted, Idempotency::NonIdempotent, true, 0),
--- a/src/cells/quarantine.rs
+++ b/src/cells/quarantine.rs
@@ -52,11 +52,11 @@
 
 /// How an attempt's member fared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptEffect {
+pub enum MemberOutcome {
     /// It answered, whatever it said.
     Answered,
     /// Its connections broke, or new ones were refused, while the attempt was out.
-    Died,
+    Crashed,
     /// It went silent while the attempt was out.
     Hung,
 }
@@ -142,9 +142,9 @@
         now: Micros,
         (tenant, shape): (u64, Fingerprint),
         member: MemberId,
-        after: AttemptEffect,
+        after: MemberOutcome,
     ) {
-        if after == AttemptEffect::Answered {
+        if after == MemberOutcome::Answered {
             let answered = |suspect: &mut Suspect| {
                 let count = if suspect.victims.is_empty() {
                     &mut suspect.known
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -5,7 +5,7 @@
 };
 use asterreel::cells::placement::{Cell, Home, Order, Placement, Published, Range};
 use asterreel::cells::quarantine::{
-    fingerprint, AttemptEffect, Quarantine, QuarantineDecision, QuarantineOptions,
+    fingerprint, MemberOutcome, Quarantine, QuarantineDecision, QuarantineOptions,
 };
 use asterreel::cells::record::{decode, encode, RecordError};
 use asterreel::cells::{CellId, Epoch};
@@ -306,15 +306,15 @@
         admit(&mut quarantine, now, Idempotency::Idempotent, false),
         QuarantineDecision::Go
     );
-    quarantine.ended(now, whose, MemberId(1), AttemptEffect::Died);
-    quarantine.ended(now, whose, MemberId(1), AttemptEffect::Hung);
-    quarantine.ended(now, whose, MemberId(2), AttemptEffect::Answered);
+    quarantine.ended(now, whose, MemberId(1), MemberOutcome::Crashed);
+    quarantine.ended(now, whose, MemberId(1), MemberOutcome::Hung);
+    quarantine.ended(now, whose, MemberId(2), MemberOutcome::Answered);
     assert_eq!(
         admit(&mut quarantine, now, Idempotency::Idempotent, false),
         QuarantineDecision::Go,
         "one member only, twice"
     );
-    quarantine.ended(now, whose, MemberId(2), AttemptEffect::Died);
+    quarantine.ended(now, whose, MemberId(2), MemberOutcome::Crashed);
     assert_eq!(
         admit(&mut quarantine, now, Idempotency::Idempotent, true),
         QuarantineDecision::Refuse
@@ -340,8 +340,8 @@
         admit(&mut quarantine, now, Idempotency::Idempotent, false),
         QuarantineDecision::Go
     );
-    quarantine.ended(now, whose, MemberId(1), AttemptEffect::Died);
-    quarantine.ended(now, whose, MemberId(2), AttemptEffect::Died);
+    quarantine.ended(now, whose, MemberId(1), MemberOutcome::Crashed);
+    quarantine.ended(now, whose, MemberId(2), MemberOutcome::Crashed);
     assert_eq!(quarantine.list(now), [(shape, now + 600 * S)]);
     assert!(quarantine.lift(shape) && !quarantine.lift(shape));
     assert_eq!(
@@ -366,7 +366,7 @@
     // Four shapes, a member each: the tenant is shut.
     for member in 0..4 {
         let shape = fingerprint("one", format!("SELECT c{member}_").as_bytes());
-        quarantine.ended(now, (1, shape), MemberId(member), AttemptEffect::Hung);
+        quarantine.ended(now, (1, shape), MemberId(member), MemberOutcome::Hung);
     }
     assert_eq!(
         quarantine.admit(now, whose, Idempotency::Idempotent, false, 0),
@@ -374,7 +374,7 @@
     );
     for shape in 0..10_000u32 {
         let shape = fingerprint(&format!("t{shape}"), b"x");
-        quarantine.ended(now, (shape.0, shape), MemberId(1), AttemptEffect::Died);
+        quarantine.ended(now, (shape.0, shape), MemberId(1), MemberOutcome::Crashed);
     }
     assert!(quarantine.len() <= 200, "{}", quarantine.len());
     assert_eq!(
@@ -628,9 +628,9 @@
     let mut quarantine = Quarantine::new(QuarantineOptions::default());
     let (now, whose) = (100 * S, (1, fingerprint("one", b"SELECT everyday")));
     for death in 0..6 {
-        quarantine.ended(now, whose, MemberId(death), AttemptEffect::Died);
+        quarantine.ended(now, whose, MemberId(death), MemberOutcome::Crashed);
         for _ in 0..100 {
-            quarantine.ended(now, whose, MemberId(9), AttemptEffect::Answered);
+            quarantine.ended(now, whose, MemberId(9), MemberOutcome::Answered);
         }
         let verdict = quarantine.admit(now, whose, Idempotency::Idempotent, false, 0);
         // The second death of two in a row would shut it; with answers between them it is nobody's doing.
@@ -647,12 +647,12 @@
         (2, fingerprint("two", b"SELECT new")),
     );
     for _ in 0..10 {
-        quarantine.ended(now, known, MemberId(1), AttemptEffect::Answered);
+        quarantine.ended(now, known, MemberId(1), MemberOutcome::Answered);
     }
     // Both are in flight when two members die, one after the other, and only the new one is to blame.
     for death in 0..2 {
-        quarantine.ended(now, known, MemberId(death), AttemptEffect::Died);
-        quarantine.ended(now, new, MemberId(death), AttemptEffect::Died);
+        quarantine.ended(now, known, MemberId(death), MemberOutcome::Crashed);
+        quarantine.ended(now, new, MemberId(death), MemberOutcome::Crashed);
     }
     assert_eq!(
         quarantine.admit(now, known, Idempotency::Idempotent, false, 0),
@@ -664,7 +664,7 @@
     );
     // A release that turned it into poison: deaths go on, and answers don't.
     for death in 2..4 {
-        quarantine.ended(now, known, MemberId(death), AttemptEffect::Died);
+        quarantine.ended(now, known, MemberId(death), MemberOutcome::Crashed);
     }
     assert_eq!(
         quarantine.admit(now, known, Idempotency::Idempotent, false, 0),
