--- a/src/bin/asterreel/front/request.rs
+++ b/src/bin/asterreel/front/request.rs
@@ -56,7 +56,7 @@
             self.may_have_run,
             self.failed_members.len(),
         ) {
-            QuarantineDecision::Go => Ok(()),
+            QuarantineDecision::Allow => Ok(()),
             QuarantineDecision::Refuse => Err(ErrorAnswer::Rejected {
                 text,
                 retry_after: None,
--- a/src/cells/admission.rs
+++ b/src/cells/admission.rs
@@ -171,7 +171,7 @@
         if self
             .quarantine
             .admit(now, (tenant, shape), Idempotency::Idempotent, false, 0)
-            != QuarantineDecision::Go
+            != QuarantineDecision::Allow
         {
             return Err(Rejection::Poison);
         }
--- a/src/cells/admission/tests.rs
+++ b/src/cells/admission/tests.rs
@@ -118,7 +118,7 @@
     for member in [MemberId(1), MemberId(2)] {
         assert_eq!(
             gate.attempt(0, &admitted, Idempotency::Idempotent, false, 0),
-            QuarantineDecision::Go
+            QuarantineDecision::Allow
         );
         gate.attempted(0, &admitted, member, MemberOutcome::Crashed);
     }
--- a/src/cells/quarantine.rs
+++ b/src/cells/quarantine.rs
@@ -65,7 +65,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineDecision {
     /// Let it go.
-    Go,
+    Allow,
     /// No attempt: nothing of the request ran, or it may be repeated, so it is refused.
     Refuse,
     /// No attempt: one that may have run is out of the question for a refusal.
@@ -126,7 +126,7 @@
                 .is_some_and(|suspect| suspect.until > now)
             || victims >= self.options.members;
         match (shut, idempotency) {
-            (false, _) => QuarantineDecision::Go,
+            (false, _) => QuarantineDecision::Allow,
             (true, Idempotency::Idempotent) => QuarantineDecision::Refuse,
             (true, _) if !ran => QuarantineDecision::Refuse,
             (true, _) => QuarantineDecision::Fail,
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -304,14 +304,14 @@
     };
     assert_eq!(
         admit(&mut quarantine, now, Idempotency::Idempotent, false),
-        QuarantineDecision::Go
+        QuarantineDecision::Allow
     );
     quarantine.ended(now, whose, MemberId(1), MemberOutcome::Crashed);
     quarantine.ended(now, whose, MemberId(1), MemberOutcome::Hung);
     quarantine.ended(now, whose, MemberId(2), MemberOutcome::Answered);
     assert_eq!(
         admit(&mut quarantine, now, Idempotency::Idempotent, false),
-        QuarantineDecision::Go,
+        QuarantineDecision::Allow,
         "one member only, twice"
     );
     quarantine.ended(now, whose, MemberId(2), MemberOutcome::Crashed);
@@ -332,13 +332,13 @@
     let other = (2, fingerprint("two", b"SELECT x FROM t WHERE a = 'p'"));
     assert_eq!(
         quarantine.admit(now, other, Idempotency::Idempotent, false, 0),
-        QuarantineDecision::Go
+        QuarantineDecision::Allow
     );
     // It ages out; when it comes back, it is shut for twice as long.
     now += 301 * S;
     assert_eq!(
         admit(&mut quarantine, now, Idempotency::Idempotent, false),
-        QuarantineDecision::Go
+        QuarantineDecision::Allow
     );
     quarantine.ended(now, whose, MemberId(1), MemberOutcome::Crashed);
     quarantine.ended(now, whose, MemberId(2), MemberOutcome::Crashed);
@@ -346,7 +346,7 @@
     assert!(quarantine.lift(shape) && !quarantine.lift(shape));
     assert_eq!(
         admit(&mut quarantine, now, Idempotency::Idempotent, false),
-        QuarantineDecision::Go
+        QuarantineDecision::Allow
     );
 }
 
@@ -634,7 +634,7 @@
         }
         let verdict = quarantine.admit(now, whose, Idempotency::Idempotent, false, 0);
         // The second death of two in a row would shut it; with answers between them it is nobody's doing.
-        assert_eq!(verdict, QuarantineDecision::Go, "after {death}");
+        assert_eq!(verdict, QuarantineDecision::Allow, "after {death}");
     }
 }
 
@@ -656,7 +656,7 @@
     }
     assert_eq!(
         quarantine.admit(now, known, Idempotency::Idempotent, false, 0),
-        QuarantineDecision::Go
+        QuarantineDecision::Allow
     );
     assert_eq!(
         quarantine.admit(now, new, Idempotency::Idempotent, false, 0),
