--- a/src/bin/asterreel/cells.rs
+++ b/src/bin/asterreel/cells.rs
@@ -78,14 +78,14 @@
         let fresh_until = file.fresh_until();
         let bytes = std::fs::read(&file.path)?;
         if bytes == file.bytes_in_force {
-            self.with_gate(|gate| gate.renewed(fresh_until));
+            self.with_gate(|gate| gate.renew_lease(fresh_until));
             return Ok(());
         }
         let epoch_in_force = self.with_gate(|gate| gate.epoch());
         // Decoded outside the lock, which requests wait for.
         let placement = record::decode(&bytes, epoch_in_force).map_err(io::Error::other)?;
         let epoch = placement.epoch;
-        if self.with_gate(|gate| gate.placed(placement, fresh_until)) {
+        if self.with_gate(|gate| gate.update_placement(placement, fresh_until)) {
             info!(epoch = epoch.0, "placement");
             file.bytes_in_force = bytes;
         }
@@ -162,7 +162,7 @@
     ) -> QuarantineDecision {
         let now = self.cells.clock.now();
         self.cells
-            .with_gate(|gate| gate.attempt(now, &self.admitted, idempotency, ran, victims))
+            .with_gate(|gate| gate.admit_attempt(now, &self.admitted, idempotency, ran, victims))
     }
 
     /// An attempt has ended. Only a connection that broke under it is a sign of a crash; silence may be load.
@@ -176,13 +176,14 @@
         };
         let now = self.cells.clock.now();
         self.cells
-            .with_gate(|gate| gate.attempted(now, &self.admitted, member, after));
+            .with_gate(|gate| gate.attempt_ended(now, &self.admitted, member, after));
     }
 }
 
 impl Drop for Placed {
     fn drop(&mut self) {
         let now = self.cells.clock.now();
-        self.cells.with_gate(|gate| gate.ended(now, &self.admitted));
+        self.cells
+            .with_gate(|gate| gate.request_ended(now, &self.admitted));
     }
 }
--- a/src/cells/admission.rs
+++ b/src/cells/admission.rs
@@ -122,7 +122,7 @@
     }
 
     /// The placement's source was asked and has this; one of an older epoch is refused.
-    pub fn placed(&mut self, placement: Placement, fresh_until: Micros) -> bool {
+    pub fn update_placement(&mut self, placement: Placement, fresh_until: Micros) -> bool {
         if placement.epoch < self.placement.epoch {
             return false;
         }
@@ -132,7 +132,7 @@
     }
 
     /// The source was asked and has nothing new.
-    pub fn renewed(&mut self, fresh_until: Micros) {
+    pub fn renew_lease(&mut self, fresh_until: Micros) {
         self.fresh_until = fresh_until.max(self.fresh_until);
     }
 
@@ -193,7 +193,7 @@
     }
 
     /// Whether an attempt of a request may go out; `victims` is how many of its own attempts a member died under.
-    pub fn attempt(
+    pub fn admit_attempt(
         &mut self,
         now: Micros,
         admitted: &Admitted,
@@ -211,7 +211,7 @@
     }
 
     /// An attempt has ended, and its member fared so.
-    pub fn attempted(
+    pub fn attempt_ended(
         &mut self,
         now: Micros,
         admitted: &Admitted,
@@ -223,7 +223,7 @@
     }
 
     /// A request is over.
-    pub fn ended(&mut self, now: Micros, admitted: &Admitted) {
+    pub fn request_ended(&mut self, now: Micros, admitted: &Admitted) {
         let open = now.saturating_sub(admitted.at);
         self.bulkheads
             .release(admitted.cell, Resource::Request(admitted.bytes), open);
--- a/src/cells/admission/tests.rs
+++ b/src/cells/admission/tests.rs
@@ -73,7 +73,7 @@
     assert!(
         [GroupId(20), GroupId(21)].contains(&ask(&mut gate, 0, "b", false).expect("room").group)
     );
-    gate.ended(50, &first);
+    gate.request_ended(50, &first);
     ask(&mut gate, 60, "a", false).expect("room again");
     assert_eq!(ask(&mut gate, 60, "", false), Err(Rejection::UnknownTenant));
     assert_eq!(
@@ -90,17 +90,20 @@
         Err(Rejection::Moving(MIGRATING_RETRY_AFTER_US))
     );
     ask(&mut gate, 0, "b", false).expect("a read");
-    assert!(!gate.placed(placement(0, vec![]), 9_000), "back in epoch");
-    assert!(gate.placed(placement(2, vec![("b".into(), home(0, 2, false))]), 2_000));
+    assert!(
+        !gate.update_placement(placement(0, vec![]), 9_000),
+        "back in epoch"
+    );
+    assert!(gate.update_placement(placement(2, vec![("b".into(), home(0, 2, false))]), 2_000));
     let moved = ask(&mut gate, 1_500, "b", true).expect("moved");
     assert!(moved.cell == CellId(0) && moved.epoch == Epoch(2));
-    gate.ended(1_600, &moved);
+    gate.request_ended(1_600, &moved);
     assert_eq!(
         ask(&mut gate, 2_000, "b", true),
         Err(Rejection::Stale(MIGRATING_RETRY_AFTER_US))
     );
     ask(&mut gate, 2_000, "b", false).expect("a read");
-    gate.renewed(3_000);
+    gate.renew_lease(3_000);
     assert!(matches!(
         ask(&mut gate, 2_000, "b", true),
         Err(Rejection::Exhausted(..))
@@ -112,18 +115,18 @@
     let mut gate = gate(vec![("b".into(), home(1, 1, false))]);
     let admitted = ask(&mut gate, 0, "b", false).expect("room");
     assert_eq!(
-        gate.attempt(0, &admitted, Idempotency::Idempotent, true, 2),
+        gate.admit_attempt(0, &admitted, Idempotency::Idempotent, true, 2),
         QuarantineDecision::Refuse
     );
     for member in [MemberId(1), MemberId(2)] {
         assert_eq!(
-            gate.attempt(0, &admitted, Idempotency::Idempotent, false, 0),
+            gate.admit_attempt(0, &admitted, Idempotency::Idempotent, false, 0),
             QuarantineDecision::Allow
         );
-        gate.attempted(0, &admitted, member, MemberOutcome::Crashed);
+        gate.attempt_ended(0, &admitted, member, MemberOutcome::Crashed);
     }
     assert_eq!(
-        gate.attempt(0, &admitted, Idempotency::NonIdempotent, true, 0),
+        gate.admit_attempt(0, &admitted, Idempotency::NonIdempotent, true, 0),
         QuarantineDecision::Fail
     );
     assert_eq!(ask(&mut gate, 0, "b", false), Err(Rejection::Poison));
