--- a/src/bin/asterreel/front/gateway.rs
+++ b/src/bin/asterreel/front/gateway.rs
@@ -123,7 +123,7 @@
     /// Sets how many gateways share the number of clients that the fleet may admit.
     pub(crate) fn set_fleet_size(&self, gateways: u32) {
         if let Some(pacing) = lock(&self.admission_pacing).as_mut() {
-            pacing.share(gateways);
+            pacing.set_gateway_count(gateways);
         }
     }
 
--- a/src/readmission/mod.rs
+++ b/src/readmission/mod.rs
@@ -107,7 +107,7 @@
     }
 
     /// So many gateways share the budget from now on. Slots that were given stay: each client was told its time.
-    pub fn share(&mut self, gateways: u32) {
+    pub fn set_gateway_count(&mut self, gateways: u32) {
         self.gateways = gateways.max(1);
     }
 
--- a/src/readmission/tests.rs
+++ b/src/readmission/tests.rs
@@ -146,7 +146,7 @@
 fn share_follows_the_number_of_gateways() {
     let rate = |gateways: u32| {
         let mut pacing = Readmission::new(options(), 5, 1);
-        pacing.share(gateways);
+        pacing.set_gateway_count(gateways);
         let came = (0..100_000).map(|n| pacing.arrive(SECOND + n * 100, address(7)));
         came.filter(|answer| *answer == Answer::Admit).count()
     };
