--- a/src/bin/asterreel/main.rs
+++ b/src/bin/asterreel/main.rs
@@ -162,7 +162,7 @@
         .health
         .as_ref()
         .map_or(0, |health| health.descriptors());
-    let descriptors = Descriptors::divide(config.sockets, for_health);
+    let descriptors = Descriptors::divide(config.max_descriptors, for_health);
     let RequestPath {
         core,
         pool,
@@ -179,7 +179,7 @@
         pool,
         &config.setup,
         &config.settings,
-        ClientLimits::new(descriptors.clients, config.sockets),
+        ClientLimits::new(descriptors.clients, config.max_descriptors),
         cells,
     ));
     if let Some(pacing) = operator.readmission.clone() {
--- a/src/bin/asterreel/server.rs
+++ b/src/bin/asterreel/server.rs
@@ -188,7 +188,7 @@
     let keys_applied_at_start = [
         ("name", config.name != reread.name),
         ("listen", config.listen != reread.listen),
-        ("limits", config.sockets != reread.sockets),
+        ("limits", config.max_descriptors != reread.max_descriptors),
         ("settings", config.settings != reread.settings),
     ];
     for (key, _) in keys_applied_at_start
--- a/src/config.rs
+++ b/src/config.rs
@@ -32,7 +32,7 @@
     /// Seed of the random numbers.
     pub seed: u64,
     /// File descriptors that the process may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// The list of endpoints as last known; its age is not known.
     pub known: EndpointList,
     /// The settings as the platform gives them.
@@ -258,7 +258,7 @@
             discovery,
             discovery_in_file: file.discovery,
             seed,
-            sockets: file.limits.sockets,
+            max_descriptors: file.limits.sockets,
             known: file.known,
             setup: file.settings,
             settings,
--- a/src/operator/settings.rs
+++ b/src/operator/settings.rs
@@ -296,7 +296,7 @@
                 return Err(SettingError::new(key, fault));
             }
         }
-        if self.descriptors() > config.sockets / MIN_SOCKETS_PER_HEALTH_DESCRIPTOR {
+        if self.descriptors() > config.max_descriptors / MIN_SOCKETS_PER_HEALTH_DESCRIPTOR {
             let fault = format!(
                 "{} descriptors are more than a quarter of limits.sockets",
                 self.descriptors()
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -11,7 +11,10 @@
 #[test]
 fn environment_overrides_the_example() {
     let config = parse(EXAMPLE).expect("the example is good");
-    assert_eq!((config.name.as_str(), config.sockets), ("example", 1024));
+    assert_eq!(
+        (config.name.as_str(), config.max_descriptors),
+        ("example", 1024)
+    );
     assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
     assert_eq!(
         (config.known.members.len(), config.settings.classes.len()),
