--- a/src/bin/asterreel/core/tests.rs
+++ b/src/bin/asterreel/core/tests.rs
@@ -34,7 +34,7 @@
 fn update_with_invalid_endpoint_changes_nothing() {
     let (core, config, (checks_asked, watches_asked)) = core_with_channels();
     let clock = core.clock;
-    core.listed(UpdateKind::CachedSnapshot, &config.known)
+    core.listed(UpdateKind::CachedSnapshot, &config.known_endpoints)
         .expect("good");
     assert!(watches_asked.try_recv().is_ok());
     let checks: Vec<HealthCheck> = checks_asked.try_iter().collect();
@@ -45,7 +45,7 @@
         |list| list.members[1].address = "x".into(),
     ];
     for corrupt in corrupt {
-        let mut bad = config.known.clone();
+        let mut bad = config.known_endpoints.clone();
         bad.members.remove(0);
         bad.members.push(bad.members[0].clone());
         corrupt(&mut bad);
@@ -81,14 +81,14 @@
 fn removed_member_comes_back_as_new() {
     let (core, config) = core();
     for round in 0..5 {
-        let mut list = config.known.clone();
+        let mut list = config.known_endpoints.clone();
         list.members[1].store = format!("s-{round}");
         core.listed(UpdateKind::Snapshot, &list).expect("good");
         core.with(|state| assert_eq!(state.members.counts(), (2, 2)));
     }
     let mut gone = EndpointList {
         complete: false,
-        ..config.known.clone()
+        ..config.known_endpoints.clone()
     };
     gone.members
         .iter_mut()
--- a/src/bin/asterreel/front/tests.rs
+++ b/src/bin/asterreel/front/tests.rs
@@ -39,7 +39,7 @@
         let ((probes, asked), (watches, _watched)) = (channel(), channel());
         let core =
             Arc::new(Core::new(&config, clock, timer.clone(), probes, watches).expect("good"));
-        core.listed(UpdateKind::CachedSnapshot, &config.known)
+        core.listed(UpdateKind::CachedSnapshot, &config.known_endpoints)
             .expect("good");
         let primary = MemberReport {
             role: Some(Role::Primary),
--- a/src/bin/asterreel/health/tests.rs
+++ b/src/bin/asterreel/health/tests.rs
@@ -18,7 +18,7 @@
         Config::parse(include_bytes!("../../../../examples/config.json"), |_| None).expect("good");
     // Nobody listens there.
     config
-        .known
+        .known_endpoints
         .members
         .iter_mut()
         .for_each(|member| member.address = "127.0.0.1:1".into());
@@ -35,7 +35,7 @@
     let pool = Arc::new(Pool::new(clock, timer.clone(), 8, 15_000_000, 250_000));
     let woken = core.clone();
     std::thread::spawn(move || timer.run(|| woken.timer_fired()));
-    core.listed(UpdateKind::Snapshot, &config.known)
+    core.listed(UpdateKind::Snapshot, &config.known_endpoints)
         .expect("good");
     // Free a moment ago; nothing else of this machine picks an address of its own there.
     let port = || {
--- a/src/bin/asterreel/startup.rs
+++ b/src/bin/asterreel/startup.rs
@@ -98,9 +98,9 @@
     start_timer(timer, &core)?;
     let (checking, checking_pool) = (core.clone(), pool.clone());
     coroutine::spawn(move || run_health_checks(&checking, &checking_pool, &checks_asked));
-    core.listed(UpdateKind::CachedSnapshot, &config.known)
+    core.listed(UpdateKind::CachedSnapshot, &config.known_endpoints)
         .map_err(|error| format!("configuration: known: {error}"))?;
-    let first_list = watch_discovery(&core, &source, &config.known, watches_asked)?;
+    let first_list = watch_discovery(&core, &source, &config.known_endpoints, watches_asked)?;
     Ok(RequestPath {
         core,
         pool,
--- a/src/config.rs
+++ b/src/config.rs
@@ -34,7 +34,7 @@
     /// File descriptors that the process may hold.
     pub max_descriptors: usize,
     /// The list of endpoints as last known; its age is not known.
-    pub known: EndpointList,
+    pub known_endpoints: EndpointList,
     /// The settings as the platform gives them.
     pub setup: Setup,
     /// The settings in the types of [`crate::interface`].
@@ -259,7 +259,7 @@
             discovery_in_file: file.discovery,
             seed,
             max_descriptors: file.limits.sockets,
-            known: file.known,
+            known_endpoints: file.known,
             setup: file.settings,
             settings,
         })
--- a/tests/config.rs
+++ b/tests/config.rs
@@ -17,7 +17,10 @@
     );
     assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
     assert_eq!(
-        (config.known.members.len(), config.settings.classes.len()),
+        (
+            config.known_endpoints.members.len(),
+            config.settings.classes.len()
+        ),
         (2, 2)
     );
     let environment = |name: &str| (name == "RELAY_LISTEN").then(|| "127.0.0.9:1".to_owned());
