--- a/src/bin/asterreel/discovery/mod.rs
+++ b/src/bin/asterreel/discovery/mod.rs
@@ -102,7 +102,7 @@
 
     fn begin_call(&mut self, address: SocketAddr) {
         let now = self.core.clock.now();
-        self.subscription.call(now);
+        self.subscription.call_started(now);
         info!(
             calls = self.subscription.calls(),
             after = self.subscription.revision(),
--- a/src/discovery/subscription.rs
+++ b/src/discovery/subscription.rs
@@ -61,7 +61,7 @@
     }
 
     /// A call begins; it counts as failed until it brings an update.
-    pub fn call(&mut self, now: Micros) {
+    pub fn call_started(&mut self, now: Micros) {
         self.calls += 1;
         self.consecutive_failures += 1;
         self.watch = Watch::call(now);
--- a/src/discovery/subscription/tests.rs
+++ b/src/discovery/subscription/tests.rs
@@ -15,7 +15,7 @@
     let mut subscription = Subscription::new(SECOND, 7);
     for call in 1..4 {
         let called_at = call * 2 * SECOND;
-        subscription.call(called_at);
+        subscription.call_started(called_at);
         subscription.receive(called_at + SECOND, between_updates());
         let now = called_at + 2 * SECOND;
         assert_eq!(subscription.staleness(now), now - SECOND, "since the start");
@@ -29,14 +29,14 @@
 #[test]
 fn contact_after_an_update_keeps_the_list_current() {
     let mut subscription = Subscription::new(0, 7);
-    subscription.call(SECOND);
+    subscription.call_started(SECOND);
     let staleness = subscription.update_applied(2 * SECOND, 8);
     assert_eq!(staleness, 2 * SECOND, "of the list before it");
     assert_eq!((subscription.revision(), subscription.updates()), (8, 1));
     subscription.receive(3 * SECOND, between_updates());
     assert_eq!(subscription.staleness(5 * SECOND), 2 * SECOND);
     assert_eq!(subscription.consecutive_failures(), 0);
-    subscription.call(6 * SECOND);
+    subscription.call_started(6 * SECOND);
     subscription.receive(7 * SECOND, between_updates());
     assert_eq!(
         subscription.staleness(7 * SECOND),
