--- a/src/bin/asterreel/cli/cells.rs
+++ b/src/bin/asterreel/cli/cells.rs
@@ -103,7 +103,7 @@
     let full_overlap = overlap.full as f64 * 100.0 / overlap.pairs.max(1) as f64;
     say(&format!(
         "two tenants share {} groups at most; {full_overlap:.1}% of pairs share all of theirs",
-        overlap.most
+        overlap.max_shared
     ));
     Ok(())
 }
--- a/src/cells/placement.rs
+++ b/src/cells/placement.rs
@@ -256,7 +256,7 @@
                     .iter()
                     .filter(|group| other.groups().contains(group))
                     .count();
-                overlap.most = overlap.most.max(shared);
+                overlap.max_shared = overlap.max_shared.max(shared);
                 overlap.pairs += 1;
                 overlap.shared += shared as u64;
                 overlap.full += u64::from(shared == self.spread);
@@ -270,7 +270,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Overlap {
     /// The most groups that two share.
-    pub most: usize,
+    pub max_shared: usize,
     /// Pairs looked at, the groups that they share in all, and the pairs that share all of theirs.
     pub pairs: u64,
     /// See `pairs`.
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -89,7 +89,7 @@
     let placement = Placement::new(published(6)).expect("good");
     let tenants: Vec<String> = (0..300).map(|tenant| format!("tenant-{tenant}")).collect();
     let overlap = placement.overlap(tenants.iter().map(String::as_str));
-    assert_eq!((overlap.most, overlap.pairs), (2, 300 * 299 / 2));
+    assert_eq!((overlap.max_shared, overlap.pairs), (2, 300 * 299 / 2));
     // One pair in six shares a cell, and of those one in six shares both of two groups out of four.
     let whole = overlap.full as f64 / overlap.pairs as f64;
     assert!((0.02..0.04).contains(&whole), "{whole}");
