--- a/src/bin/asterreel/cells.rs
+++ b/src/bin/asterreel/cells.rs
@@ -4,7 +4,7 @@
 //! changes nothing: the placement in force stays until its lease is over, and writes stop then.
 
 use asterreel::cells::placement::Placement;
-use asterreel::cells::quarantine::{AttemptEffect, QuarantineDecision};
+use asterreel::cells::quarantine::{MemberOutcome, QuarantineDecision};
 use asterreel::cells::tenants::Caller;
 use asterreel::cells::{record, Admitted, CellAdmission, Epoch, Rejection};
 use asterreel::interface::{Idempotency, MemberId, Micros, Outcome};
@@ -31,7 +31,7 @@
         let rules = settings
             .rules()
             .map_err(|error| io::Error::other(error.under_key("cells")))?;
-        let by_statement = rules.who.by_statement();
+        let by_statement = rules.tenant_resolver.varies_by_statement();
         let mut file = PlacementFile::new(settings, clock);
         let fresh_until = file.fresh_until();
         let placement = file.read_first().map_err(|error| {
@@ -78,14 +78,14 @@
         let fresh_until = file.fresh_until();
         let bytes = std::fs::read(&file.path)?;
         if bytes == file.bytes_in_force {
-            self.with_gate(|gate| gate.renewed(fresh_until));
+            self.with_gate(|gate| gate.renew_lease(fresh_until));
             return Ok(());
         }
         let epoch_in_force = self.with_gate(|gate| gate.epoch());
         // Decoded outside the lock, which requests wait for.
         let placement = record::decode(&bytes, epoch_in_force).map_err(io::Error::other)?;
         let epoch = placement.epoch;
-        if self.with_gate(|gate| gate.placed(placement, fresh_until)) {
+        if self.with_gate(|gate| gate.update_placement(placement, fresh_until)) {
             info!(epoch = epoch.0, "placement");
             file.bytes_in_force = bytes;
         }
@@ -162,27 +162,28 @@
     ) -> QuarantineDecision {
         let now = self.cells.clock.now();
         self.cells
-            .with_gate(|gate| gate.attempt(now, &self.admitted, idempotency, ran, victims))
+            .with_gate(|gate| gate.admit_attempt(now, &self.admitted, idempotency, ran, victims))
     }
 
     /// An attempt has ended. Only a connection that broke under it is a sign of a crash; silence may be load.
     pub(crate) fn attempted(&self, member: MemberId, outcome: Outcome) {
         let after = match outcome {
-            Outcome::Reset => AttemptEffect::Died,
+            Outcome::Reset => MemberOutcome::Crashed,
             Outcome::Served | Outcome::Error | Outcome::Misrouted | Outcome::Rejected => {
-                AttemptEffect::Answered
+                MemberOutcome::Answered
             }
             _ => return,
         };
         let now = self.cells.clock.now();
         self.cells
-            .with_gate(|gate| gate.attempted(now, &self.admitted, member, after));
+            .with_gate(|gate| gate.attempt_ended(now, &self.admitted, member, after));
     }
 }
 
 impl Drop for Placed {
     fn drop(&mut self) {
         let now = self.cells.clock.now();
-        self.cells.with_gate(|gate| gate.ended(now, &self.admitted));
+        self.cells
+            .with_gate(|gate| gate.request_ended(now, &self.admitted));
     }
 }
--- a/src/cells/admission.rs
+++ b/src/cells/admission.rs
@@ -4,7 +4,7 @@
 use super::bulkhead::{Bounds, Bulkheads, Exhausted, Resource};
 use super::placement::Placement;
 use super::quarantine::{
-    fingerprint, AttemptEffect, Fingerprint, Quarantine, QuarantineDecision, QuarantineOptions,
+    fingerprint, Fingerprint, MemberOutcome, Quarantine, QuarantineDecision, QuarantineOptions,
 };
 use super::tenants::{Caller, TenantResolver};
 use super::{stable_hash, CellId, Epoch};
@@ -18,9 +18,9 @@
 
 /// What the operator's file says of cells.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Rules {
+pub struct AdmissionRules {
     /// Who asks.
-    pub who: TenantResolver,
+    pub tenant_resolver: TenantResolver,
     /// Bounds of cells by name; `default` for those that are not named.
     pub bounds: Vec<(String, Bounds)>,
     /// See `bounds`.
@@ -29,7 +29,7 @@
     pub quarantine: QuarantineOptions,
 }
 
-impl Rules {
+impl AdmissionRules {
     fn bounds_of(&self, placement: &Placement) -> Vec<Bounds> {
         let named = |name: &str| {
             self.bounds
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
     /// Nobody knows who asks.
-    Nobody,
+    UnknownTenant,
     /// Its cell is full.
     Exhausted(Exhausted, Micros),
     /// Its tenant is being moved: no writes now.
@@ -59,14 +59,14 @@
     /// The placement is too old to write by.
     Stale(Micros),
     /// Its group has lost all its members, and it may go nowhere else.
-    Lost(Micros),
+    AllMembersLost(Micros),
 }
 
 impl Rejection {
     /// What to tell the client, and when to retry.
     pub fn message(self) -> (&'static str, Option<Micros>) {
         match self {
-            Rejection::Nobody => ("no tenant is known for this client", None),
+            Rejection::UnknownTenant => ("no tenant is known for this client", None),
             Rejection::Exhausted(Exhausted::Requests | Exhausted::Held, wait) => {
                 ("the cell has too many requests", Some(wait))
             }
@@ -76,7 +76,7 @@
             Rejection::Exhausted(Exhausted::Bytes, wait) => ("the cell holds too much", Some(wait)),
             Rejection::Moving(wait) => ("the tenant is being moved", Some(wait)),
             Rejection::Poison => ("this statement is quarantined", None),
-            Rejection::Lost(wait) => ("the cell has lost all its members", Some(wait)),
+            Rejection::AllMembersLost(wait) => ("the cell has lost all its members", Some(wait)),
             Rejection::Stale(wait) => ("the placement is too old", Some(wait)),
         }
     }
@@ -101,7 +101,7 @@
 
 /// All of it; see the module.
 pub struct CellAdmission {
-    rules: Rules,
+    rules: AdmissionRules,
     placement: Placement,
     bulkheads: Bulkheads,
     quarantine: Quarantine,
@@ -111,7 +111,7 @@
 
 impl CellAdmission {
     /// With a placement that may be written by until a time.
-    pub fn new(rules: Rules, placement: Placement, fresh_until: Micros) -> CellAdmission {
+    pub fn new(rules: AdmissionRules, placement: Placement, fresh_until: Micros) -> CellAdmission {
         CellAdmission {
             bulkheads: Bulkheads::new(rules.bounds_of(&placement)),
             quarantine: Quarantine::new(rules.quarantine),
@@ -122,7 +122,7 @@
     }
 
     /// The placement's source was asked and has this; one of an older epoch is refused.
-    pub fn placed(&mut self, placement: Placement, fresh_until: Micros) -> bool {
+    pub fn update_placement(&mut self, placement: Placement, fresh_until: Micros) -> bool {
         if placement.epoch < self.placement.epoch {
             return false;
         }
@@ -132,7 +132,7 @@
     }
 
     /// The source was asked and has nothing new.
-    pub fn renewed(&mut self, fresh_until: Micros) {
+    pub fn renew_lease(&mut self, fresh_until: Micros) {
         self.fresh_until = fresh_until.max(self.fresh_until);
     }
 
@@ -154,7 +154,11 @@
         statement: &[u8],
         write: bool,
     ) -> Result<Admitted, Rejection> {
-        let name = self.rules.who.resolve(caller).ok_or(Rejection::Nobody)?;
+        let name = self
+            .rules
+            .tenant_resolver
+            .resolve(caller)
+            .ok_or(Rejection::UnknownTenant)?;
         let place = self.placement.place(name, key);
         if write && place.home.held {
             return Err(Rejection::Moving(MIGRATING_RETRY_AFTER_US));
@@ -167,7 +171,7 @@
         if self
             .quarantine
             .admit(now, (tenant, shape), Idempotency::Idempotent, false, 0)
-            != QuarantineDecision::Go
+            != QuarantineDecision::Allow
         {
             return Err(Rejection::Poison);
         }
@@ -189,7 +193,7 @@
     }
 
     /// Whether an attempt of a request may go out; `victims` is how many of its own attempts a member died under.
-    pub fn attempt(
+    pub fn admit_attempt(
         &mut self,
         now: Micros,
         admitted: &Admitted,
@@ -207,19 +211,19 @@
     }
 
     /// An attempt has ended, and its member fared so.
-    pub fn attempted(
+    pub fn attempt_ended(
         &mut self,
         now: Micros,
         admitted: &Admitted,
         member: MemberId,
-        after: AttemptEffect,
+        after: MemberOutcome,
     ) {
         self.quarantine
             .ended(now, (admitted.tenant, admitted.shape), member, after);
     }
 
     /// A request is over.
-    pub fn ended(&mut self, now: Micros, admitted: &Admitted) {
+    pub fn request_ended(&mut self, now: Micros, admitted: &Admitted) {
         let open = now.saturating_sub(admitted.at);
         self.bulkheads
             .release(admitted.cell, Resource::Request(admitted.bytes), open);
--- a/src/cells/quarantine.rs
+++ b/src/cells/quarantine.rs
@@ -52,11 +52,11 @@
 
 /// How an attempt's member fared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AttemptEffect {
+pub enum MemberOutcome {
     /// It answered, whatever it said.
     Answered,
     /// Its connections broke, or new ones were refused, while the attempt was out.
-    Died,
+    Crashed,
     /// It went silent while the attempt was out.
     Hung,
 }
@@ -65,7 +65,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineDecision {
     /// Let it go.
-    Go,
+    Allow,
     /// No attempt: nothing of the request ran, or it may be repeated, so it is refused.
     Refuse,
     /// No attempt: one that may have run is out of the question for a refusal.
@@ -126,7 +126,7 @@
                 .is_some_and(|suspect| suspect.until > now)
             || victims >= self.options.members;
         match (shut, idempotency) {
-            (false, _) => QuarantineDecision::Go,
+            (false, _) => QuarantineDecision::Allow,
             (true, Idempotency::Idempotent) => QuarantineDecision::Refuse,
             (true, _) if !ran => QuarantineDecision::Refuse,
             (true, _) => QuarantineDecision::Fail,
@@ -142,9 +142,9 @@
         now: Micros,
         (tenant, shape): (u64, Fingerprint),
         member: MemberId,
-        after: AttemptEffect,
+        after: MemberOutcome,
     ) {
-        if after == AttemptEffect::Answered {
+        if after == MemberOutcome::Answered {
             let answered = |suspect: &mut Suspect| {
                 let count = if suspect.victims.is_empty() {
                     &mut suspect.known
--- a/src/config.rs
+++ b/src/config.rs
@@ -32,9 +32,9 @@
     /// Seed of the random numbers.
     pub seed: u64,
     /// File descriptors that the process may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// The list of endpoints as last known; its age is not known.
-    pub known: EndpointList,
+    pub known_endpoints: EndpointList,
     /// The settings as the platform gives them.
     pub setup: Setup,
     /// The settings in the types of [`crate::interface`].
@@ -258,8 +258,8 @@
             discovery,
             discovery_in_file: file.discovery,
             seed,
-            sockets: file.limits.sockets,
-            known: file.known,
+            max_descriptors: file.limits.sockets,
+            known_endpoints: file.known,
             setup: file.settings,
             settings,
         })
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -5,7 +5,7 @@
 };
 use asterreel::cells::placement::{Cell, Home, Order, Placement, Published, Range};
 use asterreel::cells::quarantine::{
-    fingerprint, AttemptEffect, Quarantine, QuarantineDecision, QuarantineOptions,
+    fingerprint, MemberOutcome, Quarantine, QuarantineDecision, QuarantineOptions,
 };
 use asterreel::cells::record::{decode, encode, RecordError};
 use asterreel::cells::{CellId, Epoch};
@@ -89,7 +89,7 @@
     let placement = Placement::new(published(6)).expect("good");
     let tenants: Vec<String> = (0..300).map(|tenant| format!("tenant-{tenant}")).collect();
     let overlap = placement.overlap(tenants.iter().map(String::as_str));
-    assert_eq!((overlap.most, overlap.pairs), (2, 300 * 299 / 2));
+    assert_eq!((overlap.max_shared, overlap.pairs), (2, 300 * 299 / 2));
     // One pair in six shares a cell, and of those one in six shares both of two groups out of four.
     let whole = overlap.full as f64 / overlap.pairs as f64;
     assert!((0.02..0.04).contains(&whole), "{whole}");
@@ -304,17 +304,17 @@
     };
     assert_eq!(
         admit(&mut quarantine, now, Idempotency::Idempotent, false),
-        QuarantineDecision::Go
+        QuarantineDecision::Allow
     );
-    quarantine.ended(now, whose, MemberId(1), AttemptEffect::Died);
-    quarantine.ended(now, whose, MemberId(1), AttemptEffect::Hung);
-    quarantine.ended(now, whose, MemberId(2), AttemptEffect::Answered);
+    quarantine.ended(now, whose, MemberId(1), MemberOutcome::Crashed);
+    quarantine.ended(now, whose, MemberId(1), MemberOutcome::Hung);
+    quarantine.ended(now, whose, MemberId(2), MemberOutcome::Answered);
     assert_eq!(
         admit(&mut quarantine, now, Idempotency::Idempotent, false),
-        QuarantineDecision::Go,
+        QuarantineDecision::Allow,
         "one member only, twice"
     );
-    quarantine.ended(now, whose, MemberId(2), AttemptEffect::Died);
+    quarantine.ended(now, whose, MemberId(2), MemberOutcome::Crashed);
     assert_eq!(
         admit(&mut quarantine, now, Idempotency::Idempotent, true),
         QuarantineDecision::Refuse
@@ -332,21 +332,21 @@
     let other = (2, fingerprint("two", b"SELECT x FROM t WHERE a = 'p'"));
     assert_eq!(
         quarantine.admit(now, other, Idempotency::Idempotent, false, 0),
-        QuarantineDecision::Go
+        QuarantineDecision::Allow
     );
     // It ages out; when it comes back, it is shut for twice as long.
     now += 301 * S;
     assert_eq!(
         admit(&mut quarantine, now, Idempotency::Idempotent, false),
-        QuarantineDecision::Go
+        QuarantineDecision::Allow
     );
-    quarantine.ended(now, whose, MemberId(1), AttemptEffect::Died);
-    quarantine.ended(now, whose, MemberId(2), AttemptEffect::Died);
+    quarantine.ended(now, whose, MemberId(1), MemberOutcome::Crashed);
+    quarantine.ended(now, whose, MemberId(2), MemberOutcome::Crashed);
     assert_eq!(quarantine.list(now), [(shape, now + 600 * S)]);
     assert!(quarantine.lift(shape) && !quarantine.lift(shape));
     assert_eq!(
         admit(&mut quarantine, now, Idempotency::Idempotent, false),
-        QuarantineDecision::Go
+        QuarantineDecision::Allow
     );
 }
 
@@ -366,7 +366,7 @@
     // Four shapes, a member each: the tenant is shut.
     for member in 0..4 {
         let shape = fingerprint("one", format!("SELECT c{member}_").as_bytes());
-        quarantine.ended(now, (1, shape), MemberId(member), AttemptEffect::Hung);
+        quarantine.ended(now, (1, shape), MemberId(member), MemberOutcome::Hung);
     }
     assert_eq!(
         quarantine.admit(now, whose, Idempotency::Idempotent, false, 0),
@@ -374,7 +374,7 @@
     );
     for shape in 0..10_000u32 {
         let shape = fingerprint(&format!("t{shape}"), b"x");
-        quarantine.ended(now, (shape.0, shape), MemberId(1), AttemptEffect::Died);
+        quarantine.ended(now, (shape.0, shape), MemberId(1), MemberOutcome::Crashed);
     }
     assert!(quarantine.len() <= 200, "{}", quarantine.len());
     assert_eq!(
@@ -628,13 +628,13 @@
     let mut quarantine = Quarantine::new(QuarantineOptions::default());
     let (now, whose) = (100 * S, (1, fingerprint("one", b"SELECT everyday")));
     for death in 0..6 {
-        quarantine.ended(now, whose, MemberId(death), AttemptEffect::Died);
+        quarantine.ended(now, whose, MemberId(death), MemberOutcome::Crashed);
         for _ in 0..100 {
-            quarantine.ended(now, whose, MemberId(9), AttemptEffect::Answered);
+            quarantine.ended(now, whose, MemberId(9), MemberOutcome::Answered);
         }
         let verdict = quarantine.admit(now, whose, Idempotency::Idempotent, false, 0);
         // The second death of two in a row would shut it; with answers between them it is nobody's doing.
-        assert_eq!(verdict, QuarantineDecision::Go, "after {death}");
+        assert_eq!(verdict, QuarantineDecision::Allow, "after {death}");
     }
 }
 
@@ -647,16 +647,16 @@
         (2, fingerprint("two", b"SELECT new")),
     );
     for _ in 0..10 {
-        quarantine.ended(now, known, MemberId(1), AttemptEffect::Answered);
+        quarantine.ended(now, known, MemberId(1), MemberOutcome::Answered);
     }
     // Both are in flight when two members die, one after the other, and only the new one is to blame.
     for death in 0..2 {
-        quarantine.ended(now, known, MemberId(death), AttemptEffect::Died);
-        quarantine.ended(now, new, MemberId(death), AttemptEffect::Died);
+        quarantine.ended(now, known, MemberId(death), MemberOutcome::Crashed);
+        quarantine.ended(now, new, MemberId(death), MemberOutcome::Crashed);
     }
     assert_eq!(
         quarantine.admit(now, known, Idempotency::Idempotent, false, 0),
-        QuarantineDecision::Go
+        QuarantineDecision::Allow
     );
     assert_eq!(
         quarantine.admit(now, new, Idempotency::Idempotent, false, 0),
@@ -664,7 +664,7 @@
     );
     // A release that turned it into poison: deaths go on, and answers don't.
     for death in 2..4 {
-        quarantine.ended(now, known, MemberId(death), AttemptEffect::Died);
+        quarantine.ended(now, known, MemberId(death), MemberOutcome::Crashed);
     }
     assert_eq!(
         quarantine.admit(now, known, Idempotency::Idempotent, false, 0),
