--- a/src/interface.rs
+++ b/src/interface.rs
@@ -477,10 +477,10 @@
     #[error("settings: FleetSize is 0; set it to the number of gateways")]
     NoGateways,
     /// [`Settings::max_attempts`] is 0.
-    #[error("settings: Allowed.MaxAttempts is 0; a request needs one attempt at least")]
+    #[error("settings: Allowed.MaxAttempts is 0; set it to 1 or more, as a request needs at least one attempt")]
     NoAttempts,
     /// The lists that have an element for each class differ in length.
-    #[error("settings: class arrays of unequal length: {classes} classes, {consistency_levels} consistency levels and {staleness_bounds} staleness bounds")]
+    #[error("settings: class arrays of unequal length: Profiles has {classes}, FamilyInfo.Consistency {consistency_levels} and FamilyInfo.StalenessBoundUs {staleness_bounds} entries; give each of them one entry per class")]
     UnequalClassLists {
         /// The length of [`Settings::classes`].
         classes: usize,
@@ -490,7 +490,7 @@
         staleness_bounds: usize,
     },
     /// A setting of slow start is negative or not finite.
-    #[error("settings: Rules.StartCapacity is {initial_share} and Rules.FallMultiple is {overload_multiple}; neither may be below 0 or infinite")]
+    #[error("settings: Rules.StartCapacity is {initial_share} and Rules.FallMultiple is {overload_multiple}; set both to finite numbers of 0 or more")]
     InvalidSlowStart {
         /// [`Settings::slow_start_initial_share`].
         initial_share: f64,
