--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,7 +1,7 @@
-//! Admission: what becomes of a request that arrives.
+//! Admission: whether a request that arrives is dispatched, queued or rejected.
 //!
-//! An arrival is dispatched, queued, or rejected at once where load shedding leaves it out. Writes are never shed.
-//! Reads of the least value for their work are shed first.
+//! A request that load shedding does not admit is rejected at once, unless a member has spare capacity. Writes are
+//! never shed. Reads of the least value for their work are shed first.
 
 use super::load_shedding::AnswerConditions;
 use super::requests::Request;
@@ -11,14 +11,14 @@
     Action, Arrival, ConsistencyLevel, MemberId, Micros, Outcome, SessionTokens,
 };
 
-/// Attempts in flight for each member of a group below which a large fleet sheds load; above, concurrency limits act.
+/// With fewer attempts in flight per member of a group, a large fleet sheds load; with more, concurrency limits act.
 const LOW_TRAFFIC_PER_MEMBER: f64 = 2.0;
 
 impl Router {
-    /// Takes in a request from a client.
+    /// Handles a request from a client.
     pub(super) fn on_request_arrived(&mut self, arrival: Arrival) {
         let (id, class) = (arrival.request, arrival.class.0);
-        let Some(is_queue_empty) = self.accepts(&arrival) else {
+        let Some(is_queue_empty) = self.validate_arrival(&arrival) else {
             self.actions.push(Action::Reject {
                 request: id,
                 retry_after: None,
@@ -37,7 +37,7 @@
         );
         let is_admitted = self.is_admitted(&request, consistency == ConsistencyLevel::Strong);
         self.requests.insert(id, request);
-        // What is shed may still go where there is spare capacity, past the queue.
+        // A request that is not admitted bypasses the queue if a member has spare capacity.
         if (is_queue_empty || !is_admitted) && self.try_dispatch(id) {
             return;
         }
@@ -48,8 +48,9 @@
         }
     }
 
-    /// Whether the queue of an arrival's class is empty; none where its class, group or identifier rules it out.
-    fn accepts(&self, arrival: &Arrival) -> Option<bool> {
+    /// Returns whether the queue of an arrival's class is empty, or `None` if the arrival can't be handled: its class
+    /// or group is unknown, the group has no members, or its identifier is in use.
+    fn validate_arrival(&self, arrival: &Arrival) -> Option<bool> {
         let class = arrival.class.0;
         let group = self.topology.group(arrival.group)?;
         let is_valid = class < self.settings.classes.len()
@@ -99,12 +100,12 @@
 
     /// Whether so few attempts are in flight at each member that concurrency limits can't act.
     fn has_low_traffic(&self, group: &Group) -> bool {
-        let per_member = self.fleet.oversize().min(LOW_TRAFFIC_PER_MEMBER);
+        let per_member = self.fleet.scale_factor().min(LOW_TRAFFIC_PER_MEMBER);
         f64::from(group.in_flight) < per_member * group.members.len() as f64
     }
 
-    /// Learns the admitted fraction from how an attempt ended, for the known primary and for the replicas together:
-    /// few answers of each single member reach a gateway with low traffic.
+    /// Updates the admitted fraction by how an attempt ended. The known primary has one of its own, all replicas share
+    /// one: a gateway with low traffic gets too few answers from each single replica.
     pub(super) fn observe_load(&mut self, id: MemberId, outcome: Outcome, latency_ratio: f64) {
         let Some(group) = self
             .topology
--- a/src/policy/completion.rs
+++ b/src/policy/completion.rs
@@ -1,19 +1,20 @@
 //! Final answers, and the end of requests.
 //!
-//! A request gets one final answer at most from here: a rejection where a retry by the client is harmless, a failure
-//! elsewhere. It is removed once it has its answer and no attempt is in flight.
+//! This module gives a request at most one final answer: a rejection if a retry by the client is harmless, otherwise a
+//! failure. The request is removed once it has its answer and no attempt
+//! is in flight.
 
 use super::requests::Request;
 use super::Router;
 use crate::interface::{Action, AttemptNo, Micros, RequestId};
 
-/// Mean latencies that an attempt is expected to take, when its latest dispatch is decided on.
+/// The share of its class's mean latency that an attempt is expected to take when its latest dispatch is computed.
 const EXPECTED_LATENCY_SHARE: f64 = 0.5;
-/// Batches of events that an attempt takes at least.
+/// The least latency expected of an attempt, in batch periods.
 const MIN_EXPECTED_BATCHES: Micros = 2;
 
 impl Router {
-    /// The latest dispatch of a request that still makes sense.
+    /// The latest time at which it is useful to dispatch a request.
     pub(super) fn latest_dispatch(&self, request: &Request) -> Micros {
         let class = request.class();
         let expected = (self.classes.mean_latency(class) * EXPECTED_LATENCY_SHARE) as Micros;
@@ -41,7 +42,7 @@
         self.complete(id);
     }
 
-    /// When a rejected client should retry: sooner where a primary is known.
+    /// How long a rejected client should wait before a retry, microseconds: less if the primary is known.
     fn retry_after(&self, request: &Request) -> Option<Micros> {
         let group = self.topology.group(request.arrival.group)?;
         let longest = self.settings.max_retry_after;
@@ -53,7 +54,7 @@
         self.settings.retry_after.granted().then_some(wait)
     }
 
-    /// Nothing is owed for a request any more: cancels its attempts in flight, where that is allowed.
+    /// Marks a request as answered and cancels its attempts in flight, if that is allowed and none is being streamed.
     pub(super) fn complete(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -83,7 +84,7 @@
         }
     }
 
-    /// The answer of a request is being streamed: its attempt belongs to the client now.
+    /// Marks a request whose answer is being streamed: from now on it is neither retried nor cancelled.
     pub(super) fn on_stream_started(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.streaming = true;
--- a/src/policy/consistency.rs
+++ b/src/policy/consistency.rs
@@ -9,23 +9,24 @@
 use super::Router;
 use crate::interface::{ConsistencyLevel, MemberId, Micros, ReplicaChecks, RequestId};
 
-/// How long a reported lag is taken to hold, microseconds: two health checks, so that one may be lost.
+/// How long a reported lag is assumed to hold, microseconds: two check intervals, so that one check may be lost.
 const LAG_VALID_FOR: Micros = 2 * HEALTH_CHECK_INTERVAL;
 /// How long a bounded read waits for a polled position, microseconds: a connection and a round trip, twice.
-const POLL_PATIENCE: Micros = 60_000;
+const MAX_POLL_WAIT: Micros = 60_000;
 /// How long a poll may be unanswered before another replica is polled, microseconds.
 const POLL_TIMEOUT: Micros = 25_000;
-/// Part of the staleness bound, and of the lag, after which a position is polled again.
+/// A position is polled again after the staleness bound divided by this.
 const POLL_BOUND_DIVISOR: Micros = 2;
+/// A position is polled again no sooner than after the replica's lag divided by this.
 const POLL_LAG_DIVISOR: Micros = 4;
-/// Most doublings of that interval for a member that does not answer.
+/// The most doublings of the poll interval for a member that does not answer.
 const MAX_POLL_BACKOFF_DOUBLINGS: u32 = 6;
-/// Time that writing a request into a socket may take, microseconds: a bound counts from its last byte.
+/// Time reserved for writing a request to its socket, microseconds: the staleness bound counts from the last byte.
 const SOCKET_WRITE_MARGIN: Micros = 2_000;
 
 impl Router {
-    /// Whether a replica is known, or may be taken, to have applied what a read must see. `without_primary` says that
-    /// its group has no healthy primary: then only a position that is known counts.
+    /// Whether a replica is known or assumed to have applied what a read must see. `without_primary` says that its
+    /// group has no healthy primary: then only a known position counts.
     pub(super) fn is_in_sync(
         &self,
         request: &Request,
@@ -50,15 +51,16 @@
         if !self.settings.positions.granted() {
             return member.stale_until < self.now;
         }
-        // Where members check reads, a reported lag is taken to hold for a while, or as long as making it up would
-        // take; then it is unknown, and a rejection, which costs little, will tell.
+        // Members check reads themselves here. A reported lag is assumed to hold for `LAG_VALID_FOR`, or for as long
+        // as the replica needs to catch up. After that it is unknown, and the read is sent: a rejection costs little
+        // and shows whether the replica still lags.
         let age = self.now.saturating_sub(member.position_reported_at);
         let lag_holds = age < LAG_VALID_FOR.max(member.replication_lag());
         !without_primary && (!lag_holds || member.applied_position.saturating_add(age) >= required)
     }
 
-    /// Whether an attempt decided on earlier may be written now: opening its connection took time, in which data ages
-    /// and drains are notified. A caller that writes at once need not ask.
+    /// Whether an attempt that was dispatched earlier may still be sent. While its connection is opened, the replica's
+    /// data ages and the member may start to drain. A caller that sends without delay need not check.
     pub fn may_send(&self, now: Micros, id: RequestId, to: MemberId) -> bool {
         let Some((request, member)) = self.requests.get(&id).zip(self.topology.member(to)) else {
             return false;
@@ -96,12 +98,12 @@
     }
 
     /// The replica to poll, or that is being polled, before a bounded read spills to the primary. With little traffic
-    /// each reported position is old when the next read comes, and all of them would spill.
+    /// every reported position is too old by the time of the next read; without polls all such reads would spill.
     pub(super) fn replica_to_poll(&self, request: &Request) -> Option<MemberId> {
         let group = self.topology.group(request.arrival.group)?;
-        let is_patient = self.now < request.received_at.saturating_add(POLL_PATIENCE);
+        let may_wait = self.now < request.received_at.saturating_add(MAX_POLL_WAIT);
         let may_poll = self.settings.probes.granted();
-        if !self.is_bounded_without_checks(request) || !is_patient || !may_poll {
+        if !self.is_bounded_without_checks(request) || !may_wait || !may_poll {
             return None;
         }
         let mut candidates: Vec<&Member> = self
@@ -117,7 +119,7 @@
             return Some(polled.id);
         }
         candidates.retain(|member| !member.check_in_flight);
-        // Not where long reads concentrate, as long as there is another.
+        // Skips the replica on which long reads concentrate, which has the lowest hash, if there is another.
         candidates.sort_by_key(|member| member.tie_break_hash);
         let skipped = usize::from(candidates.len() > 1);
         self.less_loaded_of_two(&candidates[skipped..])
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -1,8 +1,8 @@
-//! Dispatch: whether the rules let a request go to a member, and what a dispatch changes.
+//! Dispatch: whether the rules allow a request to be dispatched to a member, and the bookkeeping of a dispatch.
 //!
-//! A request has one attempt in flight, unless the settings allow parallel ones. A request that may have run goes only
-//! where running it again has no further effect. Nothing is dispatched to a member that drains, during a retry
-//! backoff, or beyond the slow-start tokens of a member that is warming up.
+//! A request has one attempt in flight, unless the settings allow parallel ones. A request that may have run is
+//! dispatched only to members where running it again has no further effect. Nothing is dispatched to a member that
+//! drains, during a retry backoff, or beyond the slow-start tokens of a member that is warming up.
 
 use super::member::Member;
 use super::requests::{Attempt, Request};
@@ -11,7 +11,7 @@
 use crate::interface::{Action, DeduplicationScope, Idempotency, MemberId, RequestId};
 
 impl Router {
-    /// Whether the rules on repeats, drains, backoff and slow start let a request go to a member.
+    /// Whether the rules on repeats, drains, backoff and slow start allow a request to be dispatched to a member.
     pub(super) fn may_dispatch(&self, request: &Request, member: &Member) -> bool {
         let is_second = request.has_attempt_in_flight() && !self.settings.parallel.granted();
         let backs_off = self.now < request.backoff_until;
@@ -43,7 +43,7 @@
         scope != DeduplicationScope::Zone || Some(member.zone) == first_zone
     }
 
-    /// Dispatches a request, if a member can take it now.
+    /// Dispatches a request if a member can be selected for it now. Returns whether it was dispatched.
     pub(super) fn try_dispatch(&mut self, id: RequestId) -> bool {
         let selected = self
             .requests
@@ -58,6 +58,7 @@
     /// Dispatches an attempt of a request to a member.
     pub(super) fn dispatch(&mut self, id: RequestId, to: MemberId) {
         let now = self.now;
+        // Advances the generator; member selection draws from a copy of it.
         self.rng.u64(..);
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -80,7 +81,7 @@
             .topology
             .member(to)
             .map_or(0.0, |member| self.slow_start_tokens(member));
-        // The throughput of a warm member is mostly of the lightest class: long work costs more.
+        // The token rate is based on throughput, mostly of requests of the lightest class, so longer work costs more.
         let cost = self.classes.relative_work(class);
         if let Some((member, group)) = self.topology.member_and_group_mut(to) {
             member.next_trial_at = next_trial_at;
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,7 +1,8 @@
 //! Endpoint updates: which members are in use.
 //!
 //! Adds members, restarts their slow start when their process is new, and stops using those that drain or are removed.
-//! A member is forgotten only once it is removed and owes no answer. Endpoint updates never dispatch a request.
+//! A member is dropped only once it is removed and has no attempt in flight. Endpoint updates never dispatch a
+//! request.
 
 use super::estimates::LatencyEstimate;
 use super::member::Member;
@@ -15,7 +16,7 @@
 use std::collections::BTreeSet;
 
 impl Router {
-    /// Takes in an endpoint update.
+    /// Applies an endpoint update.
     pub(super) fn on_endpoints_updated(&mut self, kind: UpdateKind, endpoints: &[Endpoint]) {
         self.schedule_first_watch(kind);
         if kind != UpdateKind::Delta {
@@ -29,7 +30,8 @@
         }
     }
 
-    /// A cached snapshot comes at the start, when no watch is open yet; any other update shows that one is.
+    /// Schedules the first call to discovery. A cached snapshot arrives at the start, before any watch is open; every
+    /// other update shows that a watch is open.
     fn schedule_first_watch(&mut self, kind: UpdateKind) {
         let starts_watch =
             kind == UpdateKind::CachedSnapshot && self.settings.discovery == DiscoveryMode::Watch;
@@ -43,7 +45,7 @@
         }
     }
 
-    /// A call to discovery failed, or the watch was lost: calls again after a backoff.
+    /// Handles a failed call to discovery or a lost watch: schedules the next call after a backoff.
     pub(super) fn on_watch_lost(&mut self, loss: WatchLoss) {
         let wait = self.discovery.next_retry_delay(loss, &mut self.rng);
         self.schedule(wait, Timer::CallDiscovery);
@@ -96,7 +98,7 @@
         self.schedule(first_check, Timer::CheckHealth(endpoint.member));
     }
 
-    /// A new process is warming up, has no failures, and no role is known of it.
+    /// Resets a member whose process is new: it is warming up, has no failures, and its role is not known.
     fn on_process_started(&mut self, id: MemberId, started_at: Micros, initial_tokens: f64) {
         let has_no_checks = !self.settings.probes.granted();
         if let Some(member) = self.topology.member_mut(id) {
@@ -107,7 +109,8 @@
             member.verified = has_no_checks;
         }
         self.demote(id);
-        // All gateways learn of a member at once; those of a large fleet check it when they need to know.
+        // All gateways are notified of a new process at the same time. Those of a large fleet check it only when they
+        // need a report, so that their checks do not all reach it at once.
         if !self.fleet.is_large() {
             self.check_health(id);
         }
@@ -123,18 +126,18 @@
             return;
         }
         self.demote(id);
-        self.forget_if_removed(id);
+        self.drop_if_removed(id);
     }
 
-    /// Forgets a member that is removed and owes no answer.
-    pub(super) fn forget_if_removed(&mut self, id: MemberId) {
+    /// Drops a member that is removed and has no attempt in flight.
+    pub(super) fn drop_if_removed(&mut self, id: MemberId) {
         let drain_signal = self.settings.drain_signal;
-        let is_over = self.topology.member(id).is_some_and(|member| {
+        let is_unused = self.topology.member(id).is_some_and(|member| {
             member.state == EndpointState::Removed
                 && member.in_flight == 0
                 && member.must_drain(drain_signal)
         });
-        if is_over {
+        if is_unused {
             self.topology.remove(id);
         }
     }
--- a/src/policy/estimates.rs
+++ b/src/policy/estimates.rs
@@ -4,9 +4,9 @@
 
 use crate::interface::{Class, Micros};
 
-/// Weight of a new sample in a running mean; it follows a change within a second or so.
+/// The weight of a new sample in a running mean, which follows a change within about a second.
 pub(crate) const SAMPLE_WEIGHT: f64 = 0.1;
-/// Mean deviations above the mean that make a tail latency; about one answer in thirty is slower.
+/// The tail latency is this many mean deviations above the mean; about one answer in thirty is slower.
 const TAIL_DEVIATIONS: f64 = 3.0;
 
 /// Moves a running mean towards a sample.
@@ -35,7 +35,7 @@
         self.mean + TAIL_DEVIATIONS * self.deviation
     }
 
-    /// Takes in the latency of an answer, or the time waited for one that did not come.
+    /// Records the latency of an answer, or the time waited for one that never arrived.
     pub(crate) fn record(&mut self, latency: Micros) {
         let error = latency as f64 - self.mean;
         self.mean += SAMPLE_WEIGHT * error;
@@ -43,7 +43,7 @@
     }
 }
 
-/// What each request class costs and is worth, as far as latency shows the work.
+/// The work and the value of each request class; the mean latency stands for the work.
 pub(crate) struct ClassEstimates {
     latencies: Vec<LatencyEstimate>,
     priority_weights: Vec<f64>,
@@ -61,7 +61,6 @@
         }
     }
 
-    /// How many classes there are.
     pub(crate) fn count(&self) -> usize {
         self.latencies.len()
     }
@@ -71,7 +70,7 @@
         self.latencies[class].mean
     }
 
-    /// Takes in a latency of a class.
+    /// Records a latency of a class.
     pub(crate) fn record(&mut self, class: usize, latency: Micros) {
         self.latencies[class].record(latency);
     }
@@ -83,11 +82,11 @@
 
     /// The work of a class as a multiple of that of the lightest class.
     pub(crate) fn relative_work(&self, class: usize) -> f64 {
-        (self.mean_latency(class) / self.lightest().max(1.0)).max(1.0)
+        (self.mean_latency(class) / self.lightest_latency().max(1.0)).max(1.0)
     }
 
     /// The mean latency of the lightest class, microseconds.
-    pub(crate) fn lightest(&self) -> f64 {
+    pub(crate) fn lightest_latency(&self) -> f64 {
         self.latencies
             .iter()
             .map(|latency| latency.mean)
@@ -95,14 +94,14 @@
     }
 }
 
-/// The span over which a group's throughput is averaged, microseconds: long beside a rolling restart, in which it
-/// must not be learned anew.
+/// The time over which a group's throughput is averaged, microseconds: much longer than a rolling restart, during
+/// which the estimate must not start over.
 const THROUGHPUT_WINDOW: Micros = 30_000_000;
-/// The least span an average is taken over, microseconds: the first answers come in a burst.
+/// The least time that throughput is averaged over, microseconds, as the first answers arrive in a burst.
 const MIN_THROUGHPUT_WINDOW: Micros = 2_000_000;
 
-/// What a group's members have carried for this gateway, in work of the lightest class. Only answered requests count,
-/// so that many unanswered ones do not look like capacity.
+/// The work that a group's members have done for this gateway, in multiples of a request of the lightest class. Only
+/// answered requests count, so that many unanswered ones do not look like capacity.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct ThroughputEstimate {
     work: f64,
@@ -111,7 +110,7 @@
 }
 
 impl ThroughputEstimate {
-    /// Takes in an answer to a request of so much work.
+    /// Records an answer to a request of this much work.
     pub(crate) fn record(&mut self, now: Micros, work: f64) {
         self.first_at.get_or_insert(now);
         self.work = self.decayed_work(now) + work;
--- a/src/policy/limits.rs
+++ b/src/policy/limits.rs
@@ -8,25 +8,25 @@
 
 /// Pressure above which a limit shrinks and load shedding stops easing.
 pub(crate) const HIGH_PRESSURE: f64 = 0.6;
-/// Attempts in flight that a member starts with.
+/// The limit of a newly listed member, attempts in flight.
 const INITIAL_LIMIT: f64 = 8.0;
-/// The least a limit shrinks to.
+/// The least limit after a reduction, attempts in flight.
 const MIN_LIMIT: f64 = 2.0;
-/// The factor of each reduction.
+/// The factor by which a reduction lowers the limit.
 const REDUCTION_FACTOR: f64 = 0.9;
-/// The least time between two reductions, microseconds: answers must first show what the last one did.
+/// The least time between two reductions, microseconds: answers must first show the effect of the last one.
 const REDUCTION_INTERVAL: Micros = 100_000;
 /// Share of [`HIGH_PRESSURE`] below which a limit grows.
 const GROWTH_PRESSURE_SHARE: f64 = 0.75;
 /// Share of the limit that must be in use for it to grow.
 const GROWTH_UTILIZATION: f64 = 0.5;
 
-/// How many own attempts in flight keep a member's latency within the objective.
+/// The number of this gateway's attempts in flight that keeps a member's latency within the objective.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ConcurrencyLimit {
-    /// Most own attempts in flight.
+    /// The most attempts of this gateway in flight.
     pub max_in_flight: f64,
-    /// Running mean of latency over the objective.
+    /// The running mean of latency as a share of the objective.
     pub pressure: f64,
     reduced_at: Micros,
 }
@@ -42,12 +42,12 @@
 }
 
 impl ConcurrencyLimit {
-    /// Lowers the limit to at most so many, from where it grows again.
+    /// Lowers the limit to `max_in_flight` if it is higher; it may grow again from there.
     pub(crate) fn lower_to(&mut self, max_in_flight: f64) {
         self.max_in_flight = self.max_in_flight.min(max_in_flight);
     }
 
-    /// Takes in an answer's latency as a share of the objective, while `in_flight` other attempts were out.
+    /// Records an answer's latency as a share of the objective, with `in_flight` other attempts still in flight.
     pub(crate) fn record(&mut self, latency_ratio: f64, in_flight: u32, now: Micros) {
         update_mean(&mut self.pressure, latency_ratio);
         let reached = f64::from(in_flight + 1);
--- a/src/policy/load_shedding.rs
+++ b/src/policy/load_shedding.rs
@@ -1,7 +1,7 @@
 //! Load shedding: which fraction of arriving reads a gateway admits.
 //!
-//! A gateway that has few attempts in flight at a member can't protect it by a concurrency limit. It learns from late
-//! and rejected answers instead which fraction of arriving reads to admit.
+//! A gateway that has few attempts in flight at a member can't protect it by a concurrency limit. Instead it derives
+//! from late answers and rejections which fraction of arriving reads to admit.
 
 use super::estimates::update_mean;
 use super::limits::HIGH_PRESSURE;
@@ -9,27 +9,27 @@
 
 /// Pressure above which late answers show load rather than a fault of single members.
 pub(crate) const LOADED_PRESSURE: f64 = 0.35;
-/// The share of the fraction that a late or rejected answer takes off.
+/// The share by which a late answer or a rejection lowers the admitted fraction.
 const FRACTION_LOSS: f64 = 0.15;
-/// What an answer in good time adds to the fraction.
+/// How much an answer below [`HIGH_PRESSURE`] adds to the admitted fraction.
 const FRACTION_GAIN: f64 = 0.02;
-/// The least fraction.
+/// The least admitted fraction.
 const MIN_FRACTION: f64 = 0.2;
 
-/// Where an answer was had under which conditions.
+/// The conditions under which an attempt ended.
 #[derive(Clone, Copy)]
 pub(crate) struct AnswerConditions {
-    /// The measured time can be trusted: this process was not stalled.
+    /// The measured latency is valid: this process was not stalled.
     pub is_timing_valid: bool,
     /// So few attempts are in flight at each member that limits can't act.
     pub has_low_traffic: bool,
 }
 
-/// What this gateway's attempts at some members, taken together, say of their load.
+/// The fraction of reads that is admitted to some members, from the ends of this gateway's attempts at all of them.
 pub(crate) struct AdmittedFraction {
     /// The fraction of arriving reads that is admitted, from 0 to 1.
     pub fraction: f64,
-    /// Running mean of latency over the objective, of answers.
+    /// The running mean of the latency of answers as a share of the objective.
     pub pressure: f64,
 }
 
@@ -43,7 +43,7 @@
 }
 
 impl AdmittedFraction {
-    /// Takes in how an attempt ended, and its latency as a share of the objective.
+    /// Records how an attempt ended, and its latency as a share of the objective.
     pub(crate) fn record(
         &mut self,
         outcome: Outcome,
--- a/src/policy/member.rs
+++ b/src/policy/member.rs
@@ -1,7 +1,7 @@
-//! What this gateway knows of one member, and which states follow from that alone.
+//! The state of one member, as this gateway has observed it.
 //!
-//! A member is failed at [`FAILURE_THRESHOLD`] consecutive failures, unresponsive once a request timed out with no
-//! answer since, and silent while it owes answers for longer than its tail latency.
+//! A member is failed from [`FAILURE_THRESHOLD`] consecutive failures on, unresponsive after a request timed out there
+//! until it answers another, and silent while it leaves attempts unanswered for much longer than its tail latency.
 
 use super::estimates::LatencyEstimate;
 use super::limits::ConcurrencyLimit;
@@ -9,12 +9,12 @@
 use super::slow_start::TokenBucket;
 use crate::interface::{DrainSignal, Endpoint, EndpointState, GroupId, MemberId, Micros, ZoneId};
 
-/// Consecutive failures from which a member is failed.
+/// The number of consecutive failures from which a member counts as failed.
 pub(super) const FAILURE_THRESHOLD: u32 = 4;
-/// Tail latencies without an answer after which a member that owes one is silent.
-const SILENT_TAILS: f64 = 1.5;
-/// The multiple of that patience for a single attempt in flight, which may be one long request.
-const SINGLE_ATTEMPT_PATIENCE: f64 = 2.0;
+/// A member with attempts in flight is silent after this many tail latencies without an answer.
+const SILENCE_TAIL_LATENCIES: f64 = 1.5;
+/// Extends that time for a single attempt in flight, which may be one long request.
+const SINGLE_ATTEMPT_FACTOR: f64 = 2.0;
 
 /// A member as this gateway knows it.
 #[derive(Default)]
@@ -22,17 +22,17 @@
     pub id: MemberId,
     pub group: GroupId,
     pub zone: ZoneId,
-    /// The same at every gateway.
+    /// Breaks ties; the same at every gateway.
     pub tie_break_hash: u64,
     pub state: EndpointState,
     /// It was listed as draining since it was last ready.
     pub drain_seen: bool,
     /// When its process last started, as listed; 0 is long ago.
     pub started_at: Micros,
-    /// The list names it as the primary, and nothing has contradicted that yet.
+    /// The list names it as the primary, and it has not been demoted or tried as the primary since.
     pub listed_primary: bool,
     pub consecutive_failures: u32,
-    /// Requests timed out here with no answer since; a health check does not clear that.
+    /// A request timed out at the member, and it has answered none since; a health check does not clear this.
     pub unresponsive: bool,
     /// It has answered something since it was listed or restarted.
     pub verified: bool,
@@ -45,20 +45,20 @@
     pub next_trial_at: Micros,
     /// When it was last demoted, or last tried in a search for the primary.
     pub ruled_out_at: Micros,
-    /// Own attempts in flight.
+    /// Attempts of this gateway in flight at the member.
     pub in_flight: u32,
-    /// The last answer, or the first dispatch after which there was none.
+    /// When it last answered, or when an attempt was dispatched after that with no other in flight.
     pub unanswered_since: Micros,
     /// All commits up to here are applied, as last reported.
     pub applied_position: Micros,
     pub position_reported_at: Micros,
-    /// It rejected a read as too stale, and is passed over for reads until then.
+    /// It rejected a read as too stale, and is assumed to be stale until then.
     pub stale_until: Micros,
-    /// It let a request time out, and gets no reads until then (outlier ejection).
+    /// A request timed out there, and it gets no reads until then (outlier ejection).
     pub ejected_until: Micros,
     pub latency: LatencyEstimate,
     pub limit: ConcurrencyLimit,
-    /// Dispatches saved up while it is warming up.
+    /// Limits dispatches while it is warming up.
     pub slow_start_tokens: TokenBucket,
 }
 
@@ -77,10 +77,10 @@
         }
     }
 
-    /// Whether its listed state forbids new dispatches. Where only a draining entry binds, a removal alone does not.
+    /// Whether its listed state forbids new dispatches. Under [`DrainSignal::DrainingOnly`] a removal alone does not.
     pub(super) fn must_drain(&self, signal: DrainSignal) -> bool {
-        let removal_binds = signal == DrainSignal::DrainingOrRemoved;
-        self.state != EndpointState::Ready && (removal_binds || self.drain_seen)
+        let removal_counts = signal == DrainSignal::DrainingOrRemoved;
+        self.state != EndpointState::Ready && (removal_counts || self.drain_seen)
     }
 
     /// How far its data was behind when it last reported, microseconds.
@@ -94,18 +94,18 @@
         self.consecutive_failures >= FAILURE_THRESHOLD
     }
 
-    /// Whether it owes answers and gave none for longer than its tail latency: hung, cut off or stalled.
+    /// Whether it has left attempts unanswered for much longer than its tail latency: hung, unreachable or stalled.
     pub(super) fn is_silent(&self, now: Micros) -> bool {
-        let single = if self.in_flight == 1 {
-            SINGLE_ATTEMPT_PATIENCE
+        let factor = if self.in_flight == 1 {
+            SINGLE_ATTEMPT_FACTOR
         } else {
             1.0
         };
-        let patience = (self.latency.tail() * SILENT_TAILS * single) as Micros;
-        self.in_flight > 0 && now.saturating_sub(self.unanswered_since) > patience
+        let threshold = (self.latency.tail() * SILENCE_TAIL_LATENCIES * factor) as Micros;
+        self.in_flight > 0 && now.saturating_sub(self.unanswered_since) > threshold
     }
 
-    /// An answer clears all suspicion.
+    /// Records an answer to a request, which clears earlier failures and time-outs.
     pub(super) fn record_answer(&mut self, now: Micros) {
         self.consecutive_failures = 0;
         self.unresponsive = false;
--- a/src/policy/member_health.rs
+++ b/src/policy/member_health.rs
@@ -1,8 +1,8 @@
 //! Member health: scheduled health checks, consecutive failures, half-open trials and outlier ejection.
 //!
 //! Decides from health checks and from how attempts ended whether a member is in use. A health check alone never
-//! clears a member that left requests unanswered, and nothing counts against a member in the moment after this
-//! process was stalled.
+//! clears a member that left requests unanswered, and no time-out or failed check counts against a member at the
+//! moment when a stall of this process is detected.
 
 use super::estimates::update_mean;
 use super::member::{Member, FAILURE_THRESHOLD};
@@ -15,10 +15,10 @@
 
 /// Time between health checks, or half-open trials, of a member in a small fleet, microseconds.
 pub(super) const HEALTH_CHECK_INTERVAL: Micros = 1_000_000;
-/// Share of errors among all attempts from which they are no longer attributed to single members.
+/// The share of errors among all attempts from which errors are no longer attributed to single members.
 const GENERAL_ERROR_SHARE: f64 = 0.3;
-/// How long a gateway of a large fleet sends no reads to a member that let one time out, microseconds: it has so few
-/// answers of each member that the next would come too late.
+/// How long a gateway of a large fleet sends no reads to a member that let one time out, microseconds: it gets so few
+/// answers from each member that the next would arrive too late to rely on.
 const EJECTION_TIME: Micros = 3_000_000;
 
 /// The running share of attempts, at all members, that end with an error.
@@ -31,7 +31,7 @@
         update_mean(&mut self.0, sample);
     }
 
-    /// Whether errors come from everywhere: to fail members for them would end all service.
+    /// Whether errors are so frequent at all members that failing members for them would leave none in use.
     fn is_general(&self) -> bool {
         self.0 >= GENERAL_ERROR_SHARE
     }
@@ -53,8 +53,8 @@
         self.actions.push(Action::CheckHealth(id));
     }
 
-    /// The scheduled health check. Gateways of a large fleet check failed members only: answers, and polls when they
-    /// need a position, tell enough of the others.
+    /// Runs the scheduled health check. Gateways of a large fleet check failed members only: the state of the others
+    /// is known well enough from answers, and from polls when a position is needed.
     pub(super) fn run_scheduled_check(&mut self, id: MemberId) {
         let interval = self.fleet.scale_interval(HEALTH_CHECK_INTERVAL);
         let Some(member) = self.topology.member(id) else {
@@ -67,7 +67,7 @@
         self.schedule(interval - interval / 10 + jitter, Timer::CheckHealth(id));
     }
 
-    /// Takes in the result of a health check.
+    /// Handles the result of a health check.
     pub(super) fn on_health_checked(
         &mut self,
         id: MemberId,
@@ -83,13 +83,13 @@
         let (group, requested_at) = (member.group, member.checked_at);
         if served {
             member.verified = true;
-            // A check shows that the process runs; it does not excuse unanswered requests.
+            // A good check shows that the process runs, but not that it answers requests.
             if !member.unresponsive {
                 member.consecutive_failures = 0;
             }
             self.observe_report(id, report, requested_at, RoleSource::LoadReport);
         } else if outcome != Outcome::Rejected && !self.watchdog.is_stalled(self.now) {
-            // A check rejected for too many others shows that the process runs.
+            // A check rejected for too many connections shows that the process runs.
             self.record_failure(id);
         }
         self.drain_queues(group);
@@ -112,13 +112,13 @@
         }
     }
 
-    /// When a member that was dispatched to or has failed now is next due a half-open trial.
+    /// When the next half-open trial is due of a member that has a dispatch or a failure now.
     pub(super) fn next_trial_at(&self) -> Micros {
         self.now
             .saturating_add(self.fleet.scale_interval(HEALTH_CHECK_INTERVAL))
     }
 
-    /// Takes in what an attempt's outcome says of the member's health, speed and load.
+    /// Updates a member's health, latency and load by how an attempt ended.
     pub(super) fn observe_outcome(&mut self, id: MemberId, class: usize, ended: &AttemptEnded) {
         let now = self.now;
         let objective = self.settings.classes[class].latency_objective.max(1);
@@ -151,7 +151,8 @@
             Outcome::TimedOut | Outcome::Cancelled if is_timing_valid => {
                 self.observe_missing_answer(id, class, ended, latency_ratio);
             }
-            // It answered, and the request was at fault: one client may send hundreds of those.
+            // The member answered and the request was invalid: not a failure, as one client may send hundreds of
+            // those.
             Outcome::InvalidRequest => member.unanswered_since = now,
             Outcome::ConnectFailed | Outcome::Reset => self.record_failure(id),
             Outcome::TimedOut | Outcome::Cancelled | Outcome::NotSent => {}
@@ -175,7 +176,7 @@
         }
     }
 
-    /// An attempt ended without an answer, by a time-out or a cancellation.
+    /// Handles an attempt that ended without an answer, by a time-out or a cancellation.
     fn observe_missing_answer(
         &mut self,
         id: MemberId,
@@ -192,17 +193,17 @@
         if timed_out && is_large_fleet {
             member.ejected_until = now.saturating_add(EJECTION_TIME);
         }
-        // A time-out is past the objective, however short the wait was.
+        // A time-out counts as late, however short the wait was.
         let ratio = if timed_out {
             latency_ratio.max(1.0)
         } else {
             latency_ratio
         };
         member.limit.record(ratio, member.in_flight, now);
-        // A wait during which the member answered others shows load rather than a fault.
+        // A member that answered other requests during the wait is loaded rather than faulty.
         let answered_none = now.saturating_sub(ended.latency) >= member.unanswered_since;
         if answered_none && ended.latency as f64 >= member.latency.tail() {
-            // So long a silence weighs as much as two quick errors, but it alone fails no member.
+            // Such a long wait without any answer counts as two failures, which alone do not fail a member.
             member.unresponsive = true;
             member.consecutive_failures = member
                 .consecutive_failures
@@ -210,7 +211,7 @@
                 .min(FAILURE_THRESHOLD - 1);
             self.record_failure(id);
         } else {
-            // Answers alone would teach only the latencies of the quick ones.
+            // If only answers were recorded, the estimates would show the latencies of quick requests alone.
             member.latency.record(ended.latency);
             self.classes.record(class, ended.latency);
         }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,6 +1,6 @@
 //! The request router: where a gateway sends each request, when it retries, and what it rejects.
 //!
-//! [`Router`] takes in [`Event`]s and answers with [`Action`]s. It does no input or output and reads no clock: time and
+//! [`Router`] handles [`Event`]s and returns [`Action`]s. It does no input or output and reads no clock: time and
 //! the seed of its random numbers are arguments, so that the same events give the same actions. Each gateway decides
 //! by itself, per group of one primary and its replicas:
 //!
@@ -8,9 +8,9 @@
 //! - `member_health`: health checks, consecutive failures, half-open trials, outlier ejection.
 //! - `primary`, `role_arbitration`: which member is the known primary, and which role report is current.
 //! - `admission`, `load_shedding`, `queues`: whether an arrival is dispatched, queued or rejected.
-//! - `selection`, `consistency`: which member takes a request, and which replicas have what it must see.
-//! - `dispatch`: whether the rules let a request go there, and what a dispatch changes.
-//! - `slow_start`, `limits`: what a member may be sent while it warms up, and how many attempts at once.
+//! - `selection`, `consistency`: which member gets a request, and which replicas have what it must see.
+//! - `dispatch`: whether the rules allow a dispatch to a member, and the bookkeeping of a dispatch.
+//! - `slow_start`, `limits`: how many requests a member gets while it warms up, and how many attempts at once.
 //! - `retries`, `completion`: what follows an attempt, and the final answer.
 //!
 //! Below them are `topology` and `member` (members and groups), `requests`, `sessions`, `estimates`, `timers` and
@@ -61,7 +61,7 @@
     fleet: Fleet,
     rng: fastrand::Rng,
     now: Micros,
-    /// What the present event has led to so far.
+    /// The actions that the current event has led to so far.
     actions: Vec<Action>,
     topology: Topology,
     requests: BTreeMap<RequestId, Request>,
@@ -76,7 +76,7 @@
 }
 
 impl Router {
-    /// A router that knows no members yet.
+    /// Creates a router without any members.
     ///
     /// # Errors
     ///
@@ -102,7 +102,7 @@
         })
     }
 
-    /// Takes in one event and appends what is to be done. Time never runs backwards: an earlier time counts as the
+    /// Handles one event and appends the resulting actions. Time never runs backwards: an earlier time counts as the
     /// latest one seen.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
@@ -125,7 +125,7 @@
         actions.append(&mut self.actions);
     }
 
-    /// Whether a member that was listed is not forgotten yet.
+    /// Whether a member is known: it was listed, and has not been removed with all its attempts ended.
     pub fn has_member(&self, id: MemberId) -> bool {
         self.topology.contains(id)
     }
--- a/src/policy/primary.rs
+++ b/src/policy/primary.rs
@@ -1,8 +1,8 @@
 //! The known primary of each group.
 //!
 //! Promotes and demotes members by their latest role report, and finds the primary by dispatching requests that a
-//! replica rejects untouched. A group has one known primary at most, and it never drains. Which report counts as the
-//! latest is decided by [`super::role_arbitration`].
+//! replica rejects without running them. A group has at most one known primary, which is never a draining member.
+//! Which report counts as the latest is decided by [`super::role_arbitration`].
 
 use super::member::Member;
 use super::requests::Request;
@@ -14,15 +14,15 @@
     ReplicaChecks, RequestId, Role,
 };
 
-/// Most attempts in flight that a promoted primary starts with, so that queued writes do not overload it.
+/// The most attempts in flight that a promoted primary starts with, so that queued writes do not overload it.
 const PROMOTED_LIMIT: f64 = 4.0;
-/// Least time between two searches for a group's primary, microseconds.
+/// The least time between two searches for a group's primary, microseconds.
 const SEARCH_INTERVAL: Micros = super::queues::DRAIN_INTERVAL;
-/// Attempts that a search leaves a request for the time the primary is found.
+/// Attempts that a search for the primary leaves a request for use once it is found.
 const RESERVED_ATTEMPTS: u32 = 3;
 
 impl Router {
-    /// Takes in a member's report, which was requested at a time.
+    /// Applies a member's report that was requested at `requested_at`.
     pub(super) fn observe_report(
         &mut self,
         id: MemberId,
@@ -65,7 +65,7 @@
         });
     }
 
-    /// A member is not, or no longer, the primary.
+    /// Records that a member is not, or no longer, the primary.
     pub(super) fn demote(&mut self, id: MemberId) {
         let now = self.now;
         let Some((member, group)) = self.topology.member_and_group_mut(id) else {
@@ -108,7 +108,7 @@
         };
         let now = self.now;
         if let Some((member, group)) = self.topology.member_and_group_mut(candidate) {
-            group.primary_sought_at = now;
+            group.primary_searched_at = now;
             member.ruled_out_at = now;
             member.listed_primary = false;
         }
@@ -117,7 +117,7 @@
 
     fn next_search(&self, id: GroupId) -> Option<(MemberId, RequestId)> {
         let group = self.topology.group(id)?;
-        let next_search_at = group.primary_sought_at.saturating_add(SEARCH_INTERVAL);
+        let next_search_at = group.primary_searched_at.saturating_add(SEARCH_INTERVAL);
         if self.healthy_primary(group).is_some() || self.now < next_search_at {
             return None;
         }
@@ -133,7 +133,7 @@
         Some((candidate.id, request))
     }
 
-    /// Whether a replica would reject this request untouched, and attempts are left for the primary.
+    /// Whether a replica would reject this request without running it, and attempts are left for the primary.
     fn may_search_with(&self, request: &Request, member: &Member) -> bool {
         let max_attempts = self.settings.max_attempts;
         let search_attempts = max_attempts.saturating_sub(RESERVED_ATTEMPTS).max(1) as usize;
--- a/src/policy/queues.rs
+++ b/src/policy/queues.rs
@@ -1,8 +1,8 @@
 //! The queues of requests that found no capacity.
 //!
 //! Each group has a queue for each class. The class of the highest value for its work is drained first; within a class
-//! the oldest goes first, unless there is a backlog, where it would be dispatched with too little time left. A queued
-//! request leaves by a dispatch, by its final answer, or when its latest dispatch has passed.
+//! the oldest goes first, or the newest if there is a backlog, as the oldest would be dispatched with too little time
+//! left. A queued request leaves by a dispatch, by its final answer, or when its latest dispatch has passed.
 
 use super::timers::Timer;
 use super::Router;
@@ -11,9 +11,9 @@
 
 /// How often queues are drained and a primary is sought, microseconds.
 pub(super) const DRAIN_INTERVAL: Micros = 20_000;
-/// Requests of a class that find no capacity before the rest of its queue is left alone.
+/// After this many requests of a class that find no capacity, the rest of its queue is not tried.
 const MAX_BLOCKED: usize = 3;
-/// The oldest of a class has waited longer than the objective divided by this where there is a backlog.
+/// A class has a backlog if its oldest request has waited for longer than the latency objective divided by this.
 const BACKLOG_OBJECTIVE_DIVISOR: Micros = 2;
 
 impl Router {
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The timer to drain a group's queues has fired.
+    /// Handles the timer that drains a group's queues.
     pub(super) fn on_drain_timer(&mut self, id: GroupId) {
         let Some(group) = self.topology.group_mut(id) else {
             return;
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Dispatches what is queued for a group, as far as there is capacity.
+    /// Dispatches the queued requests of a group, as far as there is capacity.
     pub(super) fn drain_queues(&mut self, id: GroupId) {
         let Some(group) = self.topology.group_mut(id) else {
             return;
@@ -112,7 +112,7 @@
         self.requests.get(&id).is_some_and(|request| request.queued)
     }
 
-    /// Whether the oldest of a queue has waited for a large part of the latency objective.
+    /// Whether the oldest request of a queue has waited for a large part of the latency objective.
     fn has_backlog(&self, class: usize, queue: &VecDeque<RequestId>) -> bool {
         let oldest = queue.front().and_then(|id| self.requests.get(id));
         let waited = oldest.map_or(0, |request| self.now.saturating_sub(request.received_at));
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -1,4 +1,4 @@
-//! Open requests: their attempts, and until when dispatching them makes sense.
+//! Open requests: their attempts, and until when it is useful to dispatch them.
 //!
 //! All deadlines here are pure functions of a request and its class. None is later than the client's own deadline.
 
@@ -6,7 +6,7 @@
     Arrival, Class, ConsistencyLevel, DeduplicationScope, Idempotency, MemberId, Micros,
 };
 
-/// Late weight from which a read is worth its capacity after its objective has passed.
+/// The least late weight that makes a read worth its capacity after its objective has passed.
 const MIN_LATE_WEIGHT: f64 = 0.5;
 
 /// A request without its final answer, or with an attempt in flight.
@@ -128,7 +128,7 @@
             .min(self.arrival.due)
     }
 
-    /// Until when an answer has any weight: so long an attempt in flight is waited for.
+    /// Until when an answer has any weight; an attempt times out then.
     pub(super) fn useful_until(&self, class: &Class) -> Micros {
         if class.late_weight > 0.0 {
             self.arrival.due
@@ -137,23 +137,24 @@
         }
     }
 
-    /// The latest dispatch whose answer still has enough weight, where an answer takes `expected_latency`.
+    /// The latest dispatch whose answer still has enough weight if it takes `expected_latency`.
     pub(super) fn latest_dispatch(&self, class: &Class, expected_latency: Micros) -> Micros {
         let keeps_weight =
             self.consistency == ConsistencyLevel::Write || class.late_weight >= MIN_LATE_WEIGHT;
         let end = if keeps_weight {
             self.useful_until(class)
         } else if self.attempts.is_empty() {
-            // A read rejected late, without any attempt, has cost its client that time for nothing.
+            // A read without any attempt is rejected after half of its time: waiting longer would cost the client that
+            // time for nothing.
             self.objective_deadline(class)
-                .min(self.half_of_time() + expected_latency)
+                .min(self.halfway_to_deadline() + expected_latency)
         } else {
             self.objective_deadline(class)
         };
         end.saturating_sub(expected_latency)
     }
 
-    fn half_of_time(&self) -> Micros {
+    fn halfway_to_deadline(&self) -> Micros {
         let available = self.arrival.due.saturating_sub(self.received_at);
         self.received_at.saturating_add(available / 2)
     }
--- a/src/policy/retries.rs
+++ b/src/policy/retries.rs
@@ -1,8 +1,8 @@
 //! Attempts that ended, and retries.
 //!
-//! A retry is dispatched only within what the outcomes of earlier attempts prove, in time, up to the maximum of
-//! attempts, and from a retry budget, unless the attempt before cost next to nothing. A request that may have run and
-//! must not run twice is never retried.
+//! A retry is dispatched only if the outcomes of earlier attempts allow it, while there is time, up to the maximum of
+//! attempts, and from a retry budget, unless the previous attempt cost next to nothing. A request that may have run
+//! and must not run twice is never retried.
 
 use super::member_health::HEALTH_CHECK_INTERVAL;
 use super::queues::DRAIN_INTERVAL;
@@ -14,21 +14,21 @@
     Outcome, SessionId,
 };
 
-/// Retries that each arrival adds to the budget: a tenth can't feed a retry storm.
+/// Retries that each arrival adds to the budget: a tenth can't sustain a retry storm.
 const BUDGET_PER_ARRIVAL: f64 = 0.1;
 /// The most retries the budget holds.
 const MAX_BUDGET: f64 = 20.0;
-/// Consecutive attempts that were never sent after which a request backs off: this machine may be out of descriptors,
-/// ports or routes for a moment, in which all attempts would be spent.
+/// Consecutive attempts that were never sent after which a request backs off: while this machine briefly lacks
+/// descriptors, ports or routes, the request would otherwise use up all its attempts.
 const UNSENT_BEFORE_BACKOFF: u32 = 2;
-/// Most doublings of that backoff.
+/// The most doublings of that backoff.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
-/// Part of a class's mean latency within which an error cost next to nothing.
+/// An error within a class's mean latency divided by this cost next to nothing.
 const QUICK_ERROR_DIVISOR: f64 = 4.0;
-/// How long a replica that rejected a read as too stale is taken to be stale, microseconds.
+/// How long a replica that rejected a read as too stale is assumed to be stale, microseconds.
 const STALE_FOR: Micros = HEALTH_CHECK_INTERVAL;
 
-/// The retries that may be spent, earned by arrivals.
+/// The number of retries that may still be made, to which each arrival adds.
 pub(crate) struct RetryBudget {
     retries: f64,
 }
@@ -42,12 +42,12 @@
 }
 
 impl RetryBudget {
-    /// Adds what one arrival earns.
+    /// Adds [`BUDGET_PER_ARRIVAL`].
     pub(super) fn deposit(&mut self) {
         self.retries = (self.retries + BUDGET_PER_ARRIVAL).min(MAX_BUDGET);
     }
 
-    /// Spends the cost of a retry, if the budget has it.
+    /// Takes the cost of a retry from the budget. Returns whether the budget covered it.
     fn try_spend(&mut self, cost: f64) -> bool {
         let has_cost = self.retries >= cost;
         if has_cost {
@@ -57,7 +57,7 @@
     }
 }
 
-/// The attempt that ended, with what its request asked for.
+/// An attempt that ended, with the properties of its request.
 struct EndedAttempt {
     member: MemberId,
     dispatched_at: Micros,
@@ -68,7 +68,7 @@
 }
 
 impl Router {
-    /// Takes in how an attempt ended.
+    /// Handles the end of an attempt.
     pub(super) fn on_attempt_ended(&mut self, ended: &AttemptEnded) {
         let Some(attempt) = self.end_attempt(ended) else {
             return;
@@ -91,10 +91,10 @@
         self.record_commit(&attempt, ended);
         self.continue_request(ended);
         self.drain_queues(attempt.group);
-        self.forget_if_removed(member);
+        self.drop_if_removed(member);
     }
 
-    /// Records the end of an attempt at its request; none where no such attempt is in flight.
+    /// Marks an attempt as ended. Returns `None` if no such attempt is in flight.
     fn end_attempt(&mut self, ended: &AttemptEnded) -> Option<EndedAttempt> {
         let number = ended.attempt.0 as usize;
         let request = self.requests.get_mut(&ended.request)?;
@@ -116,7 +116,7 @@
         })
     }
 
-    /// Learns from a read how far behind its replica is.
+    /// Records from the end of a read how far its replica is behind.
     fn observe_replication(&mut self, attempt: &EndedAttempt, ended: &AttemptEnded) {
         let group = self.topology.group(attempt.group);
         let is_replica = group.is_some_and(|group| group.known_primary != Some(attempt.member));
--- a/src/policy/role_arbitration.rs
+++ b/src/policy/role_arbitration.rs
@@ -1,13 +1,13 @@
 //! Role arbitration: which report of a member's role is current.
 //!
-//! Decides from what a member has shown of itself and when each report was requested. It never promotes or demotes a
-//! member: [`super::primary`] does.
+//! Decides by a member's earlier answers and by when each report was requested. It never promotes or demotes a member:
+//! [`super::primary`] does.
 
 use crate::interface::{ConsistencyLevel, Micros, Outcome, Role};
 
 /// How long reports that a member is the primary are distrusted after it rejected a write or answered as a replica,
-/// microseconds. A draining primary hands over within a second, and a write may try it again before; load reports are
-/// refreshed some times a second and arrive late.
+/// microseconds. A draining primary hands over within a second, and another write may be sent to it before; load
+/// reports are refreshed several times a second and arrive late.
 const DISTRUST_PERIOD: Micros = 500_000;
 
 /// Where a report of a member's role came from.
@@ -15,7 +15,7 @@
 pub(crate) enum RoleSource {
     /// A load report, made some time before it arrived.
     LoadReport,
-    /// An answer, made as the member answered.
+    /// An answer, with the role that the member had when it answered.
     Answer,
     /// The answer to a write that was served: proof of a primary.
     ServedWrite,
@@ -34,18 +34,18 @@
     }
 }
 
-/// Until when reports that a member is the primary are distrusted, by when they were requested.
+/// Reports that a member is the primary are distrusted if they were requested before these times.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RoleArbitration {
-    /// Of any kind: the member rejected a write.
+    /// For reports of any kind: the member rejected a write.
     all_reports_until: Micros,
-    /// Load reports alone: an answer showed a replica.
+    /// For load reports alone: an answer showed that the member is a replica.
     load_reports_until: Micros,
 }
 
 impl RoleArbitration {
-    /// Takes in a report that was requested at a time. Returns the member's role by it: none where the report has
-    /// none, or may be older than what the member has shown since.
+    /// Evaluates a report that was requested at `requested_at`. Returns the role that it shows, or `None` if it names
+    /// none or may be older than an answer that contradicts it.
     pub(crate) fn observe(
         &mut self,
         reported: Option<Role>,
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,4 +1,4 @@
-//! Member selection: where a request goes now, if anywhere.
+//! Member selection: which member gets a request now, if any.
 //!
 //! Writes and strong reads go to the known primary. Other reads go to the less loaded of two random replicas in sync,
 //! and spill to the primary where there is none and it has spare capacity. Long reads with eventual consistency, which
@@ -14,35 +14,35 @@
 use crate::interface::{ConsistencyLevel, Idempotency, MemberId, Micros, ReplicaChecks};
 use std::cmp::Reverse;
 
-/// Replication lag from which a replica is far behind, microseconds: many times what shipping the log takes.
+/// Replication lag from which a replica is far behind, microseconds: many times the time that log shipping takes.
 const FAR_BEHIND: Micros = 100_000;
 /// The work of a long read, as a multiple of that of the lightest class.
 pub(super) const LONG_READ_WORK: f64 = 2.0;
-/// Share of a class's reads that left their replica far behind from which they are taken to delay replication.
+/// A class delays replication if at least this share of its reads left their replica far behind.
 const DELAYING_SHARE: f64 = 0.5;
 /// Share of the primary's concurrency limit that is open to reads that spill.
 const SPILL_LIMIT_SHARE: f64 = 0.5;
-/// Reads of a large fleet that may spill: those that so many members of the group get on the mean.
+/// In a large fleet, at most the reads that this many members of the group get on average may spill.
 const SPILL_MEMBERS: f64 = 2.0;
-/// The same for reads that spill before a replica is polled.
+/// The same for reads that spill without waiting for a poll.
 const UNPOLLED_SPILL_MEMBERS: f64 = 1.5;
-/// The least slow-start fraction that loads are compared by.
+/// The least slow-start fraction by which loads are divided when they are compared.
 const MIN_COMPARED_FRACTION: f64 = 0.01;
 
-/// By class, the running share of reads with eventual consistency after which their replica was far behind.
+/// For each class, the running share of reads with eventual consistency that left their replica far behind.
 pub(crate) struct ReplicationDelay {
     far_behind_shares: Vec<f64>,
 }
 
 impl ReplicationDelay {
-    /// All classes are taken to delay replication until their answers show otherwise.
+    /// All classes are assumed to delay replication until their answers show otherwise.
     pub(super) fn new(classes: usize) -> ReplicationDelay {
         ReplicationDelay {
             far_behind_shares: vec![1.0; classes],
         }
     }
 
-    /// Takes in a replica's lag after it served a read, all in microseconds.
+    /// Records the lag of a replica after it served a read, and the latency of the read, both in microseconds.
     pub(super) fn record(&mut self, class: usize, lag: Micros, latency: Micros) {
         let is_far_behind = lag >= FAR_BEHIND.max(latency / 2);
         let sample = f64::from(u8::from(is_far_behind));
@@ -55,7 +55,7 @@
 }
 
 impl Router {
-    /// Where a request goes now, if anywhere.
+    /// The member that a request is to be dispatched to now, if any.
     pub(super) fn select_member(&self, request: &Request) -> Option<MemberId> {
         let group = self.topology.group(request.arrival.group)?;
         if !request.may_use_replica() {
@@ -73,7 +73,7 @@
         };
         let mut in_sync = self.replicas_in_sync(request, group);
         if in_sync.is_empty() && self.replica_to_poll(request).is_some() {
-            // The primary has capacity for its part of the reads without a poll.
+            // The primary has capacity for its share of the reads, which need not wait for a poll.
             let is_within_share =
                 group.is_within_share_of(UNPOLLED_SPILL_MEMBERS, request.sampling_point);
             return spill(is_primary_quick && is_large_fleet && is_within_share);
@@ -131,7 +131,7 @@
         })
     }
 
-    /// A member that is due a half-open trial by this read, which another member could still answer.
+    /// A member that is due a half-open trial, if this read may serve as one: another member could still answer it.
     fn half_open_trial(&self, request: &Request, group: &Group) -> Option<MemberId> {
         let is_first =
             request.idempotency == Idempotency::Idempotent && request.attempts.is_empty();
@@ -182,7 +182,8 @@
         self.less_loaded_of_two(&available)
     }
 
-    /// Gateways that see little of a group can't find out where the others concentrate: a hash decides.
+    /// Gateways that get few answers from a group can't observe where the others concentrate reads, so the hash of the
+    /// members' names decides.
     fn concentrate_by_hash(&self, replicas: &[&Member]) -> Option<MemberId> {
         let mut ordered = replicas.to_vec();
         ordered.sort_by_key(|member| {
@@ -198,8 +199,9 @@
             .map(|member| member.id)
     }
 
-    /// Concentrates on the replicas furthest behind, half of them at most. One whose answers come late gets no more
-    /// while any are in flight; an idle one is due another, as only that can show that the pressure has eased.
+    /// Concentrates on the replicas furthest behind, half of them at most. A replica whose answers are late
+    /// gets no more reads while any are in flight there. An idle one gets another, as only an answer can show that the
+    /// pressure has eased.
     fn concentrate_by_lag(&self, replicas: &[&Member]) -> Option<MemberId> {
         let mut ordered = replicas.to_vec();
         ordered.sort_by_key(|member| {
@@ -218,10 +220,11 @@
             .map(|member| member.id)
     }
 
-    /// The less loaded of two random members, by own attempts in flight; of equals the one in this gateway's zone.
+    /// The less loaded of two random members, by this gateway's attempts in flight; of equals the one in its zone.
     pub(super) fn less_loaded_of_two(&self, members: &[&Member]) -> Option<MemberId> {
         members.first()?;
-        // A copy: the generator itself advances with each dispatch, so that a choice that leads to none draws nothing.
+        // Draws from a copy: the generator itself advances in `dispatch`, so that a selection without a dispatch
+        // leaves it unchanged.
         let mut rng = self.rng.clone();
         let first = rng.usize(0..members.len());
         let offset = rng.usize(0..members.len().max(2) - 1) + 1;
--- a/src/policy/sessions.rs
+++ b/src/policy/sessions.rs
@@ -1,4 +1,4 @@
-//! The last commit of each session, from which session reads learn what they must see (read your writes).
+//! The last commit of each session, which its session reads must see (read your writes).
 //!
 //! Memory is bounded: the oldest sessions are dropped, and their last commit becomes a floor for every session that is
 //! not known. So a dropped session may wait for more than its own writes, never for less.
@@ -6,7 +6,7 @@
 use crate::interface::{Micros, SessionId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Commits that are remembered at most.
+/// The most commits that are remembered.
 const MAX_REMEMBERED_COMMITS: usize = 50_000;
 
 /// The last commits of the most recent sessions.
--- a/src/policy/timers.rs
+++ b/src/policy/timers.rs
@@ -1,27 +1,27 @@
-//! The timers of a router, and how it notices that its process was stalled.
+//! The timers of a router, and the detection of stalls of its process.
 //!
-//! Orders what is to be done later by time and kind, and asks the caller for one wake-up at a time. It reads no clock.
+//! Orders timers by time and kind, and requests one wake-up at a time from the caller. It reads no clock.
 
 use super::Router;
 use crate::interface::{Action, GroupId, MemberId, Micros, RequestId};
 use std::collections::BTreeSet;
 
-/// Something to do later. Timers due at the same microsecond fire in this order.
+/// An operation to run later. Timers due at the same microsecond fire in this order.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
     /// Give a queued request its final answer.
     ExpireRequest(RequestId),
-    /// Look again at what is queued for a group.
+    /// Drain the queues of a group.
     DrainQueues(GroupId),
     /// The scheduled health check of a member.
     CheckHealth(MemberId),
-    /// Keeps timers coming while requests are open, so that a stall shows.
+    /// Fires regularly while requests are open, so that a stall is detected.
     Watchdog,
     /// Call discovery.
     CallDiscovery,
 }
 
-/// Timers by time, and the one wake-up that the caller was asked for.
+/// Timers by time, and the wake-up that was requested from the caller.
 #[derive(Default)]
 pub(crate) struct TimerQueue {
     timers: BTreeSet<(Micros, Timer)>,
@@ -34,19 +34,19 @@
         self.timers.insert((at, timer));
     }
 
-    /// Takes the next timer that is due.
+    /// Removes and returns the next timer that is due.
     pub(crate) fn pop_due(&mut self, now: Micros) -> Option<Timer> {
         self.timers.first().filter(|(at, _)| *at <= now)?;
         self.timers.pop_first().map(|(_, timer)| timer)
     }
 
-    /// How late the wake-up that was asked for is, microseconds; 0 while it is not due.
+    /// How late the requested wake-up is, microseconds; 0 while it is not due.
     pub(crate) fn lateness(&self, now: Micros) -> Micros {
         self.wake_at.map_or(0, |wake| now.saturating_sub(wake))
     }
 
-    /// The span after which the caller should wake this router, unless an earlier wake-up was asked for already. A
-    /// wake-up overtaken by an earlier one asks for no other: they would pile up.
+    /// How long after `now` the caller should wake this router, unless an earlier wake-up is already requested. A
+    /// wake-up that an earlier one has superseded requests no other, or wake-ups would pile up.
     pub(crate) fn next_wake_up(&mut self, now: Micros) -> Option<Micros> {
         let at = self.timers.first().map(|(at, _)| *at)?;
         self.wake_at = self.wake_at.filter(|wake| *wake > now);
@@ -63,7 +63,7 @@
 /// How late a wake-up must be for this process to count as stalled, microseconds.
 const STALL_THRESHOLD: Micros = 150_000;
 
-/// Notices that this process was stalled: what it measured meanwhile says nothing of members.
+/// Detects that this process was stalled: times measured during a stall say nothing about members.
 #[derive(Default)]
 pub(crate) struct Watchdog {
     is_armed: bool,
@@ -71,20 +71,21 @@
 }
 
 impl Watchdog {
-    /// Whether a stall was noticed at this very time.
+    /// Whether a stall was detected at `now`.
     pub(super) fn is_stalled(&self, now: Micros) -> bool {
         self.stalled_at == now
     }
 }
 
 impl Router {
-    /// Sets a timer that fires after a span, microseconds, of one at least.
+    /// Sets a timer that fires after `after` microseconds, or 1 if that is 0.
     pub(super) fn schedule(&mut self, after: Micros, timer: Timer) {
         let at = self.now.saturating_add(after.max(1));
         self.timers.insert(at, timer);
     }
 
-    /// After a stall, measured from the last wake-up, no member owes an answer for longer than since the present event.
+    /// Detects a stall by the lateness of the requested wake-up. After one, the time that members have left attempts
+    /// unanswered counts from the current event.
     pub(super) fn detect_stall(&mut self, event_at: Micros) {
         if self.timers.lateness(self.now) <= STALL_THRESHOLD {
             return;
--- a/src/policy/topology.rs
+++ b/src/policy/topology.rs
@@ -15,8 +15,8 @@
     pub known_primary: Option<MemberId>,
     pub throughput: ThroughputEstimate,
     /// When a request was last dispatched to find the primary.
-    pub primary_sought_at: Micros,
-    /// Own attempts in flight.
+    pub primary_searched_at: Micros,
+    /// Attempts of this gateway in flight at its members.
     pub in_flight: u32,
     pub replica_load: AdmittedFraction,
     pub primary_load: AdmittedFraction,
@@ -27,12 +27,12 @@
 }
 
 impl Group {
-    /// Work per microsecond that one member carries on the mean.
+    /// The mean work per microsecond that one member does for this gateway.
     pub(super) fn throughput_per_member(&self, now: Micros) -> f64 {
         self.throughput.rate(now) / self.members.len().max(1) as f64
     }
 
-    /// Whether a sampling point falls within the share of reads that so many members of the group would get.
+    /// Whether a sampling point falls within the share of reads that this many members of the group would get.
     pub(super) fn is_within_share_of(&self, members: f64, sampling_point: f64) -> bool {
         sampling_point < members / self.members.len() as f64
     }
@@ -54,7 +54,7 @@
         self.members.insert(member.id, member);
     }
 
-    /// Removes a member from its group and forgets it.
+    /// Removes a member, also from its group.
     pub(super) fn remove(&mut self, id: MemberId) {
         let Some(member) = self.members.remove(&id) else {
             return;
