--- a/src/policy/requests/tests.rs
+++ b/src/policy/requests/tests.rs
@@ -56,7 +56,7 @@
         read.latest_dispatch(&class(0.0), 50_000),
         objective - 50_000
     );
-    // An undispatched read is not kept beyond half of its time, however late its objective is.
+    // A read without any attempt is not queued beyond half of its time, however late its objective is.
     let long = request(ConsistencyLevel::Eventual, Some(10_000_000));
     let half = RECEIVED_AT + 1_000_000;
     assert_eq!(long.latest_dispatch(&class(0.0), 50_000), half);
--- a/src/policy/role_arbitration/tests.rs
+++ b/src/policy/role_arbitration/tests.rs
@@ -49,7 +49,7 @@
     assert_eq!(
         arbitration.observe(PRIMARY, NOW - 1, RoleSource::Answer, NOW),
         PRIMARY,
-        "made as it was answered"
+        "an answer shows the role at that time"
     );
 }
 
--- a/tests/failures/endpoints.rs
+++ b/tests/failures/endpoints.rs
@@ -11,18 +11,19 @@
     Event::EndpointsUpdated(kind, entries)
 }
 
-fn only_draining_binds() -> Settings {
+fn draining_only_settings() -> Settings {
     Settings {
         drain_signal: DrainSignal::DrainingOnly,
         ..settings()
     }
 }
 
-/// wrong_list, shrink and empty: where only draining binds, members that answer go on serving, writes too.
+/// A list that lacks some or all members, though they still answer. Where a removal alone does not stop dispatches,
+/// they go on serving reads and writes.
 #[test]
-fn shrunk_list_keeps_members_where_only_draining_binds() {
+fn shrunk_list_keeps_members_under_draining_only() {
     for named in [&[1][..], &[]] {
-        let mut gateway = TestGateway::ready(only_draining_binds(), 3);
+        let mut gateway = TestGateway::ready(draining_only_settings(), 3);
         gateway.event(list(UpdateKind::Snapshot, named));
         let (write, actions) = gateway.arrive(WRITE);
         assert_eq!(dispatches(&actions), [(write, 0)]);
@@ -33,13 +34,17 @@
             .iter()
             .filter(|a| matches!(a, Action::CheckHealth(_)))
             .count();
-        assert_eq!(checks, 0, "the true list's return starts nothing anew");
+        assert_eq!(
+            checks, 0,
+            "the return of the complete list restarts no member"
+        );
     }
 }
 
-/// The same list where a removal binds: nothing new goes there, and what no member may serve is rejected in time.
+/// The same lists where a removal stops dispatches: removed members get nothing new, and a request that no member may
+/// serve is rejected in time.
 #[test]
-fn shrunk_list_binds_where_removal_binds() {
+fn shrunk_list_stops_dispatches_under_draining_or_removed() {
     let mut gateway = TestGateway::ready(settings(), 3);
     gateway.event(list(UpdateKind::Snapshot, &[1]));
     let (_, actions) = gateway.arrive(BOUNDED);
@@ -50,10 +55,10 @@
     assert!(dispatches(&actions).is_empty() && is_rejected(&actions, read));
 }
 
-/// wrong_list, old: an earlier list that names members as they were drains nothing and unmarks nobody.
+/// An outdated list, which names members as they were before, must not drain, restart or demote any of them.
 #[test]
 fn outdated_list_neither_demotes_nor_restarts_member() {
-    let mut gateway = TestGateway::ready(only_draining_binds(), 3);
+    let mut gateway = TestGateway::ready(draining_only_settings(), 3);
     gateway.update_endpoint(2, EndpointState::Ready, gateway.now - 20_000 * MS);
     gateway.report_role(2, Role::Primary);
     gateway.event(list(UpdateKind::Snapshot, &[0, 1, 2]));
@@ -61,10 +66,11 @@
     assert_eq!(dispatches(&actions), [(write, 2)]);
 }
 
-/// wrong_list, ghosts: a listed member that never answered gets no reads while others answer, and no writes at all.
+/// A list that names servers that do not exist: a member that never answered gets no reads while others answer, and no
+/// writes at all.
 #[test]
 fn unverified_members_get_no_requests() {
-    for settings in [settings(), only_draining_binds()] {
+    for settings in [settings(), draining_only_settings()] {
         let mut gateway = TestGateway::ready(settings, 3);
         let mut all = gateway.event(list(UpdateKind::Snapshot, &[0, 1, 2, 8, 9]));
         for _ in 0..20 {
@@ -79,16 +85,16 @@
     }
 }
 
-/// Found by review: a member that was gone while an attempt was out was never forgotten, checks and all.
+/// A member that was removed while an attempt was in flight was never dropped, and its health checks went on.
 #[test]
-fn removed_member_is_forgotten_after_its_last_attempt() {
+fn removed_member_is_dropped_after_its_last_attempt() {
     let mut gateway = TestGateway::ready(settings(), 3);
     let (write, actions) = gateway.arrive(WRITE);
     assert_eq!(dispatches(&actions), [(write, 0)]);
     gateway.update_endpoint(0, EndpointState::Removed, 0);
     assert!(
         gateway.router.has_member(MemberId(0)),
-        "it still owes an answer"
+        "an attempt is still in flight"
     );
     gateway.end_attempt(write, 0, Outcome::Served, MemberReport::default());
     assert!(!gateway.router.has_member(MemberId(0)));
--- a/tests/failures/member_health.rs
+++ b/tests/failures/member_health.rs
@@ -3,7 +3,7 @@
 use super::common::*;
 use asterreel::interface::*;
 
-/// Incidents ide00d3 and i9ab903: time-outs under load failed members that went on answering others.
+/// Time-outs under load failed members that went on answering other requests.
 #[test]
 fn timeouts_under_load_fail_no_answering_member() {
     let mut gateway = TestGateway::ready(settings(), 2);
@@ -21,7 +21,7 @@
     }
 }
 
-/// A hung primary takes writes and answers none: after a while writes are queued, not lost on it.
+/// A hung primary accepts writes and answers none: once it is silent, writes are queued instead of lost there.
 #[test]
 fn silent_primary_gets_no_more_writes() {
     let mut gateway = TestGateway::ready(settings(), 3);
@@ -34,11 +34,11 @@
     assert!(!is_failed(&actions, late));
 }
 
-/// A health check answers beside the queue: it must not bring back a member that timed requests out.
+/// Health checks bypass a member's request queue: a good one must not restore a member that let requests time out.
 #[test]
 fn good_check_does_not_clear_unresponsive_member() {
     let mut gateway = TestGateway::ready(settings(), 2);
-    // Each weighs as two errors, as nothing else was answered meanwhile.
+    // Each time-out counts as two failures, as the member answered no other request meanwhile.
     for _ in 0..2 {
         let (read, actions) = gateway.arrive(EVENTUAL);
         assert_eq!(dispatches(&actions)[0].1, 1);
@@ -51,7 +51,7 @@
     assert_eq!(dispatches(&actions)[0].1, 0);
 }
 
-/// balancer_stall: what a gateway finds after a stall looks like the silence of every member.
+/// After a stall of the gateway's own process every member looks silent, although none is at fault.
 #[test]
 fn stalled_process_fails_and_silences_no_member() {
     let mut gateway = TestGateway::ready(settings(), 3);
@@ -77,7 +77,7 @@
     assert_eq!(dispatches(&actions), [(write, 0)]);
 }
 
-/// handshake_slow: one slow answer, the first over a new connection, makes no member slow or silent.
+/// One slow answer, the first over a new connection, must not take a member out of use.
 #[test]
 fn slow_first_answer_keeps_member_in_use() {
     let mut gateway = TestGateway::ready(settings(), 2);
@@ -92,7 +92,7 @@
     }
 }
 
-/// i5d80d6: each gateway of a large fleet gave a hung member a trial a second; together that was a load.
+/// Each gateway of a large fleet gave a hung member one trial a second, and all of them together loaded it.
 #[test]
 fn large_fleet_gives_hung_member_few_trials() {
     let mut settings = settings();
@@ -101,7 +101,7 @@
     for seed in 0..80 {
         let mut gateway = TestGateway::seeded(settings.clone(), 3, seed);
         gateway.report_roles(3);
-        // Member 1 hangs: reads sent there come to nothing, until the gateway has left it.
+        // Member 1 hangs: reads sent there time out, until the gateway stops using it.
         for round in 0..400 {
             let (read, actions) = gateway.arrive(EVENTUAL);
             let to = dispatches(&actions).first().map(|(_, m)| *m);
@@ -117,14 +117,14 @@
             gateway.report_role(2, Role::Replica);
         }
     }
-    // Half a run lasts over 10 s; at one a second each it would be over 800.
+    // Half a run lasts over 10 s: at one trial a second of each gateway there would be over 800.
     assert!(
         (1..=240).contains(&trials),
         "{trials} trials of 80 gateways"
     );
 }
 
-/// Incident i1c52b3: every member answered most of everything with quick errors, and all were failed for it.
+/// Every member answered most requests with quick errors, and all members were failed for it.
 #[test]
 fn general_errors_fail_no_member_and_are_retried() {
     let mut gateway = TestGateway::ready(settings(), 4);
--- a/tests/failures/requests.rs
+++ b/tests/failures/requests.rs
@@ -3,9 +3,9 @@
 use super::common::*;
 use asterreel::interface::*;
 
-/// First run: each wake-up of an overtaken timer asked for another one, and they piled up.
+/// Each wake-up that an earlier one had superseded requested another one, and wake-ups piled up.
 #[test]
-fn overtaken_timers_do_not_pile_up() {
+fn superseded_timers_do_not_pile_up() {
     let mut gateway = TestGateway::ready(settings(), 3);
     let mut wakes = 0;
     for n in 0..50 {
@@ -19,8 +19,8 @@
     assert!(wakes <= 2, "{wakes} timers for 50 wake-ups at one time");
 }
 
-/// kingston-prod-later, quiet day: gateways with few answers took long work for a quiet member, called it off and
-/// sent it again; 5% of attempts on a day without trouble.
+/// Gateways with few answers took a long read for a silent member, cancelled the read and sent it again: 5% of
+/// attempts without any fault in the system.
 #[test]
 fn long_read_is_neither_cancelled_nor_duplicated() {
     for parallel in [Permit::Forbidden, Permit::Allowed] {
@@ -28,17 +28,16 @@
         settings.parallel = parallel;
         let mut gateway = TestGateway::ready(settings, 3);
         let (read, _) = gateway.arrive(EVENTUAL);
-        let off = Action::CancelAttempt {
+        let cancellation = Action::CancelAttempt {
             request: read,
             attempt: AttemptNo(0),
         };
         let actions = gateway.advance(390 * MS);
-        assert!(!actions.contains(&off) && dispatches(&actions).is_empty());
+        assert!(!actions.contains(&cancellation) && dispatches(&actions).is_empty());
     }
 }
 
-/// montego-bay-aler-later overload: gateways with less than one attempt in flight a member could not shed load by
-/// limits.
+/// Gateways with less than one attempt in flight per member could not shed an overload by concurrency limits.
 #[test]
 fn low_traffic_gateway_sheds_load_on_late_answers() {
     let mut settings = settings();
@@ -61,13 +60,13 @@
     assert_eq!(
         rejected_at_latency(80 * MS),
         0,
-        "in good time nothing is rejected"
+        "nothing is rejected while answers are within the objective"
     );
     let rejections = rejected_at_latency(450 * MS);
     assert!((50..190).contains(&rejections), "{rejections} of 200");
 }
 
-/// The same day: a primary fell behind, and writes went out oldest first, each with too little time left.
+/// A primary could not keep up, and queued writes were dispatched oldest first, each with too little time left.
 #[test]
 fn backlog_drains_newest_first() {
     let mut gateway = TestGateway::ready(settings(), 2);
@@ -83,7 +82,7 @@
         };
         gateway.now += MS;
     }
-    // In turn while they wait for less than half of 400 ms, then in reverse.
+    // Oldest first while they have waited for less than half of 400 ms, then newest first.
     let mut sent = vec![];
     for write in filling {
         let primary = member_report(Role::Primary, gateway.now);
@@ -94,18 +93,21 @@
         );
         gateway.advance(250 * MS);
     }
-    let in_turn = sent
+    let oldest_first = sent
         .iter()
         .zip(&waiting)
         .take_while(|(sent, wait)| sent == wait)
         .count();
-    let newest: Vec<RequestId> = waiting[in_turn..].iter().rev().copied().collect();
-    assert!((1..5).contains(&in_turn), "{sent:?}");
-    assert_eq!(sent[in_turn..], newest[..sent.len() - in_turn]);
+    let newest_first: Vec<RequestId> = waiting[oldest_first..].iter().rev().copied().collect();
+    assert!((1..5).contains(&oldest_first), "{sent:?}");
+    assert_eq!(
+        sent[oldest_first..],
+        newest_first[..sent.len() - oldest_first]
+    );
 }
 
-/// Found by review: where `socket` or `connect` failed at once, all attempts of a request were spent in the same
-/// moment, and it was refused though the machine had what it needs again soon after.
+/// If `socket` or `connect` failed at once, a request spent all its attempts in the same moment and was rejected,
+/// although the machine had descriptors, ports or routes again soon after.
 #[test]
 fn unsent_attempts_back_off_and_end_no_request() {
     for class in [WRITE, EVENTUAL, BOUNDED] {
--- a/tests/failures/selection.rs
+++ b/tests/failures/selection.rs
@@ -3,7 +3,7 @@
 use super::common::*;
 use asterreel::interface::*;
 
-/// Incident i9ab903: eventual reads that block applying were spread, so that every replica fell behind.
+/// Eventual reads that delay replication were spread, so that every replica fell behind.
 #[test]
 fn long_reads_concentrate_on_furthest_behind_replica() {
     let mut gateway = TestGateway::ready(settings_with_long_reads(), 4);
@@ -17,18 +17,18 @@
     }
 }
 
-/// A dispatch delayed by its connection is not written on old data or into a drain.
+/// An attempt that waits for its connection is not sent if the data is too old by then, or the member drains.
 #[test]
-fn late_write_rechecks_staleness_and_drain() {
+fn delayed_send_rechecks_staleness_and_drain() {
     let mut settings = settings();
     settings.replica_checks = ReplicaChecks::None;
     let mut gateway = TestGateway::ready(settings, 3);
     let (read, actions) = gateway.arrive(BOUNDED);
     let to = dispatches(&actions)[0].1;
-    assert_ne!(to, 0, "a replica in sync is picked");
+    assert_ne!(to, 0, "a replica in sync is selected");
     let member = MemberId(to);
     assert!(gateway.router.may_send(gateway.now, read, member));
-    // The bound is 300 ms and counts from the last byte: what was in sync at the decision no longer is.
+    // The bound is 300 ms and counts from the last byte: a replica in sync at the dispatch may be too old by then.
     assert!(gateway
         .router
         .may_send(gateway.now + 290 * MS, read, member));
@@ -38,7 +38,7 @@
     assert!(!gateway
         .router
         .may_send(gateway.now + 301 * MS, read, member));
-    // The known primary stands at the present, and any data does for an eventual read.
+    // The known primary has all commits, and an eventual read may get data of any age.
     assert!(gateway
         .router
         .may_send(gateway.now + 301 * MS, read, MemberId(0)));
@@ -48,13 +48,13 @@
     assert!(!gateway.router.may_send(gateway.now, any, member));
 }
 
-/// A gateway whose member 2 lags and concentrates the eventual reads, one of which stays in flight if `one_out`; the
-/// others are answered there this late.
-fn concentrated(latency: Micros, one_out: bool) -> (TestGateway, bool) {
+/// A gateway that concentrates eventual reads on member 2, which lags. One of them stays in flight if `one_in_flight`;
+/// the others are answered after `latency`. Returns the gateway, and whether a read was held back.
+fn concentrated(latency: Micros, one_in_flight: bool) -> (TestGateway, bool) {
     let mut gateway = TestGateway::ready(settings_with_long_reads(), 4);
     gateway.now += 500 * MS;
     gateway.report_lag(2, Role::Replica, 350 * MS);
-    if one_out {
+    if one_in_flight {
         gateway.arrive(EVENTUAL);
     }
     for _ in 0..20 {
@@ -79,29 +79,34 @@
 /// Reads with eventual consistency wait while the replica they concentrate on is late.
 #[test]
 fn concentrated_reads_wait_while_their_replica_is_late() {
-    // The latency objective is 400 ms: more reads would only time out there, or block the other replicas' log.
+    // The latency objective is 400 ms: more reads would only time out there, or delay the other replicas.
     assert!(
         !concentrated(100 * MS, true).1,
-        "in good time: they go on concentrating"
+        "answers within the objective: reads go on concentrating"
     );
     let (mut gateway, held) = concentrated(390 * MS, true);
-    assert!(held, "late: they wait");
+    assert!(held, "late answers: reads wait");
     let (_, actions) = gateway.arrive(BOUNDED);
-    assert_ne!(dispatches(&actions)[0].1, 2, "others go on");
+    assert_ne!(
+        dispatches(&actions)[0].1,
+        2,
+        "reads of other classes are dispatched elsewhere"
+    );
 }
 
-/// A churn day: what was learned of the replica that reports concentrated on stood still once it got no more, so it
-/// sat idle for 20 s while half of all long reads were rejected.
+/// The estimates of the replica that long reads concentrated on did not change once it got no more of them, so it was
+/// idle for 20 s while half of all long reads were rejected.
 #[test]
 fn idle_replica_gets_concentrated_reads_again() {
     let (gateway, held) = concentrated(390 * MS, false);
     assert!(
         !held && gateway.next == 20,
-        "each answer lets the next one go"
+        "each answer allows the next dispatch"
     );
 }
 
-/// The same days: one replica can't bear all reports of a busy group, and spread they stop the log everywhere.
+/// One replica can't serve all long reads of a busy group, and spread over all replicas they delay replication
+/// everywhere.
 #[test]
 fn concentrated_reads_use_half_of_replicas_at_most() {
     let mut gateway = TestGateway::ready(settings_with_long_reads(), 5);
@@ -116,17 +121,17 @@
     let full = placed.iter().filter(|m| **m == 1).count();
     assert!(
         full > 1 && placed[..full].iter().all(|m| *m == 1),
-        "the furthest behind first: {placed:?}"
+        "the replica furthest behind first: {placed:?}"
     );
     assert_eq!(
         placed[full..],
         vec![2; full],
-        "then the next, then they wait"
+        "then the next replica, then reads wait"
     );
 }
 
-/// vejle-tarif rough-1: short reads that any member may answer, a third of all, concentrated on one of two or three
-/// replicas that all lagged for another reason, and a fifth of them was rejected at half of the load.
+/// Short eventual reads, a third of all requests, were concentrated on one of two or three replicas, which all lagged
+/// for another reason. A fifth of these reads was rejected at half of the load.
 #[test]
 fn reads_that_delay_no_replication_spread() {
     let spread = |settings: Settings, latency: Micros, lag: Micros| {
@@ -139,9 +144,9 @@
             });
             let (read, actions) = gateway.arrive(EVENTUAL);
             let Some((_, to)) = dispatches(&actions).first().copied() else {
-                panic!("held: {sent:?}")
+                panic!("a read was not dispatched, after {sent:?}")
             };
-            // The first answers teach how long such reads take, and whether they leave their replica behind.
+            // The first answers set the estimates: how long such reads take, and whether they delay replication.
             sent[to as usize] += u32::from(round >= 40);
             gateway.now += latency;
             let behind = member_report(Role::Replica, gateway.now - lag - u64::from(to) * 10 * MS);
@@ -151,11 +156,11 @@
     };
     for (what, sent) in [
         (
-            "short ones, however far all lag",
+            "short reads, however far all replicas lag",
             spread(settings(), 35 * MS, 2_000 * MS),
         ),
         (
-            "long ones that leave their replica little behind",
+            "long reads that leave their replica little behind",
             spread(settings_with_long_reads(), 300 * MS, 100 * MS),
         ),
     ] {
@@ -168,11 +173,11 @@
     assert_eq!(
         concentrated,
         [0, 0, 0, 80],
-        "long ones that leave it behind"
+        "long reads that leave their replica far behind"
     );
 }
 
-/// A churn day: the one replica in sync was full and reads waited for it, while the primary had nothing to do.
+/// The only replica in sync had no capacity left and reads waited for it, while the primary was idle.
 #[test]
 fn bounded_reads_spill_to_primary_when_replicas_are_full() {
     let mut gateway = TestGateway::ready(settings(), 3);
@@ -195,7 +200,7 @@
     );
 }
 
-/// A read never dispatched is rejected at half its time.
+/// A read that was never dispatched is rejected after half of its time.
 #[test]
 fn undispatched_read_is_rejected_at_half_its_time() {
     let (mut gateway, _) = concentrated(390 * MS, true);
--- a/tests/failures/slow_start.rs
+++ b/tests/failures/slow_start.rs
@@ -3,13 +3,13 @@
 use super::common::*;
 use asterreel::interface::*;
 
-/// Incident i98f400: a floor of one send each let hundreds of gateways push a member that is warming up over.
+/// A minimum of one dispatch per gateway let hundreds of gateways overload a member that was warming up.
 #[test]
 fn large_fleet_sends_started_member_few_requests() {
     let mut settings = settings();
     settings.fleet_size = 200;
     let (fleet, span) = (200, settings.overload_duration);
-    let mut at_cold = 0;
+    let mut to_started = 0;
     for seed in 0..fleet {
         let mut gateway = TestGateway::seeded(settings.clone(), 2, seed);
         gateway.report_role(0, Role::Primary);
@@ -22,17 +22,17 @@
         let end = gateway.now + span;
         while gateway.now < end {
             let (_, actions) = gateway.arrive(EVENTUAL);
-            at_cold += dispatches(&actions).iter().filter(|(_, m)| *m == 2).count();
+            to_started += dispatches(&actions).iter().filter(|(_, m)| *m == 2).count();
             gateway.now += 100 * MS;
         }
     }
     assert!(
-        (1..=40).contains(&at_cold),
-        "{at_cold} sends of {fleet} gateways"
+        (1..=40).contains(&to_started),
+        "{to_started} dispatches to the started member by {fleet} gateways"
     );
 }
 
-/// Long work takes more of the slow-start tokens of a member.
+/// Long reads use more of a member's slow-start tokens.
 #[test]
 fn long_reads_cost_more_slow_start_tokens() {
     let sent = |class: usize| {
@@ -73,6 +73,6 @@
     let (light, long) = (sent(BOUNDED), sent(EVENTUAL));
     assert!(
         long >= 1 && long * 3 <= light,
-        "{long} long ones, {light} light ones"
+        "{long} long reads, {light} light reads"
     );
 }
