--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -1,4 +1,4 @@
-//! Each part of the mechanism on the ordinary path.
+//! Each part of the router in normal operation.
 mod common;
 use asterreel::interface::*;
 use common::*;
@@ -35,7 +35,11 @@
     actions.extend(gateway.advance(3_000 * MS));
     assert!(!actions.iter().any(|a| matches!(a, Action::CheckHealth(_))));
     let (_, actions) = gateway.arrive(EVENTUAL);
-    assert_eq!(dispatches(&actions).len(), 1, "unproven members serve then");
+    assert_eq!(
+        dispatches(&actions).len(),
+        1,
+        "unverified members serve requests then"
+    );
 }
 
 /// Writes and strong reads go to the known primary.
@@ -48,38 +52,38 @@
     }
 }
 
-/// A replicas answer demotes it at once and a primary answer promotes.
+/// A report of the replica role demotes a member at once, and a report of the primary role promotes one.
 #[test]
 fn replica_report_demotes_and_primary_report_promotes() {
     let mut gateway = TestGateway::ready(settings(), 3);
     gateway.now += MS;
     gateway.report_role(0, Role::Replica);
-    let (asked, actions) = gateway.arrive(WRITE);
-    let seeks = dispatches(&actions);
+    let (searching, actions) = gateway.arrive(WRITE);
+    let searches = dispatches(&actions);
     assert!(
-        seeks.len() == 1 && seeks[0].1 != 0,
-        "one write seeks the primary, elsewhere"
+        searches.len() == 1 && searches[0].1 != 0,
+        "one write searches for the primary at another member"
     );
     let (write, actions) = gateway.arrive(WRITE);
     assert!(
         dispatches(&actions).is_empty(),
-        "writes wait while none is active"
+        "writes wait while no primary is known"
     );
     gateway.now += MS;
     let replica = member_report(Role::Replica, gateway.now);
-    let actions = gateway.end_attempt(asked, 0, Outcome::Misrouted, replica);
+    let actions = gateway.end_attempt(searching, 0, Outcome::Misrouted, replica);
     assert!(
         dispatches(&actions).is_empty(),
-        "the next one asks no sooner than 20 ms on"
+        "the next search begins 20 ms later at the earliest"
     );
     let mut actions = gateway.report_role(2, Role::Primary);
     actions.extend(gateway.advance(20 * MS));
     let mut placed = dispatches(&actions);
     placed.sort();
-    assert_eq!(placed, [(asked, 2), (write, 2)]);
+    assert_eq!(placed, [(searching, 2), (write, 2)]);
 }
 
-/// A misrouted write demotes it and the write waits for the next primary.
+/// A misrouted write demotes the known primary and waits for the next one.
 #[test]
 fn misrouted_write_demotes_and_waits_for_next_primary() {
     let mut gateway = TestGateway::ready(settings(), 3);
@@ -96,13 +100,13 @@
     );
 }
 
-/// A misrouted read shows only that replica to be behind.
+/// A misrouted read shows only that its replica is behind, and the known primary stays.
 #[test]
 fn misrouted_read_keeps_known_primary() {
     let mut gateway = TestGateway::ready(settings(), 3);
     let (read, actions) = gateway.arrive(BOUNDED);
-    let (_, missed) = dispatches(&actions)[0];
-    assert_ne!(missed, 0);
+    let (_, replica) = dispatches(&actions)[0];
+    assert_ne!(replica, 0);
     let behind = member_report(Role::Replica, START - 900 * MS);
     let actions = gateway.end_attempt(read, 0, Outcome::Misrouted, behind);
     assert_eq!(dispatches(&actions).len(), 1);
@@ -139,7 +143,7 @@
     assert_eq!(dispatches(&actions)[0].1, 1);
 }
 
-/// A good result resets the counter.
+/// A good health check resets the count of consecutive failures.
 #[test]
 fn good_check_resets_consecutive_failures() {
     let mut gateway = TestGateway::ready(settings(), 2);
@@ -153,7 +157,7 @@
     assert_eq!(dispatches(&actions)[0].1, 1);
 }
 
-/// Reads with eventual consistency stay off the known primary and spread by own in flight.
+/// Reads with eventual consistency stay off the known primary and spread over the replicas by attempts in flight.
 #[test]
 fn eventual_reads_spread_over_replicas() {
     let mut gateway = TestGateway::ready(settings(), 4);
@@ -182,7 +186,7 @@
     assert_eq!(dispatches(&actions)[0].1, 0);
 }
 
-/// Session reads go to a replica past their required position and anywhere when none is owed.
+/// Session reads go to a replica that has their required position, and to any replica if they require none.
 #[test]
 fn session_reads_require_position_of_their_write() {
     let mut gateway = TestGateway::ready(settings(), 2);
@@ -193,15 +197,23 @@
     assert_eq!(
         dispatches(&actions)[0].1,
         0,
-        "the replica has not got the write"
+        "the replica has not applied the write"
     );
     let (_, actions) = behind.arrive_with(SESSION, Some(1), None);
-    assert_eq!(dispatches(&actions)[0].1, 1, "no write is owed");
+    assert_eq!(
+        dispatches(&actions)[0].1,
+        1,
+        "the session has no write to see"
+    );
     let (_, actions) = gateway.arrive_with(SESSION, Some(1), Some(100 * MS));
-    assert_eq!(dispatches(&actions)[0].1, 1, "the replica has got it");
+    assert_eq!(
+        dispatches(&actions)[0].1,
+        1,
+        "the replica has applied the write"
+    );
 }
 
-/// Remembered sessions must see the commit they were answered with.
+/// Where the router remembers sessions, a session read must see the commit that its session was answered with.
 #[test]
 fn remembered_session_reads_see_their_commit() {
     let mut settings = settings();
@@ -226,13 +238,13 @@
     );
 }
 
-/// Queued writes are released on a new primary in a paced way.
+/// Queued writes are dispatched to a new primary gradually.
 #[test]
 fn queued_writes_ramp_up_on_promoted_primary() {
     let mut gateway = TestGateway::ready(settings(), 3);
     gateway.report_role(0, Role::Replica);
     let waiting: Vec<RequestId> = (0..40).map(|_| gateway.arrive(WRITE).0).collect();
-    // The oldest went out to seek the primary; rejected, it keeps its place.
+    // The oldest was dispatched to search for the primary; rejected there, it keeps its place in the queue.
     gateway.end_attempt(
         waiting[0],
         0,
@@ -294,9 +306,9 @@
     assert_eq!(run(), run());
 }
 
-/// A connection may take long to come up: a drain or a client that leaves meanwhile stops the write.
+/// A connection may take long to open: if the member drains or the client disconnects meanwhile, nothing is sent.
 #[test]
-fn dispatch_is_not_written_after_drain_or_client_gone() {
+fn attempt_is_not_sent_after_drain_or_client_gone() {
     for ending in [EndpointState::Draining, EndpointState::Removed] {
         let mut gateway = TestGateway::ready(settings(), 3);
         let (write, actions) = gateway.arrive(WRITE);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,11 +1,11 @@
-//! The five rules, one by one and over arbitrary legal event sequences.
+//! The invariants of the router, one by one and over arbitrary legal event sequences.
 mod common;
 use asterreel::interface::*;
 use common::*;
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A non-idempotent request that may have run is failed not rejected or sent again.
+/// A non-idempotent request that may have run is failed, and neither rejected nor dispatched again.
 #[test]
 fn non_idempotent_request_that_may_have_run_fails() {
     for outcome in [
@@ -33,7 +33,7 @@
     while !is_rejected(&actions, write) {
         assert!(gateway.now < due, "no answer in time");
         assert!(!is_failed(&actions, write));
-        // Each search for the primary is rejected untouched.
+        // Each search for the primary is rejected without running the write.
         if !dispatches(&actions).is_empty() {
             let replica = member_report(Role::Replica, gateway.now);
             actions = gateway.end_attempt(write, attempt, Outcome::Misrouted, replica);
@@ -44,11 +44,11 @@
     }
     assert!(
         gateway.now > due - 200 * MS,
-        "it was held while it could still make it"
+        "it was queued while it could still be served in time"
     );
 }
 
-/// Nothing goes to a member listed as draining or removed.
+/// Nothing is dispatched to a member listed as draining or removed.
 #[test]
 fn draining_or_removed_member_gets_nothing() {
     for state in [EndpointState::Draining, EndpointState::Removed] {
@@ -61,9 +61,9 @@
     }
 }
 
-/// Where a removal alone does not bind, a removed member stays in use.
+/// Where a removal alone does not stop dispatches, a removed member stays in use.
 #[test]
-fn removed_member_stays_in_use_where_only_draining_binds() {
+fn removed_member_stays_in_use_under_draining_only() {
     let mut settings = settings();
     settings.drain_signal = DrainSignal::DrainingOnly;
     let mut gateway = TestGateway::ready(settings, 2);
@@ -75,7 +75,7 @@
     assert_eq!(dispatches(&actions)[0].1, 0);
 }
 
-/// A member that is warming up gets little at first.
+/// A member that is warming up gets few requests at first.
 #[test]
 fn started_member_gets_few_dispatches_at_first() {
     let mut gateway = TestGateway::ready(settings(), 2);
@@ -89,10 +89,13 @@
             gateway.end_attempt(read, 0, Outcome::Rejected, MemberReport::default());
         }
     }
-    assert!(sent <= 2, "{sent} sends to a member just started");
+    assert!(
+        sent <= 2,
+        "{sent} dispatches to a member that has just started"
+    );
 }
 
-/// Without checks no read goes to a replica not known in sync.
+/// Where members do not check reads, no read is dispatched to a replica that is not known to be in sync.
 #[test]
 fn unchecked_reads_go_only_to_replicas_known_in_sync() {
     let mut settings = settings();
@@ -104,17 +107,17 @@
     assert_eq!(
         dispatches(&actions),
         [],
-        "a replica is asked first how far it is"
+        "a replica is polled for its position first"
     );
     for member in [1, 2] {
-        assert_eq!(dispatches(&actions), [], "one has not reported yet");
+        assert_eq!(dispatches(&actions), [], "a replica has not reported yet");
         gateway.now += MS;
         actions = gateway.report_lag(member, Role::Replica, 350 * MS);
     }
     assert_eq!(
         dispatches(&actions),
         [(read, 0)],
-        "all that were asked are behind"
+        "all replicas that were polled are behind"
     );
 }
 
@@ -145,7 +148,7 @@
     assert_eq!(error_of(negative), Some(invalid));
 }
 
-/// Unknown class or group gets a final answer and unknown names are ignored.
+/// A request of an unknown class or group is rejected, and events with unknown identifiers are ignored.
 #[test]
 fn unknown_class_is_rejected_and_unknown_ids_ignored() {
     let mut gateway = TestGateway::ready(settings(), 2);
@@ -168,13 +171,13 @@
     assert!(is_rejected(&actions, request));
 }
 
-/// What the test knows of a request, from the actions alone.
+/// The state of a request, as far as events and actions show it.
 struct SeenRequest {
     class: usize,
     due: Micros,
-    out: Vec<u32>,
+    in_flight: Vec<u32>,
     may_have_run: bool,
-    sends: u32,
+    dispatch_count: u32,
     done: bool,
 }
 
@@ -207,18 +210,18 @@
                     timeout,
                 } => {
                     let seen = self.requests.get_mut(&id).expect("a known request");
-                    assert!(!seen.done, "a send after the final answer");
-                    assert!(seen.sends < settings.max_attempts);
+                    assert!(!seen.done, "dispatched after the final answer");
+                    assert!(seen.dispatch_count < settings.max_attempts);
                     if !settings.parallel.granted() {
-                        assert!(seen.out.is_empty(), "two attempts out");
+                        assert!(seen.in_flight.is_empty(), "two attempts in flight");
                     }
                     if settings.classes[seen.class].idempotency == Idempotency::NonIdempotent {
-                        assert!(!seen.may_have_run && seen.out.is_empty());
+                        assert!(!seen.may_have_run && seen.in_flight.is_empty());
                     }
                     if let Some(notified_at) = self.drained.get(&m) {
                         assert!(
                             now <= notified_at + settings.drain_grace,
-                            "a drain not kept"
+                            "dispatched to a drained member after the grace period"
                         );
                     }
                     if settings.replica_checks == ReplicaChecks::None
@@ -229,13 +232,15 @@
                             ConsistencyLevel::BoundedStaleness => {
                                 assert!(position + settings.staleness_bounds[seen.class] >= now);
                             }
-                            ConsistencyLevel::Strong => panic!("a fresh read at a replica"),
+                            ConsistencyLevel::Strong => {
+                                panic!("a strong read dispatched to a replica")
+                            }
                             _ => {}
                         }
                     }
-                    let number = seen.sends;
-                    seen.sends += 1;
-                    seen.out.push(number);
+                    let number = seen.dispatch_count;
+                    seen.dispatch_count += 1;
+                    seen.in_flight.push(number);
                     self.in_flight.push(AttemptInFlight {
                         request: id,
                         number,
@@ -249,7 +254,7 @@
                     if matches!(action, Action::Reject { .. }) {
                         let idempotency = settings.classes[seen.class].idempotency;
                         let safe = idempotency == Idempotency::Idempotent;
-                        assert!(safe || (!seen.may_have_run && seen.out.is_empty()));
+                        assert!(safe || (!seen.may_have_run && seen.in_flight.is_empty()));
                     }
                     seen.done = true;
                 }
@@ -275,7 +280,7 @@
     checker.check(&settings, gateway.now, &actions);
     for (kind, a, b) in steps {
         gateway.now += u64::from(b % 16) * MS;
-        expire(&mut checker, &mut gateway, &settings);
+        end_timed_out_attempts(&mut checker, &mut gateway, &settings);
         match kind % 8 {
             0..=2 => {
                 let id = RequestId(gateway.next);
@@ -283,9 +288,9 @@
                 let seen = SeenRequest {
                     class,
                     due: gateway.now + 2_000 * MS,
-                    out: Vec::new(),
+                    in_flight: Vec::new(),
                     may_have_run: false,
-                    sends: 0,
+                    dispatch_count: 0,
                     done: false,
                 };
                 checker.requests.insert(id, seen);
@@ -304,7 +309,7 @@
                     Outcome::ConnectFailed,
                     Outcome::Cancelled,
                 ][usize::from(b) % 8];
-                end(&mut checker, &mut gateway, &settings, attempt, outcome, a);
+                end_attempt(&mut checker, &mut gateway, &settings, attempt, outcome, a);
             }
             5 => {
                 let m = u32::from(a) % 4;
@@ -340,22 +345,26 @@
             }
         }
     }
-    // Everything is answered in the end: time-outs arrive, timers fire.
+    // Time-outs and timers give every request its answer in the end.
     for _ in 0..500 {
         gateway.now += 5 * MS;
-        expire(&mut checker, &mut gateway, &settings);
+        end_timed_out_attempts(&mut checker, &mut gateway, &settings);
         let actions = gateway.event(Event::TimerFired);
         checker.check(&settings, gateway.now, &actions);
     }
     assert!(checker.requests.values().all(|seen| seen.done));
 }
 
-/// Attempts that reach their time-out end with it, as the wire would have it.
-fn expire(checker: &mut RuleChecker, gateway: &mut TestGateway, settings: &Settings) {
+/// Ends the attempts that have reached their time-out, as the gateway does.
+fn end_timed_out_attempts(
+    checker: &mut RuleChecker,
+    gateway: &mut TestGateway,
+    settings: &Settings,
+) {
     let mut late = checker.in_flight.clone();
     late.retain(|attempt| attempt.times_out_at <= gateway.now);
     for attempt in late {
-        end(checker, gateway, settings, attempt, Outcome::TimedOut, 0);
+        end_attempt(checker, gateway, settings, attempt, Outcome::TimedOut, 0);
     }
 }
 
@@ -373,7 +382,7 @@
     }
 }
 
-fn end(
+fn end_attempt(
     checker: &mut RuleChecker,
     gateway: &mut TestGateway,
     settings: &Settings,
@@ -386,7 +395,7 @@
         .in_flight
         .retain(|other| (other.request, other.number) != (id, number));
     let seen = checker.requests.get_mut(&id).expect("a known request");
-    seen.out.retain(|other| *other != number);
+    seen.in_flight.retain(|other| *other != number);
     use Outcome::*;
     seen.may_have_run |= !matches!(outcome, Rejected | ConnectFailed | NotSent | Misrouted);
     seen.done |= outcome == Served;
