--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Random settings over every mode of the protocol: the router is run against a simulated fleet of members, and every
 //! rule is checked after every step.
 //!
-//! `SETTINGS_CASES=500 cargo test --release --test settings` plays more than CI does.
+//! `SETTINGS_CASES=500 cargo test --release --test settings` runs more cases than CI does.
 mod common;
 #[path = "settings/world.rs"]
 mod world;
@@ -93,22 +93,22 @@
         ],
     );
     let permits = (permit(), permit(), permit(), permit());
-    let figures = (
+    let numbers = (
         prop_oneof![Just(1_u32), Just(2), Just(3), Just(300)],
         1..12_u32,
         1..4_000_u64,
         1_000..20_000_u64,
     );
-    let cold = (
+    let ramp = (
         0.05..1.0_f64,
         1_000..20_000_u64,
         1.5..4.0_f64,
         500..3_000_u64,
     );
-    (classes, modes, permits, figures, cold).prop_map(|(classes, modes, permits, figures, cold)| {
+    (classes, modes, permits, numbers, ramp).prop_map(|(classes, modes, permits, numbers, ramp)| {
         let (discovery, checks, tokens, listed_role, drain_signal) = modes;
         let (probes, cancel, retry_after, positions) = permits;
-        let (fleet, max_attempts, max_retry_after, poll_interval) = figures;
+        let (fleet, max_attempts, max_retry_after, poll_interval) = numbers;
         let base = common::settings();
         Settings {
             consistency_levels: classes.iter().map(|class| class.1).collect(),
@@ -127,10 +127,10 @@
             max_attempts,
             poll_interval: poll_interval * MS,
             drain_signal,
-            slow_start_initial_share: cold.0,
-            slow_start_duration: cold.1 * MS,
-            overload_multiple: cold.2,
-            overload_duration: cold.3 * MS,
+            slow_start_initial_share: ramp.0,
+            slow_start_duration: ramp.1 * MS,
+            overload_multiple: ramp.2,
+            overload_duration: ramp.3 * MS,
             ..base
         }
     })
@@ -150,16 +150,16 @@
     let rng = proptest::test_runner::TestRng::deterministic_rng(config.rng_algorithm);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let served = std::cell::Cell::new(0);
-    let played = runner.run(&(settings(), any::<u64>()), |(settings, seed)| {
+    let result = runner.run(&(settings(), any::<u64>()), |(settings, seed)| {
         let mut world = World::new(settings, seed);
-        let kept = world.run();
+        let checked = world.run();
         served.set(served.get() + world.served);
-        kept.map_err(|broken| TestCaseError::fail(format!("{broken}; after {:#?}", world.trace)))
+        checked.map_err(|broken| TestCaseError::fail(format!("{broken}; after {:#?}", world.trace)))
     });
-    played.unwrap_or_else(|broken| panic!("{broken}"));
+    result.unwrap_or_else(|broken| panic!("{broken}"));
     assert!(
         served.get() > 100 * cases,
-        "{} requests served in {cases} draws",
+        "{} requests served in {cases} cases",
         served.get()
     );
 }
--- a/tests/settings/world.rs
+++ b/tests/settings/world.rs
@@ -10,21 +10,21 @@
 const START: Micros = 1_000 * SECOND;
 const SPAN: Micros = 12 * SECOND;
 
-/// A member as it is, whatever the router knows.
+/// The true state of a member, which the router may not know.
 #[derive(Clone)]
 struct Member {
     group: u64,
     zone: u32,
     state: EndpointState,
     lag: Micros,
-    /// All up to here is applied for certain: a position never goes back.
+    /// The position is never below this, as it never goes back.
     floor: Micros,
     work: Micros,
     alive: bool,
-    /// From when its list entry forbids a send: the router was notified then.
-    bound_at: Option<Micros>,
-    /// Once primary, and until when an answer of its own has not reported otherwise.
-    excused: bool,
+    /// When the router was notified of a list entry that forbids dispatches to the member.
+    dispatch_forbidden_at: Option<Micros>,
+    /// It was the primary, and has not answered as a replica since: the router may still know it as the primary.
+    may_seem_primary: bool,
 }
 
 #[derive(Clone, Copy)]
@@ -36,26 +36,26 @@
 }
 
 /// A request that has no answer, or an attempt in flight.
-struct Open {
+struct OpenRequest {
     class: usize,
     group: u64,
     due: Micros,
     received: Micros,
     session: Option<u64>,
-    /// The last commit of its session when it came.
+    /// The last commit of its session when the request arrived.
     token: Micros,
     attempts: Vec<Attempt>,
     answered: bool,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Next {
+enum SimEvent {
     Arrive,
     Fault,
     Wake,
     End(u64, usize),
     Report(u32),
-    Watched,
+    WatchUpdate,
 }
 
 pub(crate) struct World {
@@ -65,15 +65,17 @@
     now: Micros,
     members: BTreeMap<u32, Member>,
     primaries: BTreeMap<u64, u32>,
-    open: BTreeMap<u64, Open>,
-    events: BinaryHeap<Reverse<(Micros, u64, Next)>>,
+    open: BTreeMap<u64, OpenRequest>,
+    events: BinaryHeap<Reverse<(Micros, u64, SimEvent)>>,
+    /// Orders events of the same time; also the source of request identifiers.
     number: u64,
     cancelled: Vec<(u64, usize)>,
     pub served: u32,
-    /// What a session has been answered with, by session.
+    /// The last commit that was answered, by session.
     commits: BTreeMap<u64, Micros>,
+    /// Calls to discovery that the router still has to make.
     calls_due: u32,
-    /// What happened last, for whoever looks into a broken rule.
+    /// The latest events with their actions, to be shown when a rule is broken.
     pub trace: VecDeque<String>,
 }
 
@@ -91,7 +93,7 @@
                 let (zone, work) = (rng.u32(0..2), rng.u64(2..60) * MS);
                 let lag = if place == 0 { 0 } else { rng.u64(1..400) * MS };
                 let (state, alive) = (EndpointState::Ready, true);
-                let excused = place == 0;
+                let may_seem_primary = place == 0;
                 let floor = START - lag;
                 let member = Member {
                     group,
@@ -101,8 +103,8 @@
                     floor,
                     work,
                     alive,
-                    bound_at: None,
-                    excused,
+                    dispatch_forbidden_at: None,
+                    may_seem_primary,
                 };
                 members.insert(id, member);
                 primaries.entry(group).or_insert(id);
@@ -126,7 +128,7 @@
         }
     }
 
-    fn schedule(&mut self, after: Micros, next: Next) {
+    fn schedule(&mut self, after: Micros, next: SimEvent) {
         self.number += 1;
         self.events
             .push(Reverse((self.now + after, self.number, next)));
@@ -185,16 +187,16 @@
         }
         actions
             .into_iter()
-            .try_for_each(|action| self.carry_out(action))
+            .try_for_each(|action| self.apply_action(action))
     }
 
-    fn carry_out(&mut self, action: Action) -> RuleCheck {
+    fn apply_action(&mut self, action: Action) -> RuleCheck {
         match action {
             Action::Dispatch {
                 request,
                 member: to,
                 timeout,
-            } => self.send(request.0, to.0, timeout),
+            } => self.dispatch(request.0, to.0, timeout),
             Action::Reject {
                 request,
                 retry_after,
@@ -202,7 +204,9 @@
                 if retry_after.is_some_and(|wait| wait > self.settings.max_retry_after)
                     || retry_after.is_some() && !self.settings.retry_after.granted()
                 {
-                    return Err(format!("come back after {retry_after:?}"));
+                    return Err(format!(
+                        "{request:?} is rejected with a retry-after of {retry_after:?}, which is too long or forbidden"
+                    ));
                 }
                 let Some(open) = self.open.get(&request.0) else {
                     return Ok(());
@@ -218,37 +222,40 @@
                         }
                 );
                 if may_have_run && !harmless {
-                    return Err(format!("{request:?} may have run and is refused"));
+                    return Err(format!("{request:?} may have run and is rejected"));
                 }
                 self.answer(request.0)
             }
             Action::Fail(request) => self.answer(request.0),
             Action::CancelAttempt { request, attempt } => {
                 if !self.settings.cancel.granted() {
-                    return Err("cancelled where that is not allowed".into());
+                    return Err("an attempt is cancelled although the settings forbid it".into());
                 }
                 self.cancelled.push((request.0, attempt.0 as usize));
-                self.schedule(MS, Next::End(request.0, attempt.0 as usize));
+                self.schedule(MS, SimEvent::End(request.0, attempt.0 as usize));
                 Ok(())
             }
             Action::CheckHealth(member) => {
                 if !self.settings.probes.granted() {
-                    return Err("checked where that is not allowed".into());
+                    return Err("a member is checked although the settings forbid it".into());
                 }
                 self.check_not_draining(member.0)?;
-                self.schedule(2 * MS, Next::Report(member.0));
+                self.schedule(2 * MS, SimEvent::Report(member.0));
                 Ok(())
             }
             Action::Watch => {
-                self.schedule(5 * MS, Next::Watched);
+                self.schedule(5 * MS, SimEvent::WatchUpdate);
                 if self.settings.discovery == DiscoveryMode::Push && self.calls_due == 0 {
-                    return Err("watched where lists are pushed and none was lost".into());
+                    return Err(
+                        "discovery is called although lists are pushed and no watch was lost"
+                            .into(),
+                    );
                 }
                 self.calls_due = self.calls_due.saturating_sub(1);
                 Ok(())
             }
             Action::SetTimer(after) => {
-                self.schedule(after, Next::Wake);
+                self.schedule(after, SimEvent::Wake);
                 Ok(())
             }
             Action::ReportTransition { .. } => Ok(()),
@@ -257,52 +264,52 @@
 
     fn answer(&mut self, request: u64) -> RuleCheck {
         let Some(open) = self.open.get_mut(&request) else {
-            return Err(format!(
-                "{request} is answered and was never taken, or is over"
-            ));
+            return Err(format!("request {request} is answered but not open"));
         };
         if std::mem::replace(&mut open.answered, true) {
-            return Err(format!("{request} is answered twice"));
+            return Err(format!("request {request} is answered twice"));
         }
         Ok(())
     }
 
-    /// Whether a member that drains or is removed gets no request.
+    /// Checks that a member is listed and may get requests.
     fn check_not_draining(&self, id: u32) -> RuleCheck {
         match self.members.get(&id) {
             None => Err(format!("member {id} was never listed")),
-            Some(member) if member.bound_at.is_some() => {
-                Err(format!("sent to {id}, which drains or is gone"))
-            }
+            Some(member) if member.dispatch_forbidden_at.is_some() => Err(format!(
+                "member {id} drains or is removed and gets a request or a check"
+            )),
             Some(_) => Ok(()),
         }
     }
 
-    fn send(&mut self, request: u64, to: u32, timeout: Micros) -> RuleCheck {
+    fn dispatch(&mut self, request: u64, to: u32, timeout: Micros) -> RuleCheck {
         self.check_not_draining(to)?;
         let (now, settings) = (self.now, &self.settings);
         let member = &self.members[&to];
         let position = self.position(member);
         let Some(open) = self.open.get_mut(&request).filter(|open| !open.answered) else {
-            return Err(format!("{request} is sent and is over"));
+            return Err(format!("request {request} is dispatched but not open"));
         };
         let class = &settings.classes[open.class];
         if member.group != open.group || now + timeout > open.due || timeout == 0 {
             return Err(format!(
-                "{request} is sent to another group, or to be waited for too long"
+                "request {request} is dispatched to another group, or with a time-out that is 0 or too long"
             ));
         }
         if open.attempts.len() >= settings.max_attempts as usize {
-            return Err(format!("{request} has too many attempts"));
+            return Err(format!("request {request} has too many attempts"));
         }
         if open.attempts.iter().any(|attempt| attempt.in_flight) {
-            return Err(format!("{request} has two attempts out"));
+            return Err(format!("request {request} has two attempts in flight"));
         }
         let first = open.attempts.iter().find(|attempt| attempt.may_have_run);
         match (first, class.idempotency) {
             (None, _) | (_, Idempotency::Idempotent) => {}
             (Some(_), Idempotency::NonIdempotent) => {
-                return Err(format!("{request} may have run and is sent again"))
+                return Err(format!(
+                    "request {request} may have run and is dispatched again"
+                ))
             }
             (Some(earlier), Idempotency::IdempotencyKey { scope, window }) => {
                 let zone = self.members[&earlier.member].zone;
@@ -310,12 +317,12 @@
                     || scope == DeduplicationScope::Zone && zone != member.zone
                 {
                     return Err(format!(
-                        "{request} is repeated where its key is not known any more"
+                        "request {request} is repeated where its idempotency key is no longer known"
                     ));
                 }
             }
         }
-        // Members that check reads see to it themselves; others answer from what they have.
+        // Members that check reads reject stale ones themselves; others answer from the data they have.
         let consistency = settings.consistency_levels[open.class];
         let must_see = match consistency {
             ConsistencyLevel::BoundedStaleness => now - settings.staleness_bounds[open.class],
@@ -326,11 +333,11 @@
         let has_positions = settings.positions.granted();
         if settings.replica_checks == ReplicaChecks::None
             && has_positions
-            && !member.excused
+            && !member.may_seem_primary
             && position < must_see
         {
             return Err(format!(
-                "{request} ({consistency:?}) is sent to {to}, {} us behind",
+                "request {request} ({consistency:?}) is dispatched to member {to}, which is {} us behind",
                 now - position
             ));
         }
@@ -347,7 +354,7 @@
         } else {
             timeout.min(250 * MS)
         };
-        self.schedule(after, Next::End(request, at));
+        self.schedule(after, SimEvent::End(request, at));
         Ok(())
     }
 
@@ -385,8 +392,8 @@
         }
     }
 
-    /// An attempt ends, one way or another.
-    fn end(&mut self, request: u64, at: usize) -> RuleCheck {
+    /// Ends an attempt, with a random outcome unless the member's state decides it.
+    fn end_attempt(&mut self, request: u64, at: usize) -> RuleCheck {
         let Some(open) = self.open.get(&request) else {
             return Ok(());
         };
@@ -410,26 +417,26 @@
             self.draw_outcome(member.alive, misroutes)
         };
         let now = self.now;
-        let open = self.open.get_mut(&request).expect("it is there");
+        let open = self.open.get_mut(&request).expect("an open request");
         open.attempts[at].in_flight = false;
         open.attempts[at].may_have_run = !outcome.proves_no_effect();
         let answered = matches!(
             outcome,
             Outcome::Served | Outcome::Misrouted | Outcome::Error | Outcome::Rejected
         );
-        let note = if answered {
+        let report = if answered {
             self.report_of(to)
         } else {
             MemberReport::default()
         };
         let served = outcome == Outcome::Served;
-        let owed = !self.open[&request].answered;
-        let answer_status = if served || !owed {
+        let is_pending = !self.open[&request].answered;
+        let answer_status = if served || !is_pending {
             AnswerStatus::Finished
         } else {
             AnswerStatus::Pending
         };
-        if served && owed {
+        if served && is_pending {
             self.answer(request)?;
             self.served += 1;
             if let (ConsistencyLevel::Write, Some(session)) = (consistency, session) {
@@ -437,27 +444,27 @@
                 *commit = now.max(*commit);
             }
         }
-        let note = if served && consistency == ConsistencyLevel::Write {
+        let report = if served && consistency == ConsistencyLevel::Write {
             MemberReport {
                 position: Some(now),
-                ..note
+                ..report
             }
         } else {
-            note
+            report
         };
         let ended = AttemptEnded {
             request: RequestId(request),
             attempt: AttemptNo(at as u32),
             outcome,
             latency: now - dispatched_at,
-            answer_report: note,
+            answer_report: report,
             load_report: MemberReport::default(),
             answer: answer_status,
         };
         if answered && !primary {
             self.members
                 .entry(to)
-                .and_modify(|member| member.excused = false);
+                .and_modify(|member| member.may_seem_primary = false);
         }
         self.handle(Event::AttemptEnded(ended))
     }
@@ -479,7 +486,7 @@
         let (received, attempts, answered) = (self.now, Vec::new(), false);
         self.open.insert(
             request,
-            Open {
+            OpenRequest {
                 class,
                 group,
                 due,
@@ -502,7 +509,7 @@
         }))
     }
 
-    /// Something happens to a member, and the list says so.
+    /// Changes the state of a random member or its list entry, or loses the watch.
     fn inject_fault(&mut self) -> RuleCheck {
         let id = self.rng.u32(0..self.members.len() as u32);
         let group = self.members[&id].group;
@@ -516,7 +523,7 @@
                 .entry(id)
                 .and_modify(|member| member.alive = true),
             2 => {
-                // A primary stands at the present; the one before it does not any more.
+                // The new primary has all commits; the one before it lags from now on.
                 let old = self.primaries.insert(group, id).unwrap_or(id);
                 let now = self.now;
                 self.members
@@ -524,10 +531,10 @@
                     .and_modify(|member| (member.lag, member.floor) = (20 * MS, now));
                 self.members
                     .entry(id)
-                    .and_modify(|member| (member.lag, member.excused) = (0, true))
+                    .and_modify(|member| (member.lag, member.may_seem_primary) = (0, true))
             }
-            // An answer is known to hold from then on: a member never falls back behind what it said, so lag grows
-            // by time passing alone. Here it only shrinks.
+            // A position that was reported stays valid, as positions never go back. So the lag of a member may only
+            // shrink here.
             3 => self.members.entry(id).and_modify(|member| member.lag /= 2),
             4 | 5 => {
                 let state = if self.rng.bool() {
@@ -535,13 +542,13 @@
                 } else {
                     EndpointState::Removed
                 };
-                let binds = self.settings.drain_signal == DrainSignal::DrainingOrRemoved
+                let forbids_dispatch = self.settings.drain_signal == DrainSignal::DrainingOrRemoved
                     || state == EndpointState::Draining;
                 let now = self.now;
                 self.members.entry(id).and_modify(|member| {
                     member.state = state;
-                    if binds {
-                        member.bound_at.get_or_insert(now);
+                    if forbids_dispatch {
+                        member.dispatch_forbidden_at.get_or_insert(now);
                     }
                 });
                 return self.handle(Event::EndpointsUpdated(
@@ -551,7 +558,7 @@
             }
             6 => {
                 self.members.entry(id).and_modify(|member| {
-                    (member.state, member.bound_at, member.alive) =
+                    (member.state, member.dispatch_forbidden_at, member.alive) =
                         (EndpointState::Ready, None, true);
                 });
                 return self.handle(Event::EndpointsUpdated(
@@ -568,7 +575,7 @@
         Ok(())
     }
 
-    /// Every request that is past its time has its answer.
+    /// Checks that every request past its deadline has its answer.
     fn check_deadlines(&self) -> RuleCheck {
         let late = self
             .open
@@ -576,7 +583,7 @@
             .find(|(_, open)| !open.answered && self.now > open.due + 5 * MS);
         late.map_or(Ok(()), |(request, open)| {
             Err(format!(
-                "{request} (class {}) has no answer {} us after its time",
+                "request {request} (class {}) has no answer {} us after its deadline",
                 open.class,
                 self.now - open.due
             ))
@@ -590,8 +597,8 @@
             UpdateKind::CachedSnapshot,
             list.into(),
         ))?;
-        self.schedule(1, Next::Arrive);
-        self.schedule(300 * MS, Next::Fault);
+        self.schedule(1, SimEvent::Arrive);
+        self.schedule(300 * MS, SimEvent::Fault);
         let end = START + SPAN;
         while let Some(Reverse((at, _, next))) = self.events.pop() {
             if at > end + 15 * SECOND {
@@ -599,20 +606,20 @@
             }
             self.now = at;
             match next {
-                Next::Arrive if at < end => {
+                SimEvent::Arrive if at < end => {
                     let wait = self.rng.u64(1..12 * MS);
-                    self.schedule(wait, Next::Arrive);
+                    self.schedule(wait, SimEvent::Arrive);
                     self.arrive()?;
                 }
-                Next::Fault if at < end => {
+                SimEvent::Fault if at < end => {
                     let wait = self.rng.u64(50..800) * MS;
-                    self.schedule(wait, Next::Fault);
+                    self.schedule(wait, SimEvent::Fault);
                     self.inject_fault()?;
                 }
-                Next::Arrive | Next::Fault => {}
-                Next::Wake => self.handle(Event::TimerFired)?,
-                Next::End(request, attempt) => self.end(request, attempt)?,
-                Next::Report(id) => {
+                SimEvent::Arrive | SimEvent::Fault => {}
+                SimEvent::Wake => self.handle(Event::TimerFired)?,
+                SimEvent::End(request, attempt) => self.end_attempt(request, attempt)?,
+                SimEvent::Report(id) => {
                     let outcome = if self.members[&id].alive {
                         Outcome::Served
                     } else {
@@ -625,7 +632,7 @@
                     };
                     self.handle(Event::HealthChecked(MemberId(id), outcome, report))?;
                 }
-                Next::Watched => {
+                SimEvent::WatchUpdate => {
                     self.handle(Event::EndpointsUpdated(UpdateKind::Delta, [].into()))?
                 }
             }
