--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -10,9 +10,9 @@
 use common::*;
 use world::*;
 
-/// Regression: in a fleet of a hundred gateways 88% of bounded reads went to the primaries, as no gateway knew a
-/// replica's position as young as the bound; a fifth was rejected unsent, while each member was checked eight times a
-/// second for nothing.
+/// In a fleet of 100 gateways 88% of bounded reads went to the primaries, as no gateway had a position of a replica
+/// that was younger than the bound. A fifth was rejected without an attempt, while each member was checked eight times
+/// a second to no use.
 #[test]
 fn large_fleet_reads_stay_off_primaries() {
     for seed in 1..=3 {
@@ -20,25 +20,25 @@
         world.run(10 * SECOND, 1_400);
         let reads = world.sent(BOUNDED, |_| true);
         let spilled = world.sent(BOUNDED, is_primary);
-        // The primary has the writes as well: it gets the reads of one and a half members, and chance.
+        // The primary also serves the writes: it gets the reads of one and a half members, plus random variation.
         assert!(
             spilled * MEMBERS < reads * 2,
             "seed {seed}: {spilled} of {reads} reads on primaries"
         );
         assert!(
-            world.refused * 50 < world.arrived,
-            "seed {seed}: {} refused",
-            world.refused
+            world.unserved * 50 < world.arrived,
+            "seed {seed}: {} requests without service",
+            world.unserved
         );
-        // At most one poll a bounded read, and none for anything else.
-        let asked = world.total_health_checks();
+        // At most one poll per bounded read, and none for other requests.
+        let checks = world.total_health_checks();
         assert!(
-            asked < reads,
-            "seed {seed}: {asked} checks for {reads} reads"
+            checks < reads,
+            "seed {seed}: {checks} checks for {reads} reads"
         );
         for member in (0..12 * MEMBERS).filter(|member| !is_primary(*member)) {
             let share = world.sent(BOUNDED, |to| to == member);
-            // One replica in four takes the eventual reads.
+            // One replica in four gets the eventual reads.
             assert!(
                 share < reads / (12 * 2),
                 "seed {seed}: {share} of {reads} reads on {member}"
@@ -47,14 +47,14 @@
     }
 }
 
-/// Regression: a hundred gateways spread eventual reads over all replicas, where each holds back what is applied;
-/// nearly all of them fell too far behind for bounded reads now and then.
+/// 100 gateways spread eventual reads over all replicas, where each such read delays replication. Nearly all replicas
+/// were too far behind for bounded reads at times.
 #[test]
 fn large_fleet_long_reads_concentrate_per_group() {
     for seed in 1..=3 {
         let mut world = World::new(100, 12, seed);
         world.run(10 * SECOND, 1_400);
-        let reports = world.sent(EVENTUAL, |_| true);
+        let long_reads = world.sent(EVENTUAL, |_| true);
         let most = |group| {
             (0..MEMBERS)
                 .map(|m| world.sent(EVENTUAL, |to| to == group * MEMBERS + m))
@@ -62,14 +62,14 @@
         };
         let concentrated: u32 = (0..12).filter_map(most).sum();
         assert!(
-            concentrated * 20 >= reports * 19,
-            "seed {seed}: {concentrated} of {reports}"
+            concentrated * 20 >= long_reads * 19,
+            "seed {seed}: {concentrated} of {long_reads} long reads"
         );
     }
 }
 
-/// A start from the cached snapshot checks nobody until it needs to, or a restart of all would check each member at
-/// once.
+/// A gateway that starts from the cached snapshot checks members only when it needs to, or a restart of the whole
+/// fleet would check each member from all gateways at once.
 #[test]
 fn large_fleet_start_checks_only_needed_members() {
     let mut world = World::new(100, 12, 1);
@@ -80,14 +80,13 @@
         "{checks} checks for {} requests",
         world.arrived
     );
-    // A small one knows all members before the first request, as it did.
+    // A small fleet checks all members before the first request.
     let mut world = World::new(3, 2, 1);
     world.run(100 * MS, 100);
     assert!(world.total_health_checks() >= 3 * 2 * MEMBERS);
 }
 
-/// Regression: gateways that restarted from an old list asked each dead member for its position a hundred times a
-/// second.
+/// Gateways that restarted from an outdated list polled each dead member for its position a hundred times a second.
 #[test]
 fn unanswering_members_are_polled_ever_less_often() {
     let mut world = World::new(100, 12, 1);
@@ -95,20 +94,21 @@
     world.run(10 * SECOND, 1_400);
     for member in &world.dead {
         // A gateway polls an unanswering member after 150 ms, then after twice as long each time.
-        let asked = world.health_checks[member];
-        assert!(asked <= 100 * 7, "{asked} checks of {member}");
+        let polls = world.health_checks[member];
+        assert!(polls <= 100 * 7, "{polls} polls of {member}");
     }
     assert!(
-        world.refused * 20 < world.arrived,
-        "{} of {} refused",
-        world.refused,
+        world.unserved * 20 < world.arrived,
+        "{} of {} requests without service",
+        world.unserved,
         world.arrived
     );
 }
 
-/// Regression: after 70 of 100 gateways had restarted, 155 calls to discovery in 2 s, of which 2 were answered; one
-/// that answered 150 a second got as many in the first second. However full it stays, calls of a gateway begin 2.5 s
-/// apart at most, or what it misses binds (report ad44e2): 2 s in the queue, and a wait spread over half a second.
+/// After 70 of 100 gateways had restarted, discovery got 155 calls in 2 s and answered 2 of them; one that could
+/// answer 150 calls a second got that many in the first second. However long discovery's queue stays full, the calls
+/// of a gateway begin at most 2.5 s apart, of which 2 s are spent in the queue and the rest is jitter of half a
+/// second. Otherwise a drain that the gateway missed takes effect before its next list arrives.
 #[test]
 fn discovery_calls_spread_after_mass_restart() {
     for (seed, gateways) in [(1, 100), (2, 100), (3, 100), (4, 3), (5, 30), (6, 300)] {
@@ -122,8 +122,8 @@
                 .filter(|at| (from..from + span).contains(at))
                 .count() as f64
         };
-        // The first calls are spread over 4.5 ms for each gateway, as far as that goes. Never more in a second than
-        // there are gateways, or than its queue of 2 s takes in with what a discovery was measured to answer.
+        // The first calls are spread over 4.5 ms per gateway, up to a limit. So no second has more calls than there
+        // are gateways, or than fit into discovery's queue of 2 s at the rate that it was measured to answer.
         let most = (0..60)
             .map(|s| in_span(s * SECOND, SECOND))
             .fold(0.0, f64::max);
@@ -138,7 +138,7 @@
             (0.9 * mean..=1.2 * mean).contains(&late),
             "seed {seed}: {late} calls a second after 40 s"
         );
-        // Apart: no tenth of a second has many more than its part.
+        // The calls are spread evenly: no tenth of a second has many more than its share.
         let tenths = (400..600).map(|tenth| in_span(tenth * SECOND / 10, SECOND / 10));
         let (most, part) = (tenths.fold(0.0, f64::max), mean / 10.0);
         assert!(
@@ -148,19 +148,19 @@
     }
 }
 
-/// Regression: 43 of 300 watches fell silent in the first second of a day; the waits before the next call were up to
-/// 15 s, and members that drained meanwhile were sent to 2.1 s after what the silence hid counted as notified (6 s).
-/// By reading: after a refused call the wait could grow to four times the ask interval less 2 s, after a watch that
-/// ended to the ask interval less 2 s, though what they hide counts as notified after 6 s as well.
+/// 43 of 300 watches fell silent in the first second of a run. The waits before the next call were up to 15 s, and
+/// members that had begun to drain got requests until 2.1 s after the missed update counted as notified (6 s). After a
+/// refused call the wait could also grow to four times the poll interval less 2 s, and after a watch that ended to the
+/// poll interval less 2 s, although what is missed then counts as notified after 6 s as well.
 #[test]
 fn discovery_call_follows_any_loss_in_time() {
-    // A watch that ended, a call refused at once, a place that can't be reached, a call that was refused out of a
-    // queue, one that was given up, a watch that fell silent.
+    // In this order: a watch that ended, a call refused at once, an unreachable address, a queued call that was
+    // refused, a call that timed out, a watch that fell silent.
     for staleness in [
         0,
         20 * MS,
         SECOND,
-        CALL,
+        CALL_TIMEOUT,
         2_500 * MS,
         asterreel::discovery::WATCH_SILENCE_TIMEOUT_US,
     ] {
@@ -179,14 +179,14 @@
                 };
                 let latest = poll_interval
                     .min(6 * SECOND)
-                    .saturating_sub(staleness + CALL)
+                    .saturating_sub(staleness + CALL_TIMEOUT)
                     .max(200 * MS);
                 let mut gateway = TestGateway::seeded(settings, 2, seed);
                 for count in 0..30 {
                     let waited = wait_after_loss(&mut gateway, staleness);
                     assert!(
                         waited <= latest + 10 * MS,
-                        "fleet {fleet}, asked every {poll_interval}, number {count} after {staleness}: {waited} us"
+                        "fleet of {fleet}, poll interval {poll_interval} us, loss {count} after {staleness} us: waited {waited} us"
                     );
                 }
             }
@@ -194,7 +194,7 @@
     }
 }
 
-/// A gateway that has made its first call after a start, and how long it waited with it.
+/// A gateway that has made its first call after a start, and how long it waited before that call.
 fn started(settings: &Settings, seed: u64) -> (TestGateway, Micros) {
     let (mut gateway, mut actions) = TestGateway::with_seed(settings.clone(), 2, seed);
     let start = gateway.now;
@@ -207,12 +207,12 @@
     (gateway, waited)
 }
 
-/// Incident ad44e2: gateways that were restarted called up to 7.4 s after their start, and after a call that failed
-/// for its wait in the queue up to 2 s later, each time anew, while what they missed counted as notified 6 s after it
-/// changed. Every gateway of a fleet makes three calls before the grace of 2 s after that is over, from a start or a
-/// loss on, however each of them ends.
+/// Restarted gateways made their first call up to 7.4 s after the start, and the next one up to 2 s after each call
+/// that timed out in discovery's queue, while missed updates counted as notified 6 s after the change. Every gateway
+/// of a fleet must make three calls, from a start or a loss on, before the 2 s of grace after that are over, however
+/// each call ends.
 #[test]
-fn three_discovery_calls_fit_before_a_drain_binds() {
+fn three_discovery_calls_fit_before_drain_takes_effect() {
     for fleet in [1, 3, 8, 9, 30, 100, 312, 900] {
         let settings = Settings {
             fleet_size: fleet,
@@ -220,7 +220,7 @@
             ..settings()
         };
         for seed in 0..40 {
-            for takes in [0, 20 * MS, SECOND, CALL] {
+            for takes in [0, 20 * MS, SECOND, CALL_TIMEOUT] {
                 let what = format!("fleet {fleet}, seed {seed}, each takes {takes} us");
                 let (mut gateway, began) = started(&settings, seed);
                 assert_calls(
@@ -239,8 +239,8 @@
     }
 }
 
-/// When a first call, made now after such a wait, and two more begin, each of which fails after so long; from the
-/// beginning of the first wait on.
+/// When three calls begin, counted from the beginning of the wait before the first: that is made now, after a wait of
+/// `first`, and each call fails after `takes`.
 fn calls_from(gateway: &mut TestGateway, first: Micros, takes: Micros) -> Vec<Micros> {
     let from = gateway.now - first;
     let mut calls = vec![first];
@@ -252,7 +252,8 @@
     calls
 }
 
-/// The first call within 2 s, each further one 2.5 s after the one before at most; clocks are read each 10 ms.
+/// Asserts that the first call begins within 2 s and each further one at most 2.5 s after the one before; the clock
+/// advances in steps of 10 ms.
 fn assert_calls(calls: &[Micros], what: &str) {
     for (number, (at, latest)) in calls.iter().zip([2_000, 4_500, 7_000]).enumerate() {
         assert!(
@@ -262,7 +263,7 @@
     }
 }
 
-/// How long a gateway waits with its next call after a loss.
+/// How long a gateway waits before its next call after a loss.
 fn wait_after_loss(gateway: &mut TestGateway, staleness: Micros) -> Micros {
     gateway.event(Event::WatchLost(WatchLoss::after_silence(staleness)));
     let lost_at = gateway.now;
@@ -273,13 +274,17 @@
     gateway.now - lost_at
 }
 
-/// An agent on the gateway's own machine answers at once and costs nothing, and what it has counts as notified from
-/// the moment it has it. By reading: its loss was treated like that of a discovery which all share, with waits up to
-/// 8 s in a fleet of 300, in which a drain was notified and its grace ran out.
+/// An agent on the gateway's own machine answers at once and at no cost, and an update counts as notified as soon as
+/// the agent has it. Its loss was treated like that of a discovery which the whole fleet shares, with waits of up to 8
+/// s in a fleet of 300, during which a drain was notified and its grace ran out.
 #[test]
 fn pushing_agent_is_called_again_at_once() {
     for fleet in [1, 30, 300] {
-        for staleness in [0, CALL, asterreel::discovery::WATCH_SILENCE_TIMEOUT_US] {
+        for staleness in [
+            0,
+            CALL_TIMEOUT,
+            asterreel::discovery::WATCH_SILENCE_TIMEOUT_US,
+        ] {
             let settings = Settings {
                 fleet_size: fleet,
                 discovery: DiscoveryMode::Push,
@@ -290,14 +295,14 @@
                 let waited = wait_after_loss(&mut gateway, staleness);
                 assert!(
                     waited <= 60 * MS,
-                    "fleet {fleet}, number {count}: {waited} us"
+                    "fleet of {fleet}, loss {count}: waited {waited} us"
                 );
             }
         }
     }
 }
 
-/// Fronts whose watches are all lost in the same moment do not call in the same moment, however often that comes.
+/// Gateways that lose their watches at the same moment do not call at the same moment, however often this happens.
 #[test]
 fn discovery_calls_spread_after_common_loss() {
     for fleet in [3, 30, 300] {
@@ -319,19 +324,20 @@
                 .map(|gateway| wait_after_loss(gateway, 0))
                 .collect();
             waits.sort_unstable();
-            // Half of them lie no closer together than half of the longest wait allows, roughly.
+            // The middle half of the waits spans at least 50 ms after the first loss, later a fifth of the longest
+            // wait or 600 ms.
             let (early, late) = (waits[15], waits[45]);
-            let budget = if round == 0 { 50 * MS } else { waits[59] / 5 };
+            let least_span = if round == 0 { 50 * MS } else { waits[59] / 5 };
             assert!(
-                late - early >= budget.min(600 * MS),
+                late - early >= least_span.min(600 * MS),
                 "fleet {fleet}, round {round}: {early} to {late}"
             );
         }
     }
 }
 
-/// Regression: two replicas of a group let 700 searches time out in 4 s, one or two of each gateway a second, and no
-/// gateway ejected them.
+/// Two replicas of a group let 700 reads time out in 4 s, one or two of each gateway a second, and no gateway ejected
+/// them.
 #[test]
 fn large_fleet_ejects_replica_after_timeout() {
     for (fleet, ejects) in [(100, true), (3, false)] {
@@ -352,9 +358,9 @@
             let (read, actions) = gateway.arrive(BOUNDED);
             let sent = dispatches(&actions);
             again += sent.iter().filter(|(_, to)| *to == slow).count();
-            let note = member_report(Role::Replica, gateway.now);
+            let report = member_report(Role::Replica, gateway.now);
             sent.iter()
-                .for_each(|_| drop(gateway.end_attempt(read, 0, Outcome::Served, note)));
+                .for_each(|_| drop(gateway.end_attempt(read, 0, Outcome::Served, report)));
         }
         assert_eq!(
             again == 0,
--- a/tests/fleet/world.rs
+++ b/tests/fleet/world.rs
@@ -7,19 +7,21 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 pub(crate) const SECOND: Micros = 1_000 * MS;
-/// How long a member works on a request, and the round trip of a health check.
+/// How long a member works on a short request.
 pub(crate) const WORK: Micros = 30 * MS;
-pub(crate) const TRIP: Micros = 2 * MS;
-/// How long a member works on a long read, during which it applies nothing.
-pub(crate) const REPORT: Micros = 300 * MS;
-/// How long discovery lets a call wait.
-pub(crate) const CALL: Micros = 2 * SECOND;
+/// The round trip of a health check.
+pub(crate) const ROUND_TRIP: Micros = 2 * MS;
+/// How long a member works on a long read, during which it applies nothing from the log.
+pub(crate) const LONG_READ_WORK: Micros = 300 * MS;
+/// How long a call waits at discovery before it fails.
+pub(crate) const CALL_TIMEOUT: Micros = 2 * SECOND;
 /// How old a load report is.
 pub(crate) const REPORT_AGE: Micros = 150 * MS;
+/// How many members each group has.
 pub(crate) const MEMBERS: u32 = 5;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Next {
+pub(crate) enum SimEvent {
     Arrival,
     Wake(usize),
     Answer(usize, u64, u32),
@@ -27,30 +29,34 @@
     CallFailed(usize),
 }
 
-/// Some gateways of groups of [`MEMBERS`], the first of each its primary; the others are in step with it.
+/// A fleet of gateways, and groups of [`MEMBERS`] members. The first member of each group is its primary, the others
+/// are in sync with it.
 pub(crate) struct World {
     pub now: Micros,
     pub gateways: Vec<Router>,
     pub groups: u32,
-    pub events: BinaryHeap<Reverse<(Micros, u64, Next)>>,
+    pub events: BinaryHeap<Reverse<(Micros, u64, SimEvent)>>,
+    /// Orders events of the same time.
     pub number: u64,
     pub rng: fastrand::Rng,
     pub classes: BTreeMap<u64, usize>,
     pub attempts: BTreeMap<(usize, u64), u32>,
     /// By member.
     pub health_checks: BTreeMap<u32, u32>,
-    pub sends: BTreeMap<(usize, u32), u32>,
-    /// When each member got something.
-    pub times: BTreeMap<u32, Vec<(Micros, usize)>>,
+    /// By class and member.
+    pub dispatches: BTreeMap<(usize, u32), u32>,
+    /// When a request was dispatched to each member, and of which class.
+    pub dispatch_times: BTreeMap<u32, Vec<(Micros, usize)>>,
     /// When discovery was called; every call fails after 2 s.
     pub calls: Vec<Micros>,
     /// Members whose process is gone.
     pub dead: Vec<u32>,
     pub arrived: u32,
-    pub refused: u32,
-    /// Which gateway an arrival comes to: all alike, or some several times as often as others.
+    /// Requests that were rejected or failed.
+    pub unserved: u32,
+    /// Some gateways get several times as many arrivals as others.
     pub uneven: bool,
-    /// Arrivals come in bursts of half of the time.
+    /// Arrivals come in bursts, which take half of the time.
     pub bursts: bool,
 }
 
@@ -84,16 +90,16 @@
             classes: BTreeMap::new(),
             attempts: BTreeMap::new(),
             health_checks: BTreeMap::new(),
-            sends: BTreeMap::new(),
-            times: BTreeMap::new(),
+            dispatches: BTreeMap::new(),
+            dispatch_times: BTreeMap::new(),
             calls: Vec::new(),
             dead: Vec::new(),
             arrived: 0,
-            refused: 0,
+            unserved: 0,
             uneven: false,
             bursts: false,
         };
-        world.schedule(1, Next::Arrival);
+        world.schedule(1, SimEvent::Arrival);
         for gateway in 0..world.gateways.len() {
             world.handle(
                 gateway,
@@ -103,7 +109,7 @@
         world
     }
 
-    /// All gateways start anew, with this list.
+    /// Restarts all gateways with this list.
     pub(crate) fn restart(
         &mut self,
         settings: &Settings,
@@ -126,7 +132,7 @@
         }
     }
 
-    pub(crate) fn schedule(&mut self, after: Micros, next: Next) {
+    pub(crate) fn schedule(&mut self, after: Micros, next: SimEvent) {
         self.number += 1;
         self.events
             .push(Reverse((self.now + after, self.number, next)));
@@ -141,30 +147,30 @@
                     request, member, ..
                 } => {
                     let class = self.classes[&request.0];
-                    *self.sends.entry((class, member.0)).or_default() += 1;
-                    self.times
+                    *self.dispatches.entry((class, member.0)).or_default() += 1;
+                    self.dispatch_times
                         .entry(member.0)
                         .or_default()
                         .push((self.now, class));
                     *self.attempts.entry((gateway, request.0)).or_default() += 1;
-                    self.schedule(work(class), Next::Answer(gateway, request.0, member.0));
+                    self.schedule(work(class), SimEvent::Answer(gateway, request.0, member.0));
                 }
                 Action::CheckHealth(member) => {
                     *self.health_checks.entry(member.0).or_default() += 1;
-                    self.schedule(TRIP, Next::Report(gateway, member.0));
+                    self.schedule(ROUND_TRIP, SimEvent::Report(gateway, member.0));
                 }
-                Action::SetTimer(after) => self.schedule(after, Next::Wake(gateway)),
-                Action::Reject { .. } | Action::Fail(_) => self.refused += 1,
+                Action::SetTimer(after) => self.schedule(after, SimEvent::Wake(gateway)),
+                Action::Reject { .. } | Action::Fail(_) => self.unserved += 1,
                 Action::Watch => {
                     self.calls.push(self.now);
-                    self.schedule(CALL, Next::CallFailed(gateway));
+                    self.schedule(CALL_TIMEOUT, SimEvent::CallFailed(gateway));
                 }
                 Action::CancelAttempt { .. } | Action::ReportTransition { .. } => {}
             }
         }
     }
 
-    /// What a member reports now, as of so long ago.
+    /// How a member answers, with a report of the state that it had `age` ago.
     pub(crate) fn reply(&self, member: u32, age: Micros) -> (Outcome, MemberReport) {
         match self.dead.contains(&member) {
             true => (Outcome::ConnectFailed, MemberReport::default()),
@@ -172,7 +178,7 @@
         }
     }
 
-    /// Runs for a span, with so many requests a second from the whole fleet.
+    /// Runs for a span, with `rate` requests per second over the whole fleet.
     pub(crate) fn run(&mut self, span: Micros, rate: u64) {
         let end = self.now + span;
         while self.events.peek().is_some_and(|event| event.0 .0 < end) {
@@ -181,29 +187,34 @@
             };
             self.now = at;
             match next {
-                Next::Arrival => {
+                SimEvent::Arrival => {
                     let wait = -(1.0 - self.rng.f64()).ln() * 1e6 / rate as f64;
                     let quiet = self.bursts && self.now % (2 * SECOND) >= SECOND;
                     let wait = if self.bursts { wait / 2.0 } else { wait };
-                    let rest = if quiet { SECOND } else { 0 };
-                    self.schedule(wait as Micros + 1 + rest, Next::Arrival);
+                    let pause = if quiet { SECOND } else { 0 };
+                    self.schedule(wait as Micros + 1 + pause, SimEvent::Arrival);
                     self.arrive();
                 }
-                Next::Wake(gateway) => self.handle(gateway, Event::TimerFired),
-                Next::CallFailed(gateway) => {
-                    self.handle(gateway, Event::WatchLost(WatchLoss::after_silence(CALL)))
-                }
-                Next::Answer(gateway, request, member) => {
+                SimEvent::Wake(gateway) => self.handle(gateway, Event::TimerFired),
+                SimEvent::CallFailed(gateway) => self.handle(
+                    gateway,
+                    Event::WatchLost(WatchLoss::after_silence(CALL_TIMEOUT)),
+                ),
+                SimEvent::Answer(gateway, request, member) => {
                     let attempt = self.attempts[&(gateway, request)] - 1;
                     let class = self.classes[&request];
-                    // Nothing is applied while a report is worked on.
-                    let behind = if class == EVENTUAL { REPORT } else { 5 * MS };
-                    let (outcome, note) = self.reply(member, behind);
+                    // A member applies nothing while it works on a long read.
+                    let behind = if class == EVENTUAL {
+                        LONG_READ_WORK
+                    } else {
+                        5 * MS
+                    };
+                    let (outcome, report) = self.reply(member, behind);
                     let ended =
-                        attempt_ended(RequestId(request), attempt, outcome, work(class), note);
+                        attempt_ended(RequestId(request), attempt, outcome, work(class), report);
                     self.handle(gateway, Event::AttemptEnded(ended));
                 }
-                Next::Report(gateway, member) => {
+                SimEvent::Report(gateway, member) => {
                     let (outcome, report) = self.reply(member, REPORT_AGE);
                     self.handle(
                         gateway,
@@ -247,7 +258,7 @@
         );
     }
 
-    /// All gateways are notified of a member at once.
+    /// Notifies all gateways of a member at the same time.
     pub(crate) fn update_endpoint(&mut self, member: u32, state: EndpointState, started: Micros) {
         let entries: std::sync::Arc<[Endpoint]> = [listed(member, state, started)].into();
         for gateway in 0..self.gateways.len() {
@@ -259,11 +270,11 @@
     }
 
     pub(crate) fn sent(&self, class: usize, to: impl Fn(u32) -> bool) -> u32 {
-        let sends = self
-            .sends
+        let dispatches = self
+            .dispatches
             .iter()
             .filter(|((of, member), _)| *of == class && to(*member));
-        sends.map(|(_, count)| count).sum()
+        dispatches.map(|(_, count)| count).sum()
     }
 
     pub(crate) fn total_health_checks(&self) -> u32 {
@@ -273,13 +284,13 @@
 
 pub(crate) fn work(class: usize) -> Micros {
     if class == EVENTUAL {
-        REPORT
+        LONG_READ_WORK
     } else {
         WORK
     }
 }
 
-/// A listed endpoint.
+/// A member as the endpoint list has it.
 pub(crate) fn listed(member: u32, state: EndpointState, started: Micros) -> Endpoint {
     let group = GroupId(u64::from(member / MEMBERS));
     Endpoint {
