--- a/src/policy/load_shedding.rs
+++ b/src/policy/load_shedding.rs
@@ -11,7 +11,8 @@
 pub(crate) const LOADED_PRESSURE: f64 = 0.35;
 /// The share by which a late answer or a rejection lowers the admitted fraction.
 const FRACTION_LOSS: f64 = 0.15;
-/// How much an answer below [`HIGH_PRESSURE`] adds to the admitted fraction.
+/// How much an answer adds to the admitted fraction if its latency, as a share of the objective, is below
+/// [`HIGH_PRESSURE`].
 const FRACTION_GAIN: f64 = 0.02;
 /// The least admitted fraction.
 const MIN_FRACTION: f64 = 0.2;
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -199,9 +199,9 @@
             .map(|member| member.id)
     }
 
-    /// Concentrates on the replicas furthest behind, half of them at most. A replica whose answers are late
-    /// gets no more reads while any are in flight there. An idle one gets another, as only an answer can show that the
-    /// pressure has eased.
+    /// Concentrates on the replicas furthest behind, half of them at most. A replica whose answers are late gets no more
+    /// reads while any are in flight there. An idle one gets another, as only an answer can show that the pressure has
+    /// eased.
     fn concentrate_by_lag(&self, replicas: &[&Member]) -> Option<MemberId> {
         let mut ordered = replicas.to_vec();
         ordered.sort_by_key(|member| {
