--- a/control/src/lease/fence.rs
+++ b/control/src/lease/fence.rs
@@ -1,4 +1,4 @@
-//! Fencing at the receiver of actions: rejects what a holder sends after its lease passed to another.
+//! Fencing at the receiver of actions: rejects actions that a former holder sends after the lease passed to another one.
 
 use super::{Duty, Token};
 use std::collections::BTreeMap;
@@ -11,7 +11,7 @@
 
 /// An action under a lease that has passed to another holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the lease has passed on: its newest token is {}", newest.0)]
+#[error("the token is stale: the duty was granted again with token {}", newest.0)]
 pub struct StaleToken {
     /// The newest token seen under the duty.
     pub newest: Token,
@@ -22,7 +22,7 @@
     ///
     /// # Errors
     ///
-    /// [`StaleToken`] where `token` is older than the newest seen; nothing changes then.
+    /// [`StaleToken`] if `token` is older than the newest seen; nothing changes then.
     pub fn admit(&mut self, duty: Duty, token: Token) -> Result<(), StaleToken> {
         let newest = self.newest.entry(duty).or_default();
         if token < *newest {
--- a/control/src/lease/fence/tests.rs
+++ b/control/src/lease/fence/tests.rs
@@ -10,7 +10,7 @@
         fence.admit(duty, Token(4)),
         Err(StaleToken { newest: Token(9) })
     );
-    // Another duty has a fence of its own.
+    // The newest token is kept for each duty separately.
     assert_eq!(fence.admit(Duty(1), Token(2)), Ok(()));
     assert_eq!(fence.newest(duty), Some(Token(9)));
 }
--- a/control/src/lease/leases.rs
+++ b/control/src/lease/leases.rs
@@ -1,4 +1,4 @@
-//! One gateway's part in the leases: when it claims or renews one, until when it may act, and when it must stop.
+//! The leases of one gateway: when it claims or renews one, until when it may act, and when it must stop.
 
 use super::{
     Command, Duty, DutyState, Index, NodeIdentity, Outcome, Rejection, Table, Timing, Token,
@@ -9,7 +9,7 @@
 /// What happens at a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// This gateway is to hold the duty whenever it can.
+    /// This gateway is to hold the duty: until it drains, it claims the lease whenever the lease is available.
     Want(Duty),
     /// An entry of the log was committed, and is applied here in log order.
     Applied {
@@ -18,7 +18,7 @@
         /// The entry.
         command: Command,
     },
-    /// A timer fired, or something else makes a look at the time worthwhile.
+    /// Time has passed: expired leases end, and due claims and renewals are proposed.
     Tick,
     /// The gateway shuts down gracefully: it stops acting and releases its leases, so that others can claim them at once.
     Drain,
@@ -45,16 +45,16 @@
         /// The token of the lease that has ended.
         token: Token,
     },
-    /// Apply the log again from this entry on: one before the last was not applied.
+    /// Apply the log again from this entry on: the entry just received is a later one.
     Replay {
-        /// The first missing entry.
+        /// The first entry that was not applied.
         from: Index,
     },
-    /// Send [`Event::Tick`] at this time at the latest.
+    /// Send [`Event::Tick`] at this time at the latest, microseconds on this gateway's clock.
     Wake(Micros),
 }
 
-/// Who may act on a duty now, as far as this gateway can tell.
+/// Who may act on a duty now, as far as this gateway knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Status {
     /// This gateway holds the lease.
@@ -71,7 +71,7 @@
         /// The fencing token.
         token: Token,
     },
-    /// No gateway is known to act on the duty: one that needs the work does it for itself, within its own budgets.
+    /// No gateway is known to act on the duty: a gateway that needs the work does it for itself, within its own budgets.
     Available,
 }
 
@@ -93,7 +93,7 @@
     held: Option<HeldLease>,
 }
 
-/// The leases of one gateway; see the module's documentation for what holds.
+/// The leases of one gateway. The documentation of [`crate::lease`] lists the invariants.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Leases {
     identity: NodeIdentity,
@@ -113,12 +113,12 @@
         }
     }
 
-    /// The leases as the log has them, as far as it was applied here.
+    /// The replicated state of all leases, as of the last entry applied here.
     pub fn table(&self) -> &Table {
         &self.table
     }
 
-    /// Replaces the table by one from a snapshot. Every lease in it counts from now, as it may just have been renewed.
+    /// Replaces the table with one from a snapshot. Every lease in it counts from now, as it may just have been renewed.
     pub fn restore(&mut self, now: Micros, table: Table) {
         self.table = table;
         for local in self.duties.values_mut() {
@@ -137,10 +137,12 @@
         }
         let state = self.table.duty(duty);
         match state.holder {
-            Some(holder) if !local.has_waited_out(now, self.timing) => Status::HeldByOther {
-                holder,
-                token: state.token,
-            },
+            Some(holder) if !local.observed_lease_has_expired(now, self.timing) => {
+                Status::HeldByOther {
+                    holder,
+                    token: state.token,
+                }
+            }
             _ => Status::Available,
         }
     }
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Takes an event at `now` (microseconds on this gateway's monotonic clock), and appends what is to be done to
+    /// Handles an event at `now` (microseconds on this gateway's monotonic clock), and appends the resulting actions to
     /// `actions`.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
@@ -188,7 +190,7 @@
         self.duties.keys().copied().collect()
     }
 
-    /// Takes over what an applied entry means for this gateway.
+    /// Updates what this gateway observed and holds after an entry was applied.
     fn observe(
         &mut self,
         now: Micros,
@@ -209,7 +211,8 @@
                 if holder != identity {
                     local.stop(duty, actions);
                 } else if let Command::Claim { at, .. } = *command {
-                    // Counted from before the request, as the others observe the grant only later.
+                    // The lease counts from the request: the others count from when they apply the grant, which is
+                    // later.
                     let lease = HeldLease::new(token, at, lease_us);
                     local.hold(duty, lease, now, actions);
                 }
@@ -237,7 +240,7 @@
                 holder,
                 reason,
             } if holder == identity => {
-                // The request is settled, so the next may follow at once.
+                // The request is decided, so the next one may follow at once.
                 local.requested_at = None;
                 if let (Rejection::NotHolder, Command::Renew { token, .. }) = (reason, *command) {
                     if local.held.is_some_and(|held| held.token == token) {
@@ -249,7 +252,7 @@
         }
     }
 
-    /// Stops acting where the lease has expired, and requests the lease where it is wanted and can be had.
+    /// Stops acting if the lease has expired, and claims or renews the lease if it is wanted and available.
     fn advance(&mut self, duty: Duty, now: Micros, actions: &mut Vec<Action>) {
         let state = self.table.duty(duty);
         let local = self.duties.entry(duty).or_default();
@@ -257,7 +260,7 @@
             local.stop(duty, actions);
         }
         if state.holder.is_some() && local.observed_at.is_none() {
-            // Known from a snapshot alone: the lease counts from now.
+            // The lease is known from a snapshot alone, so it counts from now.
             local.observed_at = Some(now);
         }
         if !local.may_request(now, self.timing) {
@@ -270,7 +273,7 @@
         }
     }
 
-    /// Stops acting on a duty, releases its lease, and requests it no more.
+    /// Stops acting on a duty, releases its lease, and doesn't request it again.
     fn release(&mut self, duty: Duty, actions: &mut Vec<Action>) {
         let state = self.table.duty(duty);
         let local = self.duties.entry(duty).or_default();
@@ -307,12 +310,12 @@
 
 impl LocalState {
     /// Whether the lease observed last has expired for certain, whichever gateway holds it.
-    fn has_waited_out(&self, now: Micros, timing: Timing) -> bool {
+    fn observed_lease_has_expired(&self, now: Micros, timing: Timing) -> bool {
         self.observed_at
             .is_some_and(|at| now >= at.saturating_add(timing.wait_us()))
     }
 
-    /// Whether the lease is wanted, and the last request is a renewal interval old or was settled.
+    /// Whether the lease is wanted, and the last request is a renewal interval old or was rejected.
     fn may_request(&self, now: Micros, timing: Timing) -> bool {
         let pending = self
             .requested_at
@@ -330,7 +333,7 @@
         now: Micros,
     ) -> Option<Command> {
         if state.holder == Some(identity) {
-            // Even where it has expired here: the renewal counts from now.
+            // Also after the lease expired on this gateway's clock: the renewal counts from now.
             return Some(Command::Renew {
                 duty,
                 holder: identity,
@@ -338,7 +341,7 @@
                 at: now,
             });
         }
-        let available = state.holder.is_none() || self.has_waited_out(now, timing);
+        let available = state.holder.is_none() || self.observed_lease_has_expired(now, timing);
         available.then_some(Command::Claim {
             duty,
             holder: identity,
@@ -347,7 +350,7 @@
         })
     }
 
-    /// Acts under a lease, if it has not expired and ends later than the same lease did before.
+    /// Starts or continues acting under a lease, unless it has expired or does not extend the one held.
     fn hold(&mut self, duty: Duty, lease: HeldLease, now: Micros, actions: &mut Vec<Action>) {
         let extends = match self.held {
             Some(held) if held.token == lease.token => lease.expires_at > held.expires_at,
@@ -373,18 +376,21 @@
         }
     }
 
-    /// When the lease held expires, when the next request may follow, and when another's lease has been waited out.
+    /// When the lease held expires, when the next request may follow, and when the lease of another gateway has expired
+    /// for certain.
     fn deadlines(self, held_by_other: bool, timing: Timing) -> impl Iterator<Item = Micros> {
         let expiry = self.held.map(|held| held.expires_at);
         let next_request = self
             .requested_at
             .filter(|_| self.wanted)
             .map(|at| at.saturating_add(timing.renew_us));
-        let waited_out = self
+        let observed_expiry = self
             .observed_at
             .filter(|_| self.wanted && held_by_other)
             .map(|at| at.saturating_add(timing.wait_us()));
-        [expiry, next_request, waited_out].into_iter().flatten()
+        [expiry, next_request, observed_expiry]
+            .into_iter()
+            .flatten()
     }
 }
 
--- a/control/src/lease/leases/tests.rs
+++ b/control/src/lease/leases/tests.rs
@@ -31,7 +31,7 @@
         .collect()
 }
 
-/// Applies entries on all gateways at `now`, in order, starting after what the first has applied.
+/// Applies entries on all gateways at `now`, in order, numbered from the one after the first gateway's last.
 fn commit(all: &mut [Leases], now: Micros, commands: &[Command]) -> Vec<Vec<Action>> {
     let first = all[0].table().applied().0;
     let mut outs = vec![Vec::new(); all.len()];
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn lease_passes_on_after_others_waited_it_out() {
+fn lease_passes_to_another_gateway_after_its_wait() {
     let mut all = [gateway(1), gateway(2)];
     let (mut first, mut second) = (Vec::new(), Vec::new());
     all[0].handle(0, Event::Want(DUTY), &mut first);
@@ -71,7 +71,7 @@
             token: Token(1)
         }
     );
-    // The first stops renewing; the second waits the lease and the margin from when it observed the grant, then claims.
+    // The first stops renewing; the second waits for the lease and the margin since it observed the grant, then claims.
     let mut out = Vec::new();
     all[1].handle(3_119, Event::Tick, &mut out);
     assert!(proposals(&out).is_empty(), "{out:?}");
@@ -86,7 +86,7 @@
             at: 3_120
         }]
     );
-    // By then the first has stopped on its own clock.
+    // By then the first gateway has stopped by its own clock.
     let mut out = Vec::new();
     all[0].handle(3_000, Event::Tick, &mut out);
     assert!(out.contains(&Action::Stop {
@@ -101,7 +101,7 @@
     }));
 }
 
-/// Two gateways that want the duty, the first holding it from 5 on.
+/// Two gateways that want the duty; the first holds it from 5 us on.
 fn first_holds() -> [Leases; 2] {
     let mut all = [gateway(1), gateway(2)];
     let mut out = Vec::new();
@@ -157,7 +157,7 @@
         "{:?}",
         outs[1]
     );
-    // The drained one does not claim again.
+    // The drained gateway does not claim again.
     let mut out = Vec::new();
     all[0].handle(5_000, Event::Tick, &mut out);
     assert!(proposals(&out).is_empty());
@@ -176,7 +176,7 @@
         "{:?}",
         outs[0]
     );
-    // It is the holder by the log: a renewal requested now gives a lease from now.
+    // By the log it is the holder: a renewal requested now gives a lease that counts from now.
     let renewal = proposals(&outs[0]);
     assert!(
         matches!(
--- a/control/src/lease/mod.rs
+++ b/control/src/lease/mod.rs
@@ -14,8 +14,9 @@
 //! - Whether an entry takes effect depends on the log alone, never on a clock.
 //! - Tokens of a duty only grow, so that a [`Fence`] rejects what a holder sends after it stalled past its lease.
 //!
-//! [`Leases`] takes events and appends actions; time is an argument. Nothing here sends, stores or reads a clock, and no
-//! action has to arrive: a lost proposal is made again. `docs/design/lease.md` has the timing argument in full.
+//! [`Leases`] handles events and appends the resulting actions; time is an argument. Nothing here sends messages, stores
+//! data or reads a clock. Any action may be lost: a lost proposal is made again. `docs/design/lease.md` has the timing
+//! argument in full.
 
 mod fence;
 mod leases;
@@ -52,14 +53,14 @@
     }
 }
 
-/// One incarnation of a gateway: its number in the fleet, and a number drawn when its process starts. After a restart a
-/// gateway doesn't take a lease that it requested before for its own: its clock started anew, so it can't tell when the
-/// lease expires.
+/// One incarnation of a gateway: its number in the fleet, and a random number drawn when its process starts. The
+/// incarnation keeps a restarted gateway from acting under a lease that it requested before the restart: its monotonic
+/// clock started anew, so it can't tell when that lease expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeIdentity {
     /// Its number in the fleet, as the operator's file gives it.
     pub gateway: u32,
-    /// Drawn at the start of the process.
+    /// Drawn at random when the process starts.
     #[serde(rename = "life")]
     pub incarnation: u32,
 }
@@ -70,8 +71,8 @@
 )]
 pub struct Index(pub u64);
 
-/// A fencing token: the index of the entry that granted a lease. From one grant of a duty to the next it only grows, so
-/// a receiver of actions under a duty rejects those with a smaller token than the newest that it has seen.
+/// A fencing token: the index of the entry that granted a lease. It grows with each grant of a duty, so a receiver of
+/// actions under a duty rejects those with a smaller token than the newest that it has seen.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -84,9 +85,9 @@
     /// Grants the duty to `holder` if the duty has not changed since the entry `seen`: the claimer waited until the lease
     /// of that entry had expired, or there was none. A compare-and-set on the duty's last change.
     Claim {
-        /// The duty.
+        /// The duty that is claimed.
         duty: Duty,
-        /// The claimer.
+        /// The gateway that claims it, and holds the lease if the entry takes effect.
         holder: NodeIdentity,
         /// The entry that had last changed the duty when the claimer decided, [`Index`] 0 if none had.
         seen: Index,
@@ -95,22 +96,22 @@
     },
     /// Extends the lease to its full length, counted from `at`.
     Renew {
-        /// The duty.
+        /// The duty whose lease is renewed.
         duty: Duty,
-        /// The holder.
+        /// The gateway that holds the lease.
         holder: NodeIdentity,
-        /// The token of the lease.
+        /// The token of the lease, from its grant.
         token: Token,
         /// When the holder requested it, microseconds on its own clock; other gateways ignore it.
         at: Micros,
     },
     /// Ends the lease early: its holder has stopped acting on the duty.
     Release {
-        /// The duty.
+        /// The duty whose lease ends.
         duty: Duty,
-        /// The former holder.
+        /// The gateway that held the lease.
         holder: NodeIdentity,
-        /// The token of the lease.
+        /// The token of the lease, from its grant.
         token: Token,
     },
 }
--- a/control/src/lease/table.rs
+++ b/control/src/lease/table.rs
@@ -1,4 +1,4 @@
-//! The leases as the log has them: applied entry by entry, with the same result on every gateway.
+//! The replicated state of the leases: entries are applied in log order, with the same result on every gateway.
 
 use super::{Command, Duty, Index, NodeIdentity, Token};
 use serde::{Deserialize, Serialize};
@@ -7,11 +7,11 @@
 /// The lease of one duty after the entries applied so far. Its stored field names are part of snapshots.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DutyState {
-    /// The holder, if there is one. Whether its lease has expired is a matter of clocks, not of the log.
+    /// The holder, if there is one. The log does not say whether its lease has expired: each gateway tells by its clock.
     pub holder: Option<NodeIdentity>,
     /// The token of the lease that was granted last; 0 before the first.
     pub token: Token,
-    /// The entry that last granted, renewed or released the lease: a claim must have seen it.
+    /// The entry that last granted, renewed or released the lease: a claim takes effect only if it names this entry.
     #[serde(rename = "changed")]
     pub last_change: Index,
 }
@@ -21,7 +21,7 @@
 pub enum Outcome {
     /// A claim took effect.
     Granted {
-        /// The duty.
+        /// The duty that was claimed.
         duty: Duty,
         /// Its new holder.
         holder: NodeIdentity,
@@ -30,27 +30,27 @@
     },
     /// A renewal took effect.
     Renewed {
-        /// The duty.
+        /// The duty whose lease was renewed.
         duty: Duty,
         /// Its holder.
         holder: NodeIdentity,
-        /// The token of the lease, as before.
+        /// The token of the lease, which a renewal doesn't change.
         token: Token,
     },
     /// A release took effect: the duty has no holder.
     Released {
-        /// The duty.
+        /// The duty that has no holder now.
         duty: Duty,
         /// Its former holder.
         holder: NodeIdentity,
     },
     /// The entry took no effect.
     Rejected {
-        /// The duty.
+        /// The duty that the entry is about; its lease is unchanged.
         duty: Duty,
         /// The gateway that proposed the entry.
         holder: NodeIdentity,
-        /// Why.
+        /// Why the entry was rejected.
         reason: Rejection,
     },
     /// The entry was applied before: the log is replayed from an earlier entry.
@@ -60,7 +60,7 @@
 /// Why an entry took no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Rejection {
-    /// A claim that did not see the last change of its duty: another gateway renewed or claimed it meanwhile.
+    /// A claim that does not name the last change of its duty: another gateway renewed or claimed it meanwhile.
     Outdated,
     /// A renewal or release of a lease that is not the current one, or not the proposer's.
     NotHolder,
@@ -71,7 +71,7 @@
 pub struct Gap {
     /// The index expected next.
     pub expected: Index,
-    /// The index that came.
+    /// The index of the entry passed in.
     pub found: Index,
 }
 
@@ -83,7 +83,7 @@
 }
 
 impl Table {
-    /// The lease of a duty; one that no entry was about has no holder, and its last change is 0.
+    /// The lease of a duty. Before the first entry about a duty it has no holder, and its last change is 0.
     pub fn duty(&self, duty: Duty) -> DutyState {
         self.duties.get(&duty).copied().unwrap_or_default()
     }
@@ -93,11 +93,11 @@
         self.applied
     }
 
-    /// Applies the entry at `index`, which must be the next one. One applied before changes nothing.
+    /// Applies the entry at `index`, which must be the next one. An entry that was applied before changes nothing.
     ///
     /// # Errors
     ///
-    /// [`Gap`] where entries in between were not applied; nothing changes then.
+    /// [`Gap`] if entries in between were not applied; nothing changes then.
     pub fn apply(&mut self, index: Index, command: &Command) -> Result<Outcome, Gap> {
         if index <= self.applied {
             return Ok(Outcome::AlreadyApplied);
@@ -161,7 +161,7 @@
                 token,
             } => {
                 self.require_holder(holder, token)?;
-                // The token stays: the next grant's is larger.
+                // The token is kept: the token of the next grant is larger.
                 self.holder = None;
                 self.last_change = index;
                 Ok(Outcome::Released { duty, holder })
--- a/control/src/lease/table/tests.rs
+++ b/control/src/lease/table/tests.rs
@@ -50,7 +50,7 @@
         table.apply(Index(3), &renew),
         Ok(Outcome::Renewed { .. })
     ));
-    // B waited out the grant, but A renewed meanwhile.
+    // B waited until the first grant expired, but A renewed meanwhile.
     let waited = table.apply(Index(4), &claim(B, 1));
     assert_eq!(
         waited,
@@ -60,7 +60,7 @@
             reason: Rejection::Outdated
         })
     );
-    // Having seen the renewal and waited it out, B takes it with a larger token.
+    // B has applied the renewal and waited until it expired: its claim is granted with a larger token.
     let taken = table.apply(Index(5), &claim(B, 3));
     assert_eq!(
         taken,
@@ -70,7 +70,7 @@
             token: Token(5)
         })
     );
-    // A's renewal of the old lease, written late, does nothing.
+    // A renewal of A's old lease that is appended late has no effect.
     let stale = table.apply(Index(6), &renew);
     assert_eq!(
         stale,
@@ -120,7 +120,7 @@
         })
     );
     assert_eq!(table.duty(DUTY).holder, None);
-    // The token stays, so that the next grant's is larger.
+    // The token is kept: the token of the next grant is larger.
     assert_eq!(table.duty(DUTY).token, Token(1));
 }
 
--- a/control/src/lease/timing.rs
+++ b/control/src/lease/timing.rs
@@ -3,19 +3,18 @@
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Rates of clocks are in parts per million.
 const PARTS_PER_MILLION: u128 = 1_000_000;
 
-/// The drift from which on a clock counts as broken.
+/// The lowest drift that is rejected, parts per million: a clock that is so far from real time is broken.
 pub const MAX_DRIFT_PPM: u32 = 100_000;
 
 /// How long leases last, and how far clocks may disagree. Microseconds.
 ///
 /// Clocks are monotonic and may run at rates between `1 - drift` and `1 + drift` of real time; where they start does
 /// not matter. A holder acts for at most `lease_us` on its clock after its request, which is at most
-/// `lease_us / (1 - drift)` of real time. Another gateway takes the lease as expired [`Timing::wait_us`] on its own clock
+/// `lease_us / (1 - drift)` of real time. Another gateway considers the lease expired [`Timing::wait_us`] on its own clock
 /// after it applied the grant, which is at least `wait_us / (1 + drift)` of real time, and it applied the grant only after
-/// the holder's request. `wait_us` is the least wait for which the first span is no longer than the second, plus
+/// the holder's request. `wait_us` is the shortest wait for which the first time span is no longer than the second, plus
 /// `margin_us` for the granularity of timers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Timing {
@@ -33,17 +32,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TimingError {
     /// The drift is too large for a clock that works.
-    #[error("{drift_ppm} is not below {MAX_DRIFT_PPM}: such a clock is broken")]
+    #[error("{drift_ppm} is not below {MAX_DRIFT_PPM}: a clock that drifts so far is broken")]
     DriftTooLarge {
         /// The configured drift, parts per million.
         drift_ppm: u32,
     },
     /// The renewal interval is zero.
-    #[error("is 0: a holder would ask without end")]
+    #[error("must not be 0: a holder would request renewals without a pause")]
     NoRenewalInterval,
     /// A lease expires before its renewal can be requested, committed and applied.
     #[error(
-        "{lease_ms} ms is not longer than renew_ms and margin_ms together ({renewal_ms} ms): no renewal would come in time"
+        "{lease_ms} ms is not longer than renew_ms and margin_ms together ({renewal_ms} ms), so a lease would expire \
+         before its renewal; raise lease_ms or lower renew_ms"
     )]
     LeaseTooShort {
         /// The configured length of a lease, milliseconds.
@@ -54,7 +54,7 @@
 }
 
 impl TimingError {
-    /// The settings key with the value at fault.
+    /// The settings key of the rejected value.
     pub fn key(&self) -> &'static str {
         match self {
             TimingError::DriftTooLarge { .. } => "drift_ppm",
@@ -65,7 +65,8 @@
 }
 
 impl Timing {
-    /// How long after it applied the last grant or renewal a gateway takes another's lease as expired, microseconds.
+    /// How long after applying the last grant or renewal a gateway considers another gateway's lease expired,
+    /// microseconds on its own clock.
     pub fn wait_us(&self) -> Micros {
         let drift = u128::from(self.drift_ppm.min(MAX_DRIFT_PPM));
         let fastest = PARTS_PER_MILLION + drift;
@@ -76,7 +77,7 @@
             .saturating_add(self.margin_us)
     }
 
-    /// Whether the values are consistent.
+    /// Checks that the values are consistent.
     ///
     /// # Errors
     ///
--- a/control/src/lease/timing/tests.rs
+++ b/control/src/lease/timing/tests.rs
@@ -9,16 +9,16 @@
         margin_us: 0,
     };
     let wait = timing.wait_us();
-    // The holder's last moment in real time, at its slowest, against the others' first, at their fastest.
+    // The end of the lease in real time on the slowest holder's clock, and the end of the wait on the fastest other clock.
     let holder_ends = 3_000_000.0 / 0.99;
     let others_begin = wait as f64 / 1.01;
     assert!(
         others_begin >= holder_ends,
-        "another acts before the lease ended: {others_begin} < {holder_ends}"
+        "another gateway acts before the lease ended: {others_begin} < {holder_ends}"
     );
     assert!(
         others_begin - holder_ends < 2.0,
-        "the wait is longer than it must be: {others_begin} against {holder_ends}"
+        "the wait is longer than necessary: {others_begin} against {holder_ends}"
     );
     let exact = Timing {
         drift_ppm: 0,
