--- a/control/src/codec.rs
+++ b/control/src/codec.rs
@@ -1,5 +1,5 @@
-//! What log entries and messages have in common on the wire: `prost` messages of identities and reports, the formats of
-//! entries, and the errors of reading either.
+//! Encodings that log entries and messages share: `prost` messages of identities and reports, the format number of
+//! entries, and the errors of decoding either.
 //!
 //! Tags and types are fixed by the stored logs and by the builds that are connected: they are never reused or changed.
 
@@ -11,49 +11,49 @@
 /// were members of the log.
 pub const FORMAT: u32 = 2;
 
-/// Why an entry or a message was not read. Nothing of it takes effect.
+/// Why an entry or a message was not decoded. Nothing of it takes effect.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
     /// Written by a newer build.
     #[error(
-        "it has format {found}, this build reads up to {FORMAT}; start a build that understands it"
+        "format {found} is newer than format {FORMAT} of this build; start a build that reads it"
     )]
     Newer {
-        /// The format it needs.
+        /// The format number found.
         found: u32,
     },
     /// Written by an older build, whose entries mean something else.
     #[error(
-        "it has format {found} of an older build, this one reads {FORMAT} alone; stop all control members, remove the \
-         log's folder at each, start them and offer the file again"
+        "an older build wrote format {found}, and this build reads only format {FORMAT}; stop all control members, remove \
+         the log's folder at each, start them, and propose the operator's file again by a SIGHUP to one gateway"
     )]
     Older {
-        /// Its format.
+        /// The format number found.
         found: u32,
     },
     /// Longer than any build writes; names the part.
-    #[error("its {0} is longer than any build writes")]
+    #[error("the {0} is longer than any build writes")]
     TooLong(&'static str),
     /// Not a `prost` message of the expected kind.
-    #[error("it is damaged: {0}")]
+    #[error("the bytes are damaged: {0}")]
     Damaged(String),
     /// A kind, or a value within it, that this build does not know; names the part.
-    #[error("its {0} is unknown or missing")]
+    #[error("the {0} is missing or unknown to this build")]
     Unknown(&'static str),
 }
 
 impl From<prost::DecodeError> for DecodeError {
-    fn from(fault: prost::DecodeError) -> DecodeError {
-        DecodeError::Damaged(fault.to_string())
+    fn from(error: prost::DecodeError) -> DecodeError {
+        DecodeError::Damaged(error.to_string())
     }
 }
 
-/// The topic with a number.
+/// Decodes the number of a topic.
 pub(crate) fn topic(number: u32) -> Result<Topic, DecodeError> {
     Topic::from_number(number).ok_or(DecodeError::Unknown("topic"))
 }
 
-/// A content from a message, whose length is bounded.
+/// Checks the length of a content that was received, and returns it with its format.
 pub(crate) fn content(format: u32, bytes: Vec<u8>) -> Result<Content, DecodeError> {
     if bytes.len() > MAX_CONTENT_BYTES {
         return Err(DecodeError::TooLong("content"));
@@ -88,7 +88,7 @@
     }
 }
 
-/// An audit report on the wire.
+/// A gateway's report to the audit on the wire.
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct WireReport {
     #[prost(message, required, tag = "1")]
@@ -141,7 +141,7 @@
 }
 
 impl WireReport {
-    /// The message of a report.
+    /// Encodes a report as a message.
     pub(crate) fn new(who: NodeIdentity, sequence: u64, spans: &[Span]) -> WireReport {
         WireReport {
             who: who.into(),
@@ -150,7 +150,7 @@
         }
     }
 
-    /// The spans that it reports, whose number is bounded.
+    /// Decodes the spans; more than [`MAX_SPANS_PER_REPORT`] are an error.
     pub(crate) fn spans(&self) -> Result<Vec<Span>, DecodeError> {
         if self.spans.len() > MAX_SPANS_PER_REPORT {
             return Err(DecodeError::TooLong("list of spans"));
--- a/control/src/state_machine/entry.rs
+++ b/control/src/state_machine/entry.rs
@@ -1,6 +1,6 @@
-//! How entries of the log are written: a `prost` message with the format that it needs and one kind of body.
+//! The encoding of log entries: a `prost` message with a format number and one body.
 //!
-//! Stored logs hold these bytes: tags and types never change, and another meaning needs another format.
+//! Stored logs hold these bytes: tags and types never change, and a change of meaning needs a new format number.
 
 use super::Command;
 use crate::codec::{topic, WireIdentity, WireReport};
@@ -51,7 +51,7 @@
     who: WireIdentity,
     #[prost(uint32, tag = "2")]
     duty: u32,
-    /// The token, or of a claim the index of the last entry on the duty that the claimer knows.
+    /// The token of the lease; in a claim, the index of the last entry about the duty that the claimer has applied.
     #[prost(uint64, tag = "3")]
     number: u64,
     #[prost(uint64, tag = "4")]
@@ -80,14 +80,14 @@
     token: u64,
     #[prost(uint32, tag = "3")]
     topic: u32,
-    /// Of a nack, the rejected version; of a proposal, the active version that it is to replace.
+    /// In a nack, the rejected version; in a proposal, the active version that it is to replace.
     #[prost(uint64, tag = "4")]
     number: u64,
     #[prost(uint32, tag = "5")]
     format: u32,
     #[prost(bytes = "vec", tag = "6")]
     content: Vec<u8>,
-    /// Of a nack, why.
+    /// In a nack, why the version was rejected; empty in a proposal.
     #[prost(string, tag = "7")]
     reason: String,
 }
@@ -102,7 +102,7 @@
     by: Vec<WireRegistration>,
 }
 
-/// The bytes of the entry of a command.
+/// Encodes a command as a log entry.
 pub fn encode(command: &Command) -> Vec<u8> {
     let body = match command {
         Command::Lease(command) => lease_body(command),
@@ -147,12 +147,12 @@
         V::Join { who, formats } => Body::Join(WireRegistration {
             oldest: formats.oldest,
             newest: formats.newest,
-            ..registration(*who, Token(0))
+            ..wire_registration(*who, Token(0))
         }),
-        V::Leave { who, token } => Body::Leave(registration(*who, *token)),
+        V::Leave { who, token } => Body::Leave(wire_registration(*who, *token)),
         V::Expire { who, token, epoch } => Body::Expire(WireRegistration {
             epoch: epoch.0,
-            ..registration(*who, *token)
+            ..wire_registration(*who, *token)
         }),
         V::ProposeVersion {
             who,
@@ -174,7 +174,7 @@
             number: *number,
             by: by
                 .iter()
-                .map(|(who, token)| registration(*who, *token))
+                .map(|(who, token)| wire_registration(*who, *token))
                 .collect(),
         }),
         V::Nack {
@@ -200,7 +200,7 @@
     }
 }
 
-fn registration(who: NodeIdentity, token: Token) -> WireRegistration {
+fn wire_registration(who: NodeIdentity, token: Token) -> WireRegistration {
     WireRegistration {
         who: who.into(),
         token: token.0,
@@ -210,38 +210,38 @@
     }
 }
 
-/// Reads an entry.
+/// Decodes a log entry.
 ///
 /// # Errors
 ///
-/// [`DecodeError`], where it is not understood completely.
+/// [`DecodeError`] if this build does not understand the whole entry.
 pub fn decode(bytes: &[u8]) -> Result<Command, DecodeError> {
     let entry = Entry::decode(bytes)?;
     let found = entry.format;
     match found.cmp(&FORMAT) {
         Ordering::Greater => Err(DecodeError::Newer { found }),
         Ordering::Less => Err(DecodeError::Older { found }),
-        Ordering::Equal => command(entry.body.ok_or(DecodeError::Unknown("kind"))?),
+        Ordering::Equal => decode_body(entry.body.ok_or(DecodeError::Unknown("kind"))?),
     }
 }
 
-fn command(body: Body) -> Result<Command, DecodeError> {
+fn decode_body(body: Body) -> Result<Command, DecodeError> {
     use versions::Command as V;
     Ok(match body {
         Body::Claim(lease) => Command::Lease(lease::Command::Claim {
-            duty: duty(lease.duty)?,
+            duty: decode_duty(lease.duty)?,
             holder: lease.who.into(),
             seen: Index(lease.number),
             at: lease.at,
         }),
         Body::Renew(lease) => Command::Lease(lease::Command::Renew {
-            duty: duty(lease.duty)?,
+            duty: decode_duty(lease.duty)?,
             holder: lease.who.into(),
             token: Token(lease.number),
             at: lease.at,
         }),
         Body::Release(lease) => Command::Lease(lease::Command::Release {
-            duty: duty(lease.duty)?,
+            duty: decode_duty(lease.duty)?,
             holder: lease.who.into(),
             token: Token(lease.number),
         }),
@@ -301,8 +301,8 @@
     }
 }
 
-fn duty(number: u32) -> Result<Duty, DecodeError> {
-    let known = usize::try_from(number).is_ok_and(|place| place < lease::DUTIES.len());
+fn decode_duty(number: u32) -> Result<Duty, DecodeError> {
+    let known = usize::try_from(number).is_ok_and(|index| index < lease::DUTIES.len());
     known
         .then_some(Duty(number as u16))
         .ok_or(DecodeError::Unknown("duty"))
--- a/control/src/state_machine/entry/tests.rs
+++ b/control/src/state_machine/entry/tests.rs
@@ -84,7 +84,7 @@
             token: TOKEN,
             topic,
             number: 20,
-            reason: "spoilt".into(),
+            reason: "invalid".into(),
         },
         V::Report {
             who: A,
@@ -98,19 +98,20 @@
         .collect()
 }
 
-/// Entries are read as they were written, and garbage is a typed error.
+/// An entry decodes to the command that was encoded. Truncated and corrupted entries give an error or a valid command,
+/// never a panic.
 #[test]
 fn entries_round_trip_and_garbage_is_an_error() {
     for command in commands() {
         let bytes = encode(&command);
         assert_eq!(decode(&bytes), Ok(command.clone()));
-        let again = |spoilt: &[u8]| {
-            if let Ok(command) = decode(spoilt) {
+        let assert_error_or_command = |corrupted: &[u8]| {
+            if let Ok(command) = decode(corrupted) {
                 assert_eq!(decode(&encode(&command)), Ok(command));
             }
         };
-        (0..bytes.len()).for_each(|end| again(&bytes[..end]));
-        fuzz::garbage(&bytes, again);
+        (0..bytes.len()).for_each(|end| assert_error_or_command(&bytes[..end]));
+        fuzz::garbage(&bytes, assert_error_or_command);
     }
 }
 
@@ -123,11 +124,11 @@
         body: body.clone(),
     }
     .encode_to_vec();
-    let fault = decode(&older).expect_err("an older build's");
-    assert_eq!(fault, DecodeError::Older { found: FORMAT - 1 });
+    let error = decode(&older).expect_err("an older format is rejected");
+    assert_eq!(error, DecodeError::Older { found: FORMAT - 1 });
     assert!(
-        fault.to_string().contains("remove the log's folder"),
-        "{fault}"
+        error.to_string().contains("remove the log's folder"),
+        "{error}"
     );
     let newer = Entry {
         format: FORMAT + 1,
--- a/control/src/state_machine/error.rs
+++ b/control/src/state_machine/error.rs
@@ -1,4 +1,4 @@
-//! Why a control member can't apply what the log brings.
+//! The errors of applying an entry or a snapshot of the log.
 
 use super::{DecodeError, FORMAT};
 
@@ -11,8 +11,9 @@
     Entry(#[from] DecodeError),
     /// A snapshot written by a build with another format.
     #[error(
-        "a snapshot has format {found}, this build reads {FORMAT}; where the log was written by an older build, stop all \
-         control members, remove the log's folder at each, start them and offer the file again"
+        "a snapshot has format {found}, but this build reads only format {FORMAT}; if an older build wrote the log, stop \
+         all control members, remove the log's folder at each, start them, and propose the operator's file again by a \
+         SIGHUP to one gateway"
     )]
     SnapshotFormat {
         /// The snapshot's format.
@@ -20,17 +21,18 @@
     },
     /// A snapshot whose bytes are not those that were written.
     #[error(
-        "a snapshot is damaged ({0}); remove the log's folder, so that this gateway learns it from its peers"
+        "a snapshot is damaged ({0}); remove the log's folder, so that this gateway gets the log from its peers again"
     )]
     SnapshotDamaged(String),
     /// An entry that doesn't follow the last one applied.
     #[error(
-        "entry {due} was due and {came} came; remove the log's folder, so that this gateway learns it anew"
+        "entry {expected} of the log was expected, but entry {found} was found; remove the log's folder, so that this \
+         gateway gets the log from its peers again"
     )]
     Gap {
         /// The index expected next.
-        due: u64,
-        /// The index that came.
-        came: u64,
+        expected: u64,
+        /// The index of the entry to be applied.
+        found: u64,
     },
 }
--- a/control/src/state_machine/mod.rs
+++ b/control/src/state_machine/mod.rs
@@ -13,8 +13,9 @@
 //! - A snapshot stands for all entries before it: restoring it and applying the rest gives the state of a member that
 //!   applied every entry.
 //!
-//! It never sends, stores, draws random numbers or reads a clock: time is an argument, and consensus, disk and links are
-//! the caller's. Proposals, confirmations and messages may be lost; whoever needs them asks again at a later event.
+//! It never sends, stores, draws random numbers or reads a clock: time is an argument, and the caller runs Raft, the disk
+//! and the links. Proposals, confirmations and messages may be lost; the part that needs one requests it again at a later
+//! event.
 
 mod entry;
 mod error;
@@ -41,11 +42,11 @@
 pub enum Event<'a> {
     /// An entry was committed. A new leader's first entry is empty and changes nothing.
     Committed(&'a [u8]),
-    /// A snapshot replaces the state, and with it every entry that it stands for.
+    /// An encoded snapshot replaces the state: it stands for every entry up to the one that it was taken after.
     Restored(&'a [u8]),
-    /// Whether this control member is the leader now.
+    /// This control member became the leader (true), or is the leader no more (false).
     Leading(bool),
-    /// The gateway number of the leader, if it is known.
+    /// The known leader changed; holds its gateway number, none where no leader is known.
     Leader(Option<u32>),
     /// A message from a gateway.
     Received(ToControl),
@@ -54,11 +55,11 @@
     /// A quorum confirmed, after this round was requested, that this control member is the leader. Every entry that was
     /// committed at the time of the request has been applied before this event.
     Confirmed(u64),
-    /// A timer fired, or something else makes a look at the time worthwhile.
+    /// Time has passed: what is due at this time is done.
     Tick,
     /// The control member shuts down gracefully: it releases the duties that it holds.
     Drain,
-    /// This control member is to hold the duty whenever it can.
+    /// This control member is to hold the duty: until it drains, it claims the lease whenever the lease is available.
     Want(Duty),
 }
 
@@ -76,11 +77,11 @@
     Send(NodeIdentity, ToGateway),
     /// Send a message to every connected gateway. It may be lost.
     Broadcast(ToGateway),
-    /// A gateway's report of what it did under which version was counted.
+    /// The audit counted a gateway's report of its actions.
     Counted {
-        /// The gateway.
+        /// The gateway that sent the report.
         who: NodeIdentity,
-        /// What it did, by version and time span.
+        /// How many actions it did under which version, in which time span.
         spans: Vec<Span>,
     },
     /// Send [`Event::Tick`] at this time at the latest, microseconds on this member's monotonic clock.
@@ -102,12 +103,12 @@
         }
     }
 
-    /// Who holds the lease of which duty.
+    /// The leases of all duties, and what this control member may act on.
     pub fn leases(&self) -> &Leases {
         &self.leases
     }
 
-    /// Which versions are active, and who may act on them.
+    /// The active and proposed versions, and the gateways that may act on them.
     pub fn versions(&self) -> &versions::Table {
         self.coordinator.table()
     }
@@ -117,7 +118,7 @@
         snapshot::encode(self.leases.table(), self.versions())
     }
 
-    /// Takes an event at `now` (microseconds on this member's monotonic clock), and appends what is to be done to
+    /// Handles an event at `now` (microseconds on this member's monotonic clock), and appends the resulting actions to
     /// `actions`.
     ///
     /// # Errors
@@ -157,7 +158,7 @@
         Ok(())
     }
 
-    /// Applies an entry. Each table counts the entries about it by itself, so the indices have no gaps.
+    /// Applies an entry. Leases and versions number their own entries, so that the indices of each have no gaps.
     fn apply(
         &mut self,
         now: Micros,
@@ -194,8 +195,11 @@
                 }
                 lease::Action::Wake(at) => Action::Wake(at),
                 lease::Action::Replay { from } => {
-                    let came = self.leases.table().applied().0 + 1;
-                    return Err(ApplyError::Gap { due: from.0, came });
+                    let found = self.leases.table().applied().0 + 1;
+                    return Err(ApplyError::Gap {
+                        expected: from.0,
+                        found,
+                    });
                 }
                 other => Action::Lease(other),
             });
--- a/control/src/state_machine/snapshot.rs
+++ b/control/src/state_machine/snapshot.rs
@@ -15,7 +15,7 @@
     pub(super) versions: versions::Table,
 }
 
-/// [`State`] without a copy of it; fields in the same order.
+/// [`State`] by reference, so that encoding copies nothing; its fields are in the same order.
 #[derive(Serialize)]
 struct StateRef<'a> {
     leases: &'a lease::Table,
@@ -36,11 +36,11 @@
 ///
 /// # Errors
 ///
-/// [`ApplyError::SnapshotFormat`] where another build wrote it, [`ApplyError::SnapshotDamaged`] where the bytes are cut,
-/// differ from the checksum, or are no state.
+/// [`ApplyError::SnapshotFormat`] if a build with another format wrote it, [`ApplyError::SnapshotDamaged`] if the bytes
+/// are truncated, do not match the checksum, or do not decode to a state.
 pub(super) fn decode(bytes: &[u8]) -> Result<State, ApplyError> {
     let damaged = |reason: &str| ApplyError::SnapshotDamaged(reason.to_owned());
-    let too_short = || damaged("too short");
+    let too_short = || damaged("it is too short");
     let (format, rest) = bytes.split_first_chunk::<4>().ok_or_else(too_short)?;
     let found = u32::from_le_bytes(*format);
     if found != FORMAT {
@@ -48,7 +48,7 @@
     }
     let (checksum, state) = rest.split_first_chunk::<8>().ok_or_else(too_short)?;
     if u64::from_le_bytes(*checksum) != xxh3_64(state) {
-        return Err(damaged("its checksum differs"));
+        return Err(damaged("its checksum does not match"));
     }
     serde_json::from_slice(state).map_err(|error| damaged(&error.to_string()))
 }
--- a/control/src/state_machine/snapshot/tests.rs
+++ b/control/src/state_machine/snapshot/tests.rs
@@ -17,7 +17,7 @@
     assert_eq!(decode(&bytes), Err(ApplyError::SnapshotFormat { found }));
 }
 
-/// Cut anywhere, or with a byte changed after its format, a snapshot is damaged: never read in part.
+/// A snapshot that is truncated anywhere, or has a byte changed after its format number, is rejected as a whole.
 #[test]
 fn damaged_snapshot_is_rejected() {
     let intact = empty_snapshot();
