--- a/control/src/store.rs
+++ b/control/src/store.rs
@@ -1,9 +1,8 @@
 //! The log of this control member on disk: Raft's hard state, entries, the latest snapshot and the membership.
 //!
-//! Whatever [`Store::persist`] was given is durable when it returns, all of it or nothing: only then may other members
-//! rely on it. Reads are answered from memory, which holds what follows the latest snapshot; the file is read once, when
-//! it is opened, and data that is damaged, incomplete, of another format or of another gateway is an error, never used in
-//! part.
+//! When [`Store::persist`] returns, its arguments are durable, all of them or none: only then may other members rely on
+//! them. Reads are answered from memory, which holds what follows the latest snapshot. The file is read once, when it is
+//! opened: data that is damaged, incomplete, of another format or of another gateway is an error, never used in part.
 
 mod error;
 mod record;
@@ -21,14 +20,14 @@
 use redb::{Database, ReadTransaction, WriteTransaction};
 use std::path::Path;
 
-/// The format that this build writes, the only one that it reads. In format 1 all gateways were members of the log.
+/// The format that this build writes, and the only one that it reads. In format 1 all gateways were members of the log.
 const FORMAT: u64 = 2;
 /// The database file within the log's folder.
 const FILE_NAME: &str = "log.redb";
-/// Memory that the database may use as a cache: the log is read only when it is opened.
+/// The size of the database's cache; small, as the file is read only when it is opened.
 const CACHE_BYTES: usize = 1 << 20;
 
-/// The log on disk, and in memory what the consensus reads of it.
+/// The log on disk, with a copy in memory of what Raft reads.
 pub(crate) struct Store {
     database: Database,
     memory: MemStorage,
@@ -54,13 +53,13 @@
         Ok(store)
     }
 
-    /// The Raft id under which this log takes part in the consensus; none before [`Store::initialize`].
+    /// The Raft id of the node that this log belongs to; none before [`Store::initialize`].
     pub(crate) fn id(&self) -> Option<u64> {
         self.id
     }
 
     /// Starts a log under a Raft id that was never used with another log. `members` is the membership before the first
-    /// entry: entries that change it start from there.
+    /// entry, which later entries change.
     pub(crate) fn initialize(&mut self, id: u64, members: &ConfState) -> Result<(), StoreError> {
         self.transact(|transaction| {
             let mut meta = MetaWriter::open(transaction)?;
@@ -86,8 +85,8 @@
         &self.snapshot
     }
 
-    /// Makes entries, hard state and a received snapshot durable, all or nothing, then visible to the consensus. Entries
-    /// replace all those stored from the first one's index on.
+    /// Makes entries, hard state and a received snapshot durable, all or nothing, then visible to Raft. The entries
+    /// replace all stored ones from the index of the first of them on.
     pub(crate) fn persist(
         &mut self,
         snapshot: Option<&Snapshot>,
@@ -148,7 +147,7 @@
         Ok(())
     }
 
-    /// Stores the format and the gateway in a new log, and compares them in an old one.
+    /// Stores the format and the gateway's number in a new log, and compares them with those stored in an existing one.
     fn check_owner(&self, gateway: u64) -> Result<(), StoreError> {
         self.transact(|transaction| {
             let mut meta = MetaWriter::open(transaction)?;
@@ -214,7 +213,7 @@
     Ok(entries)
 }
 
-/// Writes what the consensus has ready.
+/// Writes the part of Raft's ready state that must be durable.
 fn write_ready(
     transaction: &WriteTransaction,
     snapshot: Option<&Snapshot>,
--- a/control/src/store/error.rs
+++ b/control/src/store/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with the log on disk.
+//! The errors of the log on disk.
 
 use super::FORMAT;
 use std::io;
@@ -9,7 +9,8 @@
 pub enum StoreError {
     /// The database file can't be opened or created.
     #[error(
-        "{path}: {error}; look at the folder's rights and space, and that no other gateway uses it"
+        "the log in {path} can't be opened: {error}; check the folder's permissions and free space, and that no other \
+         gateway uses it"
     )]
     Open {
         /// The folder of the log.
@@ -20,20 +21,21 @@
     },
     /// A transaction failed.
     #[error(
-        "the log can't be written: {0}; look at the disk's space and health, then start again"
+        "the log can't be written: {0}; check the disk's free space and health, then start again"
     )]
     Write(#[from] WriteError),
-    /// What was stored is not what was written.
-    #[error("the log can't be read: {0}; remove its folder, so that this gateway learns it from its peers")]
+    /// The stored data is not what was written.
+    #[error("the log can't be read: {0}; remove its folder, so that this gateway gets the log from its peers again")]
     Read(#[from] Corruption),
     /// A build with another format wrote the log.
     #[error(
-        "the log was written by another build (format {0}, this one reads {FORMAT}); start the build that wrote it, or \
-         remove the log's folder at all control members, start them, and offer the operator's file again"
+        "a build with another format wrote the log (format {0}, this build reads only format {FORMAT}); start that build, \
+         or remove the log's folder at all control members, start them, and propose the operator's file again by a SIGHUP \
+         to one gateway"
     )]
     Format(u64),
     /// Another gateway wrote the log.
-    #[error("the log is another gateway's ({0}); look at `lease.store` and `lease.me`")]
+    #[error("the log belongs to gateway {0}; check `lease.store` and `lease.me`")]
     WrongGateway(u64),
 }
 
@@ -43,7 +45,7 @@
     /// Its folder can't be created.
     #[error(transparent)]
     Folder(#[from] io::Error),
-    /// The database itself. Boxed, as the error is large.
+    /// The database file can't be opened. Boxed, as the error is large.
     #[error(transparent)]
     Database(Box<redb::DatabaseError>),
 }
@@ -51,7 +53,7 @@
 /// Why a transaction failed.
 #[derive(Debug, thiserror::Error)]
 pub enum WriteError {
-    /// The database. Boxed, as the error is large.
+    /// The database failed. Boxed, as the error is large.
     #[error(transparent)]
     Database(Box<redb::Error>),
     /// A message can't be encoded.
@@ -59,31 +61,31 @@
     Encode(protobuf::ProtobufError),
 }
 
-/// What shows that stored data is damaged or incomplete.
+/// How stored data was found to be damaged or incomplete.
 #[derive(Debug, thiserror::Error)]
 pub enum Corruption {
     /// A record's bytes don't match its checksum.
-    #[error("a record's checksum differs")]
+    #[error("a record does not match its checksum")]
     Checksum,
     /// A record's bytes are no message of its type.
     #[error(transparent)]
     Decode(#[from] protobuf::ProtobufError),
-    /// A number that says whose the log is has another length than a number.
-    #[error("{0} is no number")]
+    /// The format or the gateway's number is not 8 bytes long; holds its key.
+    #[error("the value of `{0}` is not 8 bytes long")]
     NotANumber(&'static str),
-    /// Another number has another length than a number.
-    #[error("a number is damaged")]
+    /// Another number is not 8 bytes long.
+    #[error("a number is not 8 bytes long")]
     Number,
     /// An entry has another index than its key, or one before it is missing.
-    #[error("entry {0} is not where it belongs")]
+    #[error("entry {0} is stored under another index, or the entry before it is missing")]
     EntryOutOfPlace(u64),
     /// The entries end before or after the last one written.
-    #[error("{0} is not the last entry that was written")]
+    #[error("the entries end at {0}, which is not the last one that was written")]
     LastEntry(u64),
     /// Entries that were committed are missing.
-    #[error("{commit} is committed, and {last} is the last")]
+    #[error("entry {commit} is committed, but the last entry is {last}")]
     CommitBeyondEnd {
-        /// The index committed.
+        /// The commit index.
         commit: u64,
         /// The index of the last entry.
         last: u64,
--- a/control/src/store/record.rs
+++ b/control/src/store/record.rs
@@ -1,5 +1,5 @@
-//! The tables of the database, and how a record is encoded in them: messages behind their checksum, numbers in eight bytes,
-//! little-endian.
+//! The tables of the database, and the encoding of their records: a message follows its checksum, a number has eight bytes,
+//! and both are little-endian.
 
 use super::error::{Corruption, StoreError, WriteError};
 use redb::{
@@ -11,11 +11,11 @@
 /// Entries of the log, by index.
 pub(super) const ENTRIES: TableDefinition<u64, &[u8]> = TableDefinition::new("entries");
 
-/// The number of the format that the log was written in.
+/// The number of the format in which the log is written.
 pub(super) const FORMAT_KEY: &str = "format";
 /// The number of the gateway that the log belongs to.
 pub(super) const GATEWAY_KEY: &str = "gateway";
-/// The Raft id under which the log takes part in the consensus.
+/// The Raft id of the node that the log belongs to.
 pub(super) const RAFT_ID_KEY: &str = "id";
 /// The membership as of the last entry applied.
 pub(super) const MEMBERS_KEY: &str = "members";
@@ -51,11 +51,11 @@
         Ok(())
     }
 
-    /// Stores the number in a new log, and compares it in an old one.
+    /// Stores the number in a new log, and compares it with the one stored in an existing log.
     ///
     /// # Errors
     ///
-    /// `mismatch` of the number found, where it is another.
+    /// `mismatch` with the stored number if it differs.
     pub(super) fn put_or_compare(
         &mut self,
         key: &'static str,
@@ -110,7 +110,7 @@
     bytes.try_into().map(u64::from_le_bytes).ok()
 }
 
-/// A message behind its checksum: the database checks its own pages only after a crash.
+/// Encodes a message after its checksum, as the database checks its own pages only after a crash.
 pub(super) fn encode(message: &impl protobuf::Message) -> Result<Vec<u8>, WriteError> {
     let bytes = message.write_to_bytes().map_err(WriteError::Encode)?;
     Ok([&xxh3_64(&bytes).to_le_bytes()[..], &bytes].concat())
--- a/control/src/store/tests.rs
+++ b/control/src/store/tests.rs
@@ -49,7 +49,7 @@
         .collect()
 }
 
-/// What was written is there after a restart, and what a new leader overwrote is not.
+/// A reopened log has the entries that were written, without those that a new leader overwrote.
 #[test]
 fn entries_survive_restart_unless_overwritten() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -76,7 +76,7 @@
     );
 }
 
-/// A snapshot takes the place of entries here, and at a peer that is far behind.
+/// A snapshot replaces the entries that it stands for, in this log and in that of a peer that is far behind.
 #[test]
 fn snapshot_replaces_entries_here_and_at_peer() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -111,7 +111,7 @@
     );
 }
 
-/// A log of another build is rejected as a whole, and stays as it is: opening it again gives the same error.
+/// A log of another format is rejected and not changed: opening it again gives the same error.
 #[test]
 fn log_of_another_format_is_rejected_unchanged() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -125,18 +125,18 @@
     transaction.commit().expect("written");
     drop(database);
     for _ in 0..2 {
-        let fault = Store::open(folder.path(), 1).err().expect("refused");
-        assert!(matches!(fault, StoreError::Format(1)), "{fault}");
+        let error = Store::open(folder.path(), 1).err().expect("rejected");
+        assert!(matches!(error, StoreError::Format(1)), "{error}");
         assert!(
-            fault
+            error
                 .to_string()
                 .contains("remove the log's folder at all control members"),
-            "{fault}"
+            "{error}"
         );
     }
 }
 
-/// Bytes of the file flipped or cut off: an error, or what was written; never something else.
+/// Opening a file with changed or missing bytes gives an error or the entries that were written, never other entries.
 #[test]
 fn damaged_file_is_rejected_or_reads_as_written() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -159,7 +159,7 @@
             (0..64).for_each(|_| damaged[rng.usize(0..intact.len())] ^= rng.u8(1..));
         }
         std::fs::write(&path, &damaged).expect("written");
-        // The database itself panics on some damage; that ends the gateway before it serves anyone.
+        // The database panics on some damage. That ends the gateway at its start, before it serves clients.
         let opened = std::panic::catch_unwind(|| Store::open(folder.path(), 1));
         match opened {
             Ok(Ok(store)) => assert_eq!(log_entries(&store), written, "round {round}"),
