--- a/control/src/node.rs
+++ b/control/src/node.rs
@@ -4,8 +4,8 @@
 //! the order that Raft requires ([`Node::process_ready`]): nothing that other members rely on is sent before it is
 //! durable, and entries are applied in log order once they are committed.
 //!
-//! It opens no connections, has no timers and no threads, and retries nothing: proposals without a leader and rounds
-//! without leadership are dropped, and whoever needs them asks again.
+//! It opens no connections, has no timers and no threads, and retries nothing: proposals without a leader and read-index
+//! rounds without leadership are dropped, and the state machine requests them again when it still needs them.
 
 mod membership;
 
@@ -20,22 +20,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::info;
 
-/// Entries after which a snapshot replaces them: they are in memory until then.
+/// Applied entries from which on a snapshot replaces them; until then they are kept in memory.
 const MAX_LOG_ENTRIES: u64 = 4_096;
-/// Bytes of entries after which a snapshot replaces them.
+/// Bytes of applied entries from which on a snapshot replaces them.
 const MAX_LOG_BYTES: usize = 1 << 20;
 /// Bytes of entries in one message.
 const MAX_MESSAGE_BYTES: u64 = 128 * 1024;
 /// Messages with entries that may be in flight to one peer.
 const MAX_IN_FLIGHT_MESSAGES: usize = 16;
-/// Bytes of proposals that may wait to be committed; more are dropped.
+/// Bytes of proposals that may wait to be committed; further proposals are dropped.
 const MAX_UNCOMMITTED_BYTES: u64 = 1 << 20;
-/// Entries that a learner may be behind the commit index when it becomes a voter.
+/// The most entries that a learner may be behind the commit index when it becomes a voter.
 const MAX_LEARNER_LAG: u64 = 64;
 /// Heartbeats that a leader sends within an election timeout.
 const HEARTBEATS_PER_ELECTION_TIMEOUT: usize = 5;
 
-/// Why this member can't go on with the log. Its gateway serves clients without it.
+/// An error after which this member no longer takes part in the log. Its gateway serves clients without the log.
 #[derive(Debug, thiserror::Error)]
 pub enum NodeError {
     /// The log's store failed.
@@ -45,11 +45,14 @@
     #[error(transparent)]
     Apply(#[from] ApplyError),
     /// Raft reached a state from which it can't go on.
-    #[error("the consensus stopped: {0}; report it, and remove the log's folder to learn it from the peers")]
+    #[error(
+        "Raft stopped: {0}; report this error, and remove the log's folder, so that this gateway gets the log from its \
+         peers again"
+    )]
     Raft(#[from] raft::Error),
 }
 
-/// The state of the consensus as this member sees it.
+/// The Raft state of this member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RaftStatus {
     /// The Raft id of the leader; 0 where none is known.
@@ -66,11 +69,11 @@
     raw: RawNode<Store>,
     state_machine: StateMachine,
     status: RaftStatus,
-    /// Proposals to submit when Raft has nothing ready: until that is processed it accepts none.
+    /// Proposals to submit when Raft has nothing ready: until its ready state is processed, it accepts none.
     proposals: Vec<Vec<u8>>,
-    /// Read-index rounds to begin at the same time.
+    /// Read-index rounds to begin when the proposals are submitted.
     requested_rounds: Vec<u64>,
-    /// Rounds that a quorum confirmed, until the entries committed at their begin are applied.
+    /// Rounds that a quorum confirmed, until the entries that were committed when they began are applied.
     confirmed_rounds: Vec<ConfirmedRound>,
     /// Bytes of the entries applied since the latest snapshot.
     log_bytes: usize,
@@ -86,11 +89,11 @@
 }
 
 impl Node {
-    /// A node on its store, with an election timeout of `election_ticks`.
+    /// Creates a node on its store, with an election timeout of `election_ticks`, and restores the store's snapshot.
     ///
     /// # Errors
     ///
-    /// [`NodeError`] where the store's state contradicts itself, or its snapshot can't be restored.
+    /// [`NodeError`] if the state in the store is inconsistent, or its snapshot can't be restored.
     pub(crate) fn new(
         id: u64,
         store: Store,
@@ -132,7 +135,7 @@
         self.status
     }
 
-    /// The state as far as entries were applied here.
+    /// The state after the entries applied here.
     #[cfg(test)]
     pub(crate) fn state_machine(&self) -> &StateMachine {
         &self.state_machine
@@ -149,8 +152,8 @@
         self.raw.tick();
     }
 
-    /// Takes a message from another member, and drops one that is invalid. Read-index rounds are begun and answered by the
-    /// leader's own node alone, so forwarded ones are invalid.
+    /// Handles a message from another member, and drops one that is invalid. Only the leader's own node begins and answers
+    /// read-index rounds, so messages that forward them are invalid.
     pub(crate) fn step(&mut self, message: Message) {
         let is_read_index = matches!(
             message.get_msg_type(),
@@ -161,7 +164,7 @@
         }
     }
 
-    /// As leader, transfers the leadership to the other voter with the most of the log.
+    /// As leader, transfers the leadership to the other voter whose log matches the leader's furthest.
     pub(crate) fn transfer_leadership(&mut self) {
         if !self.status.is_leader {
             return;
@@ -184,8 +187,8 @@
         self.raw.raft.prs().conf().to_conf_state()
     }
 
-    /// As leader, proposes the next change that brings the membership in line with the gateways' logs: `raft_ids` by
-    /// gateway. One change at a time.
+    /// As leader, proposes the next membership change that is needed for every gateway to take part under the Raft id of
+    /// its present log: `raft_ids` by gateway number, with `voters` as voters. One change at a time.
     pub(crate) fn reconcile_membership(
         &mut self,
         raft_ids: &BTreeMap<u64, u64>,
@@ -212,7 +215,7 @@
                 changes: changes.into(),
                 ..Default::default()
             };
-            // One that Raft rejects is proposed again at a later tick.
+            // A change that Raft rejects is proposed again at a later tick.
             let _ = self.raw.propose_conf_change(Vec::new(), change);
         }
     }
@@ -277,7 +280,7 @@
     }
 
     /// Submits proposals and rounds to Raft. Without a leader proposals are lost. Rounds are dropped unless this member is
-    /// the leader: a confirmation of another leader must never pass for one of its own.
+    /// the leader: a round that confirmed another leader must never count as a confirmation of this member.
     fn submit_pending(&mut self) {
         for bytes in std::mem::take(&mut self.proposals) {
             let _ = self.raw.propose(Vec::new(), bytes);
@@ -368,12 +371,13 @@
 
     fn apply_membership(&mut self, now: Micros, change: &ConfChangeV2) -> Result<(), NodeError> {
         let members = self.raw.apply_conf_change(change)?;
-        info!(at = now, voters = ?members.voters, learners = ?members.learners, "log: members");
+        info!(at = now, voters = ?members.voters, learners = ?members.learners, "log: membership changed");
         self.raw.mut_store().set_members(&members)?;
         Ok(())
     }
 
-    /// Passes a change of the leader to the state machine. Rounds that began under another leadership are dropped.
+    /// Passes a change of the leader to the state machine. When this member becomes or ceases to be the leader, rounds
+    /// that began before are dropped.
     fn update_leader(
         &mut self,
         now: Micros,
@@ -397,7 +401,7 @@
         Ok(())
     }
 
-    /// Passes confirmed rounds to the state machine, each once all entries committed at its begin are applied.
+    /// Passes confirmed rounds to the state machine, each once all entries that were committed when it began are applied.
     fn report_confirmed_rounds(
         &mut self,
         now: Micros,
@@ -414,7 +418,7 @@
         Ok(())
     }
 
-    /// Replaces the entries applied by a snapshot, once there are many of them.
+    /// Replaces the applied entries by a snapshot once they reach [`MAX_LOG_ENTRIES`] or [`MAX_LOG_BYTES`].
     fn compact_if_due(&mut self) -> Result<(), NodeError> {
         let log_entries = self.status.applied - self.snapshot_index;
         if log_entries >= MAX_LOG_ENTRIES || self.log_bytes >= MAX_LOG_BYTES {
@@ -425,7 +429,7 @@
         Ok(())
     }
 
-    /// Counts entries from the last one applied on, as a snapshot stands for it and all before.
+    /// Counts entries and bytes anew after the last entry applied, which the latest snapshot includes.
     fn reset_log_size(&mut self) {
         self.snapshot_index = self.status.applied;
         self.log_bytes = 0;
@@ -443,7 +447,7 @@
         max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
         check_quorum: true,
         pre_vote: true,
-        // A quorum answers each read-index round: reads rely on no clock.
+        // A quorum confirms each read-index round, so reads rely on no clock.
         read_only_option: ReadOnlyOption::Safe,
         ..Config::default()
     }
@@ -453,7 +457,8 @@
     M::parse_from_bytes(bytes).map_err(|error| StoreError::Read(Corruption::Decode(error)))
 }
 
-/// The round that Raft reports as confirmed; none for one that this node didn't begin.
+/// The round that Raft reports as confirmed; none if its context is not a number, as it is in all rounds
+/// that this node begins.
 fn confirmed_round(state: ReadState) -> Option<ConfirmedRound> {
     let round = state.request_ctx.try_into().map(u64::from_le_bytes).ok()?;
     Some(ConfirmedRound {
--- a/control/src/node/membership.rs
+++ b/control/src/node/membership.rs
@@ -1,25 +1,25 @@
-//! Raft ids, and the changes that bring the membership of the log in line with the gateways' logs.
+//! Raft ids, and the membership changes by which each gateway takes part under the Raft id of its present log.
 
 use raft::eraftpb::{ConfChangeSingle, ConfChangeType, ConfState};
 
 /// Bits of a Raft id that hold the gateway's number.
 const GATEWAY_BITS: u32 = 16;
 
-/// The Raft id of a gateway with a new log: its number in the lower bits, the incarnation that started the log above.
-/// A gateway that lost its log gets another id, as it may have voted under the old one.
+/// The Raft id of a gateway with a new log: its number in the lower bits, and above them the incarnation that started the
+/// log. A gateway that lost its log gets another id, as it may have voted under the old one and lost the record of it.
 pub(crate) fn raft_id(gateway: u64, incarnation: u32) -> u64 {
     u64::from(incarnation) << GATEWAY_BITS | gateway
 }
 
-/// The number of the gateway that takes part in the consensus under a Raft id.
+/// The number of the gateway that a Raft id belongs to.
 pub(crate) fn gateway_id_of(id: u64) -> u64 {
     id & ((1 << GATEWAY_BITS) - 1)
 }
 
-/// The next change for a gateway whose log has the Raft id `id`; empty where nothing is to change.
+/// The next membership change for a gateway whose log has the Raft id `id`; empty if none is needed.
 ///
-/// An id that is not a member yet replaces all other ids of its gateway, as a learner. A learner becomes a voter once it
-/// has caught up with the log, if its gateway `is_voter`.
+/// An id that is not a member yet is added as a learner and replaces all other ids of its gateway. A learner becomes a
+/// voter once it has caught up with the log, if its gateway `is_voter`.
 pub(super) fn changes_for(
     members: &ConfState,
     gateway: u64,
--- a/control/src/node/membership/tests.rs
+++ b/control/src/node/membership/tests.rs
@@ -11,8 +11,8 @@
     }
 }
 
-/// Kind and id of each change.
-fn described(changes: &[ConfChangeSingle]) -> Vec<(ConfChangeType, u64)> {
+/// The kind and Raft id of each change.
+fn kinds_and_ids(changes: &[ConfChangeSingle]) -> Vec<(ConfChangeType, u64)> {
     changes
         .iter()
         .map(|change| (change.get_change_type(), change.node_id))
@@ -35,7 +35,7 @@
     let id = raft_id(GATEWAY, 9);
     let changes = changes_for(&members(&[1, OLD_ID, 3], &[]), GATEWAY, id, true, || true);
     assert_eq!(
-        described(&changes),
+        kinds_and_ids(&changes),
         [
             (ConfChangeType::RemoveNode, OLD_ID),
             (ConfChangeType::AddLearnerNode, id)
@@ -48,16 +48,16 @@
     let id = raft_id(GATEWAY, 9);
     let members = members(&[1, 3], &[id]);
     let behind = changes_for(&members, GATEWAY, id, true, || false);
-    assert_eq!(described(&behind), []);
+    assert_eq!(kinds_and_ids(&behind), []);
     let no_voter = changes_for(&members, GATEWAY, id, false, || true);
-    assert_eq!(described(&no_voter), []);
+    assert_eq!(kinds_and_ids(&no_voter), []);
     let caught_up = changes_for(&members, GATEWAY, id, true, || true);
-    assert_eq!(described(&caught_up), [(ConfChangeType::AddNode, id)]);
+    assert_eq!(kinds_and_ids(&caught_up), [(ConfChangeType::AddNode, id)]);
 }
 
 #[test]
 fn voter_under_its_id_needs_no_change() {
     let members = members(&[1, OLD_ID, 3], &[]);
     let changes = changes_for(&members, GATEWAY, OLD_ID, true, || true);
-    assert_eq!(described(&changes), []);
+    assert_eq!(kinds_and_ids(&changes), []);
 }
