--- a/control/src/settings.rs
+++ b/control/src/settings.rs
@@ -13,7 +13,7 @@
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
 
-/// The numbers that gateways may have.
+/// The numbers that gateways may have; a Raft id has 16 bits for the number.
 const GATEWAY_IDS: RangeInclusive<u32> = 1..=65_535;
 
 /// The loopback networks.
@@ -28,7 +28,7 @@
 pub struct Peer {
     /// Its number in the fleet; 1 to 65535, each once.
     pub id: u32,
-    /// The address of its control listener; unused where it is no voter.
+    /// The address of its control listener; unused if it is no voter.
     pub address: SocketAddr,
     /// Whether it is a voter of the log, as control members are; the others are their clients. Default yes.
     #[serde(default = "default_voter")]
@@ -39,15 +39,16 @@
     true
 }
 
-/// The control members, which share the replicated log, and this gateway's part among them.
+/// The settings of the control plane: the control members, which share the replicated log, whether this gateway is one of
+/// them or their client, and the timing of leases.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlSettings {
     /// This gateway's number in the fleet, which no other has.
     pub me: u32,
-    /// The control members, 3 or 5 voters; gateways that are their clients may be listed as well.
+    /// The control members (3 or 5 voters); gateways that are their clients may be listed as well.
     pub peers: Vec<Peer>,
-    /// Whether this gateway is a client of the control members alone, which need not list it. Default no.
+    /// Whether this gateway is only a client of the control members, which need not list it. Default no.
     #[serde(default)]
     pub client: bool,
     /// Where this gateway listens for its peers; its port is that of its own address among `peers`. A client has none.
@@ -122,11 +123,11 @@
         self.voters().any(|peer| peer.id == self.me)
     }
 
-    /// Checks each value, and all of them together.
+    /// Checks each value, and that the values fit together.
     ///
     /// # Errors
     ///
-    /// [`SettingError`] of the first value that is rejected.
+    /// [`SettingError`] for the first value that is rejected.
     pub fn check(&self) -> Result<(), SettingError> {
         self.check_peers()?;
         if self.client {
@@ -150,63 +151,75 @@
                 return reject(id_key(), format!("{} is not within 1 to 65535", peer.id));
             }
             if earlier.iter().any(|other| other.id == peer.id) {
-                return reject(id_key(), format!("{} is another peer's already", peer.id));
+                return reject(
+                    id_key(),
+                    format!("{} is already the id of another peer", peer.id),
+                );
             }
             if earlier.iter().any(|other| other.address == peer.address) {
                 return reject(
                     format!("peers[{index}].address"),
-                    format!("{} is another peer's", peer.address),
+                    format!("{} is already the address of another peer", peer.address),
                 );
             }
         }
         let voters = self.voters().count();
         if voters != 3 && voters != 5 {
             let reason =
-                "a log needs 3 or 5, so that one or two may be lost and a majority still decides";
-            return reject("peers", format!("has {voters} voters: {reason}"));
+                "the log needs 3 or 5, so that a majority remains after the loss of one or two";
+            return reject("peers", format!("has {voters} voters; {reason}"));
         }
         Ok(())
     }
 
-    /// Checks a client of the control members: it has none of the settings that only they use.
+    /// Checks a client of the control members: it must have none of the settings that only they use.
     fn check_client(&self) -> Result<(), SettingError> {
         let me = self.me;
         if !GATEWAY_IDS.contains(&me) {
             return reject("me", format!("{me} is not within 1 to 65535"));
         }
         if self.is_voter() {
-            let fault = format!("{me} is the number of a peer that votes; a client needs its own");
+            let fault =
+                format!("{me} is the id of a voter in peers; give this client another number");
             return reject("me", fault);
         }
         if let Some(listen) = self.listen {
-            let fault = format!("{listen} is used by control members only; a client has none");
+            let fault =
+                format!("{listen} is used by control members only; remove it from a client");
             return reject("listen", fault);
         }
         if !self.store.as_os_str().is_empty() {
             let store = self.store.display();
-            let fault = format!("{store} is used by control members only; a client keeps no log");
+            let fault = format!(
+                "{store} is used by control members only; a client keeps no log, so remove it"
+            );
             return reject("store", fault);
         }
         if !self.duties.is_empty() {
             let duties = self.duties.join(", ");
-            let fault = format!("{duties}: held by control members only; a client holds none");
+            let fault =
+                format!("{duties}: only control members hold duties; remove them from a client");
             return reject("duties", fault);
         }
         Ok(())
     }
 
-    /// Checks a gateway that is one of the peers.
+    /// Checks a gateway that is not a client and must be one of the peers.
     fn check_listed(&self) -> Result<(), SettingError> {
         let Some(own) = self.peers.iter().find(|peer| peer.id == self.me) else {
-            let hint = "list it, or let them serve it with client = True";
+            let hint =
+                "list it there, or make it a client of the control members with client = True";
             return reject("me", format!("{} is not among peers; {hint}", self.me));
         };
         self.check_listen(own.address.port())?;
         if self.allow.is_empty() {
-            return reject("allow", "names no network: no peer could connect");
+            return reject(
+                "allow",
+                "names no network, so no peer could connect; name those of the peers",
+            );
         }
         if self.store.as_os_str().is_empty() {
-            let fault = "names no folder: the log would not survive a restart";
+            let fault = "names no folder; name one for the log, which must survive a restart";
             return reject("store", fault);
         }
         self.check_duties()
@@ -214,11 +227,11 @@
 
     fn check_listen(&self, port: u16) -> Result<(), SettingError> {
         let Some(listen) = self.listen else {
-            let fault = format!("is missing; peers reach this gateway on port {port}");
+            let fault = format!("is missing; peers connect to this gateway on port {port}");
             return reject("listen", fault);
         };
         if listen.port() == 0 || listen.port() != port {
-            let fault = format!("{listen} is not on port {port}, where peers reach it");
+            let fault = format!("{listen} is not on port {port}, which this gateway has in peers");
             return reject("listen", fault);
         }
         Ok(())
@@ -226,7 +239,10 @@
 
     fn check_duties(&self) -> Result<(), SettingError> {
         if self.duties.is_empty() {
-            return reject("duties", "names none: there would be nothing to hold");
+            return reject(
+                "duties",
+                "names no duty; name at least one that this gateway may hold",
+            );
         }
         for (index, name) in self.duties.iter().enumerate() {
             let key = || format!("duties[{index}]");
@@ -241,30 +257,32 @@
         Ok(())
     }
 
-    /// Checks it together with the address on which the gateway listens for its own clients.
+    /// Checks the settings, and that `clients`, where the gateway listens for its own clients, is another address.
     ///
     /// # Errors
     ///
-    /// [`SettingError`] of the first value that is rejected.
+    /// [`SettingError`] for the first value that is rejected.
     pub fn check_with_client_listener(&self, clients: SocketAddr) -> Result<(), SettingError> {
         self.check()?;
         if self.listen == Some(clients) {
-            let fault = format!("{clients} is where clients connect (listen)");
+            let fault = format!(
+                "{clients} is where clients connect (listen of the configuration); choose another address"
+            );
             return reject("listen", fault);
         }
         Ok(())
     }
 
-    /// Checks it for a control member that serves no clients.
+    /// Checks the settings of a control member that serves no clients.
     ///
     /// # Errors
     ///
-    /// [`SettingError`] of the first value that is rejected; of `me` where this gateway is no voter.
+    /// [`SettingError`] for the first value that is rejected; for `me` if this gateway is no voter.
     pub fn check_control_member(&self) -> Result<(), SettingError> {
         self.check()?;
         if !self.is_voter() {
             let hint =
-                "a control member has to be one: give its number, or run this file with `asterreel run`";
+                "a control member must be one: set me to the number of a voter, or use this file with `asterreel run`";
             return reject("me", format!("{} is no voter among peers; {hint}", self.me));
         }
         Ok(())
--- a/control/src/settings/error.rs
+++ b/control/src/settings/error.rs
@@ -1,12 +1,12 @@
-//! The error of a setting whose value is rejected.
+//! The error for a setting whose value is rejected.
 
-/// A value that is rejected, by its key.
+/// The rejection of a setting's value.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{key}: {fault}")]
 pub struct SettingError {
     /// The key, down to the index in a list, as in `peers[2].id`.
     pub key: String,
-    /// What is wrong with its value, and where it helps what to do.
+    /// What is wrong with its value and, where that is not obvious, what to do.
     pub fault: String,
 }
 
@@ -19,7 +19,7 @@
         }
     }
 
-    /// The same error, with its key below a call or another key.
+    /// The same error with its key qualified by `parent`, a function of the operator's file or another key.
     #[must_use]
     pub fn under_key(self, parent: &str) -> SettingError {
         SettingError {
@@ -35,11 +35,11 @@
     }
 }
 
-/// Checks that a number is within its bounds, both included.
+/// Checks that a number is from `least` to `most`, both included.
 ///
 /// # Errors
 ///
-/// [`SettingError`] with the bounds.
+/// [`SettingError`] with the value and the bounds.
 pub fn check_within(
     key: &'static str,
     value: u64,
