--- a/control/src/clock.rs
+++ b/control/src/clock.rs
@@ -1,10 +1,11 @@
-//! The clock of the gateway and its control plane: Unix time in microseconds that never goes back. Decisions take the time
-//! as an argument; only what runs them reads this clock.
+//! The clock of the gateway and its control plane: Unix time in microseconds that never goes back. Decision code has the
+//! time as an argument; only the code that runs it reads this clock.
 
 use crate::Micros;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Unix time read once, then advanced by the monotonic clock: a step of the system's clock moves no deadline.
+/// Unix time that is read once and then advanced by the monotonic clock, so that a step of the system clock moves no
+/// deadline.
 #[derive(Clone, Copy)]
 pub struct Clock {
     /// Unix time at the start, microseconds.
@@ -13,7 +14,7 @@
 }
 
 impl Clock {
-    /// Starts a clock at the system's time; at the epoch where the system's clock is set before it.
+    /// Starts a clock at the system time, or at the Unix epoch if the system clock is set before it.
     pub fn start() -> Clock {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
--- a/control/src/lib.rs
+++ b/control/src/lib.rs
@@ -1,9 +1,10 @@
-//! The control plane of a fleet of gateways: a replicated log at its control members, and the gateways that are their
+//! The control plane of a fleet of gateways: the control members, which replicate a log, and the gateways, which are their
 //! clients.
 //!
-//! [`lease`], [`versions`] and [`state_machine`] are state machines without I/O: events in, actions out, time an argument.
-//! [`service`] runs them on a Raft log with its store, on links between the processes, and in one loop on a thread of its
-//! own. A gateway starts it with [`service::start`], and so do experiments that run many gateways in one process.
+//! [`lease`], [`versions`] and [`state_machine`] are state machines without I/O: they handle events and return actions, and
+//! the time is an argument. [`service`] runs them in one loop on a thread of its own, with a Raft log, its store, and links
+//! between the processes. A gateway starts it with [`service::start`], as do experiments that run many gateways in one
+//! process.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -12,7 +13,8 @@
 mod frame;
 #[cfg(test)]
 #[path = "../../src/bin/asterreel/fuzz.rs"]
-#[allow(dead_code)] // This crate's parsers are fed whole frames: `cuts` serves the other crates.
+#[allow(dead_code)]
+// `cuts` is used by other crates only: the parsers of this crate get whole frames.
 mod fuzz;
 #[cfg(test)]
 mod golden_tests;
@@ -26,5 +28,5 @@
 pub mod traffic;
 pub mod versions;
 
-/// Microseconds, of a time span or of a clock.
+/// A duration in microseconds, or a time on a clock in microseconds.
 pub type Micros = u64;
--- a/control/src/node.rs
+++ b/control/src/node.rs
@@ -457,8 +457,8 @@
     M::parse_from_bytes(bytes).map_err(|error| StoreError::Read(Corruption::Decode(error)))
 }
 
-/// The round that Raft reports as confirmed; none if its context is not a number, as it is in all rounds
-/// that this node begins.
+/// The round that Raft reports as confirmed; none if its context is not a number, as it is in all rounds that this node
+/// begins.
 fn confirmed_round(state: ReadState) -> Option<ConfirmedRound> {
     let round = state.request_ctx.try_into().map(u64::from_le_bytes).ok()?;
     Some(ConfirmedRound {
--- a/control/src/traffic.rs
+++ b/control/src/traffic.rs
@@ -1,4 +1,5 @@
-//! Counters of what the control plane of one process sends and receives. They decide nothing: they are logged and reported.
+//! Counters of what the control plane of one process sends and receives. They are logged and reported, and no decision
+//! depends on them.
 
 use serde::{Deserialize, Serialize};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -18,7 +19,7 @@
     bytes_out: AtomicU64,
 }
 
-/// The counters at one moment, from the start of the control plane.
+/// The values of the counters at one time, counted since the start of the control plane.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrafficTotals {
     /// Complete frames received.
@@ -73,7 +74,8 @@
 /// Counts what a control member sends and receives, by the kind of peer.
 #[derive(Clone, Debug, Default)]
 pub struct MemberTraffic {
-    /// Links with other control members, and the first frame of every incoming link: only that frame says whose it is.
+    /// Links with other control members, and the first frame of every incoming link, from whichever peer: only that frame
+    /// tells which kind of peer sent it.
     pub members: Traffic,
     /// Links with gateways that are clients, its own included.
     pub gateways: Traffic,
