--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -1,7 +1,7 @@
-//! Deterministic simulation of the leases of five gateways, from seeds: clocks that start apart and run at other rates,
+//! Deterministic simulation of the leases of five gateways, from seeds: clocks that start apart and run at different rates,
 //! proposals lost and late, entries applied late, stalls, partitions, crashes and restarts with a new incarnation, and
 //! actions that arrive long after they were decided. After every step no two gateways may act under one duty; at the end
-//! of a run, with the faults over, each duty must have a holder.
+//! of a run, after the faults have ended, each duty must have a holder.
 
 mod golden;
 
@@ -19,11 +19,11 @@
 };
 const GATEWAYS: usize = 5;
 const DUTIES: [Duty; 2] = [Duty(0), Duty(1)];
-/// Longest that a proposal travels to the log, an entry to a gateway, and an action to its receiver.
-const TRAVEL_US: u64 = 200_000;
-/// Longest that an action travels whose sender stalled.
-const MAX_LATENESS_US: u64 = 10_000_000;
-/// Longest that a gateway stalls or is partitioned from the log.
+/// The longest delay of a proposal to the log, of an entry to a gateway, and of an action to its receiver.
+const MAX_DELAY_US: u64 = 200_000;
+/// The longest delay of an action whose sender stalled.
+const MAX_STALLED_DELAY_US: u64 = 10_000_000;
+/// The longest time that a gateway stalls or is partitioned from the log.
 const MAX_OUTAGE_US: u64 = 8_000_000;
 /// Clocks start up to this far ahead of real time.
 const MAX_OFFSET_US: u64 = 500_000;
@@ -33,9 +33,9 @@
 struct Scenario {
     seed: u64,
     length_us: u64,
-    /// The last part of the run is without faults.
-    calm_us: u64,
-    /// How far the clocks may run apart from real time, parts per million.
+    /// The length of the last part of the run, in which no faults are injected.
+    fault_free_us: u64,
+    /// How far the rates of the clocks may be from real time, parts per million.
     drift_ppm: i64,
     timing: Timing,
 }
@@ -74,7 +74,7 @@
         gateway
     }
 
-    /// Restarts with its disk, in a new incarnation; its clock begins anew, further on.
+    /// Restarts with its disk in a new incarnation. Its clock starts anew with another offset.
     fn restart(&mut self, real: u64, timing: Timing, rng: &mut fastrand::Rng) {
         self.identity.incarnation += 1;
         self.alive = true;
@@ -84,7 +84,7 @@
         self.want_duties(real);
     }
 
-    /// Wants every duty; what it proposes then is lost, and proposed again later.
+    /// Wants every duty. The first proposals are lost and made again later.
     fn want_duties(&mut self, real: u64) {
         let now = self.clock(real);
         for duty in DUTIES {
@@ -126,17 +126,17 @@
 /// What was observed in a run.
 #[derive(Default, Debug)]
 struct Report {
-    /// Moments when two gateways could act under one duty.
+    /// Times at which two gateways could act under one duty.
     overlaps: Vec<String>,
     /// Actions that the receiver's fence admitted.
     admitted: u64,
     /// Actions that the receiver's fence rejected.
     rejected: u64,
-    /// From the moment that a duty had no one acting to the next who did, microseconds of real time.
+    /// How long no gateway acted on a duty each time, microseconds of real time.
     gaps: Vec<u64>,
-    /// Of all entries of the log, and when each was committed.
+    /// A digest of all entries of the log, and when each was committed.
     log_digest: u64,
-    /// Whether each duty had a holder at the end of the calm part.
+    /// Whether each duty had a holder at the end of the part without faults.
     held_at_end: bool,
 }
 
@@ -153,7 +153,7 @@
     token: Token,
 }
 
-/// One run, a step of virtual time after another.
+/// One run, which advances virtual time step by step.
 struct Simulation {
     scenario: Scenario,
     rng: fastrand::Rng,
@@ -211,7 +211,7 @@
 
     /// Whether faults are still injected.
     fn is_faulty(&self) -> bool {
-        self.real < self.scenario.length_us - self.scenario.calm_us
+        self.real < self.scenario.length_us - self.scenario.fault_free_us
     }
 
     fn inject_fault(&mut self) {
@@ -250,13 +250,13 @@
         }));
     }
 
-    /// Applies the entries that have reached a gateway, lets it look at the time, and sends what it proposes.
+    /// Applies the entries that have reached a gateway, fires its timer, and sends what it proposes.
     fn run_gateway(&mut self, number: usize) {
         let faulty = self.is_faulty();
         let gateway = &mut self.gateways[number];
         let now = gateway.clock(self.real);
         let partitioned = gateway.partitioned_until > self.real;
-        let lag = self.rng.u64(0..TRAVEL_US);
+        let lag = self.rng.u64(0..MAX_DELAY_US);
         let mut out = Vec::new();
         if !partitioned {
             gateway.apply_entries(&self.log, lag, self.real, &mut out);
@@ -264,9 +264,9 @@
         gateway.leases.handle(now, Event::Tick, &mut out);
         for action in out {
             match action {
-                // A tenth are lost while faults last.
+                // A tenth of the proposals are lost while faults are injected.
                 Action::Propose(command) if !(partitioned || faulty && self.rng.u8(0..10) == 0) => {
-                    let at = self.real + self.rng.u64(0..TRAVEL_US);
+                    let at = self.real + self.rng.u64(0..MAX_DELAY_US);
                     self.proposals.push(TimedCommand { command, at });
                 }
                 Action::Replay { from } => {
@@ -277,8 +277,8 @@
         }
     }
 
-    /// Sends an action under each duty that the gateway may act on; a few arrive long after, as from a process that
-    /// stopped between its decision and sending.
+    /// Sends an action under each duty that the gateway may act on. A few arrive long after, as from a process that
+    /// stalled between deciding and sending.
     fn send_actions(&mut self, number: usize) {
         let faulty = self.is_faulty();
         for duty in DUTIES {
@@ -286,9 +286,13 @@
                 continue;
             };
             let late = faulty && self.rng.u8(0..50) == 0;
-            let longest = if late { MAX_LATENESS_US } else { TRAVEL_US };
+            let max_delay = if late {
+                MAX_STALLED_DELAY_US
+            } else {
+                MAX_DELAY_US
+            };
             self.actions.push(ActionInFlight {
-                arrives_at: self.real + self.rng.u64(0..longest),
+                arrives_at: self.real + self.rng.u64(0..max_delay),
                 duty,
                 token,
             });
@@ -308,7 +312,7 @@
         });
     }
 
-    /// Records who may act now, each by its own clock.
+    /// Records which gateways may act now, each by its own clock.
     fn check_exclusivity(&mut self) {
         let real = self.real;
         for (duty, idle_since) in DUTIES.into_iter().zip(&mut self.idle_since) {
@@ -359,7 +363,7 @@
     digest.digest()
 }
 
-/// What gateways decide about leases, pinned: the log that each seed leads to, entry by entry.
+/// Guards against an unintended change of the decisions about leases: each seed gives the recorded log, entry by entry.
 #[test]
 fn lease_logs_match_record() {
     let line = |seed| {
@@ -375,20 +379,20 @@
     Scenario {
         seed,
         length_us: 60_000_000,
-        calm_us: 15_000_000,
+        fault_free_us: 15_000_000,
         drift_ppm: 1_000,
         timing: TIMING,
     }
 }
 
-/// Longest that a duty may stay without a holder once the faults are over, microseconds: the holder's lease expires, the
-/// others wait it out from when they observed it, a claim travels, is committed and comes back, twice for one that lost
-/// its race.
+/// The longest that a duty may be without a holder after the faults have ended, microseconds: the holder's lease expires,
+/// the others wait from when they observed it, and a claim is sent, committed and applied, twice if the first claim is
+/// rejected because another one was committed before it.
 fn longest_gap_us() -> u64 {
-    TIMING.lease_us + TIMING.wait_us() + TIMING.renew_us + 4 * TRAVEL_US
+    TIMING.lease_us + TIMING.wait_us() + TIMING.renew_us + 4 * MAX_DELAY_US
 }
 
-/// What the runs of some seeds had in all.
+/// Totals over the runs of several seeds.
 #[derive(Default)]
 struct Totals {
     gaps: Vec<u64>,
@@ -407,11 +411,11 @@
         );
         assert!(
             report.held_at_end,
-            "seed {seed}: a duty had no holder at the end, with the faults over for 15 s"
+            "seed {seed}: a duty had no holder at the end, 15 s after the injection of faults ended"
         );
         assert!(
             report.admitted > 0,
-            "seed {seed}: nothing was done under any duty"
+            "seed {seed}: no action was admitted under any duty"
         );
         totals.rejected += report.rejected;
         totals.gaps.extend(report.gaps);
@@ -422,22 +426,23 @@
 #[test]
 fn leases_are_exclusive_and_recover_on_fixed_seeds() {
     let totals = assert_safe_and_live(1..9);
-    // The faults happened: late actions met the fence, and duties went without a holder for a while.
+    // The faults had effects: the fence rejected late actions, and duties were without a holder for a time.
     assert!(
         totals.rejected > 0,
-        "no late action reached the fence: the faults did not happen"
+        "the fence rejected no late action: the faults had no effect"
     );
     assert!(
         totals.gaps.iter().any(|&gap| gap > TIMING.renew_us),
-        "no duty was ever taken over: {:?}",
+        "no duty was without a holder for longer than a renewal interval: {:?}",
         totals.gaps
     );
 }
 
 #[test]
 fn timing_without_drift_breaks_exclusivity() {
-    // Clocks run up to 9.9% apart, and the timing counts on none: the others' wait is shorter in real time than the
-    // holder's lease. A holder that is partitioned from the log then acts on while another claims the duty.
+    // Clock rates differ by up to 9.9% from real time, and the timing allows for no drift: the others' wait is shorter in
+    // real time than the holder's lease. A holder that is partitioned from the log then still acts when another gateway
+    // claims the duty.
     let without_drift = Timing {
         drift_ppm: 0,
         margin_us: 0,
@@ -456,9 +461,9 @@
         .sum();
     assert!(
         overlaps > 0,
-        "the check found no overlap where the timing is wrong"
+        "the check found no overlap, although the timing is wrong"
     );
-    // With the drift allowed for, the same clocks are safe.
+    // With a timing that allows for the drift, the same clocks are safe.
     let with_drift = Timing {
         drift_ppm: 99_000,
         ..TIMING
@@ -477,8 +482,8 @@
     }
 }
 
-/// 200 runs of 60 s with faults, and the times to a new holder: `cargo test --release --test lease -- --ignored
-/// --nocapture`. Results in `docs/measurements/lease.md`.
+/// Measures the times to a new holder over 200 runs of 60 s with faults: `cargo test --release --test lease -- --ignored
+/// --nocapture`. Results are in `docs/measurements/lease.md`.
 #[test]
 #[ignore = "a measurement"]
 fn failover_times_over_two_hundred_seeds() {
@@ -489,7 +494,7 @@
         |share: f64| taken_over[((taken_over.len() - 1) as f64 * share) as usize] / 1000;
     println!(
         "200 runs: 0 overlaps; {} late actions rejected by the fence; {} times without a holder: median {} ms, 99th {} ms, \
-         worst {} ms; bound once faults are over {} ms",
+         worst {} ms; bound after the faults have ended {} ms",
         totals.rejected,
         taken_over.len(),
         quantile_ms(0.5),
--- a/tests/lease_model.rs
+++ b/tests/lease_model.rs
@@ -1,14 +1,14 @@
 //! Model check of three gateways that share a duty through a log: all interleavings of proposals lost or appended in any
 //! order, entries applied late, clocks apart, a crash and a drain at any point. The gateways run the program's own
-//! [`Leases`]; the log is a list that all apply in order. A proposal that travels long needs no step of its own: in the
-//! log it is one decided on older knowledge, which late application gives.
+//! [`Leases`]; the log is a list that all apply in order. A delayed proposal needs no step of its own: in the log it
+//! equals one that was decided on older entries, which happens when a gateway applies entries late.
 
 use asterreel::lease::{Action, Command, Duty, Event, Index, Leases, NodeIdentity, Timing};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 const DUTY: Duty = Duty(0);
-/// In ticks of the model: a lease of three, requested again after one, waited out in three. Clocks run at one rate, so
-/// there is no drift.
+/// In ticks of the model: a lease lasts three, is requested again after one, and counts as expired at the others after
+/// three. All clocks run at one rate, so there is no drift.
 const TIMING: Timing = Timing {
     lease_us: 3,
     renew_us: 1,
@@ -18,9 +18,9 @@
 /// How far each gateway's clock is ahead of real time, in ticks.
 const OFFSETS: [u64; 3] = [0, 1, 0];
 /// The properties, by name.
-const EXCLUSIVE: &str = "no two act at once";
-const LIVE: &str = "someone acts after every crash and drain";
-const FAILOVER: &str = "a duty changes hands";
+const EXCLUSIVE: &str = "no two gateways act at the same time";
+const LIVE: &str = "a gateway acts after every crash and drain";
+const FAILOVER: &str = "a duty passes to another gateway";
 
 /// The bounds of what is explored.
 #[derive(Clone, Copy)]
@@ -32,7 +32,7 @@
     max_drains: u8,
     /// Time advances only once every gateway has ticked and applied all entries: every path is fair.
     fair: bool,
-    /// The first gateway acts for longer than the others wait: the error that the property must catch.
+    /// The first gateway acts for longer than the others wait: an error that the check of exclusivity must find.
     lease_exceeds_wait: bool,
 }
 
@@ -40,7 +40,7 @@
 struct Gateway {
     leases: Leases,
     applied: usize,
-    /// Ticked since time advanced last; tracked on fair paths only.
+    /// Whether it has ticked since time last advanced; tracked on fair paths only.
     ticked: bool,
     incarnation: u32,
 }
@@ -89,7 +89,7 @@
             incarnation,
         };
         let mut leases = Leases::new(identity, self.timing(number));
-        // What it proposes now is dropped, and comes with its first tick.
+        // What it proposes now is dropped, and proposed again at a later tick.
         leases.handle(now + OFFSETS[number], Event::Want(DUTY), &mut Vec::new());
         Gateway {
             leases,
@@ -101,7 +101,7 @@
 }
 
 impl Fleet {
-    /// Appends what a gateway proposes, up to the longest log; or loses it.
+    /// Appends what a gateway proposes, as long as the log is shorter than `max_log_entries`, or loses it if `is_lost`.
     fn submit(&mut self, actions: Vec<Action>, max_log_entries: usize, is_lost: bool) {
         for action in actions {
             match action {
@@ -161,7 +161,7 @@
         if fleet.now < self.max_ticks && (!self.fair || fleet.is_settled()) {
             steps.push(Step::AdvanceTime);
         }
-        // On fair paths a crash or drain late in the run leaves no time to show that another takes over.
+        // On fair paths a crash or drain late in the run would leave no time for another gateway to take over.
         let early = !self.fair || fleet.now + TIMING.lease_us + 2 < self.max_ticks;
         for (number, gateway) in fleet.gateways.iter().enumerate() {
             steps.push(Step::Tick(number));
@@ -213,7 +213,7 @@
                 fleet.submit(out, self.max_log_entries, false);
             }
             Step::Crash(number) => {
-                // Restarted at once with its disk, in a new incarnation: it applies the log from its start.
+                // It restarts at once in a new incarnation, and applies the log from the first entry on.
                 let incarnation = fleet.gateways[number].incarnation + 1;
                 fleet.gateways[number] = self.start_gateway(number, incarnation, fleet.now);
                 fleet.crashes += 1;
@@ -251,7 +251,7 @@
 
 fn explore(model: LeaseModel) -> (usize, Vec<&'static str>) {
     let checker = model.checker().threads(4);
-    // A run that must break the property ends once it has.
+    // A run that must find a violation ends with the first one.
     let checker = if model.lease_exceeds_wait {
         checker.finish_when(HasDiscoveries::AnyFailures)
     } else {
@@ -327,8 +327,8 @@
     assert!(found.contains(&EXCLUSIVE), "{found:?}");
 }
 
-/// With losses, crashes and a longer log, some ten million states each: `cargo test --release --test lease_model --
-/// --ignored --nocapture`. Results in `docs/measurements/lease.md`.
+/// Explores losses, crashes and a longer log, some ten million states each: `cargo test --release --test lease_model --
+/// --ignored --nocapture`. Results are in `docs/measurements/lease.md`.
 #[test]
 #[ignore = "a measurement"]
 fn lease_is_exclusive_with_losses_and_crashes() {
