--- a/control/src/golden_tests.rs
+++ b/control/src/golden_tests.rs
@@ -1,8 +1,9 @@
-//! What control members write to disk and send to each other and to gateways, pinned byte for byte, in both directions.
+//! Compares what control members write to disk and send to each other and to gateways with recorded files, byte for byte,
+//! in encoding and in decoding.
 //!
-//! The files in `tests/golden` were written by the build before any name in the code was changed. They are never written
-//! anew to get a pass: a member of the former build reads what this one writes, and the other way round, only as long as
-//! they are the same. Where a format is to change, its number changes, and files of the new format are added.
+//! An earlier build wrote the files in `tests/golden`, before any name in the code was changed. They are never written
+//! again to make a test pass: members of that build and of this one can read each other's data only as long as the bytes
+//! are the same. To change a format, change its number and add files of the new format.
 
 use crate::frame::{self, Hello, Payload};
 use crate::lease::{self, Duty, Index, NodeIdentity, Timing, Token};
@@ -40,7 +41,7 @@
         .collect()
 }
 
-/// Compares the bytes of each value with its line of a file, and what is read from that line with the value.
+/// Compares the encoding of each value with its line of a file, and each value with what is decoded from that line.
 #[track_caller]
 fn assert_matches<T: std::fmt::Debug + PartialEq>(
     name: &str,
@@ -49,14 +50,17 @@
     decode: impl Fn(&[u8]) -> T,
 ) {
     let record = std::fs::read_to_string(file(name)).unwrap_or_default();
-    let seen: String = values
+    let encoded: String = values
         .iter()
         .map(|(name, value)| format!("{name} {}\n", hex(&encode(value))))
         .collect();
-    if seen != record {
-        let left = std::env::temp_dir().join(name);
-        std::fs::write(&left, &seen).expect("written");
-        panic!("{name} differs; what was seen is in {}", left.display());
+    if encoded != record {
+        let path = std::env::temp_dir().join(name);
+        std::fs::write(&path, &encoded).expect("written");
+        panic!(
+            "{name} differs; the encoding by this build is in {}",
+            path.display()
+        );
     }
     for (line, (name, value)) in record.lines().zip(values) {
         let (_, bytes) = line.rsplit_once(' ').expect("a name and bytes");
@@ -196,12 +200,12 @@
         oldest: 1,
         newest: 2,
     };
-    let verdict = |verdict| ToControl::ValidationResult {
+    let validated = |result| ToControl::ValidationResult {
         who,
         token: TOKEN,
         topic: Topic::Operator,
         number: 4,
-        result: verdict,
+        result,
     };
     vec![
         (
@@ -224,8 +228,8 @@
                 known_index: Index(3),
             },
         ),
-        ("accepts", verdict(Ok(()))),
-        ("refuses", verdict(Err("not good".into()))),
+        ("accepts", validated(Ok(()))),
+        ("refuses", validated(Err("not good".into()))),
         (
             "offer",
             ToControl::ProposeVersion {
@@ -250,7 +254,7 @@
 
 fn to_gateway() -> Vec<(&'static str, ToGateway)> {
     let who = GATEWAY;
-    let refused = |reason| ToGateway::RequestRejected { who, reason };
+    let rejected = |reason| ToGateway::RequestRejected { who, reason };
     let topics = vec![
         TopicState {
             topic: Topic::Catalog,
@@ -268,7 +272,7 @@
             proposal: None,
         },
     ];
-    let dropped = ToGateway::ProposalRejected {
+    let proposal_rejected = ToGateway::ProposalRejected {
         topic: Topic::Catalog,
         number: 4,
         by: who,
@@ -302,21 +306,21 @@
             },
         ),
         ("gone", ToGateway::RegistrationExpired { who, token: TOKEN }),
-        ("dropped", dropped),
+        ("dropped", proposal_rejected),
         ("reported", ToGateway::ReportCounted { who, sequence: 3 }),
         ("elsewhere, unknown", ToGateway::NotLeader { leader: None }),
         ("elsewhere", ToGateway::NotLeader { leader: Some(2) }),
-        ("refused 1", refused(Rejection::StaleRegistration)),
-        ("refused 2", refused(Rejection::AlreadyRegistered)),
+        ("refused 1", rejected(Rejection::StaleRegistration)),
+        ("refused 2", rejected(Rejection::AlreadyRegistered)),
         (
             "refused 3",
-            refused(Rejection::UnsupportedFormat { needed: 3 }),
+            rejected(Rejection::UnsupportedFormat { needed: 3 }),
         ),
-        ("refused 4", refused(Rejection::StaleEpoch)),
-        ("refused 5", refused(Rejection::ProposalPending(4))),
-        ("refused 6", refused(Rejection::ActiveVersionChanged(5))),
-        ("refused 7", refused(Rejection::ContentTooLong)),
-        ("refused 8", refused(Rejection::AlreadyDecided)),
+        ("refused 4", rejected(Rejection::StaleEpoch)),
+        ("refused 5", rejected(Rejection::ProposalPending(4))),
+        ("refused 6", rejected(Rejection::ActiveVersionChanged(5))),
+        ("refused 7", rejected(Rejection::ContentTooLong)),
+        ("refused 8", rejected(Rejection::AlreadyDecided)),
     ]
 }
 
@@ -375,7 +379,7 @@
             Payload::ToControl(message) => frame::encode_to_control(message),
             Payload::ToGateway(message) => frame::encode_to_gateway(message),
         };
-        frame.expect("short").to_vec()
+        frame.expect("within the size limit").to_vec()
     };
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
@@ -442,11 +446,11 @@
     fn event(&mut self, event: Event) {
         self.node
             .handle(self.now, event, &mut Vec::new())
-            .expect("taken");
+            .expect("handled");
         self.drive();
     }
 
-    fn tell(&mut self, message: ToControl) {
+    fn receive(&mut self, message: ToControl) {
         self.event(Event::Received(message));
     }
 
@@ -474,7 +478,7 @@
             },
             self.now,
         );
-        self.tell(ToControl::Heartbeat {
+        self.receive(ToControl::Heartbeat {
             who,
             formats,
             token,
@@ -483,9 +487,9 @@
         });
     }
 
-    /// Lets renewals pass, in which both gateways keep their registrations.
-    fn pass(&mut self, renewals: u64) {
-        for _ in 0..renewals {
+    /// Advances the time by renewal intervals, in which both gateways renew their registrations.
+    fn advance(&mut self, renewal_intervals: u64) {
+        for _ in 0..renewal_intervals {
             for _ in 0..5 {
                 self.now += RENEW / 5;
                 self.event(Event::Tick);
@@ -494,33 +498,34 @@
         }
     }
 
-    fn offer(&mut self, topic: Topic, seen: u64) -> u64 {
+    /// Proposes a version that replaces the active one, and returns its number.
+    fn propose(&mut self, topic: Topic, replaces: u64) -> u64 {
         let token = self.token(SERVED[0]);
-        self.tell(ToControl::ProposeVersion {
+        self.receive(ToControl::ProposeVersion {
             who: SERVED[0],
             token,
             topic,
-            replaces: seen,
+            replaces,
             content: content(),
         });
         self.node.state_machine().versions().applied().0
     }
 
-    fn accept(&mut self, who: NodeIdentity, topic: Topic, number: u64) {
+    fn ack(&mut self, who: NodeIdentity, topic: Topic, number: u64) {
         let token = self.token(who);
-        self.tell(ToControl::ValidationResult {
+        self.receive(ToControl::ValidationResult {
             who,
             token,
             topic,
             number,
             result: Ok(()),
         });
-        self.pass(1);
+        self.advance(1);
     }
 
-    /// It leads, holds both duties, has given registrations to two gateways, put a version in force and another one up for
-    /// verdicts, of which one has come.
-    fn play(&mut self) {
+    /// Repeats the history of the recorded log: the member leads, holds both duties and has registered two gateways; one
+    /// version is active, and another one is proposed and acked by one of the two.
+    fn repeat_history(&mut self) {
         while !self.node.status().is_leader {
             self.node.tick();
             self.drive();
@@ -529,23 +534,23 @@
         self.event(Event::Want(Duty(0)));
         self.event(Event::Want(Duty(1)));
         SERVED.into_iter().for_each(|who| self.heartbeat(who));
-        self.pass(2);
-        let first = self.offer(Topic::Operator, 0);
+        self.advance(2);
+        let first = self.propose(Topic::Operator, 0);
         SERVED
             .into_iter()
-            .for_each(|who| self.accept(who, Topic::Operator, first));
-        self.tell(ToControl::Report {
+            .for_each(|who| self.ack(who, Topic::Operator, first));
+        self.receive(ToControl::Report {
             who: SERVED[1],
             sequence: 1,
             spans: spans(),
         });
-        let second = self.offer(Topic::Operator, first);
-        self.accept(SERVED[1], Topic::Operator, second);
+        let second = self.propose(Topic::Operator, first);
+        self.ack(SERVED[1], Topic::Operator, second);
     }
 }
 
-/// A copy of a recorded log, as opening one writes to it.
-fn recorded(name: &str) -> tempfile::TempDir {
+/// A copy of a recorded log, as opening a log writes to it.
+fn copy_of_recorded_log(name: &str) -> tempfile::TempDir {
     let folder = tempfile::tempdir().expect("a folder");
     std::fs::copy(file(name), folder.path().join("log.redb")).expect("copied");
     folder
@@ -594,8 +599,9 @@
     state_machine
 }
 
-/// Both duties are the member's, and the gateways' registrations have these tokens.
-fn assert_held(state_machine: &StateMachine, tokens: [Token; 2]) {
+/// Asserts that the member holds both duties, that the gateways are registered with these tokens, and that the audit has
+/// counted the report.
+fn assert_common_state(state_machine: &StateMachine, tokens: [Token; 2]) {
     for duty in [Duty(0), Duty(1)] {
         let entry = state_machine.leases().table().duty(duty);
         assert_eq!(
@@ -618,22 +624,22 @@
 
 #[test]
 fn log_with_entries_matches_record() {
-    let state_machine = replayed(recorded("entries.redb").path());
-    assert_held(&state_machine, [Token(2), Token(3)]);
+    let state_machine = replayed(copy_of_recorded_log("entries.redb").path());
+    assert_common_state(&state_machine, [Token(2), Token(3)]);
     let status = state_machine
         .versions()
         .topic(Topic::Operator)
-        .expect("it was offered");
-    let open = status.proposal.as_ref().expect("one is open");
+        .expect("a version was proposed");
+    let proposal = status.proposal.as_ref().expect("a pending proposal");
     assert_eq!(
-        (status.active_number(), status.previous, open.by),
+        (status.active_number(), status.previous, proposal.by),
         (4, 0, SERVED[0])
     );
     assert_eq!(
-        (open.version.number, &open.version.content),
+        (proposal.version.number, &proposal.version.content),
         (8, &content())
     );
-    assert!(open.acked_by.iter().eq([&300]));
+    assert!(proposal.acked_by.iter().eq([&300]));
     let snapshot = std::fs::read(file("entries-snapshot.bin")).expect("a record");
     assert_eq!(state_machine.snapshot(), snapshot);
 }
@@ -642,10 +648,10 @@
 fn same_history_gives_recorded_state() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut member = Member::open(folder.path());
-    member.play();
+    member.repeat_history();
     let snapshot = std::fs::read(file("entries-snapshot.bin")).expect("a record");
     assert_eq!(member.node.state_machine().snapshot(), snapshot);
-    assert_eq!(replayed_entries(&recorded("entries.redb")), {
+    assert_eq!(replayed_entries(&copy_of_recorded_log("entries.redb")), {
         drop(member);
         replayed_entries(&folder)
     });
@@ -653,18 +659,18 @@
 
 #[test]
 fn log_with_snapshot_matches_record() {
-    let folder = recorded("snapshot.redb");
+    let folder = copy_of_recorded_log("snapshot.redb");
     let stored = std::fs::read(file("stored-snapshot.bin")).expect("a record");
     let member = Member::open(folder.path());
     assert_eq!(member.node.latest_snapshot(), stored);
     drop(member);
     let state_machine = replayed(folder.path());
-    // The version that one gateway did not judge came in force once that one had lost its registration.
-    assert_held(&state_machine, [Token(11), Token(3)]);
+    // The version that one gateway had not acked became active when the registration of that gateway ended.
+    assert_common_state(&state_machine, [Token(11), Token(3)]);
     let status = state_machine
         .versions()
         .topic(Topic::Operator)
-        .expect("it was offered");
+        .expect("a version was proposed");
     assert_eq!(
         (status.active_number(), status.previous, &status.proposal),
         (8, 4, &None)
