--- a/control/src/codec.rs
+++ b/control/src/codec.rs
@@ -1,7 +1,7 @@
 //! Encodings that log entries and messages share: `prost` messages of identities and reports, the format number of
 //! entries, and the errors of decoding either.
 //!
-//! Tags and types are fixed by the stored logs and by the builds that are connected: they are never reused or changed.
+//! Tags and types are never changed or reused: stored logs and connected processes of other builds depend on them.
 
 use crate::lease::NodeIdentity;
 use crate::versions::{Content, Span, Topic, MAX_CONTENT_BYTES, MAX_SPANS_PER_REPORT};
--- a/control/src/golden_tests.rs
+++ b/control/src/golden_tests.rs
@@ -427,7 +427,7 @@
                 voters: vec![1],
                 ..Default::default()
             };
-            store.initialize(1, &alone).expect("begun");
+            store.initialize(1, &alone).expect("initialized");
         }
         let node = Node::new(1, store, StateMachine::new(MEMBER, TIMING), 20, 1).expect("a node");
         let mut member = Member { node, now: 1 };
@@ -439,7 +439,7 @@
         let mut out = Vec::new();
         self.node
             .process_ready(self.now, &mut out, &mut |_| {})
-            .expect("driven");
+            .expect("processed");
         out
     }
 
--- a/control/src/lease/leases/tests.rs
+++ b/control/src/lease/leases/tests.rs
@@ -102,7 +102,7 @@
 }
 
 /// Two gateways that want the duty; the first holds it from 5 us on.
-fn first_holds() -> [Leases; 2] {
+fn two_gateways_with_first_as_holder() -> [Leases; 2] {
     let mut all = [gateway(1), gateway(2)];
     let mut out = Vec::new();
     all[0].handle(0, Event::Want(DUTY), &mut out);
@@ -113,7 +113,7 @@
 
 #[test]
 fn holder_renews_before_expiry_and_keeps_lease() {
-    let mut all = first_holds();
+    let mut all = two_gateways_with_first_as_holder();
     for now in (1_000..20_000).step_by(1_000) {
         let mut out = Vec::new();
         all[0].handle(now, Event::Tick, &mut out);
@@ -132,7 +132,7 @@
 
 #[test]
 fn drain_stops_at_once_and_releases_without_wait() {
-    let mut all = first_holds();
+    let mut all = two_gateways_with_first_as_holder();
     let mut out = Vec::new();
     all[0].handle(500, Event::Drain, &mut out);
     assert_eq!(
--- a/control/src/lease/mod.rs
+++ b/control/src/lease/mod.rs
@@ -5,7 +5,7 @@
 //! member that no traffic reaches. It is held under a *lease*, which entries of the log grant, renew and release. Every
 //! gateway applies the same entries in the same order ([`Table`]), so all agree on who holds a duty and under which
 //! fencing [`Token`]. The log has no expiry times: each gateway measures a lease on its own monotonic clock ([`Timing`]),
-//! the holder from the moment before it requested it, the others from the moment they applied the entry, with a margin for
+//! the holder from just before it requested the lease, the others from when they applied the entry, with a margin for
 //! clocks that run at different rates.
 //!
 //! Invariants:
--- a/control/src/state_machine/mod.rs
+++ b/control/src/state_machine/mod.rs
@@ -44,7 +44,7 @@
     Committed(&'a [u8]),
     /// An encoded snapshot replaces the state: it stands for every entry up to the one that it was taken after.
     Restored(&'a [u8]),
-    /// This control member became the leader (true), or is the leader no more (false).
+    /// This control member became the leader (true), or is no longer the leader (false).
     Leading(bool),
     /// The known leader changed; holds its gateway number, none where no leader is known.
     Leader(Option<u32>),
--- a/control/src/store/tests.rs
+++ b/control/src/store/tests.rs
@@ -28,7 +28,7 @@
 fn open_initialized(folder: &Path, gateway: u64) -> Store {
     let mut store = Store::open(folder, gateway).expect("opened");
     if store.id().is_none() {
-        store.initialize(gateway, &members()).expect("begun");
+        store.initialize(gateway, &members()).expect("initialized");
     }
     store
 }
@@ -42,7 +42,7 @@
     }
     let entries = store
         .entries(first, last + 1, None, GetEntriesContext::empty(false))
-        .expect("there");
+        .expect("entries in memory");
     entries
         .iter()
         .map(|entry| (entry.index, entry.term))
@@ -86,16 +86,16 @@
         .persist(None, &all, Some(&hard_state(1, 8)))
         .expect("written");
     store.compact(6, b"agreed".to_vec()).expect("compacted");
-    assert_eq!(store.term(6).expect("kept"), 1);
+    assert_eq!(store.term(6).expect("the term of the snapshot"), 1);
     drop(store);
     let store = open_initialized(folder.path(), 1);
     assert_eq!(log_entries(&store), [(7, 1), (8, 1), (9, 1)]);
-    let snapshot = store.snapshot(6, 2).expect("there");
+    let snapshot = store.snapshot(6, 2).expect("a snapshot");
     assert_eq!(
         (snapshot.get_data(), snapshot.get_metadata().index),
         (&b"agreed"[..], 6)
     );
-    assert_eq!(store.term(6).expect("kept"), 1);
+    assert_eq!(store.term(6).expect("the term of the snapshot"), 1);
 
     let behind = tempfile::tempdir().expect("a folder");
     let mut peer = open_initialized(behind.path(), 2);
@@ -117,9 +117,9 @@
     let folder = tempfile::tempdir().expect("a folder");
     drop(open_initialized(folder.path(), 1));
     let database = Database::create(folder.path().join(FILE_NAME)).expect("opened");
-    let transaction = database.begin_write().expect("begun");
+    let transaction = database.begin_write().expect("a transaction");
     {
-        let mut meta = MetaWriter::open(&transaction).expect("there");
+        let mut meta = MetaWriter::open(&transaction).expect("the meta table");
         meta.put_number(FORMAT_KEY, 1).expect("written");
     }
     transaction.commit().expect("written");
@@ -148,7 +148,7 @@
     let written = log_entries(&store);
     drop(store);
     let path = folder.path().join(FILE_NAME);
-    let intact = std::fs::read(&path).expect("there");
+    let intact = std::fs::read(&path).expect("the database file");
     let mut rng = fastrand::Rng::with_seed(7);
     let mut rejected = 0;
     for round in 0..24 {
