--- a/control/src/store/tests.rs
+++ b/control/src/store/tests.rs
@@ -28,7 +28,7 @@
 fn open_initialized(folder: &Path, gateway: u64) -> Store {
     let mut store = Store::open(folder, gateway).expect("opened");
     if store.id().is_none() {
-        store.initialize(gateway, &members()).expect("begun");
+        store.initialize(gateway, &members()).expect("initialized");
     }
     store
 }
@@ -42,14 +42,14 @@
     }
     let entries = store
         .entries(first, last + 1, None, GetEntriesContext::empty(false))
-        .expect("there");
+        .expect("entries in memory");
     entries
         .iter()
         .map(|entry| (entry.index, entry.term))
         .collect()
 }
 
-/// What was written is there after a restart, and what a new leader overwrote is not.
+/// A reopened log has the entries that were written, without those that a new leader overwrote.
 #[test]
 fn entries_survive_restart_unless_overwritten() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -76,7 +76,7 @@
     );
 }
 
-/// A snapshot takes the place of entries here, and at a peer that is far behind.
+/// A snapshot replaces the entries that it stands for, in this log and in that of a peer that is far behind.
 #[test]
 fn snapshot_replaces_entries_here_and_at_peer() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -86,16 +86,16 @@
         .persist(None, &all, Some(&hard_state(1, 8)))
         .expect("written");
     store.compact(6, b"agreed".to_vec()).expect("compacted");
-    assert_eq!(store.term(6).expect("kept"), 1);
+    assert_eq!(store.term(6).expect("the term of the snapshot"), 1);
     drop(store);
     let store = open_initialized(folder.path(), 1);
     assert_eq!(log_entries(&store), [(7, 1), (8, 1), (9, 1)]);
-    let snapshot = store.snapshot(6, 2).expect("there");
+    let snapshot = store.snapshot(6, 2).expect("a snapshot");
     assert_eq!(
         (snapshot.get_data(), snapshot.get_metadata().index),
         (&b"agreed"[..], 6)
     );
-    assert_eq!(store.term(6).expect("kept"), 1);
+    assert_eq!(store.term(6).expect("the term of the snapshot"), 1);
 
     let behind = tempfile::tempdir().expect("a folder");
     let mut peer = open_initialized(behind.path(), 2);
@@ -111,32 +111,32 @@
     );
 }
 
-/// A log of another build is rejected as a whole, and stays as it is: opening it again gives the same error.
+/// A log of another format is rejected and not changed: opening it again gives the same error.
 #[test]
 fn log_of_another_format_is_rejected_unchanged() {
     let folder = tempfile::tempdir().expect("a folder");
     drop(open_initialized(folder.path(), 1));
     let database = Database::create(folder.path().join(FILE_NAME)).expect("opened");
-    let transaction = database.begin_write().expect("begun");
+    let transaction = database.begin_write().expect("a transaction");
     {
-        let mut meta = MetaWriter::open(&transaction).expect("there");
+        let mut meta = MetaWriter::open(&transaction).expect("the meta table");
         meta.put_number(FORMAT_KEY, 1).expect("written");
     }
     transaction.commit().expect("written");
     drop(database);
     for _ in 0..2 {
-        let fault = Store::open(folder.path(), 1).err().expect("refused");
-        assert!(matches!(fault, StoreError::Format(1)), "{fault}");
+        let error = Store::open(folder.path(), 1).err().expect("rejected");
+        assert!(matches!(error, StoreError::Format(1)), "{error}");
         assert!(
-            fault
+            error
                 .to_string()
                 .contains("remove the log's folder at all control members"),
-            "{fault}"
+            "{error}"
         );
     }
 }
 
-/// Bytes of the file flipped or cut off: an error, or what was written; never something else.
+/// Opening a file with changed or missing bytes gives an error or the entries that were written, never other entries.
 #[test]
 fn damaged_file_is_rejected_or_reads_as_written() {
     let folder = tempfile::tempdir().expect("a folder");
@@ -148,7 +148,7 @@
     let written = log_entries(&store);
     drop(store);
     let path = folder.path().join(FILE_NAME);
-    let intact = std::fs::read(&path).expect("there");
+    let intact = std::fs::read(&path).expect("the database file");
     let mut rng = fastrand::Rng::with_seed(7);
     let mut rejected = 0;
     for round in 0..24 {
@@ -159,7 +159,7 @@
             (0..64).for_each(|_| damaged[rng.usize(0..intact.len())] ^= rng.u8(1..));
         }
         std::fs::write(&path, &damaged).expect("written");
-        // The database itself panics on some damage; that ends the gateway before it serves anyone.
+        // The database panics on some damage. That ends the gateway at its start, before it serves clients.
         let opened = std::panic::catch_unwind(|| Store::open(folder.path(), 1));
         match opened {
             Ok(Ok(store)) => assert_eq!(log_entries(&store), written, "round {round}"),
