--- a/control/src/versions/outcome.rs
+++ b/control/src/versions/outcome.rs
@@ -5,31 +5,31 @@
 /// The effect of an applied entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// A control member began an epoch, which has the index of this entry.
+    /// A control member began an epoch, which is identified by the index of this entry.
     EpochBegun(NodeIdentity),
     /// A gateway was registered.
     Registered(Registration),
-    /// A gateway gave its registration back.
+    /// A gateway left, which ended its registration.
     Left(Registration),
     /// A gateway's registration expired.
     Expired(Registration),
     /// A version was proposed.
     VersionProposed {
-        /// The topic.
+        /// The topic that the version belongs to.
         topic: Topic,
         /// The number of the version.
         number: u64,
     },
     /// Gateways acked a proposed version.
     Acked {
-        /// The topic.
+        /// The topic that the version belongs to.
         topic: Topic,
         /// The number of the version.
         number: u64,
     },
     /// A version became active.
     Activated {
-        /// The topic.
+        /// The topic that the version belongs to.
         topic: Topic,
         /// The number of the version.
         number: u64,
@@ -38,20 +38,20 @@
     },
     /// A proposed version was rejected; the active one stays.
     ProposalRejected {
-        /// The topic.
+        /// The topic that the version belongs to.
         topic: Topic,
         /// The number of the version.
         number: u64,
         /// The gateway that sent the nack.
         by: NodeIdentity,
-        /// Why.
+        /// The reason that the gateway gave.
         reason: String,
     },
-    /// A report was counted.
+    /// An audit report was counted.
     Reported {
-        /// The gateway.
+        /// The gateway that sent it.
         who: NodeIdentity,
-        /// The number of the report.
+        /// The number of the report; each incarnation counts its reports from 1.
         sequence: u64,
     },
     /// The entry took no effect.
@@ -61,31 +61,34 @@
 /// Why an entry took no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum Rejection {
-    /// The registration is not, or no longer, the gateway's.
-    #[error("its registration was taken away; it has to join again")]
+    /// The gateway has no registration, or one with another token.
+    #[error("this gateway has no valid registration; try again once it has joined the fleet")]
     StaleRegistration,
-    /// The gateway is registered, perhaps as an earlier incarnation that may still act.
-    #[error("an earlier incarnation of this gateway may still act; it may join once that one's right has run out")]
+    /// The gateway number is registered, perhaps for an earlier incarnation that may still act.
+    #[error(
+        "this gateway number is still registered, perhaps by an earlier incarnation; the gateway can join once that \
+         registration has ended"
+    )]
     AlreadyRegistered,
     /// The gateway does not support the format of an active version.
-    #[error("format {needed} is needed; start a build that understands it")]
+    #[error("an active version has format {needed}, which this build does not support; start a build that supports it")]
     UnsupportedFormat {
-        /// The format that it would have to support.
+        /// The format of the active version.
         needed: u32,
     },
-    /// Decided by a control member whose epoch has ended.
-    #[error("another control member leads since; that one decides who keeps its registration")]
+    /// The expiry was decided by a control member whose epoch has ended.
+    #[error("the expiry was decided in an earlier epoch; the current leader decides which registrations expire")]
     StaleEpoch,
-    /// This other version is proposed already.
-    #[error("version {0} is being agreed on; ask again once it is in force or refused")]
+    /// The version with this number is still proposed.
+    #[error("version {0} is still proposed; try again once it is active or rejected")]
     ProposalPending(u64),
-    /// This version is active, and the proposal is not meant to replace it.
-    #[error("version {0} is in force; look at it and offer again")]
+    /// The version with this number is active, and the proposal was meant to replace another one.
+    #[error("version {0} has become active in the meantime; check it and propose again")]
     ActiveVersionChanged(u64),
     /// The content is longer than [`MAX_CONTENT_BYTES`].
-    #[error("its content is longer than {MAX_CONTENT_BYTES} bytes")]
+    #[error("the content of the proposed version is longer than {MAX_CONTENT_BYTES} bytes; propose a shorter one")]
     ContentTooLong,
-    /// An ack or nack of a version that is not proposed any more, or a report out of sequence.
-    #[error("it was settled already")]
+    /// An ack or nack of a version that is no longer proposed, or a report out of sequence.
+    #[error("the version is no longer proposed, or the report is out of sequence")]
     AlreadyDecided,
 }
