--- a/control/src/versions/audit.rs
+++ b/control/src/versions/audit.rs
@@ -1,37 +1,39 @@
-//! Audit of who acted on which version: sums by gateway, incarnation, topic and version.
+//! Audit of which gateway acted on which version: action counts by gateway, incarnation, topic and version.
 //!
-//! Invariant: each report counts once, in the order of its incarnation's sequence. The audit is bounded: the entries of the
-//! oldest versions and the reports of the oldest incarnations are dropped first. It decides nothing about versions.
+//! Invariant: each report counts once, in the order in which its incarnation numbered it. The audit is bounded: the
+//! entries of the oldest versions and the reports of the oldest incarnations are dropped first. Decisions about versions do
+//! not depend on it.
 
 use super::{NodeIdentity, Topic};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Incarnations of one gateway whose last report is known.
+/// Maximum number of incarnations per gateway whose last report number is kept.
 const MAX_INCARNATIONS_PER_GATEWAY: usize = 8;
-/// Entries that are kept, of about 80 bytes each.
+/// Maximum number of entries that are kept, of about 80 bytes each.
 const MAX_ENTRIES: usize = 4_096;
-/// Spans in one report: each topic, with three versions while the report could not be sent.
+/// Maximum number of spans in one report: enough for three versions of each topic, which can add up while no report can be
+/// sent.
 pub(crate) const MAX_SPANS_PER_REPORT: usize = 16;
 
-/// The actions of a gateway under one version, from one moment to another.
+/// The actions of a gateway under one version within a period of time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Span {
-    /// The topic.
+    /// The topic that the version belongs to.
     pub topic: Topic,
     /// The number of the version.
     pub number: u64,
-    /// The first action, microseconds on the gateway's own clock.
+    /// The time of the first action, microseconds on the gateway's own clock.
     pub from: Micros,
-    /// The last action, microseconds on the gateway's own clock.
+    /// The time of the last action, microseconds on the gateway's own clock.
     pub until: Micros,
-    /// How many actions.
+    /// The number of actions.
     pub count: u64,
 }
 
 impl Span {
-    /// Adds `count` actions at a time, microseconds on the gateway's own clock.
+    /// Adds `count` actions at the time `at`, microseconds on the gateway's own clock.
     pub fn add(&mut self, at: Micros, count: u64) {
         self.from = self.from.min(at);
         self.until = self.until.max(at);
@@ -42,28 +44,28 @@
 /// The actions of one incarnation of a gateway under one version, from all of its reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AuditEntry {
-    /// The gateway.
+    /// The gateway and its incarnation.
     pub who: NodeIdentity,
-    /// Its actions.
+    /// Its actions under the version, summed over its reports.
     pub span: Span,
 }
 
-/// The audit's sums, part of the replicated table: the same log gives the same entries at every control member.
+/// The audit, which is part of the replicated table: the same log gives the same entries at every control member.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Audit {
     #[serde(rename = "rows")]
     entries: Vec<AuditEntry>,
-    /// By gateway, the sequence of the last report of each of its latest incarnations, the latest last.
+    /// By gateway, its incarnations with the number of the last report of each, the most recent incarnation last.
     reports: BTreeMap<u32, Vec<(u32, u64)>>,
 }
 
 impl Audit {
-    /// The sums, oldest first.
+    /// The entries, oldest first.
     pub fn entries(&self) -> &[AuditEntry] {
         &self.entries
     }
 
-    /// The sequence of an incarnation's last report that was counted; 0 before the first.
+    /// The number of an incarnation's last counted report; 0 before the first.
     pub fn last_sequence(&self, who: NodeIdentity) -> u64 {
         let incarnations = self.reports.get(&who.gateway);
         let incarnation = incarnations.and_then(|incarnations| {
@@ -74,8 +76,9 @@
         incarnation.map_or(0, |(_, last)| *last)
     }
 
-    /// Counts a report; false where it is not the next one of its incarnation, or too long, and nothing changes.
-    pub fn report(&mut self, who: NodeIdentity, sequence: u64, spans: &[Span]) -> bool {
+    /// Counts a report. Returns false, and changes nothing, if it is not the next one of its incarnation or has too many
+    /// spans.
+    pub fn record_report(&mut self, who: NodeIdentity, sequence: u64, spans: &[Span]) -> bool {
         if sequence != self.last_sequence(who) + 1 || spans.len() > MAX_SPANS_PER_REPORT {
             return false;
         }
@@ -110,13 +113,13 @@
         true
     }
 
-    /// The actions counted under a version.
+    /// The number of actions counted under a version, over all gateways.
     pub fn count(&self, topic: Topic, number: u64) -> u64 {
-        let of = self
+        let matching = self
             .entries
             .iter()
             .filter(|entry| (entry.span.topic, entry.span.number) == (topic, number));
-        of.map(|entry| entry.span.count).sum()
+        matching.map(|entry| entry.span.count).sum()
     }
 }
 
--- a/control/src/versions/coordinator/applied.rs
+++ b/control/src/versions/coordinator/applied.rs
@@ -69,7 +69,7 @@
         let changed = self
             .table
             .topics()
-            .filter(|(_, status)| status.changed > since);
+            .filter(|(_, status)| status.last_changed > since);
         let topics = changed.map(|(topic, status)| TopicState {
             topic,
             active: status.active_number(),
--- a/control/src/versions/table.rs
+++ b/control/src/versions/table.rs
@@ -1,8 +1,8 @@
-//! The replicated table of registrations, topics and the audit, applied entry by entry.
+//! The replicated table of registrations, topics and the audit. Log entries are applied to it one by one.
 //!
 //! Invariants: the same log gives the same table at every control member; a version becomes active only when every
-//! registration has acked it; a registration expires only by the latest epoch. The table knows no time: who is late is
-//! decided by the leader, and takes effect here through an entry.
+//! registered gateway has acked it; an expiry takes effect only if it was decided in the latest epoch. The table has no
+//! clock: the leader decides when a gateway is late, and the decision takes effect here through an entry.
 
 use super::{
     truncate_reason, Audit, Command, Content, Formats, Index, NodeIdentity, Outcome, Proposal,
@@ -12,18 +12,18 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A gateway's membership in the fleet, which a permission to act needs.
+/// A gateway's membership in the fleet. A gateway without one gets no permission to act.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Registration {
-    /// The gateway.
+    /// The registered incarnation of the gateway.
     pub who: NodeIdentity,
-    /// The entry that granted it: the fencing token of every action under it.
+    /// The index of the entry that granted it: the fencing token of every action under it.
     pub token: Token,
     /// The formats that the gateway supports.
     pub formats: Formats,
 }
 
-/// All that is replicated about versions.
+/// The replicated state of registrations, versions and the audit.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Table {
     #[serde(rename = "seats")]
@@ -31,7 +31,7 @@
     topics: BTreeMap<Topic, TopicStatus>,
     audit: Audit,
     applied: Index,
-    /// The entry that began the latest epoch; 0 before the first.
+    /// The index of the entry that began the latest epoch; 0 before the first.
     epoch: Index,
 }
 
@@ -48,41 +48,42 @@
             .filter(|registration| registration.who == who)
     }
 
-    /// The versions of a topic; none where none was ever proposed.
+    /// The versions of a topic; `None` if no version of it was ever proposed.
     pub fn topic(&self, topic: Topic) -> Option<&TopicStatus> {
         self.topics.get(&topic)
     }
 
-    /// The topics of which a version was ever proposed.
+    /// The topics for which a version was ever proposed.
     pub fn topics(&self) -> impl Iterator<Item = (Topic, &TopicStatus)> {
         self.topics.iter().map(|(topic, status)| (*topic, status))
     }
 
-    /// The audit of actions by version.
+    /// How many actions each gateway reported under each version.
     pub fn audit(&self) -> &Audit {
         &self.audit
     }
 
-    /// The last entry applied, counted over entries on versions alone.
+    /// The index of the last applied entry. Only entries on versions are counted.
     pub fn applied(&self) -> Index {
         self.applied
     }
 
-    /// The entry that began the latest epoch; 0 before the first.
+    /// The index of the entry that began the latest epoch; 0 before the first.
     pub fn epoch(&self) -> Index {
         self.epoch
     }
 
-    /// The entry that last changed any topic; 0 before the first.
+    /// The index of the entry that last changed any topic; 0 before the first.
     pub fn last_changed(&self) -> Index {
         self.topics
             .values()
-            .map(|status| status.changed)
+            .map(|status| status.last_changed)
             .max()
             .unwrap_or_default()
     }
 
-    /// The proposed version that a gateway has to wait for before it can join: the present registrations decide on it.
+    /// The number of the proposed version that keeps new gateways from joining until the registered ones have decided on it.
+    /// `None` if no version is proposed, or no gateway is registered.
     pub fn pending_proposal(&self) -> Option<u64> {
         let proposal = self
             .topics
@@ -93,11 +94,11 @@
             .map(|proposal| proposal.version.number)
     }
 
-    /// Whether a gateway may be registered now.
+    /// Checks whether a gateway may be registered now.
     ///
     /// # Errors
     ///
-    /// Why not.
+    /// The reason why it may not.
     pub fn check_join(&self, who: NodeIdentity, formats: Formats) -> Result<(), Rejection> {
         if self.registrations.contains_key(&who.gateway) {
             return Err(Rejection::AlreadyRegistered);
@@ -117,11 +118,11 @@
         }
     }
 
-    /// Whether a version may be proposed now.
+    /// Checks whether a gateway may propose this version now.
     ///
     /// # Errors
     ///
-    /// Why not.
+    /// The reason why it may not.
     pub fn check_proposal(
         &self,
         who: NodeIdentity,
@@ -145,11 +146,11 @@
         Ok(())
     }
 
-    /// Applies the entry at `index`, which must be the next one; one that was applied before has no effect.
+    /// Applies the entry at `index`, which must be the next one. An entry that was applied before has no effect.
     ///
     /// # Errors
     ///
-    /// [`Gap`] where entries in between were not applied; nothing changes then.
+    /// [`Gap`] if entries before it were not applied; nothing changes then.
     pub fn apply(
         &mut self,
         index: Index,
@@ -219,7 +220,7 @@
                 sequence,
                 spans,
             } => {
-                let counted = self.audit.report(*who, *sequence, spans);
+                let counted = self.audit.record_report(*who, *sequence, spans);
                 let reported = Outcome::Reported {
                     who: *who,
                     sequence: *sequence,
@@ -229,7 +230,7 @@
         }
     }
 
-    /// The registration with this token, if it is the gateway's present one.
+    /// Returns the current registration of the gateway if it has this token.
     fn check_registered(&self, who: NodeIdentity, token: Token) -> Result<Registration, Rejection> {
         let registration = self
             .registration(who)
@@ -282,14 +283,14 @@
             by,
             acked_by: BTreeSet::new(),
         });
-        status.changed = index;
+        status.last_changed = index;
         Outcome::VersionProposed {
             topic,
             number: index.0,
         }
     }
 
-    /// The topic, where the version with this number is proposed.
+    /// Returns the topic if the version with this number is proposed for it.
     fn proposed_topic(&mut self, topic: Topic, number: u64) -> Result<&mut TopicStatus, Rejection> {
         let status = self
             .topics
@@ -327,7 +328,7 @@
     ) -> Result<Outcome, Rejection> {
         let status = self.proposed_topic(topic, number)?;
         status.proposal = None;
-        status.changed = index;
+        status.last_changed = index;
         let reason = truncate_reason(reason);
         Ok(Outcome::ProposalRejected {
             topic,
@@ -344,16 +345,16 @@
             return;
         }
         for (topic, status) in &mut self.topics {
-            let all = |proposal: &mut Proposal| {
+            let acked_by_all = |proposal: &mut Proposal| {
                 registrations
                     .keys()
                     .all(|gateway| proposal.acked_by.contains(gateway))
             };
-            if let Some(proposal) = status.proposal.take_if(all) {
+            if let Some(proposal) = status.proposal.take_if(acked_by_all) {
                 let (number, previous) = (proposal.version.number, status.active_number());
                 status.previous = previous;
                 status.active = Some(proposal.version);
-                status.changed = index;
+                status.last_changed = index;
                 out.push(Outcome::Activated {
                     topic: *topic,
                     number,
--- a/control/src/versions/table/tests.rs
+++ b/control/src/versions/table/tests.rs
@@ -28,7 +28,7 @@
         out
     }
 
-    fn rejection(&mut self, command: Command) -> Rejection {
+    fn apply_rejected(&mut self, command: Command) -> Rejection {
         match self.apply(command).as_slice() {
             [Outcome::Rejected(reason)] => *reason,
             other => panic!("{other:?}"),
@@ -78,7 +78,7 @@
     }
 }
 
-/// A registration expires only by the latest epoch.
+/// An expiry takes effect only if it was decided in the latest epoch.
 #[test]
 fn expiry_requires_latest_epoch() {
     let mut log = Log::default();
@@ -92,26 +92,26 @@
     log.apply(Command::BeginEpoch { who: who(3) });
     let second = log.table.epoch();
     assert!(second > first);
-    assert_eq!(log.rejection(expire(first)), Rejection::StaleEpoch);
+    assert_eq!(log.apply_rejected(expire(first)), Rejection::StaleEpoch);
     let other = Command::Expire {
         who: who(2),
         token: Token(token.0 + 1),
         epoch: second,
     };
-    assert_eq!(log.rejection(other), Rejection::StaleRegistration);
+    assert_eq!(log.apply_rejected(other), Rejection::StaleRegistration);
     assert_eq!(log.table.registrations().count(), 1);
     assert!(
         matches!(log.apply(expire(second))[..], [Outcome::Expired(registration)] if registration.token == token)
     );
     assert_eq!(log.table.registrations().count(), 0);
     assert_eq!(
-        log.rejection(expire(second)),
+        log.apply_rejected(expire(second)),
         Rejection::StaleRegistration,
-        "doubled"
+        "duplicate"
     );
 }
 
-/// A version is active once every registration has acked it, each by its token.
+/// A version becomes active once every registered gateway has acked it with the token of its registration.
 #[test]
 fn activation_requires_acks_of_all_registrations() {
     let mut log = Log::default();
@@ -143,7 +143,7 @@
         }
     );
     assert_eq!(log.table.last_changed(), log.table.applied());
-    // The registration that holds up the next one goes, and the others' acceptances decide.
+    // The gateway that has not acked the next version leaves, and the acks of the others make it active.
     let next = log.propose(2, two);
     log.ack(next, &[(1, one)]);
     let left = log.apply(Command::Leave {
@@ -171,26 +171,26 @@
         token,
         topic: TOPIC,
         number,
-        reason: "spoilt".into(),
+        reason: "invalid".into(),
     };
-    assert_eq!(log.rejection(nack(one)), Rejection::StaleRegistration);
+    assert_eq!(log.apply_rejected(nack(one)), Rejection::StaleRegistration);
     let by = who(2);
     let rejected = Outcome::ProposalRejected {
         topic: TOPIC,
         number,
         by,
-        reason: "spoilt".into(),
+        reason: "invalid".into(),
     };
     assert_eq!(log.apply(nack(two)), [rejected]);
     assert_eq!(log.table.last_changed(), log.table.applied());
-    assert_eq!(log.rejection(nack(two)), Rejection::AlreadyDecided);
+    assert_eq!(log.apply_rejected(nack(two)), Rejection::AlreadyDecided);
     assert_eq!(
         log.table.topic(TOPIC).map(TopicStatus::active_number),
         Some(0)
     );
 }
 
-/// No gateway joins under a proposal, unless no registration is left.
+/// No gateway joins while a version is proposed, unless no other gateway is registered.
 #[test]
 fn join_waits_for_pending_proposal() {
     let mut log = Log::default();
@@ -201,7 +201,7 @@
         formats: FORMATS,
     };
     assert_eq!(
-        log.rejection(join.clone()),
+        log.apply_rejected(join.clone()),
         Rejection::ProposalPending(number)
     );
     log.apply(Command::Leave {
@@ -214,7 +214,7 @@
         formats: FORMATS,
     };
     assert_eq!(
-        log.rejection(third.clone()),
+        log.apply_rejected(third.clone()),
         Rejection::ProposalPending(number)
     );
     let outcomes = log.ack(number, &[(2, two)]);
@@ -227,7 +227,7 @@
         }
     );
     assert!(matches!(log.apply(third)[..], [Outcome::Registered(_)]));
-    assert_eq!(log.rejection(join), Rejection::AlreadyRegistered);
+    assert_eq!(log.apply_rejected(join), Rejection::AlreadyRegistered);
     let old = Command::Join {
         who: who(4),
         formats: Formats {
@@ -236,7 +236,7 @@
         },
     };
     assert_eq!(
-        log.rejection(old),
+        log.apply_rejected(old),
         Rejection::UnsupportedFormat { needed: 1 }
     );
 }
--- a/control/src/versions/topic.rs
+++ b/control/src/versions/topic.rs
@@ -4,12 +4,12 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// The longest content of a version, bytes: control members keep two contents of each topic in memory.
+/// Maximum length of a version's content, bytes. Control members keep two contents per topic in memory.
 pub const MAX_CONTENT_BYTES: usize = 64 * 1024;
-/// The longest reason of a nack that is kept, bytes.
+/// Maximum length of the reason of a nack, bytes. Longer reasons are truncated.
 pub const MAX_REASON_BYTES: usize = 200;
 
-/// The reason of a nack, cut at a character boundary where it is longer than [`MAX_REASON_BYTES`].
+/// Truncates the reason of a nack to at most [`MAX_REASON_BYTES`], at a character boundary.
 pub(super) fn truncate_reason(reason: &str) -> String {
     let mut end = reason.len().min(MAX_REASON_BYTES);
     while !reason.is_char_boundary(end) {
@@ -18,21 +18,21 @@
     reason[..end].to_owned()
 }
 
-/// What a fleet has versions of. Each topic has its own sequence of versions.
+/// A part of the fleet's configuration that has its own sequence of versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Topic {
-    /// The operator's file; its content here is a digest.
+    /// The operator's file. The content of its versions is a digest of the file.
     Operator,
     /// The placement of tenants in cells.
     Placement,
     /// The valid statements, and the schema that they need.
     Catalog,
-    /// The format that gateways write.
+    /// The format that the gateways of the fleet write.
     Program,
 }
 
 impl Topic {
-    /// All topics; their order is the same in every version of the program.
+    /// All topics. Their order never changes: log entries and messages name a topic by its position.
     pub const ALL: [Topic; 4] = [
         Topic::Operator,
         Topic::Placement,
@@ -40,7 +40,7 @@
         Topic::Program,
     ];
 
-    /// Its place in [`Topic::ALL`], as written in log entries and messages.
+    /// The position in [`Topic::ALL`], which stands for the topic in log entries and messages.
     pub fn number(self) -> u32 {
         self as u32
     }
@@ -57,45 +57,45 @@
 /// The range of content formats that a build supports.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Formats {
-    /// The oldest.
+    /// The oldest supported format.
     pub oldest: u32,
-    /// The newest.
+    /// The newest supported format, inclusive.
     pub newest: u32,
 }
 
 impl Formats {
-    /// Whether a content of this format can be validated.
+    /// Whether the build can validate contents of this format.
     pub fn supports(self, format: u32) -> bool {
         (self.oldest..=self.newest).contains(&format)
     }
 }
 
-/// The content of a version.
+/// The content of a version, which only the caller interprets.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Content {
     /// The format that a build must support to validate it.
     pub format: u32,
-    /// Up to [`MAX_CONTENT_BYTES`] bytes.
+    /// The encoded content, up to [`MAX_CONTENT_BYTES`] bytes.
     pub bytes: Vec<u8>,
 }
 
 /// A version of a topic.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Version {
-    /// The index of the entry that proposed it: unique, and higher than those before it.
+    /// The index of the entry that proposed it: unique, and higher than the numbers of all earlier versions.
     pub number: u64,
-    /// Its content.
+    /// What gateways validate, and act on once the version is active.
     pub content: Content,
 }
 
 /// A version that is proposed and not active yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Proposal {
-    /// The version.
+    /// The proposed version.
     pub version: Version,
     /// The gateway that proposed it.
     pub by: NodeIdentity,
-    /// The gateways that have acked it.
+    /// The numbers of the gateways that have acked it.
     #[serde(rename = "accepted")]
     pub acked_by: BTreeSet<u32>,
 }
@@ -112,8 +112,9 @@
     /// The proposed version, if there is one.
     #[serde(rename = "open")]
     pub proposal: Option<Proposal>,
-    /// The entry that last changed any of these.
-    pub changed: Index,
+    /// The index of the entry that last changed any of these fields.
+    #[serde(rename = "changed")]
+    pub last_changed: Index,
 }
 
 impl TopicStatus {
