--- a/control/src/versions/message.rs
+++ b/control/src/versions/message.rs
@@ -1,32 +1,32 @@
-//! Messages between gateways and the leading control member; `wire` says how they are written.
+//! Messages between gateways and the leading control member; the module `wire` encodes them.
 
 use super::{Content, Formats, Rejection, Span, Topic, Version};
 use crate::lease::{Index, NodeIdentity, Token};
 use crate::Micros;
 
-/// A message of a gateway to a control member.
+/// A message from a gateway to a control member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ToControl {
     /// Asks for a registration, or for its renewal for another lease.
     Heartbeat {
-        /// The gateway.
+        /// The gateway that sends it.
         who: NodeIdentity,
         /// The formats that it supports.
         formats: Formats,
-        /// Its registration, once it has one.
+        /// The token of its registration, once it has one.
         token: Option<Token>,
-        /// When it was sent, microseconds on the gateway's monotonic clock; its lease counts from then.
+        /// When it was sent, microseconds on the gateway's monotonic clock; the lease counts from then.
         sent_at: Micros,
-        /// The entry up to which the gateway knows the state of the topics.
+        /// The index of the entry up to which the gateway knows the state of the topics.
         known_index: Index,
     },
     /// The result of a proposed version's validation.
     ValidationResult {
         /// The gateway that validated it.
         who: NodeIdentity,
-        /// Its registration.
+        /// The token of its registration.
         token: Token,
-        /// The topic.
+        /// The topic that the version belongs to.
         topic: Topic,
         /// The number of the version.
         number: u64,
@@ -37,37 +37,37 @@
     ProposeVersion {
         /// The gateway that proposes it.
         who: NodeIdentity,
-        /// Its registration.
+        /// The token of its registration.
         token: Token,
-        /// The topic.
+        /// The topic that the version belongs to.
         topic: Topic,
         /// The number of the active version that it is to replace; 0 is none.
         replaces: u64,
-        /// Its content.
+        /// The content of the new version.
         content: Content,
     },
     /// An audit report of the gateway's actions. Reports of an incarnation are numbered from 1, and each counts once.
     Report {
-        /// The gateway.
+        /// The gateway that reports.
         who: NodeIdentity,
         /// The number of the report.
         sequence: u64,
-        /// The actions.
+        /// The actions since the previous report, by topic and version.
         spans: Vec<Span>,
     },
-    /// Gives a registration back: the gateway has stopped acting.
+    /// Ends the registration of a gateway that has stopped acting.
     Leave {
-        /// The gateway.
+        /// The gateway that leaves.
         who: NodeIdentity,
-        /// Its registration.
+        /// The token of its registration.
         token: Token,
     },
 }
 
-/// The state of a topic as gateways are sent it. The content of the active version is not sent again.
+/// The state of a topic as sent to gateways. The content of the active version is not sent again.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct TopicState {
-    /// The topic.
+    /// The topic whose state this is.
     pub topic: Topic,
     /// The number of the active version; 0 is none.
     pub active: u64,
@@ -77,66 +77,66 @@
     pub proposal: Option<Version>,
 }
 
-/// A message of a control member to a gateway.
+/// A message from a control member to a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ToGateway {
     /// A registration was granted or renewed: the gateway may act for a lease, counted from when it sent the heartbeat.
     RegistrationRenewed {
-        /// The gateway.
+        /// The gateway whose heartbeat this answers.
         who: NodeIdentity,
-        /// Its registration.
+        /// The token of its registration.
         token: Token,
         /// When the heartbeat was sent, as stated in it.
         sent_at: Micros,
-        /// The entry that last changed a topic: only a gateway that knows it may act.
+        /// The index of the entry that last changed a topic: only a gateway that knows that change may act.
         required_index: Index,
         /// How many gateways are registered.
         registrations: u32,
     },
-    /// The state of the topics that changed after `since`.
+    /// The states of the topics that changed after the entry `since`.
     TopicStates {
-        /// The entry up to which this is complete.
+        /// The index of the entry up to which this is complete.
         as_of: Index,
-        /// Only gateways that know the state up to this entry may apply it.
+        /// Only gateways that know all changes up to the entry with this index may apply it.
         since: Index,
         /// The topics that changed in between.
         topics: Vec<TopicState>,
     },
-    /// A registration has ended: the gateway stops, and joins again later.
+    /// A registration has ended: the gateway stops acting, and joins again later.
     RegistrationExpired {
-        /// The gateway.
+        /// The gateway that was registered.
         who: NodeIdentity,
-        /// The registration.
+        /// The token of the registration that has ended.
         token: Token,
     },
     /// A gateway's request for a registration, or its proposal, was rejected.
     RequestRejected {
-        /// The gateway.
+        /// The gateway that sent the request.
         who: NodeIdentity,
-        /// Why.
+        /// Why the request has no effect.
         reason: Rejection,
     },
     /// A proposed version was rejected; the active one stays.
     ProposalRejected {
-        /// The topic.
+        /// The topic that the version belongs to.
         topic: Topic,
         /// The number of the version.
         number: u64,
         /// The gateway that sent the nack.
         by: NodeIdentity,
-        /// Why.
+        /// The reason that the gateway gave.
         reason: String,
     },
-    /// A report was counted.
+    /// An audit report was counted: the gateway stops repeating it.
     ReportCounted {
-        /// The gateway.
+        /// The gateway that reported.
         who: NodeIdentity,
         /// The number of the report.
         sequence: u64,
     },
     /// This control member does not lead.
     NotLeader {
-        /// The gateway number of the leader, where it is known.
+        /// The gateway number of the leader, if it is known.
         leader: Option<u32>,
     },
 }
--- a/control/src/versions/wire/mod.rs
+++ b/control/src/versions/wire/mod.rs
@@ -1,6 +1,7 @@
-//! How the messages between gateways and control members are written: one `prost` message each way, with one kind each.
+//! Wire format of the messages between gateways and control members: one `prost` message per direction, with a `oneof` of
+//! its kinds.
 //!
-//! Lengths are bounded before anything is kept. A message that is not understood completely is an error, and nothing of it
+//! Lengths are checked before anything is kept. A message that cannot be decoded completely is an error, and no part of it
 //! takes effect.
 
 mod to_control;
@@ -11,19 +12,20 @@
 use crate::lease::{NodeIdentity, Token};
 use prost::Message;
 
-/// Bytes of a message beside the contents of versions.
+/// Upper bound for the bytes of a message without the contents of versions.
 const MAX_OVERHEAD_BYTES: usize = 4 * 1024;
-/// The longest message, bytes: the proposed versions of all topics, and what comes with them.
+/// Maximum length of a message, bytes: the proposed versions of all topics, and the other fields.
 const MAX_MESSAGE_BYTES: usize = Topic::ALL.len() * MAX_CONTENT_BYTES + MAX_OVERHEAD_BYTES;
 
-fn read<M: Message + Default>(bytes: &[u8]) -> Result<M, DecodeError> {
+/// Decodes a message of at most [`MAX_MESSAGE_BYTES`].
+fn decode_bounded<M: Message + Default>(bytes: &[u8]) -> Result<M, DecodeError> {
     if bytes.len() > MAX_MESSAGE_BYTES {
         return Err(DecodeError::TooLong("length"));
     }
     Ok(M::decode(bytes)?)
 }
 
-/// A gateway's registration on the wire, by its token.
+/// A gateway's registration on the wire, identified by its token.
 #[derive(Clone, PartialEq, Message)]
 struct WireRegistration {
     #[prost(message, required, tag = "1")]
--- a/control/src/versions/wire/tests.rs
+++ b/control/src/versions/wire/tests.rs
@@ -51,7 +51,7 @@
             known_index: Index(3),
         },
         validation(Ok(())),
-        validation(Err("spoilt".into())),
+        validation(Err("invalid".into())),
         ToControl::ProposeVersion {
             who: A,
             token: TOKEN,
@@ -72,7 +72,7 @@
 }
 
 fn to_gateway() -> Vec<ToGateway> {
-    let refusals = [
+    let rejections = [
         Rejection::StaleRegistration,
         Rejection::AlreadyRegistered,
         Rejection::UnsupportedFormat { needed: 3 },
@@ -126,7 +126,7 @@
             topic: Topic::Catalog,
             number: 4,
             by: A,
-            reason: "spoilt".into(),
+            reason: "invalid".into(),
         },
         ToGateway::ReportCounted {
             who: A,
@@ -135,18 +135,18 @@
         ToGateway::NotLeader { leader: None },
         ToGateway::NotLeader { leader: Some(2) },
     ];
-    all.extend(refusals.map(|reason| ToGateway::RequestRejected { who: A, reason }));
+    all.extend(rejections.map(|reason| ToGateway::RequestRejected { who: A, reason }));
     all
 }
 
-/// Garbage is an error of a type, or a message that is written and read alike: nothing panics.
-fn assert_reads_garbage_safely<M: PartialEq + std::fmt::Debug>(
+/// Damaged bytes give a typed error, or a message that decodes to itself once encoded again; nothing panics.
+fn assert_damaged_bytes_are_safe<M: PartialEq + std::fmt::Debug>(
     bytes: &[u8],
     decode: impl Fn(&[u8]) -> Result<M, DecodeError>,
     encode: impl Fn(&M) -> Vec<u8>,
 ) {
-    let check = |spoilt: &[u8]| {
-        if let Ok(message) = decode(spoilt) {
+    let check = |damaged: &[u8]| {
+        if let Ok(message) = decode(damaged) {
             assert_eq!(decode(&encode(&message)), Ok(message));
         }
     };
@@ -157,22 +157,22 @@
     fuzz::garbage(bytes, check);
 }
 
-/// Messages are read as they were written, and garbage is a typed error.
+/// Messages decode to what was encoded, and damaged bytes give a typed error.
 #[test]
-fn messages_round_trip_and_garbage_is_an_error() {
+fn messages_round_trip_and_damaged_bytes_are_errors() {
     for message in to_control() {
         assert_eq!(ToControl::decode(&message.encode()), Ok(message.clone()));
         assert_eq!(message.who(), A);
-        assert_reads_garbage_safely(&message.encode(), ToControl::decode, ToControl::encode);
+        assert_damaged_bytes_are_safe(&message.encode(), ToControl::decode, ToControl::encode);
     }
     for message in to_gateway() {
         assert_eq!(ToGateway::decode(&message.encode()), Ok(message.clone()));
-        assert_reads_garbage_safely(&message.encode(), ToGateway::decode, ToGateway::encode);
+        assert_damaged_bytes_are_safe(&message.encode(), ToGateway::decode, ToGateway::encode);
     }
     assert_eq!(ToControl::decode(&[]), Err(DecodeError::Unknown("kind")));
 }
 
-/// What is longer than any build writes is rejected, and a long reason is truncated.
+/// Messages with a part longer than any build writes are rejected, and a long reason is truncated.
 #[test]
 fn overlong_messages_are_rejected() {
     let content = Content {
@@ -226,7 +226,7 @@
         ToGateway::decode(&vec![0; MAX_MESSAGE_BYTES + 1]),
         Err(DecodeError::TooLong("length"))
     );
-    // Cut at a whole character.
+    // The reason is truncated at a character boundary.
     let reason = format!("a{}", "ü".repeat(MAX_REASON_BYTES));
     assert_eq!(
         truncate_reason(&reason),
--- a/control/src/versions/wire/to_control.rs
+++ b/control/src/versions/wire/to_control.rs
@@ -1,6 +1,6 @@
-//! [`ToControl`] on the wire.
+//! Encoding and decoding of [`ToControl`].
 
-use super::{read, WireRegistration};
+use super::{decode_bounded, WireRegistration};
 use crate::codec::{content, topic, DecodeError, WireIdentity, WireReport};
 use crate::lease::{Index, Token};
 use crate::versions::{truncate_reason, Formats, ToControl};
@@ -52,7 +52,7 @@
     topic: u32,
     #[prost(uint64, tag = "4")]
     number: u64,
-    /// Why the version is invalid; missing where it is valid.
+    /// Why the version is invalid; absent if it is valid.
     #[prost(string, optional, tag = "5")]
     reason: Option<String>,
 }
@@ -74,19 +74,19 @@
 }
 
 impl ToControl {
-    /// The bytes of the message.
+    /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
         let kind = Some(Kind::from(self));
         Envelope { kind }.encode_to_vec()
     }
 
-    /// Reads a message.
+    /// Decodes a message.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`], where the bytes are not understood completely.
+    /// [`DecodeError`] if the bytes cannot be decoded completely.
     pub fn decode(bytes: &[u8]) -> Result<ToControl, DecodeError> {
-        let envelope: Envelope = read(bytes)?;
+        let envelope: Envelope = decode_bounded(bytes)?;
         let kind = envelope.kind.ok_or(DecodeError::Unknown("kind"))?;
         kind.try_into()
     }
--- a/control/src/versions/wire/to_gateway.rs
+++ b/control/src/versions/wire/to_gateway.rs
@@ -1,6 +1,6 @@
-//! [`ToGateway`] on the wire.
+//! Encoding and decoding of [`ToGateway`].
 
-use super::{read, WireRegistration};
+use super::{decode_bounded, WireRegistration};
 use crate::codec::{content, topic, DecodeError, WireIdentity};
 use crate::lease::{Index, NodeIdentity, Token};
 use crate::versions::{truncate_reason, Rejection, ToGateway, Topic, TopicState, Version};
@@ -80,10 +80,10 @@
 struct RequestRejected {
     #[prost(message, required, tag = "1")]
     who: WireIdentity,
-    /// See [`RequestRejected::new`].
+    /// The code of the reason; [`RequestRejected::new`] assigns them.
     #[prost(uint32, tag = "2")]
     code: u32,
-    /// The version, or the format, that the reason names.
+    /// The version number or the format that the reason names; 0 if it names neither.
     #[prost(uint64, tag = "3")]
     number: u64,
 }
@@ -115,19 +115,19 @@
 }
 
 impl ToGateway {
-    /// The bytes of the message.
+    /// Encodes the message.
     pub fn encode(&self) -> Vec<u8> {
         let kind = Some(Kind::from(self));
         Envelope { kind }.encode_to_vec()
     }
 
-    /// Reads a message.
+    /// Decodes a message.
     ///
     /// # Errors
     ///
-    /// [`DecodeError`], where the bytes are not understood completely.
+    /// [`DecodeError`] if the bytes cannot be decoded completely.
     pub fn decode(bytes: &[u8]) -> Result<ToGateway, DecodeError> {
-        let envelope: Envelope = read(bytes)?;
+        let envelope: Envelope = decode_bounded(bytes)?;
         let kind = envelope.kind.ok_or(DecodeError::Unknown("kind"))?;
         kind.try_into()
     }
@@ -219,8 +219,8 @@
                 who: counted.who.into(),
                 sequence: counted.sequence,
             },
-            Kind::NotLeader(elsewhere) => ToGateway::NotLeader {
-                leader: elsewhere.leader,
+            Kind::NotLeader(not_leader) => ToGateway::NotLeader {
+                leader: not_leader.leader,
             },
         })
     }
@@ -312,7 +312,7 @@
             6 => Rejection::ActiveVersionChanged(self.number),
             7 => Rejection::ContentTooLong,
             8 => Rejection::AlreadyDecided,
-            _ => return Err(DecodeError::Unknown("refusal")),
+            _ => return Err(DecodeError::Unknown("rejection code")),
         })
     }
 }
