--- a/control/src/versions/coordinator/applied.rs
+++ b/control/src/versions/coordinator/applied.rs
@@ -1,4 +1,4 @@
-//! What applied log entries mean for a coordinator: state of the epoch, messages to gateways.
+//! Effects of applied log entries on a coordinator: the state of its epoch, and messages to gateways.
 
 use super::{Action, Coordinator, Leadership};
 use crate::lease::Index;
@@ -16,7 +16,7 @@
     ) {
         let changed_before = self.table.last_changed();
         let mut outcomes = Vec::new();
-        // Entries are numbered by the table that counts them; a gap is the caller's fault and changes nothing.
+        // The caller numbers entries as the table counts them. A gap is an error of the caller and changes nothing.
         if self.table.apply(index, command, &mut outcomes).is_err() {
             return;
         }
@@ -37,8 +37,8 @@
         out: &mut Vec<Action>,
     ) {
         if let Outcome::EpochBegun(who) = outcome {
-            let own = who == self.me && self.leading;
-            self.leadership = own.then(|| Leadership::begin(index, now, &self.table));
+            let is_own = who == self.identity && self.leading;
+            self.leadership = is_own.then(|| Leadership::begin(index, now, &self.table));
             return;
         }
         if let (Outcome::Reported { who, .. }, Command::Report { spans, .. }) = (&outcome, command)
@@ -49,12 +49,12 @@
             });
         }
         if let Some(leadership) = &mut self.leadership {
-            leadership.observe(now, &outcome);
+            leadership.apply_outcome(now, &outcome);
             out.extend(notification(command, outcome));
         }
     }
 
-    /// Sends every gateway the topics that changed after an entry.
+    /// Sends every gateway the states of the topics that changed after an entry.
     fn publish(&mut self, now: Micros, since: Index, out: &mut Vec<Action>) {
         let as_of = self.table.last_changed();
         let Some(leadership) = &mut self.leadership else {
@@ -88,12 +88,13 @@
 }
 
 impl Leadership {
-    /// Follows what an entry did to registrations and proposals.
-    fn observe(&mut self, now: Micros, outcome: &Outcome) {
+    /// Updates the state of the epoch after an entry changed registrations or proposals.
+    fn apply_outcome(&mut self, now: Micros, outcome: &Outcome) {
         match outcome {
             Outcome::Registered(Registration { who, .. }) => {
                 self.membership.record_contact(who.gateway, now);
-                // A gateway registers under a proposal only where no other is there to validate it: it has its time for that.
+                // A gateway can register while a version is proposed only if no other gateway is registered. It gets a full
+                // wait to validate that version.
                 self.rollout.restart_waits(now);
             }
             Outcome::Left(Registration { who, .. })
@@ -110,7 +111,7 @@
     }
 }
 
-/// What gateways are sent about an entry, apart from the states of topics.
+/// The message to gateways about an entry, if there is one. The states of topics are sent separately.
 fn notification(command: &Command, outcome: Outcome) -> Option<Action> {
     match outcome {
         Outcome::Expired(Registration { who, token, .. }) => {
--- a/control/src/versions/coordinator/links.rs
+++ b/control/src/versions/coordinator/links.rs
@@ -1,10 +1,10 @@
-//! What each connected gateway was sent and had proposed on its behalf, so that neither is repeated while it is in flight.
+//! What was last sent to each connected gateway and proposed for it, so that neither is repeated while it is in flight.
 
 use crate::lease::{Index, Timing};
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// Leases without contact after which a gateway's link is forgotten. Its registration is not affected.
+/// A gateway's link is forgotten after this many leases without contact. The gateway's registration is not affected.
 const LINK_RETENTION_LEASES: u64 = 10;
 
 /// The last topic states sent to a gateway.
@@ -29,8 +29,8 @@
 }
 
 impl Links {
-    /// A gateway has a new link: what was sent on a former one may be lost.
-    pub(super) fn connect(&mut self, gateway: u32, now: Micros) {
+    /// Begins a new link of a gateway. What was sent on a former one may be lost.
+    pub(super) fn reset(&mut self, gateway: u32, now: Micros) {
         let link = Link {
             last_contact_at: now,
             ..Link::default()
@@ -38,16 +38,16 @@
         self.by_gateway.insert(gateway, link);
     }
 
-    /// All gateways are being sent the topic states up to `as_of`.
+    /// Records that the topic states up to `as_of` are sent to all gateways now.
     pub(super) fn record_broadcast(&mut self, as_of: Index, now: Micros) {
         for link in self.by_gateway.values_mut() {
             link.sent_states = Some(SentStates { as_of, at: now });
         }
     }
 
-    /// Records a heartbeat of a gateway that knows the states up to `known_index`. Returns whether it is to be sent those up to
-    /// `as_of`, which then count as sent: true where it lacks some that are not in flight.
-    pub(super) fn must_resend(
+    /// Records a heartbeat of a gateway that knows the topic states up to `known_index`. Returns whether the gateway lacks
+    /// states up to `as_of` that are not in flight; these then count as sent now.
+    pub(super) fn begin_resend_if_due(
         &mut self,
         gateway: u32,
         known_index: Index,
@@ -66,8 +66,8 @@
         resend
     }
 
-    /// Whether a registration may be proposed for a gateway now, which then counts as proposed.
-    pub(super) fn may_propose_join(&mut self, gateway: u32, now: Micros, timing: &Timing) -> bool {
+    /// Returns whether a registration is to be proposed for a gateway now; it then counts as proposed.
+    pub(super) fn begin_join_if_due(&mut self, gateway: u32, now: Micros, timing: &Timing) -> bool {
         let link = self.by_gateway.entry(gateway).or_default();
         let due = link
             .join_proposed_at
@@ -78,7 +78,7 @@
         due
     }
 
-    /// Forgets gateways that have been silent for long.
+    /// Forgets the links of gateways without contact for [`LINK_RETENTION_LEASES`].
     pub(super) fn discard_idle(&mut self, now: Micros, timing: &Timing) {
         let retention_us = LINK_RETENTION_LEASES * timing.lease_us;
         self.by_gateway
--- a/control/src/versions/coordinator/membership.rs
+++ b/control/src/versions/coordinator/membership.rs
@@ -9,21 +9,21 @@
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// Checks of all registrations in each renewal interval.
+/// How often all registrations are checked in each renewal interval.
 const EXPIRY_CHECKS_PER_RENEWAL: u64 = 8;
 
-/// When each registered gateway was last in contact, in one epoch.
+/// When each registered gateway was last in contact during one epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Membership {
-    /// By gateway, its last heartbeat that may have renewed its registration.
+    /// By gateway, when its last heartbeat that may have renewed its registration arrived.
     last_contact_at: BTreeMap<u32, Micros>,
-    /// By gateway, when its expiry was last proposed. Such a registration is not renewed any more.
+    /// By gateway, when the expiry of its registration was last proposed. Such a registration is no longer renewed.
     expiring: BTreeMap<u32, Micros>,
     last_check_at: Option<Micros>,
 }
 
 impl Membership {
-    /// Begins an epoch. Until when gateways may act is unknown, so each counts as in contact just now.
+    /// Begins an epoch. What former leaders renewed is unknown, so every registered gateway counts as in contact now.
     pub(super) fn begin(now: Micros, table: &Table) -> Membership {
         let gateways = table
             .registrations()
@@ -40,7 +40,7 @@
         self.expiring.contains_key(&gateway)
     }
 
-    /// Records a heartbeat that may renew a registration, or a new registration.
+    /// Records that a gateway registered, or sent a heartbeat that may renew its registration.
     pub(super) fn record_contact(&mut self, gateway: u32, now: Micros) {
         self.last_contact_at.insert(gateway, now);
     }
@@ -51,7 +51,7 @@
         self.expiring.remove(&gateway);
     }
 
-    /// Does not count time in which this member did not run as silence of the gateways.
+    /// Excludes `stalled_us`, in which this member did not run, from the time since the last contact of each gateway.
     pub(super) fn discount_stall(&mut self, stalled_us: Micros) {
         for at in self.last_contact_at.values_mut() {
             *at = at.saturating_add(stalled_us);
@@ -65,8 +65,9 @@
             .is_none_or(|at| now >= at.saturating_add(interval_us))
     }
 
-    /// Checks all registrations: those whose expiry is to be proposed now, again after a renewal interval.
-    pub(super) fn check(
+    /// Checks all registrations. Returns those whose expiry is to be proposed now; the proposal is repeated after a renewal
+    /// interval.
+    pub(super) fn take_expired(
         &mut self,
         now: Micros,
         timing: &Timing,
@@ -75,12 +76,12 @@
         self.last_check_at = Some(now);
         let registrations = table.registrations().copied();
         registrations
-            .filter(|registration| self.expires(now, timing, registration.who.gateway))
+            .filter(|registration| self.begin_expiry_if_due(now, timing, registration.who.gateway))
             .collect()
     }
 
-    /// Whether the expiry of a gateway's registration is to be proposed now.
-    fn expires(&mut self, now: Micros, timing: &Timing, gateway: u32) -> bool {
+    /// Returns whether the expiry of a gateway's registration is to be proposed now; it then counts as proposed.
+    fn begin_expiry_if_due(&mut self, now: Micros, timing: &Timing, gateway: u32) -> bool {
         let last_contact_at = *self.last_contact_at.entry(gateway).or_insert(now);
         let proposed_at = self.expiring.get(&gateway);
         let due = proposed_at.is_none_or(|at| now >= at.saturating_add(timing.renew_us));
--- a/control/src/versions/coordinator/mod.rs
+++ b/control/src/versions/coordinator/mod.rs
@@ -1,12 +1,13 @@
-//! A control member's side of versions: which registrations are renewed and which expire, which proposals and acks go
-//! into the log, and what gateways are sent.
+//! The part of a control member in the rollout of versions: which registrations are renewed and which expire, which
+//! proposals and acks are written to the log, and what is sent to gateways.
 //!
 //! Invariants: while another member leads, nothing is granted and nothing expires; a registration is renewed only after a
-//! quorum has confirmed, since the heartbeat arrived, that this member leads; all decisions that must outlive a leader go
-//! through the log. It never does I/O and never reads a clock.
+//! quorum has confirmed, since the heartbeat arrived, that this member leads; all decisions that must hold after a change
+//! of leader go through the log. The coordinator does no I/O and reads no clock.
 //!
-//! `membership` tracks contact and expiry, `read_index` the rounds that heartbeats wait for, `rollout` the acks of proposed
-//! versions, `links` what each gateway was sent. `applied` follows the log, `requests` handles messages of gateways.
+//! Modules: `membership` tracks contact and expiry, `read_index` the rounds that heartbeats wait for, `rollout` the acks of
+//! proposed versions, `links` what was sent to each gateway. `applied` handles log entries, `requests` the messages of
+//! gateways.
 
 mod applied;
 mod links;
@@ -23,7 +24,8 @@
 use read_index::ReadIndexRounds;
 use rollout::Rollout;
 
-/// Ticks in each renewal interval while this member leads: well above one, so that a gap shows that it did not run.
+/// Ticks in each renewal interval while this member leads. It must be well above one: a renewal interval without any event
+/// counts as a stall of this member.
 const TICKS_PER_RENEWAL: u64 = 4;
 
 /// An input of a [`Coordinator`].
@@ -31,22 +33,22 @@
 pub enum Event {
     /// An entry on versions was committed; entries come in log order.
     Applied {
-        /// Its index, counted over entries on versions alone.
+        /// The index of the entry, counted over entries on versions alone.
         index: Index,
-        /// Its content.
+        /// The entry.
         command: Command,
     },
     /// Whether this control member believes that it leads the log.
     Leading(bool),
-    /// The gateway number of the leader, where that is known.
+    /// The gateway number of the leader, if it is known.
     Leader(Option<u32>),
-    /// A message of a gateway.
+    /// A message from a gateway.
     Received(ToControl),
     /// A gateway has a new link to this control member: messages on a former one may be lost.
     Connected(NodeIdentity),
     /// A quorum has confirmed, after this read-index round was requested, that it knows of no later leader.
     Confirmed(u64),
-    /// A timer fired. Harmless at any time.
+    /// A timer fired. More ticks than requested are harmless.
     Tick,
 }
 
@@ -62,21 +64,21 @@
     Send(NodeIdentity, ToGateway),
     /// Send every connected gateway a message. It may be lost.
     Broadcast(ToGateway),
-    /// A gateway's report was counted.
+    /// A gateway's audit report was counted.
     Counted {
         /// The gateway that reported.
         who: NodeIdentity,
-        /// Its actions, by topic and version.
+        /// The actions in the report, by topic and version.
         spans: Vec<Span>,
     },
     /// Send [`Event::Tick`] at this time at the latest, microseconds on this member's monotonic clock.
     Wake(Micros),
 }
 
-/// What a control member knows only in an epoch of its own.
+/// The state that a control member has only during an epoch of its own.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Leadership {
-    /// The entry that began the epoch.
+    /// The index of the entry that began the epoch.
     epoch: Index,
     membership: Membership,
     rounds: ReadIndexRounds,
@@ -97,29 +99,29 @@
     }
 }
 
-/// The versions at one control member: a state machine without I/O (see the module's documentation).
+/// The coordinator of one control member: a state machine without I/O (see the module's documentation).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Coordinator {
-    me: NodeIdentity,
+    identity: NodeIdentity,
     timing: Timing,
     table: Table,
     leading: bool,
     leader: Option<u32>,
     /// When it last proposed to begin an epoch.
     epoch_proposed_at: Option<Micros>,
-    /// While it leads and its epoch is the latest in the log.
+    /// Set while this member leads and its epoch is the latest in the log.
     leadership: Option<Leadership>,
-    /// The last read-index round that was requested, over all epochs.
+    /// The number of the last requested read-index round, counted over all epochs.
     last_round: u64,
     /// When it last handled an event.
     last_event_at: Micros,
 }
 
 impl Coordinator {
-    /// A control member with identity `me`, which knows nothing of the log yet.
-    pub fn new(me: NodeIdentity, timing: Timing) -> Coordinator {
+    /// A coordinator of the control member `identity`, before the first entry of the log.
+    pub fn new(identity: NodeIdentity, timing: Timing) -> Coordinator {
         Coordinator {
-            me,
+            identity,
             timing,
             table: Table::default(),
             leading: false,
@@ -136,13 +138,13 @@
         &self.table
     }
 
-    /// Installs a snapshot of the table in place of the entries. An epoch of this member ends with it.
+    /// Replaces the table by a snapshot. An epoch of this member ends.
     pub fn restore(&mut self, _now: Micros, table: Table) {
         self.table = table;
         self.leadership = None;
     }
 
-    /// Handles an event at `now` (microseconds on this member's monotonic clock) and adds what is to be done to `out`.
+    /// Handles an event at `now` (microseconds on this member's monotonic clock) and adds the resulting actions to `out`.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.discount_stall(now);
         match event {
@@ -152,7 +154,7 @@
             Event::Received(message) => self.receive(now, message, out),
             Event::Connected(who) => {
                 if let Some(leadership) = &mut self.leadership {
-                    leadership.links.connect(who.gateway, now);
+                    leadership.links.reset(who.gateway, now);
                 }
             }
             Event::Confirmed(round) => self.confirm_round(round, out),
@@ -162,7 +164,7 @@
         out.push(Action::Wake(self.next_wakeup(now)));
     }
 
-    /// While this member did not run it received nothing: that time is no silence of the gateways.
+    /// Does not count time in which this member did not run as silence of the gateways: it could not receive their messages.
     fn discount_stall(&mut self, now: Micros) {
         let stalled_us = now.saturating_sub(self.last_event_at);
         self.last_event_at = now;
@@ -199,7 +201,7 @@
             .is_none_or(|at| now >= at.saturating_add(self.timing.renew_us));
         if due {
             self.epoch_proposed_at = Some(now);
-            out.push(Action::Propose(Command::BeginEpoch { who: self.me }));
+            out.push(Action::Propose(Command::BeginEpoch { who: self.identity }));
         }
     }
 
@@ -213,7 +215,7 @@
         out.extend(batches.into_iter().map(Action::Propose));
     }
 
-    /// Proposes the expiry of registrations whose permission has certainly ended, and drops what is out of date.
+    /// Proposes the expiry of registrations under which no gateway can still act, and drops outdated heartbeats and links.
     fn check_registrations(&mut self, now: Micros, out: &mut Vec<Action>) {
         let Some(leadership) = &mut self.leadership else {
             return;
@@ -222,7 +224,9 @@
             return;
         }
         let epoch = leadership.epoch;
-        let expired = leadership.membership.check(now, &self.timing, &self.table);
+        let expired = leadership
+            .membership
+            .take_expired(now, &self.timing, &self.table);
         out.extend(expired.into_iter().map(|registration| {
             Action::Propose(Command::Expire {
                 who: registration.who,
@@ -244,7 +248,7 @@
         }
     }
 
-    /// The next moment at which something may be due.
+    /// When the coordinator needs its next tick.
     fn next_wakeup(&self, now: Micros) -> Micros {
         let renew_us = self.timing.renew_us;
         if !self.leading {
--- a/control/src/versions/coordinator/read_index.rs
+++ b/control/src/versions/coordinator/read_index.rs
@@ -6,17 +6,17 @@
 use crate::lease::{NodeIdentity, Token};
 use crate::Micros;
 
-/// Rounds that may be requested in each renewal interval while each is confirmed.
+/// Maximum number of rounds in each renewal interval if each is confirmed.
 pub(super) const ROUNDS_PER_RENEWAL: u64 = 20;
-/// An unconfirmed round is replaced after this part of a renewal interval: its request may be lost.
+/// How often an unconfirmed round is replaced in each renewal interval: its request may be lost.
 pub(super) const ROUND_RETRIES_PER_RENEWAL: u64 = 4;
 
 /// A heartbeat that waits for a round.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PendingHeartbeat {
-    /// Who sent it.
+    /// The gateway that sent it.
     pub(super) who: NodeIdentity,
-    /// The registration that it named.
+    /// The token of the registration in the heartbeat, if it has one.
     pub(super) token: Option<Token>,
     /// When it was sent, on the gateway's clock.
     pub(super) sent_at: Micros,
@@ -24,7 +24,7 @@
     pub(super) received_at: Micros,
     /// The first round requested after it arrived.
     pub(super) round: u64,
-    /// Whether it may renew the registration.
+    /// Whether it may renew the gateway's registration.
     pub(super) renewable: bool,
 }
 
@@ -35,7 +35,7 @@
     confirmed: bool,
 }
 
-/// The rounds of one epoch. Their numbers are counted over all epochs, by the caller.
+/// The rounds of one epoch. The caller numbers rounds over all epochs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct ReadIndexRounds {
     pending: Vec<PendingHeartbeat>,
@@ -48,7 +48,7 @@
         self.pending.push(heartbeat);
     }
 
-    /// Takes the confirmation of a round; returns the heartbeats that it covers, in the order in which they arrived.
+    /// Handles the confirmation of a round. Returns the heartbeats that it covers, in the order in which they arrived.
     pub(super) fn confirm(&mut self, round: u64, last_round: u64) -> Vec<PendingHeartbeat> {
         if let Some(latest) = self.latest.as_mut().filter(|_| round == last_round) {
             latest.confirmed = true;
@@ -61,16 +61,17 @@
         covered
     }
 
-    /// Drops heartbeats older than a lease: their permission would have ended before the answer arrived.
+    /// Drops heartbeats older than a lease: the permission in an answer would already have ended.
     pub(super) fn discard_expired(&mut self, now: Micros, lease_us: Micros) {
         self.pending
             .retain(|heartbeat| now < heartbeat.received_at.saturating_add(lease_us));
     }
 
-    /// Notes that a round is requested now, where heartbeats wait and one is due; returns whether it is.
+    /// Returns whether a round is to be requested now, because heartbeats wait and the next round is due; it then counts as
+    /// requested.
     pub(super) fn begin_if_due(&mut self, now: Micros, renew_us: Micros) -> bool {
-        let waits = !self.pending.is_empty();
-        let due = waits && self.earliest_next(renew_us).is_none_or(|at| now >= at);
+        let has_pending = !self.pending.is_empty();
+        let due = has_pending && self.earliest_next(renew_us).is_none_or(|at| now >= at);
         if due {
             self.latest = Some(Round {
                 requested_at: now,
@@ -80,20 +81,24 @@
         due
     }
 
-    /// When the next round is due, where heartbeats wait for one and it is not the first of the epoch.
+    /// When the next round is due, if heartbeats wait for one and it is not the first of the epoch.
     pub(super) fn next_due(&self, renew_us: Micros) -> Option<Micros> {
         self.earliest_next(renew_us)
             .filter(|_| !self.pending.is_empty())
     }
 
-    /// When the next round may be requested, after a first one.
+    /// The earliest time of the next round, after the first one of the epoch.
     fn earliest_next(&self, renew_us: Micros) -> Option<Micros> {
         let latest = self.latest?;
-        let parts = if latest.confirmed {
+        let rounds_per_renewal = if latest.confirmed {
             ROUNDS_PER_RENEWAL
         } else {
             ROUND_RETRIES_PER_RENEWAL
         };
-        Some(latest.requested_at.saturating_add(renew_us / parts))
+        Some(
+            latest
+                .requested_at
+                .saturating_add(renew_us / rounds_per_renewal),
+        )
     }
 }
--- a/control/src/versions/coordinator/requests.rs
+++ b/control/src/versions/coordinator/requests.rs
@@ -1,4 +1,4 @@
-//! What a coordinator does with the messages of gateways, and how it answers their heartbeats.
+//! Handling of the messages from gateways, and the answers to their heartbeats.
 
 use super::read_index::PendingHeartbeat;
 use super::{Action, Coordinator};
@@ -7,7 +7,7 @@
 use crate::Micros;
 
 impl Coordinator {
-    /// Handles a message of a gateway; where this member has no epoch of its own, redirects it to the leader.
+    /// Handles a message from a gateway, or redirects the gateway if this member has no epoch of its own.
     pub(super) fn receive(&mut self, now: Micros, message: ToControl, out: &mut Vec<Action>) {
         if self.leadership.is_none() {
             self.redirect_to_leader(message.who(), out);
@@ -80,15 +80,18 @@
         }
     }
 
-    /// Names the leader where that is another member. While this member is about to begin its own epoch it stays silent.
+    /// Answers that this member does not lead, and which one does if that is known. A member that leads but has not begun
+    /// its epoch yet does not answer.
     fn redirect_to_leader(&self, who: NodeIdentity, out: &mut Vec<Action>) {
         if !self.leading {
-            let leader = self.leader.filter(|leader| *leader != self.me.gateway);
+            let leader = self
+                .leader
+                .filter(|leader| *leader != self.identity.gateway);
             out.push(Action::Send(who, ToGateway::NotLeader { leader }));
         }
     }
 
-    /// Sends a gateway the topic states that it lacks, unless they are in flight.
+    /// Sends a gateway the topic states that it lacks, unless they are in flight to it.
     fn resend_states(
         &mut self,
         now: Micros,
@@ -101,7 +104,7 @@
             return;
         };
         let links = &mut leadership.links;
-        if links.must_resend(who.gateway, known_index, as_of, now, &self.timing) {
+        if links.begin_resend_if_due(who.gateway, known_index, as_of, now, &self.timing) {
             out.push(Action::Send(who, self.topic_states(known_index)));
         }
     }
@@ -138,7 +141,7 @@
         });
     }
 
-    /// Proposes a registration for a gateway that has none, where the log would grant one.
+    /// Proposes a registration for a gateway without one, if the current table would grant it.
     fn propose_join(
         &mut self,
         now: Micros,
@@ -156,11 +159,11 @@
                     ToGateway::RequestRejected { who, reason },
                 ));
             }
-            // The gateway retries by itself.
+            // The gateway tries again with its next heartbeat.
             Err(_) => {}
             Ok(()) => {
                 let links = &mut leadership.links;
-                if links.may_propose_join(who.gateway, now, &self.timing) {
+                if links.begin_join_if_due(who.gateway, now, &self.timing) {
                     out.push(Action::Propose(Command::Join { who, formats }));
                 }
             }
@@ -195,7 +198,7 @@
         }
     }
 
-    /// Proposes a report to the log, or confirms one that was counted before.
+    /// Proposes a report to the log, or answers at once if it was already counted.
     fn record_report(&self, who: NodeIdentity, sequence: u64, spans: Vec<Span>) -> Action {
         if sequence <= self.table.audit().last_sequence(who) {
             return Action::Send(who, ToGateway::ReportCounted { who, sequence });
@@ -216,12 +219,13 @@
         let covered = leadership.rounds.confirm(round, last_round);
         let registrations = u32::try_from(self.table.registrations().count()).unwrap_or(u32::MAX);
         for heartbeat in covered {
-            let answer = self.answer(&heartbeat, registrations);
+            let answer = self.heartbeat_answer(&heartbeat, registrations);
             out.push(Action::Send(heartbeat.who, answer));
         }
     }
 
-    fn answer(&self, heartbeat: &PendingHeartbeat, registrations: u32) -> ToGateway {
+    /// The answer to a heartbeat that a round has covered.
+    fn heartbeat_answer(&self, heartbeat: &PendingHeartbeat, registrations: u32) -> ToGateway {
         let PendingHeartbeat {
             who,
             token,
@@ -248,7 +252,7 @@
                     registrations,
                 }
             }
-            // Says no more than that this member leads.
+            // Without a renewal, the answer only shows that this member leads.
             _ => ToGateway::TopicStates {
                 as_of: required_index,
                 since: required_index,
--- a/control/src/versions/coordinator/rollout.rs
+++ b/control/src/versions/coordinator/rollout.rs
@@ -1,7 +1,7 @@
-//! The rollout of proposed versions: acks that are collected until the log has them, and gateways that hold one up.
+//! The rollout of proposed versions: collects acks until they are in the log, and finds the gateways that delay a rollout.
 //!
-//! Acks are written to the log in batches: at once where they complete a version, otherwise after a short delay. A gateway
-//! that has not acked within the wait is a straggler, and its registration is not renewed any more.
+//! Acks are written to the log in batches: at once if they complete a version, otherwise after a short delay. A gateway
+//! that has not acked within the wait is a straggler, and its registration is no longer renewed.
 
 use super::membership::Membership;
 use crate::lease::{NodeIdentity, Token};
@@ -9,7 +9,7 @@
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// Batches of acks in each renewal interval, where they do not complete a version.
+/// Batches of acks per renewal interval; a batch that completes a version is written at once.
 pub(super) const ACK_BATCHES_PER_RENEWAL: u64 = 8;
 
 /// A gateway's ack of a proposed version.
@@ -23,19 +23,19 @@
 }
 
 impl CollectedAck {
-    /// Whether an entry with it may be proposed (again).
+    /// Whether a batch may include it: no entry with it was proposed within the last renewal interval.
     fn is_proposable(&self, now: Micros, renew_us: Micros) -> bool {
         self.proposed_at
             .is_none_or(|at| now >= at.saturating_add(renew_us))
     }
 
-    /// When its batch is written at the latest.
+    /// The deadline for the first batch with it.
     fn write_by(&self, renew_us: Micros) -> Micros {
         self.received_at
             .saturating_add(renew_us / ACK_BATCHES_PER_RENEWAL)
     }
 
-    /// Whether it is time for an entry with it.
+    /// Whether a batch with it is due now. `completes` tells whether the collected acks complete the version.
     fn is_due(&self, now: Micros, renew_us: Micros, completes: bool) -> bool {
         match self.proposed_at {
             Some(_) => self.is_proposable(now, renew_us),
@@ -44,7 +44,7 @@
     }
 }
 
-/// The acks of one version that the log may not have yet, by gateway.
+/// The acks of one version that may not be in the log yet, by gateway.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct CollectedAcks {
     number: u64,
@@ -54,13 +54,13 @@
 /// The rollouts of one epoch.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Rollout {
-    /// Since when each topic's proposal has been known here.
+    /// By topic with a proposal, when the wait for its acks began.
     proposed_at: BTreeMap<Topic, Micros>,
     acks: BTreeMap<Topic, CollectedAcks>,
 }
 
 impl Rollout {
-    /// Begins an epoch: gateways have a full wait for what is proposed already.
+    /// Begins an epoch. Gateways get a full wait to ack the versions that are already proposed.
     pub(super) fn begin(now: Micros, table: &Table) -> Rollout {
         let proposed = table
             .topics()
@@ -71,30 +71,30 @@
         }
     }
 
-    /// A version of a topic was proposed.
+    /// Begins the rollout of a topic's proposed version.
     pub(super) fn open(&mut self, topic: Topic, now: Micros) {
         self.proposed_at.insert(topic, now);
     }
 
-    /// A topic's version was activated or rejected.
+    /// Ends the rollout of a topic's version, which was activated or rejected.
     pub(super) fn close(&mut self, topic: Topic) {
         self.proposed_at.remove(&topic);
         self.acks.remove(&topic);
     }
 
-    /// Gives all gateways a full wait again, as a new one has registered under a proposal.
+    /// Gives all gateways a full wait again, because one has registered while a version is proposed.
     pub(super) fn restart_waits(&mut self, now: Micros) {
         self.proposed_at.values_mut().for_each(|at| *at = now);
     }
 
-    /// Does not count time in which this member did not run as delay of the gateways.
+    /// Excludes `stalled_us`, in which this member did not run, from the wait for acks.
     pub(super) fn discount_stall(&mut self, stalled_us: Micros) {
         for at in self.proposed_at.values_mut() {
             *at = at.saturating_add(stalled_us);
         }
     }
 
-    /// Keeps an ack until the log has it. A repeated one changes nothing.
+    /// Keeps an ack until it is in the log. A repeated one changes nothing.
     pub(super) fn collect(
         &mut self,
         now: Micros,
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Whether a gateway's ack of the topic's proposal has arrived, whether or not the log has it yet.
+    /// Whether a gateway's ack of the topic's proposal has arrived, even if it is not in the log yet.
     fn has_acked(&self, table: &Table, topic: Topic, gateway: u32) -> bool {
         let proposal = proposal(table, topic);
         let logged = proposal.is_some_and(|proposal| proposal.acked_by.contains(&gateway));
@@ -134,7 +134,7 @@
         logged || collected.is_some_and(|acks| acks.by_gateway.contains_key(&gateway))
     }
 
-    /// Whether a gateway has held up a version for `wait_us` or longer.
+    /// Whether a version has waited for this gateway's ack for `wait_us` or longer.
     pub(super) fn is_straggler(
         &self,
         table: &Table,
@@ -149,7 +149,7 @@
         overdue.any(|(topic, _)| !self.has_acked(table, *topic, gateway))
     }
 
-    /// Whether all registered gateways that are to stay have acked a topic's proposal.
+    /// Whether all registered gateways have acked a topic's proposal, apart from those whose registrations expire.
     fn is_complete(&self, table: &Table, membership: &Membership, topic: Topic) -> bool {
         let gateways = table
             .registrations()
@@ -158,7 +158,7 @@
         staying.all(|gateway| self.has_acked(table, topic, gateway))
     }
 
-    /// The entries of acks that are to be proposed to the log now, one a topic at most.
+    /// The batches of acks to propose to the log now, at most one per topic.
     pub(super) fn take_due(
         &mut self,
         now: Micros,
@@ -176,7 +176,7 @@
         batches.collect()
     }
 
-    /// When each collected ack is to be written at the latest.
+    /// The deadlines for the first batch with each collected ack.
     pub(super) fn write_deadlines(&self, renew_us: Micros) -> impl Iterator<Item = Micros> + '_ {
         let acks = self.acks.values();
         acks.flat_map(|acks| acks.by_gateway.values())
@@ -185,14 +185,14 @@
 }
 
 impl CollectedAcks {
-    /// Drops the acks that the log has.
+    /// Drops the acks that are in the log.
     fn drop_logged(&mut self, proposal: Option<&Proposal>) {
         let logged =
             |gateway: u32| proposal.is_some_and(|proposal| proposal.acked_by.contains(&gateway));
         self.by_gateway.retain(|gateway, _| !logged(*gateway));
     }
 
-    /// All acks that may be written, once one of them is due.
+    /// A batch of all acks that it may include, if one of them is due.
     fn take_batch(
         &mut self,
         now: Micros,
@@ -220,7 +220,7 @@
     }
 }
 
-/// A topic's proposal in the log's table.
+/// The topic's proposal in the replicated table.
 fn proposal(table: &Table, topic: Topic) -> Option<&Proposal> {
     table
         .topic(topic)
--- a/control/src/versions/coordinator/tests.rs
+++ b/control/src/versions/coordinator/tests.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// A coordinator whose log takes at once what it proposes.
+/// A coordinator, its clock and its pending actions. `commit` applies the entries that it has proposed.
 struct Member {
     coordinator: Coordinator,
     now: Micros,
@@ -36,7 +36,7 @@
 }
 
 impl Member {
-    /// One that leads, with registrations of these gateways.
+    /// A member that leads, with these gateways registered.
     fn leading(gateways: std::ops::RangeInclusive<u32>) -> Member {
         let coordinator = Coordinator::new(ME, TIMING);
         let mut member = Member {
@@ -69,7 +69,7 @@
         self.handle(Event::Tick);
     }
 
-    /// Ticks as a caller does, for some time, with heartbeats of some gateways each renewal.
+    /// Advances the clock by `time` in ticks, with a heartbeat of each reachable gateway every renewal interval.
     fn advance(&mut self, time: Micros, reachable: &[u32]) {
         let end = self.now + time;
         while self.now < end {
@@ -83,7 +83,7 @@
         self.handle(Event::Applied { index, command });
     }
 
-    fn proposed(&mut self) -> Vec<Command> {
+    fn take_proposed(&mut self) -> Vec<Command> {
         let (proposed, rest): (Vec<Action>, Vec<Action>) = self
             .out
             .drain(..)
@@ -97,13 +97,13 @@
     }
 
     fn commit(&mut self) {
-        self.proposed()
+        self.take_proposed()
             .into_iter()
             .for_each(|command| self.apply(command));
     }
 
-    /// The round that was asked for last since the last look.
-    fn requested_round(&mut self) -> Option<u64> {
+    /// The last round that was requested since the previous call.
+    fn take_requested_round(&mut self) -> Option<u64> {
         let mut rounds = self.out.iter().filter_map(|action| match action {
             Action::Confirm(round) => Some(*round),
             _ => None,
@@ -114,7 +114,7 @@
         last
     }
 
-    fn sent(&mut self) -> Vec<(u32, ToGateway)> {
+    fn take_sent(&mut self) -> Vec<(u32, ToGateway)> {
         let sent = |action| match action {
             Action::Send(who, message) => Some((who.gateway, message)),
             _ => None,
@@ -150,7 +150,7 @@
         }));
     }
 
-    /// Has all heartbeats answered that wait, and forgets the answers.
+    /// Confirms rounds until all waiting heartbeats are answered, and discards the answers.
     fn answer_all(&mut self) {
         self.out.clear();
         self.handle(Event::Confirmed(self.coordinator.last_round));
@@ -159,11 +159,11 @@
         self.out.clear();
     }
 
-    fn renewed(&mut self) -> Vec<u32> {
+    fn take_renewed(&mut self) -> Vec<u32> {
         let renewed = |(number, message)| {
             matches!(message, ToGateway::RegistrationRenewed { .. }).then_some(number)
         };
-        self.sent().into_iter().filter_map(renewed).collect()
+        self.take_sent().into_iter().filter_map(renewed).collect()
     }
 
     fn propose(&mut self, number: u32) -> u64 {
@@ -200,27 +200,29 @@
 fn heartbeat_waits_for_later_round() {
     let mut member = Member::leading(1..=2);
     member.heartbeat(1);
-    let first = member.requested_round().expect("a round");
+    let first = member.take_requested_round().expect("a round");
     member.heartbeat(2);
-    assert_eq!(member.requested_round(), None, "one round at a time");
+    assert_eq!(member.take_requested_round(), None, "one round at a time");
     member.handle(Event::Confirmed(first + 7));
     assert_eq!(
-        member.renewed(),
+        member.take_renewed(),
         Vec::<u32>::new(),
-        "a round that nobody asked for"
+        "a round that was not requested"
     );
     member.handle(Event::Confirmed(first));
-    assert_eq!(member.renewed(), [1]);
+    assert_eq!(member.take_renewed(), [1]);
     member.tick(RENEW / ROUNDS_PER_RENEWAL);
-    let second = member.requested_round().expect("a round for the other");
+    let second = member
+        .take_requested_round()
+        .expect("a round for the other");
     member.handle(Event::Confirmed(first));
     assert_eq!(
-        member.renewed(),
+        member.take_renewed(),
         Vec::<u32>::new(),
-        "a doubled confirmation"
+        "a duplicate confirmation"
     );
     member.handle(Event::Confirmed(second));
-    assert_eq!(member.renewed(), [2]);
+    assert_eq!(member.take_renewed(), [2]);
 }
 
 /// A round without a confirmation is replaced, and a late confirmation still counts.
@@ -228,26 +230,34 @@
 fn unconfirmed_round_is_replaced() {
     let mut member = Member::leading(1..=2);
     member.heartbeat(1);
-    let first = member.requested_round().expect("a round");
+    let first = member.take_requested_round().expect("a round");
     member.heartbeat(2);
     member.tick(RENEW / ROUND_RETRIES_PER_RENEWAL - 1);
-    assert_eq!(member.requested_round(), None);
+    assert_eq!(member.take_requested_round(), None);
     member.tick(1);
-    let second = member.requested_round().expect("another round");
+    let second = member.take_requested_round().expect("another round");
     member.handle(Event::Confirmed(first));
-    assert_eq!(member.renewed(), [1], "what came before the first");
+    assert_eq!(
+        member.take_renewed(),
+        [1],
+        "the heartbeat that arrived before the first round"
+    );
     member.handle(Event::Confirmed(second));
-    assert_eq!(member.renewed(), [2], "and all that waited for the second");
-    // What waited for longer than a lease is not worth an answer.
+    assert_eq!(
+        member.take_renewed(),
+        [2],
+        "the heartbeat that waited for the second round"
+    );
+    // A heartbeat that waited for longer than a lease is not answered.
     member.heartbeat(1);
     member.advance(4 * RENEW, &[]);
-    let last = member.requested_round();
+    let last = member.take_requested_round();
     assert!(last.is_none_or(|round| round > second));
     member.handle(Event::Confirmed(last.unwrap_or(second)));
-    assert_eq!(member.renewed(), Vec::<u32>::new());
+    assert_eq!(member.take_renewed(), Vec::<u32>::new());
 }
 
-/// A follower names the leader; a member that is about to lead stays silent.
+/// A follower redirects gateways to the leader; a new leader does not answer before its epoch begins.
 #[test]
 fn follower_redirects_and_new_leader_stays_silent() {
     let mut member = Member::leading(1..=1);
@@ -255,51 +265,55 @@
     member.handle(Event::Leader(Some(2)));
     member.heartbeat(1);
     assert_eq!(
-        member.sent(),
+        member.take_sent(),
         [(1, ToGateway::NotLeader { leader: Some(2) })]
     );
     member.handle(Event::Leader(Some(ME.gateway)));
     member.heartbeat(1);
     assert_eq!(
-        member.sent(),
+        member.take_sent(),
         [(1, ToGateway::NotLeader { leader: None })],
-        "late word of itself"
+        "the number of this member is outdated"
     );
     member.handle(Event::Leading(true));
     member.heartbeat(1);
-    assert_eq!(member.proposed(), [Command::BeginEpoch { who: ME }]);
-    assert_eq!(member.sent(), []);
+    assert_eq!(member.take_proposed(), [Command::BeginEpoch { who: ME }]);
+    assert_eq!(member.take_sent(), []);
 }
 
-/// An epoch of another member ends its own, and it begins again while it leads.
+/// An epoch of another member ends this member's own; while it leads, it proposes another one.
 #[test]
 fn another_epoch_ends_its_own() {
     let mut member = Member::leading(1..=1);
     member.heartbeat(1);
-    let round = member.requested_round().expect("a round");
+    let round = member.take_requested_round().expect("a round");
     member.apply(Command::BeginEpoch { who: OTHER });
     member.handle(Event::Confirmed(round));
-    assert_eq!(member.renewed(), Vec::<u32>::new());
+    assert_eq!(member.take_renewed(), Vec::<u32>::new());
     member.tick(RENEW);
-    assert_eq!(member.proposed(), [Command::BeginEpoch { who: ME }]);
+    assert_eq!(member.take_proposed(), [Command::BeginEpoch { who: ME }]);
     member.tick(RENEW / 2);
-    assert_eq!(member.proposed(), [], "each renewal");
+    assert_eq!(
+        member.take_proposed(),
+        [],
+        "proposed once in each renewal interval"
+    );
     member.tick(RENEW / 2);
-    assert_eq!(member.proposed(), [Command::BeginEpoch { who: ME }]);
+    assert_eq!(member.take_proposed(), [Command::BeginEpoch { who: ME }]);
     member.apply(Command::BeginEpoch { who: ME });
     member.handle(Event::Confirmed(round));
     assert_eq!(
-        member.renewed(),
+        member.take_renewed(),
         Vec::<u32>::new(),
         "a round of the former epoch"
     );
     member.heartbeat(1);
-    let round = member.requested_round().expect("a round");
+    let round = member.take_requested_round().expect("a round");
     member.handle(Event::Confirmed(round));
-    assert_eq!(member.renewed(), [1]);
+    assert_eq!(member.take_renewed(), [1]);
 }
 
-/// A new leader waits a full wait before it expires a registration.
+/// A new leader lets a full wait pass before it expires a registration.
 #[test]
 fn new_leader_waits_before_expiry() {
     let mut member = Member::leading(1..=2);
@@ -312,7 +326,7 @@
     let expire = loop {
         member.heartbeat(1);
         member.tick(RENEW / 8);
-        if let [expire] = &member.proposed()[..] {
+        if let [expire] = &member.take_proposed()[..] {
             break expire.clone();
         }
     };
@@ -322,23 +336,24 @@
         (TIMING.wait_us()..TIMING.wait_us() + RENEW / 4).contains(&waited),
         "{waited}"
     );
-    // From now on it is not kept, even if it comes back before the log has the entry; and it is asked for again.
+    // A registration whose expiry was proposed is not renewed, even if its gateway sends a heartbeat before the entry is
+    // applied; and the proposal is repeated.
     member.answer_all();
     member.heartbeat(2);
     member.tick(RENEW / ROUND_RETRIES_PER_RENEWAL);
-    let round = member.requested_round().expect("a round");
+    let round = member.take_requested_round().expect("a round");
     member.handle(Event::Confirmed(round));
-    assert!(!member.renewed().contains(&2));
+    assert!(!member.take_renewed().contains(&2));
     member.tick(RENEW - RENEW / ROUND_RETRIES_PER_RENEWAL);
-    assert_eq!(member.proposed(), [expire]);
+    assert_eq!(member.take_proposed(), [expire]);
     member.apply(Command::Expire { who, token, epoch });
     assert_eq!(
-        member.sent(),
+        member.take_sent(),
         [(2, ToGateway::RegistrationExpired { who, token })]
     );
 }
 
-/// Time in which the leader stalled does not count as silence of gateways.
+/// Time in which the leader stalled does not count as silence of the gateways.
 #[test]
 fn stall_of_leader_expires_nobody() {
     let mut member = Member::leading(1..=2);
@@ -346,50 +361,49 @@
     member.out.clear();
     member.tick(60 * RENEW);
     assert_eq!(
-        member.proposed(),
+        member.take_proposed(),
         [],
-        "they may have been heard, had it listened"
+        "the gateways may have sent heartbeats during the stall"
     );
     member.advance(10 * RENEW, &[1]);
     let expired = member
-        .proposed()
+        .take_proposed()
         .into_iter()
         .all(|command| matches!(command, Command::Expire { who, .. } if who == gateway(2)));
-    assert!(expired, "the one that is silent still, and nobody else");
+    assert!(expired, "only gateway 2, which is still silent, expires");
 }
 
-/// Acks are written together: at once where they complete a version, after a delay otherwise.
+/// Acks are written in batches: at once if they complete a version, after a delay otherwise.
 #[test]
 fn acks_are_batched_unless_they_complete() {
     let mut member = Member::leading(1..=3);
     let version = member.propose(1);
     member.ack(1, version);
     member.ack(2, version);
-    assert_eq!(member.proposed(), []);
+    assert_eq!(member.take_proposed(), []);
     member.tick(RENEW / ACK_BATCHES_PER_RENEWAL);
-    let accepted = member.proposed();
+    let acks = member.take_proposed();
     assert!(
-        matches!(&accepted[..], [Command::Ack { by, .. }] if by.len() == 2),
-        "{accepted:?}"
+        matches!(&acks[..], [Command::Ack { by, .. }] if by.len() == 2),
+        "{acks:?}"
     );
     member.ack(2, version);
-    assert_eq!(member.proposed(), [], "said again");
-    // The proposal is lost: it is made again, with the last one, which decides.
+    assert_eq!(member.take_proposed(), [], "a repeated ack");
+    // The entry with the first two acks is lost: they are proposed again, together with the last ack, which completes the
+    // version.
     member.ack(3, version);
-    let accepted = member.proposed();
+    let acks = member.take_proposed();
     assert!(
-        matches!(&accepted[..], [Command::Ack { by, .. }] if by.len() == 1),
-        "{accepted:?}"
+        matches!(&acks[..], [Command::Ack { by, .. }] if by.len() == 1),
+        "{acks:?}"
     );
     member.tick(RENEW);
-    let accepted = member.proposed();
+    let acks = member.take_proposed();
     assert!(
-        matches!(&accepted[..], [Command::Ack { by, .. }] if by.len() == 3),
-        "{accepted:?}"
+        matches!(&acks[..], [Command::Ack { by, .. }] if by.len() == 3),
+        "{acks:?}"
     );
-    accepted
-        .into_iter()
-        .for_each(|command| member.apply(command));
+    acks.into_iter().for_each(|command| member.apply(command));
     assert_eq!(
         member
             .coordinator
@@ -400,7 +414,7 @@
     );
 }
 
-/// A straggler is not renewed any more, and a gateway that acks in time is.
+/// A straggler is no longer renewed, while gateways that ack are.
 #[test]
 fn straggler_is_not_renewed() {
     let mut member = Member::leading(1..=3);
@@ -413,12 +427,12 @@
     member.ack(2, version);
     (1..=3).for_each(|number| member.heartbeat(number));
     member.tick(RENEW / ROUND_RETRIES_PER_RENEWAL);
-    let round = member.requested_round().expect("a round");
+    let round = member.take_requested_round().expect("a round");
     member.handle(Event::Confirmed(round));
-    assert_eq!(member.renewed(), [1, 2]);
+    assert_eq!(member.take_renewed(), [1, 2]);
     member.advance(TIMING.wait_us(), &[1, 2, 3]);
     let expired: Vec<NodeIdentity> = member
-        .proposed()
+        .take_proposed()
         .into_iter()
         .filter_map(|command| match command {
             Command::Expire { who, .. } => Some(who),
@@ -431,7 +445,7 @@
     );
 }
 
-/// A gateway that missed a change is sent it once, and again on a new link.
+/// Topic states that a gateway lacks are sent to it once, and again on a new link.
 #[test]
 fn missed_states_are_resent_once_per_link() {
     let mut member = Member::leading(1..=1);
@@ -453,7 +467,7 @@
         known_index: Index(0),
     };
     let states = |member: &mut Member| {
-        let sent = member.sent();
+        let sent = member.take_sent();
         sent.iter()
             .filter(|(_, message)| matches!(message, ToGateway::TopicStates { .. }))
             .count()
@@ -461,7 +475,7 @@
     member.handle(Event::Received(behind.clone()));
     assert_eq!(states(&mut member), 1);
     member.handle(Event::Received(behind.clone()));
-    assert_eq!(states(&mut member), 0, "it is on its way");
+    assert_eq!(states(&mut member), 0, "the states are in flight");
     member.handle(Event::Connected(who));
     member.handle(Event::Received(behind));
     assert_eq!(states(&mut member), 1);
--- a/control/src/versions/mod.rs
+++ b/control/src/versions/mod.rs
@@ -4,8 +4,8 @@
 //! A [`Topic`] has versions: the operator's file, the placement of cells, the catalog of statements, the program's own
 //! format. A gateway **proposes** a version through an entry of the replicated log. Every gateway with a **registration**
 //! validates it and answers with an **ack** or a **nack**. The version becomes **active** with the entry after which every
-//! registered gateway has acked it: the others have left, or their registrations have expired. A single nack rejects it,
-//! with a reason, and the active version stays.
+//! registered gateway has acked it. Gateways without an ack do not count once they have left or their registrations have
+//! expired. A single nack rejects the version, with a reason, and the active version stays.
 //!
 //! There are two roles. **Control members** hold the log. The one that leads begins an **epoch** (a term of leadership) with
 //! an entry ([`Command::BeginEpoch`]); its [`Coordinator`] tracks registrations in memory, sends gateways the state of the
@@ -22,8 +22,8 @@
 //! knows the latest change of every topic. So whoever has permission then acts on `n` or on its predecessor. This rests on
 //! the order of the log and, where registrations expire, on bounded clock rates (`docs/design/control.md`).
 //!
-//! [`Coordinator`] and [`Client`] are state machines: events in, actions out, time an argument. Nothing here sends, stores,
-//! reads a clock or a file, or interprets a content: the caller validates contents.
+//! [`Coordinator`] and [`Client`] are state machines that turn events into actions; the time is an argument of each call.
+//! Nothing here sends, stores, reads a clock or a file, or interprets a content: the caller validates contents.
 
 mod audit;
 pub mod client;
