--- a/control/src/versions/client/event.rs
+++ b/control/src/versions/client/event.rs
@@ -7,54 +7,54 @@
 /// An input of a [`Client`](super::Client).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// Register this gateway whenever that is possible.
+    /// Start to register this gateway, and keep it registered.
     Serve,
     /// A link to a control member is up.
     Connected,
-    /// A message of the connected control member.
+    /// A message from the connected control member.
     Received(ToGateway),
     /// The caller has validated a version.
     Validated {
-        /// The topic.
+        /// The topic that the version belongs to.
         topic: Topic,
         /// The number of the version.
         number: u64,
-        /// Whether it is valid; if not, why.
+        /// `Ok` if the version is valid, otherwise the reason for the nack.
         result: Result<(), String>,
     },
-    /// The operator has a new version here: propose it to the fleet.
+    /// The operator of this gateway has a new version: propose it to the fleet.
     ProposeVersion {
-        /// The topic.
+        /// The topic that the version belongs to.
         topic: Topic,
-        /// Its content.
+        /// The content of the new version.
         content: Content,
     },
-    /// Actions were begun under a version.
+    /// This gateway began actions under a version; they are reported for the audit.
     Acted {
-        /// The topic.
+        /// The topic that the version belongs to.
         topic: Topic,
         /// The number of the version.
         number: u64,
-        /// How many.
+        /// The number of actions.
         count: u64,
     },
-    /// A timer fired. Harmless at any time.
+    /// A timer fired. More ticks than requested are harmless.
     Tick,
-    /// Graceful shutdown: the gateway stops acting and gives its registration back.
+    /// Graceful shutdown: the gateway stops acting and ends its registration.
     Drain,
 }
 
-/// Permission to act on the active versions, as a lease.
+/// Permission to act on the active versions until a lease expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Permission {
-    /// The registration, as the fencing token of every action under it.
+    /// The token of the registration: the fencing token of every action under it.
     pub token: Token,
-    /// When it ends: nothing may begin at or after this, microseconds on this gateway's monotonic clock.
+    /// When it ends, microseconds on this gateway's monotonic clock: no action may begin at or after this time.
     pub until: Micros,
 }
 
 impl Permission {
-    /// Whether an action may begin under it at a time.
+    /// Whether an action may begin under it at `now`.
     pub fn is_valid(&self, now: Micros) -> bool {
         now < self.until
     }
@@ -64,15 +64,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum StopReason {
     /// Its registration could not be renewed in time.
-    #[error("the fleet's log could not be reached in time; look at the links to its voters and how many of them run")]
+    #[error(
+        "the registration could not be renewed in time; check the links to the control members and how many voters run"
+    )]
     LeaseExpired,
     /// Its registration expired in the log.
     #[error(
-        "the others took its registration away after hearing nothing; it joins again by itself"
+        "the control members let the registration expire, as heartbeats or a validation result did not arrive in time; \
+         the gateway joins again by itself"
     )]
     RegistrationExpired,
     /// It is shutting down gracefully.
-    #[error("it drains")]
+    #[error("the gateway is draining")]
     Draining,
 }
 
@@ -81,40 +84,40 @@
 pub enum Action {
     /// Send the connected control member a message. It may be lost.
     Send(ToControl),
-    /// The connected control member does not lead, or does not answer: connect to the one with this gateway number, or to
-    /// another one after a backoff where the leader is unknown.
+    /// The connected control member does not lead, or does not answer: connect to the one with this gateway number, or, if
+    /// the leader is unknown, to another one after a backoff.
     Redirect(Option<u32>),
-    /// It may act on the active versions.
+    /// The gateway may act on the active versions from now on.
     Act(Permission),
-    /// It may not act from now on.
+    /// The gateway may not act from now on.
     Stop(StopReason),
     /// Validate this version, and answer with [`Event::Validated`].
     Validate {
-        /// The topic.
+        /// The topic that the version belongs to.
         topic: Topic,
         /// The number of the version.
         number: u64,
-        /// Its content.
+        /// The content to validate.
         content: Content,
     },
-    /// A version is active: what begins from now on begins under it.
+    /// A version became active: actions that begin from now on begin under it.
     Activate {
-        /// The topic.
+        /// The topic that the version belongs to.
         topic: Topic,
         /// The number of the version.
         number: u64,
-        /// The one before it, which others may act on for a moment still; 0 is none.
+        /// The number of the version before it, on which other gateways may still act; 0 is none.
         previous: u64,
     },
     /// A proposed version was rejected; the active one stays.
     ProposalRejected {
-        /// The topic.
+        /// The topic that the version belongs to.
         topic: Topic,
         /// The number of the version.
         number: u64,
         /// The gateway that rejected it.
         by: NodeIdentity,
-        /// Why.
+        /// The reason that the gateway gave.
         reason: String,
     },
     /// A registration or a proposal of this gateway was rejected.
