--- a/control/src/versions/client/mod.rs
+++ b/control/src/versions/client/mod.rs
@@ -1,12 +1,13 @@
-//! A gateway's side of versions: it keeps its registration alive, validates proposed versions, proposes those of its
-//! operator, and reports its actions for the audit.
+//! The part of a gateway in the rollout of versions: it renews its registration, has proposed versions validated, proposes
+//! versions of its own operator, and reports its actions for the audit.
 //!
-//! Invariants: a gateway acts only under a [`Permission`], which ends by itself; it takes one only when it knows the latest
-//! state of every topic. Whatever it sends is repeated until it is known to have arrived. The caller validates contents;
-//! nothing here does I/O or reads a clock.
+//! Invariants: a gateway acts only under a [`Permission`], which expires unless it is renewed; a permission is granted only
+//! if the gateway knows the latest state of every topic. Messages are repeated until they are known to have arrived. The
+//! caller validates contents; nothing here does I/O or reads a clock.
 //!
-//! `registration` holds the lease, `heartbeats` their times and redirections, `topics` the cached view, `validations` and
-//! `proposal` the two sides of a rollout, `reports` the audit.
+//! Modules: `registration` holds the lease, `heartbeats` the schedule of heartbeats and redirections, `topics` the cached
+//! state of the topics, `validations` the validation of proposed versions, `proposal` the version that this
+//! gateway proposes, `reports` the audit reports.
 
 mod event;
 mod heartbeats;
@@ -27,18 +28,19 @@
 use topics::CachedTopics;
 use validations::Validations;
 
-/// Whether a message that is repeated each renewal interval is to be sent (again).
+/// Whether a message that is repeated each renewal interval is due: it was not sent on this link yet, or a renewal interval
+/// ago.
 fn is_send_due(last_sent_at: Option<Micros>, now: Micros, renew_us: Micros) -> bool {
     last_sent_at.is_none_or(|at| now >= at.saturating_add(renew_us))
 }
 
-/// The versions at one gateway: a state machine without I/O (see the module's documentation).
+/// The client of one gateway: a state machine without I/O (see the module's documentation).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Client {
-    me: NodeIdentity,
+    identity: NodeIdentity,
     timing: Timing,
     formats: Formats,
-    /// Whether this gateway is to be registered.
+    /// Whether this gateway asks for a registration, and renews it.
     serving: bool,
     registration: RegistrationLease,
     heartbeats: Heartbeats,
@@ -50,10 +52,11 @@
 }
 
 impl Client {
-    /// A gateway with identity `me`, which knows nothing yet. The seed spreads the heartbeats of a fleet over time.
-    pub fn new(me: NodeIdentity, timing: Timing, formats: Formats, seed: u64) -> Client {
+    /// A client of the gateway `identity`, without a registration or any known version. `seed` has to differ between the
+    /// gateways of a fleet: it spreads their heartbeats over time.
+    pub fn new(identity: NodeIdentity, timing: Timing, formats: Formats, seed: u64) -> Client {
         Client {
-            me,
+            identity,
             timing,
             formats,
             serving: false,
@@ -73,14 +76,14 @@
         permission.filter(|permission| permission.is_valid(now))
     }
 
-    /// The version of a topic that this gateway may act on at `now`, and the token that goes with each action.
+    /// The version of a topic that this gateway may act on at `now`, and the fencing token for each action.
     pub fn acting(&self, topic: Topic, now: Micros) -> Option<(u64, Token)> {
         let permission = self.permission(now)?;
         let number = self.topics.active(topic);
         (number > 0).then_some((number, permission.token))
     }
 
-    /// The active versions, as far as this gateway knows.
+    /// The active versions that this gateway knows.
     pub fn active_versions(&self) -> impl Iterator<Item = (Topic, u64)> + '_ {
         self.topics.active_versions()
     }
@@ -90,11 +93,11 @@
         self.registration.registrations()
     }
 
-    /// Handles an event at `now` (microseconds on this gateway's monotonic clock) and adds what is to be done to `out`.
+    /// Handles an event at `now` (microseconds on this gateway's monotonic clock) and adds the resulting actions to `out`.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match event {
             Event::Serve => self.serving = true,
-            Event::Connected => self.connect(now),
+            Event::Connected => self.handle_connected(now),
             Event::Received(message) => self.receive(now, message, out),
             Event::Validated {
                 topic,
@@ -114,13 +117,13 @@
         out.push(Action::Wake(self.next_wakeup(now)));
     }
 
-    /// Messages on a former link may be lost: all that are repeated are due.
-    fn connect(&mut self, now: Micros) {
-        self.heartbeats.connect(now);
-        self.validations.connect();
-        self.reports.connect();
+    /// Makes all messages that are repeated due at once, as those sent on a former link may be lost.
+    fn handle_connected(&mut self, now: Micros) {
+        self.heartbeats.reset_for_new_link(now);
+        self.validations.mark_unsent();
+        self.reports.mark_unsent();
         if let Some(proposal) = &mut self.proposal {
-            proposal.connect();
+            proposal.mark_unsent();
         }
     }
 
@@ -129,7 +132,7 @@
         self.stop(StopReason::Draining, out);
         if let Some(token) = self.registration.release() {
             out.push(Action::Send(ToControl::Leave {
-                who: self.me,
+                who: self.identity,
                 token,
             }));
         }
@@ -161,7 +164,7 @@
                 required_index,
                 registrations,
             } => {
-                if who == self.me && self.serving && required_index <= self.topics.as_of() {
+                if who == self.identity && self.serving && required_index <= self.topics.as_of() {
                     let registration = &mut self.registration;
                     let permission =
                         registration.renew(now, &self.timing, token, sent_at, registrations);
@@ -180,12 +183,12 @@
                 }
             }
             ToGateway::RegistrationExpired { who, token } => {
-                if who == self.me && self.registration.token() == Some(token) {
+                if who == self.identity && self.registration.token() == Some(token) {
                     self.lose_registration(now, out);
                 }
             }
             ToGateway::RequestRejected { who, reason } => {
-                if who == self.me {
+                if who == self.identity {
                     self.handle_rejection(now, reason, out);
                 }
             }
@@ -205,7 +208,7 @@
                 }
             }
             ToGateway::ReportCounted { who, sequence } => {
-                if who == self.me {
+                if who == self.identity {
                     self.reports.acknowledge(sequence);
                 }
             }
@@ -213,7 +216,7 @@
         }
     }
 
-    /// Takes the new state of a topic.
+    /// Handles the new state of a topic.
     fn update_topic(&mut self, state: TopicState, out: &mut Vec<Action>) {
         let TopicState {
             topic,
@@ -229,7 +232,7 @@
             });
         }
         self.proposal
-            .take_if(|own| own.is_settled_by(topic, active, proposal.is_some()));
+            .take_if(|own| own.is_resolved_by(topic, active, proposal.is_some()));
         let Some(Version { number, content }) = proposal else {
             self.validations.close(topic);
             return;
@@ -244,7 +247,7 @@
         }
     }
 
-    /// The registration is gone: the gateway stops, and joins again after a backoff.
+    /// Handles the end of the registration: the gateway stops acting, and joins again after a backoff.
     fn lose_registration(&mut self, now: Micros, out: &mut Vec<Action>) {
         self.stop(StopReason::RegistrationExpired, out);
         self.registration.release();
@@ -254,7 +257,7 @@
         self.registration.back_off(now, &self.timing);
     }
 
-    /// A registration or a proposal was rejected. A repeated or late rejection has no effect.
+    /// Handles the rejection of a registration or a proposal. A repeated or late rejection has no effect.
     fn handle_rejection(&mut self, now: Micros, reason: Rejection, out: &mut Vec<Action>) {
         let unsupported = matches!(reason, Rejection::UnsupportedFormat { .. });
         let joining = unsupported && self.registration.token().is_none();
@@ -274,7 +277,7 @@
     fn run_due(&mut self, now: Micros, out: &mut Vec<Action>) {
         let permission = self.registration.permission();
         if permission.is_some_and(|permission| !permission.is_valid(now)) {
-            // The registration may still be in the log: once it is renewed, the gateway acts again.
+            // The registration may still be in the table: once it is renewed, the gateway acts again.
             self.stop(StopReason::LeaseExpired, out);
         }
         if !self.serving {
@@ -295,7 +298,7 @@
             self.redirect(now, None, out);
         }
         out.push(Action::Send(ToControl::Heartbeat {
-            who: self.me,
+            who: self.identity,
             formats: self.formats,
             token: self.registration.token(),
             sent_at: now,
@@ -304,9 +307,9 @@
         self.heartbeats.record_sent(now, renew_us);
     }
 
-    /// Sends what a registered gateway has to say and the leader may not have.
+    /// Sends the messages of a registered gateway that are due: validation results, its proposal, and its audit report.
     fn send_due(&mut self, now: Micros, token: Token, out: &mut Vec<Action>) {
-        let (renew_us, who) = (self.timing.renew_us, self.me);
+        let (renew_us, who) = (self.timing.renew_us, self.identity);
         let results = self.validations.take_due(now, renew_us, who, token);
         out.extend(results.into_iter().map(Action::Send));
         let proposal = self
@@ -323,7 +326,7 @@
         self.heartbeats.next_at().max(allowed_at)
     }
 
-    /// The next moment at which something may be due.
+    /// When the client needs its next tick.
     fn next_wakeup(&self, now: Micros) -> Micros {
         let renew_us = self.timing.renew_us;
         let permission = self.registration.permission();
--- a/control/src/versions/client/proposal.rs
+++ b/control/src/versions/client/proposal.rs
@@ -1,11 +1,11 @@
-//! A version that this gateway proposes, sent until it is known to be proposed or rejected.
+//! The proposal of a version by this gateway, sent until it is known to be in the log or rejected.
 
 use super::is_send_due;
 use crate::lease::{NodeIdentity, Token};
 use crate::versions::{Content, ToControl, Topic};
 use crate::Micros;
 
-/// A version that the operator has here.
+/// A version that this gateway proposes, and that is not known to be in the log yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PendingProposal {
     topic: Topic,
@@ -25,13 +25,13 @@
         }
     }
 
-    /// Whether a topic's new state settles it: a version is proposed there, or another one is active.
-    pub(super) fn is_settled_by(&self, topic: Topic, active: u64, proposed: bool) -> bool {
+    /// Whether a topic's new state ends the need to send it: a version of the topic is proposed, or another one is active.
+    pub(super) fn is_resolved_by(&self, topic: Topic, active: u64, proposed: bool) -> bool {
         self.topic == topic && (proposed || self.replaces != active)
     }
 
-    /// Messages on a former link may be lost: it is due again.
-    pub(super) fn connect(&mut self) {
+    /// Makes it due again, as messages on a former link may be lost.
+    pub(super) fn mark_unsent(&mut self) {
         self.last_sent_at = None;
     }
 
@@ -40,7 +40,7 @@
         self.last_sent_at
     }
 
-    /// The message, where it is to be sent now; it is repeated, as the leader may have changed.
+    /// The message, if it is to be sent now. It is repeated, as the leader may have changed.
     pub(super) fn take_due(
         &mut self,
         now: Micros,
--- a/control/src/versions/client/registration.rs
+++ b/control/src/versions/client/registration.rs
@@ -1,24 +1,25 @@
 //! A gateway's registration and its lease of permission to act.
 //!
-//! Invariant: a permission ends a lease after the heartbeat that earned it was sent, on this gateway's clock, and is never
-//! granted for a registration that was lost before.
+//! Invariant: a permission ends one lease after the heartbeat that renewed it was sent, on this gateway's clock, and is
+//! never granted for a registration that was already lost.
 
 use super::Permission;
 use crate::lease::{Timing, Token};
 use crate::Micros;
 
-/// First and longest backoff before a gateway that lost its registration joins again, in renewal intervals: one that comes
-/// and goes would otherwise hold up every version proposed meanwhile.
+/// Initial backoff before a gateway that lost its registration joins again, in renewal intervals. A gateway that keeps
+/// joining and losing its registration would otherwise delay every version that is proposed meanwhile.
 const INITIAL_REJOIN_BACKOFF_RENEWALS: u64 = 1;
+/// Maximum of that backoff, in renewal intervals.
 const MAX_REJOIN_BACKOFF_RENEWALS: u64 = 32;
-/// Leases for which a registration must have lasted to reset the backoff.
+/// A registration that lasted for this many leases resets the backoff.
 const BACKOFF_RESET_LEASES: u64 = 10;
 
-/// The registration of one gateway, as far as it knows.
+/// The registration of one gateway, as known to the gateway itself.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct RegistrationLease {
     token: Option<Token>,
-    /// Registrations with lower tokens were lost: messages about them are late.
+    /// Registrations with lower tokens were lost: late messages about them are ignored.
     min_valid_token: Token,
     permission: Option<Permission>,
     registered_at: Option<Micros>,
@@ -42,7 +43,7 @@
         }
     }
 
-    /// The registration, if it has one.
+    /// The token of the registration, if there is one.
     pub(super) fn token(&self) -> Option<Token> {
         self.token
     }
@@ -57,7 +58,7 @@
         self.registrations
     }
 
-    /// The earliest time of a heartbeat: at once with a registration, after the backoff without.
+    /// The earliest time of the next heartbeat: at any time with a registration, after the backoff without one.
     pub(super) fn heartbeat_allowed_at(&self) -> Micros {
         match self.token {
             Some(_) => 0,
@@ -65,7 +66,8 @@
         }
     }
 
-    /// Takes a renewal, counted from when its heartbeat was sent; returns the permission where that is a longer one.
+    /// Handles a renewal, which counts from when its heartbeat was sent. Returns the new permission if it is valid and ends
+    /// later than the current one, or belongs to another registration.
     pub(super) fn renew(
         &mut self,
         now: Micros,
@@ -102,14 +104,14 @@
         self.permission.take().is_some()
     }
 
-    /// Gives up the registration, and any older one; returns its token.
+    /// Forgets the registration and returns its token. Later messages about it, or about older ones, are ignored.
     pub(super) fn release(&mut self) -> Option<Token> {
         let token = self.token.take()?;
         self.min_valid_token = Token(token.0.saturating_add(1));
         Some(token)
     }
 
-    /// Backs off before the next attempt to join, for longer after each loss.
+    /// Begins the backoff before the next attempt to join. It doubles with each loss, up to a maximum.
     pub(super) fn back_off(&mut self, now: Micros, timing: &Timing) {
         let reset_after_us = BACKOFF_RESET_LEASES * timing.lease_us;
         let registered_at = self.registered_at.take();
--- a/control/src/versions/client/reports.rs
+++ b/control/src/versions/client/reports.rs
@@ -1,14 +1,15 @@
-//! Audit reports: actions are added up by version and reported now and then, one report at a time, until it is counted.
+//! Audit reports: actions are added up by version and reported at intervals. One report at a time is sent, and repeated
+//! until it is counted.
 
 use super::is_send_due;
 use crate::lease::NodeIdentity;
 use crate::versions::{Span, ToControl, Topic, MAX_SPANS_PER_REPORT};
 use crate::Micros;
 
-/// Renewal intervals between two reports of one gateway, which keeps the audit's share of the log small.
+/// Minimum number of renewal intervals between two reports of one gateway, so that the audit takes a small part of the log.
 pub(super) const REPORT_INTERVAL_RENEWALS: u64 = 10;
 
-/// A report that was sent, or is about to be, and is not counted yet.
+/// A report that is not known to be counted yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct PendingReport {
     spans: Vec<Span>,
@@ -21,7 +22,7 @@
     /// Actions that are in no report yet.
     unreported: Vec<Span>,
     pending: Option<PendingReport>,
-    /// The number of the last report; they count from 1.
+    /// The number of the last report. The first has number 1.
     sequence: u64,
     last_report_at: Micros,
 }
@@ -42,15 +43,15 @@
         }
     }
 
-    /// A report was counted. One that was counted before is not the pending one.
+    /// Ends the pending report, if it is the one that was counted.
     pub(super) fn acknowledge(&mut self, sequence: u64) {
         if sequence == self.sequence {
             self.pending = None;
         }
     }
 
-    /// Messages on a former link may be lost: the pending report is due again.
-    pub(super) fn connect(&mut self) {
+    /// Makes the pending report due again, as messages on a former link may be lost.
+    pub(super) fn mark_unsent(&mut self) {
         if let Some(report) = &mut self.pending {
             report.last_sent_at = None;
         }
@@ -77,7 +78,7 @@
         })
     }
 
-    /// Begins the next report, once the last one was counted and the interval has passed.
+    /// Begins the next report if the last one was counted and the interval has passed.
     fn begin_report(&mut self, now: Micros, renew_us: Micros) {
         let interval_us = REPORT_INTERVAL_RENEWALS * renew_us;
         let due = now >= self.last_report_at.saturating_add(interval_us);
--- a/control/src/versions/client/tests.rs
+++ b/control/src/versions/client/tests.rs
@@ -37,7 +37,7 @@
         gateway
     }
 
-    /// One that has a registration, and knows of this version in force.
+    /// A gateway that is registered and knows this active version.
     fn acting(active: u64) -> Gateway {
         let mut gateway = Gateway::serving();
         gateway.topic_state(1, 0, active, None);
@@ -131,11 +131,11 @@
         (gateway.acting_on(), gateway.client.registration_count()),
         (Some(1), 3)
     );
-    assert_eq!(gateway.renew(TOKEN, sent, 1), [], "doubled");
+    assert_eq!(gateway.renew(TOKEN, sent, 1), [], "duplicate");
     assert_eq!(
         gateway.renew(TOKEN, sent + LEASE, 1),
         [],
-        "sent later than now: not its own"
+        "sent later than now, so not in answer to its heartbeat"
     );
     gateway.now = until - 1;
     assert_eq!(gateway.acting_on(), Some(1));
@@ -146,7 +146,7 @@
         .contains(&Action::Stop(StopReason::LeaseExpired)));
 }
 
-/// A gateway takes no permission before it knows the last change.
+/// A gateway gets no permission before it knows the last change.
 #[test]
 fn permission_requires_latest_states() {
     let mut gateway = Gateway::serving();
@@ -167,9 +167,13 @@
     let mut gateway = Gateway::acting(1);
     gateway.topic_state(6, 1, 5, None);
     assert_eq!(gateway.acting_on(), Some(5));
-    assert_eq!(gateway.topic_state(6, 1, 1, None), [], "doubled");
+    assert_eq!(gateway.topic_state(6, 1, 1, None), [], "duplicate");
     assert_eq!(gateway.topic_state(4, 0, 3, None), [], "late");
-    assert_eq!(gateway.topic_state(9, 7, 8, None), [], "it has not seen 7");
+    assert_eq!(
+        gateway.topic_state(9, 7, 8, None),
+        [],
+        "the changes up to entry 7 are missing"
+    );
     assert_eq!(gateway.acting_on(), Some(5));
     assert!(gateway.client.active_versions().eq([(TOPIC, 5)]));
 }
@@ -207,9 +211,9 @@
         "{activated:?}"
     );
     assert!(!gateway.tick(RENEW).contains(&result));
-    // One whose format it does not understand it refuses by itself.
+    // A version whose format is not supported is rejected without a validation by the caller.
     let rejected = gateway.topic_state(5, 3, 2, Some((5, 2)));
-    let says = |action: &Action| {
+    let is_nack = |action: &Action| {
         matches!(
             action,
             Action::Send(ToControl::ValidationResult {
@@ -219,10 +223,13 @@
             })
         )
     };
-    assert!(matches!(&rejected[..], [one] if says(one)), "{rejected:?}");
+    assert!(
+        matches!(&rejected[..], [one] if is_nack(one)),
+        "{rejected:?}"
+    );
 }
 
-/// Silence and the name of another leader redirect a gateway.
+/// A gateway is redirected if its heartbeats are not answered, or the answer names another leader.
 #[test]
 fn silence_or_another_leader_redirects() {
     let mut gateway = Gateway::acting(1);
@@ -230,11 +237,11 @@
         gateway.receive(ToGateway::NotLeader { leader: Some(2) }),
         [Action::Redirect(Some(2))]
     );
-    let lately = gateway.receive(ToGateway::NotLeader { leader: Some(3) });
+    let too_soon = gateway.receive(ToGateway::NotLeader { leader: Some(3) });
     assert_eq!(
-        lately,
+        too_soon,
         [Action::Redirect(None)],
-        "two that point at each other"
+        "two control members that name each other"
     );
     gateway.now += RENEW / 4;
     gateway.handle(Event::Connected);
@@ -243,7 +250,7 @@
         silent.contains(&Action::Redirect(None)) && heartbeats(&silent) == 1,
         "{silent:?}"
     );
-    // One that is answered stays, whatever the answer says.
+    // Any answer keeps a gateway at its control member.
     gateway.handle(Event::Connected);
     gateway.receive(ToGateway::TopicStates {
         as_of: Index(1),
@@ -294,7 +301,7 @@
         assert_eq!(
             gateway.renew(Token(token), gateway.now, 1),
             [],
-            "late word of the lost registration"
+            "a late renewal of the lost registration"
         );
         let lost_at = gateway.now;
         while heartbeats(&gateway.tick(RENEW / 4)) == 0 {}
@@ -339,7 +346,7 @@
     assert_eq!(
         reports(gateway.tick(RENEW)),
         [(1, 3)],
-        "again, and the same"
+        "the report is repeated unchanged"
     );
     gateway.receive(ToGateway::ReportCounted {
         who: ME,
@@ -384,19 +391,19 @@
     assert_eq!(proposals(&gateway.tick(RENEW)), 0);
     gateway.topic_state(3, 2, 1, None);
     gateway.handle(propose);
-    let busy = ToGateway::RequestRejected {
+    let rejected = ToGateway::RequestRejected {
         who: ME,
         reason: Rejection::ProposalPending(7),
     };
     assert_eq!(
-        gateway.receive(busy.clone()),
+        gateway.receive(rejected.clone()),
         [Action::RequestRejected(Rejection::ProposalPending(7))]
     );
-    assert_eq!(gateway.receive(busy), [], "doubled");
+    assert_eq!(gateway.receive(rejected), [], "duplicate");
     assert_eq!(proposals(&gateway.tick(RENEW)), 0);
 }
 
-/// A gateway that drains stops first, and then gives its registration back.
+/// A gateway that drains stops acting first, and then ends its registration.
 #[test]
 fn drain_stops_then_leaves() {
     let mut gateway = Gateway::acting(1);
@@ -411,7 +418,7 @@
     assert_eq!(
         gateway.renew(TOKEN, gateway.now, 1),
         [],
-        "an answer that was on its way"
+        "an answer that was in flight"
     );
     assert_eq!(heartbeats(&gateway.tick(LEASE)), 0);
     assert_eq!(gateway.acting_on(), None);
--- a/control/src/versions/client/topics.rs
+++ b/control/src/versions/client/topics.rs
@@ -1,4 +1,4 @@
-//! A gateway's cached view of the topics, as the leader sent it. Older states, and ones with a gap before them, are ignored.
+//! The states of the topics as last received from the leader. Older states, and states after a gap, are ignored.
 
 use crate::lease::Index;
 use crate::versions::Topic;
@@ -7,25 +7,26 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct CachedTopic {
     active: u64,
-    /// The last version whose rejection was reported.
+    /// The number of the last version whose rejection was reported; 0 is none.
     last_rejected: u64,
 }
 
-/// What a gateway knows of all topics.
+/// The states of all topics that a gateway knows.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct CachedTopics {
-    /// The entry up to which this is complete.
+    /// The index of the entry up to which this is complete.
     as_of: Index,
     by_topic: BTreeMap<Topic, CachedTopic>,
 }
 
 impl CachedTopics {
-    /// The entry up to which the topics are known.
+    /// The index of the entry up to which the topics are known.
     pub(super) fn as_of(&self) -> Index {
         self.as_of
     }
 
-    /// Whether states of the topics that changed between two entries apply here; they then count as known.
+    /// Returns whether the states of the topics that changed between two entries are new and follow the known ones without a
+    /// gap; they then count as known.
     pub(super) fn advance(&mut self, since: Index, as_of: Index) -> bool {
         let applies = since <= self.as_of && self.as_of < as_of;
         if applies {
@@ -34,12 +35,12 @@
         applies
     }
 
-    /// The active version; 0 is none.
+    /// The number of the active version; 0 is none.
     pub(super) fn active(&self, topic: Topic) -> u64 {
         self.by_topic.get(&topic).map_or(0, |cached| cached.active)
     }
 
-    /// The active versions of the topics that have one.
+    /// The numbers of the active versions, for the topics that have one.
     pub(super) fn active_versions(&self) -> impl Iterator<Item = (Topic, u64)> + '_ {
         let active = self
             .by_topic
@@ -48,13 +49,13 @@
         active.filter(|(_, number)| *number > 0)
     }
 
-    /// Takes the active version of a topic; returns whether that is another than before.
+    /// Sets the active version of a topic. Returns whether it differs from the former one.
     pub(super) fn set_active(&mut self, topic: Topic, number: u64) -> bool {
         let cached = self.by_topic.entry(topic).or_default();
         std::mem::replace(&mut cached.active, number) != number
     }
 
-    /// Takes the rejection of a version; returns whether it is a new one.
+    /// Records the rejection of a version. Returns whether it is a new one.
     pub(super) fn record_rejection(&mut self, topic: Topic, number: u64) -> bool {
         let cached = self.by_topic.entry(topic).or_default();
         let new = number > cached.last_rejected;
--- a/control/src/versions/client/validations.rs
+++ b/control/src/versions/client/validations.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Validation {
     number: u64,
-    /// Once the caller, or a check of the format, has decided.
+    /// Set once the caller, or the check of the format, has decided.
     result: Option<Result<(), String>>,
     last_sent_at: Option<Micros>,
 }
@@ -22,8 +22,8 @@
 }
 
 impl Validations {
-    /// A version is proposed; returns whether the caller is to validate its content. One whose format is not supported is
-    /// rejected here.
+    /// Begins the validation of a proposed version. Returns whether the caller has to validate its content; a version whose
+    /// format is not supported is rejected here.
     pub(super) fn begin(
         &mut self,
         topic: Topic,
@@ -46,12 +46,12 @@
         undecided
     }
 
-    /// The topic has no proposal any more.
+    /// Ends the validation for a topic that no longer has a proposal.
     pub(super) fn close(&mut self, topic: Topic) {
         self.by_topic.remove(&topic);
     }
 
-    /// Takes the caller's result. A second one, or one of another version, changes nothing.
+    /// Records the caller's result. A second result, or one for another version, changes nothing.
     pub(super) fn record(&mut self, topic: Topic, number: u64, result: Result<(), String>) {
         let validation = self
             .by_topic
@@ -62,14 +62,14 @@
         }
     }
 
-    /// Messages on a former link may be lost: all results are due again.
-    pub(super) fn connect(&mut self) {
+    /// Makes all results due again, as messages on a former link may be lost.
+    pub(super) fn mark_unsent(&mut self) {
         for validation in self.by_topic.values_mut() {
             validation.last_sent_at = None;
         }
     }
 
-    /// The results that are to be sent now; each is repeated, as the leader may have changed.
+    /// The results to send now. Each is repeated, as the leader may have changed.
     pub(super) fn take_due(
         &mut self,
         now: Micros,
