--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -1,9 +1,10 @@
-//! Simulation of versions: six gateways and three control members on one virtual clock, from seeds.
+//! Simulation of versions: six gateways and three control members on one virtual clock, with random faults from a seed.
 //!
 //! Faults: clocks drift; messages, proposals, entries and read-index confirmations are lost, duplicated, delayed and
-//! reordered; leaders change, two believe that they lead at once, they stall and resume with queued heartbeats, are killed,
-//! partitioned from all, from each other alone, or in the inbound direction alone; gateways stall, restart with a new
-//! incarnation, are partitioned from all or from one control member; contents are nacked, not supported or never validated.
+//! reordered. Leaders change, and two members may believe that they lead at once. Control members stall and resume with
+//! queued heartbeats, are killed, or are partitioned: from all, from each other alone, or in the inbound direction alone.
+//! Gateways stall, restart with a new incarnation, or are partitioned from all or from one control member. Contents are
+//! nacked, have a format that is not supported, or are never validated.
 //!
 //! Checked after every step: no gateway acts on a version that is neither the newest that any acts on nor its predecessor,
 //! nor under a registration that the log does not grant. At the end: reports count each action once, and once the faults
@@ -33,18 +34,20 @@
     oldest: 1,
     newest: 1,
 };
-/// The longest delay of a message, a proposal, an entry or half a confirmation, but for one in [`LATE_ONE_IN`].
+/// Maximum delay of a message, a proposal, an entry or either direction of a read-index round. One in [`LATE_ONE_IN`] may
+/// take up to [`MAX_LATE_DELAY_US`].
 const MAX_DELAY_US: u64 = 200_000;
 const LATE_ONE_IN: u32 = 50;
 const MAX_LATE_DELAY_US: u64 = 6_000_000;
+/// How long faults are injected.
 const FAULTS_US: u64 = 60_000_000;
 /// Time to recover once the faults are over: the wait for expiry, a rejoin after the longest backoff that a run reaches, a
 /// proposal, the acks, and the delays of each.
 const RECOVERY_US: u64 = 60_000_000;
 /// Time for the last reports to be counted: a rejoin after backoff, and a report.
-const SETTLE_US: u64 = 60_000_000;
+const FINAL_REPORTS_US: u64 = 60_000_000;
 
-/// A monotonic clock that runs at a rate of its own.
+/// A monotonic clock whose rate deviates from the virtual time.
 #[derive(Clone, Copy)]
 struct Clock {
     started_at: u64,
@@ -64,9 +67,10 @@
     incarnation: u32,
     wake_at: u64,
     stalled_until: u64,
-    cut_until: u64,
-    /// The control member it is connected to, or connects to and until when.
+    isolated_until: u64,
+    /// The control member that it is connected to.
     link: Option<usize>,
+    /// The control member that it is connecting to, and until when.
     dialing: Option<(usize, u64)>,
     /// Versions under validation: the number, when it ends, and the result.
     validating: Vec<(u64, u64, Result<(), String>)>,
@@ -78,10 +82,10 @@
     incarnation: u32,
     wake_at: u64,
     stalled_until: u64,
-    cut_until: u64,
-    /// It receives nothing, but what it sends arrives.
-    inbound_cut_until: u64,
-    /// It is partitioned from the other control members, but not from gateways.
+    isolated_until: u64,
+    /// Until then it receives nothing, but what it sends arrives.
+    inbound_blocked_until: u64,
+    /// Until then it is partitioned from the other control members, but not from gateways.
     partitioned_until: u64,
     applied: usize,
     /// The number of the last election that it knows.
@@ -89,19 +93,19 @@
 }
 
 impl Member {
-    /// Whether messages of gateways arrive.
+    /// Whether messages of gateways reach it.
     fn receives_from_gateways(&self, now_us: u64) -> bool {
-        now_us >= self.cut_until && now_us >= self.inbound_cut_until
+        now_us >= self.isolated_until && now_us >= self.inbound_blocked_until
     }
 
-    /// Whether messages of the other control members arrive.
+    /// Whether messages of the other control members reach it.
     fn receives_from_members(&self, now_us: u64) -> bool {
         self.receives_from_gateways(now_us) && now_us >= self.partitioned_until
     }
 
-    /// Whether its messages arrive at the other control members.
+    /// Whether its messages reach the other control members.
     fn sends_to_members(&self, now_us: u64) -> bool {
-        now_us >= self.cut_until && now_us >= self.partitioned_until
+        now_us >= self.isolated_until && now_us >= self.partitioned_until
     }
 }
 
@@ -109,7 +113,8 @@
 #[derive(Clone)]
 enum InFlight {
     ToControl(usize, ToControl),
-    Hello(usize, NodeIdentity),
+    /// A gateway has a new link to a control member.
+    Connected(usize, NodeIdentity),
     ToGateway(usize, ToGateway),
     Proposal(Command),
     /// A read-index round on its way to a quorum, with the number of entries committed when it was requested.
@@ -127,37 +132,37 @@
     /// The result of an election, with its number among all.
     Elected {
         member: usize,
-        place: usize,
+        election: usize,
         leader: usize,
     },
 }
 
-/// The faults of a run, and what it does wrong on purpose to show that the checks detect it.
+/// The faults of a run, and the deliberate errors that the checks must detect.
 #[derive(Clone, Copy)]
 struct Scenario {
-    /// The first gateway's lease times, which may differ from the others'.
-    first: Timing,
+    /// The lease times of the first gateway, which may differ from those of the others.
+    first_timing: Timing,
     drift_ppm: i64,
     faults_us: u64,
     /// Every read-index round is confirmed at once, whoever leads.
     skip_confirmation: bool,
     /// An expiry counts as decided in the latest epoch, whoever proposed it.
     accept_any_epoch: bool,
-    /// Nothing is lost, duplicated or delayed beyond [`MAX_DELAY_US`], and all gateways but this one validate.
+    /// If set, nothing is lost, duplicated or delayed beyond [`MAX_DELAY_US`], and all gateways but this one validate.
     straggler: Option<Straggler>,
 }
 
-/// A gateway that holds up a rollout, and does nothing else wrong.
+/// A gateway that delays a rollout and is otherwise correct.
 #[derive(Clone, Copy, PartialEq)]
 enum Straggler {
     /// It runs, and never validates.
     Silent(usize),
-    /// It stalls from the proposal on.
+    /// It stalls as soon as the version is proposed.
     Dead(usize),
 }
 
 const CORRECT: Scenario = Scenario {
-    first: TIMING,
+    first_timing: TIMING,
     drift_ppm: 1_000,
     faults_us: FAULTS_US,
     skip_confirmation: false,
@@ -168,15 +173,16 @@
 #[derive(Debug, Default)]
 struct Observed {
     violations: Vec<String>,
-    active: usize,
+    activations: usize,
     rejections: usize,
     expirations: usize,
     elections: usize,
-    /// From the proposal that became active in the recovery to the moment when all acted on it.
-    agreed_after: Option<u64>,
+    /// Time from the proposal of the version that became active during recovery until all gateways acted on it,
+    /// microseconds.
+    active_everywhere_after: Option<u64>,
     /// A digest of the log's entries and when each was committed.
     log_digest: u64,
-    /// By incarnation of a gateway: its actions, those in the audit, and whether it ran until the end.
+    /// By incarnation of a gateway: its actions, its actions in the audit, and whether it ran until the end.
     counts: Vec<(NodeIdentity, u64, u64, bool)>,
 }
 
@@ -186,12 +192,12 @@
     now_us: u64,
     gateways: Vec<Gateway>,
     members: Vec<Member>,
-    /// The elected members, in order; a quorum confirms the last.
+    /// The elected members, in order. A quorum confirms the read-index rounds of the last one only.
     elections: Vec<usize>,
     log: Vec<(Command, u64)>,
     in_flight: Vec<(u64, InFlight)>,
     /// Gateways partitioned from one control member alone, and until when.
-    cut_links: Vec<(usize, usize, u64)>,
+    blocked_links: Vec<(usize, usize, u64)>,
     /// The table of the complete log.
     reference: Table,
     /// By version that was ever active, its predecessor.
@@ -222,7 +228,7 @@
             elections: Vec::new(),
             log: Vec::new(),
             in_flight: Vec::new(),
-            cut_links: Vec::new(),
+            blocked_links: Vec::new(),
             reference: Table::default(),
             predecessors: BTreeMap::new(),
             proposed_at: BTreeMap::new(),
@@ -265,8 +271,8 @@
             incarnation,
             wake_at: 0,
             stalled_until: 0,
-            cut_until: 0,
-            inbound_cut_until: 0,
+            isolated_until: 0,
+            inbound_blocked_until: 0,
             partitioned_until: 0,
             applied: 0,
             known_election: 0,
@@ -275,7 +281,7 @@
 
     fn gateway(&self, number: usize, incarnation: u32, clock: Clock) -> Gateway {
         let timing = if number == 0 {
-            self.scenario.first
+            self.scenario.first_timing
         } else {
             TIMING
         };
@@ -291,7 +297,7 @@
             incarnation,
             wake_at: 0,
             stalled_until: 0,
-            cut_until: 0,
+            isolated_until: 0,
             link: None,
             dialing: None,
             validating: Vec::new(),
@@ -318,7 +324,7 @@
         self.now_us + self.rng.u64(0..longest)
     }
 
-    /// Sends a message that is lost once in so many times, and duplicated once in ten.
+    /// Sends a message that is lost with a chance of one in `lost_one_in`, and duplicated with a chance of one in ten.
     fn send(&mut self, message: InFlight, lost_one_in: u32) {
         let reliable = self.scenario.straggler.is_some();
         if self.one_in(lost_one_in) && !reliable {
@@ -352,7 +358,7 @@
                 };
                 if self.connects(number, member) {
                     let message =
-                        ToControl::decode(&message.encode()).expect("what was encoded is read");
+                        ToControl::decode(&message.encode()).expect("an encoded message decodes");
                     self.send(InFlight::ToControl(member, message), 20);
                 }
             }
@@ -375,8 +381,8 @@
                 } else {
                     self.now_us + self.rng.u64(0..500_000)
                 };
-                let bad = content.bytes == [1];
-                let result = if bad {
+                let is_invalid = content.bytes == [1];
+                let result = if is_invalid {
                     Err("it is bad".to_owned())
                 } else {
                     Ok(())
@@ -391,7 +397,7 @@
                 assert_eq!(
                     self.predecessors.get(&version),
                     Some(&previous),
-                    "the same order everywhere"
+                    "all gateways activate versions in the same order"
                 );
             }
             client::Action::ProposalRejected { .. } => self.observed.rejections += 1,
@@ -404,12 +410,12 @@
 
     /// Whether messages pass between a gateway and a control member.
     fn connects(&self, number: usize, member: usize) -> bool {
-        let cut = |(one, other, until): &(usize, usize, u64)| {
+        let is_blocked = |(one, other, until): &(usize, usize, u64)| {
             (*one, *other) == (number, member) && self.now_us < *until
         };
-        let alive = self.now_us >= self.gateways[number].cut_until
-            && self.now_us >= self.members[member].cut_until;
-        alive && !self.cut_links.iter().any(cut)
+        let reachable = self.now_us >= self.gateways[number].isolated_until
+            && self.now_us >= self.members[member].isolated_until;
+        reachable && !self.blocked_links.iter().any(is_blocked)
     }
 
     fn dial(&mut self, number: usize, member: usize) {
@@ -437,7 +443,7 @@
         self.gateways[number].link = Some(member);
         let who = identity(number, self.gateways[number].incarnation);
         self.in_flight
-            .push((self.now_us, InFlight::Hello(member, who)));
+            .push((self.now_us, InFlight::Connected(member, who)));
         self.gateway_event(number, client::Event::Connected);
     }
 
@@ -481,7 +487,8 @@
         }
     }
 
-    /// The version and token that a gateway acts on. A stalled one does not act; what it resumes later is fenced by its token.
+    /// The version that a gateway acts on, and its token. A stalled gateway does not act; the actions that it resumes later
+    /// are fenced by their token.
     fn acting(&self, number: usize) -> Option<(u64, Token)> {
         let gateway = &self.gateways[number];
         let awake = self.now_us >= gateway.stalled_until;
@@ -504,15 +511,15 @@
     }
 
     fn member_action(&mut self, number: usize, action: coordinator::Action) {
-        let reaches = self.members[number].sends_to_members(self.now_us);
+        let can_send = self.members[number].sends_to_members(self.now_us);
         match action {
-            coordinator::Action::Propose(command) if reaches => {
+            coordinator::Action::Propose(command) if can_send => {
                 self.send(InFlight::Proposal(command), 10)
             }
             coordinator::Action::Confirm(round) if self.scenario.skip_confirmation => {
                 self.member_event(number, coordinator::Event::Confirmed(round));
             }
-            coordinator::Action::Confirm(round) if reaches => {
+            coordinator::Action::Confirm(round) if can_send => {
                 let committed = self.log.len();
                 self.send(
                     InFlight::Round {
@@ -542,7 +549,7 @@
 
     fn send_to_gateway(&mut self, member: usize, gateway: usize, message: ToGateway) {
         if self.connects(gateway, member) {
-            let message = ToGateway::decode(&message.encode()).expect("what was encoded is read");
+            let message = ToGateway::decode(&message.encode()).expect("an encoded message decodes");
             self.send(InFlight::ToGateway(gateway, message), 20);
         }
     }
@@ -569,12 +576,12 @@
         }
     }
 
-    /// A quorum elects a leader; all learn it later, the former leader perhaps much later.
+    /// A quorum elects a leader. The members learn of it later, the former leader possibly much later.
     fn elect(&mut self, leader: usize) {
         let former = self.elections.last().copied();
         self.elections.push(leader);
         self.observed.elections += 1;
-        let place = self.elections.len();
+        let election = self.elections.len();
         for member in 0..MEMBERS {
             let latest = if Some(member) == former {
                 MAX_LATE_DELAY_US
@@ -586,7 +593,7 @@
                 at,
                 InFlight::Elected {
                     member,
-                    place,
+                    election,
                     leader,
                 },
             ));
@@ -610,17 +617,17 @@
         let mut in_flight = std::mem::take(&mut self.in_flight);
         self.rng.shuffle(&mut in_flight);
         for (at, message) in in_flight {
-            if at > self.now_us || !self.arrive(message.clone()) {
+            if at > self.now_us || !self.try_deliver(message.clone()) {
                 self.in_flight.push((at, message));
             }
         }
     }
 
-    /// Delivers or loses a message; false where it has to wait.
-    fn arrive(&mut self, message: InFlight) -> bool {
+    /// Delivers or drops a message. Returns false if it has to wait.
+    fn try_deliver(&mut self, message: InFlight) -> bool {
         let now_us = self.now_us;
         match message {
-            InFlight::ToControl(member, _) | InFlight::Hello(member, _)
+            InFlight::ToControl(member, _) | InFlight::Connected(member, _)
                 if !self.members[member].receives_from_gateways(now_us) => {}
             InFlight::Elected { member, .. } | InFlight::Confirmed { member, .. }
                 if !self.members[member].receives_from_members(now_us) =>
@@ -628,7 +635,7 @@
                 return false;
             }
             InFlight::ToControl(member, _)
-            | InFlight::Hello(member, _)
+            | InFlight::Connected(member, _)
             | InFlight::Elected { member, .. }
             | InFlight::Confirmed { member, .. }
                 if now_us < self.members[member].stalled_until =>
@@ -641,7 +648,7 @@
             InFlight::ToControl(member, message) => {
                 self.member_event(member, coordinator::Event::Received(message));
             }
-            InFlight::Hello(member, who) => {
+            InFlight::Connected(member, who) => {
                 self.member_event(member, coordinator::Event::Connected(who))
             }
             InFlight::ToGateway(gateway, message) => {
@@ -653,7 +660,7 @@
                 round,
                 committed,
             } => {
-                // A confirmation is true: at this moment, after the request, no other member had been elected.
+                // A round is confirmed only if no other member has been elected by now, which is after the request.
                 if self.leader() == member && self.members[member].sends_to_members(now_us) {
                     let at = self.delivery_time();
                     self.in_flight.push((
@@ -679,11 +686,11 @@
             InFlight::Elect(leader) => self.elect(leader),
             InFlight::Elected {
                 member,
-                place,
+                election,
                 leader,
             } => {
-                if place > self.members[member].known_election {
-                    self.members[member].known_election = place;
+                if election > self.members[member].known_election {
+                    self.members[member].known_election = election;
                     let known = Some(leader as u32 + 1);
                     self.member_event(member, coordinator::Event::Leader(known));
                     self.member_event(member, coordinator::Event::Leading(member == leader));
@@ -714,7 +721,7 @@
                     number, previous, ..
                 } => {
                     self.predecessors.insert(number, previous);
-                    self.observed.active += 1;
+                    self.observed.activations += 1;
                 }
                 Outcome::Expired(_) => self.observed.expirations += 1,
                 _ => {}
@@ -724,13 +731,13 @@
 
     // Faults.
 
-    fn fault(&mut self) {
+    fn inject_fault(&mut self) {
         let until = self.now_us + self.rng.u64(0..8_000_000);
         let (gateway, member) = (self.rng.usize(0..GATEWAYS), self.rng.usize(0..MEMBERS));
         let leader = self.leader();
         match self.rng.u8(0..13) {
             0 => self.gateways[gateway].stalled_until = until,
-            1 => self.gateways[gateway].cut_until = until,
+            1 => self.gateways[gateway].isolated_until = until,
             2 => self.restart_gateway(gateway),
             3 => self.elect(member),
             4 => {
@@ -740,11 +747,11 @@
                 }
             }
             5 => {
-                self.members[leader].cut_until = until;
+                self.members[leader].isolated_until = until;
                 self.elect_soon();
             }
             6 => {
-                self.members[leader].inbound_cut_until = until;
+                self.members[leader].inbound_blocked_until = until;
                 self.elect_soon();
             }
             7 => {
@@ -756,8 +763,8 @@
                 self.elect_soon();
             }
             9 => self.restart_member(member),
-            10 => self.members[member].cut_until = until,
-            11 => self.cut_links.push((gateway, leader, until)),
+            10 => self.members[member].isolated_until = until,
+            11 => self.blocked_links.push((gateway, leader, until)),
             // Two elections in a row: three members may believe that they lead.
             _ => {
                 self.elect(member);
@@ -802,7 +809,7 @@
             self.members[number].applied = former.applied;
             self.members[number].coordinator.restore(1_000_000, table);
         }
-        self.members[number].cut_until = self.now_us + self.rng.u64(0..4_000_000);
+        self.members[number].isolated_until = self.now_us + self.rng.u64(0..4_000_000);
         // Confirmations and elections sent to the former incarnation do not reach this one.
         self.members[number].known_election = self.elections.len();
         self.in_flight.retain(|(_, message)| {
@@ -821,11 +828,11 @@
     }
 
     fn propose(&mut self, format: u32, bytes: Vec<u8>) {
-        let one = self.rng.usize(0..GATEWAYS);
-        if self.now_us >= self.gateways[one].stalled_until {
+        let proposer = self.rng.usize(0..GATEWAYS);
+        if self.now_us >= self.gateways[proposer].stalled_until {
             let content = Content { format, bytes };
             self.gateway_event(
-                one,
+                proposer,
                 client::Event::ProposeVersion {
                     topic: TOPIC,
                     content,
@@ -846,8 +853,10 @@
                 .iter()
                 .any(|version| version != newest && *version != predecessor)
             {
-                let violation =
-                    format!("{}: {acted:?}, {predecessor} before {newest}", self.now_us);
+                let violation = format!(
+                    "{} us: versions {acted:?} are acted on, {predecessor} precedes {newest}",
+                    self.now_us
+                );
                 self.observed.violations.push(violation);
             }
         }
@@ -859,7 +868,7 @@
                 .is_none_or(|registration| registration.token != token)
             {
                 let violation = format!(
-                    "{}: {who:?} acts under {token:?}, which is not its registration",
+                    "{} us: {who:?} acts under {token:?}, which is not its registration",
                     self.now_us
                 );
                 self.observed.violations.push(violation);
@@ -881,8 +890,9 @@
         (0..GATEWAYS).for_each(|number| self.run_gateway(number));
     }
 
-    /// How long a version proposed since a time took to become active everywhere, if it has.
-    fn agreed(&self, since: u64) -> Option<u64> {
+    /// Time from the proposal of the active version until now, if all gateways act on it and it was proposed at `since` or
+    /// later.
+    fn time_until_active_everywhere(&self, since: u64) -> Option<u64> {
         let newest = self.reference.topic(TOPIC)?.active_number();
         let proposed_at = self.proposed_at.get(&newest).filter(|at| **at >= since)?;
         let everywhere =
@@ -890,8 +900,8 @@
         everywhere.then(|| self.now_us - proposed_at)
     }
 
-    /// Whether the active version was proposed since a time.
-    fn settled(&self, since: u64) -> bool {
+    /// Whether the active version was proposed at `since` or later.
+    fn is_active_since(&self, since: u64) -> bool {
         let newest = self
             .reference
             .topic(TOPIC)
@@ -910,17 +920,17 @@
         digest.digest()
     }
 
-    fn count(&mut self) {
+    fn record_counts(&mut self) {
         let audit = self.reference.audit();
         for (who, actions) in &self.actions {
-            let rows = audit.entries().iter().filter(|row| row.who == *who);
-            let incarnations =
+            let entries = audit.entries().iter().filter(|entry| entry.who == *who);
+            let ran_until_end =
                 self.gateways[who.gateway as usize - 1].incarnation == who.incarnation;
             self.observed.counts.push((
                 *who,
                 *actions,
-                rows.map(|row| row.span.count).sum(),
-                incarnations,
+                entries.map(|entry| entry.span.count).sum(),
+                ran_until_end,
             ));
         }
     }
@@ -929,11 +939,13 @@
 fn run(seed: u64, scenario: Scenario) -> Observed {
     let mut world = World::new(seed, scenario);
     let mut last_proposed_at = None;
-    while world.now_us < scenario.faults_us + RECOVERY_US && world.observed.agreed_after.is_none() {
+    while world.now_us < scenario.faults_us + RECOVERY_US
+        && world.observed.active_everywhere_after.is_none()
+    {
         world.step();
         let faulty = world.now_us < scenario.faults_us;
         if faulty && world.one_in(300) {
-            world.fault();
+            world.inject_fault();
         }
         if faulty && world.one_in(60) {
             // Some contents are invalid, some have a format that is not supported.
@@ -942,72 +954,85 @@
             world.propose(format, bytes);
         }
         let due = last_proposed_at.is_none_or(|at| world.now_us > at + 2_000_000);
-        if !faulty && due && !world.settled(scenario.faults_us) {
+        if !faulty && due && !world.is_active_since(scenario.faults_us) {
             last_proposed_at = Some(world.now_us);
             world.propose(1, vec![0]);
         }
         (0..GATEWAYS).for_each(|number| world.act(number));
         world.check();
         if !faulty {
-            world.observed.agreed_after = world.agreed(scenario.faults_us);
+            world.observed.active_everywhere_after =
+                world.time_until_active_everywhere(scenario.faults_us);
         }
     }
-    let until = world.now_us + SETTLE_US;
+    let until = world.now_us + FINAL_REPORTS_US;
     while world.now_us < until {
         world.step();
         world.check();
     }
-    world.count();
+    world.record_counts();
     world.observed.log_digest = world.log_digest();
     world.observed
 }
 
-fn check(seeds: std::ops::RangeInclusive<u64>) {
-    let mut took = Vec::new();
+/// Runs the correct program with each seed and checks the invariants and the audit.
+fn check_seeds(seeds: std::ops::RangeInclusive<u64>) {
+    let mut durations = Vec::new();
     let (mut active, mut rejections, mut expirations, mut elections) = (0, 0, 0, 0);
     for seed in seeds {
         let observed = run(seed, CORRECT);
         assert_eq!(observed.violations, Vec::<String>::new(), "seed {seed}");
-        took.push(observed.agreed_after.unwrap_or_else(|| {
+        durations.push(observed.active_everywhere_after.unwrap_or_else(|| {
             panic!("seed {seed}: no version became active everywhere after the faults")
         }));
-        for (who, actions, counted, incarnations) in observed.counts {
-            // The last actions before a restart are not reported any more; nothing counts twice.
-            let matches_audit = if incarnations {
+        for (who, actions, counted, ran_until_end) in observed.counts {
+            // The last actions before a restart are not reported. No action counts twice.
+            let matches_audit = if ran_until_end {
                 counted == actions
             } else {
                 counted <= actions
             };
             assert!(
                 matches_audit,
-                "seed {seed}: {who:?} did {actions}, and the audit has {counted}"
+                "seed {seed}: {who:?} began {actions} actions, and the audit has {counted}"
             );
         }
-        (active, rejections) = (active + observed.active, rejections + observed.rejections);
+        (active, rejections) = (
+            active + observed.activations,
+            rejections + observed.rejections,
+        );
         (expirations, elections) = (
             expirations + observed.expirations,
             elections + observed.elections,
         );
     }
-    took.sort_unstable();
-    let (median, worst) = (took[took.len() / 2], took[took.len() - 1]);
+    durations.sort_unstable();
+    let (median, worst) = (
+        durations[durations.len() / 2],
+        durations[durations.len() - 1],
+    );
     println!(
-        "{} runs, {elections} elections, {active} versions activated, {rejections} rejections received, {expirations} registrations lost",
-        took.len()
+        "{} runs, {elections} elections, {active} versions activated, {rejections} rejections received, {expirations} registrations expired",
+        durations.len()
     );
     println!(
         "after the faults, from proposal to active everywhere: median {median} us, worst {worst} us"
     );
-    assert!(active > took.len() && rejections > 0 && expirations > 0 && elections > took.len());
+    assert!(
+        active > durations.len()
+            && rejections > 0
+            && expirations > 0
+            && elections > durations.len()
+    );
 }
 
 /// No third version is acted on, and each action counts once, under faults.
 #[test]
 fn faults_keep_invariants() {
-    check(1..=20);
+    check_seeds(1..=20);
 }
 
-/// The decisions of control members and gateways, pinned: the log that each seed leads to, entry by entry.
+/// The log that each seed leads to is unchanged, entry by entry, and so are the decisions of control members and gateways.
 #[test]
 fn version_logs_match_record() {
     let line = |seed| format!("seed {seed}: {:016x}\n", run(seed, CORRECT).log_digest);
@@ -1017,36 +1042,36 @@
     );
 }
 
-/// The same over two hundred seeds.
+/// No third version is acted on, and each action counts once, over two hundred seeds.
 #[test]
 #[ignore = "long: 200 seeds"]
 fn two_hundred_seeds_keep_invariants() {
-    check(1..=200);
+    check_seeds(1..=200);
 }
 
-fn violating_seed(wrong: Scenario) -> Option<u64> {
-    (1..=60).find(|seed| !run(*seed, wrong).violations.is_empty())
+fn violating_seed(faulty: Scenario) -> Option<u64> {
+    (1..=60).find(|seed| !run(*seed, faulty).violations.is_empty())
 }
 
-/// The check can fail: a gateway whose permission lasts longer than the leader waits. Real members reject it at the
-/// handshake.
+/// The checks detect a gateway whose permission lasts longer than the leader waits. Real control members reject such a
+/// gateway at the handshake.
 #[test]
 fn overlong_permission_is_detected() {
-    let generous = Timing {
+    let overlong = Timing {
         lease_us: 4 * TIMING.lease_us,
         ..TIMING
     };
     assert!(
         violating_seed(Scenario {
-            first: generous,
+            first_timing: overlong,
             ..CORRECT
         })
         .is_some(),
-        "no seed shows it"
+        "no seed violates an invariant"
     );
 }
 
-/// The check can fail: a former leader renews registrations that a later one has let expire.
+/// The checks detect a former leader that renews registrations which a later one has let expire.
 #[test]
 fn unconfirmed_renewal_is_detected() {
     assert!(
@@ -1055,11 +1080,11 @@
             ..CORRECT
         })
         .is_some(),
-        "no seed shows it"
+        "no seed violates an invariant"
     );
 }
 
-/// The check can fail: a former leader expires registrations that a later one renews.
+/// The checks detect a former leader that expires registrations which a later one renews.
 #[test]
 fn expiry_by_former_leader_is_detected() {
     assert!(
@@ -1068,7 +1093,7 @@
             ..CORRECT
         })
         .is_some(),
-        "no seed shows it"
+        "no seed violates an invariant"
     );
 }
 
@@ -1081,17 +1106,17 @@
             ..CORRECT
         },
     );
-    let everyone = |world: &World| {
+    let all_registered = |world: &World| {
         (0..GATEWAYS).all(|number| world.gateways[number].client.registration_count() == 6)
     };
-    while !everyone(&world) {
+    while !all_registered(&world) {
         world.step();
         assert!(
             world.now_us < 20_000_000,
-            "seed {seed}: not all are registered"
+            "seed {seed}: not all gateways are registered"
         );
     }
-    // The straggler is not the proposer, which may have no link at the moment.
+    // Gateway 0 proposes, and is not the straggler. It repeats the proposal, as it may have no link at the moment.
     let mut last_proposed_at = None;
     while world.proposed_at.is_empty() {
         if last_proposed_at.is_none_or(|at| world.now_us > at + 2_000_000) {
@@ -1113,10 +1138,13 @@
     if let Straggler::Dead(number) = straggler {
         world.gateways[number].stalled_until = u64::MAX;
     }
-    while world.observed.active == 0 {
+    while world.observed.activations == 0 {
         world.step();
         world.check();
-        assert!(world.now_us < 60_000_000, "seed {seed}: not active");
+        assert!(
+            world.now_us < 60_000_000,
+            "seed {seed}: the version is not active"
+        );
     }
     assert_eq!(
         world.observed.violations,
@@ -1124,7 +1152,7 @@
         "seed {seed}"
     );
     (
-        world.now_us - world.proposed_at.values().next().expect("one offer"),
+        world.now_us - world.proposed_at.values().next().expect("a proposal"),
         world.observed.expirations,
     )
 }
@@ -1139,28 +1167,29 @@
     runs.max().expect("twenty runs")
 }
 
-/// Time beside the waits: for the proposal or a last heartbeat to reach the leader, its next expiry check, and for the expiry
-/// to reach the log.
+/// Time in addition to the waits: for the proposal or the last heartbeat to reach the leader, for its next expiry check,
+/// and for the expiry to reach the log.
 const OVERHEAD_US: u64 = 2 * MAX_DELAY_US + TIMING.renew_us / 4 + 50_000;
 
-/// One wait until it counts as a straggler, and one from the last heartbeat that may have renewed its registration.
+/// The rollout is delayed by one wait until the gateway counts as a straggler, and by another one from the last heartbeat
+/// that may have renewed its registration.
 #[test]
 fn silent_straggler_delays_rollout_two_waits() {
     let (took, bound) = (
         longest_rollout(Straggler::Silent(4)),
         2 * TIMING.wait_us() + OVERHEAD_US,
     );
-    println!("held up by a straggler: {took} us at most, bound {bound} us");
+    println!("delayed by a straggler: {took} us at most, bound {bound} us");
     assert!(took <= bound, "{took} us, more than {bound} us");
 }
 
-/// One wait from its last heartbeat.
+/// The rollout is delayed by one wait, from the last heartbeat of the gateway.
 #[test]
 fn dead_gateway_delays_rollout_one_wait() {
     let (took, bound) = (
         longest_rollout(Straggler::Dead(4)),
         TIMING.wait_us() + OVERHEAD_US,
     );
-    println!("held up by a dead gateway: {took} us at most, bound {bound} us");
+    println!("delayed by a dead gateway: {took} us at most, bound {bound} us");
     assert!(took <= bound, "{took} us, more than {bound} us");
 }
