--- a/tests/versions_model.rs
+++ b/tests/versions_model.rs
@@ -1,7 +1,8 @@
 //! Model check of versions: all interleavings of registered gateways and the control members that share a log.
 //!
-//! Messages, proposals and confirmations are delayed, reordered or lost, entries are applied late, members learn of elections
-//! late, timers fire and gateways crash at any point. The state machines are the program's own ([`Client`], [`Coordinator`]).
+//! Messages, proposals and confirmations are delayed, reordered or lost, entries are applied late, control members learn of
+//! elections late, timers fire and gateways crash at any point. The model runs the real state machines, [`Client`] and
+//! [`Coordinator`].
 
 use asterreel::lease::{Index, NodeIdentity, Timing, Token};
 use asterreel::versions::{client, coordinator, Client, Command, Content, Coordinator, Formats};
@@ -16,19 +17,22 @@
     oldest: 1,
     newest: 1,
 };
-/// A tick of the model, so short that most parts of a renewal interval are zero: acks are written and rounds requested at
-/// once, and an unconfirmed round is replaced after a tick.
+/// A tick of the model, microseconds. It is so short that most fractions of a renewal interval are zero: acks are written
+/// and rounds are requested at once, and an unconfirmed round is replaced after one tick.
 const TICK: u64 = 4;
+
+/// The limits of one exploration.
 #[derive(Clone, Copy)]
 struct Exploration {
-    /// The lease in ticks. It is renewed after one; all clocks run at one rate.
+    /// The length of a lease in ticks. The renewal interval is one tick, and all clocks run at the same rate.
     lease: u64,
     gateways: usize,
     members: usize,
+    /// How many ticks pass.
     ticks: u64,
-    /// Entries of the log beside the initial ones.
+    /// Maximum number of log entries in addition to the initial ones.
     log: usize,
-    /// Messages in flight at once.
+    /// Maximum number of messages in flight at once.
     in_flight: usize,
     proposals: u8,
     crashes: u8,
@@ -57,7 +61,7 @@
 }
 
 impl InFlight {
-    /// The order of messages in flight does not matter: sorted by this, equal worlds compare equal.
+    /// The order of messages in flight does not matter. Sorting them by this key makes equivalent states compare equal.
     fn sort_key(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.hash(&mut hasher);
@@ -71,14 +75,16 @@
     log: Vec<Command>,
     /// The number of initial entries: an epoch, the registrations, a proposal and its acks.
     initial_entries: usize,
-    /// The table of the complete log, and the predecessor of each version.
+    /// The table of the complete log.
     reference: Table,
+    /// The predecessor of each version that was ever active.
     predecessors: BTreeMap<u64, u64>,
     gateways: Vec<Client>,
     incarnations: Vec<u32>,
     members: Vec<Coordinator>,
-    /// The elected members, in order, and by member how many elections it knows.
+    /// The elected members, in order.
     elections: Vec<usize>,
+    /// By member, how many elections it knows of.
     known_elections: Vec<usize>,
     in_flight: Vec<InFlight>,
     proposals: u8,
@@ -90,11 +96,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Step {
     Tick,
-    /// A gateway's timer fires; its messages are sent to a member.
+    /// A gateway's timer fires. Its messages are sent to the member with the second number.
     RunGateway(usize, usize),
     RunMember(usize),
     Apply(usize),
-    /// A member learns who was elected last.
+    /// A member learns which member was elected last.
     ObserveElection(usize),
     Deliver(usize),
     Drop(usize),
@@ -102,7 +108,7 @@
     Elect(usize),
     Crash(usize),
     /// On fair paths: all messages and entries arrive, all timers fire, then time advances.
-    Round,
+    FairRound,
 }
 
 fn identity(number: usize, incarnation: u32) -> NodeIdentity {
@@ -140,16 +146,17 @@
         for member in 0..exploration.members {
             world.observe_election(member);
         }
-        // The first version is active, all are registered and act on it: the next is the second, the one after a third.
-        world.run_until_quiet();
+        // In the initial state all gateways are registered and act on the first version. Further proposals are the second
+        // and the third version.
+        world.run_until_idle();
         world.now += TICK;
-        world.run_until_quiet();
+        world.run_until_idle();
         world.propose(0);
-        world.run_until_quiet();
+        world.run_until_idle();
         assert_eq!(
             world.versions_in_use().len(),
             1,
-            "a version is acted on: {world:#?}"
+            "gateways do not act on exactly one version: {world:#?}"
         );
         assert!((0..exploration.gateways).all(|number| world.acting(number).is_some()));
         world.proposals = 0;
@@ -174,8 +181,8 @@
         client
     }
 
-    /// Hands a gateway an event, and validates proposals at once. Its messages are sent to a member.
-    fn gateway(&mut self, number: usize, member: usize, event: client::Event) {
+    /// Passes an event to a gateway, and validates proposals at once. Its messages are sent to `member`.
+    fn gateway_event(&mut self, number: usize, member: usize, event: client::Event) {
         let mut out = Vec::new();
         let client = &mut self.gateways[number];
         client.handle(self.now, event, &mut out);
@@ -197,7 +204,7 @@
         }
     }
 
-    fn member(&mut self, number: usize, event: coordinator::Event) {
+    fn member_event(&mut self, number: usize, event: coordinator::Event) {
         let mut out = Vec::new();
         self.members[number].handle(self.now, event, &mut out);
         for action in out {
@@ -234,7 +241,7 @@
     fn observe_election(&mut self, number: usize) {
         self.known_elections[number] = self.elections.len();
         let leader = self.leader();
-        self.member(number, coordinator::Event::Leading(leader == number));
+        self.member_event(number, coordinator::Event::Leading(leader == number));
     }
 
     fn propose(&mut self, number: usize) {
@@ -243,7 +250,7 @@
             bytes: vec![self.proposals],
         };
         let member = self.leader();
-        self.gateway(
+        self.gateway_event(
             number,
             member,
             client::Event::ProposeVersion {
@@ -262,7 +269,7 @@
     fn apply(&mut self, number: usize) {
         let next = self.applied(number);
         let command = self.log[next].clone();
-        self.member(
+        self.member_event(
             number,
             coordinator::Event::Applied {
                 index: Index(next as u64 + 1),
@@ -292,11 +299,11 @@
     fn deliver(&mut self, message: InFlight) {
         match message {
             InFlight::ToControl(member, message) => {
-                self.member(member, coordinator::Event::Received(message));
+                self.member_event(member, coordinator::Event::Received(message));
             }
             InFlight::ToGateway(gateway, message) => {
                 let member = self.leader();
-                self.gateway(gateway, member, client::Event::Received(message));
+                self.gateway_event(gateway, member, client::Event::Received(message));
             }
             InFlight::Proposal(command) => self.commit(command),
             InFlight::Round {
@@ -304,7 +311,7 @@
                 round,
                 committed,
             } => {
-                // A confirmation is true: at this moment, after the request, no other member had been elected.
+                // A round is confirmed only if no other member has been elected by now, which is after the request.
                 if self.leader() == member {
                     self.in_flight.push(InFlight::Confirmed {
                         member,
@@ -314,12 +321,12 @@
                 }
             }
             InFlight::Confirmed { member, round, .. } => {
-                self.member(member, coordinator::Event::Confirmed(round));
+                self.member_event(member, coordinator::Event::Confirmed(round));
             }
         }
     }
 
-    /// Whether a message may arrive: a confirmation does after the entries that it covers.
+    /// Whether a message may arrive. A confirmation arrives after the entries that it covers were applied.
     fn is_deliverable(&self, message: &InFlight) -> bool {
         match message {
             InFlight::Confirmed {
@@ -329,18 +336,18 @@
         }
     }
 
-    /// Fires all timers, applies all entries and delivers all messages, until none is left.
-    fn run_until_quiet(&mut self) {
+    /// Fires all timers, applies all entries and delivers all messages, until no message is left.
+    fn run_until_idle(&mut self) {
         loop {
             for number in 0..self.members.len() {
                 while self.applied(number) < self.log.len() {
                     self.apply(number);
                 }
-                self.member(number, coordinator::Event::Tick);
+                self.member_event(number, coordinator::Event::Tick);
             }
             let leader = self.leader();
             for number in 0..self.gateways.len() {
-                self.gateway(number, leader, client::Event::Tick);
+                self.gateway_event(number, leader, client::Event::Tick);
             }
             if self.in_flight.is_empty() {
                 return;
@@ -361,8 +368,8 @@
             .collect()
     }
 
-    /// Whether a gateway acts under no registration, or under the one that the log grants it.
-    fn registered(&self, number: usize) -> bool {
+    /// Whether a gateway does not act, or acts under the registration that the log grants it.
+    fn acts_only_if_registered(&self, number: usize) -> bool {
         let registration = self
             .reference
             .registration(identity(number, self.incarnations[number]));
@@ -382,21 +389,22 @@
 
     fn actions(&self, world: &World, actions: &mut Vec<Step>) {
         let end = self.end();
-        let early = !self.fair || world.now + 14 * TICK < end;
+        // On fair paths the last faults leave enough time for every proposal to be decided.
+        let time_left = !self.fair || world.now + 14 * TICK < end;
         let gateways = 0..self.gateways;
-        if world.proposals < self.proposals && early {
-            // The second and the third are alike.
+        if world.proposals < self.proposals && time_left {
+            // The second and the third gateway are interchangeable, so the third proposes nothing.
             actions.extend([0, 1].map(Step::Propose));
         }
-        if world.crashes < self.crashes && early {
+        if world.crashes < self.crashes && time_left {
             actions.extend(gateways.clone().map(Step::Crash));
         }
-        if world.elections.len() <= usize::from(self.elections) && early {
+        if world.elections.len() <= usize::from(self.elections) && time_left {
             let others = (0..self.members).filter(|member| *member != world.leader());
             actions.extend(others.map(Step::Elect));
         }
         if self.fair {
-            actions.extend((world.now < end).then_some(Step::Round));
+            actions.extend((world.now < end).then_some(Step::FairRound));
             return;
         }
         if world.now < end {
@@ -414,13 +422,13 @@
                 actions.push(Step::ObserveElection(member));
             }
         }
-        for (sort_key, message) in world.in_flight.iter().enumerate() {
+        for (position, message) in world.in_flight.iter().enumerate() {
             actions.extend(
                 world
                     .is_deliverable(message)
-                    .then_some(Step::Deliver(sort_key)),
+                    .then_some(Step::Deliver(position)),
             );
-            actions.push(Step::Drop(sort_key));
+            actions.push(Step::Drop(position));
         }
     }
 
@@ -428,15 +436,17 @@
         let mut world = before.clone();
         match action {
             Step::Tick => world.now += TICK,
-            Step::RunGateway(number, member) => world.gateway(number, member, client::Event::Tick),
-            Step::RunMember(member) => world.member(member, coordinator::Event::Tick),
+            Step::RunGateway(number, member) => {
+                world.gateway_event(number, member, client::Event::Tick)
+            }
+            Step::RunMember(member) => world.member_event(member, coordinator::Event::Tick),
             Step::Apply(member) => world.apply(member),
             Step::ObserveElection(member) => world.observe_election(member),
-            Step::Deliver(sort_key) => {
-                let message = world.in_flight.remove(sort_key);
+            Step::Deliver(position) => {
+                let message = world.in_flight.remove(position);
                 world.deliver(message);
             }
-            Step::Drop(sort_key) => drop(world.in_flight.remove(sort_key)),
+            Step::Drop(position) => drop(world.in_flight.remove(position)),
             Step::Propose(number) => {
                 world.propose(number);
                 // A gateway without permission proposes nothing.
@@ -456,9 +466,9 @@
                     World::start_gateway(self, number, world.incarnations[number], world.now);
                 world.crashes += 1;
             }
-            Step::Round => {
+            Step::FairRound => {
                 (0..self.members).for_each(|member| world.observe_election(member));
-                world.run_until_quiet();
+                world.run_until_idle();
                 world.now += TICK;
             }
         }
@@ -482,22 +492,25 @@
                     .all(|version| version == newest || *version == predecessor)
             }),
             Property::always(
-                "nobody acts under a registration that is not its own",
-                |_, world: &World| (0..world.gateways.len()).all(|number| world.registered(number)),
+                "no gateway acts under a registration that is not its own",
+                |_, world: &World| {
+                    (0..world.gateways.len()).all(|number| world.acts_only_if_registered(number))
+                },
             ),
             Property::eventually(
-                "every proposal ends and all act on the newest",
+                "every proposal is decided and all act on the newest version",
                 |exploration: &Exploration, world: &World| {
-                    let all: Vec<_> = (0..exploration.gateways)
+                    let versions: Vec<_> = (0..exploration.gateways)
                         .map(|number| world.acting(number).map(|(one, _)| one))
                         .collect();
-                    let same = all[0].is_some() && all.iter().all(|one| *one == all[0]);
-                    let open = world
+                    let same =
+                        versions[0].is_some() && versions.iter().all(|one| *one == versions[0]);
+                    let pending = world
                         .reference
                         .topic(TOPIC)
                         .is_some_and(|status| status.proposal.is_some());
-                    // A path without a proposal stays with the first version. So does one whose proposal reached a former
-                    // leader, if the proposer crashed before it could repeat it.
+                    // On a path without a proposal the first version stays active. It may also stay active if the proposal
+                    // reached a former leader, and the proposer crashed before it could repeat the proposal.
                     let one_leader = world.elections.len() == 1;
                     let must_change = if one_leader {
                         world.proposals > 0
@@ -505,8 +518,8 @@
                         !world.proposers.is_empty()
                     };
                     let first = world.predecessors.keys().next().copied();
-                    let changed = !must_change || all[0] > first;
-                    world.now == exploration.end() && same && changed && !open
+                    let changed = !must_change || versions[0] > first;
+                    world.now == exploration.end() && same && changed && !pending
                 },
             ),
             Property::sometimes("two versions are acted on at once", |_, world: &World| {
@@ -532,7 +545,7 @@
         }
     }
 
-    /// When time ends; it begins after one tick.
+    /// The time at which an exploration ends. It begins after one tick.
     fn end(&self) -> u64 {
         (self.ticks + 1) * TICK
     }
@@ -549,6 +562,7 @@
     (checker.unique_state_count(), found)
 }
 
+/// The base of the other explorations.
 const QUICK: Exploration = Exploration {
     lease: 2,
     gateways: 3,
@@ -562,20 +576,23 @@
     fair: false,
 };
 
-fn is_safe(exploration: Exploration, expected: &'static str) -> usize {
+/// Explores, and checks that no safety property is violated and that the expected state was found. Returns the number of
+/// unique states.
+fn assert_safe(exploration: Exploration, expected: &'static str) -> usize {
     let (states, found) = explore(exploration);
     assert!(
         !found.contains(&"no third version is acted on"),
         "{found:?}"
     );
     assert!(
-        !found.contains(&"nobody acts under a registration that is not its own"),
+        !found.contains(&"no gateway acts under a registration that is not its own"),
         "{found:?}"
     );
     assert!(found.contains(&expected), "{found:?}");
     states
 }
 
+/// Paths on which all messages arrive before time advances, long enough for every proposal to be decided.
 const FAIR: Exploration = Exploration {
     lease: 3,
     ticks: 20,
@@ -584,8 +601,8 @@
     ..QUICK
 };
 
-/// Two members that may both believe that they lead, and one gateway that may reach either.
-const LED_BY_TWO: Exploration = Exploration {
+/// Two control members that may both believe that they lead, and one gateway whose messages may reach either.
+const TWO_LEADERS: Exploration = Exploration {
     gateways: 1,
     members: 2,
     ticks: 2,
@@ -597,8 +614,9 @@
 
 #[test]
 fn no_interleaving_uses_third_version() {
-    // The second proposal can become active while some still act on the first version: a third would show.
-    let third = is_safe(
+    // The second proposal can become active while some gateways still act on the first version. Acting on a third version
+    // would be detected.
+    let two_proposals = assert_safe(
         Exploration {
             log: 8,
             proposals: 2,
@@ -606,55 +624,56 @@
         },
         "two versions are acted on at once",
     );
-    let later = Exploration {
+    let one_tick_later = Exploration {
         gateways: 2,
         ticks: 1,
         log: 3,
         in_flight: 2,
         ..QUICK
     };
-    let states = third + is_safe(later, "two versions are acted on at once");
+    let states = two_proposals + assert_safe(one_tick_later, "two versions are acted on at once");
     assert!(
         states > 50_000,
-        "{states} states are too few to mean anything"
+        "{states} states explored, fewer than expected"
     );
 }
 
 #[test]
 fn no_interleaving_acts_after_expiry() {
-    let states = is_safe(LED_BY_TWO, "a registration expires");
+    let states = assert_safe(TWO_LEADERS, "a registration expires");
     assert!(
         states > 20_000,
-        "{states} states are too few to mean anything"
+        "{states} states explored, fewer than expected"
     );
 }
 
-/// More messages in flight, and more time: `cargo test --release --test versions_model -- --ignored --nocapture`.
+/// Explorations with more messages in flight and more time. To run them:
+/// `cargo test --release --test versions_model -- --ignored --nocapture`.
 #[test]
-#[ignore = "a measurement"]
+#[ignore = "long: larger explorations"]
 fn larger_explorations_are_safe() {
-    is_safe(
+    assert_safe(
         Exploration {
             in_flight: 2,
-            ..LED_BY_TWO
+            ..TWO_LEADERS
         },
         "a registration expires",
     );
-    is_safe(
+    assert_safe(
         Exploration {
             ticks: 3,
-            ..LED_BY_TWO
+            ..TWO_LEADERS
         },
         "a registration expires",
     );
-    let more = Exploration {
+    let more_in_flight = Exploration {
         gateways: 2,
         ticks: 1,
         log: 3,
         in_flight: 3,
         ..QUICK
     };
-    is_safe(more, "two versions are acted on at once");
+    assert_safe(more_in_flight, "two versions are acted on at once");
 }
 
 #[test]
@@ -673,7 +692,7 @@
     ] {
         let (_, found) = explore(exploration);
         assert!(
-            !found.contains(&"every proposal ends and all act on the newest"),
+            !found.contains(&"every proposal is decided and all act on the newest version"),
             "{found:?}"
         );
         assert!(
@@ -681,7 +700,7 @@
             "{found:?}"
         );
         assert!(
-            !found.contains(&"nobody acts under a registration that is not its own"),
+            !found.contains(&"no gateway acts under a registration that is not its own"),
             "{found:?}"
         );
     }
