--- a/control/src/versions/client/mod.rs
+++ b/control/src/versions/client/mod.rs
@@ -6,8 +6,8 @@
 //! caller validates contents; nothing here does I/O or reads a clock.
 //!
 //! Modules: `registration` holds the lease, `heartbeats` the schedule of heartbeats and redirections, `topics` the cached
-//! state of the topics, `validations` the validation of proposed versions, `proposal` the version that this
-//! gateway proposes, `reports` the audit reports.
+//! states of the topics, `validations` the validation of proposed versions, `proposal` the version that this gateway
+//! proposes, `reports` the audit reports.
 
 mod event;
 mod heartbeats;
@@ -28,8 +28,8 @@
 use topics::CachedTopics;
 use validations::Validations;
 
-/// Whether a message that is repeated each renewal interval is due: it was not sent on this link yet, or a renewal interval
-/// ago.
+/// Whether a message that is repeated each renewal interval is due: it was not sent on this link yet, or at least a renewal
+/// interval ago.
 fn is_send_due(last_sent_at: Option<Micros>, now: Micros, renew_us: Micros) -> bool {
     last_sent_at.is_none_or(|at| now >= at.saturating_add(renew_us))
 }
--- a/control/src/versions/command.rs
+++ b/control/src/versions/command.rs
@@ -74,7 +74,7 @@
         who: NodeIdentity,
         /// The number of the report.
         sequence: u64,
-        /// The actions since the previous report, by topic and version.
+        /// Actions that no earlier report contains, by topic and version.
         spans: Vec<Span>,
     },
 }
--- a/control/src/versions/coordinator/rollout.rs
+++ b/control/src/versions/coordinator/rollout.rs
@@ -1,4 +1,4 @@
-//! The rollout of proposed versions: collects acks until they are in the log, and finds the gateways that delay a rollout.
+//! The rollout of proposed versions: it collects acks until they are in the log, and finds the gateways that delay it.
 //!
 //! Acks are written to the log in batches: at once if they complete a version, otherwise after a short delay. A gateway
 //! that has not acked within the wait is a straggler, and its registration is no longer renewed.
@@ -9,7 +9,7 @@
 use crate::Micros;
 use std::collections::BTreeMap;
 
-/// Batches of acks per renewal interval; a batch that completes a version is written at once.
+/// Maximum number of batches of acks per renewal interval. A batch that completes a version is written at once.
 pub(super) const ACK_BATCHES_PER_RENEWAL: u64 = 8;
 
 /// A gateway's ack of a proposed version.
--- a/control/src/versions/message.rs
+++ b/control/src/versions/message.rs
@@ -52,7 +52,7 @@
         who: NodeIdentity,
         /// The number of the report.
         sequence: u64,
-        /// The actions since the previous report, by topic and version.
+        /// Actions that no earlier report contains, by topic and version.
         spans: Vec<Span>,
     },
     /// Ends the registration of a gateway that has stopped acting.
--- a/control/src/versions/mod.rs
+++ b/control/src/versions/mod.rs
@@ -13,14 +13,14 @@
 //! answered only after a read-index round: a quorum has confirmed, since it arrived, that no later leader was elected. The
 //! gateway then has [`Permission`] to act for a lease, counted from when it sent the heartbeat. A registration expires
 //! ([`Command::Expire`]) only after a full wait without a heartbeat that may have renewed it, counted from the beginning of
-//! the epoch at the earliest, and only by the latest epoch in the log. So a gateway's permission ends before its
-//! registration does.
+//! the epoch at the earliest, and only if that was decided in the latest epoch in the log. So a gateway's permission ends
+//! before its registration does.
 //!
 //! Invariant: at any moment gateways act on at most two versions of a topic, the active one and its predecessor. An ack of
 //! version `n` comes from a gateway that knows that `n` is proposed and its predecessor is active, and that ignores older
-//! states from then on; `n` becomes active only with the acks of all registrations; a gateway that joins acts only once it
-//! knows the latest change of every topic. So whoever has permission then acts on `n` or on its predecessor. This rests on
-//! the order of the log and, where registrations expire, on bounded clock rates (`docs/design/control.md`).
+//! states from then on; `n` becomes active only with the acks of all registered gateways; a gateway that joins acts only
+//! once it knows the latest change of every topic. So every gateway with permission then acts on `n` or on its predecessor.
+//! This rests on the order of the log and, where registrations expire, on bounded clock rates (`docs/design/control.md`).
 //!
 //! [`Coordinator`] and [`Client`] are state machines that turn events into actions; the time is an argument of each call.
 //! Nothing here sends, stores, reads a clock or a file, or interprets a content: the caller validates contents.
