--- a/control/src/versions/mod.rs
+++ b/control/src/versions/mod.rs
@@ -4,8 +4,8 @@
 //! A [`Topic`] has versions: the operator's file, the placement of cells, the catalog of statements, the program's own
 //! format. A gateway **proposes** a version through an entry of the replicated log. Every gateway with a **registration**
 //! validates it and answers with an **ack** or a **nack**. The version becomes **active** with the entry after which every
-//! registered gateway has acked it: the others have left, or their registrations have expired. A single nack rejects it,
-//! with a reason, and the active version stays.
+//! registered gateway has acked it. Gateways without an ack do not count once they have left or their registrations have
+//! expired. A single nack rejects the version, with a reason, and the active version stays.
 //!
 //! There are two roles. **Control members** hold the log. The one that leads begins an **epoch** (a term of leadership) with
 //! an entry ([`Command::BeginEpoch`]); its [`Coordinator`] tracks registrations in memory, sends gateways the state of the
@@ -13,17 +13,17 @@
 //! answered only after a read-index round: a quorum has confirmed, since it arrived, that no later leader was elected. The
 //! gateway then has [`Permission`] to act for a lease, counted from when it sent the heartbeat. A registration expires
 //! ([`Command::Expire`]) only after a full wait without a heartbeat that may have renewed it, counted from the beginning of
-//! the epoch at the earliest, and only by the latest epoch in the log. So a gateway's permission ends before its
-//! registration does.
+//! the epoch at the earliest, and only if that was decided in the latest epoch in the log. So a gateway's permission ends
+//! before its registration does.
 //!
 //! Invariant: at any moment gateways act on at most two versions of a topic, the active one and its predecessor. An ack of
 //! version `n` comes from a gateway that knows that `n` is proposed and its predecessor is active, and that ignores older
-//! states from then on; `n` becomes active only with the acks of all registrations; a gateway that joins acts only once it
-//! knows the latest change of every topic. So whoever has permission then acts on `n` or on its predecessor. This rests on
-//! the order of the log and, where registrations expire, on bounded clock rates (`docs/design/control.md`).
+//! states from then on; `n` becomes active only with the acks of all registered gateways; a gateway that joins acts only
+//! once it knows the latest change of every topic. So every gateway with permission then acts on `n` or on its predecessor.
+//! This rests on the order of the log and, where registrations expire, on bounded clock rates (`docs/design/control.md`).
 //!
-//! [`Coordinator`] and [`Client`] are state machines: events in, actions out, time an argument. Nothing here sends, stores,
-//! reads a clock or a file, or interprets a content: the caller validates contents.
+//! [`Coordinator`] and [`Client`] are state machines that turn events into actions; the time is an argument of each call.
+//! Nothing here sends, stores, reads a clock or a file, or interprets a content: the caller validates contents.
 
 mod audit;
 pub mod client;
