--- a/control/src/service/gateway.rs
+++ b/control/src/service/gateway.rs
@@ -1,6 +1,6 @@
 //! A gateway's part of the loop: runs its [`Client`] on the link to the leading control member.
 
-use super::{digest, ControlEvent};
+use super::{fleet_digest, ControlEvent};
 use crate::clock::Clock;
 use crate::frame::Hello;
 use crate::lease::NodeIdentity;
@@ -17,7 +17,7 @@
 use tokio::sync::mpsc;
 use tracing::{info, warn};
 
-/// The formats of contents that this build understands.
+/// The formats of version contents that this build supports.
 const FORMATS: Formats = Formats {
     oldest: 1,
     newest: FORMAT,
@@ -25,8 +25,8 @@
 /// The longest time between two wakeups of a gateway.
 const MAX_SLEEP: Duration = Duration::from_secs(60);
 
-/// The address at which this process reaches its own listener.
-pub(super) fn loopback(listen: SocketAddr) -> SocketAddr {
+/// The address at which this process reaches its own listener: loopback if it listens on all addresses.
+pub(super) fn connect_address(listen: SocketAddr) -> SocketAddr {
     match listen.ip() {
         IpAddr::V4(ip) if ip.is_unspecified() => {
             SocketAddr::new(Ipv4Addr::LOCALHOST.into(), listen.port())
@@ -40,7 +40,7 @@
 
 /// The control members, by number, with the addresses at which this process reaches them.
 fn members(settings: &ControlSettings) -> Vec<(u64, SocketAddr)> {
-    let own = settings.listen.map(loopback);
+    let own = settings.listen.map(connect_address);
     let address = |id: u32, address| {
         if id == settings.me {
             own.unwrap_or(address)
@@ -64,7 +64,7 @@
     current_link: Option<LinkId>,
     /// When the client is due next, on the loop's clock.
     wake_at: Option<Micros>,
-    program: Sender<ControlEvent>,
+    program_events: Sender<ControlEvent>,
 }
 
 impl Gateway {
@@ -73,19 +73,19 @@
         settings: &ControlSettings,
         clock: Clock,
         me: NodeIdentity,
-        program: Sender<ControlEvent>,
-        events: mpsc::Sender<LinkEvent>,
+        program_events: Sender<ControlEvent>,
+        link_events: mpsc::Sender<LinkEvent>,
         traffic: Traffic,
     ) -> Gateway {
         let timing = settings.timing();
         let seed = u64::from(me.gateway) << 32 | u64::from(me.incarnation);
-        let own = Hello::of_client(me, digest(settings));
+        let own = Hello::of_client(me, fleet_digest(settings));
         let link = Link::start(LeaderSearch {
             members: members(settings),
             own,
             timing,
             seed,
-            events,
+            events: link_events,
             traffic,
         });
         let client = Client::new(me, timing, FORMATS, seed);
@@ -96,7 +96,7 @@
             link,
             current_link: None,
             wake_at: None,
-            program,
+            program_events,
         };
         gateway.handle(Event::Serve);
         gateway
@@ -107,15 +107,15 @@
         &self.client
     }
 
-    /// How long nothing is due.
-    pub(super) fn time_to_wakeup(&self, now: Micros) -> Duration {
+    /// How long the loop may sleep until the gateway's next timer is due.
+    pub(super) fn time_until_wakeup(&self, now: Micros) -> Duration {
         let due = self
             .wake_at
             .map(|at| Duration::from_micros(at.saturating_sub(now)));
         due.map_or(MAX_SLEEP, |due| due.min(MAX_SLEEP))
     }
 
-    /// Handles an event of the link; one of a former link has no effect.
+    /// Handles an event of a link; events of former links have no effect.
     pub(super) fn on_link_event(&mut self, event: LinkEvent) {
         match event {
             LinkEvent::Up(link) => {
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Hands the client an event, and carries out its actions.
+    /// Passes an event to the client and carries out the resulting actions.
     pub(super) fn handle(&mut self, event: Event) {
         if event == Event::Tick {
             self.wake_at = None;
@@ -169,9 +169,9 @@
                 number,
                 content,
             } => {
-                // Lost only where the program has ended.
+                // Fails only if the program has ended.
                 let _ = self
-                    .program
+                    .program_events
                     .send(ControlEvent::Validate(topic, number, content));
             }
             Action::Activate {
@@ -187,7 +187,9 @@
                     before = previous,
                     "version: in force"
                 );
-                let _ = self.program.send(ControlEvent::Activated(topic, number));
+                let _ = self
+                    .program_events
+                    .send(ControlEvent::Activated(topic, number));
             }
             Action::ProposalRejected {
                 topic,
--- a/control/src/service/member.rs
+++ b/control/src/service/member.rs
@@ -1,10 +1,10 @@
 //! A control member's part of the loop: the replicated log with the other members, and the gateways that it serves.
 //!
-//! Nothing is sent to a gateway before the entries that it rests on are stored and applied.
+//! Nothing is sent to a gateway before the entries that it depends on are stored and applied.
 
-use super::gateway::loopback;
+use super::gateway::connect_address;
 use super::served::ServedGateways;
-use super::{digest, ControlError};
+use super::{fleet_digest, ControlError};
 use crate::clock::Clock;
 use crate::frame::{self, Hello, Payload};
 use crate::lease::{self, NodeIdentity, Timing};
@@ -25,24 +25,26 @@
 use tokio::time::{interval, Interval, MissedTickBehavior};
 use tracing::info;
 
-/// Ticks of an election timeout. Raft draws from one to two timeouts: with more ticks, split votes are rarer.
+/// Raft ticks in an election timeout. Raft draws each timeout at random, between one and two times this number of ticks: the
+/// more ticks, the rarer are split votes.
 const ELECTION_TICKS: usize = 20;
-/// Election timeouts in the time that a gateway has left after a renewal was due: an election and another after a split
-/// vote take four of them at most.
-const ELECTIONS_PER_SLACK: u64 = 6;
-/// The shortest election timeout: with less, a busy disk costs the leader its leadership.
+/// Election timeouts in the slack of a lease, which is the time from when a gateway's renewal is due to when its permission
+/// ends. An election, and a second one after a split vote, take at most four election timeouts.
+const ELECTION_TIMEOUTS_PER_SLACK: u64 = 6;
+/// The shortest election timeout: with a shorter one, a leader that waits for a busy disk loses its leadership.
 const MIN_ELECTION_TIMEOUT_US: Micros = 200_000;
-/// The shortest idle timeout of a gateway's link, whatever the leases: it spares a process that stalled a new link.
+/// The shortest idle timeout of a gateway's link, however short the leases are: a process that stalls for a few seconds keeps
+/// its link.
 const MIN_GATEWAY_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// The idle timeout of a gateway's link, in waits of a lease.
+/// The idle timeout of a gateway's link, as a multiple of [`Timing::wait_us`].
 const GATEWAY_IDLE_WAITS: u64 = 2;
 
-/// The ticks of Raft, short enough for permissions to outlast the loss of a leader.
-pub(super) fn ticks(timing: &Timing) -> Interval {
+/// The timer of Raft's ticks, short enough for a new leader to be elected before the permissions of gateways end.
+pub(super) fn tick_interval(timing: &Timing) -> Interval {
     let slack = timing
         .lease_us
         .saturating_sub(timing.renew_us + timing.margin_us);
-    let election = (slack / ELECTIONS_PER_SLACK).max(MIN_ELECTION_TIMEOUT_US);
+    let election = (slack / ELECTION_TIMEOUTS_PER_SLACK).max(MIN_ELECTION_TIMEOUT_US);
     let mut ticks = interval(Duration::from_micros(election / ELECTION_TICKS as u64));
     // Ticks that were missed while the process stalled must not count towards an election timeout.
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -53,8 +55,9 @@
 enum LogState {
     /// It has none, and waits until it knows whether another member has one.
     Waiting(Store),
+    /// It has one, and takes part in Raft.
     Running(Box<Node>),
-    /// Between the two.
+    /// The store is being initialized.
     Starting,
 }
 
@@ -63,8 +66,8 @@
     settings: ControlSettings,
     clock: Clock,
     me: NodeIdentity,
-    /// See [`digest`].
-    digest: u64,
+    /// See [`fleet_digest`].
+    fleet_digest: u64,
     log: LogState,
     voters: BTreeSet<u64>,
     links: BTreeMap<u64, Link>,
@@ -76,8 +79,8 @@
     logged_status: RaftStatus,
     /// Ticks since graceful shutdown began.
     draining_ticks: Option<usize>,
-    /// Actions to carry out once all that is ready is stored and applied.
-    out: Vec<Action>,
+    /// Actions of the state machine. They are carried out once the entries that they depend on are stored and applied.
+    actions: Vec<Action>,
     traffic: MemberTraffic,
     /// When the traffic is logged next.
     next_traffic_log_at: Micros,
@@ -114,7 +117,7 @@
             None => LogState::Waiting(store),
         };
         Ok(Member {
-            digest: digest(settings),
+            fleet_digest: fleet_digest(settings),
             voters: settings.voters().map(|peer| peer.id.into()).collect(),
             settings: settings.clone(),
             clock,
@@ -126,14 +129,14 @@
             gateways: ServedGateways::default(),
             logged_status: RaftStatus::default(),
             draining_ticks: None,
-            out: Vec::new(),
+            actions: Vec::new(),
             traffic: MemberTraffic::default(),
             next_traffic_log_at: 0,
         })
     }
 
-    /// Dials the other members and accepts links; returns the events of all of them.
-    pub(super) fn link_up(
+    /// Dials the other members and accepts links; returns the queue of the events of all links.
+    pub(super) fn open_links(
         &mut self,
         listener: std::net::TcpListener,
     ) -> Result<mpsc::Receiver<LinkEvent>, ControlError> {
@@ -141,12 +144,12 @@
             .local_addr()
             .map_err(|_| ControlError::NoListener)?;
         let listener = tokio::net::TcpListener::from_std(listener);
-        let listener = listener.map_err(|fault| ControlError::Listen(listen, fault))?;
+        let listener = listener.map_err(|error| ControlError::Listen(listen, error))?;
         let (events, received) = mpsc::channel(link::EVENT_QUEUE_LENGTH);
         self.own_hello.set(self.hello());
-        // The gateway of this process connects from here.
+        // The gateway of this process connects from this address.
         let mut allow = self.settings.allow.clone();
-        allow.push(IpNet::from(loopback(listen).ip()));
+        allow.push(IpNet::from(connect_address(listen).ip()));
         let idle_timeout =
             Duration::from_micros(GATEWAY_IDLE_WAITS * self.settings.timing().wait_us())
                 .max(MIN_GATEWAY_IDLE_TIMEOUT);
@@ -177,7 +180,7 @@
         Ok(received)
     }
 
-    /// Whether it leads the log.
+    /// Whether this member is the Raft leader.
     pub(super) fn leads(&self) -> bool {
         matches!(&self.log, LogState::Running(node) if node.status().is_leader)
     }
@@ -187,8 +190,11 @@
             LogState::Running(node) => (node.id(), node.status().applied == 0),
             LogState::Waiting(_) | LogState::Starting => (0, true),
         };
-        let (oldest, newest, fleet_digest) =
-            (frame::OLDEST_FORMAT, frame::NEWEST_FORMAT, self.digest);
+        let (oldest, newest, fleet_digest) = (
+            frame::OLDEST_FORMAT,
+            frame::NEWEST_FORMAT,
+            self.fleet_digest,
+        );
         let (gateway, incarnation) = (self.me.gateway.into(), self.me.incarnation);
         Hello {
             oldest,
@@ -202,7 +208,7 @@
         }
     }
 
-    /// Sends the hello again where it has changed.
+    /// Sends the hello to all other members again if it has changed.
     fn update_hello(&self) {
         let hello = self.hello();
         if self.own_hello.set(hello.clone()) {
@@ -212,12 +218,12 @@
         }
     }
 
-    /// Hands the state machine an event, where there is a log.
+    /// Passes an event to the state machine; without effect while this member has no log.
     fn handle(&mut self, event: Event) -> Result<(), ControlError> {
         let LogState::Running(node) = &mut self.log else {
             return Ok(());
         };
-        Ok(node.handle(self.clock.now(), event, &mut self.out)?)
+        Ok(node.handle(self.clock.now(), event, &mut self.actions)?)
     }
 
     /// Requests the duties that the settings list.
@@ -228,18 +234,19 @@
             .try_for_each(|duty| self.handle(Event::Want(duty)))
     }
 
-    /// Begins a log, or prepares to learn the existing one, once it is clear whether there is one. A member that lost its log
-    /// may have cast votes that it forgot, so it takes part under a new Raft id. A log is begun only where every voter is
-    /// connected and has none, so that two members that lost theirs never begin another beside the third's.
-    fn begin_log(&mut self) -> Result<(), ControlError> {
+    /// Initializes this member's log once it is known whether the fleet has one already: it learns an existing log, or all
+    /// voters start a new one. A member that lost its log may have forgotten votes that it cast, so it takes part under a new
+    /// Raft id. A new log is started only if every voter is connected and has none. Otherwise two members that lost theirs
+    /// could start a second log beside the third member's.
+    fn initialize_log(&mut self) -> Result<(), ControlError> {
         if !matches!(self.log, LogState::Waiting(_)) {
             return Ok(());
         }
         let me = u64::from(self.me.gateway);
         let fresh = |id: &u64| *id == me || self.hellos.get(id).is_some_and(|hello| hello.fresh);
         let learn = self.hellos.values().any(|hello| !hello.fresh);
-        let begin = self.voters.iter().all(fresh);
-        if !(learn || begin) {
+        let start_new = self.voters.iter().all(fresh);
+        if !(learn || start_new) {
             return Ok(());
         }
         let LogState::Waiting(mut store) = std::mem::replace(&mut self.log, LogState::Starting)
@@ -262,7 +269,7 @@
         self.request_duties()
     }
 
-    /// A Raft tick has passed. Ticks are frequent enough for all other timers of a control member.
+    /// Handles a Raft tick. Ticks are frequent enough to serve as all other timers of a control member.
     pub(super) fn tick(&mut self) -> Result<(), ControlError> {
         let known = self
             .hellos
@@ -275,7 +282,8 @@
             node.reconcile_membership(&known, &self.voters);
             if let Some(ticks) = &mut self.draining_ticks {
                 *ticks += 1;
-                // By then the log has what this member gave up.
+                // First after half an election timeout, when the log has the releases of this member's duties; repeated once
+                // per election timeout while this member still leads.
                 if *ticks % ELECTION_TICKS == ELECTION_TICKS / 2 {
                     node.transfer_leadership();
                 }
@@ -311,13 +319,13 @@
         );
     }
 
-    /// Graceful shutdown: gives up its duties, and soon the leadership.
+    /// Begins a graceful shutdown: releases the duties at once, and transfers the leadership soon after.
     pub(super) fn drain(&mut self) -> Result<(), ControlError> {
         self.draining_ticks = Some(0);
         self.handle(Event::Drain)
     }
 
-    /// Handles an event of a link, of a member or a gateway.
+    /// Handles an event of a link to another member or to a gateway.
     pub(super) fn on_link_event(&mut self, event: LinkEvent) -> Result<(), ControlError> {
         match (event, &mut self.log) {
             (LinkEvent::Hello(hello), _) => drop(self.hellos.insert(hello.gateway, hello)),
@@ -337,7 +345,7 @@
             (LinkEvent::GatewayMessage(message), LogState::Running(_)) => {
                 self.handle(Event::Received(message))?
             }
-            // No log here yet: another member may know the leader.
+            // A member without a log does not know the leader. Another one may.
             (LinkEvent::GatewayMessage(message), _) => self
                 .gateways
                 .send(message.who(), &ToGateway::NotLeader { leader: None }),
@@ -349,9 +357,9 @@
         Ok(())
     }
 
-    /// Has all that is ready stored, sent and applied, carries out the resulting actions, and sends a changed hello.
+    /// Stores, sends and applies what Raft has ready, carries out the resulting actions, and sends the hello if it changed.
     pub(super) fn drive(&mut self) -> Result<(), ControlError> {
-        self.begin_log()?;
+        self.initialize_log()?;
         let LogState::Running(node) = &mut self.log else {
             self.update_hello();
             return Ok(());
@@ -362,9 +370,9 @@
                 link.send(Payload::Raft(Box::new(message)));
             }
         };
-        node.process_ready(self.clock.now(), &mut self.out, &mut send)?;
+        node.process_ready(self.clock.now(), &mut self.actions, &mut send)?;
         let (now, status) = (self.clock.now(), node.status());
-        for action in std::mem::take(&mut self.out) {
+        for action in std::mem::take(&mut self.actions) {
             self.execute(action, status.is_leader);
         }
         if (status.leader, status.term) != (self.logged_status.leader, self.logged_status.term) {
@@ -405,7 +413,7 @@
             }
             Action::Send(who, message) => self.gateways.send(who, &message),
             Action::Broadcast(message) => self.gateways.broadcast(&message),
-            // Only the leader logs: one line for the fleet.
+            // Every member counts the actions. Only the leader logs them, so that each is logged once in the fleet.
             Action::Counted { who, spans } if leads => {
                 for span in spans {
                     let (topic, number, count) = (span.topic, span.number, span.count);
@@ -425,7 +433,7 @@
                 }
             }
             Action::Counted { .. } => {}
-            // The node has handled proposals and rounds; ticks are frequent enough for wakeups.
+            // The node has handled proposals and read-index rounds. Ticks are frequent enough to replace wakeups.
             Action::Propose(_) | Action::Confirm(_) | Action::Wake(_) | Action::Lease(_) => {}
         }
     }
--- a/control/src/service/mod.rs
+++ b/control/src/service/mod.rs
@@ -1,10 +1,10 @@
 //! The control plane of one process: runs the state machines of this crate on links, a store and timers.
 //!
-//! One loop on a thread of its own, beside the request path, owns all of these. The request path never waits for it: it
-//! reads a [`View`] that the loop publishes, and sends it a [`ControlRequest`]. The loop has up to two parts. A control
-//! member (`member`) holds the replicated log with the other members and serves gateways. A gateway (`gateway`) keeps its
-//! registration at the leading member. A process that votes and serves clients has both, and its gateway dials the members
-//! as any other does, its own over loopback. `run` is the loop.
+//! One loop owns all of these, on a thread of its own beside the request path. The request path never waits for the loop: it
+//! reads the [`View`] that the loop publishes, and sends the loop a [`ControlRequest`]. The loop has up to two parts. A
+//! control member (`member`) replicates the log with the other members and serves gateways. A gateway (`gateway`) keeps its
+//! registration at the leading member. A process that votes and serves clients has both parts, and its gateway connects to
+//! the members like any other gateway, to its own member over loopback. `run` is the loop.
 
 mod gateway;
 mod member;
@@ -29,35 +29,35 @@
 use tracing::{error, warn};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Why the control plane did not start, or ended. The text names the setting that an operator can change.
+/// Why the control plane did not start, or ended. The text begins with the key of the setting to look at.
 #[derive(Debug, thiserror::Error)]
 pub enum ControlError {
     /// The store cannot be opened, read or written.
     #[error("lease.store: {0}")]
     Store(#[from] StoreError),
     /// The address cannot be listened on.
-    #[error("lease.listen: {0}: {1}; choose an address of this machine that is free")]
+    #[error("lease.listen: cannot listen on {0}: {1}; choose a free address of this machine")]
     Listen(SocketAddr, std::io::Error),
-    /// The settings of a control member do not make it a voter.
-    #[error("lease.me: {0} is no voter among peers; a control member has to be one")]
+    /// The settings do not make this process a voter, as a control member has to be; holds its number in the fleet.
+    #[error("lease.me: {0} is not a voter in lease.peers; set the number of a voter, or run this file with `asterreel run`")]
     NoVoter(u32),
     /// The settings of a control member have no address to listen on.
-    #[error("lease.listen: is missing; the other control members and the gateways connect there")]
+    #[error("lease.listen: is missing; set the address on which this member accepts control members and gateways")]
     NoListener,
-    /// Raft cannot go on.
+    /// The Raft node failed.
     #[error("lease: {0}")]
     Node(#[from] NodeError),
-    /// The thread of the loop cannot be started.
-    #[error("lease: no thread for the control plane: {0}")]
+    /// The thread of the loop, or its runtime, cannot be started.
+    #[error("lease: cannot start the control plane's thread: {0}; check the limits on threads and open files")]
     Thread(std::io::Error),
 }
 
-/// The state of the control plane for the request path, as it was a moment ago.
+/// The state of the control plane as the loop last published it, for the request path.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     /// This gateway's permission to act, which may have ended.
     permission: Option<versions::Permission>,
-    /// How many gateways are registered.
+    /// How many gateways were registered when this one's registration was last renewed.
     pub registrations: u32,
     /// The numbers of the active versions.
     active_versions: BTreeMap<Topic, u64>,
@@ -93,12 +93,12 @@
     Drain,
 }
 
-/// The published view. A poisoned lock is used on: a view is replaced as one pointer and never half written.
+/// The published view. A poisoned lock can still be used: a view is replaced as one pointer and is never half written.
 #[derive(Clone, Default)]
 struct SharedView(Arc<Mutex<Arc<View>>>);
 
 impl SharedView {
-    /// The present view; the lock is held for a copy of a pointer alone.
+    /// The current view. The lock is held only while a pointer is copied.
     fn load(&self) -> Arc<View> {
         self.0
             .lock()
@@ -111,7 +111,7 @@
     }
 }
 
-/// The program's handle of the loop.
+/// The program's handle to the loop.
 pub struct Handle {
     requests: mpsc::UnboundedSender<ControlRequest>,
     view: SharedView,
@@ -119,7 +119,7 @@
 }
 
 impl Handle {
-    /// Sends the loop a request, which is dropped where the loop has ended.
+    /// Sends the loop a request, which is dropped if the loop has ended.
     pub fn request(&self, request: ControlRequest) {
         let _ = self.requests.send(request);
     }
@@ -144,36 +144,36 @@
     Activated(Topic, u64),
 }
 
-/// Starts the loop of a gateway on a thread of its own; where the settings make it a voter, it is a control member as well.
+/// Starts the loop of a gateway on a thread of its own. If the settings make it a voter, it is a control member as well.
 ///
 /// # Errors
 ///
-/// [`ControlError`], where the store cannot be opened, or the listener cannot be bound.
+/// [`ControlError`] if the store cannot be opened or the listener cannot be bound.
 pub fn start(
     settings: &ControlSettings,
     clock: Clock,
 ) -> Result<(Handle, Receiver<ControlEvent>), ControlError> {
-    begin(settings, clock, true)
+    start_loop(settings, clock, true)
 }
 
 /// Starts the loop of a control member that serves no clients: it has no registration and acts on no version.
 ///
 /// # Errors
 ///
-/// [`ControlError`], where the store cannot be opened, or the listener cannot be bound.
+/// [`ControlError`] if the settings name no voter, the store cannot be opened or the listener cannot be bound.
 pub fn start_member(settings: &ControlSettings, clock: Clock) -> Result<Handle, ControlError> {
     if !settings.is_voter() {
         return Err(ControlError::NoVoter(settings.me));
     }
-    begin(settings, clock, false).map(|(handle, _)| handle)
+    start_loop(settings, clock, false).map(|(handle, _)| handle)
 }
 
-fn begin(
+fn start_loop(
     settings: &ControlSettings,
     clock: Clock,
     registers: bool,
 ) -> Result<(Handle, Receiver<ControlEvent>), ControlError> {
-    // Unique for each start: grants to an earlier process of this gateway are not this one's.
+    // A new incarnation for each start: what an earlier process of this gateway was granted is not valid for this one.
     let me = NodeIdentity {
         gateway: settings.me,
         incarnation: fastrand::u32(1..),
@@ -199,14 +199,14 @@
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build();
-        let ended = runtime.map_err(ControlError::Thread).and_then(|runtime| {
+        let result = runtime.map_err(ControlError::Thread).and_then(|runtime| {
             let local = tokio::task::LocalSet::new();
             let run = startup.run(member, events, view.clone(), received_requests);
             local.block_on(&runtime, run)
         });
-        // Clients are served on without the control plane; what needs a permission stops.
+        // The gateway goes on serving clients without the control plane. The empty view ends what needs a permission.
         view.store(View::default());
-        if let Err(error) = ended {
+        if let Err(error) = result {
             error!("{error}");
         }
     };
@@ -215,7 +215,7 @@
     Ok((handle, received_events))
 }
 
-/// Opens the store and the listener of a voter; none for a process that does not vote.
+/// Opens the store and the listener of a voter; `None` for a process that does not vote.
 fn open_member(
     settings: &ControlSettings,
     clock: Clock,
@@ -223,7 +223,8 @@
 ) -> Result<Option<(Member, TcpListener)>, ControlError> {
     if !settings.is_voter() {
         if !settings.duties.is_empty() {
-            warn!("lease.duties: not held here: duties are held by control members (voters) only");
+            let duties = settings.duties.join(", ");
+            warn!("lease.duties: {duties}: no effect here, as only control members (voters) hold duties");
         }
         return Ok(None);
     }
@@ -235,9 +236,9 @@
     Ok(Some((member, listener)))
 }
 
-/// A digest of the voters and the lease times, which must be the same at all processes of a fleet: a leader with a shorter
-/// wait than a gateway's lease would expire registrations too early.
-fn digest(settings: &ControlSettings) -> u64 {
+/// A digest of the voters and the lease times, which must be the same in all processes of a fleet: a leader that waits for
+/// less than a gateway's lease would let registrations expire too early.
+fn fleet_digest(settings: &ControlSettings) -> u64 {
     let mut voters: Vec<u32> = settings.voters().map(|peer| peer.id).collect();
     voters.sort_unstable();
     xxh3_64(format!("{voters:?} {:?}", settings.timing()).as_bytes())
--- a/control/src/service/run.rs
+++ b/control/src/service/run.rs
@@ -1,5 +1,5 @@
-//! The loop of the control plane: waits for ticks, timers, links and requests, hands each to its part, and publishes the
-//! view after every round.
+//! The loop of the control plane: waits for ticks, timers, links and requests, passes each to the control member or the
+//! gateway of this process, and publishes the view after every round.
 
 use super::gateway::Gateway;
 use super::member::{self, Member};
@@ -16,10 +16,10 @@
 use tokio::sync::mpsc;
 use tracing::info;
 
-/// The target of the loop's log lines, which operators may select.
+/// The log target of the loop, by which operators may filter.
 const LOG_TARGET: &str = "asterreel_control::service";
 
-/// The next event of a part's links; pending for ever where there is no such part.
+/// The next event of the member's or the gateway's links; pending forever if this process has no such part.
 async fn next_event<T>(events: &mut Option<mpsc::Receiver<T>>) -> T {
     if let Some(events) = events {
         if let Some(event) = events.recv().await {
@@ -29,7 +29,7 @@
     std::future::pending().await
 }
 
-/// The next Raft tick; pending for ever where there is no control member.
+/// The next Raft tick; pending forever if this process is no control member.
 async fn tick(ticks: &mut Option<tokio::time::Interval>) {
     match ticks {
         Some(ticks) => drop(ticks.tick().await),
@@ -56,7 +56,7 @@
     pub(super) async fn run(
         self,
         member: Option<(Member, TcpListener)>,
-        program: Sender<ControlEvent>,
+        program_events: Sender<ControlEvent>,
         view: SharedView,
         requests: mpsc::UnboundedReceiver<ControlRequest>,
     ) -> Result<(), ControlError> {
@@ -67,23 +67,28 @@
             registers,
             traffic,
         } = self;
-        let mut from_members = None;
+        let mut member_events = None;
         let mut ticks = None;
         let member = match member {
             Some((mut member, listener)) => {
-                from_members = Some(member.link_up(listener)?);
-                ticks = Some(member::ticks(&settings.timing()));
+                member_events = Some(member.open_links(listener)?);
+                ticks = Some(member::tick_interval(&settings.timing()));
                 Some(member)
             }
             None => None,
         };
-        let mut from_control = None;
+        let mut gateway_events = None;
         let mut gateway = None;
         if registers {
-            let (events, received) = mpsc::channel(link::EVENT_QUEUE_LENGTH);
-            from_control = Some(received);
+            let (link_events, received) = mpsc::channel(link::EVENT_QUEUE_LENGTH);
+            gateway_events = Some(received);
             gateway = Some(Gateway::start(
-                &settings, clock, me, program, events, traffic,
+                &settings,
+                clock,
+                me,
+                program_events,
+                link_events,
+                traffic,
             ));
         }
         let control_loop = ControlLoop {
@@ -100,7 +105,7 @@
             "log: started"
         );
         control_loop
-            .run(ticks, from_members, from_control, requests)
+            .run(ticks, member_events, gateway_events, requests)
             .await
     }
 }
@@ -117,15 +122,15 @@
     async fn run(
         mut self,
         mut ticks: Option<tokio::time::Interval>,
-        mut from_members: Option<mpsc::Receiver<link::accept::LinkEvent>>,
-        mut from_control: Option<mpsc::Receiver<link::gateway::LinkEvent>>,
+        mut member_events: Option<mpsc::Receiver<link::accept::LinkEvent>>,
+        mut gateway_events: Option<mpsc::Receiver<link::gateway::LinkEvent>>,
         mut requests: mpsc::UnboundedReceiver<ControlRequest>,
     ) -> Result<(), ControlError> {
         let mut requests_open = true;
         loop {
             self.drive()?;
-            let wake = self.gateway.as_ref().map_or(Duration::MAX, |gateway| {
-                gateway.time_to_wakeup(self.clock.now())
+            let sleep_time = self.gateway.as_ref().map_or(Duration::MAX, |gateway| {
+                gateway.time_until_wakeup(self.clock.now())
             });
             tokio::select! {
                 () = tick(&mut ticks) => {
@@ -133,26 +138,26 @@
                         member.tick()?;
                     }
                 }
-                () = tokio::time::sleep(wake) => {
+                () = tokio::time::sleep(sleep_time) => {
                     if let Some(gateway) = &mut self.gateway {
                         gateway.handle(versions::client::Event::Tick);
                     }
                 }
-                event = next_event(&mut from_members) => self.on_member_event(event)?,
-                event = next_event(&mut from_control) => self.on_gateway_event(event),
+                event = next_event(&mut member_events) => self.on_member_event(event)?,
+                event = next_event(&mut gateway_events) => self.on_gateway_event(event),
                 request = requests.recv(), if requests_open => match request {
                     Some(request) => self.on_request(request)?,
                     None => requests_open = false,
                 },
             }
-            // Handles whatever else has arrived, so that one write to the disk serves all of it.
-            while let Some(event) = from_members
+            // Handles all other events that have arrived, so that one write to the disk covers them.
+            while let Some(event) = member_events
                 .as_mut()
                 .and_then(|events| events.try_recv().ok())
             {
                 self.on_member_event(event)?;
             }
-            while let Some(event) = from_control
+            while let Some(event) = gateway_events
                 .as_mut()
                 .and_then(|events| events.try_recv().ok())
             {
@@ -202,7 +207,7 @@
         Ok(())
     }
 
-    /// Has all that is ready stored, sent and applied, and publishes the view.
+    /// Stores, sends and applies what Raft has ready, and publishes the view.
     fn drive(&mut self) -> Result<(), ControlError> {
         let mut view = View::default();
         if let Some(member) = &mut self.member {
--- a/control/src/service/served.rs
+++ b/control/src/service/served.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use tracing::warn;
 
-/// The target of the log lines on served gateways: that of the control member, which operators may select.
+/// The log target for served gateways: that of the control member, by which operators may filter.
 const LOG_TARGET: &str = "asterreel_control::service::member";
 
 /// The newest link of each incarnation of a gateway. Dropping a handle closes its link.
@@ -18,12 +18,12 @@
 }
 
 impl ServedGateways {
-    /// Takes a new link in place of the gateway's former one.
+    /// Adds the link of a gateway; the former one of the same incarnation is closed.
     pub(super) fn connect(&mut self, link: GatewayLink) {
         self.links.insert(link.who, link);
     }
 
-    /// A link has ended; a newer one of the same gateway stays.
+    /// Removes a link that has ended, unless a newer one has replaced it.
     pub(super) fn disconnect(&mut self, who: NodeIdentity, link: u64) {
         let current = self.links.get(&who);
         if current.is_some_and(|current| current.link == link) {
@@ -57,7 +57,7 @@
     }
 }
 
-/// Queues a frame for a gateway; false where its link is to be closed.
+/// Queues a frame for a gateway; false if its link is to be closed.
 fn try_send(link: &GatewayLink, frame: Bytes) -> bool {
     let sent = link.send(frame);
     if !sent {
