--- a/control/src/frame.rs
+++ b/control/src/frame.rs
@@ -1,8 +1,8 @@
 //! Frames between gateways and control members: a length and a `prost` message, which carries a hello, a message of the
 //! Raft log, or a message of the version protocol.
 //!
-//! A frame is bounded in length before it is kept, and one that is not understood completely is an error, after which its
-//! link is closed.
+//! The length of a frame is checked before its content is buffered. A frame that cannot be decoded completely is an error,
+//! after which its link is closed.
 
 mod error;
 mod hello;
@@ -18,9 +18,9 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-/// The formats of frames that this build reads and writes. Two builds talk in the newest format that both know. In format 1
-/// all gateways were members of the log.
+/// The oldest format of frames that this build reads and writes. In format 1 all gateways were members of the Raft group.
 pub(crate) const OLDEST_FORMAT: u32 = 2;
+/// The newest format of frames that this build reads and writes. Two builds use the newest format that both support.
 pub(crate) const NEWEST_FORMAT: u32 = 2;
 /// The longest frame, bytes: enough for a snapshot of the state machine with two contents of each topic.
 pub(crate) const MAX_FRAME_BYTES: usize = 1 << 20;
@@ -35,7 +35,7 @@
 enum Kind {
     #[prost(message, tag = "1")]
     Hello(Hello),
-    /// A Raft message, in the codec of its crate.
+    /// A Raft message, encoded by the crate `raft`.
     #[prost(bytes = "vec", tag = "2")]
     Raft(Vec<u8>),
     /// From a gateway to the control member that serves it.
@@ -46,7 +46,7 @@
     ToGateway(Vec<u8>),
 }
 
-/// The content of a frame.
+/// The decoded content of a frame.
 #[derive(Debug, PartialEq)]
 pub(crate) enum Payload {
     Hello(Hello),
@@ -79,7 +79,7 @@
 pub(crate) fn encode_raft(message: &eraftpb::Message) -> Result<Bytes, FrameError> {
     let bytes = message
         .write_to_bytes()
-        .map_err(|fault| FrameError::Malformed(fault.to_string()))?;
+        .map_err(|error| FrameError::Malformed(error.to_string()))?;
     encode(Kind::Raft(bytes))
 }
 
@@ -102,7 +102,7 @@
 }
 
 impl<R: AsyncRead + Unpin> FrameReader<R> {
-    /// Reads from `from`, and counts with `traffic`.
+    /// Reads from `from`, and counts frames and bytes in `traffic`.
     pub(crate) fn new(from: R, traffic: Traffic) -> FrameReader<R> {
         FrameReader {
             from,
@@ -112,8 +112,8 @@
         }
     }
 
-    /// Adds what is read from now on to other counters.
-    pub(crate) fn count_with(&mut self, traffic: Traffic) {
+    /// Counts frames and bytes that are read from now on in other counters.
+    pub(crate) fn set_traffic(&mut self, traffic: Traffic) {
         self.traffic = traffic;
     }
 
@@ -133,15 +133,15 @@
 }
 
 fn decode(frame: &[u8]) -> Result<Payload, FrameError> {
-    let frame = Frame::decode(frame).map_err(|fault| FrameError::Malformed(fault.to_string()))?;
-    let malformed = |fault: crate::codec::DecodeError| FrameError::Malformed(fault.to_string());
+    let frame = Frame::decode(frame).map_err(|error| FrameError::Malformed(error.to_string()))?;
+    let malformed = |error: crate::codec::DecodeError| FrameError::Malformed(error.to_string());
     match frame.kind.ok_or(FrameError::UnexpectedKind)? {
         Kind::Hello(hello) => Ok(Payload::Hello(hello)),
         Kind::Raft(bytes) => {
             let message = eraftpb::Message::parse_from_bytes(&bytes);
             message
                 .map(|m| Payload::Raft(Box::new(m)))
-                .map_err(|fault| FrameError::Malformed(fault.to_string()))
+                .map_err(|error| FrameError::Malformed(error.to_string()))
         }
         Kind::ToControl(bytes) => ToControl::decode(&bytes)
             .map(Payload::ToControl)
--- a/control/src/frame/hello.rs
+++ b/control/src/frame/hello.rs
@@ -1,4 +1,4 @@
-//! The handshake: the first frame of each side says who it is, and whether the two may talk.
+//! The handshake: the first frame of each side identifies the sender, and shows whether the two can communicate.
 
 use super::{FrameError, NEWEST_FORMAT, OLDEST_FORMAT};
 use crate::lease::NodeIdentity;
@@ -9,22 +9,22 @@
     /// The oldest format of frames that the sender reads and writes.
     #[prost(uint32, tag = "1")]
     pub oldest: u32,
-    /// The newest one.
+    /// The newest format of frames that the sender reads and writes.
     #[prost(uint32, tag = "2")]
     pub newest: u32,
     /// A digest of the voters and the lease times, which are the same in all settings of a fleet.
     #[prost(uint64, tag = "3")]
     pub fleet_digest: u64,
-    /// The number of the sender's gateway.
+    /// The sender's number in the fleet.
     #[prost(uint64, tag = "4")]
     pub gateway: u64,
     /// The sender's Raft id; 0 in a control member that has no log yet, and in a gateway.
     #[prost(uint64, tag = "5")]
     pub raft_id: u64,
-    /// The sender knows of no entry that was ever committed.
+    /// Whether the sender knows of no log entry that was ever committed.
     #[prost(bool, tag = "6")]
     pub fresh: bool,
-    /// The sender is a gateway that wants to be served on this link, rather than a control member.
+    /// Whether the sender is a gateway that is to be served on this link, rather than a control member.
     #[prost(bool, tag = "7")]
     pub client: bool,
     /// The incarnation of the sender's process; see [`NodeIdentity`].
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Checks that the sender shares a format, is of this fleet, and is gateway `expected` where that is given.
+    /// Checks that the sender shares a format, is of this fleet, and is gateway `expected` if that is given.
     pub(crate) fn check(&self, fleet_digest: u64, expected: Option<u64>) -> Result<(), FrameError> {
         if self.newest < OLDEST_FORMAT || self.oldest > NEWEST_FORMAT {
             return Err(FrameError::UnsupportedFormats(self.oldest, self.newest));
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The sender's identity; an error where its number is not one that a gateway can have.
+    /// The sender's identity; an error if its number is not one that a gateway can have (1 to 65535).
     pub(crate) fn identity(&self) -> Result<NodeIdentity, FrameError> {
         let gateway = u16::try_from(self.gateway)
             .ok()
--- a/control/src/frame/tests.rs
+++ b/control/src/frame/tests.rs
@@ -8,8 +8,9 @@
     incarnation: 77,
 };
 
-fn frames() -> (Vec<u8>, usize) {
-    let first = Hello {
+/// The bytes of one frame of each kind, and the number of frames.
+fn encoded_frames() -> (Vec<u8>, usize) {
+    let member_hello = Hello {
         oldest: 1,
         newest: 3,
         fleet_digest: 9,
@@ -30,14 +31,14 @@
         oldest: 1,
         newest: 2,
     };
-    let (token, seen) = (Some(Token(4)), Index(8));
+    let (token, known_index) = (Some(Token(4)), Index(8));
     let content = Content {
         format: 1,
         bytes: vec![1, 2, 3],
     };
-    let (topic, refused) = (Topic::Operator, Err("not good here".to_owned()));
+    let (topic, nack) = (Topic::Operator, Err("not valid here".to_owned()));
     let all = [
-        encode_hello(&first),
+        encode_hello(&member_hello),
         encode_hello(&Hello::of_client(ME, 9)),
         encode_raft(&message),
         encode_to_control(&ToControl::Heartbeat {
@@ -45,7 +46,7 @@
             formats,
             token,
             sent_at: 1_000_000,
-            known_index: seen,
+            known_index,
         }),
         encode_to_control(&ToControl::ProposeVersion {
             who: ME,
@@ -59,7 +60,7 @@
             token: Token(4),
             topic,
             number: 9,
-            result: refused,
+            result: nack,
         }),
         encode_to_gateway(&ToGateway::RegistrationRenewed {
             who: ME,
@@ -79,7 +80,8 @@
     )
 }
 
-fn read(bytes: &[u8]) -> (Vec<Payload>, Option<FrameError>) {
+/// Reads frames until the bytes end or an error occurs.
+fn read_all(bytes: &[u8]) -> (Vec<Payload>, Option<FrameError>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
         .expect("a runtime");
@@ -87,53 +89,54 @@
     let mut all = Vec::new();
     loop {
         match runtime.block_on(frames.next()) {
-            Ok(said) => all.push(said),
+            Ok(payload) => all.push(payload),
             Err(FrameError::Closed) => return (all, None),
-            Err(fault) => return (all, Some(fault)),
+            Err(error) => return (all, Some(error)),
         }
     }
 }
 
-/// Truncated frames are never decoded in part, and garbage is a typed error.
+/// Truncated frames are never decoded in part, garbage does not panic, and a frame that is too long is an error.
 #[test]
 fn truncated_frames_are_never_decoded() {
-    let (bytes, count) = frames();
-    let (all, fault) = read(&bytes);
-    assert!(fault.is_none() && all.len() == count, "{all:?}");
+    let (bytes, count) = encoded_frames();
+    let (all, error) = read_all(&bytes);
+    assert!(error.is_none() && all.len() == count, "{all:?}");
     for end in 0..bytes.len() {
-        let (some, _) = read(&bytes[..end]);
+        let (some, _) = read_all(&bytes[..end]);
         assert!(
             some.len() < count && some[..] == all[..some.len()],
             "cut at {end}"
         );
     }
-    fuzz::garbage(&bytes, |spoilt| drop(read(spoilt)));
-    let long = [&(MAX_FRAME_BYTES as u32 + 1).to_be_bytes()[..], &[0; 64]].concat();
+    fuzz::garbage(&bytes, |corrupted| drop(read_all(corrupted)));
+    let too_long = [&(MAX_FRAME_BYTES as u32 + 1).to_be_bytes()[..], &[0; 64]].concat();
     assert!(
-        matches!(read(&long).1, Some(FrameError::Io(_))),
+        matches!(read_all(&too_long).1, Some(FrameError::Io(_))),
         "a frame that is too long"
     );
 }
 
-/// Garbage within a complete frame is a typed error.
+/// Garbage within a complete frame does not panic.
 #[test]
-fn garbage_in_complete_frame_is_an_error() {
-    let (bytes, _) = frames();
+fn garbage_in_complete_frame_does_not_panic() {
+    let (bytes, _) = encoded_frames();
     for kind in [
         Kind::ToControl as fn(Vec<u8>) -> Kind,
         Kind::ToGateway,
         Kind::Raft,
     ] {
-        fuzz::garbage(&bytes, |spoilt| {
-            let frame = encode(kind(spoilt.to_vec())).expect("short");
-            drop(read(&frame));
+        fuzz::garbage(&bytes, |corrupted| {
+            let frame = encode(kind(corrupted.to_vec())).expect("short");
+            drop(read_all(&frame));
         });
     }
 }
 
+/// Writers and readers of frames count the same bytes.
 #[test]
 fn traffic_is_counted_on_both_sides() {
-    let (bytes, count) = frames();
+    let (bytes, count) = encoded_frames();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
         .expect("a runtime");
@@ -169,7 +172,7 @@
     };
     assert!(
         next.check(9, None).is_ok(),
-        "the next version that still speaks this one's"
+        "a newer build that still supports this build's format"
     );
     let newer = Hello {
         oldest: NEWEST_FORMAT + 1,
@@ -190,7 +193,7 @@
             older.check(9, None),
             Err(FrameError::UnsupportedFormats(1, 1))
         ),
-        "all of them took part in the log"
+        "a build of format 1, in which all gateways took part in the log"
     );
     assert!(matches!(good.check(8, None), Err(FrameError::OtherFleet)));
     assert!(matches!(
@@ -205,7 +208,7 @@
         };
         assert!(
             matches!(none.identity(), Err(FrameError::UnexpectedGateway(_))),
-            "no gateway has {gateway}"
+            "no gateway has the number {gateway}"
         );
     }
 }
--- a/control/src/link/accept.rs
+++ b/control/src/link/accept.rs
@@ -1,7 +1,7 @@
-//! The links that a control member accepts: of other members, which only send, and of gateways, which it serves.
+//! The links that a control member accepts: from other members, which only send, and from gateways, which it serves.
 //!
-//! The number of handshakes, of links of each member and of gateways is bounded. A peer speaks for itself alone: a message
-//! in the name of another closes its link.
+//! The numbers of concurrent handshakes, of members' links and of gateways are limited. A peer may send only its own
+//! messages: one in the name of another closes the link.
 
 use super::{write, Established, SharedHello, HANDSHAKE_TIMEOUT, MIN_RETRY_DELAY};
 use crate::frame::{self, FrameError, FrameReader, Hello, Payload};
@@ -23,24 +23,24 @@
 use tokio::time::timeout;
 use tracing::warn;
 
-/// Handshakes at once; further connections wait in the listener's queue meanwhile.
+/// The limit on concurrent handshakes; further connections wait in the listener's queue.
 const MAX_CONCURRENT_HANDSHAKES: usize = 256;
-/// Links that each member may have open here: the one in use, and others that it has closed unnoticed.
+/// Links that each member may have open here: the one in use, and former ones whose end has not been noticed yet.
 const MAX_LINKS_PER_MEMBER: usize = 3;
-/// Gateways served at once: twice the largest planned fleet (2,048), as each may reconnect before its former link is seen
-/// to be gone. A link takes a few kilobytes and one descriptor.
+/// Gateways served at once: twice the largest planned fleet (2,048), as each may reconnect before the end of its former link
+/// is noticed. A link takes a few kilobytes and one file descriptor.
 pub(crate) const MAX_GATEWAYS: usize = 4_096;
-/// Frames that may be queued for one gateway. It is sent a handful in each lease: one with a full queue has stopped reading,
-/// and its link is closed.
+/// Frames that may be queued for one gateway. A gateway is sent a few frames per lease, so one whose queue is full has
+/// stopped reading, and its link is closed.
 const GATEWAY_QUEUE_FRAMES: usize = 64;
-/// How long a member's link may be idle. A leader's heartbeats are many times as frequent.
+/// How long a member's link may be idle. A leader sends heartbeats far more often.
 const MEMBER_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// An event of a link, for the loop of a control member.
 pub(crate) enum LinkEvent {
-    /// A Raft message of another member.
+    /// A Raft message from another member.
     Raft(Box<Message>),
-    /// Another member's hello, at first and whenever it changes.
+    /// Another member's hello: the first one, and each one that differs from the last.
     Hello(Hello),
     /// The link to the member with this number is lost.
     PeerLost(u64),
@@ -51,30 +51,30 @@
         /// Whether it was sent completely.
         complete: bool,
     },
-    /// A gateway wants to be served.
+    /// A gateway has connected.
     GatewayConnected(GatewayLink),
-    /// A message of a gateway that is served.
+    /// A message from a connected gateway.
     GatewayMessage(ToControl),
     /// The link of a gateway has ended.
     GatewayDisconnected {
         /// The gateway.
         who: NodeIdentity,
-        /// The link's number; see [`GatewayLink::link`].
-        link: u64,
+        /// See [`GatewayLink::link_number`].
+        link_number: u64,
     },
 }
 
-/// The loop's handle of a served gateway's link. Dropping it closes the link.
+/// The loop's handle to the link of a connected gateway. Dropping it closes the link.
 pub(crate) struct GatewayLink {
     /// The gateway.
     pub who: NodeIdentity,
-    /// Tells this link from others of the same gateway.
-    pub link: u64,
+    /// The link's number among all that this member accepted: a gateway that reconnects gets a new one.
+    pub link_number: u64,
     queue: mpsc::Sender<Bytes>,
 }
 
 impl GatewayLink {
-    /// Queues a frame; false where the queue is full, and the link is to be closed.
+    /// Queues a frame; false if the queue is full or the link has ended, so that the handle is to be dropped.
     pub(crate) fn send(&self, frame: Bytes) -> bool {
         self.queue.try_send(frame).is_ok()
     }
@@ -96,10 +96,10 @@
     pub traffic: MemberTraffic,
 }
 
-/// Accepts links for as long as the thread's tasks run.
+/// Spawns a local task that accepts links, each of which is handled in a task of its own.
 pub(crate) fn listen(listener: TcpListener, acceptor: Acceptor) {
     let handshakes = Arc::new(Semaphore::new(MAX_CONCURRENT_HANDSHAKES));
-    let slots = Rc::new(Slots {
+    let limits = Rc::new(LinkLimits {
         members: Arc::new(Semaphore::new(acceptor.voters.len() * MAX_LINKS_PER_MEMBER)),
         gateways: Arc::new(Semaphore::new(MAX_GATEWAYS)),
     });
@@ -110,12 +110,12 @@
                 return;
             };
             let (link, from) = acceptor.accept(&listener).await;
-            let (acceptor, slots) = (acceptor.clone(), slots.clone());
+            let (acceptor, limits) = (acceptor.clone(), limits.clone());
             spawn_local(async move {
                 let established = acceptor.handshake(link).await;
                 drop(permit);
                 let ended = match established {
-                    Ok(established) => acceptor.read(established, number, &slots).await,
+                    Ok(established) => acceptor.run_link(established, number, &limits).await,
                     Err(error) => Err(error),
                 };
                 match ended {
@@ -127,8 +127,8 @@
     });
 }
 
-/// Limits of the links that are open at once.
-struct Slots {
+/// Limits on the links that are open at the same time.
+struct LinkLimits {
     members: Arc<Semaphore>,
     gateways: Arc<Semaphore>,
 }
@@ -140,7 +140,7 @@
             match listener.accept().await {
                 Ok((link, from)) if self.allows(from) => return (link, from),
                 Ok(_) => {}
-                // Out of descriptors, perhaps: a retry may find one.
+                // The process may be out of file descriptors, so retries after a delay.
                 Err(_) => tokio::time::sleep(MIN_RETRY_DELAY).await,
             }
         }
@@ -152,7 +152,7 @@
             .any(|net| net.contains(&from.ip().to_canonical()))
     }
 
-    /// Exchanges hellos, and rejects a peer that is not of this fleet.
+    /// Exchanges hellos, and rejects a peer of another fleet or without a common format.
     async fn handshake(&self, link: TcpStream) -> Result<Established, FrameError> {
         link.set_nodelay(true)?;
         let (read, mut link) = link.into_split();
@@ -164,7 +164,7 @@
             return Err(FrameError::UnexpectedKind);
         };
         let own = self.own.hello();
-        // Sent even to a peer that is rejected: it can then log why.
+        // Sent even to a peer that is rejected, so that it can log the reason.
         write(
             &mut link,
             &frame::encode_hello(&own)?,
@@ -179,33 +179,34 @@
         })
     }
 
-    /// Handles a link until it ends.
-    async fn read(
+    /// Runs a link until it ends.
+    async fn run_link(
         &self,
         established: Established,
         number: u64,
-        slots: &Slots,
+        limits: &LinkLimits,
     ) -> Result<(), FrameError> {
         if established.hello.client {
-            let Ok(_slot) = slots.gateways.clone().try_acquire_owned() else {
+            let Ok(_permit) = limits.gateways.clone().try_acquire_owned() else {
                 return Err(FrameError::TooManyGateways(MAX_GATEWAYS));
             };
-            return self.serve(established, number).await;
+            return self.run_gateway_link(established, number).await;
         }
         if !self.voters.contains(&established.hello.gateway) {
             return Err(FrameError::NotAVoter(established.hello.gateway));
         }
-        let Ok(_slot) = slots.members.clone().try_acquire_owned() else {
+        let Ok(_permit) = limits.members.clone().try_acquire_owned() else {
             return Err(FrameError::Closed);
         };
-        self.read_member(established).await
+        self.run_member_link(established).await
     }
 
-    async fn read_member(&self, established: Established) -> Result<(), FrameError> {
+    /// Reads a member's link until it breaks or is idle for too long.
+    async fn run_member_link(&self, established: Established) -> Result<(), FrameError> {
         let Established {
             hello,
             mut frames,
-            write: _keep,
+            write: _keep_open,
         } = established;
         let (fleet_digest, peer) = (hello.fleet_digest, hello.gateway);
         let _ = self.events.send(LinkEvent::Hello(hello)).await;
@@ -236,26 +237,34 @@
     }
 
     /// Serves a gateway until its link breaks, it is idle for too long, or the loop drops its handle.
-    async fn serve(&self, established: Established, number: u64) -> Result<(), FrameError> {
+    async fn run_gateway_link(
+        &self,
+        established: Established,
+        number: u64,
+    ) -> Result<(), FrameError> {
         let who = established.hello.identity()?;
         let (queue, queued) = mpsc::channel(GATEWAY_QUEUE_FRAMES);
         let connected = LinkEvent::GatewayConnected(GatewayLink {
             who,
-            link: number,
+            link_number: number,
             queue,
         });
         if self.events.send(connected).await.is_err() {
             return Ok(());
         }
-        let ended = self.serve_on(established, who, queued).await;
+        let ended = self.exchange_messages(established, who, queued).await;
         let _ = self
             .events
-            .send(LinkEvent::GatewayDisconnected { who, link: number })
+            .send(LinkEvent::GatewayDisconnected {
+                who,
+                link_number: number,
+            })
             .await;
         ended
     }
 
-    async fn serve_on(
+    /// Sends a gateway the queued frames, and passes its messages to the loop.
+    async fn exchange_messages(
         &self,
         established: Established,
         who: NodeIdentity,
@@ -266,7 +275,7 @@
             write: mut link,
             ..
         } = established;
-        frames.count_with(self.traffic.gateways.clone());
+        frames.set_traffic(self.traffic.gateways.clone());
         let mut idle_at = tokio::time::Instant::now() + self.idle_timeout;
         loop {
             let received = tokio::select! {
--- a/control/src/link/gateway.rs
+++ b/control/src/link/gateway.rs
@@ -1,7 +1,7 @@
 //! A gateway's link to the leading control member, which it finds by trying the members in turn.
 //!
-//! When the link breaks, or the member names another leader, the gateway dials that one, or the next member, with backoff.
-//! Whether a member that does not answer is given up is decided by [`crate::versions::Client`], not here.
+//! When the member names another leader, the gateway dials that one. When the link breaks or the leader is unknown, it dials
+//! the next member, with backoff. [`crate::versions::Client`] decides when to leave a member that does not answer.
 
 use super::{handshake, write, Established, HANDSHAKE_TIMEOUT, MAX_RETRY_DELAY, MIN_RETRY_DELAY};
 use crate::frame::{self, FrameError, Hello, Payload};
@@ -16,23 +16,23 @@
 use tokio::time::Instant;
 use tracing::{info, warn};
 
-/// Commands that may be queued: an established link sends them at once.
+/// Commands that may be queued. The queue stays short, as an established link sends them at once.
 const QUEUE_LENGTH: usize = 256;
 
-/// How often the delay doubles at most.
+/// How many times the retry delay is doubled at most.
 const MAX_DOUBLINGS: u32 = 5;
-/// The shortest handshake timeout: with less, a busy machine passes for a failed one.
+/// The shortest handshake timeout: with a shorter one, a busy member would be taken for a failed one.
 const MIN_HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Tells the links that a gateway has one after another apart; counted from 1.
+/// The number of a gateway's link: every attempt to establish one counts, from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct LinkId(pub(super) u64);
 
 /// An event of the link, for the gateway's loop.
 pub(crate) enum LinkEvent {
-    /// A member serves this gateway on a new link.
+    /// A link to a member is established.
     Up(LinkId),
-    /// A message of the member.
+    /// A message from the member.
     Received(LinkId, ToGateway),
     /// The link has ended.
     Down(LinkId),
@@ -41,11 +41,11 @@
 /// A command of the loop.
 enum Command {
     Send(ToControl),
-    /// Another member leads: the one with this number, where it is known.
+    /// Another member leads: the one with this number, if it is known.
     Switch(Option<u32>),
 }
 
-/// The loop's handle of the link.
+/// The loop's handle to the link.
 pub(crate) struct Link {
     commands: mpsc::Sender<(LinkId, Command)>,
 }
@@ -56,7 +56,7 @@
     pub members: Vec<(u64, SocketAddr)>,
     /// The hello of this gateway.
     pub own: Hello,
-    /// The lease times, of which the timeouts are parts.
+    /// The lease times, from which the timeouts are derived.
     pub timing: Timing,
     /// Seeds the order of the members and the jitter of delays.
     pub seed: u64,
@@ -74,12 +74,12 @@
         Link { commands }
     }
 
-    /// Sends a message on a link; it is lost where that link has ended.
+    /// Sends a message on a link. The message is dropped if that link has ended or the queue is full.
     pub(crate) fn send(&self, link: LinkId, message: ToControl) {
         let _ = self.commands.try_send((link, Command::Send(message)));
     }
 
-    /// Leaves a link for the leader, or for the next member where the leader is unknown.
+    /// Closes a link and connects to the leader, or to the next member if the leader is unknown.
     pub(crate) fn switch(&self, link: LinkId, leader: Option<u32>) {
         let _ = self.commands.try_send((link, Command::Switch(leader)));
     }
@@ -101,20 +101,20 @@
     rng: fastrand::Rng,
     /// How long a member may take for the handshake.
     handshake_timeout: Duration,
-    /// The longest delay between two members while this gateway may still have a permission to renew.
-    short_max_delay: Duration,
-    /// The link in use, or used last.
+    /// The longest delay between two attempts while this gateway may still have a permission to renew.
+    max_delay_with_permission: Duration,
+    /// The link that is in use or being established, or the last one.
     link: LinkId,
     /// The index of the member in use.
     current: usize,
     /// Whether the registration was renewed on the link in use.
     renewed_on_link: bool,
-    /// Consecutive links without a renewal.
+    /// Attempts since the last renewal, apart from a first switch to a known leader.
     failed_links: u32,
-    /// Whether the last switch was made without a delay.
+    /// Whether the last switch to a leader was made without a delay.
     switched_at_once: bool,
     renewed_at: Option<Instant>,
-    /// The last error logged of each member since the last renewal.
+    /// The error last logged for each member since the last renewal.
     logged: BTreeMap<u64, String>,
 }
 
@@ -133,7 +133,7 @@
             search,
             rng,
             handshake_timeout: (slack / 4).clamp(MIN_HANDSHAKE_TIMEOUT, HANDSHAKE_TIMEOUT),
-            short_max_delay: (slack / 8).clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY),
+            max_delay_with_permission: (slack / 8).clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY),
             link: LinkId(0),
             current: 0,
             renewed_on_link: false,
@@ -165,7 +165,7 @@
                     let _ = self.search.events.send(LinkEvent::Down(self.link)).await;
                     end
                 }
-                Err(fault) => LinkEnd::Failed(fault),
+                Err(error) => LinkEnd::Failed(error),
             };
             if commands.is_closed() {
                 return;
@@ -173,8 +173,8 @@
             let delay = match end {
                 LinkEnd::Shutdown => return,
                 LinkEnd::Switched(leader) => self.switch_member(leader),
-                LinkEnd::Failed(fault) => {
-                    self.log(member, &fault);
+                LinkEnd::Failed(error) => {
+                    self.log(member, &error);
                     self.next_member();
                     self.next_delay()
                 }
@@ -198,7 +198,7 @@
             let message = tokio::select! {
                 command = commands.recv() => match command {
                     None => return LinkEnd::Shutdown,
-                    // Meant for a link that has ended.
+                    // For a link that has ended.
                     Some((link, _)) if link != self.link => continue,
                     Some((_, Command::Switch(leader))) => return LinkEnd::Switched(leader),
                     Some((_, Command::Send(message))) => message,
@@ -207,7 +207,7 @@
                     let message = match received {
                         Ok(Payload::ToGateway(message)) => message,
                         Ok(_) => return LinkEnd::Failed(FrameError::UnexpectedKind),
-                        Err(fault) => return LinkEnd::Failed(fault),
+                        Err(error) => return LinkEnd::Failed(error),
                     };
                     if matches!(message, ToGateway::RegistrationRenewed { .. }) {
                         self.record_renewal();
@@ -220,15 +220,15 @@
             };
             let sent = match frame::encode_to_control(&message) {
                 Ok(frame) => write(&mut link, &frame, &self.search.traffic).await,
-                Err(fault) => Err(fault),
+                Err(error) => Err(error),
             };
-            if let Err(fault) = sent {
-                return LinkEnd::Failed(fault);
+            if let Err(error) = sent {
+                return LinkEnd::Failed(error);
             }
         }
     }
 
-    /// The connected member leads: it has renewed the registration.
+    /// Records that the connected member renewed the registration, as only the leader does.
     fn record_renewal(&mut self) {
         if !std::mem::replace(&mut self.renewed_on_link, true) {
             info!(
@@ -246,8 +246,9 @@
         self.current = (self.current + 1) % self.search.members.len();
     }
 
-    /// Selects the leader, or the next member; returns the delay before it is dialled. The first switch to a known leader has
-    /// none; if that member redirects in turn, the delay keeps the two from sending this gateway back and forth.
+    /// Selects the leader, or the next member if the leader is unknown; returns the delay before it is dialled. The first
+    /// switch to a known leader has none. If that member redirects as well, a delay follows, as the two members may name each
+    /// other in turn.
     fn switch_member(&mut self, leader: Option<u32>) -> Duration {
         let index_of = |leader: u32| {
             self.search
@@ -263,20 +264,20 @@
                     return Duration::ZERO;
                 }
             }
-            // It was elected, and is about to begin its epoch.
+            // The connected member was elected, and is about to begin its epoch.
             Some(_) => {}
             None => self.next_member(),
         }
         self.next_delay()
     }
 
-    /// An exponential backoff with jitter over links without a renewal: shorter than an election while this gateway may have
-    /// a permission to renew, up to [`MAX_RETRY_DELAY`] after that.
+    /// The next delay of an exponential backoff with jitter, which a renewal resets. It stays shorter than an election while
+    /// this gateway may have a permission to renew, and grows up to [`MAX_RETRY_DELAY`] after that.
     fn next_delay(&mut self) -> Duration {
         let lease = Duration::from_micros(self.search.timing.lease_us);
         let may_have_permission = self.renewed_at.is_some_and(|at| at.elapsed() < lease);
         let longest = if may_have_permission {
-            self.short_max_delay
+            self.max_delay_with_permission
         } else {
             MAX_RETRY_DELAY
         };
@@ -286,12 +287,12 @@
         delay.mul_f64(0.5 + self.rng.f64())
     }
 
-    /// Logs an error of a member, unless it was the last one logged of it.
-    fn log(&mut self, member: u64, fault: &FrameError) {
-        let fault = fault.to_string();
-        if self.logged.get(&member) != Some(&fault) {
-            warn!(member, "control: link down: {fault}");
-            self.logged.insert(member, fault);
+    /// Logs the error of a member's link, unless it is the same as the one last logged for this member.
+    fn log(&mut self, member: u64, error: &FrameError) {
+        let error = error.to_string();
+        if self.logged.get(&member) != Some(&error) {
+            warn!(member, "control: link down: {error}");
+            self.logged.insert(member, error);
         }
     }
 }
--- a/control/src/link/member.rs
+++ b/control/src/link/member.rs
@@ -1,7 +1,7 @@
 //! The links that a control member dials, one to each other member.
 //!
-//! A lost link is dialled again with exponential backoff and jitter. What could not be sent meanwhile is dropped: Raft repeats
-//! what it still needs.
+//! A lost link is dialled again with exponential backoff and jitter. Messages that could not be sent meanwhile are dropped, as
+//! Raft sends again what is still needed.
 
 use super::{
     accept::LinkEvent, handshake, write, Established, SharedHello, HANDSHAKE_TIMEOUT,
@@ -20,7 +20,7 @@
 /// Payloads that may be queued for one link.
 const QUEUE_LENGTH: usize = 256;
 
-/// The loop's handle of the link to another member.
+/// The loop's handle to the link to another member.
 pub(crate) struct Link {
     queue: mpsc::Sender<Payload>,
 }
@@ -48,13 +48,13 @@
         Link { queue }
     }
 
-    /// Queues a payload, or drops it where the queue is full.
+    /// Queues a payload, or drops it if the queue is full.
     pub(crate) fn send(&self, payload: Payload) {
         let _ = self.queue.try_send(payload);
     }
 }
 
-/// Delays of an exponential backoff with jitter, without end.
+/// The delays of an exponential backoff with jitter, in an endless sequence.
 fn backoff() -> impl Iterator<Item = Duration> {
     let builder = backon::ExponentialBuilder::new()
         .with_min_delay(MIN_RETRY_DELAY)
@@ -83,7 +83,7 @@
         let mut logged = String::new();
         loop {
             let own = self.own.hello();
-            let fault = match handshake(peer, address, &own, HANDSHAKE_TIMEOUT, &self.traffic).await
+            let error = match handshake(peer, address, &own, HANDSHAKE_TIMEOUT, &self.traffic).await
             {
                 Ok(established) => {
                     info!(peer, "log: link up");
@@ -92,19 +92,19 @@
                     let _ = self
                         .events
                         .try_send(LinkEvent::Hello(established.hello.clone()));
-                    // What was queued for the old link is out of date.
+                    // Payloads that were queued for the former link are out of date.
                     while queue.try_recv().is_ok() {}
-                    match self.send_on(established, &mut queue).await {
-                        Some(fault) => fault,
+                    match self.run_link(established, &mut queue).await {
+                        Some(error) => error,
                         None => return,
                     }
                 }
-                Err(fault) => fault,
+                Err(error) => error,
             };
-            let fault = fault.to_string();
-            if fault != logged {
-                warn!(peer, %address, "log: link down: {fault}");
-                logged = fault;
+            let error = error.to_string();
+            if error != logged {
+                warn!(peer, %address, "log: link down: {error}");
+                logged = error;
             }
             let _ = self.events.try_send(LinkEvent::PeerLost(peer));
             tokio::time::sleep(retries.next().unwrap_or(MAX_RETRY_DELAY)).await;
@@ -114,8 +114,8 @@
         }
     }
 
-    /// Sends until the link breaks, and returns why; none where the handle was dropped.
-    async fn send_on(
+    /// Sends until the link breaks, and returns the error; `None` if the handle was dropped.
+    async fn run_link(
         &self,
         established: Established,
         queue: &mut mpsc::Receiver<Payload>,
@@ -135,7 +135,7 @@
                         continue;
                     }
                     Ok(_) => return Some(FrameError::UnexpectedKind),
-                    Err(fault) => return Some(fault),
+                    Err(error) => return Some(error),
                 },
             };
             let (frame, is_snapshot) = match &payload {
@@ -144,12 +144,12 @@
                     message.get_msg_type() == MessageType::MsgSnapshot,
                 ),
                 Payload::Hello(hello) => (frame::encode_hello(hello), false),
-                // Gateways are served on the links that they dial.
+                // Messages to and from gateways use only the links that gateways dial.
                 Payload::ToControl(_) | Payload::ToGateway(_) => continue,
             };
             let sent = match frame {
                 Ok(frame) => write(&mut link, &frame, &self.traffic).await,
-                Err(fault) => Err(fault),
+                Err(error) => Err(error),
             };
             if is_snapshot {
                 let _ = self.events.try_send(LinkEvent::SnapshotSent {
@@ -157,8 +157,8 @@
                     complete: sent.is_ok(),
                 });
             }
-            if let Err(fault) = sent {
-                return Some(fault);
+            if let Err(error) = sent {
+                return Some(error);
             }
         }
     }
--- a/control/src/link/mod.rs
+++ b/control/src/link/mod.rs
@@ -1,8 +1,8 @@
 //! Links between control members, and between gateways and the control members that serve them.
 //!
-//! A control member dials each other one and sends Raft messages on the links that it dialled ([`member`]). Links that others
-//! dialled are only read, so that a link that works in one direction is seen as such. A gateway keeps one link to the leading
-//! control member, on which both sides send ([`gateway`]). [`accept`] takes links of both kinds.
+//! A control member dials each other one, and sends Raft messages only on the links that it dialled ([`member`]). It only
+//! reads from links that others dialled, so that members notice when connections work in one direction only. A gateway keeps
+//! one link to the leading control member, on which both sides send ([`gateway`]). [`accept`] accepts links of both kinds.
 //!
 //! Links carry frames and events; they decide neither who leads nor which registration is valid.
 
@@ -27,8 +27,9 @@
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// How long the peer may take to receive a frame.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Backoff before a lost link is dialled again: the shortest, and the longest.
+/// The shortest backoff before a lost link is dialled again.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// The longest backoff before a lost link is dialled again.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(1_000);
 
 /// The hello of this process, which the loop keeps up to date.
@@ -36,7 +37,7 @@
 pub(crate) struct SharedHello(Arc<Mutex<Hello>>);
 
 impl SharedHello {
-    /// The present hello.
+    /// The current hello.
     pub(crate) fn hello(&self) -> Hello {
         self.0
             .lock()
@@ -60,7 +61,8 @@
     hello: Hello,
 }
 
-/// Dials gateway `expected` and exchanges hellos. The timeout covers both: a stalled process still accepts connections.
+/// Dials gateway `expected` and exchanges hellos. The timeout covers both, as the kernel accepts connections for a process
+/// that is stalled.
 async fn handshake(
     expected: u64,
     address: SocketAddr,
--- a/control/src/link/tests.rs
+++ b/control/src/link/tests.rs
@@ -1,4 +1,4 @@
-//! Links over loopback, between the two sides as they are.
+//! Tests of links over loopback, with the production code on both sides.
 
 use super::accept::{self, Acceptor, GatewayLink};
 use super::gateway::{self, LeaderSearch, Link};
@@ -17,7 +17,7 @@
 use tokio::time::timeout;
 
 const FLEET: u64 = 9;
-const LONG: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 const TIMING: Timing = Timing {
     lease_us: 3_000_000,
     renew_us: 1_000_000,
@@ -29,23 +29,23 @@
     incarnation: 3,
 };
 
-fn played(test: impl Future<Output = ()>) {
+fn run_test(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime");
-    let bounded = async { timeout(LONG, test).await.expect("in time") };
+    let bounded = async { timeout(TIMEOUT, test).await.expect("in time") };
     LocalSet::new().block_on(&runtime, bounded);
 }
 
-/// A control member's side: where it listens, and what comes in.
+/// A control member's side of the links: its address, and the events of its links.
 struct Member {
     address: SocketAddr,
     events: mpsc::Receiver<accept::LinkEvent>,
     traffic: MemberTraffic,
 }
 
-async fn member(gateway: u64, idle_timeout: Duration) -> Member {
+async fn start_member(gateway: u64, idle_timeout: Duration) -> Member {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("bound");
     let address = listener.local_addr().expect("bound");
     let (events, received) = mpsc::channel(super::EVENT_QUEUE_LENGTH);
@@ -76,22 +76,24 @@
 }
 
 impl Member {
-    /// The next gateway that comes.
-    async fn came(&mut self) -> GatewayLink {
+    /// The handle to the link of the next gateway that connects.
+    async fn next_gateway(&mut self) -> GatewayLink {
         loop {
             match self.events.recv().await {
-                Some(accept::LinkEvent::GatewayConnected(client)) => return client,
+                Some(accept::LinkEvent::GatewayConnected(gateway)) => return gateway,
                 Some(_) => {}
                 None => panic!("the listener ended"),
             }
         }
     }
 
-    /// Waits until a gateway's link is gone, by its number.
-    async fn left(&mut self) -> u64 {
+    /// Waits until the link of a gateway ends; returns its number.
+    async fn next_disconnected_link(&mut self) -> u64 {
         loop {
             match self.events.recv().await {
-                Some(accept::LinkEvent::GatewayDisconnected { link, .. }) => return link,
+                Some(accept::LinkEvent::GatewayDisconnected { link_number, .. }) => {
+                    return link_number
+                }
                 Some(_) => {}
                 None => panic!("the listener ended"),
             }
@@ -99,7 +101,7 @@
     }
 }
 
-/// A link by hand, on which both sides have said hello.
+/// A connection to a member after the handshake, on which the test writes the frames itself.
 async fn connect(
     address: SocketAddr,
     hello: &Hello,
@@ -131,31 +133,31 @@
     }
 }
 
-async fn say(write: &mut OwnedWriteHalf, message: &ToControl) {
+async fn send(write: &mut OwnedWriteHalf, message: &ToControl) {
     let frame = frame::encode_to_control(message).expect("short");
     frame::write(write, &frame, &Traffic::default())
         .await
         .expect("written");
 }
 
-/// A gateway goes to the leader, and to another member when that one is lost.
+/// A gateway connects to the leader that a member names, and to another member when the link to the leader is lost.
 #[test]
 fn gateway_follows_leader_and_fails_over() {
-    played(async {
+    run_test(async {
         let mut members = [
-            member(1, LONG).await,
-            member(2, LONG).await,
-            member(3, LONG).await,
+            start_member(1, TIMEOUT).await,
+            start_member(2, TIMEOUT).await,
+            start_member(3, TIMEOUT).await,
         ];
         let (events, mut received) = mpsc::channel(super::EVENT_QUEUE_LENGTH);
-        let places = members
+        let addresses = members
             .iter()
             .zip(1..)
             .map(|(member, number)| (number, member.address))
             .collect();
         let own = Hello::of_client(ME, FLEET);
         let search = LeaderSearch {
-            members: places,
+            members: addresses,
             own,
             timing: TIMING,
             seed: 1,
@@ -163,65 +165,65 @@
             traffic: Traffic::default(),
         };
         let link = Link::start(search);
-        let [one, two, three] = &mut members;
-        let (first, asked) = tokio::select! {
-            client = one.came() => (client, 1),
-            client = two.came() => (client, 2),
-            client = three.came() => (client, 3),
+        let [first, second, third] = &mut members;
+        let (first_handle, first_number) = tokio::select! {
+            handle = first.next_gateway() => (handle, 1),
+            handle = second.next_gateway() => (handle, 2),
+            handle = third.next_gateway() => (handle, 3),
         };
-        let Some(gateway::LinkEvent::Up(up)) = received.recv().await else {
-            panic!("up first")
+        let Some(gateway::LinkEvent::Up(first_link)) = received.recv().await else {
+            panic!("the first link is not up")
         };
-        // What is asked of a link that is gone is left undone.
-        link.switch(gateway::LinkId(up.0 + 1), Some(asked));
-        link.switch(up, Some(asked % 3 + 1));
-        let leader = &mut members[asked as usize % 3];
-        let client = leader.came().await;
-        assert_eq!(client.who, ME);
+        // A command for another link than the current one has no effect.
+        link.switch(gateway::LinkId(first_link.0 + 1), Some(first_number));
+        link.switch(first_link, Some(first_number % 3 + 1));
+        let leader = &mut members[first_number as usize % 3];
+        let leader_handle = leader.next_gateway().await;
+        assert_eq!(leader_handle.who, ME);
         assert!(
-            matches!(received.recv().await, Some(gateway::LinkEvent::Down(gone)) if gone == up)
+            matches!(received.recv().await, Some(gateway::LinkEvent::Down(ended)) if ended == first_link)
         );
-        let Some(gateway::LinkEvent::Up(now)) = received.recv().await else {
-            panic!("up again")
+        let Some(gateway::LinkEvent::Up(leader_link)) = received.recv().await else {
+            panic!("the link to the leader is not up")
         };
-        link.send(now, heartbeat(ME));
-        let said = leader.events.recv().await;
+        link.send(leader_link, heartbeat(ME));
+        let event = leader.events.recv().await;
         assert!(
-            matches!(said, Some(accept::LinkEvent::GatewayMessage(message)) if message == heartbeat(ME))
+            matches!(event, Some(accept::LinkEvent::GatewayMessage(message)) if message == heartbeat(ME))
         );
-        let kept = ToGateway::RegistrationRenewed {
+        let renewal = ToGateway::RegistrationRenewed {
             who: ME,
             token: Token(1),
             sent_at: 1,
             required_index: Index(0),
             registrations: 1,
         };
-        assert!(client.send(frame::encode_to_gateway(&kept).expect("short")));
+        assert!(leader_handle.send(frame::encode_to_gateway(&renewal).expect("short")));
         assert!(
-            matches!(received.recv().await, Some(gateway::LinkEvent::Received(on, said)) if on == now && said == kept)
+            matches!(received.recv().await, Some(gateway::LinkEvent::Received(on, message)) if on == leader_link && message == renewal)
         );
-        // The leader falls: the gateway comes to another.
-        drop(first);
-        drop(client);
+        // The leader fails, and the gateway connects to another member.
+        drop(first_handle);
+        drop(leader_handle);
         leader.events.close();
         let others = members
             .iter_mut()
             .enumerate()
-            .filter(|(n, _)| *n != asked as usize % 3);
+            .filter(|(n, _)| *n != first_number as usize % 3);
         let mut others: Vec<&mut Member> = others.map(|(_, member)| member).collect();
-        let (one, two) = others.split_at_mut(1);
+        let (first, second) = others.split_at_mut(1);
         tokio::select! {
-            client = one[0].came() => assert_eq!(client.who, ME),
-            client = two[0].came() => assert_eq!(client.who, ME),
+            handle = first[0].next_gateway() => assert_eq!(handle.who, ME),
+            handle = second[0].next_gateway() => assert_eq!(handle.who, ME),
         }
     });
 }
 
-/// A gateway sends only its own messages, and none of the log.
+/// A link closes when its gateway sends a message in the name of another gateway or incarnation, or a Raft message.
 #[test]
 fn gateway_cannot_impersonate_or_send_raft() {
-    played(async {
-        let mut member = member(1, LONG).await;
+    run_test(async {
+        let mut member = start_member(1, TIMEOUT).await;
         let own = Hello::of_client(ME, FLEET);
         for other in [
             NodeIdentity { gateway: 18, ..ME },
@@ -231,17 +233,17 @@
             },
         ] {
             let (mut frames, mut write) = connect(member.address, &own).await;
-            let served = member.came().await;
-            say(&mut write, &heartbeat(other)).await;
+            let handle = member.next_gateway().await;
+            send(&mut write, &heartbeat(other)).await;
             assert_eq!(
-                member.left().await,
-                served.link,
-                "for another gateway or incarnation"
+                member.next_disconnected_link().await,
+                handle.link_number,
+                "a heartbeat of another gateway or incarnation"
             );
             assert!(frames.next().await.is_err());
         }
         let (mut frames, mut write) = connect(member.address, &own).await;
-        let served = member.came().await;
+        let handle = member.next_gateway().await;
         let message = raft::eraftpb::Message {
             from: 17,
             to: 1,
@@ -253,12 +255,12 @@
             .await
             .expect("written");
         assert_eq!(
-            member.left().await,
-            served.link,
-            "a message of the consensus"
+            member.next_disconnected_link().await,
+            handle.link_number,
+            "a Raft message"
         );
         assert!(frames.next().await.is_err());
-        // One that does not vote is no member, whatever it says.
+        // A peer that is no voter is rejected, even if its hello says that it is a control member.
         let (mut frames, _write) = connect(
             member.address,
             &Hello {
@@ -271,43 +273,43 @@
     });
 }
 
-/// A gateway of another fleet is rejected, and learns why.
+/// A gateway of another fleet is rejected, and its error says so.
 #[test]
 fn gateway_of_other_fleet_is_rejected() {
-    played(async {
-        let member = member(1, LONG).await;
+    run_test(async {
+        let member = start_member(1, TIMEOUT).await;
         let own = Hello::of_client(ME, FLEET + 1);
-        let fault = super::handshake(1, member.address, &own, LONG, &Traffic::default()).await;
-        assert!(matches!(fault, Err(FrameError::OtherFleet)));
+        let error = super::handshake(1, member.address, &own, TIMEOUT, &Traffic::default()).await;
+        assert!(matches!(error, Err(FrameError::OtherFleet)));
         let own = Hello::of_client(ME, FLEET);
-        let fault = super::handshake(2, member.address, &own, LONG, &Traffic::default()).await;
+        let error = super::handshake(2, member.address, &own, TIMEOUT, &Traffic::default()).await;
         assert!(
-            matches!(fault, Err(FrameError::UnexpectedGateway(1))),
-            "another member than it was taken for"
+            matches!(error, Err(FrameError::UnexpectedGateway(1))),
+            "the member that answers is not the one that was expected"
         );
     });
 }
 
-/// A gateway that is silent for too long loses its link.
+/// The link of a gateway that sends nothing for the idle timeout is closed.
 #[test]
 fn idle_gateway_loses_its_link() {
-    played(async {
-        let mut member = member(1, Duration::from_millis(100)).await;
+    run_test(async {
+        let mut member = start_member(1, Duration::from_millis(100)).await;
         let (mut frames, mut write) = connect(member.address, &Hello::of_client(ME, FLEET)).await;
-        say(&mut write, &heartbeat(ME)).await;
-        let served = member.came().await;
-        assert_eq!(member.left().await, served.link);
+        send(&mut write, &heartbeat(ME)).await;
+        let handle = member.next_gateway().await;
+        assert_eq!(member.next_disconnected_link().await, handle.link_number);
         assert!(matches!(frames.next().await, Err(FrameError::Closed)));
     });
 }
 
-/// A gateway that receives nothing is detected by its full queue.
+/// A gateway that does not read is detected by its full queue.
 #[test]
 fn full_queue_detects_stuck_gateway() {
-    played(async {
-        let mut member = member(1, LONG).await;
+    run_test(async {
+        let mut member = start_member(1, TIMEOUT).await;
         let _link = connect(member.address, &Hello::of_client(ME, FLEET)).await;
-        let client = member.came().await;
+        let handle = member.next_gateway().await;
         let content = Content {
             format: 1,
             bytes: vec![7; 60_000],
@@ -324,41 +326,41 @@
             topics: vec![topic],
         };
         let frame = frame::encode_to_gateway(&state).expect("short");
-        while client.send(frame.clone()) {
+        while handle.send(frame.clone()) {
             tokio::task::yield_now().await;
         }
-        drop(client);
-        member.left().await;
+        drop(handle);
+        member.next_disconnected_link().await;
     });
 }
 
-/// Traffic of members and of gateways is counted apart.
+/// Traffic with members and with gateways is counted separately.
 #[test]
 fn traffic_is_counted_by_kind_of_peer() {
-    played(async {
-        let mut member = member(1, LONG).await;
+    run_test(async {
+        let mut member = start_member(1, TIMEOUT).await;
         let own = Hello::of_client(ME, FLEET);
         let (mut frames, mut write) = connect(member.address, &own).await;
-        let client = member.came().await;
-        say(&mut write, &heartbeat(ME)).await;
+        let handle = member.next_gateway().await;
+        send(&mut write, &heartbeat(ME)).await;
         assert!(matches!(
             member.events.recv().await,
             Some(accept::LinkEvent::GatewayMessage(_))
         ));
-        let kept = ToGateway::RegistrationRenewed {
+        let renewal = ToGateway::RegistrationRenewed {
             who: ME,
             token: Token(1),
             sent_at: 1,
             required_index: Index(0),
             registrations: 1,
         };
-        let kept = frame::encode_to_gateway(&kept).expect("short");
-        assert!(client.send(kept.clone()));
+        let renewal = frame::encode_to_gateway(&renewal).expect("short");
+        assert!(handle.send(renewal.clone()));
         assert!(matches!(frames.next().await, Ok(Payload::ToGateway(_))));
-        let said = frame::encode_to_control(&heartbeat(ME))
+        let heartbeat_bytes = frame::encode_to_control(&heartbeat(ME))
             .expect("short")
             .len() as u64;
-        let (bytes_in, bytes_out) = (said, kept.len() as u64);
+        let (bytes_in, bytes_out) = (heartbeat_bytes, renewal.len() as u64);
         let expected = TrafficTotals {
             frames_in: 1,
             frames_out: 1,
@@ -366,9 +368,9 @@
             bytes_out,
         };
         assert_eq!(member.traffic.gateways.totals(), expected);
-        // Who dials is known by its first frame alone.
-        let hello = member.traffic.members.totals();
-        assert_eq!((hello.frames_in, hello.frames_out), (1, 1));
+        // The kind of a peer is known only after its first frame, which is counted as a member's.
+        let handshake = member.traffic.members.totals();
+        assert_eq!((handshake.frames_in, handshake.frames_out), (1, 1));
 
         let (_frames, mut write) = connect(
             member.address,
@@ -399,9 +401,9 @@
         ));
         assert_eq!(
             member.traffic.members.totals().frames_in,
-            hello.frames_in + 2,
-            "a hello and a message"
+            handshake.frames_in + 2,
+            "a hello and a Raft message"
         );
-        assert_eq!(member.traffic.gateways.totals(), expected, "as before");
+        assert_eq!(member.traffic.gateways.totals(), expected, "unchanged");
     });
 }
--- a/control/src/service/member.rs
+++ b/control/src/service/member.rs
@@ -339,8 +339,8 @@
                 self.gateways.connect(gateway);
                 self.handle(Event::Connected(who))?;
             }
-            (LinkEvent::GatewayDisconnected { who, link }, _) => {
-                self.gateways.disconnect(who, link);
+            (LinkEvent::GatewayDisconnected { who, link_number }, _) => {
+                self.gateways.disconnect(who, link_number);
             }
             (LinkEvent::GatewayMessage(message), LogState::Running(_)) => {
                 self.handle(Event::Received(message))?
--- a/control/src/service/served.rs
+++ b/control/src/service/served.rs
@@ -24,9 +24,9 @@
     }
 
     /// Removes a link that has ended, unless a newer one has replaced it.
-    pub(super) fn disconnect(&mut self, who: NodeIdentity, link: u64) {
+    pub(super) fn disconnect(&mut self, who: NodeIdentity, link_number: u64) {
         let current = self.links.get(&who);
-        if current.is_some_and(|current| current.link == link) {
+        if current.is_some_and(|current| current.link_number == link_number) {
             self.links.remove(&who);
         }
     }
