--- a/control/src/link/accept.rs
+++ b/control/src/link/accept.rs
@@ -120,7 +120,7 @@
                 };
                 match ended {
                     Ok(()) | Err(FrameError::Closed | FrameError::Io(_)) => {}
-                    Err(error) => warn!(%from, "log: link refused: {error}"),
+                    Err(error) => warn!(%from, "control: incoming link closed: {error}"),
                 }
             });
         }
--- a/control/src/service/gateway.rs
+++ b/control/src/service/gateway.rs
@@ -201,7 +201,10 @@
                 warn!(at, gateway, ?topic, number, by, reason, "version: refused");
             }
             Action::RequestRejected(reason) => {
-                warn!(at, gateway, "version: not taken: {reason}");
+                warn!(
+                    at,
+                    gateway, "version: registration or proposal rejected: {reason}"
+                );
             }
         }
     }
--- a/control/src/service/member.rs
+++ b/control/src/service/member.rs
@@ -264,7 +264,7 @@
         };
         store.initialize(id, &members)?;
         let now = self.clock.now();
-        info!(at = now, gateway = me, id, learn, "log: begun");
+        info!(at = now, gateway = me, id, learn, "log: initialized");
         self.log = LogState::Running(open_node(id, store, self.me, &self.settings, now)?);
         self.request_duties()
     }
@@ -428,7 +428,7 @@
                         from,
                         until,
                         count,
-                        "audit"
+                        "audit: actions counted"
                     );
                 }
             }
--- a/control/src/service/served.rs
+++ b/control/src/service/served.rs
@@ -43,7 +43,7 @@
                 }
             }
             Err(error) => {
-                warn!(target: LOG_TARGET, gateway = who.gateway, "control: not sent: {error}")
+                warn!(target: LOG_TARGET, gateway = who.gateway, "control: message to the gateway not sent: {error}")
             }
         }
     }
@@ -52,7 +52,9 @@
     pub(super) fn broadcast(&mut self, message: &ToGateway) {
         match frame::encode_to_gateway(message) {
             Ok(frame) => self.links.retain(|_, link| try_send(link, frame.clone())),
-            Err(error) => warn!(target: LOG_TARGET, "control: not sent: {error}"),
+            Err(error) => {
+                warn!(target: LOG_TARGET, "control: message to all gateways not sent: {error}")
+            }
         }
     }
 }
@@ -64,7 +66,7 @@
         warn!(
             target: LOG_TARGET,
             gateway = link.who.gateway,
-            "control: link closed: the gateway takes nothing in"
+            "control: link closed: the gateway reads no messages, or the connection has ended"
         );
     }
     sent
