--- a/control/src/service/gateway.rs
+++ b/control/src/service/gateway.rs
@@ -163,7 +163,7 @@
                     "registration: acting"
                 );
             }
-            Action::Stop(reason) => warn!(at, gateway, "registration: stopped: {reason}"),
+            Action::Stop(reason) => warn!(at, gateway, "registration: stopped acting: {reason}"),
             Action::Validate {
                 topic,
                 number,
@@ -185,7 +185,7 @@
                     ?topic,
                     number,
                     before = previous,
-                    "version: in force"
+                    "version: activated"
                 );
                 let _ = self
                     .program_events
@@ -198,7 +198,7 @@
                 reason,
             } => {
                 let by = by.gateway;
-                warn!(at, gateway, ?topic, number, by, reason, "version: refused");
+                warn!(at, gateway, ?topic, number, by, reason, "version: rejected");
             }
             Action::RequestRejected(reason) => {
                 warn!(
--- a/control/src/service/member.rs
+++ b/control/src/service/member.rs
@@ -381,7 +381,7 @@
                 leader = status.leader,
                 term = status.term,
                 applied = status.applied,
-                "log: leader"
+                "log: leader or term changed"
             );
         }
         self.logged_status = status;
@@ -408,7 +408,7 @@
                     gateway,
                     duty = duty.name(),
                     token = token.0,
-                    "duty: stopped"
+                    "duty: stopped acting"
                 );
             }
             Action::Send(who, message) => self.gateways.send(who, &message),
--- a/control/src/service/run.rs
+++ b/control/src/service/run.rs
@@ -102,7 +102,7 @@
             at = clock.now(),
             gateway = me.gateway,
             incarnation = me.incarnation,
-            "log: started"
+            "control: started"
         );
         control_loop
             .run(ticks, member_events, gateway_events, requests)
--- a/testbench/src/cluster/faults.rs
+++ b/testbench/src/cluster/faults.rs
@@ -193,7 +193,7 @@
         let history = self.cluster.history();
         let in_force = history
             .iter()
-            .filter(|line| line.fields["message"] == "version: in force");
+            .filter(|line| line.fields["message"] == "version: activated");
         let numbers: BTreeSet<u64> = in_force
             .filter_map(|line| line.fields["number"].as_u64())
             .collect();
--- a/testbench/src/cluster/history.rs
+++ b/testbench/src/cluster/history.rs
@@ -77,7 +77,7 @@
         .collect();
     for duty in duties {
         let own = |line: &Line| line.fields["duty"].as_str() == Some(duty);
-        let mut held = spans(lines.iter(), "duty: acting", "duty: stopped", own);
+        let mut held = spans(lines.iter(), "duty: acting", "duty: stopped acting", own);
         held.sort_by_key(|span| span.from);
         for (one, other) in held
             .iter()
@@ -106,7 +106,7 @@
     let mut steps: BTreeMap<String, BTreeMap<u64, Vec<(u64, u64)>>> = BTreeMap::new();
     for line in lines
         .iter()
-        .filter(|line| message(line) == "version: in force")
+        .filter(|line| message(line) == "version: activated")
     {
         let topic = line.fields["topic"].as_str().unwrap_or("").to_owned();
         let (version, former) = (number(line, "number"), number(line, "before"));
@@ -126,7 +126,7 @@
     let registrations = spans(
         lines.iter(),
         "registration: acting",
-        "registration: stopped",
+        "registration: stopped acting",
         |_| true,
     );
     for (topic, gateways) in &steps {
--- a/testbench/src/cluster/history/tests.rs
+++ b/testbench/src/cluster/history/tests.rs
@@ -18,7 +18,7 @@
 }
 
 fn force(gateway: u64, at: u64, number: u64, before: u64) -> Line {
-    let fields = json!({"message": "version: in force", "topic": "Operator", "at": at, "number": number, "before": before});
+    let fields = json!({"message": "version: activated", "topic": "Operator", "at": at, "number": number, "before": before});
     line(gateway, fields)
 }
 
@@ -31,7 +31,7 @@
     // It stopped earlier than it had to.
     let stopped = line(
         1,
-        json!({"message": "duty: stopped", "duty": "probes", "at": 30}),
+        json!({"message": "duty: stopped acting", "duty": "probes", "at": 30}),
     );
     assert_eq!(
         violations(&[duty(1, 10, 1, 60), stopped, duty(2, 31, 5, 90)]),
--- a/testbench/src/cluster/mod.rs
+++ b/testbench/src/cluster/mod.rs
@@ -226,7 +226,7 @@
             };
             let started = Gateway::start(&plan)?;
             // Before that a signal would end it, as it would any program.
-            let up = started.logged(0, WELL, |line| line["message"] == "log: started");
+            let up = started.logged(0, WELL, |line| line["message"] == "control: started");
             self.gateways[gateway] = Some(started);
             up.ok_or(io::ErrorKind::TimedOut)?;
         }
@@ -441,7 +441,7 @@
         let history = self.history();
         let in_force = history
             .iter()
-            .filter(|line| line.fields["message"] == "version: in force");
+            .filter(|line| line.fields["message"] == "version: activated");
         in_force
             .filter_map(|line| line.fields["number"].as_u64())
             .max()
--- a/testbench/src/gateway.rs
+++ b/testbench/src/gateway.rs
@@ -144,7 +144,7 @@
 pub fn leaders(log: Vec<Line>) -> impl Iterator<Item = (u64, u32)> {
     let said = log
         .into_iter()
-        .filter(|line| line.fields["message"] == "log: leader");
+        .filter(|line| line.fields["message"] == "log: leader or term changed");
     said.filter_map(|line| {
         let leader = line.fields["leader"].as_u64()? & GATEWAY_BITS;
         Some((line.fields["term"].as_u64()?, leader as u32))
--- a/testbench/src/scale/fleet.rs
+++ b/testbench/src/scale/fleet.rs
@@ -146,7 +146,7 @@
             ..self.plans[&voter].clone()
         })?;
         // Before that a signal would end it, as it would any program.
-        let up = started.logged(0, START, |line| line["message"] == "log: started");
+        let up = started.logged(0, START, |line| line["message"] == "control: started");
         ensure!(
             up.is_some(),
             "gateway {voter} did not start: {:?}",
--- a/testbench/src/standing.rs
+++ b/testbench/src/standing.rs
@@ -26,11 +26,11 @@
         for Line { fields, .. } in log {
             let number = |key: &str| fields[key].as_u64().unwrap_or(0);
             match fields["message"].as_str().unwrap_or("") {
-                "version: in force" => {
+                "version: activated" => {
                     (found.in_force, found.since) = (number("number"), number("at"))
                 }
                 "registration: acting" => found.until = number("until"),
-                message if message.starts_with("registration: stopped") => found.until = 0,
+                message if message.starts_with("registration: stopped acting") => found.until = 0,
                 _ => {}
             }
         }
--- a/testbench/tests/standing.rs
+++ b/testbench/tests/standing.rs
@@ -18,7 +18,7 @@
 }
 
 fn in_force(at: u64, number: u64) -> Value {
-    json!({"message": "version: in force", "topic": "Operator", "at": at, "number": number, "before": 0})
+    json!({"message": "version: activated", "topic": "Operator", "at": at, "number": number, "before": 0})
 }
 
 fn acting(at: u64, until: u64) -> Value {
@@ -59,6 +59,6 @@
     );
     assert!(registered.acts(48) && !registered.acts(49));
     assert_eq!(registered.asked_at(LEASE_US), 19);
-    let stopped = json!({"message": "registration: stopped: it drains", "at": 22});
+    let stopped = json!({"message": "registration: stopped acting: it drains", "at": 22});
     assert!(!logged(&[in_force(5, 3), acting(20, 49), stopped]).acts(23));
 }
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -30,7 +30,7 @@
             let last = registrations
                 .filter_map(|line| line.fields["message"].as_str())
                 .rfind(|m| m.starts_with("registration: "));
-            last.is_some_and(|message| message.starts_with("registration: stopped"))
+            last.is_some_and(|message| message.starts_with("registration: stopped acting"))
         }
     };
     for gateway in [1, 2] {
@@ -85,7 +85,7 @@
         let history = cluster.history();
         let rejections = history
             .iter()
-            .filter(|line| line.fields["message"] == "version: refused");
+            .filter(|line| line.fields["message"] == "version: rejected");
         rejections.filter(|line| line.fields["by"] == 5).count() >= 5
     };
     assert!(
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -43,7 +43,7 @@
         let at = line.fields["at"].as_u64()?;
         match message {
             "registration: acting" => Some((at, line.fields["token"].as_u64()?, true)),
-            _ if message.starts_with("registration: stopped") => Some((at, 0, false)),
+            _ if message.starts_with("registration: stopped acting") => Some((at, 0, false)),
             _ => None,
         }
     });
