--- a/src/bin/asterreel/control/client.rs
+++ b/src/bin/asterreel/control/client.rs
@@ -1,7 +1,7 @@
-//! The control client of a gateway: validates versions of the operator's file, hands out those that the control members
-//! activated, and reports what was done under them.
+//! The control client of a gateway: proposes and validates versions of the operator's file, returns those that the control
+//! members activated, and reports how many requests were served under each.
 //!
-//! A version is applied only after this gateway acknowledged it, and only where the file here sets the same as the version.
+//! A version is applied only after this gateway acknowledged it, and only if this gateway's own file has the same settings.
 
 use crate::front::Gateway;
 use asterreel::operator::{Evaluated, Operator, OperatorFileError};
@@ -11,23 +11,26 @@
 use thiserror::Error;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The format of a proposed version of the operator's file: a digest of what it sets.
+/// The format of a proposed version of the operator's file: a digest of its settings.
 const CONTENT_FORMAT: u32 = 1;
 
 /// Why this gateway rejects a proposed version; its text goes to the control members.
 #[derive(Debug, Error)]
 pub(crate) enum ValidationError {
-    /// A topic that this build does not know how to apply.
+    /// This build applies no versions of this topic.
     #[error("this build puts no version of {0:?} in force")]
     UnsupportedTopic(Topic),
-    /// The file here is bad.
+    /// This gateway's operator's file cannot be read or is invalid.
     #[error(transparent)]
-    OperatorFileError(#[from] OperatorFileError),
-    /// The file here sets something else than the version.
+    InvalidFile(#[from] OperatorFileError),
+    /// The settings of this gateway's operator's file are not those of the version.
     #[error(
         "{file} sets something else here; copy the same file to all gateways, then SIGHUP one"
     )]
-    DifferentContent { file: String },
+    DifferentContent {
+        /// The path of the operator's file.
+        file: String,
+    },
 }
 
 /// A version that this gateway acknowledged, to be applied once it is active.
@@ -41,23 +44,23 @@
     handle: Handle,
     events: Receiver<ControlEvent>,
     candidate: Option<Candidate>,
-    /// Requests that were reported already.
+    /// The number of requests reported so far.
     reported_requests: u64,
-    /// How many gateways there are by the operator's file or the platform's settings.
+    /// The number of gateways according to the operator's file or the platform's settings.
     configured_gateways: u32,
-    /// Whether this gateway had no registration when that was last looked at.
+    /// Whether this gateway had no valid registration at the last [`ControlClient::update_fleet_size`]; `None` before the first.
     was_unregistered: Option<bool>,
 }
 
-/// A digest of what the operator's files of a fleet have in common: all but what names this gateway and its part, where
-/// it listens and where it keeps its log.
+/// A digest of the settings that are the same in all operator's files of a fleet. Left out are this gateway's number, role,
+/// listeners, log folder and duties, which differ from file to file.
 fn digest(operator: &Operator) -> Content {
     let mut shared = operator.clone();
     if let Some(lease) = &mut shared.lease {
         (lease.me, lease.client, lease.listen) = (0, false, None);
         lease.store.clear();
         lease.duties.clear();
-        // Gateways that are no control members need not be listed, and each may reach those at addresses of its own.
+        // Files need not list gateways that are no control members, and may give control members different addresses.
         lease.peers.retain(|peer| peer.voter);
         lease
             .peers
@@ -76,7 +79,7 @@
 }
 
 impl ControlClient {
-    /// The client over the loop that `handle` and `events` belong to.
+    /// A client of the control plane's loop to which `handle` and `events` belong.
     pub(crate) fn new(
         handle: Handle,
         events: Receiver<ControlEvent>,
@@ -92,24 +95,24 @@
         }
     }
 
-    /// The next event of the control members; nothing where none has come.
+    /// The next event of the control plane; `None` if there is none at present.
     pub(crate) fn next_event(&self) -> Option<ControlEvent> {
         self.events.try_recv().ok()
     }
 
-    /// Gives up what this gateway holds, as it drains.
+    /// Begins the graceful shutdown of the control plane: the leases and the registration are given up.
     pub(crate) fn drain(&self) {
         self.handle.request(ControlRequest::Drain);
     }
 
-    /// Proposes the operator's file as it is here as a new version.
+    /// Proposes this gateway's operator's file as a new version.
     pub(crate) fn propose(&self, operator: &Operator) {
         let content = digest(operator);
         self.handle
             .request(ControlRequest::ProposeVersion(Topic::Operator, content));
     }
 
-    /// Acknowledges a proposed version, or rejects it with a reason. `evaluate` reads the operator's file as it is here.
+    /// Acknowledges a proposed version, or rejects it with a reason. `evaluate` reads this gateway's operator's file.
     pub(crate) fn answer_proposal(
         &mut self,
         topic: Topic,
@@ -143,7 +146,7 @@
         Ok(())
     }
 
-    /// The file that was acknowledged as this version, once.
+    /// Removes and returns the file that was acknowledged as this version; `None` for any other version.
     pub(crate) fn take_candidate(&mut self, topic: Topic, version: u64) -> Option<Evaluated> {
         let is_activated =
             |candidate: &mut Candidate| topic == Topic::Operator && candidate.version == version;
@@ -152,9 +155,9 @@
             .map(|candidate| candidate.evaluated)
     }
 
-    /// Divides what the fleet may admit among the registered gateways; among all that are configured where this gateway
-    /// has no valid registration, so that one that is cut off takes its own quota and no more. Returns whether it is
-    /// unregistered, where that has changed.
+    /// Divides what the fleet may admit among the registered gateways. While this gateway has no valid registration, the
+    /// configured number of gateways counts instead, so that a gateway without a link to the control members admits no more
+    /// than its quota. Returns whether this gateway is unregistered if that has changed.
     pub(crate) fn update_fleet_size(&mut self, gateway: &Gateway) -> Option<bool> {
         let view = self.handle.view();
         let is_registered = view.permission(gateway.core.clock.now()).is_some();
--- a/src/bin/asterreel/control/member.rs
+++ b/src/bin/asterreel/control/member.rs
@@ -1,5 +1,5 @@
-//! A control member on its own: it takes part in the replicated log and serves gateways, and has no clients, servers or
-//! registration.
+//! A control member that is no gateway: it takes part in the replicated log and serves gateways, and has no clients, servers
+//! or registration.
 
 use crate::cli::{Control, Files, EVALUATION};
 use asterreel_control::clock::Clock;
@@ -10,20 +10,20 @@
 use std::time::{Duration, Instant};
 use tracing::{info, warn};
 
-/// How long the member stays after a signal at least, so that what it releases is in the log.
+/// The shortest time from the signal to the end of the process, so that the releases of duties get into the log.
 const MIN_DRAIN_TIME: Duration = Duration::from_millis(300);
-/// How long it waits at most until another member leads: two elections with leases of ten seconds.
+/// The longest wait for another member to lead: enough for two elections with leases of ten seconds.
 const LEADERSHIP_TRANSFER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time between two looks at whether another member leads.
+/// The time between two checks whether another member leads.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Runs a control member until SIGTERM or SIGINT.
 ///
 /// # Errors
 ///
-/// An operator's file that is bad or names no control member, and a log or listener that cannot be opened.
+/// An operator's file that is invalid or makes this process no control member, and a log or listener that cannot be opened.
 pub(crate) fn run(command: &Control) -> Result<(), Box<dyn Error>> {
-    // Before anything else, so that a signal that comes early is not lost.
+    // Before anything else, so that no early signal is lost.
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     let files = Files {
         operator: Some(command.operator.clone()),
@@ -35,13 +35,16 @@
         if signal != SIGHUP {
             break;
         }
-        warn!("a control member takes its file at the start only; offer a file at a gateway");
+        warn!(
+            "SIGHUP has no effect: a control member reads its operator's file only at the start; restart it to apply the \
+             file, or send SIGHUP to a gateway to propose a version"
+        );
     }
     drain(&handle);
     Ok(())
 }
 
-/// Releases what the member holds, and waits for another to lead.
+/// Releases the member's duties, and waits until another member leads.
 fn drain(handle: &Handle) {
     let began = Instant::now();
     info!("draining");
