--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -1,32 +1,32 @@
-//! Fleets of real gateway processes that share a log, with injected faults.
+//! Tests of fleets of gateway processes that share a log, with injected faults.
 
 mod fleets;
 
 use asterreel_testbench::cluster::{play, Cluster};
-use fleets::{agree, alone, no_violation, program};
+use fleets::{assert_agreement, assert_no_violations, gateway_program, lock_fleet};
 use nix::sys::signal::Signal;
 use std::time::Duration;
 
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A fleet whose gateways all act on a first version.
+/// Starts a fleet and waits until all gateways act on a first version.
 fn start_fleet(gateways: usize, voters: usize) -> Cluster {
-    let mut cluster = Cluster::start(program(), gateways, voters).expect("started");
-    agree(&mut cluster, TIMEOUT);
+    let mut cluster = Cluster::start(gateway_program(), gateways, voters).expect("started");
+    assert_agreement(&mut cluster, TIMEOUT);
     cluster
 }
 
-/// Gateways of a minority lose their permission by themselves, and the majority activates new versions.
+/// Gateways that are partitioned from the majority stop acting by themselves, and the majority activates new versions.
 #[test]
 fn partitioned_minority_stops_and_majority_continues() {
-    let _alone = alone();
+    let _lock = lock_fleet();
     let mut cluster = start_fleet(5, 5);
     let before = cluster.in_force()[0];
     cluster.part(&[0, 1], true);
     let stopped = |gateway: u64| {
         move |cluster: &Cluster| {
-            let own = cluster.history();
-            let registrations = own.iter().filter(|line| line.gateway == gateway);
+            let history = cluster.history();
+            let registrations = history.iter().filter(|line| line.gateway == gateway);
             let last = registrations
                 .filter_map(|line| line.fields["message"].as_str())
                 .rfind(|m| m.starts_with("registration: "));
@@ -36,7 +36,7 @@
     for gateway in [1, 2] {
         assert!(
             cluster.wait(TIMEOUT, stopped(gateway)).is_some(),
-            "gateway {gateway} goes on without the log"
+            "gateway {gateway} still acts without the log"
         );
     }
     let has_new_version = |cluster: &Cluster| {
@@ -56,27 +56,27 @@
     }
     assert!(
         activated,
-        "three of five agree on a version: {:?}",
+        "three of five gateways activate no version: {:?}",
         cluster.in_force()
     );
     assert_eq!(
         cluster.in_force()[..2],
         [before, before],
-        "the others do not know it"
+        "the partitioned gateways act on the new version"
     );
     cluster.heal();
     assert!(
         cluster.agree(TIMEOUT).expect("played").is_some(),
-        "once healed, all agree again: {:?}",
+        "no agreement after the partition: {:?}",
         cluster.in_force()
     );
-    no_violation(&cluster);
+    assert_no_violations(&cluster);
 }
 
-/// A file that one gateway finds invalid becomes active nowhere.
+/// A file that one gateway rejects as invalid becomes active at none.
 #[test]
 fn nacked_file_becomes_active_nowhere() {
-    let _alone = alone();
+    let _lock = lock_fleet();
     let mut cluster = start_fleet(5, 3);
     let before = cluster.in_force();
     cluster.spoil(4).expect("written");
@@ -90,22 +90,23 @@
     };
     assert!(
         cluster.wait(TIMEOUT, rejected_everywhere).is_some(),
-        "each gateway learns who rejected it"
+        "not every gateway logged which one rejected the file"
     );
     assert_eq!(cluster.in_force(), before);
     assert!(
         cluster.agree(TIMEOUT).expect("played").is_some(),
-        "a valid one becomes active"
+        "a valid file does not become active"
     );
-    no_violation(&cluster);
+    assert_no_violations(&cluster);
 }
 
-/// Two hundred clients of a gateway that died connect to the next one at once.
+/// Two hundred clients of a gateway that died connect to another one at the same time. It admits them at its share of the
+/// fleet's rate, and each rejection says when to retry.
 #[test]
 fn returning_clients_are_admitted_at_fleet_rate() {
-    let _alone = alone();
+    let _lock = lock_fleet();
     let mut cluster = Cluster::start_with(
-        program(),
+        gateway_program(),
         3,
         3,
         "readmission(sessions_per_s = 90, burst = 5)\n",
@@ -113,34 +114,34 @@
     .expect("started");
     assert!(cluster.agree(TIMEOUT).expect("played").is_some());
     cluster.kill(0);
-    // Two are left once the dead one's registration has expired: each admits 45 a second.
+    // Once the registration of the dead gateway has expired, two are left: each admits 45 sessions a second.
     assert!(cluster.agree_without(TIMEOUT, 0).expect("played").is_some());
     let storm = cluster.storm(1, 200, Duration::from_secs(20));
     let mut admitted = storm.admitted.clone();
     admitted.sort_unstable();
-    assert_eq!(admitted.len(), 200, "all are admitted");
+    assert_eq!(admitted.len(), 200, "not all clients are admitted");
     for (n, at) in admitted.iter().enumerate() {
         let within = admitted[n..]
             .iter()
             .take_while(|other| **other < at + 1_000_000)
             .count();
-        // The gateway's share, the burst, and a tenth for the clients' own delays.
-        assert!(within <= 55, "{within} in a second");
+        // The gateway's share of 45, the burst of 5, and a tenth more for the clients' own delays.
+        assert!(within <= 55, "{within} sessions admitted within a second");
     }
     assert!(
         storm.refused >= 150 && storm.told,
-        "each rejection says when to retry"
+        "too few rejections, or one that does not say when to retry"
     );
-    no_violation(&cluster);
+    assert_no_violations(&cluster);
 }
 
-/// A gateway that stalls beyond its lease finds that it has no permission.
+/// A gateway that stalls for longer than its lease has no permission to act when it continues.
 #[test]
 fn stalled_gateway_loses_its_permission() {
-    let _alone = alone();
+    let _lock = lock_fleet();
     let mut cluster = start_fleet(3, 3);
     cluster.signal(0, Signal::SIGSTOP);
-    // All others act on a version without its ack: its registration has expired by then.
+    // The others activate a version without its ack, which is possible only once its registration has expired.
     assert!(
         cluster.agree_without(TIMEOUT, 0).expect("played").is_some(),
         "{:?}",
@@ -149,16 +150,16 @@
     cluster.signal(0, Signal::SIGCONT);
     assert!(
         cluster.agree(TIMEOUT).expect("played").is_some(),
-        "it comes back: {:?}",
+        "no agreement after the stall: {:?}",
         cluster.in_force()
     );
-    no_violation(&cluster);
+    assert_no_violations(&cluster);
 }
 
-/// A voter that lost its disk learns the log again, and then another one does.
+/// A voter that lost its disk learns the log again, and after it a second one does.
 #[test]
 fn voters_that_lost_their_disks_rejoin() {
-    let _alone = alone();
+    let _lock = lock_fleet();
     let mut cluster = start_fleet(3, 3);
     for voter in [0, 1] {
         cluster.wipe(voter).expect("wiped");
@@ -169,13 +170,13 @@
             cluster.in_force()
         );
     }
-    no_violation(&cluster);
+    assert_no_violations(&cluster);
 }
 
-/// All of a fleet, restarted at once, continue from their disks.
+/// The gateways of a fleet that are all killed and restarted continue from their disks.
 #[test]
 fn restarted_fleet_continues_from_disk() {
-    let _alone = alone();
+    let _lock = lock_fleet();
     let mut cluster = start_fleet(3, 3);
     let before = cluster.in_force()[0];
     (0..3).for_each(|gateway| cluster.kill(gateway));
@@ -187,17 +188,18 @@
     );
     assert!(
         cluster.in_force()[0] > before,
-        "the numbers of versions go on"
+        "the version numbers do not continue"
     );
-    no_violation(&cluster);
+    assert_no_violations(&cluster);
 }
 
-/// Fleets under random faults violate no invariant, and recover soon after.
+/// Fleets under random faults violate no invariant, and agree again soon after the faults end.
 #[test]
 fn fleets_recover_from_random_faults() {
-    let _alone = alone();
+    let _lock = lock_fleet();
     for (seed, gateways) in [(1, 5), (2, 3)] {
-        let found = play(program(), seed, gateways, Duration::from_secs(10)).expect("played");
+        let found =
+            play(gateway_program(), seed, gateways, Duration::from_secs(10)).expect("played");
         assert_eq!(found.violations, Vec::<String>::new(), "seed {seed}");
         assert!(
             found.faults > 10 && found.versions > 1,
--- a/tests/fleets/mod.rs
+++ b/tests/fleets/mod.rs
@@ -1,24 +1,24 @@
-//! What tests of fleets of real processes share.
+//! Helpers of the tests that run fleets of real processes.
 
 use asterreel_testbench::cluster::{history, Cluster};
 use std::path::PathBuf;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// The gateway's program.
-pub(crate) fn program() -> PathBuf {
+/// The path of the gateway's program.
+pub(crate) fn gateway_program() -> PathBuf {
     env!("CARGO_BIN_EXE_asterreel").into()
 }
 
-/// One fleet at a time: tests of one file run at once, and each fleet is several processes whose rights may last little more
-/// than a second.
-pub(crate) fn alone() -> MutexGuard<'static, ()> {
+/// Holds the lock under which only one fleet runs at a time. The tests of a file run in parallel, and a fleet is several
+/// processes whose leases may last little more than a second: a busy machine would let them expire.
+pub(crate) fn lock_fleet() -> MutexGuard<'static, ()> {
     static FLEET: Mutex<()> = Mutex::new(());
     FLEET.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Waits until each gateway acts on a version that is newer than all before, and prints what was logged where none does.
-pub(crate) fn agree(cluster: &mut Cluster, within: Duration) {
+/// Asserts that within this time all gateways act on one version that is newer than all before; prints the logs if not.
+pub(crate) fn assert_agreement(cluster: &mut Cluster, within: Duration) {
     let took = cluster.agree(within).expect("played");
     if took.is_none() {
         cluster
@@ -34,8 +34,8 @@
     );
 }
 
-/// What must never be was not.
-pub(crate) fn no_violation(cluster: &Cluster) {
+/// Asserts that the gateways' logs show no violation of an invariant.
+pub(crate) fn assert_no_violations(cluster: &Cluster) {
     assert_eq!(
         history::violations(&cluster.history()),
         Vec::<String>::new()
