--- a/control/src/frame.rs
+++ b/control/src/frame.rs
@@ -1,5 +1,5 @@
-//! Frames between gateways and control members: a length and a `prost` message, which carries a hello, a message of the
-//! Raft log, or a message of the version protocol.
+//! Frames between gateways and control members: a length and a `prost` message, which carries a hello, a Raft
+//! message, or a message of the version protocol.
 //!
 //! The length of a frame is checked before its content is buffered. A frame that cannot be decoded completely is an error,
 //! after which its link is closed.
@@ -18,7 +18,7 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio_util::codec::{Decoder, Encoder, LengthDelimitedCodec};
 
-/// The oldest format of frames that this build reads and writes. In format 1 all gateways were members of the Raft group.
+/// The oldest format of frames that this build reads and writes. In format 1 every gateway took part in the Raft log.
 pub(crate) const OLDEST_FORMAT: u32 = 2;
 /// The newest format of frames that this build reads and writes. Two builds use the newest format that both support.
 pub(crate) const NEWEST_FORMAT: u32 = 2;
--- a/control/src/frame/tests.rs
+++ b/control/src/frame/tests.rs
@@ -74,7 +74,7 @@
     let count = all.len();
     (
         all.into_iter()
-            .flat_map(|frame| frame.expect("short").to_vec())
+            .flat_map(|frame| frame.expect("a frame within the limit").to_vec())
             .collect(),
         count,
     )
@@ -127,7 +127,7 @@
         Kind::Raft,
     ] {
         fuzz::garbage(&bytes, |corrupted| {
-            let frame = encode(kind(corrupted.to_vec())).expect("short");
+            let frame = encode(kind(corrupted.to_vec())).expect("a frame within the limit");
             drop(read_all(&frame));
         });
     }
--- a/control/src/link/tests.rs
+++ b/control/src/link/tests.rs
@@ -110,7 +110,7 @@
         .await
         .expect("connected")
         .into_split();
-    let hello = frame::encode_hello(hello).expect("short");
+    let hello = frame::encode_hello(hello).expect("a frame within the limit");
     frame::write(&mut write, &hello, &Traffic::default())
         .await
         .expect("written");
@@ -134,7 +134,7 @@
 }
 
 async fn send(write: &mut OwnedWriteHalf, message: &ToControl) {
-    let frame = frame::encode_to_control(message).expect("short");
+    let frame = frame::encode_to_control(message).expect("a frame within the limit");
     frame::write(write, &frame, &Traffic::default())
         .await
         .expect("written");
@@ -198,7 +198,8 @@
             required_index: Index(0),
             registrations: 1,
         };
-        assert!(leader_handle.send(frame::encode_to_gateway(&renewal).expect("short")));
+        assert!(leader_handle
+            .send(frame::encode_to_gateway(&renewal).expect("a frame within the limit")));
         assert!(
             matches!(received.recv().await, Some(gateway::LinkEvent::Received(on, message)) if on == leader_link && message == renewal)
         );
@@ -250,7 +251,7 @@
             term: 7,
             ..Default::default()
         };
-        let raft = frame::encode_raft(&message).expect("short");
+        let raft = frame::encode_raft(&message).expect("a frame within the limit");
         frame::write(&mut write, &raft, &Traffic::default())
             .await
             .expect("written");
@@ -325,7 +326,7 @@
             since: Index(0),
             topics: vec![topic],
         };
-        let frame = frame::encode_to_gateway(&state).expect("short");
+        let frame = frame::encode_to_gateway(&state).expect("a frame within the limit");
         while handle.send(frame.clone()) {
             tokio::task::yield_now().await;
         }
@@ -354,11 +355,11 @@
             required_index: Index(0),
             registrations: 1,
         };
-        let renewal = frame::encode_to_gateway(&renewal).expect("short");
+        let renewal = frame::encode_to_gateway(&renewal).expect("a frame within the limit");
         assert!(handle.send(renewal.clone()));
         assert!(matches!(frames.next().await, Ok(Payload::ToGateway(_))));
         let heartbeat_bytes = frame::encode_to_control(&heartbeat(ME))
-            .expect("short")
+            .expect("a frame within the limit")
             .len() as u64;
         let (bytes_in, bytes_out) = (heartbeat_bytes, renewal.len() as u64);
         let expected = TrafficTotals {
@@ -391,7 +392,7 @@
             term: 7,
             ..Default::default()
         };
-        let raft = frame::encode_raft(&message).expect("short");
+        let raft = frame::encode_raft(&message).expect("a frame within the limit");
         frame::write(&mut write, &raft, &Traffic::default())
             .await
             .expect("written");
--- a/control/src/service/mod.rs
+++ b/control/src/service/mod.rs
@@ -160,7 +160,8 @@
 ///
 /// # Errors
 ///
-/// [`ControlError`] if the settings name no voter, the store cannot be opened or the listener cannot be bound.
+/// [`ControlError`] if the settings do not make this process a voter, the store cannot be opened or the listener cannot be
+/// bound.
 pub fn start_member(settings: &ControlSettings, clock: Clock) -> Result<Handle, ControlError> {
     if !settings.is_voter() {
         return Err(ControlError::NoVoter(settings.me));
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -66,7 +66,7 @@
     );
     cluster.heal();
     assert!(
-        cluster.agree(TIMEOUT).expect("played").is_some(),
+        cluster.agree(TIMEOUT).expect("offered").is_some(),
         "no agreement after the partition: {:?}",
         cluster.in_force()
     );
@@ -94,7 +94,7 @@
     );
     assert_eq!(cluster.in_force(), before);
     assert!(
-        cluster.agree(TIMEOUT).expect("played").is_some(),
+        cluster.agree(TIMEOUT).expect("offered").is_some(),
         "a valid file does not become active"
     );
     assert_no_violations(&cluster);
@@ -112,10 +112,13 @@
         "readmission(sessions_per_s = 90, burst = 5)\n",
     )
     .expect("started");
-    assert!(cluster.agree(TIMEOUT).expect("played").is_some());
+    assert!(cluster.agree(TIMEOUT).expect("offered").is_some());
     cluster.kill(0);
     // Once the registration of the dead gateway has expired, two are left: each admits 45 sessions a second.
-    assert!(cluster.agree_without(TIMEOUT, 0).expect("played").is_some());
+    assert!(cluster
+        .agree_without(TIMEOUT, 0)
+        .expect("offered")
+        .is_some());
     let storm = cluster.storm(1, 200, Duration::from_secs(20));
     let mut admitted = storm.admitted.clone();
     admitted.sort_unstable();
@@ -143,13 +146,16 @@
     cluster.signal(0, Signal::SIGSTOP);
     // The others activate a version without its ack, which is possible only once its registration has expired.
     assert!(
-        cluster.agree_without(TIMEOUT, 0).expect("played").is_some(),
+        cluster
+            .agree_without(TIMEOUT, 0)
+            .expect("offered")
+            .is_some(),
         "{:?}",
         cluster.in_force()
     );
     cluster.signal(0, Signal::SIGCONT);
     assert!(
-        cluster.agree(TIMEOUT).expect("played").is_some(),
+        cluster.agree(TIMEOUT).expect("offered").is_some(),
         "no agreement after the stall: {:?}",
         cluster.in_force()
     );
@@ -165,7 +171,7 @@
         cluster.wipe(voter).expect("wiped");
         cluster.revive(voter).expect("started");
         assert!(
-            cluster.agree(TIMEOUT).expect("played").is_some(),
+            cluster.agree(TIMEOUT).expect("offered").is_some(),
             "{:?}",
             cluster.in_force()
         );
@@ -182,7 +188,7 @@
     (0..3).for_each(|gateway| cluster.kill(gateway));
     (0..3).for_each(|gateway| cluster.revive(gateway).expect("started"));
     assert!(
-        cluster.agree(TIMEOUT).expect("played").is_some(),
+        cluster.agree(TIMEOUT).expect("offered").is_some(),
         "{:?}",
         cluster.in_force()
     );
@@ -198,8 +204,8 @@
 fn fleets_recover_from_random_faults() {
     let _lock = lock_fleet();
     for (seed, gateways) in [(1, 5), (2, 3)] {
-        let found =
-            play(gateway_program(), seed, gateways, Duration::from_secs(10)).expect("played");
+        let found = play(gateway_program(), seed, gateways, Duration::from_secs(10))
+            .expect("the fleet runs");
         assert_eq!(found.violations, Vec::<String>::new(), "seed {seed}");
         assert!(
             found.faults > 10 && found.versions > 1,
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -135,7 +135,7 @@
     assert!(
         cluster
             .agree_without(TIMEOUT, served)
-            .expect("played")
+            .expect("offered")
             .is_some(),
         "{:?}",
         cluster.in_force()
@@ -214,7 +214,10 @@
         registrations(&cluster, 3).last()
     );
     assert!(
-        cluster.agree_without(TIMEOUT, 3).expect("played").is_some(),
+        cluster
+            .agree_without(TIMEOUT, 3)
+            .expect("offered")
+            .is_some(),
         "{:?}",
         cluster.in_force()
     );
--- a/tests/fleets/mod.rs
+++ b/tests/fleets/mod.rs
@@ -19,7 +19,7 @@
 
 /// Asserts that within this time all gateways act on one version that is newer than all before; prints the logs if not.
 pub(crate) fn assert_agreement(cluster: &mut Cluster, within: Duration) {
-    let took = cluster.agree(within).expect("played");
+    let took = cluster.agree(within).expect("offered");
     if took.is_none() {
         cluster
             .history()
