--- a/control/src/service/served.rs
+++ b/control/src/service/served.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use tracing::warn;
 
-/// The target of the log lines on served gateways: that of the control member, which operators may select.
+/// The log target for served gateways: that of the control member, by which operators may filter.
 const LOG_TARGET: &str = "asterreel_control::service::member";
 
 /// The newest link of each incarnation of a gateway. Dropping a handle closes its link.
@@ -18,15 +18,15 @@
 }
 
 impl ServedGateways {
-    /// Takes a new link in place of the gateway's former one.
+    /// Adds the link of a gateway; the former one of the same incarnation is closed.
     pub(super) fn connect(&mut self, link: GatewayLink) {
         self.links.insert(link.who, link);
     }
 
-    /// A link has ended; a newer one of the same gateway stays.
-    pub(super) fn disconnect(&mut self, who: NodeIdentity, link: u64) {
+    /// Removes a link that has ended, unless a newer one has replaced it.
+    pub(super) fn disconnect(&mut self, who: NodeIdentity, link_number: u64) {
         let current = self.links.get(&who);
-        if current.is_some_and(|current| current.link == link) {
+        if current.is_some_and(|current| current.link_number == link_number) {
             self.links.remove(&who);
         }
     }
@@ -43,7 +43,7 @@
                 }
             }
             Err(error) => {
-                warn!(target: LOG_TARGET, gateway = who.gateway, "control: not sent: {error}")
+                warn!(target: LOG_TARGET, gateway = who.gateway, "control: message to the gateway not sent: {error}")
             }
         }
     }
@@ -52,19 +52,21 @@
     pub(super) fn broadcast(&mut self, message: &ToGateway) {
         match frame::encode_to_gateway(message) {
             Ok(frame) => self.links.retain(|_, link| try_send(link, frame.clone())),
-            Err(error) => warn!(target: LOG_TARGET, "control: not sent: {error}"),
+            Err(error) => {
+                warn!(target: LOG_TARGET, "control: message to all gateways not sent: {error}")
+            }
         }
     }
 }
 
-/// Queues a frame for a gateway; false where its link is to be closed.
+/// Queues a frame for a gateway; false if its link is to be closed.
 fn try_send(link: &GatewayLink, frame: Bytes) -> bool {
     let sent = link.send(frame);
     if !sent {
         warn!(
             target: LOG_TARGET,
             gateway = link.who.gateway,
-            "control: link closed: the gateway takes nothing in"
+            "control: link closed: the gateway reads no messages, or the connection has ended"
         );
     }
     sent
