--- a/src/config.rs
+++ b/src/config.rs
@@ -1,41 +1,41 @@
-//! The one place where a gateway's configuration is read, checked and given defaults.
+//! Reads and checks a gateway's configuration and applies its defaults.
 //!
 //! `RELAY_CONFIG` names a JSON file; `RELAY_NAME`, `RELAY_LISTEN` and `RELAY_DISCOVERY` override its keys `name`, `listen`
-//! and `discovery`. Every error names the key at fault. The file can be read again while the gateway runs; the
-//! configuration in force stays where that fails.
+//! and `discovery`. Every error names the key at fault. The file can be reloaded while the gateway runs; if that fails, the
+//! configuration in force stays.
 
 use crate::interface::Settings;
 use crate::settings::{EndpointRecord, Setup, UnknownValue};
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// The name of a gateway that neither the file nor the environment names.
+/// The default of `name`.
 const DEFAULT_NAME: &str = "asterreel";
 /// The default of `limits.sockets`.
 const DEFAULT_DESCRIPTORS: usize = 1_024;
-/// The fewest descriptors that a gateway can work with.
+/// The fewest file descriptors that a gateway can work with.
 const MIN_DESCRIPTORS: usize = 64;
 /// The base of `seed`.
 const SEED_RADIX: u32 = 16;
 
-/// A gateway's configuration, checked.
+/// A gateway's checked configuration.
 #[derive(Debug)]
 pub struct Config {
     /// The gateway's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which the gateway listens for clients.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// `discovery` as the file has it, to tell whether it has changed there.
+    /// `discovery` in the file; a reload compares it to see whether the file has changed it.
     discovery_in_file: Option<String>,
-    /// Seed of the random numbers.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// The most file descriptors that the process may hold; the key `limits.sockets`.
     pub max_descriptors: usize,
-    /// The list of endpoints as last known; its age is not known.
+    /// The list of endpoints in the file, used until discovery has sent one; its age is not known.
     pub known_endpoints: EndpointList,
-    /// The settings as the platform gives them.
+    /// The settings as they are in the file.
     pub setup: Setup,
     /// The settings in the types of [`crate::interface`].
     pub settings: Settings,
@@ -43,63 +43,63 @@
 
 /// A list of endpoints, or the changes to one.
 #[derive(Clone, Debug, Default, Deserialize)]
-// The error message of a configuration names the type that it expected.
+// The type name in serde's error messages, which stays when this type is renamed.
 #[serde(expecting = "struct Listing")]
 pub struct EndpointList {
-    /// The version of the list.
+    /// The version of the list, assigned by discovery.
     pub revision: u64,
-    /// Whether it has all endpoints, not only those that changed.
+    /// Whether the list has all endpoints, not only those that changed.
     #[serde(default)]
     pub complete: bool,
-    /// The records.
+    /// One record for each endpoint.
     #[serde(default)]
     pub members: Vec<EndpointRecord>,
 }
 
-/// What is wrong with the configuration, and where.
+/// A fault in the configuration and the key that has it.
 #[derive(Debug, thiserror::Error)]
 #[error("configuration: {key}: {fault}")]
 pub struct ConfigError {
-    /// The key at fault, or the variable of the environment.
+    /// The key or environment variable at fault.
     pub key: String,
-    /// What is wrong with it.
+    /// What is wrong with the key.
     pub fault: ConfigFault,
 }
 
 /// What is wrong with a key of the configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigFault {
-    /// A variable of the environment that has to be set.
-    #[error("is not set")]
+    /// A required environment variable is not set.
+    #[error("is not set; set it to the path of the configuration file")]
     NotSet,
-    /// A key that has to be there.
-    #[error("is missing")]
+    /// A required key is missing.
+    #[error("is missing; set it in the configuration file")]
     Missing,
     /// The file can't be read.
     #[error("cannot read {path}: {error}")]
     Unreadable {
         /// The file.
         path: String,
-        /// Why.
+        /// Why it can't be read.
         error: std::io::Error,
     },
-    /// No JSON, or a value of another type.
+    /// Invalid JSON, or a value of the wrong type.
     #[error("{0}")]
     Json(serde_json::Error),
-    /// A text that is no address.
-    #[error("{0:?} is not an address and port")]
+    /// An address that can't be parsed.
+    #[error("{0:?} is not an IP address and port, such as 127.0.0.1:6433")]
     NotAnAddress(String),
-    /// A seed that is no number.
-    #[error("{0:?} is not a number of 64 bits in hex")]
+    /// A seed that can't be parsed.
+    #[error("{0:?} is not a hexadecimal number of at most 64 bits")]
     NotASeed(String),
     /// Fewer file descriptors than a gateway needs.
-    #[error("must be at least {MIN_DESCRIPTORS}")]
-    TooFewDescriptors,
-    /// A time that must not be 0.
+    #[error("{0} is too few file descriptors; set at least {MIN_DESCRIPTORS}")]
+    TooFewDescriptors(usize),
+    /// A duration that must not be 0.
     #[error("must not be 0")]
     Zero,
-    /// A value in the settings that this program does not know.
-    #[error(transparent)]
+    /// A value in the settings that this version does not support.
+    #[error("{:?} is not a value of {} that this version supports", .0.value, .0.subject)]
     UnknownValue(#[from] UnknownValue),
 }
 
@@ -142,7 +142,7 @@
             .map_err(|_| ConfigFault::NotASeed(seed.clone()).at("seed"))
     }
 
-    /// The settings in the types of [`crate::interface`], checked beyond what their types say.
+    /// Converts the settings to the types of [`crate::interface`] and checks what the types do not ensure.
     fn checked_settings(&self) -> Result<Settings, ConfigError> {
         let settings = self
             .settings
@@ -169,7 +169,7 @@
 impl Limits {
     fn check(&self) -> Result<(), ConfigError> {
         if self.sockets < MIN_DESCRIPTORS {
-            return Err(ConfigFault::TooFewDescriptors.at("limits.sockets"));
+            return Err(ConfigFault::TooFewDescriptors(self.sockets).at("limits.sockets"));
         }
         Ok(())
     }
@@ -184,7 +184,7 @@
 }
 
 impl Config {
-    /// Reads the configuration that the environment names.
+    /// Reads the configuration file that `RELAY_CONFIG` names.
     ///
     /// # Errors
     ///
@@ -193,7 +193,7 @@
         Config::parse(&text_from_env()?, variable)
     }
 
-    /// Reads the file again; this configuration stays in force where that fails.
+    /// Reads the file again; if that fails, this configuration stays in force.
     ///
     /// # Errors
     ///
@@ -202,7 +202,7 @@
         self.reload(&text_from_env()?, variable)
     }
 
-    /// Checks the text of a configuration; `variable` looks up the environment.
+    /// Parses and checks the text of a configuration file; `variable` looks up environment variables.
     ///
     /// # Errors
     ///
@@ -214,7 +214,7 @@
         Config::check(text, variable, None)
     }
 
-    /// Checks a text that is to take the place of this configuration.
+    /// Parses and checks a text that is to replace this configuration.
     ///
     /// # Errors
     ///
@@ -238,8 +238,8 @@
             None => parse_address(key, in_file.ok_or_else(|| ConfigFault::Missing.at(key))?),
         };
         let listen = address("RELAY_LISTEN", "listen", file.listen.as_deref())?;
-        // The environment of a running process can't change. A key that has changed in the file since is newer
-        // and wins; one that has not leaves what was in force.
+        // The environment of a running process can't change. If the file's key has changed since, it is newer than
+        // the environment and wins; otherwise the address in force stays.
         let discovery = match (before, file.discovery.as_deref()) {
             (Some(before), in_file) if in_file == before.discovery_in_file.as_deref() => {
                 before.discovery
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,9 +1,9 @@
 //! The platform's wire types: the settings object and the records of a list of endpoints.
 //!
 //! The simulator's first message and a gateway's configuration carry the same settings object, and both give lists of
-//! endpoints, with keys of their own. Both are decoded here, and mapped once to the types of [`crate::interface`]. Fields
-//! and variants keep the protocol's names, in Rust's spelling; each doc comment gives the field's meaning. Unknown keys are
-//! skipped, unknown values are errors.
+//! endpoints, each under its own keys. Both are decoded here and converted once to the types of [`crate::interface`].
+//! Fields and variants keep the protocol's names, in Rust's spelling; each doc comment gives the field's meaning. Unknown
+//! keys are ignored, unknown values are errors.
 
 use crate::interface::*;
 use serde::Deserialize;
@@ -159,39 +159,39 @@
     /// `AnswerSlackUs`: how long after the deadline a final answer still counts, microseconds.
     #[serde(default)]
     pub answer_slack_us: Micros,
-    /// `AskEveryUs`: after how long a list counts as notified that is not watched, microseconds.
+    /// `AskEveryUs`: how long after a change of a list that is not watched the change counts as notified, microseconds.
     #[serde(default)]
     pub ask_every_us: Micros,
     /// `ColdUs`: the duration of slow start, microseconds.
     pub cold_us: Micros,
-    /// `DrainGraceUs`: how long after the notification of a drain requests may still be sent, microseconds.
+    /// `DrainGraceUs`: how long after the notification of its drain a member may still get requests, microseconds.
     pub drain_grace_us: Micros,
     /// `FallMultiple`: the multiple of its capacity at which a member in slow start fails.
     pub fall_multiple: f64,
-    /// `FallUs`: how long such an overload lasts until the member fails, microseconds.
+    /// `FallUs`: how long a load at `FallMultiple` must last for the member to fail, microseconds.
     pub fall_us: Micros,
-    /// `StartCapacity`: the fraction of its capacity that a started member begins with.
+    /// `StartCapacity`: the fraction of its capacity, 0 to 1, with which a member enters slow start.
     pub start_capacity: f64,
-    /// `DroppedStayOpen`: only a record that shows draining starts a drain, not one that is gone from the list.
+    /// `DroppedStayOpen`: a drain is started only by a record in a draining state, not by removal from the list.
     #[serde(default)]
     pub dropped_stay_open: bool,
 }
 
 /// A record of the list of endpoints, with the simulator's keys or discovery's.
 #[derive(Clone, Debug, Deserialize)]
-// The error message of a configuration names the type that it expected.
+// The type name in serde's error messages, which stays when this type is renamed.
 #[serde(rename_all = "PascalCase", expecting = "struct Item")]
 pub struct EndpointRecord {
-    /// `Campus`, or discovery's `locality`: the zone.
+    /// `Campus`, or discovery's `locality`: the member's zone.
     #[serde(alias = "locality", default)]
     pub campus: ZoneReference,
-    /// `State`, or discovery's `phase`.
+    /// `State`, or discovery's `phase`: `on` or `ready`, `fading` or `draining`, `off` or `gone`.
     #[serde(alias = "phase")]
     pub state: String,
-    /// `ReadyAtUs`: when its process last started, microseconds; the simulator's key.
+    /// `ReadyAtUs`: when the member's process last started, microseconds; the simulator's key.
     #[serde(default)]
     pub ready_at_us: Micros,
-    /// `up_since_ms`: when its process last started, milliseconds; discovery's key.
+    /// `up_since_ms`: when the member's process last started, milliseconds; discovery's key.
     #[serde(rename = "up_since_ms", default)]
     pub up_since_ms: u64,
     /// `Writer`: the listed role, above 0.5 for the primary; the simulator's key.
@@ -209,7 +209,7 @@
     /// `Store`, or discovery's `id`: the member's name.
     #[serde(alias = "id")]
     pub store: String,
-    /// `host_port`: where it listens; discovery's key.
+    /// `host_port`: the address that the member listens on; discovery's key.
     #[serde(rename = "host_port", default)]
     pub address: String,
 }
@@ -221,9 +221,9 @@
     expecting = "data did not match any variant of untagged enum Place"
 )]
 pub enum ZoneReference {
-    /// By its index.
+    /// An index into `Zones`.
     Index(u32),
-    /// By its name.
+    /// A name in `Zones`.
     Name(String),
 }
 
@@ -234,11 +234,11 @@
 }
 
 impl EndpointRecord {
-    /// The endpoint of the record, for a member that has this number here.
+    /// Converts the record to the endpoint of `member`, the id that the caller has assigned to `Store`.
     ///
     /// # Errors
     ///
-    /// [`UnknownValue`], where the state is not known.
+    /// [`UnknownValue`], if the record's state is not one of those above.
     pub fn endpoint(&self, member: MemberId, zones: &[String]) -> Result<Endpoint, UnknownValue> {
         Ok(Endpoint {
             member,
@@ -273,7 +273,7 @@
 }
 
 impl ZoneReference {
-    /// A zone that the settings don't name is the zone of no gateway.
+    /// A name that is not in `Zones` becomes an id that no gateway has.
     fn zone(&self, zones: &[String]) -> ZoneId {
         ZoneId(match self {
             ZoneReference::Index(index) => *index,
@@ -285,13 +285,13 @@
     }
 }
 
-/// A value that this program does not know.
+/// A value in the settings or in a list of endpoints that this version does not support.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("unknown {subject} {value}")]
 pub struct UnknownValue {
-    /// What the value stands for.
+    /// The setting that has the value, or `state` in a list of endpoints.
     pub subject: &'static str,
-    /// The value.
+    /// The unsupported value, as received.
     pub value: String,
 }
 
@@ -313,11 +313,11 @@
 }
 
 impl Setup {
-    /// The settings in the types of [`crate::interface`].
+    /// Converts the settings to the types of [`crate::interface`].
     ///
     /// # Errors
     ///
-    /// [`UnknownValue`], for the first value that is not known.
+    /// [`UnknownValue`], for the first value that is not supported.
     pub fn settings(&self) -> Result<Settings, UnknownValue> {
         let (allowed, family, rules) = (&self.allowed, &self.family_info, &self.rules);
         let classes: Result<Vec<Class>, UnknownValue> =
@@ -357,7 +357,7 @@
         match self.discovery.as_str() {
             "automatic" => Ok(DiscoveryMode::Push),
             "subscribe" => Ok(DiscoveryMode::Watch),
-            other => Err(UnknownValue::new("discovery", other)),
+            other => Err(UnknownValue::new("Discovery", other)),
         }
     }
 }
@@ -380,7 +380,7 @@
                 "causal" => Ok(ConsistencyLevel::Session),
                 "lag_bound" => Ok(ConsistencyLevel::BoundedStaleness),
                 "eventual" => Ok(ConsistencyLevel::Eventual),
-                other => Err(UnknownValue::new("consistency", other)),
+                other => Err(UnknownValue::new("FamilyInfo.Consistency", other)),
             })
             .collect()
     }
@@ -389,7 +389,7 @@
         match self.checks.as_str() {
             "none" => Ok(ReplicaChecks::None),
             "bounce" | "await" => Ok(ReplicaChecks::RejectStale),
-            other => Err(UnknownValue::new("checks", other)),
+            other => Err(UnknownValue::new("FamilyInfo.Checks", other)),
         }
     }
 
@@ -397,7 +397,7 @@
         match self.session_marks.as_str() {
             "brought" => Ok(SessionTokens::FromClient),
             "kept" => Ok(SessionTokens::Remembered),
-            other => Err(UnknownValue::new("session marks", other)),
+            other => Err(UnknownValue::new("FamilyInfo.SessionMarks", other)),
         }
     }
 
@@ -406,7 +406,7 @@
             "trailing" => Ok(ListedRole::Delayed),
             "static" => Ok(ListedRole::AtStart),
             "none" => Ok(ListedRole::Never),
-            other => Err(UnknownValue::new("listed role", other)),
+            other => Err(UnknownValue::new("FamilyInfo.RoleListed", other)),
         }
     }
 }
@@ -441,7 +441,7 @@
                 window: self.dedup_window_us,
             }),
             "single_shot" => Ok(Idempotency::NonIdempotent),
-            other => Err(UnknownValue::new("effect", other)),
+            other => Err(UnknownValue::new("Profiles.Effect", other)),
         }
     }
 
