--- a/src/discovery/backoff.rs
+++ b/src/discovery/backoff.rs
@@ -1,56 +1,58 @@
-//! The backoff of calls to discovery: when a gateway calls, and by when it has to.
+//! The backoff of calls to discovery: the delay before a gateway calls again, and its upper bounds.
 //!
-//! Decides the delay before each call from how the call before ended, for how long there was no contact, and the size of
-//! the fleet, all of which shares one discovery. An update that a gateway misses counts as notified
-//! [`NOTIFICATION_DEADLINE_US`] after discovery had it, whatever became of the calls in between, and a drain binds once its
-//! grace period is over. So no delay is measured from the latest call alone: calls that fail begin at most
-//! [`MAX_CALL_INTERVAL_US`] apart, and the first call after a start or a loss begins within [`FIRST_CALL_DEADLINE_US`].
+//! The delay depends on how the previous call ended, for how long there was no contact, and the size of the fleet, as all
+//! its gateways share one discovery service. An update that a gateway misses counts as notified
+//! [`NOTIFICATION_DEADLINE_US`] after discovery had it, whatever became of the calls in between, and a draining member must
+//! get no requests once its grace period is over. So no delay is measured from the latest call alone: calls that fail begin
+//! at most [`MAX_CALL_INTERVAL_US`] apart, and the first call after a start or a loss begins within
+//! [`FIRST_CALL_DEADLINE_US`].
 //!
-//! Never decides what is done with an update, and does no input or output.
+//! This module does no input or output and does not decide what is done with an update.
 
 use crate::fleet::Fleet;
 use crate::interface::{DiscoveryMode, Micros, Settings, WatchLoss};
 
 /// The first mean delay before a lost watch is renewed in a small fleet, microseconds.
 const INITIAL_BACKOFF_US: Micros = 200_000;
-/// The same where lists are pushed, microseconds: the agent serves this gateway alone, at once and at no cost, and what
-/// it has counts as notified whether it is called or not.
+/// The delay before the next call where lists are pushed, microseconds. It is short because the agent serves only this
+/// gateway, answers at once and at no cost, and the updates that it has count as notified even if it is not called.
 const PUSH_RETRY_DELAY_US: Micros = 50_000;
-/// How long a call to discovery may take, microseconds: it answers calls one by one, and fails those that wait longer.
+/// How long a call to discovery may take, microseconds: discovery answers calls one by one and fails those that have
+/// waited longer.
 const MAX_CALL_DURATION_US: Micros = 2_000_000;
-/// How long after discovery had it an update that was missed counts as notified, microseconds, however the watch was lost
-/// and however many calls have failed since. Set by the platform.
+/// How long after discovery had it a missed update counts as notified, microseconds, however the watch was lost and however
+/// many calls have failed since. The platform sets this time.
 const NOTIFICATION_DEADLINE_US: Micros = 6_000_000;
 /// How long a watch may be silent before it counts as broken, microseconds: one and a half of the heartbeats that
-/// discovery sends every two seconds. The rest of [`NOTIFICATION_DEADLINE_US`] is for the next call and its jitter.
+/// discovery sends every two seconds. The rest of `NOTIFICATION_DEADLINE_US` is for the next call and its jitter.
 pub const WATCH_SILENCE_TIMEOUT_US: Micros = 3_000_000;
-/// The latest that the first call after a start or a loss begins, microseconds. Two more that fail fit before the grace
-/// of a drain (2 s) after [`NOTIFICATION_DEADLINE_US`] is over.
+/// The longest delay of the first call after a start or a loss, microseconds. Two more calls can then fail before the end
+/// of a drain's grace period, 2 s after [`NOTIFICATION_DEADLINE_US`].
 const FIRST_CALL_DEADLINE_US: Micros = 2_000_000;
-/// The longest time from the beginning of a call that failed to that of the next, microseconds: what a call may take, and
-/// half a second of jitter.
+/// The longest time from the start of a failed call to the start of the next, microseconds: the longest duration of a call
+/// and half a second of jitter.
 const MAX_CALL_INTERVAL_US: Micros = 2_500_000;
 /// The least range of the jitter after a call that took all of [`MAX_CALL_INTERVAL_US`], microseconds.
 const MIN_JITTER_RANGE_US: Micros = 500_000;
-/// What each gateway of a large fleet adds to the range that first calls are spread over, microseconds. Discovery answers
-/// some 150 calls a second and queues the others: 900 gateways wait for under 2 s.
+/// How much each gateway of a large fleet widens the range over which first calls are spread, microseconds. Discovery
+/// answers some 150 calls a second and queues the others: 900 gateways wait for less than 2 s.
 const JITTER_PER_GATEWAY_US: Micros = 4_500;
-/// The most doublings of the delay after updates that came truncated.
+/// The most doublings of the delay after truncated updates.
 const MAX_TRUNCATION_DOUBLINGS: u32 = 4;
 
 /// The backoff of one gateway's calls to discovery.
 #[derive(Clone, Copy, Debug)]
 pub struct CallBackoff {
     discovery: DiscoveryMode,
-    /// Each gateway of a small fleet waits as it would alone.
+    /// Whether delays are spread over the whole fleet; a gateway of a small fleet backs off by itself.
     is_large_fleet: bool,
-    /// The range that the first calls of all gateways are spread over.
+    /// The range over which the first calls of all gateways are spread, microseconds.
     first_call_jitter: Micros,
-    /// How long after discovery had it an update that was missed counts as notified.
+    /// How long after discovery had it a missed update counts as notified, microseconds.
     notification_deadline: Micros,
-    /// Calls that failed, and watches that were lost, since the last update; the start counts as one.
+    /// Failed calls and lost watches since the last update; the start counts as one.
     consecutive_losses: u32,
-    /// The mean delay of a gateway in a small fleet.
+    /// The mean of the next delay of a gateway in a small fleet, microseconds.
     mean_delay: Micros,
 }
 
@@ -69,8 +71,9 @@
         }
     }
 
-    /// The delay before the first call after a start, microseconds. All gateways may start at once; and as the age of the
-    /// list in the configuration is not known, what it lacks may bind soon.
+    /// The delay before the first call after a start, microseconds. It is spread because all gateways may start at once,
+    /// and bounded because the age of the list in the configuration is not known: the changes that the list lacks may
+    /// count as notified soon.
     pub fn initial_delay(&self, rng: &mut fastrand::Rng) -> Micros {
         if self.is_large_fleet {
             rng.u64(0..=self.first_call_jitter)
@@ -79,14 +82,14 @@
         }
     }
 
-    /// An update came: the backoff starts anew.
+    /// Resets the backoff after an update.
     pub fn update_received(&mut self) {
         self.consecutive_losses = 0;
         self.mean_delay = INITIAL_BACKOFF_US;
     }
 
-    /// The delay before the next call, microseconds, after one failed or a watch was lost. Drawn anew each time, as the
-    /// watches of all gateways may be lost together.
+    /// The delay before the next call, microseconds, after a call failed or a watch was lost. It is drawn at random each
+    /// time, as the watches of all gateways may be lost together.
     pub fn next_retry_delay(&mut self, loss: WatchLoss, rng: &mut fastrand::Rng) -> Micros {
         if self.discovery == DiscoveryMode::Push {
             return PUSH_RETRY_DELAY_US;
@@ -102,7 +105,7 @@
     }
 
     fn max_delay(&self, loss: WatchLoss) -> Micros {
-        // What a truncated update holds counts as notified already: call soon, unless every update comes truncated.
+        // The changes in a truncated update count as notified already: call soon, unless every update is truncated.
         if loss.truncated {
             let doublings = self.consecutive_losses.min(MAX_TRUNCATION_DOUBLINGS);
             return (INITIAL_BACKOFF_US << doublings).min(MAX_CALL_INTERVAL_US);
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,13 +1,13 @@
 //! The subscription of a gateway to discovery's list of endpoints.
 //!
-//! Three parts decide, from times that the caller passes in; none does input or output:
+//! It consists of three types. The caller passes in the time; none of them does input or output:
 //!
-//! - [`Subscription`] owns the version in force, the last contact and the watch under way, and says what is lost with it.
-//! - [`Watch`] decides when one call or watch has failed, and up to when it reported every change.
+//! - [`Subscription`] holds the version in force, the time of the last contact and the current watch.
+//! - [`Watch`] decides when a call or its watch has failed, and up to when it reported every change.
 //! - [`CallBackoff`] decides the delay before the next call. A [`crate::policy::Router`] owns it, as the delay is drawn
 //!   from the router's random numbers.
 //!
-//! What an update means for requests is decided by the router, never here.
+//! The router decides what an update means for requests.
 
 mod backoff;
 mod subscription;
--- a/src/discovery/subscription.rs
+++ b/src/discovery/subscription.rs
@@ -1,8 +1,8 @@
-//! The version of the list that a gateway has from discovery, since when it may be stale, and the outcome of its calls.
+//! The version of the list that a gateway has from discovery, since when the list may be stale, and counts of calls.
 //!
-//! Invariants: the version changes only with an update that was applied, or with a move to another discovery; the
-//! list counts as current up to the last contact of a watch that has brought an update, never by a call alone.
-//! Never decides when the next call is made: that is [`super::CallBackoff`].
+//! Invariants: the version changes only with an update that was applied, or with a change of the discovery address; the
+//! list counts as current up to the last contact of a watch that has delivered an update, never because of a call alone.
+//! [`super::CallBackoff`] decides when the next call is made.
 
 use super::{Received, Watch, WatchEnd};
 use crate::interface::Micros;
@@ -23,7 +23,7 @@
 }
 
 impl Subscription {
-    /// A gateway that starts now with a list of this version, whose age is not known.
+    /// Creates the subscription of a gateway that starts now with a list of this version and of unknown age.
     pub fn new(now: Micros, revision: u64) -> Subscription {
         Subscription {
             revision,
@@ -35,22 +35,22 @@
         }
     }
 
-    /// The version of the list in force, which the next call names.
+    /// The version of the list in force; the next call requests the changes after it.
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// Calls so far.
+    /// Calls since the start.
     pub fn calls(&self) -> u64 {
         self.calls
     }
 
-    /// Updates applied so far.
+    /// Updates applied since the start.
     pub fn updates(&self) -> u64 {
         self.updates
     }
 
-    /// Calls since the last update that brought none, the one under way among them.
+    /// Calls since the last update, including the current one if it has not delivered an update.
     pub fn consecutive_failures(&self) -> u32 {
         self.consecutive_failures
     }
@@ -60,14 +60,14 @@
         now.saturating_sub(self.current_at)
     }
 
-    /// A call begins; it counts as failed until it brings an update.
+    /// Records that a call begins; it counts as failed until it delivers an update.
     pub fn call_started(&mut self, now: Micros) {
         self.calls += 1;
         self.consecutive_failures += 1;
         self.watch = Watch::call(now);
     }
 
-    /// An update was applied; returns for how long the list before it may have been out of date, microseconds.
+    /// Records that an update was applied; returns for how long the list before it may have been out of date, microseconds.
     pub fn update_applied(&mut self, now: Micros, revision: u64) -> Micros {
         let staleness = self.staleness(now);
         self.revision = revision;
@@ -77,7 +77,7 @@
         staleness
     }
 
-    /// Bytes came on the watch; `received` covers all of them so far.
+    /// Records that bytes arrived on the watch; `received` describes all that have arrived on it.
     pub fn receive(&mut self, now: Micros, received: Received) {
         self.watch.receive(now, received);
         if self.consecutive_failures == 0 {
@@ -85,28 +85,28 @@
         }
     }
 
-    /// When the watch counts as broken unless something comes before.
+    /// When the watch counts as broken unless something arrives before.
     pub fn times_out_at(&self) -> Micros {
         self.watch.times_out_at()
     }
 
-    /// For how long there was no contact on the watch, microseconds; before its answer, since the call.
+    /// For how long there has been no contact on the watch, microseconds; before the answer, the time since the call.
     pub fn silence(&self, now: Micros) -> Micros {
         now.saturating_sub(self.watch.last_contact_at())
     }
 
-    /// The connection of the watch ended now; what is known of it.
+    /// The result of the watch, if its connection was closed now.
     pub fn closed(&self, now: Micros) -> WatchEnd {
         self.watch.closed(now)
     }
 
-    /// The watch is given up; what is known of it.
+    /// The result of the watch, if the gateway abandons it.
     pub fn abandoned(&self) -> WatchEnd {
         self.watch.abandoned()
     }
 
-    /// Discovery has moved. Versions of another discovery mean nothing here, and a change missed for that would never be
-    /// notified: the next call asks for the complete list.
+    /// Makes the next call request the complete list, after the discovery address has changed. Versions of one discovery
+    /// service mean nothing to another, and a change that is skipped because of its version would never be notified.
     pub fn reset_revision(&mut self) {
         self.revision = NO_REVISION;
     }
--- a/src/discovery/subscription/tests.rs
+++ b/src/discovery/subscription/tests.rs
@@ -18,8 +18,16 @@
         subscription.call_started(called_at);
         subscription.receive(called_at + SECOND, between_updates());
         let now = called_at + 2 * SECOND;
-        assert_eq!(subscription.staleness(now), now - SECOND, "since the start");
-        assert_eq!(subscription.silence(now), SECOND, "of this watch alone");
+        assert_eq!(
+            subscription.staleness(now),
+            now - SECOND,
+            "stale since the start"
+        );
+        assert_eq!(
+            subscription.silence(now),
+            SECOND,
+            "silent since the last contact of this watch"
+        );
         assert_eq!(subscription.calls(), call);
         assert_eq!(u64::from(subscription.consecutive_failures()), call);
     }
@@ -31,7 +39,11 @@
     let mut subscription = Subscription::new(0, 7);
     subscription.call_started(SECOND);
     let staleness = subscription.update_applied(2 * SECOND, 8);
-    assert_eq!(staleness, 2 * SECOND, "of the list before it");
+    assert_eq!(
+        staleness,
+        2 * SECOND,
+        "staleness of the list before the update"
+    );
     assert_eq!((subscription.revision(), subscription.updates()), (8, 1));
     subscription.receive(3 * SECOND, between_updates());
     assert_eq!(subscription.staleness(5 * SECOND), 2 * SECOND);
@@ -41,12 +53,12 @@
     assert_eq!(
         subscription.staleness(7 * SECOND),
         4 * SECOND,
-        "the next watch has brought no update yet"
+        "the next watch has not delivered an update yet"
     );
 }
 
 #[test]
-fn move_asks_for_the_complete_list() {
+fn reset_revision_requests_the_complete_list() {
     let mut subscription = Subscription::new(0, 7);
     subscription.reset_revision();
     assert_eq!(subscription.revision(), 0);
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -1,45 +1,46 @@
 //! When a watch on discovery counts as broken, and up to when it reported every change.
 //!
-//! Decides from when the call began and from what was received on it since. Invariant: a heartbeat is contact only between
-//! updates. The changes in an update that has begun count as notified, and nobody here knows them until it is complete.
+//! Both follow from when the call began and what has been received since. Invariant: a heartbeat counts as contact only
+//! between updates. The changes in an update count as notified once its first byte has arrived, but the gateway does not
+//! know them until the update is complete.
 
 use super::WATCH_SILENCE_TIMEOUT_US;
 use crate::interface::Micros;
 
-/// How long a call may wait for the head of its answer, microseconds; discovery itself gives up on one after 2 s.
+/// How long a call may wait for the head of its answer, microseconds; discovery itself fails a call after 2 s.
 pub const CALL_TIMEOUT_US: Micros = 2_500_000;
-/// The longest that an update may take from its first byte to its last, microseconds, however steadily it comes.
+/// The longest time from the first byte of an update to its last, microseconds, even if its bytes arrive steadily.
 pub const UPDATE_TIMEOUT_US: Micros = 6_000_000;
 
-/// All that was received on a watch so far.
+/// What has been received on a watch so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Received {
-    /// The head of the answer is complete.
+    /// Whether the head of the answer is complete.
     pub answered: bool,
-    /// An update has begun and is not complete.
+    /// Whether an update has begun and is not complete.
     pub within_update: bool,
-    /// Bytes of the answer's body so far, without heartbeats and other white space.
+    /// Bytes of the answer's body, without heartbeats and other white space.
     pub payload_bytes: u64,
 }
 
-/// What is known when a watch has ended.
+/// The result of a watch that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatchEnd {
     /// Up to when the watch reported every change; the start of the call where it was not answered.
     pub last_contact_at: Micros,
-    /// An update had begun and did not come complete.
+    /// Whether an update had begun and was not complete.
     pub truncated: bool,
 }
 
-/// One watch, from its call on.
+/// A call to discovery and the watch that it opens.
 #[derive(Clone, Copy, Debug)]
 pub struct Watch {
     received: Received,
-    /// When all that had come was complete; the start of the call, before its answer.
+    /// When something last arrived outside of an update; the start of the call, before its answer.
     last_contact_at: Micros,
-    /// When something last came that was more than a heartbeat within an update.
+    /// When something last arrived, other than a heartbeat within an update.
     last_progress_at: Micros,
-    /// When the update under way began.
+    /// When the current update began.
     update_began_at: Micros,
 }
 
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Bytes came; `received` covers all of them so far.
+    /// Records that bytes arrived; `received` describes all that have arrived on this watch.
     pub fn receive(&mut self, now: Micros, received: Received) {
         if received.within_update && !self.received.within_update {
             self.update_began_at = now;
@@ -70,7 +71,7 @@
         self.received = received;
     }
 
-    /// When it counts as broken unless something comes before.
+    /// When the watch counts as broken unless something arrives before.
     pub fn times_out_at(&self) -> Micros {
         if !self.received.answered {
             return self.last_progress_at.saturating_add(CALL_TIMEOUT_US);
@@ -85,12 +86,12 @@
         }
     }
 
-    /// Up to when it is known to have reported every change.
+    /// Up to when the watch is known to have reported every change.
     pub fn last_contact_at(&self) -> Micros {
         self.last_contact_at
     }
 
-    /// Its connection ended now: an answered watch reported every change up to its end.
+    /// The result if the connection was closed now: an answered watch reported every change up to its end.
     pub fn closed(self, now: Micros) -> WatchEnd {
         let is_complete = self.received.answered && !self.received.within_update;
         WatchEnd {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// It is given up, whatever discovery has sent meanwhile.
+    /// The result if the gateway abandons the watch; discovery may have sent changes that did not arrive.
     pub fn abandoned(self) -> WatchEnd {
         WatchEnd {
             last_contact_at: self.last_contact_at,
