--- a/src/cells/admission.rs
+++ b/src/cells/admission.rs
@@ -1,5 +1,5 @@
-//! What a session asks before a request goes to the decision module, and while it is there: who asks, where that tenant
-//! lives, whether its cell has room, whether its shape is shut out.
+//! Admission of requests to cells, before the router gets them and before each attempt: which tenant a request belongs to,
+//! where that tenant is placed, whether its cell has capacity, and whether its statement is quarantined.
 
 use super::bulkhead::{Bounds, Bulkheads, Exhausted, Resource};
 use super::placement::Placement;
@@ -10,22 +10,23 @@
 use super::{stable_hash, CellId, Epoch};
 use crate::interface::{GroupId, Idempotency, MemberId, Micros};
 
-/// A retry-after time for what a migration or a placement that is too old holds up. A migration is meant to take a second.
+/// The retry-after time of writes that are rejected because of a migration or an outdated placement, microseconds. A
+/// migration should take about a second.
 const MIGRATING_RETRY_AFTER_US: Micros = 250_000;
 
-/// The same for a cell that has lost all its members: about how often those are probed.
+/// The retry-after time of requests for a group that has lost all its members, microseconds; about the probe interval.
 pub const LOST_CELL_RETRY_AFTER_US: Micros = 1_000_000;
 
-/// What the operator's file says of cells.
+/// The settings of admission to cells, from the operator's file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct AdmissionRules {
-    /// Who asks.
+    /// Resolves the tenant of a request.
     pub tenant_resolver: TenantResolver,
-    /// Bounds of cells by name; `default` for those that are not named.
+    /// Bounds by the name of the cell.
     pub bounds: Vec<(String, Bounds)>,
-    /// See `bounds`.
+    /// Bounds of all other cells.
     pub default_bounds: Bounds,
-    /// Of poison.
+    /// When statements that crash members are quarantined.
     pub quarantine: QuarantineOptions,
 }
 
@@ -45,25 +46,25 @@
     }
 }
 
-/// Why a request, or a session, is not taken. Nothing of it ran: it may come again.
+/// Why a request is not admitted. Nothing of it has run, so that the client may retry it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// Nobody knows who asks.
+    /// No source has a tenant name for the client.
     UnknownTenant,
-    /// Its cell is full.
+    /// Its cell has reached a bound; with the retry-after time, microseconds.
     Exhausted(Exhausted, Micros),
-    /// Its tenant is being moved: no writes now.
-    Moving(Micros),
-    /// Its shape or its tenant is quarantined.
-    Poison,
-    /// The placement is too old to write by.
-    Stale(Micros),
-    /// Its group has lost all its members, and it may go nowhere else.
+    /// A write, while its tenant is being migrated; with the retry-after time, microseconds.
+    Migrating(Micros),
+    /// Its statement or its tenant is quarantined.
+    Quarantined,
+    /// A write, when the lease on the placement has ended; with the retry-after time, microseconds.
+    StalePlacement(Micros),
+    /// Its group has lost all its members, and no other may serve it; with the retry-after time, microseconds.
     AllMembersLost(Micros),
 }
 
 impl Rejection {
-    /// What to tell the client, and when to retry.
+    /// The error text for the client, and the retry-after time, microseconds.
     pub fn message(self) -> (&'static str, Option<Micros>) {
         match self {
             Rejection::UnknownTenant => ("no tenant is known for this client", None),
@@ -74,43 +75,43 @@
                 ("the cell has too many connections", Some(wait))
             }
             Rejection::Exhausted(Exhausted::Bytes, wait) => ("the cell holds too much", Some(wait)),
-            Rejection::Moving(wait) => ("the tenant is being moved", Some(wait)),
-            Rejection::Poison => ("this statement is quarantined", None),
+            Rejection::Migrating(wait) => ("the tenant is being moved", Some(wait)),
+            Rejection::Quarantined => ("this statement is quarantined", None),
             Rejection::AllMembersLost(wait) => ("the cell has lost all its members", Some(wait)),
-            Rejection::Stale(wait) => ("the placement is too old", Some(wait)),
+            Rejection::StalePlacement(wait) => ("the placement is too old", Some(wait)),
         }
     }
 }
 
-/// A request that was taken, with what must be given back.
+/// An admitted request and the resources that [`CellAdmission::request_ended`] releases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Admitted {
-    /// The cell.
+    /// The cell of its tenant.
     pub cell: CellId,
-    /// The epoch it was placed by.
+    /// The epoch of its tenant's home.
     pub epoch: Epoch,
-    /// The group that serves it, in the cell.
+    /// The group in the cell that serves it.
     pub group: GroupId,
-    /// Its session's last write may be newer than what replicas of its new home show.
+    /// Whether its tenant was migrated recently, so that replicas may not have the session's last write yet.
     pub settling: bool,
     tenant: u64,
-    shape: Fingerprint,
+    fingerprint: Fingerprint,
     bytes: u32,
-    at: Micros,
+    admitted_at: Micros,
 }
 
-/// All of it; see the module.
+/// Admission of requests to the cells of one placement; see the module.
 pub struct CellAdmission {
     rules: AdmissionRules,
     placement: Placement,
     bulkheads: Bulkheads,
     quarantine: Quarantine,
-    /// Until when the placement may be written by.
+    /// Until when writes may follow the placement; the end of its lease.
     fresh_until: Micros,
 }
 
 impl CellAdmission {
-    /// With a placement that may be written by until a time.
+    /// Creates the admission for a placement that writes may follow until `fresh_until`.
     pub fn new(rules: AdmissionRules, placement: Placement, fresh_until: Micros) -> CellAdmission {
         CellAdmission {
             bulkheads: Bulkheads::new(rules.bounds_of(&placement)),
@@ -121,7 +122,7 @@
         }
     }
 
-    /// The placement's source was asked and has this; one of an older epoch is refused.
+    /// Puts a newly read placement in force. Returns false, with no effect, if its epoch is older than the one in force.
     pub fn update_placement(&mut self, placement: Placement, fresh_until: Micros) -> bool {
         if placement.epoch < self.placement.epoch {
             return false;
@@ -131,21 +132,22 @@
         true
     }
 
-    /// The source was asked and has nothing new.
+    /// Extends the lease of the placement in force, which was read again unchanged.
     pub fn renew_lease(&mut self, fresh_until: Micros) {
         self.fresh_until = fresh_until.max(self.fresh_until);
     }
 
-    /// The epoch in force.
+    /// The epoch of the placement in force.
     pub fn epoch(&self) -> Epoch {
         self.placement.epoch
     }
 
-    /// Takes a request, or says why not; `write` where it changes data.
+    /// Admits a request with the caller's cluster number and key; `write` if it changes data.
     ///
     /// # Errors
     ///
-    /// [`Refusal`]: who asks is not known, the cell is full or moving, or its statement is in quarantine.
+    /// [`Rejection`]: the tenant is unknown or migrating, the placement is outdated, the cell has reached a bound, or the
+    /// statement is quarantined.
     pub fn admit(
         &mut self,
         now: Micros,
@@ -161,85 +163,93 @@
             .ok_or(Rejection::UnknownTenant)?;
         let place = self.placement.place(name, key);
         if write && place.home.held {
-            return Err(Rejection::Moving(MIGRATING_RETRY_AFTER_US));
+            return Err(Rejection::Migrating(MIGRATING_RETRY_AFTER_US));
         }
-        // Who can't hear of a migration must not write by what it last knew; reads go on.
+        // Without a lease a migration may have begun unnoticed, so that writes must stop; reads continue.
         if write && now >= self.fresh_until {
-            return Err(Rejection::Stale(MIGRATING_RETRY_AFTER_US));
+            return Err(Rejection::StalePlacement(MIGRATING_RETRY_AFTER_US));
         }
-        let (tenant, shape) = (stable_hash(name.as_bytes()), fingerprint(name, statement));
-        if self
-            .quarantine
-            .admit(now, (tenant, shape), Idempotency::Idempotent, false, 0)
-            != QuarantineDecision::Allow
+        let (tenant, fingerprint) = (stable_hash(name.as_bytes()), fingerprint(name, statement));
+        if self.quarantine.admit(
+            now,
+            (tenant, fingerprint),
+            Idempotency::Idempotent,
+            false,
+            0,
+        ) != QuarantineDecision::Allow
         {
-            return Err(Rejection::Poison);
+            return Err(Rejection::Quarantined);
         }
         let bytes = u32::try_from(statement.len()).unwrap_or(u32::MAX);
         let cell = place.home.cell;
         self.bulkheads
             .acquire(cell, Resource::Request(bytes))
-            .map_err(|(full, wait)| Rejection::Exhausted(full, wait))?;
+            .map_err(|(exhausted, wait)| Rejection::Exhausted(exhausted, wait))?;
         Ok(Admitted {
             cell,
             epoch: place.home.epoch,
             group: place.group(cluster),
             settling: place.home.settling,
             tenant,
-            shape,
+            fingerprint,
             bytes,
-            at: now,
+            admitted_at: now,
         })
     }
 
-    /// Whether an attempt of a request may go out; `victims` is how many of its own attempts a member died under.
+    /// Whether an attempt of a request may be dispatched; `may_have_run` if an earlier attempt may have run, and
+    /// `failed_members` is the number of members that crashed under the request's own attempts.
     pub fn admit_attempt(
         &mut self,
         now: Micros,
         admitted: &Admitted,
         idempotency: Idempotency,
-        ran: bool,
-        victims: usize,
+        may_have_run: bool,
+        failed_members: usize,
     ) -> QuarantineDecision {
         self.quarantine.admit(
             now,
-            (admitted.tenant, admitted.shape),
+            (admitted.tenant, admitted.fingerprint),
             idempotency,
-            ran,
-            victims,
+            may_have_run,
+            failed_members,
         )
     }
 
-    /// An attempt has ended, and its member fared so.
+    /// Records how an attempt ended for its member.
     pub fn attempt_ended(
         &mut self,
         now: Micros,
         admitted: &Admitted,
         member: MemberId,
-        after: MemberOutcome,
+        outcome: MemberOutcome,
     ) {
-        self.quarantine
-            .ended(now, (admitted.tenant, admitted.shape), member, after);
+        self.quarantine.attempt_ended(
+            now,
+            (admitted.tenant, admitted.fingerprint),
+            member,
+            outcome,
+        );
     }
 
-    /// A request is over.
+    /// Releases the resources of a request that has ended.
     pub fn request_ended(&mut self, now: Micros, admitted: &Admitted) {
-        let open = now.saturating_sub(admitted.at);
+        let duration = now.saturating_sub(admitted.admitted_at);
         self.bulkheads
-            .release(admitted.cell, Resource::Request(admitted.bytes), open);
+            .release(admitted.cell, Resource::Request(admitted.bytes), duration);
     }
 
-    /// Requests in hand and refusals, by cell's name.
+    /// Open requests and rejections so far, by the name of the cell.
     pub fn counts(&self) -> Vec<(String, u32, u64)> {
         let cells = self.placement.cells().iter().enumerate();
-        let counts = cells.map(|(at, cell)| {
-            let (requests, _, refused) = self.bulkheads.counts(CellId(at as u16));
-            (cell.name.clone(), requests, refused)
+        let counts = cells.map(|(index, cell)| {
+            let (requests, _, rejections) = self.bulkheads.counts(CellId(index as u16));
+            (cell.name.clone(), requests, rejections)
         });
         counts.collect()
     }
 
-    /// What is quarantined, and until when.
+    /// The quarantined statements, and until when.
     pub fn quarantined(&self, now: Micros) -> Vec<(Fingerprint, Micros)> {
         self.quarantine.list(now)
     }
--- a/src/cells/admission/tests.rs
+++ b/src/cells/admission/tests.rs
@@ -16,7 +16,7 @@
         ranges: vec![],
         homes,
     };
-    Placement::new(published).expect("good")
+    Placement::new(published).expect("valid")
 }
 
 fn home(cell: u16, epoch: u64, held: bool) -> Home {
@@ -28,9 +28,9 @@
     }
 }
 
-fn gate(homes: Vec<(String, Home)>) -> CellAdmission {
+fn admission(homes: Vec<(String, Home)>) -> CellAdmission {
     let rules = AdmissionRules {
-        tenant_resolver: TenantResolver::new(vec![Source::User]).expect("good"),
+        tenant_resolver: TenantResolver::new(vec![Source::User]).expect("valid"),
         bounds: vec![(
             "one".into(),
             Bounds {
@@ -45,8 +45,8 @@
 
 const READ: &[u8] = b"SELECT 1 /* c=a */";
 
-fn ask(
-    gate: &mut CellAdmission,
+fn admit(
+    admission: &mut CellAdmission,
     now: Micros,
     user: &str,
     write: bool,
@@ -55,80 +55,88 @@
         user,
         ..Caller::default()
     };
-    gate.admit(now, &caller, (0, b""), READ, write)
+    admission.admit(now, &caller, (0, b""), READ, write)
 }
 
 #[test]
-fn a_request_goes_to_its_tenants_cell_and_a_full_cell_refuses_its_own_only() {
-    let mut gate = gate(vec![
+fn full_cell_rejects_only_requests_of_its_own_tenants() {
+    let mut admission = admission(vec![
         ("a".into(), home(0, 1, false)),
         ("b".into(), home(1, 1, false)),
     ]);
-    let first = ask(&mut gate, 0, "a", true).expect("room");
+    let first = admit(&mut admission, 0, "a", true).expect("the cell has capacity");
     assert!([GroupId(10), GroupId(11)].contains(&first.group));
     assert!(matches!(
-        ask(&mut gate, 0, "a", false),
+        admit(&mut admission, 0, "a", false),
         Err(Rejection::Exhausted(Exhausted::Requests, _))
     ));
-    assert!(
-        [GroupId(20), GroupId(21)].contains(&ask(&mut gate, 0, "b", false).expect("room").group)
+    assert!([GroupId(20), GroupId(21)].contains(
+        &admit(&mut admission, 0, "b", false)
+            .expect("the cell has capacity")
+            .group
+    ));
+    admission.request_ended(50, &first);
+    admit(&mut admission, 60, "a", false).expect("capacity was released");
+    assert_eq!(
+        admit(&mut admission, 60, "", false),
+        Err(Rejection::UnknownTenant)
     );
-    gate.request_ended(50, &first);
-    ask(&mut gate, 60, "a", false).expect("room again");
-    assert_eq!(ask(&mut gate, 60, "", false), Err(Rejection::UnknownTenant));
     assert_eq!(
-        gate.counts(),
+        admission.counts(),
         [("one".to_owned(), 1, 1), ("two".to_owned(), 1, 0)]
     );
 }
 
 #[test]
-fn writes_wait_out_a_move_and_a_placement_that_is_too_old_while_reads_go_on() {
-    let mut gate = gate(vec![("b".into(), home(1, 1, true))]);
+fn migration_and_expired_lease_reject_writes_but_not_reads() {
+    let mut admission = admission(vec![("b".into(), home(1, 1, true))]);
     assert_eq!(
-        ask(&mut gate, 0, "b", true),
-        Err(Rejection::Moving(MIGRATING_RETRY_AFTER_US))
+        admit(&mut admission, 0, "b", true),
+        Err(Rejection::Migrating(MIGRATING_RETRY_AFTER_US))
     );
-    ask(&mut gate, 0, "b", false).expect("a read");
+    admit(&mut admission, 0, "b", false).expect("reads are admitted");
     assert!(
-        !gate.update_placement(placement(0, vec![]), 9_000),
-        "back in epoch"
+        !admission.update_placement(placement(0, vec![]), 9_000),
+        "an older epoch"
     );
-    assert!(gate.update_placement(placement(2, vec![("b".into(), home(0, 2, false))]), 2_000));
-    let moved = ask(&mut gate, 1_500, "b", true).expect("moved");
-    assert!(moved.cell == CellId(0) && moved.epoch == Epoch(2));
-    gate.request_ended(1_600, &moved);
+    assert!(admission.update_placement(placement(2, vec![("b".into(), home(0, 2, false))]), 2_000));
+    let migrated = admit(&mut admission, 1_500, "b", true).expect("migrated");
+    assert!(migrated.cell == CellId(0) && migrated.epoch == Epoch(2));
+    admission.request_ended(1_600, &migrated);
     assert_eq!(
-        ask(&mut gate, 2_000, "b", true),
-        Err(Rejection::Stale(MIGRATING_RETRY_AFTER_US))
+        admit(&mut admission, 2_000, "b", true),
+        Err(Rejection::StalePlacement(MIGRATING_RETRY_AFTER_US))
     );
-    ask(&mut gate, 2_000, "b", false).expect("a read");
-    gate.renew_lease(3_000);
+    admit(&mut admission, 2_000, "b", false).expect("reads are admitted");
+    admission.renew_lease(3_000);
     assert!(matches!(
-        ask(&mut gate, 2_000, "b", true),
+        admit(&mut admission, 2_000, "b", true),
         Err(Rejection::Exhausted(..))
     ));
 }
 
 #[test]
-fn poison_is_shut_out_at_arrival_and_between_attempts() {
-    let mut gate = gate(vec![("b".into(), home(1, 1, false))]);
-    let admitted = ask(&mut gate, 0, "b", false).expect("room");
+fn quarantine_applies_on_arrival_and_before_each_attempt() {
+    let mut admission = admission(vec![("b".into(), home(1, 1, false))]);
+    let admitted = admit(&mut admission, 0, "b", false).expect("the cell has capacity");
     assert_eq!(
-        gate.admit_attempt(0, &admitted, Idempotency::Idempotent, true, 2),
+        admission.admit_attempt(0, &admitted, Idempotency::Idempotent, true, 2),
         QuarantineDecision::Refuse
     );
     for member in [MemberId(1), MemberId(2)] {
         assert_eq!(
-            gate.admit_attempt(0, &admitted, Idempotency::Idempotent, false, 0),
+            admission.admit_attempt(0, &admitted, Idempotency::Idempotent, false, 0),
             QuarantineDecision::Allow
         );
-        gate.attempt_ended(0, &admitted, member, MemberOutcome::Crashed);
+        admission.attempt_ended(0, &admitted, member, MemberOutcome::Crashed);
     }
     assert_eq!(
-        gate.admit_attempt(0, &admitted, Idempotency::NonIdempotent, true, 0),
+        admission.admit_attempt(0, &admitted, Idempotency::NonIdempotent, true, 0),
         QuarantineDecision::Fail
     );
-    assert_eq!(ask(&mut gate, 0, "b", false), Err(Rejection::Poison));
-    assert_eq!(gate.quarantined(0).len(), 1);
+    assert_eq!(
+        admit(&mut admission, 0, "b", false),
+        Err(Rejection::Quarantined)
+    );
+    assert_eq!(admission.quarantined(0).len(), 1);
 }
--- a/src/cells/bulkhead.rs
+++ b/src/cells/bulkhead.rs
@@ -1,172 +1,177 @@
-//! Bulkheads: what each cell may hold of this gateway. A cell at its bounds refuses its own requests, at once, and never
-//! another's.
+//! Bulkheads: the bounds on what each cell may hold of this gateway. A cell at its bounds rejects its own requests at once,
+//! and never those of another cell.
 
 use super::CellId;
 use crate::interface::Micros;
 use serde::Deserialize;
 
-/// The most that a cell may hold; 0 is no bound.
+/// The most that a cell may hold of this gateway; 0 means no bound.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Bounds {
-    /// Requests that are open, from their arrival to their final answer.
+    /// Open requests, from their arrival to their final answer.
     pub requests: u32,
-    /// Of them, those that wait for their first send.
+    /// Open requests that wait for their first dispatch.
     pub held: u32,
-    /// Client sessions whose tenant lives there.
+    /// Client sessions whose tenant is placed in the cell.
     pub sessions: u32,
-    /// Descriptors, to clients and databases together.
+    /// File descriptors of connections to clients and databases together.
     pub descriptors: u32,
-    /// Bytes of statements and answers in hand.
+    /// Bytes of the statements of open requests.
     pub bytes: u64,
 }
 
-/// What is wanted, and given back, one at a time.
+/// A resource of a cell, acquired and released one at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resource {
-    /// A request of so many bytes, which needs a descriptor to a database as well.
+    /// A request with a statement of so many bytes, and a file descriptor for its connection to a database.
     Request(u32),
-    /// A place to wait for a first send.
+    /// A place to wait for the first dispatch.
     Hold,
-    /// A session, with its descriptor.
+    /// A client session and its file descriptor.
     Session,
 }
 
-/// Why there is no room: what the cell has too much of.
+/// The resource of a cell that has reached its bound.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exhausted {
-    /// Requests.
+    /// Open requests.
     Requests,
-    /// Requests that wait.
+    /// Requests that wait for their first dispatch.
     Held,
-    /// Sessions.
+    /// Client sessions.
     Sessions,
-    /// Descriptors.
+    /// File descriptors.
     Descriptors,
-    /// Bytes.
+    /// Bytes of statements.
     Bytes,
 }
 
-/// Least and most time that a refused client is told to stay away.
+/// The shortest and longest retry-after time of a rejection, microseconds.
 const MIN_RETRY_AFTER_US: Micros = 20_000;
 const MAX_RETRY_AFTER_US: Micros = 2_000_000;
-/// Share of a newly measured service time in the running mean.
-const LEARN: f64 = 0.1;
+/// The weight of a new request's duration in the moving average, 0 to 1.
+const NEW_SAMPLE_WEIGHT: f64 = 0.1;
 
+/// What a cell holds now.
 #[derive(Clone, Copy, Debug, Default)]
-struct Held {
+struct Usage {
     requests: u32,
     held: u32,
     sessions: u32,
     descriptors: u32,
     bytes: u64,
-    /// Running mean of how long a request is open.
-    usual: f64,
-    refused: u64,
+    /// Moving average of how long a request is open, microseconds.
+    mean_duration: f64,
+    rejections: u64,
 }
 
 /// The bulkheads of all cells.
 #[derive(Clone, Debug, Default)]
 pub struct Bulkheads {
-    cells: Vec<(Bounds, Held)>,
+    cells: Vec<(Bounds, Usage)>,
 }
 
 impl Bulkheads {
-    /// One for each cell, in their order.
+    /// Creates a bulkhead for each cell, in the order of the placement.
     pub fn new(bounds: Vec<Bounds>) -> Bulkheads {
         Bulkheads {
             cells: bounds
                 .into_iter()
-                .map(|bounds| (bounds, Held::default()))
+                .map(|bounds| (bounds, Usage::default()))
                 .collect(),
         }
     }
 
-    /// Takes what is wanted, or says what is full and when to retry. A cell that is not known has no room.
+    /// Acquires a resource of a cell. An unknown cell has none.
     ///
     /// # Errors
     ///
-    /// What is full, and when to retry, microseconds.
-    pub fn acquire(&mut self, cell: CellId, want: Resource) -> Result<(), (Exhausted, Micros)> {
-        let Some((bounds, held)) = self.cells.get_mut(usize::from(cell.0)) else {
+    /// The resource that has reached its bound, and the retry-after time, microseconds.
+    pub fn acquire(&mut self, cell: CellId, resource: Resource) -> Result<(), (Exhausted, Micros)> {
+        let Some((bounds, usage)) = self.cells.get_mut(usize::from(cell.0)) else {
             return Err((Exhausted::Requests, MAX_RETRY_AFTER_US));
         };
-        let at = |held: u32, most: u32| most > 0 && held >= most;
-        let full = match want {
-            Resource::Request(_) if at(held.requests, bounds.requests) => Some(Exhausted::Requests),
+        let is_full = |used: u32, bound: u32| bound > 0 && used >= bound;
+        let full = match resource {
+            Resource::Request(_) if is_full(usage.requests, bounds.requests) => {
+                Some(Exhausted::Requests)
+            }
             Resource::Request(bytes)
-                if bounds.bytes > 0 && held.bytes + u64::from(bytes) > bounds.bytes =>
+                if bounds.bytes > 0 && usage.bytes + u64::from(bytes) > bounds.bytes =>
             {
                 Some(Exhausted::Bytes)
             }
-            Resource::Hold if at(held.held, bounds.held) => Some(Exhausted::Held),
-            Resource::Session if at(held.sessions, bounds.sessions) => Some(Exhausted::Sessions),
+            Resource::Hold if is_full(usage.held, bounds.held) => Some(Exhausted::Held),
+            Resource::Session if is_full(usage.sessions, bounds.sessions) => {
+                Some(Exhausted::Sessions)
+            }
             Resource::Request(_) | Resource::Session
-                if at(held.descriptors, bounds.descriptors) =>
+                if is_full(usage.descriptors, bounds.descriptors) =>
             {
                 Some(Exhausted::Descriptors)
             }
             _ => None,
         };
         if let Some(full) = full {
-            held.refused += 1;
-            // About when one of those in hand ends: they end one by one.
-            let share = held.usual / f64::from(held.requests.max(1));
-            let wait = (share * f64::from(held.held + 1)) as Micros;
+            usage.rejections += 1;
+            // About the time until enough of the open requests have ended: they end one by one.
+            let interval = usage.mean_duration / f64::from(usage.requests.max(1));
+            let wait = (interval * f64::from(usage.held + 1)) as Micros;
             return Err((full, wait.clamp(MIN_RETRY_AFTER_US, MAX_RETRY_AFTER_US)));
         }
-        match want {
+        match resource {
             Resource::Request(bytes) => {
-                held.requests += 1;
-                held.descriptors += 1;
-                held.bytes += u64::from(bytes);
+                usage.requests += 1;
+                usage.descriptors += 1;
+                usage.bytes += u64::from(bytes);
             }
-            Resource::Hold => held.held += 1,
+            Resource::Hold => usage.held += 1,
             Resource::Session => {
-                held.sessions += 1;
-                held.descriptors += 1;
+                usage.sessions += 1;
+                usage.descriptors += 1;
             }
         }
         Ok(())
     }
 
-    /// Gives back what was taken; `open` is how long a request was.
-    pub fn release(&mut self, cell: CellId, want: Resource, open: Micros) {
-        let Some((_, held)) = self.cells.get_mut(usize::from(cell.0)) else {
+    /// Releases a resource of a cell; `duration` is how long it was held, used for requests only.
+    pub fn release(&mut self, cell: CellId, resource: Resource, duration: Micros) {
+        let Some((_, usage)) = self.cells.get_mut(usize::from(cell.0)) else {
             return;
         };
-        match want {
+        match resource {
             Resource::Request(bytes) => {
-                held.requests = held.requests.saturating_sub(1);
-                held.descriptors = held.descriptors.saturating_sub(1);
-                held.bytes = held.bytes.saturating_sub(u64::from(bytes));
-                held.usual += LEARN * (open as f64 - held.usual);
+                usage.requests = usage.requests.saturating_sub(1);
+                usage.descriptors = usage.descriptors.saturating_sub(1);
+                usage.bytes = usage.bytes.saturating_sub(u64::from(bytes));
+                usage.mean_duration += NEW_SAMPLE_WEIGHT * (duration as f64 - usage.mean_duration);
             }
-            Resource::Hold => held.held = held.held.saturating_sub(1),
+            Resource::Hold => usage.held = usage.held.saturating_sub(1),
             Resource::Session => {
-                held.sessions = held.sessions.saturating_sub(1);
-                held.descriptors = held.descriptors.saturating_sub(1);
+                usage.sessions = usage.sessions.saturating_sub(1);
+                usage.descriptors = usage.descriptors.saturating_sub(1);
             }
         }
     }
 
-    /// Other bounds from now on, for as many cells as there are then; what is held stays counted.
+    /// Replaces the bounds, and with them the number of cells; the usage of cells that stay is kept.
     pub fn set_bounds(&mut self, bounds: Vec<Bounds>) {
         self.cells
-            .resize(bounds.len(), (Bounds::default(), Held::default()));
+            .resize(bounds.len(), (Bounds::default(), Usage::default()));
         self.cells
             .iter_mut()
             .zip(bounds)
             .for_each(|(cell, bounds)| cell.0 = bounds);
     }
 
-    /// Requests, sessions and refusals of a cell.
+    /// Open requests, sessions and rejections so far of a cell.
     pub fn counts(&self, cell: CellId) -> (u32, u32, u64) {
-        let held = self
+        let usage = self
             .cells
             .get(usize::from(cell.0))
             .map(|cell| cell.1)
             .unwrap_or_default();
-        (held.requests, held.sessions, held.refused)
+        (usage.requests, usage.sessions, usage.rejections)
     }
 }
--- a/src/cells/migration.rs
+++ b/src/cells/migration.rs
@@ -1,9 +1,9 @@
-//! Moving a tenant from one cell to another, so that no two gateways ever write it to two cells.
+//! Migration of a tenant from one cell to another, such that no two gateways ever write its data to two cells.
 //!
-//! [`Move`] is the migrator's side: placed, preparing, holding, fencing, cut over, settling, placed. Every step is recorded
-//! before it takes effect, and resuming from any record repeats that step's effects, which do no harm twice. Before
-//! the cut-over it can be aborted at any point; after it, it only goes forward. [`Holder`] is the gateway's side: a
-//! lease on the placement, and what writes of a tenant may still run.
+//! [`Migration`] is the migrator's side, with the steps preparing, holding, fencing, cut over, settling, placed. Every step
+//! is recorded before it takes effect. Resuming from any record repeats the effects of its step, which are idempotent. A
+//! migration can be aborted at any point before the cut-over; after it, it only goes forward. [`GatewayLease`] is the
+//! gateway's side: a lease on the placement, and the writes of each tenant that may still run.
 
 use super::placement::Home;
 use super::{CellId, Epoch};
@@ -11,251 +11,257 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A gateway that holds leases.
+/// The number of a gateway that holds leases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct GatewayId(pub u16);
 
-/// The times of a migration, in microseconds.
+/// The durations of a migration, microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Times {
+pub struct Timing {
     /// How long a lease lasts.
     pub lease: Micros,
-    /// How far two clocks may run apart while a lease lasts: 0.1% and a step would be much.
+    /// How far two clocks may drift apart during a lease; a rate error of 0.1% and one clock step would already be much.
     pub drift: Micros,
-    /// How long writes may be held before the migration is aborted.
+    /// How long writes may be held until the migration is aborted.
     pub hold: Micros,
-    /// How long reads of what a session wrote go to the primary after the cut-over.
+    /// How long after the cut-over a session's reads of its own writes go to the primary.
     pub settle: Micros,
 }
 
-/// Where a migration stands, as it is recorded.
+/// The step of a migration, as it is recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Step {
-    /// The target is being made ready; nothing has changed for anybody.
+    /// The target is being prepared; gateways still use the source.
     Preparing,
-    /// Gateways send no new writes, and let those that run end.
+    /// Gateways send no new writes and wait for those in flight to end.
     Holding,
-    /// The source takes no more writes of the tenant, from anybody, whatever a gateway believes.
+    /// The source rejects all writes of the tenant, also from gateways with an older placement.
     Fencing,
-    /// The target is where the tenant lives.
+    /// The tenant is placed in the target.
     CutOver,
-    /// It lives there; reads of what a session wrote go to the primary for a while.
+    /// The target serves the tenant; a session's reads of its own writes go to the primary for a while.
     Settling,
-    /// Done.
+    /// Completed: the target serves the tenant without restrictions.
     Placed,
-    /// It goes back to as it was.
+    /// The migration is being aborted; the source is to serve the tenant again.
     Aborting,
-    /// Done: as it was.
+    /// Aborted: the source serves the tenant as before.
     Aborted,
 }
 
 impl Step {
-    /// Whether it can still be called off.
+    /// Whether the migration can still be aborted.
     pub fn may_abort(self) -> bool {
         matches!(self, Step::Preparing | Step::Holding | Step::Fencing)
     }
 
-    /// Whether the migration has come to its end.
+    /// Whether the migration has been completed or aborted.
     pub fn is_over(self) -> bool {
         matches!(self, Step::Placed | Step::Aborted)
     }
 }
 
-/// What is recorded of a migration: all that resuming it needs.
+/// The record of a migration, which is all that resuming it needs.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Record {
-    /// Who migrations.
+pub struct MigrationRecord {
+    /// The tenant.
     pub tenant: String,
-    /// From this cell.
+    /// The source cell.
     pub from: CellId,
-    /// To that.
+    /// The target cell.
     pub to: CellId,
     /// The epoch before it began; the migration uses the three that follow.
     pub base: Epoch,
-    /// Where it stands.
+    /// The current step.
     pub step: Step,
 }
 
-impl Record {
-    fn held(&self) -> Epoch {
+impl MigrationRecord {
+    /// The epoch at which the tenant's writes are held.
+    fn hold_epoch(&self) -> Epoch {
         self.base.next()
     }
 
-    fn decided(&self) -> Epoch {
-        self.held().next()
+    /// The epoch of the cut-over, or of the return to the source.
+    fn decision_epoch(&self) -> Epoch {
+        self.hold_epoch().next()
     }
 
-    fn settled(&self) -> Epoch {
-        self.decided().next()
+    /// The epoch at which the target serves the tenant without restrictions.
+    fn settled_epoch(&self) -> Epoch {
+        self.decision_epoch().next()
     }
 }
 
-/// What happens to a migration.
+/// An event that a migration handles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A record is where a crash leaves it.
+    /// The record of this step is durable.
     Recorded(Step),
-    /// The target can take the tenant's data.
+    /// The target can accept the tenant's data.
     Prepared,
-    /// A gateway was granted a lease, which by the migrator's clock ends then.
+    /// A gateway was granted a lease, which ends at this time of the migrator's clock.
     Leased(GatewayId, Micros),
-    /// A gateway sends no writes at epochs before this, and none that it sent can still run.
+    /// A gateway sends no more writes at epochs before this one, and none that it has sent can still run.
     Acknowledged(GatewayId, Epoch),
-    /// The source refuses the tenant's writes.
+    /// The source rejects the tenant's writes.
     Fenced,
-    /// The target has all that the source took.
+    /// The target has all writes that the source accepted.
     CaughtUp,
-    /// Whoever asks for the placement is told of this epoch.
+    /// The placement of this epoch is published: every later fetch returns it or a newer one.
     Published(Epoch),
-    /// The operator wants it called off.
+    /// The operator requested that the migration is aborted.
     Abort,
     /// Time passed.
     Tick,
 }
 
-/// What a migration wants done. All but `Record` may be done twice.
+/// An action that the caller carries out for a migration. All but `Record` may be carried out twice.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Write the record; nothing follows before it is safe.
-    Record(Record),
-    /// Make the target ready.
+    /// Store the record; no other action follows before it is durable.
+    Record(MigrationRecord),
+    /// Prepare the target for the tenant's data.
     Prepare,
-    /// Publish the tenant's home.
+    /// Publish the tenant's home in the placement.
     Publish(Home),
-    /// Have a cell refuse the tenant's writes.
+    /// Make a cell reject the tenant's writes.
     Fence(CellId),
-    /// Have a cell take the tenant's writes from this epoch on.
+    /// Make a cell accept the tenant's writes from this epoch on.
     Unfence(CellId, Epoch),
-    /// Bring the target up to where the source stopped.
+    /// Copy to the target all writes that the source accepted.
     CatchUp,
-    /// It is over.
+    /// The migration has ended with this step.
     Finished(Step),
 }
 
-/// Why a migration can't begin, or be called off.
+/// Why a migration can't begin or be aborted, and what an operator can do about it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MigrationError(pub String);
 
-/// The migrator's side of one move.
+/// The migrator's side of one migration.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Migration {
-    record: Record,
-    times: Times,
-    /// The record of this step is safe, and its effects may be had.
-    recorded: bool,
-    since: Micros,
-    /// When leases end that were granted before the hold was published.
+    record: MigrationRecord,
+    timing: Timing,
+    /// Whether the record of the step is durable, so that its effects may take place.
+    is_recorded: bool,
+    /// When the step began.
+    step_began_at: Micros,
+    /// When the lease of each gateway ends; 0 once the gateway has acknowledged the hold.
     leases: BTreeMap<GatewayId, Micros>,
-    /// Leases that this migrator may know nothing of, granted before it began, end by then.
-    blanket: Micros,
+    /// When all leases have ended that were granted before this migrator began, which it may not know of.
+    earlier_leases_until: Micros,
     caught_up: bool,
     fenced: bool,
     published: bool,
-    /// Its end was told, once.
-    over: bool,
+    /// Whether `Action::Finished` was returned; it is returned once.
+    is_finished: bool,
 }
 
 impl Migration {
-    /// A new move, at the epoch that is in force.
+    /// Begins a migration; `base` is the epoch in force.
     ///
     /// # Errors
     ///
-    /// [`Refused`], where the placement does not allow the migration.
+    /// [`MigrationError`], if the source and the target are the same cell.
     pub fn begin(
         tenant: &str,
         (from, to): (CellId, CellId),
         base: Epoch,
-        times: Times,
+        timing: Timing,
         now: Micros,
         actions: &mut Vec<Action>,
     ) -> Result<Migration, MigrationError> {
         if from == to {
             return Err(MigrationError(format!(
-                "{tenant} lives in cell {} already",
+                "tenant {tenant:?} is in cell {} already; choose another target",
                 to.0
             )));
         }
-        let record = Record {
+        let record = MigrationRecord {
             tenant: tenant.to_owned(),
             from,
             to,
             base,
             step: Step::Preparing,
         };
-        let mut this = Migration::at(record, times, now);
-        this.enter(now, Step::Preparing, actions);
-        Ok(this)
+        let mut migration = Migration::at_step(record, timing, now);
+        migration.enter(now, Step::Preparing, actions);
+        Ok(migration)
     }
 
-    /// Takes up a migration where its last record left it; the effects of that step are had again.
+    /// Resumes a migration from its last record and repeats the effects of that step.
     pub fn resume(
-        record: Record,
-        times: Times,
+        record: MigrationRecord,
+        timing: Timing,
         now: Micros,
         actions: &mut Vec<Action>,
     ) -> Migration {
-        let mut this = Migration::at(record, times, now);
-        this.recorded = true;
-        this.effects(actions);
-        this
+        let mut migration = Migration::at_step(record, timing, now);
+        migration.is_recorded = true;
+        migration.append_effects(actions);
+        migration
     }
 
-    fn at(record: Record, times: Times, now: Micros) -> Migration {
+    fn at_step(record: MigrationRecord, timing: Timing, now: Micros) -> Migration {
         Migration {
             record,
-            times,
-            recorded: false,
-            since: now,
+            timing,
+            is_recorded: false,
+            step_began_at: now,
             leases: BTreeMap::new(),
-            blanket: now.saturating_add(times.lease).saturating_add(times.drift),
+            earlier_leases_until: now
+                .saturating_add(timing.lease)
+                .saturating_add(timing.drift),
             caught_up: false,
             fenced: false,
             published: false,
-            over: false,
+            is_finished: false,
         }
     }
 
-    /// What is recorded, or about to be.
-    pub fn record(&self) -> &Record {
+    /// The current record, which may not be durable yet.
+    pub fn record(&self) -> &MigrationRecord {
         &self.record
     }
 
-    /// Takes in one event and appends what is to be done.
+    /// Handles an event and appends the actions to carry out.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Recorded(step) if step == self.record.step && !self.recorded => {
-                self.recorded = true;
-                self.effects(actions);
+            Event::Recorded(step) if step == self.record.step && !self.is_recorded => {
+                self.is_recorded = true;
+                self.append_effects(actions);
             }
             Event::Leased(gateway, until) => {
                 let lease = self.leases.entry(gateway).or_default();
                 *lease = until.max(*lease);
             }
-            // Whoever has acknowledged the hold can do no harm, however long its lease.
-            Event::Acknowledged(gateway, epoch) if epoch >= self.record.held() => {
+            // A gateway that has acknowledged the hold sends no more writes, however long its lease.
+            Event::Acknowledged(gateway, epoch) if epoch >= self.record.hold_epoch() => {
                 self.leases.insert(gateway, 0);
             }
-            Event::Fenced => self.fenced |= self.record.step == Step::Fencing && self.recorded,
+            Event::Fenced => self.fenced |= self.record.step == Step::Fencing && self.is_recorded,
             Event::CaughtUp => self.caught_up |= self.fenced,
-            Event::Published(epoch) => self.published |= Some(epoch) == self.awaited(),
+            Event::Published(epoch) => self.published |= Some(epoch) == self.awaited_epoch(),
             Event::Abort if self.record.step.may_abort() => {
                 self.enter(now, Step::Aborting, actions);
                 return;
             }
             _ => {}
         }
-        if self.recorded {
+        if self.is_recorded {
             self.advance(now, event, actions);
         }
     }
 
-    /// The epoch whose publishing the step waits for.
-    fn awaited(&self) -> Option<Epoch> {
+    /// The epoch whose publication the step waits for.
+    fn awaited_epoch(&self) -> Option<Epoch> {
         match self.record.step {
-            Step::Holding => Some(self.record.held()),
-            Step::CutOver | Step::Aborting => Some(self.record.decided()),
-            Step::Placed => Some(self.record.settled()),
+            Step::Holding => Some(self.record.hold_epoch()),
+            Step::CutOver | Step::Aborting => Some(self.record.decision_epoch()),
+            Step::Placed => Some(self.record.settled_epoch()),
             _ => None,
         }
     }
@@ -264,22 +270,24 @@
         match self.record.step {
             Step::Preparing if event == Event::Prepared => self.enter(now, Step::Holding, actions),
             Step::Holding => {
-                // Everybody who could still send under the old placement has said that it won't, or has lost the right.
-                let quiet = self.leases.values().all(|until| *until <= now) && self.blanket <= now;
-                if self.published && quiet {
+                // Every gateway that could still write by the old placement has acknowledged the hold, or its lease has
+                // ended.
+                let no_old_writers = self.leases.values().all(|until| *until <= now)
+                    && self.earlier_leases_until <= now;
+                if self.published && no_old_writers {
                     self.enter(now, Step::Fencing, actions);
-                } else if now.saturating_sub(self.since) >= self.times.hold {
+                } else if now.saturating_sub(self.step_began_at) >= self.timing.hold {
                     self.enter(now, Step::Aborting, actions);
                 }
             }
             Step::Fencing if self.caught_up => self.enter(now, Step::CutOver, actions),
             Step::Fencing if self.fenced && event == Event::Fenced => actions.push(Action::CatchUp),
             Step::CutOver if self.published => self.enter(now, Step::Settling, actions),
-            Step::Settling if now.saturating_sub(self.since) >= self.times.settle => {
+            Step::Settling if now.saturating_sub(self.step_began_at) >= self.timing.settle => {
                 self.enter(now, Step::Placed, actions);
             }
-            Step::Placed if self.published && !self.over => {
-                self.over = true;
+            Step::Placed if self.published && !self.is_finished => {
+                self.is_finished = true;
                 actions.push(Action::Finished(Step::Placed));
             }
             Step::Aborting if self.published => self.enter(now, Step::Aborted, actions),
@@ -289,12 +297,12 @@
 
     fn enter(&mut self, now: Micros, step: Step, actions: &mut Vec<Action>) {
         self.record.step = step;
-        (self.recorded, self.published, self.since) = (false, false, now);
+        (self.is_recorded, self.published, self.step_began_at) = (false, false, now);
         actions.push(Action::Record(self.record.clone()));
     }
 
-    /// What the step does, once it is recorded.
-    fn effects(&self, actions: &mut Vec<Action>) {
+    /// Appends the actions of the step, once it is recorded.
+    fn append_effects(&self, actions: &mut Vec<Action>) {
         let record = &self.record;
         let home = |cell, epoch, held, settling| {
             Action::Publish(Home {
@@ -306,143 +314,147 @@
         };
         match record.step {
             Step::Preparing => actions.push(Action::Prepare),
-            Step::Holding => actions.push(home(record.from, record.held(), true, false)),
+            Step::Holding => actions.push(home(record.from, record.hold_epoch(), true, false)),
             Step::Fencing => actions.push(Action::Fence(record.from)),
             Step::CutOver => {
-                // It may have lived there before, and been fenced when it left.
-                actions.push(Action::Unfence(record.to, record.decided()));
-                actions.push(home(record.to, record.decided(), false, true));
+                // The tenant may have been in the target before, which was fenced when the tenant left it.
+                actions.push(Action::Unfence(record.to, record.decision_epoch()));
+                actions.push(home(record.to, record.decision_epoch(), false, true));
             }
             Step::Settling => {}
-            Step::Placed => actions.push(home(record.to, record.settled(), false, false)),
+            Step::Placed => actions.push(home(record.to, record.settled_epoch(), false, false)),
             Step::Aborting => {
-                actions.push(Action::Unfence(record.from, record.decided()));
-                actions.push(home(record.from, record.decided(), false, false));
+                actions.push(Action::Unfence(record.from, record.decision_epoch()));
+                actions.push(home(record.from, record.decision_epoch(), false, false));
             }
             Step::Aborted => actions.push(Action::Finished(Step::Aborted)),
         }
     }
 }
 
-/// Moves that are under way, by tenant.
+/// The migrations in progress, one a tenant at most.
 #[derive(Clone, Debug, Default)]
 pub struct Migrations {
-    under_way: BTreeMap<String, Record>,
+    by_tenant: BTreeMap<String, MigrationRecord>,
 }
 
 impl Migrations {
-    /// Takes in a record; one that is over ends its move.
-    pub fn recorded(&mut self, record: &Record) {
+    /// Applies a new record; a record of the last step removes its migration.
+    pub fn update(&mut self, record: &MigrationRecord) {
         if record.step.is_over() {
-            self.under_way.remove(&record.tenant);
+            self.by_tenant.remove(&record.tenant);
         } else {
-            self.under_way.insert(record.tenant.clone(), record.clone());
+            self.by_tenant.insert(record.tenant.clone(), record.clone());
         }
     }
 
-    /// Whether a tenant may begin to move: not while it migrations.
+    /// Checks that a migration of a tenant may begin.
     ///
     /// # Errors
     ///
-    /// [`Refused`], while the tenant migrations.
+    /// [`MigrationError`], while another migration of the tenant is in progress.
     pub fn may_begin(&self, tenant: &str) -> Result<(), MigrationError> {
-        self.under_way.get(tenant).map_or(Ok(()), |record| {
+        self.by_tenant.get(tenant).map_or(Ok(()), |record| {
             let text = format!(
-                "{tenant} moves already, from cell {} to {}: {:?}",
+                "tenant {tenant:?} is already migrating from cell {} to {}, at step {:?}; wait for it to end, or abort it",
                 record.from.0, record.to.0, record.step
             );
             Err(MigrationError(text))
         })
     }
 
-    /// Whether a migration may be called off.
+    /// Checks that the migration of a tenant may be aborted.
     ///
     /// # Errors
     ///
-    /// [`Refused`], where it does not move, or has passed the point of no return.
+    /// [`MigrationError`], if the tenant is not migrating, or its migration has reached the cut-over.
     pub fn may_abort(&self, tenant: &str) -> Result<(), MigrationError> {
-        match self.under_way.get(tenant) {
-            None => Err(MigrationError(format!("{tenant} does not move"))),
+        match self.by_tenant.get(tenant) {
+            None => Err(MigrationError(format!(
+                "tenant {tenant:?} is not migrating; there is nothing to abort"
+            ))),
             Some(record) if record.step.may_abort() => Ok(()),
             Some(record) => Err(MigrationError(format!(
-                "{tenant} is past the point of return: {:?}",
+                "the migration of tenant {tenant:?} has passed the point of no return, at step {:?}; let it complete",
                 record.step
             ))),
         }
     }
 }
 
-/// Writes of one tenant that a gateway has sent.
+/// The writes of one tenant that a gateway has sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-struct Sent {
-    /// Those that are out.
-    out: u32,
-    /// Until when one that is over without a known outcome may yet run.
+struct SentWrites {
+    /// Writes without a result yet.
+    in_flight: u32,
+    /// Until when a write that ended with an unknown outcome may still run.
     unknown_until: Micros,
 }
 
-/// The gateway's side: its lease, and what it has sent.
+/// The gateway's side of migrations: its lease on the placement, and the writes that it has sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct GatewayLease {
-    /// The epoch of the placement that it holds.
+    /// The epoch of the gateway's placement.
     epoch: Epoch,
     lease_until: Micros,
-    sent: BTreeMap<String, Sent>,
+    sent: BTreeMap<String, SentWrites>,
 }
 
 impl GatewayLease {
-    /// The placement's source answered a call that was *made* at this time: the lease counts from then, however long
-    /// the answer took. One of an older epoch is refused.
-    pub fn learned(&mut self, asked: Micros, times: &Times, epoch: Epoch) -> bool {
+    /// Applies the answer to a fetch of the placement that began at `requested_at`. The lease counts from then, however
+    /// long the answer took. Returns false, with no effect, if the answer's epoch is older than the gateway's.
+    pub fn renew(&mut self, requested_at: Micros, timing: &Timing, epoch: Epoch) -> bool {
         if epoch < self.epoch {
             return false;
         }
         self.epoch = epoch;
-        self.lease_until = self.lease_until.max(asked.saturating_add(times.lease));
+        self.lease_until = self
+            .lease_until
+            .max(requested_at.saturating_add(timing.lease));
         true
     }
 
-    /// Whether a write may be sent under this home, now.
+    /// Whether a write of a tenant with this home may be sent now.
     pub fn may_write(&self, now: Micros, home: &Home) -> bool {
         now < self.lease_until && home.epoch <= self.epoch && !home.held
     }
 
-    /// A write of a tenant goes out.
-    pub fn sends(&mut self, tenant: &str) {
-        self.sent.entry(tenant.to_owned()).or_default().out += 1;
+    /// Records that a write of a tenant is sent.
+    pub fn write_sent(&mut self, tenant: &str) {
+        self.sent.entry(tenant.to_owned()).or_default().in_flight += 1;
     }
 
-    /// It is over; with no known outcome, it may yet run until then.
-    pub fn ended(&mut self, now: Micros, tenant: &str, unknown_until: Option<Micros>) {
+    /// Records that a write has ended. If its outcome is unknown, it may still run until `unknown_until`.
+    pub fn write_ended(&mut self, now: Micros, tenant: &str, unknown_until: Option<Micros>) {
         let Some(sent) = self.sent.get_mut(tenant) else {
             return;
         };
-        sent.out = sent.out.saturating_sub(1);
+        sent.in_flight = sent.in_flight.saturating_sub(1);
         sent.unknown_until = sent.unknown_until.max(unknown_until.unwrap_or(0));
-        // Tenants come and go: one that owes nothing is forgotten.
-        if sent.out == 0 && sent.unknown_until <= now {
+        // Bounds the map: a tenant without writes that may still run is removed.
+        if sent.in_flight == 0 && sent.unknown_until <= now {
             self.sent.remove(tenant);
         }
     }
 
-    /// Whether a hold can be acknowledged: nothing that was sent before it can still run.
+    /// Whether the hold of a tenant's writes can be acknowledged: no write sent before it can still run.
     pub fn may_acknowledge(&mut self, now: Micros, tenant: &str, home: &Home) -> bool {
-        let quiet = self
+        let none_can_run = self
             .sent
             .get(tenant)
-            .is_none_or(|sent| sent.out == 0 && sent.unknown_until <= now);
-        if quiet {
+            .is_none_or(|sent| sent.in_flight == 0 && sent.unknown_until <= now);
+        if none_can_run {
             self.sent.remove(tenant);
         }
-        quiet && home.held && home.epoch <= self.epoch
+        none_can_run && home.held && home.epoch <= self.epoch
     }
 
-    /// How old the placement is by its lease: time since it ran out.
-    pub fn overdue(&self, now: Micros) -> Micros {
+    /// How long ago the lease ended, microseconds; 0 while it lasts.
+    pub fn expired_for(&self, now: Micros) -> Micros {
         now.saturating_sub(self.lease_until)
     }
 
-    /// The epoch it holds.
+    /// The epoch of the gateway's placement.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
--- a/src/cells/placement.rs
+++ b/src/cells/placement.rs
@@ -1,10 +1,10 @@
-//! Where a tenant lives: the cell, and within it the groups that its requests may reach.
+//! The placement of a tenant: its cell, and within the cell the groups that its requests may reach.
 //!
-//! Explicit placement first, then the key's range, else rendezvous hashing over the cells, and shuffle sharding of a
-//! stated number of groups within the cell. Nothing is stored for a tenant that is not placed explicitly, and adding a
-//! cell moves only those whose highest score it has.
+//! The range of the request's key decides first, then explicit placement of the tenant, else rendezvous hashing over the
+//! cells. Shuffle sharding selects a set number of groups within the cell. Nothing is stored for a tenant that is not placed
+//! explicitly, and adding a cell moves only the tenants for which the new cell has the highest score.
 
-use super::{mixed, stable_hash, CellId, Epoch};
+use super::{mix, stable_hash, CellId, Epoch};
 use crate::interface::GroupId;
 use asterreel_control::settings::{check_within, SettingError};
 use serde::{Deserialize, Serialize};
@@ -13,32 +13,32 @@
 /// A cell's name and the groups it consists of.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cell {
-    /// Its name, which its share of tenants hangs on: a renamed cell is a new one.
+    /// Its name. Tenants are hashed to cells by name, so that a renamed cell counts as a new one.
     pub name: String,
-    /// Its groups.
+    /// The numbers of its groups; a group belongs to one cell only.
     pub groups: Vec<u64>,
 }
 
-/// How keys are told apart by ranges.
+/// What the bounds of ranges are compared with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Order {
-    /// By the bytes of the key.
+    /// The bytes of the key.
     Bytes,
-    /// By [`stable_hash`] of the key, as 16 hex digits.
+    /// [`stable_hash`] of the key, as 16 hex digits.
     Hash,
 }
 
-/// Keys from one to below another live in a cell, whoever asks.
+/// A range of keys that are placed in a cell, whichever tenant they belong to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Range {
-    /// Its name.
+    /// The name of the range, for error messages.
     pub name: String,
-    /// The first key.
+    /// The first key of the range.
     pub from: String,
-    /// The first key past it; left out, there is no end.
+    /// The first key after the range; without it the range has no end.
     pub to: Option<String>,
-    /// The cell.
+    /// The cell of the keys.
     pub cell: CellId,
 }
 
@@ -48,46 +48,47 @@
     }
 
     fn overlaps(&self, other: &Range) -> bool {
-        let before = |one: &Range, two: &Range| one.to.as_ref().is_some_and(|to| *to <= two.from);
-        !before(self, other) && !before(other, self)
+        let ends_before =
+            |one: &Range, two: &Range| one.to.as_ref().is_some_and(|to| *to <= two.from);
+        !ends_before(self, other) && !ends_before(other, self)
     }
 }
 
-/// A tenant that lives where the operator or a migration put it.
+/// The cell of a tenant or key, and the state of the tenant's migration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Home {
-    /// Its cell.
+    /// The cell.
     pub cell: CellId,
-    /// The epoch of this placement.
+    /// The epoch at which this home was published.
     pub epoch: Epoch,
-    /// Requests that write are not to be sent now: it is being moved.
+    /// Whether writes are held, because the tenant is being migrated.
     #[serde(default)]
     pub held: bool,
-    /// It moved a moment ago: reads of what a session wrote go to the primary.
+    /// Whether the tenant was migrated recently, so that a session's reads of its own writes go to the primary.
     #[serde(default)]
     pub settling: bool,
 }
 
-/// What was asked for.
+/// Where the requests of a tenant go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Place {
-    /// The cell and its epoch, and whether it is being moved.
+    /// The cell and its epoch, and the state of the tenant's migration.
     pub home: Home,
-    /// How many groups the tenant has, and which.
+    /// How many elements of `groups` are in use.
     count: u8,
     groups: [u64; MAX_GROUPS],
 }
 
-/// The most groups that one tenant is spread over.
+/// The most groups over which one tenant can be spread.
 pub const MAX_GROUPS: usize = 8;
 
 impl Place {
-    /// The groups that the tenant's requests may reach, best first.
+    /// The groups that the tenant's requests may reach, by descending score.
     pub fn groups(&self) -> &[u64] {
         &self.groups[..usize::from(self.count)]
     }
 
-    /// The group that serves what a client calls a cluster: clients count from 0 and know no cells.
+    /// The group that serves a cluster number of a client. Clients number clusters from 0 and do not know cells.
     pub fn group(&self, cluster: u64) -> GroupId {
         let groups = self.groups();
         GroupId(
@@ -99,12 +100,13 @@
     }
 }
 
-/// All of it; see the module.
+/// A checked placement, which resolves tenants and keys; see the module.
 #[derive(Clone, Debug)]
 pub struct Placement {
-    /// Grows with every change of anything below.
+    /// The version of the placement, which grows with every change of the fields below.
     pub epoch: Epoch,
     cells: Vec<Cell>,
+    /// By cell, the hash of its name.
     salts: Vec<u64>,
     spread: usize,
     order: Order,
@@ -112,25 +114,25 @@
     homes: HashMap<Box<str>, Home>,
 }
 
-/// What a placement is made of, as it is published.
+/// A placement as it is published and stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Published {
     /// See [`Placement::epoch`].
     pub epoch: Epoch,
-    /// The cells.
+    /// The cells; a [`CellId`] is an index into them.
     pub cells: Vec<Cell>,
-    /// Groups of each tenant, 1 to 8.
+    /// The number of groups of each tenant, 1 to 8.
     pub spread: usize,
-    /// How ranges are read.
+    /// What the bounds of `ranges` are compared with.
     pub order: Order,
-    /// The ranges.
+    /// Ranges of keys with a cell of their own.
     pub ranges: Vec<Range>,
-    /// Tenants that are placed explicitly.
+    /// The homes of tenants that are placed explicitly, by the operator or a migration.
     pub homes: Vec<(String, Home)>,
 }
 
 impl Placement {
-    /// Checks what was published.
+    /// Checks a published placement.
     ///
     /// # Errors
     ///
@@ -145,11 +147,11 @@
             homes,
         } = published;
         check_sizes(&cells, spread)?;
-        for place in 0..cells.len() {
-            check_cell(&cells, place, spread)?;
+        for index in 0..cells.len() {
+            check_cell(&cells, index, spread)?;
         }
-        for place in 0..ranges.len() {
-            check_range(&ranges, place, cells.len())?;
+        for index in 0..ranges.len() {
+            check_range(&ranges, index, cells.len())?;
         }
         ranges.sort_by(|one, other| one.from.cmp(&other.from));
         let homes = homes_by_tenant(homes, cells.len(), epoch)?;
@@ -168,16 +170,18 @@
         })
     }
 
-    /// The cells.
+    /// The cells, in the order of [`CellId`].
     pub fn cells(&self) -> &[Cell] {
         &self.cells
     }
 
-    /// Where a tenant's requests go, and where a key's do if it is in a range.
+    /// Where a tenant's request goes; a key that is in a range decides over the tenant's home.
     pub fn place(&self, tenant: &str, key: &[u8]) -> Place {
         let hash = stable_hash(tenant.as_bytes());
-        let home = self.range(key).or_else(|| self.homes.get(tenant).copied());
-        let home = home.unwrap_or_else(|| self.hashed(hash));
+        let home = self
+            .home_by_range(key)
+            .or_else(|| self.homes.get(tenant).copied());
+        let home = home.unwrap_or_else(|| self.home_by_hash(hash));
         let mut place = Place {
             home,
             count: 0,
@@ -187,9 +191,9 @@
         let Some(cell) = self.cells.get(usize::from(home.cell.0)) else {
             return place;
         };
-        // The best of few: an insertion into a short array beats any sort.
+        // Insertion into an array of at most 8 scores: for so few it is faster than sorting all groups.
         for group in &cell.groups {
-            let score = mixed(hash, group.wrapping_add(1));
+            let score = mix(hash, group.wrapping_add(1));
             let at = scores[..usize::from(place.count)]
                 .iter()
                 .position(|other| score > *other);
@@ -206,7 +210,7 @@
         place
     }
 
-    fn range(&self, key: &[u8]) -> Option<Home> {
+    fn home_by_range(&self, key: &[u8]) -> Option<Home> {
         if self.ranges.is_empty() || key.is_empty() {
             return None;
         }
@@ -216,10 +220,10 @@
         } else {
             key
         };
-        let after = self
+        let next = self
             .ranges
             .partition_point(|range| range.from.as_bytes() <= key);
-        let range = after
+        let range = next
             .checked_sub(1)
             .map(|at| &self.ranges[at])
             .filter(|range| range.contains(key))?;
@@ -231,8 +235,8 @@
         })
     }
 
-    fn hashed(&self, hash: u64) -> Home {
-        let scores = self.salts.iter().map(|salt| mixed(hash, *salt)).enumerate();
+    fn home_by_hash(&self, hash: u64) -> Home {
+        let scores = self.salts.iter().map(|salt| mix(hash, *salt)).enumerate();
         let best = scores
             .max_by_key(|(_, score)| *score)
             .map_or(0, |(cell, _)| cell);
@@ -244,8 +248,8 @@
         }
     }
 
-    /// The most groups that any two of these tenants share, the mean, and how many pairs share all: what shuffle
-    /// sharding leaves of a poisoned tenant's reach. Across cells it is 0 by construction.
+    /// How many groups pairs of these tenants share: how far a tenant whose statements crash members affects others
+    /// despite shuffle sharding. Tenants of different cells share none by construction.
     pub fn overlap<'a>(&self, tenants: impl Iterator<Item = &'a str>) -> Overlap {
         let places: Vec<Place> = tenants.map(|tenant| self.place(tenant, b"")).collect();
         let mut overlap = Overlap::default();
@@ -266,95 +270,112 @@
     }
 }
 
-/// How much tenants share.
+/// How many groups pairs of tenants share.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Overlap {
-    /// The most groups that two share.
+    /// The most groups that two tenants share.
     pub max_shared: usize,
-    /// Pairs looked at, the groups that they share in all, and the pairs that share all of theirs.
+    /// The number of pairs of tenants.
     pub pairs: u64,
-    /// See `pairs`.
+    /// The number of shared groups, summed over all pairs.
     pub shared: u64,
-    /// See `pairs`.
+    /// The number of pairs that share all of their groups.
     pub full: u64,
 }
 
-/// There are cells, and no more than a [`CellId`] can number; tenants are spread over a possible number of groups.
+/// Checks that there are cells, no more than a [`CellId`] can number, and that `spread` is possible.
 fn check_sizes(cells: &[Cell], spread: usize) -> Result<(), SettingError> {
     if cells.is_empty() || cells.len() > usize::from(u16::MAX) {
-        let fault = format!("{} of them", cells.len());
+        let fault = format!("{} cells; list 1 to {}", cells.len(), u16::MAX);
         return Err(SettingError::new("cells", fault));
     }
     check_within("spread", spread as u64, 1, MAX_GROUPS as u64)
 }
 
-/// The cell at `place` has a name of its own and enough groups, which no other cell has.
-fn check_cell(cells: &[Cell], place: usize, spread: usize) -> Result<(), SettingError> {
-    let (cell, earlier) = (&cells[place], &cells[..place]);
-    let error = |fault: String| Err(SettingError::new(format!("cells[{place}]"), fault));
+/// Checks that the cell at `index` has a name of its own and enough groups, which no earlier cell has.
+fn check_cell(cells: &[Cell], index: usize, spread: usize) -> Result<(), SettingError> {
+    let (cell, earlier) = (&cells[index], &cells[..index]);
+    let error = |fault: String| Err(SettingError::new(format!("cells[{index}]"), fault));
     if earlier.iter().any(|other| other.name == cell.name) {
-        return error(format!("{:?} is the name of two", cell.name));
+        return error(format!(
+            "{:?} is already the name of another cell; rename one of them",
+            cell.name
+        ));
     }
     if cell.groups.len() < spread {
         return error(format!(
-            "{:?} has {} groups, and spread is {spread}",
+            "{:?} has {} groups, fewer than spread, {spread}; add groups or lower spread",
             cell.name,
             cell.groups.len()
         ));
     }
     for group in &cell.groups {
-        // A group in two cells would carry what harms one into the other.
+        // A group in two cells would let the load and crashes of one cell affect the other.
         let same_group = |other: &&Cell| other.groups.contains(group);
         if let Some(other) = earlier.iter().find(same_group) {
             return error(format!(
-                "group {group} is in {:?} and in {:?}",
+                "group {group} is in {:?} and in {:?}; remove it from one of them",
                 other.name, cell.name
             ));
         }
         if cell.groups.iter().filter(|other| *other == group).count() > 1 {
-            return error(format!("group {group} is named twice in {:?}", cell.name));
+            return error(format!(
+                "group {group} is listed twice in {:?}; remove one of them",
+                cell.name
+            ));
         }
     }
     Ok(())
 }
 
-/// The range at `place` names one of the `cell_count` cells, is not empty, and overlaps none before it.
-fn check_range(ranges: &[Range], place: usize, cell_count: usize) -> Result<(), SettingError> {
-    let (range, earlier) = (&ranges[place], &ranges[..place]);
-    let error = |fault: String| Err(SettingError::new(format!("ranges[{place}]"), fault));
+/// Checks that the range at `index` has one of the `cell_count` cells, is not empty, and overlaps no earlier one.
+fn check_range(ranges: &[Range], index: usize, cell_count: usize) -> Result<(), SettingError> {
+    let (range, earlier) = (&ranges[index], &ranges[..index]);
+    let error = |fault: String| Err(SettingError::new(format!("ranges[{index}]"), fault));
     if usize::from(range.cell.0) >= cell_count {
         return error(format!(
-            "{:?} names cell {}, which is none",
+            "{:?} has cell {}, but there are only {cell_count} cells, counted from 0",
             range.name, range.cell.0
         ));
     }
     if range.to.as_ref().is_some_and(|to| *to <= range.from) {
-        return error(format!("{:?} ends where it begins, or before", range.name));
+        return error(format!(
+            "{:?} is empty; set its end above its beginning, {:?}",
+            range.name, range.from
+        ));
     }
     if let Some(other) = earlier.iter().find(|other| other.overlaps(range)) {
-        return error(format!("{:?} and {:?} overlap", other.name, range.name));
+        return error(format!(
+            "{:?} and {:?} overlap; each key must be in one range at most",
+            other.name, range.name
+        ));
     }
     Ok(())
 }
 
-/// The homes of tenants placed explicitly, each in one of the `cell_count` cells and no newer than `epoch`.
+/// Indexes the homes of explicitly placed tenants, and checks that each has one of the `cell_count` cells and is no newer
+/// than `epoch`, the placement's.
 fn homes_by_tenant(
     homes: Vec<(String, Home)>,
     cell_count: usize,
     epoch: Epoch,
 ) -> Result<HashMap<Box<str>, Home>, SettingError> {
     let mut by_tenant = HashMap::with_capacity(homes.len());
-    for (place, (tenant, home)) in homes.into_iter().enumerate() {
-        let error = |fault: String| Err(SettingError::new(format!("homes[{place}]"), fault));
+    for (index, (tenant, home)) in homes.into_iter().enumerate() {
+        let error = |fault: String| Err(SettingError::new(format!("homes[{index}]"), fault));
         if usize::from(home.cell.0) >= cell_count || home.epoch > epoch {
-            let (cell, epoch) = (home.cell.0, home.epoch.0);
-            return error(format!("{tenant:?}: cell {cell} at epoch {epoch}"));
+            return error(format!(
+                "tenant {tenant:?} has cell {} at epoch {}; use a cell below {cell_count} and an epoch up to {}",
+                home.cell.0, home.epoch.0, epoch.0
+            ));
         }
         if by_tenant
             .insert(tenant.clone().into_boxed_str(), home)
             .is_some()
         {
-            return error(format!("{tenant:?} lives twice"));
+            return error(format!(
+                "tenant {tenant:?} is listed twice; keep one of its homes"
+            ));
         }
     }
     by_tenant.shrink_to_fit();
--- a/src/cells/quarantine.rs
+++ b/src/cells/quarantine.rs
@@ -1,40 +1,40 @@
-//! Poison: requests that kill or hang the members they reach, told by tenant and shape.
+//! Quarantine of statements that crash or hang the members that run them.
 //!
-//! An attempt that is followed by its member's death or hang counts against its *fingerprint* (tenant and shape of the
-//! statement) and its tenant. Past a stated number of members the fingerprint is quarantined: no further attempt goes
-//! out. Apart from that, the members that one request, one fingerprint and one tenant may touch within a window are
-//! bounded while any of their attempts ended that way, so that a read tried again does not kill a cell before it is
-//! found out.
+//! An attempt under which its member crashed or hung counts against its *fingerprint* (the tenant and the normalized
+//! statement) and against its tenant. After a set number of members the fingerprint is quarantined: no further attempt is
+//! dispatched. The members that the attempts of one request, one fingerprint and one tenant may crash within a window are
+//! bounded as well, so that a read that is retried does not crash a whole cell before it is quarantined.
 
 use super::stable_hash;
 use crate::interface::{Idempotency, MemberId, Micros};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Answers that make a shape or tenant known.
+/// Answers after which a fingerprint or tenant counts as proven, so that its quarantine takes more failures.
 const MIN_ANSWERS: u32 = 4;
-/// Time between two looks for who can be forgotten.
+/// The interval at which old suspects are removed, microseconds.
 const DECAY_INTERVAL_US: Micros = 1_000_000;
 
-/// Tenant and shape, hashed.
+/// The hash of a tenant's name and a normalized statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Fingerprint(pub u64);
 
-/// What an operator may set of the quarantine.
-///
-/// A value of another type is reported with the name that serde is told here; operators' files have met it so far.
+/// The options of the quarantine in the operator's file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+// `expecting` keeps the type name in serde's error messages, which stays when this type is renamed.
 #[serde(default, deny_unknown_fields, expecting = "struct Knobs")]
 pub struct QuarantineOptions {
-    /// Members that must die or hang after one fingerprint before it is quarantined; 1 to 16, default 2.
+    /// Members that must crash or hang under one fingerprint before it is quarantined; 1 to 16, default 2.
     pub members: usize,
-    /// The window in which they must, milliseconds; 1000 to 3600000, default 30000.
+    /// The window in which they must crash or hang, milliseconds; 1000 to 3600000, default 30000.
     pub window_ms: u64,
-    /// How long a quarantine lasts, milliseconds; default 300000. It doubles when the poison comes back, to 16 times.
+    /// How long the first quarantine lasts, milliseconds; 1000 to 86400000, default 300000. The time doubles with each
+    /// further quarantine, up to 16 times.
     pub lasts_ms: u64,
-    /// Suspect members that one tenant may touch within the window; default 4.
+    /// Members that must crash or hang under one tenant before it is quarantined; 1 to 64, default 4.
     pub tenant_members: usize,
-    /// Fingerprints that are kept in mind; those quiet for longest go first. Default 4096.
+    /// The most fingerprints and the most tenants that are tracked; 16 to 65536, default 4096. Those without events for
+    /// longest are removed first.
     pub entries: usize,
 }
 
@@ -50,142 +50,149 @@
     }
 }
 
-/// How an attempt's member fared.
+/// What happened to a member under an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberOutcome {
-    /// It answered, whatever it said.
+    /// It answered, with a result or an error.
     Answered,
-    /// Its connections broke, or new ones were refused, while the attempt was out.
+    /// Its connections broke, or it refused new ones, while the attempt was in flight.
     Crashed,
-    /// It went silent while the attempt was out.
+    /// It stopped answering while the attempt was in flight.
     Hung,
 }
 
-/// What to do about an attempt that is to go out.
+/// Whether an attempt may be dispatched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineDecision {
-    /// Let it go.
+    /// The attempt may be dispatched.
     Allow,
-    /// No attempt: nothing of the request ran, or it may be repeated, so it is refused.
+    /// The request is rejected without the attempt: nothing of it has run, or it may be repeated.
     Refuse,
-    /// No attempt: one that may have run is out of the question for a refusal.
+    /// The request fails without the attempt: an earlier attempt may have run, so that it can't be rejected for a retry.
     Fail,
 }
 
+/// The history of one fingerprint or tenant.
 #[derive(Clone, Debug, Default)]
 struct Suspect {
-    /// Members that died or hung after it, and when.
-    victims: Vec<(MemberId, Micros)>,
-    /// Answers before the first victim: with some, the shape was harmless a moment ago.
-    known: u32,
-    /// Attempts that ended so, and those that were answered, since the first victim.
-    died: u32,
-    answered: u32,
-    until: Micros,
-    times: u32,
-    last: Micros,
+    /// Members that crashed or hung under its attempts, and when.
+    failed_members: Vec<(MemberId, Micros)>,
+    /// Answers before the first of the failures; with some, it was harmless until shortly before.
+    answers_before: u32,
+    /// Attempts under which a member crashed or hung, since the first of the failures.
+    failures: u32,
+    /// Attempts that were answered since the first of the failures.
+    answers_since: u32,
+    quarantined_until: Micros,
+    /// Quarantines so far.
+    quarantines: u32,
+    last_event_at: Micros,
 }
 
-/// All suspects; see the module.
+/// The suspects of one gateway; see the module.
 pub struct Quarantine {
     options: QuarantineOptions,
-    shapes: BTreeMap<Fingerprint, Suspect>,
+    fingerprints: BTreeMap<Fingerprint, Suspect>,
     tenants: BTreeMap<u64, Suspect>,
-    aged_at: Micros,
+    decayed_at: Micros,
 }
 
 impl Quarantine {
-    /// None suspected.
+    /// Creates a quarantine without suspects.
     pub fn new(options: QuarantineOptions) -> Quarantine {
         Quarantine {
             options,
-            shapes: BTreeMap::new(),
+            fingerprints: BTreeMap::new(),
             tenants: BTreeMap::new(),
-            aged_at: 0,
+            decayed_at: 0,
         }
     }
 
-    /// Decides on an attempt at a member: `ran` when an earlier one of the request may have run, and `victims` the
-    /// members that the request's own attempts were followed by the death of.
+    /// Whether an attempt may be dispatched; `may_have_run` if an earlier attempt of the request may have run, and
+    /// `failed_members` is the number of members that crashed or hung under the request's own attempts.
     pub fn admit(
         &mut self,
         now: Micros,
-        (tenant, shape): (u64, Fingerprint),
+        (tenant, fingerprint): (u64, Fingerprint),
         idempotency: Idempotency,
-        ran: bool,
-        victims: usize,
+        may_have_run: bool,
+        failed_members: usize,
     ) -> QuarantineDecision {
-        self.age(now);
-        let shut = self
-            .shapes
-            .get(&shape)
-            .is_some_and(|suspect| suspect.until > now)
+        self.remove_old_suspects(now);
+        let is_quarantined = self
+            .fingerprints
+            .get(&fingerprint)
+            .is_some_and(|suspect| suspect.quarantined_until > now)
             || self
                 .tenants
                 .get(&tenant)
-                .is_some_and(|suspect| suspect.until > now)
-            || victims >= self.options.members;
-        match (shut, idempotency) {
+                .is_some_and(|suspect| suspect.quarantined_until > now)
+            || failed_members >= self.options.members;
+        match (is_quarantined, idempotency) {
             (false, _) => QuarantineDecision::Allow,
             (true, Idempotency::Idempotent) => QuarantineDecision::Refuse,
-            (true, _) if !ran => QuarantineDecision::Refuse,
+            (true, _) if !may_have_run => QuarantineDecision::Refuse,
             (true, _) => QuarantineDecision::Fail,
         }
     }
 
-    /// An attempt has ended. Whatever is in flight when a member dies ends with it: a shape that is asked often meets
-    /// many deaths that are not its own. So a suspect is shut only if at least as many of its attempts ended so, since
-    /// the first, as were answered; and one that was answered before, only after twice as many deaths as one that is
-    /// new, by which time what was really to blame is shut.
-    pub fn ended(
+    /// Records how an attempt ended for its member. All attempts in flight at a member fail when it crashes, so that a
+    /// frequent statement is in flight during many crashes that it did not cause. A suspect is therefore quarantined only
+    /// if, since the first failure, at least as many of its attempts failed that way as were answered; and one that was
+    /// answered before, only after twice as many failures as a new one, by which time the statement that caused them has
+    /// been quarantined.
+    pub fn attempt_ended(
         &mut self,
         now: Micros,
-        (tenant, shape): (u64, Fingerprint),
+        (tenant, fingerprint): (u64, Fingerprint),
         member: MemberId,
-        after: MemberOutcome,
+        outcome: MemberOutcome,
     ) {
-        if after == MemberOutcome::Answered {
-            let answered = |suspect: &mut Suspect| {
-                let count = if suspect.victims.is_empty() {
-                    &mut suspect.known
+        if outcome == MemberOutcome::Answered {
+            let record_answer = |suspect: &mut Suspect| {
+                let count = if suspect.failed_members.is_empty() {
+                    &mut suspect.answers_before
                 } else {
-                    &mut suspect.answered
+                    &mut suspect.answers_since
                 };
                 *count = count.saturating_add(1);
-                suspect.last = now;
+                suspect.last_event_at = now;
             };
-            answered(self.shapes.entry(shape).or_default());
-            answered(self.tenants.entry(tenant).or_default());
+            record_answer(self.fingerprints.entry(fingerprint).or_default());
+            record_answer(self.tenants.entry(tenant).or_default());
             self.evict_excess();
             return;
         }
         let options = self.options;
         let (window, lasts) = (options.window_ms * 1000, options.lasts_ms * 1000);
-        let hurt = |suspect: &mut Suspect, most: usize| {
+        let record_failure = |suspect: &mut Suspect, max_members: usize| {
             suspect
-                .victims
+                .failed_members
                 .retain(|(other, at)| *other != member && now.saturating_sub(*at) < window);
-            if suspect.victims.is_empty() {
-                (suspect.died, suspect.answered) = (0, 0);
+            if suspect.failed_members.is_empty() {
+                (suspect.failures, suspect.answers_since) = (0, 0);
             }
-            suspect.victims.push((member, now));
-            suspect.died = suspect.died.saturating_add(1);
-            suspect.last = now;
-            let own = suspect.died >= suspect.answered;
-            let enough = if suspect.known >= MIN_ANSWERS {
-                suspect.died as usize >= 2 * most
+            suspect.failed_members.push((member, now));
+            suspect.failures = suspect.failures.saturating_add(1);
+            suspect.last_event_at = now;
+            let is_likely_cause = suspect.failures >= suspect.answers_since;
+            let has_enough_failures = if suspect.answers_before >= MIN_ANSWERS {
+                suspect.failures as usize >= 2 * max_members
             } else {
-                suspect.victims.len() >= most
+                suspect.failed_members.len() >= max_members
             };
-            if own && enough && suspect.until <= now {
-                suspect.until = now.saturating_add(lasts << suspect.times.min(4));
-                suspect.times += 1;
-                suspect.victims.clear();
-                suspect.known = 0;
+            if is_likely_cause && has_enough_failures && suspect.quarantined_until <= now {
+                suspect.quarantined_until = now.saturating_add(lasts << suspect.quarantines.min(4));
+                suspect.quarantines += 1;
+                suspect.failed_members.clear();
+                suspect.answers_before = 0;
             }
         };
-        hurt(self.shapes.entry(shape).or_default(), options.members);
-        hurt(
+        record_failure(
+            self.fingerprints.entry(fingerprint).or_default(),
+            options.members,
+        );
+        record_failure(
             self.tenants.entry(tenant).or_default(),
             options.tenant_members,
         );
@@ -193,62 +200,66 @@
     }
 
     fn evict_excess(&mut self) {
-        bound(&mut self.shapes, self.options.entries);
-        bound(&mut self.tenants, self.options.entries);
+        evict_down_to(&mut self.fingerprints, self.options.entries);
+        evict_down_to(&mut self.tenants, self.options.entries);
     }
 
-    /// Lifts a quarantine by hand; false when there is none.
-    pub fn lift(&mut self, shape: Fingerprint) -> bool {
-        self.shapes.remove(&shape).is_some()
+    /// Removes a fingerprint's quarantine and history; false if it has none.
+    pub fn lift(&mut self, fingerprint: Fingerprint) -> bool {
+        self.fingerprints.remove(&fingerprint).is_some()
     }
 
-    /// What is quarantined now, and until when.
+    /// The fingerprints that are quarantined now, and until when.
     pub fn list(&self, now: Micros) -> Vec<(Fingerprint, Micros)> {
-        let shut = self
-            .shapes
+        let quarantined = self
+            .fingerprints
             .iter()
-            .filter(|(_, suspect)| suspect.until > now);
-        shut.map(|(shape, suspect)| (*shape, suspect.until))
+            .filter(|(_, suspect)| suspect.quarantined_until > now);
+        quarantined
+            .map(|(fingerprint, suspect)| (*fingerprint, suspect.quarantined_until))
             .collect()
     }
 
-    /// Suspects that are kept in mind.
+    /// The number of tracked fingerprints and tenants.
     pub fn len(&self) -> usize {
-        self.shapes.len() + self.tenants.len()
+        self.fingerprints.len() + self.tenants.len()
     }
 
-    /// Nobody is suspected.
+    /// Whether no fingerprint and no tenant is tracked.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Forgets who has been quiet for long: a window, and as long again as its last quarantine lasted.
-    fn age(&mut self, now: Micros) {
-        // All are looked at: not at every request.
-        if now.saturating_sub(self.aged_at) < DECAY_INTERVAL_US {
+    /// Removes suspects that had no event for a window and, if they were quarantined, for twice the length of their last
+    /// quarantine in addition.
+    fn remove_old_suspects(&mut self, now: Micros) {
+        // Visits all suspects, which is too slow for every request.
+        if now.saturating_sub(self.decayed_at) < DECAY_INTERVAL_US {
             return;
         }
-        self.aged_at = now;
+        self.decayed_at = now;
         let (window, lasts) = (self.options.window_ms * 1000, self.options.lasts_ms * 1000);
-        let stays = |suspect: &mut Suspect| {
-            let remembered = if suspect.times > 0 {
-                lasts << suspect.times.min(5)
+        let is_recent = |suspect: &mut Suspect| {
+            let extra = if suspect.quarantines > 0 {
+                lasts << suspect.quarantines.min(5)
             } else {
                 0
             };
-            suspect.until > now || now.saturating_sub(suspect.last) < window + remembered
+            suspect.quarantined_until > now
+                || now.saturating_sub(suspect.last_event_at) < window + extra
         };
-        self.shapes.retain(|_, suspect| stays(suspect));
-        self.tenants.retain(|_, suspect| stays(suspect));
+        self.fingerprints.retain(|_, suspect| is_recent(suspect));
+        self.tenants.retain(|_, suspect| is_recent(suspect));
     }
 }
 
-/// Makes room: first whoever is not quarantined, the longest quiet first.
-fn bound<K: Ord + Copy>(suspects: &mut BTreeMap<K, Suspect>, most: usize) {
-    while suspects.len() > most.max(1) {
+/// Removes suspects until at most `max_entries` are left: those without a quarantine first, then those whose quarantine ends
+/// first, and among equals the one without events for longest.
+fn evict_down_to<K: Ord + Copy>(suspects: &mut BTreeMap<K, Suspect>, max_entries: usize) {
+    while suspects.len() > max_entries.max(1) {
         let oldest = suspects
             .iter()
-            .min_by_key(|(_, suspect)| (suspect.until, suspect.last));
+            .min_by_key(|(_, suspect)| (suspect.quarantined_until, suspect.last_event_at));
         let Some(key) = oldest.map(|(key, _)| *key) else {
             return;
         };
@@ -256,25 +267,25 @@
     }
 }
 
-/// The fingerprint of a statement: its tenant, and its words without literals, numbers, comments and case, so that the
-/// same query with other values is the same.
+/// The fingerprint of a tenant's statement. The statement is normalized: without values, comments, case and spacing, so that
+/// the same query with other values has the same fingerprint.
 pub fn fingerprint(tenant: &str, statement: &[u8]) -> Fingerprint {
-    let mut shape = Vec::with_capacity(statement.len().min(512) + tenant.len() + 1);
-    shape.extend_from_slice(tenant.as_bytes());
-    shape.push(0);
-    let (mut at, mut spaced) = (0, true);
+    let mut normalized = Vec::with_capacity(statement.len().min(512) + tenant.len() + 1);
+    normalized.extend_from_slice(tenant.as_bytes());
+    normalized.push(0);
+    let (mut at, mut after_space) = (0, true);
     while at < statement.len() {
         let rest = &statement[at..];
         match rest[0] {
             b'\'' => {
-                // To the closing quote; a doubled one is inside.
+                // Up to the closing quote; a doubled quote is part of the string.
                 let mut end = 1;
                 while end < rest.len() && (rest[end] != b'\'' || rest.get(end + 1) == Some(&b'\''))
                 {
                     end += if rest[end] == b'\'' { 2 } else { 1 };
                 }
-                shape.push(b'?');
-                (at, spaced) = (at + (end + 1).min(rest.len()), false);
+                normalized.push(b'?');
+                (at, after_space) = (at + (end + 1).min(rest.len()), false);
             }
             b'/' if rest.starts_with(b"/*") => {
                 let end = rest
@@ -285,7 +296,7 @@
             }
             digit
                 if digit.is_ascii_digit()
-                    && !shape
+                    && !normalized
                         .last()
                         .is_some_and(|b| b.is_ascii_alphanumeric() || *b == b'_') =>
             {
@@ -293,23 +304,23 @@
                     .iter()
                     .position(|b| !b.is_ascii_alphanumeric() && *b != b'.')
                     .unwrap_or(rest.len());
-                shape.push(b'?');
-                (at, spaced) = (at + end, false);
+                normalized.push(b'?');
+                (at, after_space) = (at + end, false);
             }
             space if space.is_ascii_whitespace() || space == b';' => {
-                if !std::mem::replace(&mut spaced, true) {
-                    shape.push(b' ');
+                if !std::mem::replace(&mut after_space, true) {
+                    normalized.push(b' ');
                 }
                 at += 1;
             }
             byte => {
-                shape.push(byte.to_ascii_lowercase());
-                (at, spaced) = (at + 1, false);
+                normalized.push(byte.to_ascii_lowercase());
+                (at, after_space) = (at + 1, false);
             }
         }
     }
-    while shape.last() == Some(&b' ') {
-        shape.pop();
+    while normalized.last() == Some(&b' ') {
+        normalized.pop();
     }
-    Fingerprint(stable_hash(&shape))
+    Fingerprint(stable_hash(&normalized))
 }
--- a/src/cells/record.rs
+++ b/src/cells/record.rs
@@ -1,40 +1,41 @@
-//! A published placement as bytes: versioned, checksummed, and never taken back to an older epoch.
+//! The file format of a published placement: versioned, checksummed, and rejected when its epoch is older than the one in
+//! force.
 
 use super::placement::{Placement, Published};
 use super::{stable_hash, Epoch};
 use asterreel_control::settings::SettingError;
 
-/// The first line of a file; its version changes when an older program could misread what follows.
+/// The first word of the head line. `VERSION` changes when an older program could misread the rest of the file.
 const MAGIC: &str = "asterreel-placement";
 const VERSION: u32 = 1;
-/// The longest file that is taken in: 100,000 tenants take about 10 MiB.
+/// The longest placement that is decoded; one with 100,000 explicitly placed tenants takes about 10 MiB.
 pub const MAX_LENGTH_BYTES: usize = 64 << 20;
 
-/// Why a file was not taken. The placement in force stays.
+/// Why a file was rejected. The placement in force stays.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// Cut short, or not such a file at all.
-    #[error("it is cut short, or no placement")]
+    /// Truncated, or not a placement.
+    #[error("the file is truncated or is not a placement; publish the placement again")]
     Truncated,
-    /// Of another version.
-    #[error("it is of version {0}, and this program reads {VERSION}")]
+    /// The file has another version.
+    #[error("the file has version {0}, but this program reads version {VERSION}; publish it with the gateways' version")]
     Version(u32),
-    /// What it holds is not what was written.
-    #[error("its checksum does not match")]
+    /// The content does not match its checksum.
+    #[error("the content does not match its checksum; publish the placement again")]
     Checksum,
-    /// Its epoch, the first, is older than the second, which is in force.
-    #[error("its epoch {} is older than {}", .0.0, .1.0)]
+    /// The epoch of the file, the first, is older than the second, which is in force.
+    #[error("its epoch {} is older than {}, which is in force; publish a newer epoch", .0.0, .1.0)]
     Outdated(Epoch, Epoch),
-    /// It contradicts itself.
+    /// The content is not a valid placement.
     #[error(transparent)]
     Contradictory(#[from] SettingError),
 }
 
-/// The bytes of a placement: a head line with version, length and checksum, then JSON.
+/// Encodes a placement: a head line with version, length and checksum, then JSON.
 ///
 /// # Errors
 ///
-/// The placement cannot be written as JSON.
+/// The placement can't be written as JSON.
 pub fn encode(published: &Published) -> Result<Vec<u8>, serde_json::Error> {
     let body = serde_json::to_vec(published)?;
     let head = format!(
@@ -45,12 +46,12 @@
     Ok([head.as_bytes(), &body].concat())
 }
 
-/// Reads a placement that is to follow one of epoch `held`; a newer or equal one is taken.
+/// Decodes and checks a placement whose epoch must be at least `in_force`.
 ///
 /// # Errors
 ///
-/// [`RecordError`], where the bytes are damaged, or older than what is held.
-pub fn decode(bytes: &[u8], held: Epoch) -> Result<Placement, RecordError> {
+/// [`RecordError`], if the bytes are damaged, the placement is invalid, or its epoch is older than `in_force`.
+pub fn decode(bytes: &[u8], in_force: Epoch) -> Result<Placement, RecordError> {
     let end = bytes
         .iter()
         .take(128)
@@ -75,8 +76,8 @@
     let mut json = serde_json::Deserializer::from_slice(body);
     let published: Published = serde_path_to_error::deserialize(&mut json)
         .map_err(|error| SettingError::new(error.path().to_string(), error.inner().to_string()))?;
-    if published.epoch < held {
-        return Err(RecordError::Outdated(published.epoch, held));
+    if published.epoch < in_force {
+        return Err(RecordError::Outdated(published.epoch, in_force));
     }
     Ok(Placement::new(published)?)
 }
--- a/src/cells/tenants.rs
+++ b/src/cells/tenants.rs
@@ -1,81 +1,88 @@
-//! Who asks: the tenant of a session, from what a client can't forge in a statement.
+//! The tenant of a session or request, from sources that a client can't forge in a statement unless the operator allows it.
 
 use ipnet::IpNet;
 use serde::{Deserialize, Serialize};
 use std::net::IpAddr;
 
-/// Where a tenant's name is taken from.
+/// A source of the tenant's name.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Source {
-    /// `user` of the startup message.
+    /// `user` in the startup message.
     User,
-    /// `application_name` of the startup message.
+    /// `application_name` in the startup message.
     Application,
-    /// The network that the client connects from: the most specific one wins.
+    /// The network from which the client connects, and its tenant: the most specific network wins.
     Network(Vec<(IpNet, String)>),
-    /// A value of the statement's comment, by its name. Any client can write what it likes there, so this is used only
-    /// where the file names it.
+    /// The value of this name in the statement's comment. A client can write any value there, so this source is used only
+    /// if the operator's file lists it.
     TrustedComment(String),
 }
 
-/// What is known of a client, and of the statement in hand.
+/// What is known of a client and its current statement.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Caller<'a> {
-    /// `user`.
+    /// `user` in the startup message.
     pub user: &'a str,
-    /// `application_name`.
+    /// `application_name` in the startup message.
     pub application: &'a str,
-    /// Its address.
+    /// The client's IP address.
     pub address: Option<IpAddr>,
-    /// Names and values of the statement's comment.
+    /// Names and values in the statement's comment.
     pub comment: &'a [(&'a str, &'a str)],
 }
 
-/// The longest name of a tenant, bytes: names are keys of maps.
+/// The longest name of a tenant, bytes; bounded because names are keys of maps.
 pub const MAX_LENGTH_BYTES: usize = 63;
+/// What error messages say of names.
+const NAME_RULE: &str = "use 1 to 63 letters, digits, '-', '_', '.' or '@'";
 
-/// Says who asks: the first source that knows.
+/// Resolves the tenant of a request, by the first source that has a valid name.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct TenantResolver {
     sources: Vec<Source>,
 }
 
 impl TenantResolver {
-    /// Asks these, in order; a fault names the key.
+    /// Creates a resolver that tries these sources in order.
     ///
     /// # Errors
     ///
     /// The key at fault and what is wrong with its value.
     pub fn new(sources: Vec<Source>) -> Result<TenantResolver, (String, String)> {
-        for (place, source) in sources.iter().enumerate() {
-            let key = |part: &str| format!("who[{place}]{part}");
-            if sources[..place]
+        for (index, source) in sources.iter().enumerate() {
+            let key = |part: &str| format!("who[{index}]{part}");
+            if sources[..index]
                 .iter()
                 .any(|other| std::mem::discriminant(other) == std::mem::discriminant(source))
             {
-                return Err((key(""), "this source is named already".into()));
+                return Err((
+                    key(""),
+                    "this kind of source is already listed; remove one of them".into(),
+                ));
             }
             match source {
                 Source::Network(nets) => {
                     for (at, (net, name)) in nets.iter().enumerate() {
-                        if !sound(name) {
+                        if !is_valid_name(name) {
                             return Err((
                                 key(&format!(".network[{at}]")),
-                                format!("{name:?} is no tenant's name"),
+                                format!("{name:?} is not a valid tenant name; {NAME_RULE}"),
                             ));
                         }
                         if let Some((_, other)) = nets[..at].iter().find(|(other, _)| other == net)
                         {
-                            let fault = format!("{net} is {other}'s already");
+                            let fault = format!(
+                                "{net} already belongs to tenant {other:?}; remove one of them"
+                            );
                             return Err((key(&format!(".network[{at}]")), fault));
                         }
                     }
                 }
-                Source::TrustedComment(name) if !sound(name) => {
+                Source::TrustedComment(name) if !is_valid_name(name) => {
                     return Err((
                         key(".trusted_comment"),
-                        format!("{name:?} is no name in a comment"),
+                        format!("{name:?} is not a valid name of a comment's value; {NAME_RULE}"),
                     ));
                 }
                 Source::User | Source::Application | Source::TrustedComment(_) => {}
@@ -84,7 +91,7 @@
         Ok(TenantResolver { sources })
     }
 
-    /// The tenant's name; nothing when no source knows one that can be a name.
+    /// The name of the caller's tenant; none if no source has a valid name.
     pub fn resolve<'a>(&'a self, caller: &Caller<'a>) -> Option<&'a str> {
         self.sources.iter().find_map(|source| {
             let name = match source {
@@ -92,8 +99,8 @@
                 Source::Application => Some(caller.application),
                 Source::Network(nets) => {
                     let address = caller.address?.to_canonical();
-                    let around = nets.iter().filter(|(net, _)| net.contains(&address));
-                    around
+                    let containing = nets.iter().filter(|(net, _)| net.contains(&address));
+                    containing
                         .max_by_key(|(net, _)| net.prefix_len())
                         .map(|(_, name)| name.as_str())
                 }
@@ -103,11 +110,11 @@
                     .find(|(name, _)| name == key)
                     .map(|(_, value)| *value),
             };
-            name.filter(|name| sound(name))
+            name.filter(|name| is_valid_name(name))
         })
     }
 
-    /// Whether a tenant can differ from statement to statement of one session.
+    /// Whether the tenant can differ between the statements of one session.
     pub fn varies_by_statement(&self) -> bool {
         self.sources
             .iter()
@@ -115,8 +122,8 @@
     }
 }
 
-/// A name that can be logged, told and stored.
-fn sound(name: &str) -> bool {
+/// Whether a name can safely be logged, sent and stored.
+fn is_valid_name(name: &str) -> bool {
     (1..=MAX_LENGTH_BYTES).contains(&name.len())
         && name
             .bytes()
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -1,7 +1,8 @@
-//! Cells: where tenants live, what a cell may hold, what is poison, and what is published.
+//! Cells: placement of tenants, the published file, bulkheads, quarantine and migration.
+
 use asterreel::cells::bulkhead::{Bounds, Bulkheads, Exhausted, Resource};
 use asterreel::cells::migration::{
-    Action, Event, GatewayId, GatewayLease, Migration, Migrations, Record, Step, Times,
+    Action, Event, GatewayId, GatewayLease, Migration, MigrationRecord, Migrations, Step, Timing,
 };
 use asterreel::cells::placement::{Cell, Home, Order, Placement, Published, Range};
 use asterreel::cells::quarantine::{
@@ -42,11 +43,11 @@
 }
 
 #[test]
-fn tenants_spread_evenly_stay_in_their_cell_and_only_those_that_must_move_do() {
+fn tenants_spread_evenly_and_a_new_cell_moves_few_of_them() {
     let (six, seven) = (published(6), published(7));
     let (six, seven) = (
-        Placement::new(six).expect("good"),
-        Placement::new(seven).expect("good"),
+        Placement::new(six).expect("valid"),
+        Placement::new(seven).expect("valid"),
     );
     let tenants: Vec<String> = (0..20_000)
         .map(|tenant| format!("tenant-{tenant}"))
@@ -64,15 +65,11 @@
         assert_eq!(
             place.group(0),
             place.group(2),
-            "clusters wrap around the tenant's own groups"
+            "cluster numbers wrap around the tenant's groups"
         );
         let after = seven.place(tenant, b"").home.cell;
         if after != place.home.cell {
-            assert_eq!(
-                after,
-                CellId(6),
-                "nobody moves between two cells that both stay"
-            );
+            assert_eq!(after, CellId(6), "tenants move only to the new cell");
             moved += 1;
         }
     }
@@ -80,36 +77,36 @@
         counts.iter().all(|count| (3_000..3_700).contains(count)),
         "{counts:?}"
     );
-    // A seventh is the ideal: 2857.
+    // Ideally a seventh of the tenants moves: 2857.
     assert!((2_600..3_100).contains(&moved), "{moved}");
 }
 
 #[test]
-fn tenants_share_groups_within_a_cell_only_and_how_much_is_told() {
-    let placement = Placement::new(published(6)).expect("good");
+fn overlap_counts_groups_that_tenants_of_a_cell_share() {
+    let placement = Placement::new(published(6)).expect("valid");
     let tenants: Vec<String> = (0..300).map(|tenant| format!("tenant-{tenant}")).collect();
     let overlap = placement.overlap(tenants.iter().map(String::as_str));
     assert_eq!((overlap.max_shared, overlap.pairs), (2, 300 * 299 / 2));
-    // One pair in six shares a cell, and of those one in six shares both of two groups out of four.
-    let whole = overlap.full as f64 / overlap.pairs as f64;
-    assert!((0.02..0.04).contains(&whole), "{whole}");
+    // One pair in six shares a cell, and one in six of those shares both groups, as each has two of four.
+    let full_share = overlap.full as f64 / overlap.pairs as f64;
+    assert!((0.02..0.04).contains(&full_share), "{full_share}");
 }
 
 #[test]
-fn who_is_placed_explicitly_lives_there_and_a_keys_range_comes_first() {
-    let mut told = published(3);
+fn key_range_comes_before_explicit_placement() {
+    let mut published = published(3);
     let range = |name: &str, from: &str, to: Option<&str>, cell| Range {
         name: name.into(),
         from: from.into(),
         to: to.map(str::to_owned),
         cell: CellId(cell),
     };
-    told.homes = vec![("one".into(), home(2, 7))];
-    told.ranges = vec![
+    published.homes = vec![("one".into(), home(2, 7))];
+    published.ranges = vec![
         range("late", "m", None, 1),
         range("early", "a", Some("c"), 0),
     ];
-    let placement = Placement::new(told.clone()).expect("good");
+    let placement = Placement::new(published.clone()).expect("valid");
     assert_eq!(placement.place("one", b"").home, home(2, 7));
     let cell = |key: &[u8]| placement.place("one", key).home.cell;
     assert_eq!(
@@ -123,16 +120,16 @@
         .map(|c| c.0),
         [0, 0, 2, 1, 1]
     );
-    told.order = Order::Hash;
-    told.ranges = vec![range("low", "0", Some("8"), 0), range("high", "8", None, 1)];
-    let hashed = Placement::new(told).expect("good");
+    published.order = Order::Hash;
+    published.ranges = vec![range("low", "0", Some("8"), 0), range("high", "8", None, 1)];
+    let hashed = Placement::new(published).expect("valid");
     let low = (0..1000)
         .filter(|key| hashed.place("one", format!("k{key}").as_bytes()).home.cell == CellId(0));
     assert!((430..570).contains(&low.count()));
 }
 
 #[test]
-fn a_placement_that_contradicts_itself_is_rejected_by_key_and_names_both() {
+fn invalid_placement_error_names_the_key_and_the_conflict() {
     let range = |name: &str, from: &str, to: &str| Range {
         name: name.into(),
         from: from.into(),
@@ -141,44 +138,59 @@
     };
     type Case = (fn(&mut Published), Vec<Range>, &'static str, &'static str);
     let cases: Vec<Case> = vec![
-        (|told| told.cells.clear(), vec![], "cells", "0 of them"),
-        (|told| told.spread = 0, vec![], "spread", "within 1 to 8"),
-        (|told| told.spread = 5, vec![], "cells[0]", "has 4 groups"),
         (
-            |told| told.cells[1].name = "cell-0".into(),
+            |published| published.cells.clear(),
+            vec![],
+            "cells",
+            "0 cells",
+        ),
+        (
+            |published| published.spread = 0,
+            vec![],
+            "spread",
+            "within 1 to 8",
+        ),
+        (
+            |published| published.spread = 5,
+            vec![],
+            "cells[0]",
+            "has 4 groups",
+        ),
+        (
+            |published| published.cells[1].name = "cell-0".into(),
             vec![],
             "cells[1]",
-            "the name of two",
+            "already the name of another",
         ),
         (
-            |told| told.cells[1].groups[0] = 2,
+            |published| published.cells[1].groups[0] = 2,
             vec![],
             "cells[1]",
             "in \"cell-0\" and in \"cell-1\"",
         ),
         (
-            |told| told.cells[1].groups[0] = 5,
+            |published| published.cells[1].groups[0] = 5,
             vec![],
             "cells[1]",
-            "named twice",
+            "listed twice",
         ),
         (
-            |told| told.homes = vec![("x".into(), home(9, 1))],
+            |published| published.homes = vec![("x".into(), home(9, 1))],
             vec![],
             "homes[0]",
             "cell 9",
         ),
         (
-            |told| told.homes = vec![("x".into(), home(0, 8))],
+            |published| published.homes = vec![("x".into(), home(0, 8))],
             vec![],
             "homes[0]",
             "epoch 8",
         ),
         (
-            |told| told.homes = vec![("x".into(), home(0, 1)), ("x".into(), home(1, 1))],
+            |published| published.homes = vec![("x".into(), home(0, 1)), ("x".into(), home(1, 1))],
             vec![],
             "homes[1]",
-            "twice",
+            "listed twice",
         ),
         (
             |_| {},
@@ -190,55 +202,59 @@
             |_| {},
             vec![range("one", "f", "a")],
             "ranges[0]",
-            "ends where it begins",
+            "\"one\" is empty",
         ),
     ];
-    for (spoil, ranges, key, fault) in cases {
-        let mut told = published(2);
-        told.ranges = ranges;
-        spoil(&mut told);
-        let found = Placement::new(told).expect_err(fault);
-        assert!(found.key == key && found.fault.contains(fault), "{found:?}");
+    for (invalidate, ranges, key, fault) in cases {
+        let mut published = published(2);
+        published.ranges = ranges;
+        invalidate(&mut published);
+        let error = Placement::new(published).expect_err(fault);
+        assert!(error.key == key && error.fault.contains(fault), "{error:?}");
     }
 }
 
 #[test]
-fn a_published_placement_is_taken_whole_or_not_at_all_and_never_goes_back() {
-    let mut told = published(3);
-    told.homes = (0..50)
+fn damaged_or_older_published_placement_is_rejected() {
+    let mut published = published(3);
+    published.homes = (0..50)
         .map(|tenant| (format!("t{tenant}"), home(1, 3)))
         .collect();
-    let bytes = encode(&told).expect("encodes");
+    let bytes = encode(&published).expect("encoded");
     assert_eq!(
         decode(&bytes, Epoch(7))
-            .expect("good")
+            .expect("valid")
             .place("t7", b"")
             .home,
         home(1, 3)
     );
-    for cut in 0..bytes.len() {
-        assert!(decode(&bytes[..cut], Epoch(0)).is_err(), "cut at {cut}");
+    for length in 0..bytes.len() {
+        assert!(
+            decode(&bytes[..length], Epoch(0)).is_err(),
+            "truncated to {length}"
+        );
     }
     for at in 0..bytes.len() {
-        let mut spoilt = bytes.clone();
-        spoilt[at] ^= 1;
-        assert!(decode(&spoilt, Epoch(0)).is_err(), "spoilt at {at}");
+        let mut corrupt = bytes.clone();
+        corrupt[at] ^= 1;
+        assert!(decode(&corrupt, Epoch(0)).is_err(), "corrupt at {at}");
     }
     assert_eq!(
-        decode(&bytes, Epoch(8)).expect_err("old"),
+        decode(&bytes, Epoch(8)).expect_err("an older epoch"),
         RecordError::Outdated(Epoch(7), Epoch(8))
     );
-    let other = String::from_utf8(bytes)
-        .expect("text")
-        .replacen("placement 1 ", "placement 2 ", 1);
+    let newer_version =
+        String::from_utf8(bytes)
+            .expect("text")
+            .replacen("placement 1 ", "placement 2 ", 1);
     assert_eq!(
-        decode(other.as_bytes(), Epoch(0)).expect_err("newer"),
+        decode(newer_version.as_bytes(), Epoch(0)).expect_err("a newer version"),
         RecordError::Version(2)
     );
 }
 
 #[test]
-fn a_cell_at_its_bounds_refuses_its_own_at_once_and_never_anothers() {
+fn cell_at_its_bounds_rejects_only_its_own_resources() {
     let bounds = Bounds {
         requests: 2,
         held: 1,
@@ -283,7 +299,7 @@
         cells.release(one, Resource::Request(30), 400_000);
         assert_eq!(cells.acquire(one, Resource::Request(30)), Ok(()));
     }
-    // Two in hand, each open for 0.4 s, one waiting already: the one after it finds room in about that.
+    // Two open requests of 0.4 s each, one request waiting: there is capacity for the next one after about 0.4 s.
     let (_, wait) = cells.acquire(one, Resource::Request(30)).expect_err("full");
     assert!((300_000..=500_000).contains(&wait), "{wait}");
     assert_eq!(
@@ -294,27 +310,27 @@
 }
 
 #[test]
-fn a_shape_that_kills_two_members_goes_to_no_third_and_its_class_decides_what_is_said() {
+fn statement_that_crashes_two_members_is_quarantined() {
     let mut quarantine = Quarantine::new(QuarantineOptions::default());
-    let shape = fingerprint("one", b"SELECT x FROM t WHERE a = 'p' /* id=1,c=search */");
-    let whose = (1, shape);
+    let query = fingerprint("one", b"SELECT x FROM t WHERE a = 'p' /* id=1,c=search */");
+    let suspect = (1, query);
     let mut now = 100 * S;
     let admit = |quarantine: &mut Quarantine, now, idempotency, ran| {
-        quarantine.admit(now, whose, idempotency, ran, 0)
+        quarantine.admit(now, suspect, idempotency, ran, 0)
     };
     assert_eq!(
         admit(&mut quarantine, now, Idempotency::Idempotent, false),
         QuarantineDecision::Allow
     );
-    quarantine.ended(now, whose, MemberId(1), MemberOutcome::Crashed);
-    quarantine.ended(now, whose, MemberId(1), MemberOutcome::Hung);
-    quarantine.ended(now, whose, MemberId(2), MemberOutcome::Answered);
+    quarantine.attempt_ended(now, suspect, MemberId(1), MemberOutcome::Crashed);
+    quarantine.attempt_ended(now, suspect, MemberId(1), MemberOutcome::Hung);
+    quarantine.attempt_ended(now, suspect, MemberId(2), MemberOutcome::Answered);
     assert_eq!(
         admit(&mut quarantine, now, Idempotency::Idempotent, false),
         QuarantineDecision::Allow,
-        "one member only, twice"
+        "two failures of one member"
     );
-    quarantine.ended(now, whose, MemberId(2), MemberOutcome::Crashed);
+    quarantine.attempt_ended(now, suspect, MemberId(2), MemberOutcome::Crashed);
     assert_eq!(
         admit(&mut quarantine, now, Idempotency::Idempotent, true),
         QuarantineDecision::Refuse
@@ -327,23 +343,23 @@
         admit(&mut quarantine, now, Idempotency::NonIdempotent, true),
         QuarantineDecision::Fail
     );
-    assert_eq!(quarantine.list(now), [(shape, now + 300 * S)]);
-    // Another tenant's same query is another's.
+    assert_eq!(quarantine.list(now), [(query, now + 300 * S)]);
+    // The same query of another tenant has another fingerprint.
     let other = (2, fingerprint("two", b"SELECT x FROM t WHERE a = 'p'"));
     assert_eq!(
         quarantine.admit(now, other, Idempotency::Idempotent, false, 0),
         QuarantineDecision::Allow
     );
-    // It ages out; when it comes back, it is shut for twice as long.
+    // The quarantine ends after 300 s; the second one lasts twice as long.
     now += 301 * S;
     assert_eq!(
         admit(&mut quarantine, now, Idempotency::Idempotent, false),
         QuarantineDecision::Allow
     );
-    quarantine.ended(now, whose, MemberId(1), MemberOutcome::Crashed);
-    quarantine.ended(now, whose, MemberId(2), MemberOutcome::Crashed);
-    assert_eq!(quarantine.list(now), [(shape, now + 600 * S)]);
-    assert!(quarantine.lift(shape) && !quarantine.lift(shape));
+    quarantine.attempt_ended(now, suspect, MemberId(1), MemberOutcome::Crashed);
+    quarantine.attempt_ended(now, suspect, MemberId(2), MemberOutcome::Crashed);
+    assert_eq!(quarantine.list(now), [(query, now + 600 * S)]);
+    assert!(quarantine.lift(query) && !quarantine.lift(query));
     assert_eq!(
         admit(&mut quarantine, now, Idempotency::Idempotent, false),
         QuarantineDecision::Allow
@@ -351,107 +367,107 @@
 }
 
 #[test]
-fn one_request_one_tenant_and_the_memory_are_bounded() {
+fn failures_of_one_request_and_tenant_and_entries_are_bounded() {
     let mut quarantine = Quarantine::new(QuarantineOptions {
         entries: 100,
         ..QuarantineOptions::default()
     });
     let now = 100 * S;
-    // The request's own attempts have killed two: no third, before any fingerprint is shut.
-    let whose = (1, fingerprint("one", b"a"));
+    // Two members crashed under the request's own attempts: there is no third, even if no fingerprint is quarantined.
+    let suspect = (1, fingerprint("one", b"a"));
     assert_eq!(
-        quarantine.admit(now, whose, Idempotency::Idempotent, true, 2),
+        quarantine.admit(now, suspect, Idempotency::Idempotent, true, 2),
         QuarantineDecision::Refuse
     );
-    // Four shapes, a member each: the tenant is shut.
+    // Four statements with one failed member each: the tenant is quarantined.
     for member in 0..4 {
-        let shape = fingerprint("one", format!("SELECT c{member}_").as_bytes());
-        quarantine.ended(now, (1, shape), MemberId(member), MemberOutcome::Hung);
+        let query = fingerprint("one", format!("SELECT c{member}_").as_bytes());
+        quarantine.attempt_ended(now, (1, query), MemberId(member), MemberOutcome::Hung);
     }
     assert_eq!(
-        quarantine.admit(now, whose, Idempotency::Idempotent, false, 0),
+        quarantine.admit(now, suspect, Idempotency::Idempotent, false, 0),
         QuarantineDecision::Refuse
     );
-    for shape in 0..10_000u32 {
-        let shape = fingerprint(&format!("t{shape}"), b"x");
-        quarantine.ended(now, (shape.0, shape), MemberId(1), MemberOutcome::Crashed);
+    for tenant in 0..10_000u32 {
+        let query = fingerprint(&format!("t{tenant}"), b"x");
+        quarantine.attempt_ended(now, (query.0, query), MemberId(1), MemberOutcome::Crashed);
     }
     assert!(quarantine.len() <= 200, "{}", quarantine.len());
     assert_eq!(
-        quarantine.admit(now, whose, Idempotency::Idempotent, false, 0),
+        quarantine.admit(now, suspect, Idempotency::Idempotent, false, 0),
         QuarantineDecision::Refuse,
-        "the shut one stays"
+        "the quarantined tenant is not evicted"
     );
-    quarantine.admit(now + 10_000 * S, whose, Idempotency::Idempotent, false, 0);
+    quarantine.admit(now + 10_000 * S, suspect, Idempotency::Idempotent, false, 0);
     assert!(quarantine.is_empty());
 }
 
 #[test]
-fn a_shape_is_the_same_for_other_values_comments_and_case() {
-    let shape = |text: &str| fingerprint("t", text.as_bytes());
-    let one = shape("SELECT payload FROM entries WHERE ref = '7f''x' AND n = 12 /* id=1,c=a */");
+fn fingerprint_ignores_values_comments_and_case() {
+    let of = |text: &str| fingerprint("t", text.as_bytes());
+    let query = of("SELECT payload FROM entries WHERE ref = '7f''x' AND n = 12 /* id=1,c=a */");
     assert_eq!(
-        one,
-        shape("select  payload from entries\nwhere ref = 'other' and n = 99.5 /* id=2,c=b */;")
+        query,
+        of("select  payload from entries\nwhere ref = 'other' and n = 99.5 /* id=2,c=b */;")
     );
     assert_ne!(
-        one,
-        shape("SELECT payload FROM entries2 WHERE ref = '7f' AND n = 12")
+        query,
+        of("SELECT payload FROM entries2 WHERE ref = '7f' AND n = 12")
     );
     assert_ne!(
-        one,
+        query,
         fingerprint(
             "u",
             b"SELECT payload FROM entries WHERE ref = '7f' AND n = 12"
         )
     );
     for odd in ["'", "'a", "/*", "'a''", "1", ""] {
-        shape(odd);
+        of(odd);
     }
 }
 
-const TIMES: Times = Times {
+const TIMING: Timing = Timing {
     lease: 2 * S,
     drift: S / 10,
     hold: 5 * S,
     settle: S,
 };
 
-/// A mover, and what it did, with everything but acknowledgements and leases had at once.
-struct Mover {
-    under_way: Migration,
-    records: Vec<Record>,
+/// A migration and the actions that it returned. All actions succeed at once; tests supply leases and acknowledgements.
+struct Migrator {
+    migration: Migration,
+    records: Vec<MigrationRecord>,
     homes: Vec<Home>,
     fenced: Vec<CellId>,
     finished: Option<Step>,
 }
 
-impl Mover {
-    fn begin() -> Mover {
+impl Migrator {
+    fn begin() -> Migrator {
         let mut actions = Vec::new();
-        let under_way = Migration::begin(
+        let migration = Migration::begin(
             "one",
             (CellId(0), CellId(1)),
             Epoch(7),
-            TIMES,
+            TIMING,
             0,
             &mut actions,
         )
         .expect("two cells");
-        let mut mover = Mover {
-            under_way,
+        let mut migrator = Migrator {
+            migration,
             records: vec![],
             homes: vec![],
             fenced: vec![],
             finished: None,
         };
-        mover.carry_out(0, actions);
-        mover
+        migrator.carry_out(0, actions);
+        migrator
     }
 
     fn event(&mut self, now: u64, event: Event) {
         let mut actions = Vec::new();
-        self.under_way.handle(now, event, &mut actions);
+        self.migration.handle(now, event, &mut actions);
         self.carry_out(now, actions);
     }
 
@@ -480,38 +496,38 @@
     }
 
     fn step(&self) -> Step {
-        self.under_way.record().step
+        self.migration.record().step
     }
 }
 
 #[test]
-fn a_move_waits_for_every_lease_or_word_and_goes_forward_only_after_the_cut_over() {
-    let mut mover = Mover::begin();
-    assert_eq!(mover.step(), Step::Holding);
-    mover.event(S, Event::Leased(GatewayId(1), 4 * S));
-    mover.event(S, Event::Acknowledged(GatewayId(1), Epoch(7)));
-    mover.event(3 * S, Event::Tick);
+fn migration_waits_for_leases_or_acknowledgements() {
+    let mut migrator = Migrator::begin();
+    assert_eq!(migrator.step(), Step::Holding);
+    migrator.event(S, Event::Leased(GatewayId(1), 4 * S));
+    migrator.event(S, Event::Acknowledged(GatewayId(1), Epoch(7)));
+    migrator.event(3 * S, Event::Tick);
     assert_eq!(
-        mover.step(),
+        migrator.step(),
         Step::Holding,
-        "an older epoch's word is none, and its lease lasts"
+        "an acknowledgement of an older epoch does not count, and the lease lasts"
     );
-    mover.event(3 * S, Event::Acknowledged(GatewayId(1), Epoch(8)));
+    migrator.event(3 * S, Event::Acknowledged(GatewayId(1), Epoch(8)));
     assert_eq!(
-        (mover.step(), mover.fenced.as_slice()),
+        (migrator.step(), migrator.fenced.as_slice()),
         (Step::Settling, [CellId(0)].as_slice())
     );
-    mover.event(3 * S, Event::Abort);
-    assert_eq!(mover.step(), Step::Settling);
-    mover.event(4 * S, Event::Tick);
-    assert_eq!(mover.finished, Some(Step::Placed));
-    let told: Vec<_> = mover
+    migrator.event(3 * S, Event::Abort);
+    assert_eq!(migrator.step(), Step::Settling);
+    migrator.event(4 * S, Event::Tick);
+    assert_eq!(migrator.finished, Some(Step::Placed));
+    let published: Vec<_> = migrator
         .homes
         .iter()
         .map(|home| (home.cell.0, home.epoch.0, home.held, home.settling))
         .collect();
     assert_eq!(
-        told,
+        published,
         [
             (0, 8, true, false),
             (1, 9, false, true),
@@ -521,73 +537,76 @@
 }
 
 #[test]
-fn a_hold_that_lasts_too_long_is_called_off_and_writes_go_on_where_they_were() {
-    let mut mover = Mover::begin();
-    // A gateway that renews its lease and never acknowledges: a booking's outcome is unknown to it.
+fn hold_that_lasts_too_long_aborts_the_migration() {
+    let mut migrator = Migrator::begin();
+    // A gateway renews its lease but never acknowledges the hold, as it does not know the outcome of a write.
     for at in 1..=5 {
-        mover.event(at * S, Event::Leased(GatewayId(1), (at + 2) * S));
+        migrator.event(at * S, Event::Leased(GatewayId(1), (at + 2) * S));
     }
-    assert_eq!(mover.finished, Some(Step::Aborted));
-    assert!(mover.fenced.is_empty());
-    assert_eq!(mover.homes.last(), Some(&home(0, 9)));
+    assert_eq!(migrator.finished, Some(Step::Aborted));
+    assert!(migrator.fenced.is_empty());
+    assert_eq!(migrator.homes.last(), Some(&home(0, 9)));
 }
 
 #[test]
-fn a_mover_killed_at_any_step_ends_in_one_of_the_two_legal_placements() {
-    let whole = {
-        let mut mover = Mover::begin();
-        mover.event(3 * S, Event::Tick);
-        mover.event(4 * S, Event::Tick);
-        mover.records
+fn migration_resumed_from_any_record_completes() {
+    let records = {
+        let mut migrator = Migrator::begin();
+        migrator.event(3 * S, Event::Tick);
+        migrator.event(4 * S, Event::Tick);
+        migrator.records
     };
-    assert_eq!(whole.len(), 6);
-    for record in whole {
+    assert_eq!(records.len(), 6);
+    for record in records {
         let (step, mut actions) = (record.step, Vec::new());
-        let under_way = Migration::resume(record, TIMES, 10 * S, &mut actions);
-        let mut mover = Mover {
-            under_way,
+        let migration = Migration::resume(record, TIMING, 10 * S, &mut actions);
+        let mut migrator = Migrator {
+            migration,
             records: vec![],
             homes: vec![],
             fenced: vec![],
             finished: None,
         };
-        mover.carry_out(10 * S, actions);
+        migrator.carry_out(10 * S, actions);
         for at in 0..8 {
-            mover.event((11 + at) * S, Event::Tick);
+            migrator.event((11 + at) * S, Event::Tick);
         }
-        assert_eq!(mover.finished, Some(Step::Placed), "from {step:?}");
-        assert_eq!(mover.homes.last(), Some(&home(1, 10)));
+        assert_eq!(migrator.finished, Some(Step::Placed), "from {step:?}");
+        assert_eq!(migrator.homes.last(), Some(&home(1, 10)));
     }
 }
 
 #[test]
-fn one_tenant_moves_once_at_a_time_and_nobody_moves_to_where_it_lives() {
-    let mut moves = Migrations::default();
-    let mover = Mover::begin();
-    moves.recorded(mover.under_way.record());
-    let refused = moves.may_begin("one").expect_err("it moves");
-    assert_eq!(refused.0, "one moves already, from cell 0 to 1: Holding");
+fn tenant_has_one_migration_at_a_time_and_to_another_cell() {
+    let mut migrations = Migrations::default();
+    let migrator = Migrator::begin();
+    migrations.update(migrator.migration.record());
+    let error = migrations.may_begin("one").expect_err("it is migrating");
+    assert_eq!(
+        error.0,
+        "tenant \"one\" is already migrating from cell 0 to 1, at step Holding; wait for it to end, or abort it"
+    );
     assert!(
-        moves.may_begin("two").is_ok()
-            && moves.may_abort("one").is_ok()
-            && moves.may_abort("two").is_err()
+        migrations.may_begin("two").is_ok()
+            && migrations.may_abort("one").is_ok()
+            && migrations.may_abort("two").is_err()
     );
-    let mut record = mover.under_way.record().clone();
+    let mut record = migrator.migration.record().clone();
     record.step = Step::CutOver;
-    moves.recorded(&record);
-    assert!(moves
+    migrations.update(&record);
+    assert!(migrations
         .may_abort("one")
-        .expect_err("past it")
+        .expect_err("past the cut-over")
         .0
-        .contains("point of return"));
+        .contains("point of no return"));
     record.step = Step::Placed;
-    moves.recorded(&record);
-    assert!(moves.may_begin("one").is_ok());
+    migrations.update(&record);
+    assert!(migrations.may_begin("one").is_ok());
     assert!(Migration::begin(
         "one",
         (CellId(1), CellId(1)),
         Epoch(1),
-        TIMES,
+        TIMING,
         0,
         &mut Vec::new()
     )
@@ -595,79 +614,82 @@
 }
 
 #[test]
-fn a_gateway_writes_only_under_its_lease_and_acknowledges_only_when_nothing_can_still_run() {
-    let mut holder = GatewayLease::default();
+fn gateway_writes_under_its_lease_and_acknowledges_when_idle() {
+    let mut lease = GatewayLease::default();
     let (now, place) = (10 * S, home(0, 7));
-    assert!(!holder.may_write(now, &place), "it holds none");
-    assert!(holder.learned(now - S, &TIMES, Epoch(7)));
-    assert!(holder.may_write(now, &place));
-    // The lease counts from when it was asked for, not from when the answer came.
-    assert!(!holder.may_write(now + S, &place));
-    assert!(!holder.learned(now, &TIMES, Epoch(6)), "back in epoch");
-    holder.sends("one");
+    assert!(!lease.may_write(now, &place), "there is no lease yet");
+    assert!(lease.renew(now - S, &TIMING, Epoch(7)));
+    assert!(lease.may_write(now, &place));
+    // The lease counts from when it was requested, not from when the answer arrived.
+    assert!(!lease.may_write(now + S, &place));
+    assert!(!lease.renew(now, &TIMING, Epoch(6)), "an older epoch");
+    lease.write_sent("one");
     let held = Home {
         held: true,
         ..home(0, 8)
     };
-    assert!(holder.learned(now, &TIMES, Epoch(8)) && !holder.may_write(now, &held));
-    assert!(!holder.may_acknowledge(now, "one", &held), "a write is out");
-    holder.ended(now, "one", Some(now + 3 * S));
+    assert!(lease.renew(now, &TIMING, Epoch(8)) && !lease.may_write(now, &held));
+    assert!(
+        !lease.may_acknowledge(now, "one", &held),
+        "a write is in flight"
+    );
+    lease.write_ended(now, "one", Some(now + 3 * S));
     assert!(
-        !holder.may_acknowledge(now + S, "one", &held),
-        "it may yet run"
+        !lease.may_acknowledge(now + S, "one", &held),
+        "the write may still run"
     );
-    assert!(holder.may_acknowledge(now + 3 * S, "one", &held));
+    assert!(lease.may_acknowledge(now + 3 * S, "one", &held));
     assert!(
-        !holder.may_acknowledge(now, "one", &place),
-        "it is not held"
+        !lease.may_acknowledge(now, "one", &place),
+        "this home is not held"
     );
 }
 
 #[test]
-fn a_shape_that_is_asked_often_is_not_blamed_for_the_deaths_that_it_meets() {
+fn frequent_statement_is_not_quarantined_for_crashes_of_others() {
     let mut quarantine = Quarantine::new(QuarantineOptions::default());
-    let (now, whose) = (100 * S, (1, fingerprint("one", b"SELECT everyday")));
-    for death in 0..6 {
-        quarantine.ended(now, whose, MemberId(death), MemberOutcome::Crashed);
+    let (now, suspect) = (100 * S, (1, fingerprint("one", b"SELECT everyday")));
+    for crash in 0..6 {
+        quarantine.attempt_ended(now, suspect, MemberId(crash), MemberOutcome::Crashed);
         for _ in 0..100 {
-            quarantine.ended(now, whose, MemberId(9), MemberOutcome::Answered);
+            quarantine.attempt_ended(now, suspect, MemberId(9), MemberOutcome::Answered);
         }
-        let verdict = quarantine.admit(now, whose, Idempotency::Idempotent, false, 0);
-        // The second death of two in a row would shut it; with answers between them it is nobody's doing.
-        assert_eq!(verdict, QuarantineDecision::Allow, "after {death}");
+        let decision = quarantine.admit(now, suspect, Idempotency::Idempotent, false, 0);
+        // Two crashes in a row would quarantine the statement; with answers between them it is not the likely cause.
+        assert_eq!(decision, QuarantineDecision::Allow, "after {crash}");
     }
 }
 
 #[test]
-fn a_shape_that_was_answered_before_is_shut_later_than_a_new_one_but_it_is() {
+fn proven_statement_is_quarantined_later_than_a_new_one() {
     let mut quarantine = Quarantine::new(QuarantineOptions::default());
-    let (now, known, new) = (
+    let (now, proven, new) = (
         100 * S,
         (1, fingerprint("one", b"SELECT known")),
         (2, fingerprint("two", b"SELECT new")),
     );
     for _ in 0..10 {
-        quarantine.ended(now, known, MemberId(1), MemberOutcome::Answered);
+        quarantine.attempt_ended(now, proven, MemberId(1), MemberOutcome::Answered);
     }
-    // Both are in flight when two members die, one after the other, and only the new one is to blame.
-    for death in 0..2 {
-        quarantine.ended(now, known, MemberId(death), MemberOutcome::Crashed);
-        quarantine.ended(now, new, MemberId(death), MemberOutcome::Crashed);
+    // Both are in flight when two members crash one after the other, and only the new one is the cause.
+    for crash in 0..2 {
+        quarantine.attempt_ended(now, proven, MemberId(crash), MemberOutcome::Crashed);
+        quarantine.attempt_ended(now, new, MemberId(crash), MemberOutcome::Crashed);
     }
     assert_eq!(
-        quarantine.admit(now, known, Idempotency::Idempotent, false, 0),
+        quarantine.admit(now, proven, Idempotency::Idempotent, false, 0),
         QuarantineDecision::Allow
     );
     assert_eq!(
         quarantine.admit(now, new, Idempotency::Idempotent, false, 0),
         QuarantineDecision::Refuse
     );
-    // A release that turned it into poison: deaths go on, and answers don't.
-    for death in 2..4 {
-        quarantine.ended(now, known, MemberId(death), MemberOutcome::Crashed);
+    // The proven statement has become the cause, for example after a release: only crashes follow, no answers.
+    for crash in 2..4 {
+        quarantine.attempt_ended(now, proven, MemberId(crash), MemberOutcome::Crashed);
     }
     assert_eq!(
-        quarantine.admit(now, known, Idempotency::Idempotent, false, 0),
+        quarantine.admit(now, proven, Idempotency::Idempotent, false, 0),
         QuarantineDecision::Refuse
     );
 }
--- a/tests/cells_model.rs
+++ b/tests/cells_model.rs
@@ -1,8 +1,9 @@
-//! All interleavings of a move: two gateways, one mover, crashes, lost messages, and a pause at any point between a
-//! gateway's decision to write and the write's arrival. The machines are the program's own.
+//! Model check of a migration: all interleavings of two gateways and one migrator, with crashes, lost messages, and a pause
+//! of any length between a gateway's decision to write and the arrival of the write. The model runs the program's own state
+//! machines.
 
 use asterreel::cells::migration::{
-    Action, Event, GatewayId, GatewayLease, Migration, Record, Step, Times,
+    Action, Event, GatewayId, GatewayLease, Migration, MigrationRecord, Step, Timing,
 };
 use asterreel::cells::placement::Home;
 use asterreel::cells::{CellId, Epoch};
@@ -11,55 +12,60 @@
 const SOURCE: CellId = CellId(0);
 const TARGET: CellId = CellId(1);
 const TENANT: &str = "t";
-const TIMES: Times = Times {
+const TIMING: Timing = Timing {
     lease: 2,
     drift: 1,
     hold: 5,
     settle: 1,
 };
 
-/// What is explored, and which safeguard is taken out.
+/// The bounds of the model, and whether the fence is in effect.
 #[derive(Clone, Copy)]
-struct Explored {
-    /// The source refuses what comes after the fence.
+struct MigrationModel {
+    /// Whether the source rejects writes that arrive after the fence.
     fence: bool,
+    /// The time at which the clock stops.
     ticks: u64,
+    /// The most crashes, of the migrator and gateways together.
     crashes: u8,
+    /// The most lost messages.
     losses: u8,
+    /// Whether the operator may abort the migration.
     aborts: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Gateway {
-    holder: GatewayLease,
+    lease: GatewayLease,
     home: Option<Home>,
-    /// A write that was decided on and has not arrived: the process may pause here for ever.
-    air: Option<(CellId, Epoch)>,
+    /// A write that the gateway decided to send and that has not arrived; the process may pause here for any time.
+    write_in_flight: Option<(CellId, Epoch)>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
+struct ModelState {
     now: u64,
-    mover: Option<Migration>,
-    record: Option<Record>,
-    /// What the mover has yet to do.
-    todo: Vec<Deed>,
+    migrator: Option<Migration>,
+    /// The last durable record.
+    record: Option<MigrationRecord>,
+    /// The actions that the migrator has not carried out yet.
+    pending: Vec<PendingAction>,
     published: Home,
-    /// By cell: from which epoch on it takes writes; none at all where it is fenced.
-    takes: [Option<Epoch>; 2],
+    /// The epoch from which each cell accepts writes; none if the cell is fenced.
+    accepts_from: [Option<Epoch>; 2],
     gateways: [Gateway; 2],
     target_wrote: bool,
     caught_up: bool,
     finished: bool,
-    wrong: Option<&'static str>,
+    violation: Option<&'static str>,
     crashes: u8,
     losses: u8,
 }
 
-/// [`Action`] without what can't be hashed.
+/// [`Action`] in a form that can be hashed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-enum Deed {
-    Record(Record),
+enum PendingAction {
+    Record(MigrationRecord),
     Prepare,
     Publish(CellId, Epoch, bool, bool),
     Fence(CellId),
@@ -69,105 +75,112 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Do {
+enum Transition {
     Tick,
-    Deed,
+    /// The migrator carries out its first pending action.
+    CarryOut,
     Abort,
-    CrashMover,
+    CrashMigrator,
     Resume,
+    /// A gateway fetches the placement, and whether the answer arrives.
     Fetch(usize, bool),
+    /// A gateway decides to write.
     Decide(usize),
+    /// A gateway's write arrives at its cell.
     Arrive(usize),
+    /// A gateway acknowledges the hold, and whether the message arrives.
     Acknowledge(usize, bool),
     CrashGateway(usize),
 }
 
-impl World {
-    fn tell(&mut self, event: Event) {
+impl ModelState {
+    fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
-        if let Some(mover) = &mut self.mover {
-            mover.handle(self.now, event, &mut actions);
+        if let Some(migrator) = &mut self.migrator {
+            migrator.handle(self.now, event, &mut actions);
         }
-        self.owe(actions);
+        self.enqueue(actions);
     }
 
-    fn owe(&mut self, actions: Vec<Action>) {
-        self.todo
+    fn enqueue(&mut self, actions: Vec<Action>) {
+        self.pending
             .extend(actions.into_iter().map(|action| match action {
-                Action::Record(record) => Deed::Record(record),
-                Action::Prepare => Deed::Prepare,
+                Action::Record(record) => PendingAction::Record(record),
+                Action::Prepare => PendingAction::Prepare,
                 Action::Publish(home) => {
-                    Deed::Publish(home.cell, home.epoch, home.held, home.settling)
+                    PendingAction::Publish(home.cell, home.epoch, home.held, home.settling)
                 }
-                Action::Fence(cell) => Deed::Fence(cell),
-                Action::Unfence(cell, epoch) => Deed::Unfence(cell, epoch),
-                Action::CatchUp => Deed::CatchUp,
-                Action::Finished(_) => Deed::Finished,
+                Action::Fence(cell) => PendingAction::Fence(cell),
+                Action::Unfence(cell, epoch) => PendingAction::Unfence(cell, epoch),
+                Action::CatchUp => PendingAction::CatchUp,
+                Action::Finished(_) => PendingAction::Finished,
             }));
     }
 
-    fn deed(&mut self, fence: bool) {
-        match self.todo.remove(0) {
-            Deed::Record(record) => {
+    fn carry_out_next(&mut self, fence: bool) {
+        match self.pending.remove(0) {
+            PendingAction::Record(record) => {
                 let step = record.step;
                 self.record = Some(record);
-                self.tell(Event::Recorded(step));
+                self.handle(Event::Recorded(step));
             }
-            Deed::Prepare => self.tell(Event::Prepared),
-            Deed::Publish(cell, epoch, held, settling) => {
+            PendingAction::Prepare => self.handle(Event::Prepared),
+            PendingAction::Publish(cell, epoch, held, settling) => {
                 self.published = Home {
                     cell,
                     epoch,
                     held,
                     settling,
                 };
-                self.tell(Event::Published(epoch));
+                self.handle(Event::Published(epoch));
             }
-            Deed::Fence(cell) => {
+            PendingAction::Fence(cell) => {
                 if fence {
-                    self.takes[usize::from(cell.0)] = None;
+                    self.accepts_from[usize::from(cell.0)] = None;
                 }
-                self.tell(Event::Fenced);
+                self.handle(Event::Fenced);
             }
-            Deed::Unfence(cell, epoch) => self.takes[usize::from(cell.0)] = Some(epoch),
-            Deed::CatchUp => {
+            PendingAction::Unfence(cell, epoch) => {
+                self.accepts_from[usize::from(cell.0)] = Some(epoch)
+            }
+            PendingAction::CatchUp => {
                 self.caught_up = true;
-                self.tell(Event::CaughtUp);
+                self.handle(Event::CaughtUp);
             }
-            Deed::Finished => self.finished = true,
+            PendingAction::Finished => self.finished = true,
         }
     }
 
-    /// The gateway's clock may be behind by the drift that is allowed for.
-    fn gateways_now(&self) -> u64 {
-        self.now.saturating_sub(TIMES.drift)
+    /// The time of the gateways' clocks, which are behind the migrator's by the greatest drift.
+    fn gateway_now(&self) -> u64 {
+        self.now.saturating_sub(TIMING.drift)
     }
 
     fn arrive(&mut self, gateway: usize) {
-        let Some((cell, epoch)) = self.gateways[gateway].air.take() else {
+        let Some((cell, epoch)) = self.gateways[gateway].write_in_flight.take() else {
             return;
         };
-        let taken = self.takes[usize::from(cell.0)].is_some_and(|from| epoch >= from);
-        let moving = self.record.as_ref().map(|record| record.step);
-        let gone = matches!(moving, Some(Step::CutOver | Step::Settling | Step::Placed));
-        if taken && cell == TARGET {
+        let is_accepted = self.accepts_from[usize::from(cell.0)].is_some_and(|from| epoch >= from);
+        let step = self.record.as_ref().map(|record| record.step);
+        let is_cut_over = matches!(step, Some(Step::CutOver | Step::Settling | Step::Placed));
+        if is_accepted && cell == TARGET {
             self.target_wrote = true;
         }
-        if taken && cell == SOURCE && self.target_wrote {
-            self.wrong = Some("written to two cells");
-        } else if taken && cell == SOURCE && gone && self.caught_up {
-            self.wrong = Some("a write that the target never gets");
+        if is_accepted && cell == SOURCE && self.target_wrote {
+            self.violation = Some("written to two cells");
+        } else if is_accepted && cell == SOURCE && is_cut_over && self.caught_up {
+            self.violation = Some("a write that the target never gets");
         }
         let now = self.now;
-        self.gateways[gateway].holder.ended(now, TENANT, None);
+        self.gateways[gateway].lease.write_ended(now, TENANT, None);
     }
 }
 
-impl Model for Explored {
-    type State = World;
-    type Action = Do;
+impl Model for MigrationModel {
+    type State = ModelState;
+    type Action = Transition;
 
-    fn init_states(&self) -> Vec<World> {
+    fn init_states(&self) -> Vec<ModelState> {
         let home = Home {
             cell: SOURCE,
             epoch: Epoch(1),
@@ -175,176 +188,181 @@
             settling: false,
         };
         let gateway = Gateway {
-            holder: GatewayLease::default(),
+            lease: GatewayLease::default(),
             home: None,
-            air: None,
+            write_in_flight: None,
         };
-        let mut world = World {
+        let mut state = ModelState {
             now: 1,
-            mover: None,
+            migrator: None,
             record: None,
-            todo: Vec::new(),
+            pending: Vec::new(),
             published: home,
-            takes: [Some(Epoch(0)), Some(Epoch(0))],
+            accepts_from: [Some(Epoch(0)), Some(Epoch(0))],
             gateways: [gateway.clone(), gateway],
             target_wrote: false,
             caught_up: false,
             finished: false,
-            wrong: None,
+            violation: None,
             crashes: 0,
             losses: 0,
         };
         let mut actions = Vec::new();
-        let begun = Migration::begin(
+        let migration = Migration::begin(
             TENANT,
             (SOURCE, TARGET),
             Epoch(1),
-            TIMES,
-            world.now,
+            TIMING,
+            state.now,
             &mut actions,
         );
-        world.mover = Some(begun.expect("two cells"));
-        world.owe(actions);
-        vec![world]
+        state.migrator = Some(migration.expect("two cells"));
+        state.enqueue(actions);
+        vec![state]
     }
 
-    fn actions(&self, world: &World, actions: &mut Vec<Do>) {
-        // Over, and nothing on its way any more.
-        let over = world.finished && world.gateways.iter().all(|gateway| gateway.air.is_none());
-        if world.wrong.is_some() || over && world.target_wrote {
+    fn actions(&self, state: &ModelState, actions: &mut Vec<Transition>) {
+        // The migration has ended and no write is in flight.
+        let is_over = state.finished
+            && state
+                .gateways
+                .iter()
+                .all(|gateway| gateway.write_in_flight.is_none());
+        if state.violation.is_some() || is_over && state.target_wrote {
             return;
         }
-        if world.now < self.ticks {
-            actions.push(Do::Tick);
+        if state.now < self.ticks {
+            actions.push(Transition::Tick);
         }
-        if !world.todo.is_empty() {
-            actions.push(Do::Deed);
+        if !state.pending.is_empty() {
+            actions.push(Transition::CarryOut);
         }
-        match &world.mover {
-            Some(mover) if !world.finished => {
-                if self.aborts && mover.record().step.may_abort() {
-                    actions.push(Do::Abort);
+        match &state.migrator {
+            Some(migrator) if !state.finished => {
+                if self.aborts && migrator.record().step.may_abort() {
+                    actions.push(Transition::Abort);
                 }
-                if world.crashes < self.crashes {
-                    actions.push(Do::CrashMover);
+                if state.crashes < self.crashes {
+                    actions.push(Transition::CrashMigrator);
                 }
             }
-            None if world.record.is_some() => actions.push(Do::Resume),
+            None if state.record.is_some() => actions.push(Transition::Resume),
             _ => {}
         }
-        for (number, gateway) in world.gateways.iter().enumerate() {
-            if gateway.home != Some(world.published)
-                || gateway.holder.overdue(world.gateways_now() + 1) > 0
+        for (number, gateway) in state.gateways.iter().enumerate() {
+            if gateway.home != Some(state.published)
+                || gateway.lease.expired_for(state.gateway_now() + 1) > 0
             {
-                actions.push(Do::Fetch(number, true));
-                if world.losses < self.losses {
-                    actions.push(Do::Fetch(number, false));
+                actions.push(Transition::Fetch(number, true));
+                if state.losses < self.losses {
+                    actions.push(Transition::Fetch(number, false));
                 }
             }
-            let now = world.gateways_now();
-            match (gateway.air, &gateway.home) {
-                (Some(_), _) => actions.push(Do::Arrive(number)),
-                (None, Some(home)) if gateway.holder.may_write(now, home) => {
-                    actions.push(Do::Decide(number))
+            let now = state.gateway_now();
+            match (gateway.write_in_flight, &gateway.home) {
+                (Some(_), _) => actions.push(Transition::Arrive(number)),
+                (None, Some(home)) if gateway.lease.may_write(now, home) => {
+                    actions.push(Transition::Decide(number))
                 }
                 (None, Some(home))
-                    if home.held && gateway.holder.clone().may_acknowledge(now, TENANT, home) =>
+                    if home.held && gateway.lease.clone().may_acknowledge(now, TENANT, home) =>
                 {
-                    actions.push(Do::Acknowledge(number, true));
-                    if world.losses < self.losses {
-                        actions.push(Do::Acknowledge(number, false));
+                    actions.push(Transition::Acknowledge(number, true));
+                    if state.losses < self.losses {
+                        actions.push(Transition::Acknowledge(number, false));
                     }
                 }
                 _ => {}
             }
-            if world.crashes < self.crashes && gateway.home.is_some() {
-                actions.push(Do::CrashGateway(number));
+            if state.crashes < self.crashes && gateway.home.is_some() {
+                actions.push(Transition::CrashGateway(number));
             }
         }
     }
 
-    fn next_state(&self, before: &World, action: Do) -> Option<World> {
-        let mut world = before.clone();
+    fn next_state(&self, before: &ModelState, action: Transition) -> Option<ModelState> {
+        let mut state = before.clone();
         match action {
-            Do::Tick => {
-                world.now += 1;
-                world.tell(Event::Tick);
+            Transition::Tick => {
+                state.now += 1;
+                state.handle(Event::Tick);
             }
-            Do::Deed => world.deed(self.fence),
-            Do::Abort => world.tell(Event::Abort),
-            Do::CrashMover => {
-                // What was recorded and done stays; what was only meant is gone.
-                (world.mover, world.crashes) = (None, world.crashes + 1);
-                world.todo.clear();
+            Transition::CarryOut => state.carry_out_next(self.fence),
+            Transition::Abort => state.handle(Event::Abort),
+            Transition::CrashMigrator => {
+                // The record and the effects of actions stay; pending actions are lost.
+                (state.migrator, state.crashes) = (None, state.crashes + 1);
+                state.pending.clear();
             }
-            Do::Resume => {
-                let (mut actions, record) = (Vec::new(), world.record.clone()?);
-                world.mover = Some(Migration::resume(record, TIMES, world.now, &mut actions));
-                world.owe(actions);
+            Transition::Resume => {
+                let (mut actions, record) = (Vec::new(), state.record.clone()?);
+                state.migrator = Some(Migration::resume(record, TIMING, state.now, &mut actions));
+                state.enqueue(actions);
             }
-            Do::Fetch(number, arrives) => {
-                let (asked, home) = (world.gateways_now(), world.published);
-                world.tell(Event::Leased(
+            Transition::Fetch(number, arrives) => {
+                let (requested_at, home) = (state.gateway_now(), state.published);
+                state.handle(Event::Leased(
                     GatewayId(number as u16),
-                    world.now + TIMES.lease + TIMES.drift,
+                    state.now + TIMING.lease + TIMING.drift,
                 ));
-                world.losses += u8::from(!arrives);
+                state.losses += u8::from(!arrives);
                 if arrives
-                    && world.gateways[number]
-                        .holder
-                        .learned(asked, &TIMES, home.epoch)
+                    && state.gateways[number]
+                        .lease
+                        .renew(requested_at, &TIMING, home.epoch)
                 {
-                    world.gateways[number].home = Some(home);
+                    state.gateways[number].home = Some(home);
                 }
             }
-            Do::Decide(number) => {
-                let gateway = &mut world.gateways[number];
+            Transition::Decide(number) => {
+                let gateway = &mut state.gateways[number];
                 let home = gateway.home?;
-                gateway.air = Some((home.cell, home.epoch));
-                gateway.holder.sends(TENANT);
+                gateway.write_in_flight = Some((home.cell, home.epoch));
+                gateway.lease.write_sent(TENANT);
             }
-            Do::Arrive(number) => world.arrive(number),
-            Do::Acknowledge(number, arrives) => {
-                let (now, home) = (world.gateways_now(), world.gateways[number].home?);
-                world.losses += u8::from(!arrives);
-                if world.gateways[number]
-                    .holder
+            Transition::Arrive(number) => state.arrive(number),
+            Transition::Acknowledge(number, arrives) => {
+                let (now, home) = (state.gateway_now(), state.gateways[number].home?);
+                state.losses += u8::from(!arrives);
+                if state.gateways[number]
+                    .lease
                     .may_acknowledge(now, TENANT, &home)
                     && arrives
                 {
-                    world.tell(Event::Acknowledged(GatewayId(number as u16), home.epoch));
+                    state.handle(Event::Acknowledged(GatewayId(number as u16), home.epoch));
                 }
             }
-            Do::CrashGateway(number) => {
-                // What it had on the way may still arrive.
-                world.crashes += 1;
-                (world.gateways[number].holder, world.gateways[number].home) =
+            Transition::CrashGateway(number) => {
+                // A write in flight may still arrive.
+                state.crashes += 1;
+                (state.gateways[number].lease, state.gateways[number].home) =
                     (GatewayLease::default(), None);
             }
         }
-        (world != *before).then_some(world)
+        (state != *before).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("no write to two cells and none lost", |_, world: &World| {
-                world.wrong.is_none()
-            }),
-            Property::sometimes("a move is completed", |_, world: &World| {
-                world.finished && world.published.cell == TARGET
+            Property::always(
+                "no write to two cells and none lost",
+                |_, state: &ModelState| state.violation.is_none(),
+            ),
+            Property::sometimes("a migration is completed", |_, state: &ModelState| {
+                state.finished && state.published.cell == TARGET
             }),
-            Property::sometimes("a move is aborted", |_, world: &World| {
-                world.finished && world.published.cell == SOURCE
+            Property::sometimes("a migration is aborted", |_, state: &ModelState| {
+                state.finished && state.published.cell == SOURCE
             }),
-            Property::sometimes("the target is written", |_, world: &World| {
-                world.target_wrote
+            Property::sometimes("the target is written", |_, state: &ModelState| {
+                state.target_wrote
             }),
         ]
     }
 }
 
-fn explore(explored: Explored) -> (usize, Vec<&'static str>) {
-    let checker = explored.checker().threads(8).spawn_bfs().join();
+fn explore(model: MigrationModel) -> (usize, Vec<&'static str>) {
+    let checker = model.checker().threads(8).spawn_bfs().join();
     let found: Vec<&'static str> = checker.discoveries().into_keys().collect();
     println!(
         "{} states, {} unique, found {found:?}",
@@ -354,19 +372,20 @@
     (checker.unique_state_count(), found)
 }
 
-fn is_safe(explored: Explored) -> usize {
-    let (states, found) = explore(explored);
+/// Checks that no interleaving violates the safety property; returns the number of states.
+fn assert_safe(model: MigrationModel) -> usize {
+    let (states, found) = explore(model);
     assert!(!found.contains(&"no write to two cells and none lost"));
     assert!(
-        found.contains(&"a move is completed") && found.contains(&"the target is written"),
+        found.contains(&"a migration is completed") && found.contains(&"the target is written"),
         "{found:?}"
     );
-    assert_eq!(found.contains(&"a move is aborted"), explored.aborts);
+    assert_eq!(found.contains(&"a migration is aborted"), model.aborts);
     states
 }
 
-/// Exhaustive, within its bounds.
-const QUICK: Explored = Explored {
+/// The bounds of the tests that always run. Each is explored exhaustively within its bounds.
+const QUICK: MigrationModel = MigrationModel {
     fence: true,
     ticks: 5,
     crashes: 0,
@@ -375,28 +394,25 @@
 };
 
 #[test]
-fn no_interleaving_writes_a_tenant_to_two_cells_or_loses_a_write() {
-    let states = is_safe(QUICK);
-    assert!(
-        states > 10_000,
-        "{states} states are too few to mean anything"
-    );
-    is_safe(Explored {
+fn no_interleaving_writes_to_two_cells_or_loses_a_write() {
+    let states = assert_safe(QUICK);
+    assert!(states > 10_000, "only {states} states were explored");
+    assert_safe(MigrationModel {
         aborts: true,
         ..QUICK
     });
-    is_safe(Explored { losses: 1, ..QUICK });
-    is_safe(Explored {
+    assert_safe(MigrationModel { losses: 1, ..QUICK });
+    assert_safe(MigrationModel {
         crashes: 1,
         ..QUICK
     });
 }
 
-/// The command of docs/measurements/cells-model.md.
+/// All faults together, as in docs/measurements/cells-model.md.
 #[test]
 #[ignore = "a measurement: cargo test --release --test cells_model -- --ignored --nocapture"]
-fn the_same_with_all_of_it_at_once() {
-    is_safe(Explored {
+fn no_interleaving_with_all_faults_together_is_unsafe() {
+    assert_safe(MigrationModel {
         ticks: 6,
         crashes: 1,
         losses: 1,
@@ -406,8 +422,8 @@
 }
 
 #[test]
-fn without_the_fence_a_paused_gateway_is_caught_writing_where_it_must_not() {
-    let (_, found) = explore(Explored {
+fn migration_without_the_fence_is_unsafe() {
+    let (_, found) = explore(MigrationModel {
         fence: false,
         ..QUICK
     });
