--- a/tests/config.rs
+++ b/tests/config.rs
@@ -1,4 +1,4 @@
-//! Reading the configuration, first and again: errors name the key at fault.
+//! Parsing and reloading the configuration: errors name the key at fault.
 
 use asterreel::config::{Config, ConfigError};
 
@@ -10,7 +10,7 @@
 
 #[test]
 fn environment_overrides_the_example() {
-    let config = parse(EXAMPLE).expect("the example is good");
+    let config = parse(EXAMPLE).expect("the example is valid");
     assert_eq!(
         (config.name.as_str(), config.max_descriptors),
         ("example", 1024)
@@ -24,7 +24,7 @@
         (2, 2)
     );
     let environment = |name: &str| (name == "RELAY_LISTEN").then(|| "127.0.0.9:1".to_owned());
-    let config = Config::parse(EXAMPLE.as_bytes(), environment).expect("good");
+    let config = Config::parse(EXAMPLE.as_bytes(), environment).expect("valid");
     assert_eq!(config.listen.to_string(), "127.0.0.9:1");
 }
 
@@ -58,23 +58,26 @@
         ("\"Checks\": \"none\"", "\"Checks\": \"maybe\"", "settings"),
         ("\"cell\": 0", "\"cell\": true", "known.members[0].cell"),
     ];
-    for (good, bad, key) in cases {
-        assert!(EXAMPLE.contains(good), "{good}");
-        let error = parse(&EXAMPLE.replacen(good, bad, 1)).expect_err(bad);
+    for (valid, invalid, key) in cases {
+        assert!(EXAMPLE.contains(valid), "{valid}");
+        let error = parse(&EXAMPLE.replacen(valid, invalid, 1)).expect_err(invalid);
         assert_eq!(error.key, key, "{error}");
         assert!(error.to_string().contains(key));
     }
     assert_eq!(
-        Config::from_env().expect_err("not set here").key,
+        Config::from_env()
+            .expect_err("the variable is not set in tests")
+            .key,
         "RELAY_CONFIG"
     );
 }
 
-/// Read again, a changed key wins over the environment, and an unchanged one leaves what was in force.
+/// On a reload, a `discovery` that has changed in the file wins over the environment; an unchanged one leaves the address
+/// in force.
 #[test]
-fn reload_takes_only_a_changed_discovery() {
+fn reload_applies_only_a_changed_discovery() {
     let environment = |name: &str| (name == "RELAY_DISCOVERY").then(|| "127.0.0.2:1".to_owned());
-    let start = Config::parse(EXAMPLE.as_bytes(), environment).expect("good");
+    let start = Config::parse(EXAMPLE.as_bytes(), environment).expect("valid");
     let moved = EXAMPLE.replace("127.0.0.1:8500", "127.0.0.3:1");
     let mut current = start;
     for (text, discovery) in [
@@ -83,14 +86,14 @@
         (&moved, "127.0.0.3:1"),
         (EXAMPLE, "127.0.0.1:8500"),
     ] {
-        current = current.reload(text.as_bytes(), environment).expect("good");
+        current = current.reload(text.as_bytes(), environment).expect("valid");
         assert_eq!(current.discovery.to_string(), discovery);
     }
-    let bad = EXAMPLE.replace("127.0.0.1:8500", "nowhere");
+    let invalid = EXAMPLE.replace("127.0.0.1:8500", "nowhere");
     assert_eq!(
         current
-            .reload(bad.as_bytes(), environment)
-            .expect_err("bad")
+            .reload(invalid.as_bytes(), environment)
+            .expect_err("an invalid address")
             .key,
         "discovery"
     );
