--- a/src/readmission/mod.rs
+++ b/src/readmission/mod.rs
@@ -1,14 +1,14 @@
 //! Admission pacing: how many clients may reconnect to a gateway now, and when the others should retry.
 //!
-//! When a gateway dies or restarts, its clients arrive at it or at the others together, and each costs a handshake and
-//! connections at databases that all gateways share. A fleet has a budget of new sessions a second; each gateway takes its
-//! share, by how many have a registration in the fleet's log just now, or by how many there are at all where it can't
-//! tell. Within its share a client is admitted at once. Beyond it, the client is told at once when to retry, at a time of
-//! its own: the next free slot of a queue that is as dense as the budget allows, so that retries come spread.
+//! When a gateway crashes or restarts, its clients reconnect to it or to other gateways together, and each of them costs a
+//! handshake and connections to the databases that all gateways share. The fleet has a budget of new sessions a second, which
+//! is divided by the number of gateways that are registered in the fleet's log or, if that is unknown, by the size of the
+//! fleet. Within the gateway's share a client is admitted at once. Beyond it, the client gets a retry-after time of its own:
+//! the next free slot of a queue that is as dense as the budget allows, so that retries are spread over time.
 //!
-//! Invariants: admissions never exceed the budget and one burst; every client is answered at once; a gateway
-//! never has a share of none. A slot belongs to the client's address: whoever retries early keeps the slots of its address,
-//! and a slot that is not used lapses. Time is an argument, and nothing here opens sockets.
+//! Invariants: admissions never exceed the budget and one burst; every client is answered at once; the share of a gateway is
+//! never zero. A slot belongs to the client's address: a client that retries early keeps the slots of its address, and a slot
+//! that is not used lapses. The caller passes in the time; nothing here opens sockets.
 
 use crate::interface::Micros;
 use asterreel_control::settings::SettingError;
@@ -16,24 +16,24 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::IpAddr;
 
-/// The most slots of one address; beyond them clients are told a time, and have no slot.
+/// The most slots of one address; further clients of the address get a retry-after time without a slot.
 const MAX_SLOTS_PER_ADDRESS: usize = 1_024;
-/// The most slots in all: at 16 bytes a slot and about 100 an address, half a mebibyte.
+/// The most slots of all addresses. At 16 bytes for each slot and about 100 for each address they take half a mebibyte.
 const MAX_SLOTS: usize = 16_384;
 const MICROS_PER_SECOND: f64 = 1e6;
 const MICROS_PER_MS: Micros = 1_000;
 
-/// What an operator sets.
+/// The options of admission pacing in the operator's file.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-// The error message of an operator's file names the type that it expected.
+// `expecting` keeps the type name in serde's error messages, which stays when this type is renamed.
 #[serde(deny_unknown_fields, expecting = "struct Knobs")]
 pub struct Options {
-    /// New sessions a second that the whole fleet may take; 1 to 100000.
+    /// New sessions a second that the whole fleet may admit; 1 to 100000.
     pub sessions_per_s: f64,
-    /// Sessions that each gateway may take at once after a quiet time; 1 to 10000, default 32.
+    /// Sessions that each gateway may admit at once after a time without new ones; 1 to 10000, default 32.
     #[serde(default = "default_burst")]
     pub burst: f64,
-    /// The longest time after which a client is told to retry, milliseconds; 100 to 60000, default 10000.
+    /// The longest retry-after time, milliseconds; 100 to 60000, default 10000.
     #[serde(default = "default_longest_ms")]
     pub longest_ms: u64,
 }
@@ -47,7 +47,7 @@
 }
 
 impl Options {
-    /// Checks each value.
+    /// Checks the range of each value.
     ///
     /// # Errors
     ///
@@ -59,20 +59,20 @@
     }
 }
 
-fn within(key: &str, value: f64, least: f64, most: f64) -> Result<(), SettingError> {
-    if (least..=most).contains(&value) {
+fn within(key: &str, value: f64, min: f64, max: f64) -> Result<(), SettingError> {
+    if (min..=max).contains(&value) {
         return Ok(());
     }
-    let fault = format!("{value} is not within {least} to {most}");
+    let fault = format!("{value} is not within {min} to {max}");
     Err(SettingError::new(key, fault))
 }
 
-/// The answer to a client that connects.
+/// Whether a client that connects is admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// It is admitted.
+    /// The client is admitted now.
     Admit,
-    /// It should retry after so long, microseconds.
+    /// The client should retry after this time, microseconds.
     RetryAfter(Micros),
 }
 
@@ -80,38 +80,38 @@
 pub struct Readmission {
     options: Options,
     rng: fastrand::Rng,
-    /// Gateways that share the budget.
+    /// The number of gateways that share the budget, at least 1.
     gateways: u32,
-    /// When all that was admitted is paid for by the budget; the next admission is due then, a burst early at most.
-    spent_until: Micros,
-    /// The last slot in the queue.
+    /// When the budget has covered all admissions so far. The next admission is due then, or earlier by a burst at most.
+    budget_spent_until: Micros,
+    /// The time of the last slot in the queue.
     queue_end: Micros,
-    /// The slots of each address, in order.
+    /// The times of the slots of each address, in ascending order.
     slots: BTreeMap<IpAddr, VecDeque<Micros>>,
-    /// Slots of all addresses.
+    /// The number of slots of all addresses.
     slot_count: usize,
 }
 
 impl Readmission {
-    /// The pacing of one of so many gateways, with the fleet's budget.
+    /// Creates the pacing of one of `gateways` gateways that share the fleet's budget.
     pub fn new(options: Options, gateways: u32, seed: u64) -> Readmission {
         Readmission {
             options,
             rng: fastrand::Rng::with_seed(seed),
             gateways: gateways.max(1),
-            spent_until: 0,
+            budget_spent_until: 0,
             queue_end: 0,
             slots: BTreeMap::new(),
             slot_count: 0,
         }
     }
 
-    /// So many gateways share the budget from now on. Slots that were given stay: each client was told its time.
+    /// Sets the number of gateways that share the budget. Existing slots stay, as their clients know their times.
     pub fn set_gateway_count(&mut self, gateways: u32) {
         self.gateways = gateways.max(1);
     }
 
-    /// A client has come from an address.
+    /// Decides on a client that connects from an address.
     pub fn arrive(&mut self, now: Micros, from: IpAddr) -> Answer {
         self.drop_lapsed_slots(now, from);
         let own_slot = self.first_slot(from);
@@ -122,17 +122,17 @@
             if has_turn {
                 self.remove_first_slot(from);
             }
-            self.spent_until = self.spent_until.max(now) + self.interval_us();
+            self.budget_spent_until = self.budget_spent_until.max(now) + self.interval_us();
             return Answer::Admit;
         }
         if has_turn {
-            // Many came late together: it keeps its slot, and retries in a moment.
+            // Several clients retried late at the same time: this one keeps its slot and retries when the budget allows.
             return self.retry_after(due_at - now);
         }
         self.enqueue(now, from, own_slot)
     }
 
-    /// The time between two admissions of this gateway's share, microseconds.
+    /// The time between two admissions within this gateway's share, microseconds.
     fn interval(&self) -> f64 {
         MICROS_PER_SECOND * f64::from(self.gateways) / self.options.sessions_per_s
     }
@@ -145,21 +145,22 @@
         self.options.longest_ms * MICROS_PER_MS
     }
 
-    /// The earliest time that the budget and its burst allow the next admission.
+    /// The earliest time at which the budget and its burst allow the next admission.
     fn admission_due_at(&self) -> Micros {
         let burst_us = (self.interval() * (self.options.burst - 1.0)) as Micros;
-        self.spent_until.saturating_sub(burst_us)
+        self.budget_spent_until.saturating_sub(burst_us)
     }
 
-    /// A retry with a jitter of one interval, as clocks and links would bunch exact times.
+    /// A retry-after time with a jitter of up to one interval: clients that were given exact times would bunch, because of
+    /// differences between clocks and links.
     fn retry_after(&mut self, wait: Micros) -> Answer {
         let jitter = self.rng.u64(0..=self.interval_us());
         Answer::RetryAfter(wait.max(1) + jitter)
     }
 
-    /// Gives a client the next slot in the queue, or none where that is too far off.
+    /// Gives a client the next slot in the queue, or none if that is beyond the longest wait or too many are in use.
     fn enqueue(&mut self, now: Micros, from: IpAddr, own_slot: Option<Micros>) -> Answer {
-        let slot = self.queue_end.max(self.spent_until).max(now) + self.interval_us();
+        let slot = self.queue_end.max(self.budget_spent_until).max(now) + self.interval_us();
         let own_slots = self.slots.get(&from).map_or(0, VecDeque::len);
         let is_full = own_slots >= MAX_SLOTS_PER_ADDRESS || self.slot_count >= MAX_SLOTS;
         if is_full || slot - now > self.longest_wait_us() {
@@ -171,7 +172,7 @@
         self.retry_after(slot - now)
     }
 
-    /// A retry at the address's own slot, or else spread over the later half of the longest wait.
+    /// A retry-after time at the address's own slot, or else one in the later half of the longest wait.
     fn retry_without_slot(&mut self, now: Micros, own_slot: Option<Micros>) -> Answer {
         let longest = self.longest_wait_us();
         let wait = own_slot.map_or(longest / 2, |slot| slot - now);
@@ -192,8 +193,8 @@
         }
     }
 
-    /// Slots that were not used within the longest wait lapse: those of this address, and all of them where there are too
-    /// many or the whole queue has passed.
+    /// Removes slots that were not used within the longest wait: those of this address, and those of all addresses if there
+    /// are too many or the whole queue has passed.
     fn drop_lapsed_slots(&mut self, now: Micros, from: IpAddr) {
         let oldest = now.saturating_sub(self.longest_wait_us());
         while self.first_slot(from).is_some_and(|slot| slot < oldest) {
--- a/src/readmission/tests.rs
+++ b/src/readmission/tests.rs
@@ -17,9 +17,13 @@
     }
 }
 
-/// Clients of one address each that come within 100 ms, and retry when told to, or every 50 ms where they are eager.
-/// Returns when each was admitted.
-fn storm(gateways: usize, clients: u32, is_eager: impl Fn(u32) -> bool) -> Vec<(u32, Micros)> {
+/// Clients with an address each that all connect within 100 ms. They retry after the time that they are given, or every
+/// 50 ms if they are eager. Returns when each was admitted.
+fn reconnect_storm(
+    gateways: usize,
+    clients: u32,
+    is_eager: impl Fn(u32) -> bool,
+) -> Vec<(u32, Micros)> {
     let mut rng = fastrand::Rng::with_seed(3);
     let mut all: Vec<Readmission> = (0..gateways)
         .map(|n| Readmission::new(options(), gateways as u32, n as u64))
@@ -33,7 +37,7 @@
             "{} of {clients} admitted",
             admitted.len()
         );
-        // The front layer sends a client back to where it was.
+        // The load balancer sends a client to the same gateway again.
         match all[client as usize % gateways].arrive(now, address(client)) {
             Answer::Admit => admitted.push((client, now)),
             Answer::RetryAfter(wait) => {
@@ -51,21 +55,21 @@
 fn reconnect_storm_is_spread_within_the_budget() {
     for gateways in [1, 2, 5, 9] {
         for eager_in_ten in [0, 5] {
-            let admitted = storm(gateways, 2_000, |client| client % 10 < eager_in_ten);
+            let admitted = reconnect_storm(gateways, 2_000, |client| client % 10 < eager_in_ten);
             let times: Vec<Micros> = admitted.iter().map(|(_, at)| *at).collect();
-            // In any second: the budget, and a burst of each gateway once.
+            // Bound for any second: the budget, and one burst of each gateway.
             for (n, at) in times.iter().enumerate() {
                 let within = times[n..]
                     .iter()
                     .take_while(|other| **other < at + SECOND)
                     .count();
-                let most = 500.0 + 20.0 * gateways as f64 + 1.0;
+                let max_admitted = 500.0 + 20.0 * gateways as f64 + 1.0;
                 assert!(
-                    within as f64 <= most,
+                    within as f64 <= max_admitted,
                     "{gateways} gateways, {eager_in_ten} in ten eager: {within} in a second"
                 );
             }
-            // 2000 clients at 500 a second, and the jitter of a slot.
+            // 2000 clients at 500 a second take 4 s, and the jitter of a slot.
             let last = times.last().copied().unwrap_or(0) - SECOND;
             assert!(
                 last < 6 * SECOND,
@@ -82,11 +86,11 @@
     while pacing.arrive(SECOND, address(1_000 + admitted)) == Answer::Admit {
         admitted += 1;
     }
-    assert_eq!(admitted, 20, "a burst");
+    assert_eq!(admitted, 20, "one burst is admitted at once");
     let Answer::RetryAfter(wait) = pacing.arrive(SECOND, address(1)) else {
         panic!("admitted beyond the burst")
     };
-    // Others queue behind it; it retries early, again and again.
+    // Other clients queue after it, and it retries early several times.
     for n in 0..100 {
         pacing.arrive(SECOND, address(5_000 + n));
     }
@@ -96,9 +100,9 @@
     assert_eq!(
         pacing.arrive(SECOND + wait, address(1)),
         Answer::Admit,
-        "at its time"
+        "admitted at the time of its slot"
     );
-    // Long after, with nobody there, all is as at the start.
+    // Long after, when all slots have lapsed, a client is admitted at once.
     assert_eq!(pacing.arrive(100 * SECOND, address(2)), Answer::Admit);
     assert_eq!(
         (pacing.slot_count, pacing.slots.len()),
@@ -127,7 +131,7 @@
         "{} slots within the longest wait",
         pacing.slot_count
     );
-    // An address that retries without end has so many slots at most.
+    // The number of slots of one address that keeps retrying is bounded.
     let mut pacing = Readmission::new(
         Options {
             sessions_per_s: 100_000.0,
@@ -150,7 +154,7 @@
         let came = (0..100_000).map(|n| pacing.arrive(SECOND + n * 100, address(7)));
         came.filter(|answer| *answer == Answer::Admit).count()
     };
-    // Ten seconds of one that retries all the time: the share, and a burst.
+    // One address retries all the time for 10 s: it gets the gateway's share and one burst.
     let (alone, five) = (rate(1), rate(5));
     assert!((4_000..=5_030).contains(&alone), "{alone}");
     assert!((800..=1_030).contains(&five), "{five}");
--- a/src/statements/fingerprint.rs
+++ b/src/statements/fingerprint.rs
@@ -8,8 +8,8 @@
 pub struct StatementFingerprint(pub u64);
 
 impl StatementFingerprint {
-    /// The fingerprint of a statement, in one pass and without a copy of the text. Strings in single quotes, numbers and
-    /// parameters count as one value each; names in double quotes are taken as they are.
+    /// Computes the fingerprint of a statement, in one pass and without a copy of the text. Strings in single quotes, numbers
+    /// and parameters count as one value each; names in double quotes are not changed.
     pub fn of(text: &[u8]) -> StatementFingerprint {
         let mut normalizer = Normalizer::default();
         let mut rest = text;
@@ -39,12 +39,12 @@
 
 struct Token {
     kind: TokenKind,
-    /// At least 1.
+    /// Its length in bytes, at least 1.
     length: usize,
 }
 
 impl Token {
-    /// The token that a text begins with, which is not empty. Within an identifier a digit is no value: `a1` keeps its `1`.
+    /// The first token of a text, which must not be empty. A digit within an identifier is part of it: `a1` keeps its `1`.
     fn first(text: &[u8], in_identifier: bool) -> Token {
         let (kind, length) = match text {
             [b'\'', ..] => (TokenKind::Value, quoted_length(text, b'\'')),
@@ -71,9 +71,9 @@
 #[derive(Default)]
 struct Normalizer {
     digest: Xxh3,
-    /// Space came since the last token that counts.
-    spaced: bool,
-    /// The last token belongs to an identifier or a keyword.
+    /// Whether there was space since the last other token.
+    after_space: bool,
+    /// Whether the last token belongs to an identifier or a keyword.
     in_identifier: bool,
 }
 
@@ -81,14 +81,14 @@
     fn add(&mut self, kind: TokenKind, text: &[u8]) {
         self.in_identifier = kind == TokenKind::Identifier;
         if kind == TokenKind::Space {
-            self.spaced = true;
+            self.after_space = true;
             return;
         }
-        // Spacing counts only where it parts two identifiers.
-        if self.spaced && kind == TokenKind::Identifier {
+        // Space counts only before an identifier: it may separate two of them.
+        if self.after_space && kind == TokenKind::Identifier {
             self.digest.update(b" ");
         }
-        self.spaced = false;
+        self.after_space = false;
         match kind {
             TokenKind::Value => self.digest.update(b"?"),
             TokenKind::QuotedName => self.digest.update(text),
@@ -108,7 +108,7 @@
         .unwrap_or(text.len())
 }
 
-/// The length of a quoted text, up to the closing quote; a doubled quote stands for itself.
+/// The length of a quoted text, with its closing quote; a doubled quote is part of the text.
 fn quoted_length(text: &[u8], quote: u8) -> usize {
     let mut at = 1;
     while let Some(found) = text
@@ -124,7 +124,7 @@
     text.len()
 }
 
-/// The length of a block comment; they nest.
+/// The length of a block comment; block comments nest.
 fn comment_length(text: &[u8]) -> usize {
     let (mut at, mut depth) = (2, 1);
     while depth > 0 && at < text.len() {
--- a/src/statements/fingerprint/tests.rs
+++ b/src/statements/fingerprint/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn only_names_and_structure_make_a_difference() {
+fn fingerprint_depends_only_on_names_and_structure() {
     let fingerprint = |text: &str| StatementFingerprint::of(text.as_bytes());
     let one = fingerprint("SELECT payload FROM entries WHERE ref = '7f3a''x' /* id=9b,c=basket */");
     for same in [
@@ -30,7 +30,7 @@
     }
     let good = b"SELECT a, 'b' FROM \"c\" WHERE d = $1 /* e */ -- f";
     crate::fuzz::garbage(good, |bytes| {
-        // It has to end, without a panic.
+        // Must terminate without a panic.
         let _ = StatementFingerprint::of(bytes);
     });
 }
--- a/src/statements/mismatches.rs
+++ b/src/statements/mismatches.rs
@@ -1,51 +1,51 @@
-//! Mismatch tracking: statements that members rejected because they did not fit the schema there, and what follows from it
-//! at this gateway.
+//! Mismatch tracking: statements that members rejected because they did not match the member's schema, and whether this
+//! gateway still sends them.
 //!
-//! One wrong member must not invalidate a statement for a whole group: it takes [`MIN_MEMBERS`]. What a member that has not
-//! applied the schema change answers says nothing of the others, and is never counted.
+//! A single faulty member must not suspend a statement for a whole group: that takes [`MIN_MEMBERS`]. A rejection by a member
+//! that has not applied the schema change says nothing about the other members and is never counted.
 
 use super::StatementFingerprint;
 use crate::interface::{GroupId, MemberId, Micros};
 use std::collections::BTreeMap;
 
-/// The members that must have rejected a statement before it is suspended for the group.
+/// How many members must have rejected a statement before it is suspended for the group.
 const MIN_MEMBERS: usize = 2;
-/// How long a rejection counts, microseconds.
+/// How long a rejection counts towards [`MIN_MEMBERS`], microseconds.
 const REJECTION_LIFETIME_US: Micros = 30_000_000;
-/// How long a statement is suspended before it is tried again, microseconds.
+/// How long a statement is suspended, for a member or the group, before it is sent again, microseconds.
 const SUSPENSION_US: Micros = 5_000_000;
-/// The most statements that are tracked, at about 100 bytes each; the one rejected longest ago goes first.
+/// The most statements that are tracked, at about 100 bytes each; the one rejected longest ago is removed first.
 const MAX_TRACKED: usize = 1_024;
 
-/// What follows from an error that a member answered with.
+/// What an error of a member means for the statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mismatch {
-    /// Nothing: it is another error.
+    /// The error is not a schema mismatch.
     None,
-    /// The member has not reached the position from which the statement fits; it was sent too early.
+    /// The member has not applied the position that the statement needs; the statement was sent too early.
     ReplicaBehind,
-    /// The member is not to get the statement for a while; others may.
+    /// The statement is suspended for this member; other members may get it.
     Member,
-    /// The statement is suspended for the group here, and the fleet is to agree on it.
+    /// The statement is suspended for the whole group at this gateway, and the fleet should agree on a new catalog.
     Group,
 }
 
-/// The error that a member answered a statement with.
+/// An error with which a member answered a statement.
 #[derive(Clone, Copy, Debug)]
 pub struct MemberError<'a> {
     /// The member.
     pub member: MemberId,
-    /// Up to where the member has applied its group's log, where that is known.
+    /// The position up to which the member has applied its group's log, if known.
     pub position: Option<Micros>,
     /// The position that the statement needs, if any.
     pub required_position: Option<Micros>,
-    /// The error code.
+    /// The SQLSTATE code of the error.
     pub sqlstate: &'a [u8],
 }
 
 impl MemberError<'_> {
-    /// Whether it says that the statement does not fit the schema, with no effect: a cached plan that must not change its
-    /// result, a prepared statement, a column or a table that is not there (PostgreSQL, appendix A).
+    /// Whether the error means that the statement does not match the schema and had no effect: a cached plan whose result
+    /// type has changed, or an unknown prepared statement, column or table (PostgreSQL, appendix A).
     fn is_mismatch(&self) -> bool {
         matches!(self.sqlstate, b"0A000" | b"26000" | b"42703" | b"42P01")
     }
@@ -59,20 +59,20 @@
 /// The members that rejected one statement in one group.
 #[derive(Clone, Debug, Default)]
 struct Rejections {
-    /// By member, when it rejected the statement last.
+    /// When each member last rejected the statement.
     members: BTreeMap<MemberId, Micros>,
     suspended_until: Micros,
     last_at: Micros,
 }
 
-/// The mismatches that one gateway has seen.
+/// The mismatches that members have reported to one gateway.
 #[derive(Clone, Debug, Default)]
 pub struct MismatchTracker {
     rejections: BTreeMap<(GroupId, StatementFingerprint), Rejections>,
 }
 
 impl MismatchTracker {
-    /// A member of a group answered a statement with an error.
+    /// Records an error with which a member of a group answered a statement.
     pub fn observe_error(
         &mut self,
         now: Micros,
@@ -92,7 +92,7 @@
         mismatch
     }
 
-    /// A member served the statement: its rejections there are over.
+    /// Records that a member served a statement, which clears the member's rejection of it.
     pub fn observe_success(
         &mut self,
         group: GroupId,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Whether a member may get a statement now, as far as mismatches tell.
+    /// Whether a member may get a statement now, considering only mismatches.
     pub fn allows(
         &self,
         now: Micros,
@@ -120,7 +120,7 @@
             .is_none_or(|rejections| rejections.allow(now, member))
     }
 
-    /// A member was removed: its rejections go with it.
+    /// Clears the rejections of a member that was removed.
     pub fn remove_member(&mut self, member: MemberId) {
         for rejections in self.rejections.values_mut() {
             rejections.members.remove(&member);
--- a/src/statements/mismatches/tests.rs
+++ b/src/statements/mismatches/tests.rs
@@ -18,23 +18,23 @@
 }
 
 #[test]
-fn one_member_loses_the_statement_and_two_suspend_it() {
+fn statement_is_suspended_for_one_member_then_for_the_group() {
     let mut tracker = MismatchTracker::default();
     let mut observe = |now, error| tracker.observe_error(now, GROUP, STATEMENT, error);
     assert_eq!(
         observe(0, error(1, Some(9), None, b"23505")),
         Mismatch::None,
-        "a key that is there already"
+        "a duplicate key is not a schema mismatch"
     );
     assert_eq!(
         observe(0, error(1, Some(9), Some(10), b"42703")),
         Mismatch::ReplicaBehind,
-        "it has not applied the change"
+        "the member has not applied the change"
     );
     assert_eq!(
         observe(0, error(1, None, Some(10), b"42703")),
         Mismatch::ReplicaBehind,
-        "it may not have"
+        "the member may not have applied the change"
     );
     assert_eq!(
         observe(0, error(1, Some(10), Some(10), b"42703")),
@@ -43,7 +43,7 @@
     assert_eq!(
         observe(1, error(1, Some(11), Some(10), b"42703")),
         Mismatch::Member,
-        "the same one again"
+        "a second rejection by the same member"
     );
     assert!(
         !tracker.allows(2, GROUP, STATEMENT, MemberId(1))
@@ -55,15 +55,15 @@
     );
     assert!(
         !tracker.allows(3, GROUP, STATEMENT, MemberId(3)),
-        "suspended for all"
+        "suspended for the whole group"
     );
     assert!(
         tracker.allows(3, GROUP, StatementFingerprint(8), MemberId(1)),
-        "another statement is not"
+        "another statement is not suspended"
     );
     assert!(
         tracker.allows(2 + SUSPENSION_US, GROUP, STATEMENT, MemberId(3)),
-        "and tried again later"
+        "allowed again after the suspension"
     );
     // Old rejections no longer count.
     let later = 3 + REJECTION_LIFETIME_US;
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn tracked_statements_are_bounded_and_go_with_their_member() {
+fn tracked_statements_are_bounded_and_removed_with_the_member() {
     let mut tracker = MismatchTracker::default();
     for number in 0..3 * MAX_TRACKED as u64 {
         let statement = StatementFingerprint(number);
@@ -86,7 +86,7 @@
     let newest = StatementFingerprint(3 * MAX_TRACKED as u64 - 1);
     assert!(
         tracker.rejections.contains_key(&(GROUP, newest)),
-        "the newest stay"
+        "the newest statements stay"
     );
     tracker.remove_member(MemberId(1));
     assert!(tracker.rejections.is_empty());
--- a/src/statements/mod.rs
+++ b/src/statements/mod.rs
@@ -1,14 +1,16 @@
 //! Which statements are valid in which group while its schema changes, and which members may get them.
 //!
-//! The catalog is what gateways agree on as [`crate::versions::Topic::Catalog`]: each step of a schema change is a
-//! version of it, made active by the fleet's log, so that no two gateways are ever more than one step apart. A change takes
-//! effect in a group at a position of the group's own log, and members reach that position at different times. So a
-//! statement that needs the new schema goes only to members that are known to have passed it; one of the old schema goes
-//! where that is still valid. This narrows the candidates before the router selects a member; it never selects one.
+//! Gateways agree on the catalog as [`crate::versions::Topic::Catalog`]: each step of a schema change is a version of the
+//! catalog, activated through the fleet's log, so that no two gateways are ever more than one step apart. A change takes
+//! effect in a group at a position of the group's own log, and members reach that position at different times. A statement
+//! that needs the new schema is therefore sent only to members that are known to have reached the position; one that needs
+//! the old schema is sent to any member while the old schema is valid. This narrows the candidates before the router selects
+//! a member; it never selects one.
 //!
-//! The steps are those of an online schema change in F1 (Rae et al. 2013): what is new is there before it is used, and
-//! what is old is used no more before it goes. [`Catalog`] is the agreed part, [`MismatchTracker`] a gateway's own: which
-//! statements members rejected. A catalog is stored as JSON, so renamed fields keep their former names there.
+//! The steps are those of an online schema change in F1 (Rae et al. 2013): the new schema exists before it is used, and the
+//! old one is no longer used before it is removed. [`Catalog`] is shared by all gateways; [`MismatchTracker`] is local to a
+//! gateway and records which statements members rejected. A catalog is stored as JSON, where renamed fields keep their former
+//! names.
 
 mod fingerprint;
 mod mismatches;
@@ -20,7 +22,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The most statements of one tenant in a catalog, which so stays within the size of a version.
+/// The most statements of one tenant in a catalog. The limit keeps a catalog within the size of a version.
 pub const MAX_STATEMENTS_PER_TENANT: usize = 256;
 /// The most statements in a catalog.
 pub const MAX_STATEMENTS: usize = 1_024;
@@ -28,18 +30,18 @@
 /// A step of a schema change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Step {
-    /// Known to all, used by none.
+    /// All gateways know the change; none uses the new schema.
     Proposed,
-    /// Both schemas are valid: the old everywhere, the new where it has been applied.
+    /// Both schemas are valid: the old one at all members, the new one at those that have applied it.
     Both,
-    /// Only the new one is used; the old one is still there.
+    /// Only the new schema is used; the old one still exists.
     NewOnly,
-    /// The old one may go.
+    /// The old schema may be removed.
     Forgotten,
 }
 
 impl Step {
-    /// The one after it.
+    /// The step after this one.
     pub fn next(self) -> Option<Step> {
         match self {
             Step::Proposed => Some(Step::Both),
@@ -49,7 +51,7 @@
         }
     }
 
-    /// The one before it; what is forgotten can't come back.
+    /// The step before this one; there is no way back from `Forgotten`, as the old schema may have been removed.
     pub fn back(self) -> Option<Step> {
         match self {
             Step::Both => Some(Step::Proposed),
@@ -62,21 +64,21 @@
 /// A schema change of one group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SchemaChange {
-    /// The schema that it leads to; it leads from the one before.
+    /// The number of the new schema; the old one is the group's in [`Catalog::schemas`].
     pub to: u64,
-    /// How far it is.
+    /// The step that the change has reached.
     pub step: Step,
-    /// The position of the group's log at which it takes effect, once its primary has applied it.
+    /// The position of the group's log at which the change takes effect; none until the primary has applied it.
     pub position: Option<Micros>,
 }
 
-/// The schemas that a statement fits; stored as a pair.
+/// The schemas with which a statement is valid; stored as a pair.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(from = "(u64, Option<u64>)", into = "(u64, Option<u64>)")]
 pub struct SchemaRange {
-    /// The first that it fits.
+    /// The first schema with which the statement is valid.
     pub first: u64,
-    /// The last that it fits; none is until further notice.
+    /// The last schema with which the statement is valid; none if there is no last one yet.
     pub last: Option<u64>,
 }
 
@@ -98,28 +100,28 @@
     }
 }
 
-/// A statement that the fleet knows, and the schemas that it fits.
+/// A statement in the catalog, and the schemas with which it is valid.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct KnownStatement {
-    /// The tenant that uses it.
+    /// The name of the tenant that uses the statement.
     pub tenant: String,
-    /// The class that its requests name.
+    /// The name of the class of its requests.
     pub class: String,
     /// A digest of the columns of its result.
     #[serde(rename = "form")]
     pub result_digest: u64,
-    /// The schemas that it fits, by group.
+    /// The schemas with which the statement is valid, by group.
     #[serde(rename = "groups")]
     pub schemas: BTreeMap<u64, SchemaRange>,
 }
 
-/// What happens to a statement that the catalog does not know.
+/// What happens to a statement that is not in the catalog.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum UnknownStatements {
-    /// It passes, to any member.
+    /// It may be sent to any member.
     #[default]
     Pass,
-    /// It is rejected unsent.
+    /// It is rejected without being sent.
     #[serde(rename = "Refuse")]
     Reject,
 }
@@ -127,81 +129,81 @@
 /// Which members may get a statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Candidates {
-    /// All of the group.
+    /// All members of the group.
     All,
-    /// Those known to have applied the group's log up to this position.
+    /// The members known to have applied the group's log up to this position.
     AtPosition(Micros),
-    /// None as yet: it waits within its deadline, or is rejected unsent.
+    /// No member yet: the request waits within its deadline, or is rejected without being sent.
     NoneYet,
-    /// None: its schema is not valid here, or not any more.
+    /// No member: the statement's schema is not valid in this group, or not any more.
     Never,
 }
 
-/// All that gateways agree on about statements.
+/// The statements and schemas that all gateways agree on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Catalog {
-    /// The statements that are known, by fingerprint.
+    /// The known statements, by [`StatementFingerprint`].
     #[serde(rename = "shapes")]
     pub statements: BTreeMap<u64, KnownStatement>,
-    /// The schema in use, by group.
+    /// The number of the schema in use, by group; 0 for groups that are not listed.
     pub schemas: BTreeMap<u64, u64>,
-    /// The change under way, by group.
+    /// The schema change in progress, by group.
     pub changes: BTreeMap<u64, SchemaChange>,
-    /// What happens to all others.
+    /// What happens to statements that are not in `statements`.
     pub unknown: UnknownStatements,
 }
 
 /// Why a catalog can't follow another.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CatalogError {
-    /// Not a catalog.
-    #[error("it can't be read: {0}; write it with the build that the fleet runs")]
+    /// The content is not a catalog.
+    #[error("the catalog can't be read: {0}; write it with the version that the fleet runs")]
     Unreadable(String),
-    /// More than one step at once.
+    /// A schema change takes more than one step at once.
     #[error(
         "group {group}: the change to schema {to} goes from {from:?} to {step:?}; take one step at a time"
     )]
     Steps {
-        /// Where.
+        /// The group of the change.
         group: u64,
-        /// To what.
+        /// The schema that the change leads to.
         to: u64,
-        /// From which step; none is that it was not known.
+        /// The step before; none if the change is new.
         from: Option<Step>,
-        /// To which step; none is that it is gone.
+        /// The step after; none if the change is no longer listed.
         step: Option<Step>,
     },
-    /// New statements would be admitted at no known position.
+    /// Only the new schema is to be used, but the position at which it takes effect is not known.
     #[error(
-        "group {0}: only the new schema is valid, and its position is not known; apply the change first"
+        "group {0}: from step NewOnly on, a change needs its position; apply it at the primary and set the position first"
     )]
     Position(u64),
-    /// A schema without the change that leads to it.
-    #[error("group {group}: schema {schema} follows {before} with no change that was forgotten; go through its steps")]
+    /// The schema in use changes without a completed schema change.
+    #[error("group {group}: schema {schema} replaces {before} without a change at step Forgotten; take the change through its steps first")]
     Schema {
-        /// Where.
+        /// The group of the schema.
         group: u64,
-        /// The new one.
+        /// The new schema.
         schema: u64,
-        /// The one in use.
+        /// The schema in use before.
         before: u64,
     },
-    /// Too many statements.
-    #[error("{0} holds too many shapes; drop those that are used least")]
+    /// Too many statements, of a tenant or in all.
+    #[error("{0} has too many statements; remove the least used ones")]
     TooMany(String),
 }
 
 impl Catalog {
-    /// Reads the content of a version.
+    /// Decodes a catalog from the content of a version.
     ///
     /// # Errors
     ///
-    /// [`CatalogError`], where the content is no catalog.
+    /// [`CatalogError::Unreadable`], if the content is not a catalog.
     pub fn read(bytes: &[u8]) -> Result<Catalog, CatalogError> {
         serde_json::from_slice(bytes).map_err(|fault| CatalogError::Unreadable(fault.to_string()))
     }
 
-    /// The content of a version.
+    /// Encodes the catalog as the content of a version.
     pub fn write(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
@@ -210,8 +212,9 @@
         self.schemas.get(&group).copied().unwrap_or(0)
     }
 
-    /// Whether this one may follow `before`: each group's change has taken one step at most, forward or back, so that
-    /// gateways on this and on `before` never find each other's statements at a member on the wrong side.
+    /// Checks that this catalog may follow `before`: the change of each group has taken one step at most, forward or back. So
+    /// while some gateways use this catalog and others `before`, none sends a statement whose schema may not exist at the
+    /// member.
     ///
     /// # Errors
     ///
@@ -256,7 +259,7 @@
         Ok(())
     }
 
-    /// The schema in use changes only to that of a change that is over, or to a group's first.
+    /// Checks that the schema in use changes only to that of a completed change, or from none to a group's first.
     fn check_schema(&self, before: &Catalog, group: u64) -> Result<(), CatalogError> {
         let (old, new) = (before.changes.get(&group), self.changes.get(&group));
         let (schema, schema_before) = (self.schema(group), before.schema(group));
@@ -309,30 +312,30 @@
         let Some(range) = known.schemas.get(&group.0) else {
             return Candidates::Never;
         };
-        let fits_old = range.contains(self.schema(group.0));
+        let valid_with_old = range.contains(self.schema(group.0));
         let Some(change) = self.changes.get(&group.0) else {
-            return if fits_old {
+            return if valid_with_old {
                 Candidates::All
             } else {
                 Candidates::Never
             };
         };
-        change.candidates(fits_old, range.contains(change.to))
+        change.candidates(valid_with_old, range.contains(change.to))
     }
 }
 
 impl SchemaChange {
-    /// Which members may get a statement that fits the schema before the change, or the one that it leads to, or both.
-    fn candidates(&self, fits_old: bool, fits_new: bool) -> Candidates {
+    /// Which members may get a statement that is valid with the schema before the change, with the one after it, or both.
+    fn candidates(&self, valid_with_old: bool, valid_with_new: bool) -> Candidates {
         let where_applied = self
             .position
             .map_or(Candidates::NoneYet, Candidates::AtPosition);
-        match (self.step, fits_old, fits_new) {
+        match (self.step, valid_with_old, valid_with_new) {
             (_, true, true) => Candidates::All,
             (_, false, false) => Candidates::Never,
-            // The old schema is still there wherever the new one has been applied.
+            // The old schema still exists at members that have applied the new one.
             (Step::Proposed | Step::Both, true, false) => Candidates::All,
-            // What fits only the old schema is used no more.
+            // Statements that are valid only with the old schema are no longer sent.
             (Step::NewOnly | Step::Forgotten, true, false) => Candidates::Never,
             (Step::Proposed, false, true) => Candidates::NoneYet,
             (Step::Both | Step::NewOnly | Step::Forgotten, false, true) => where_applied,
--- a/src/statements/tests.rs
+++ b/src/statements/tests.rs
@@ -13,7 +13,7 @@
     }
 }
 
-/// Statements 1, 2 and 3 fit the old schema, the new one, and both.
+/// A catalog in which statements 1, 2 and 3 are valid with the old schema, the new one, and both.
 fn catalog(step: Option<Step>, position: Option<Micros>) -> Catalog {
     let statements = [
         (1, known(0, Some(4))),
@@ -53,7 +53,7 @@
     assert_eq!(
         all(&catalog(Some(Step::Both), None)),
         [All, NoneYet, All],
-        "applied nowhere yet"
+        "not applied by any member yet"
     );
     assert_eq!(
         all(&catalog(Some(Step::Both), Some(AT))),
@@ -91,8 +91,8 @@
     );
 }
 
-/// What two gateways that are one step apart may send, whatever step: never an old statement where the old schema may
-/// be gone, never a new one where the new schema is not.
+/// Two gateways can be one step apart. At each pair of steps, neither may send an old statement where the old schema may
+/// have been removed, or a new one to a member that may not have the new schema.
 #[test]
 fn adjacent_steps_agree_on_candidates() {
     let steps = [
@@ -103,38 +103,38 @@
         (Some(Step::NewOnly), Some(AT)),
         (Some(Step::Forgotten), Some(AT)),
     ];
-    // When the old schema is dropped: only once nobody can be before the step that forgets it.
+    // The old schema is removed only when every gateway is at step Forgotten.
     let pairs = steps.iter().zip(steps.iter().skip(1));
     for (one, next) in pairs {
         let (one, next) = (catalog(one.0, one.1), catalog(next.0, next.1));
         assert_eq!(next.follows(&one), Ok(()));
-        let gone = next
+        let may_be_removed = next
             .changes
             .get(&GROUP)
             .is_some_and(|change| change.step == Step::Forgotten);
         for sender in [&one, &next] {
             let [old, new, _] = all(sender);
             assert!(
-                !gone || old == Candidates::Never,
-                "an old statement where its schema may go"
+                !may_be_removed || old == Candidates::Never,
+                "an old statement where its schema may be removed"
             );
             assert_ne!(
                 new,
                 Candidates::All,
-                "a new statement at a member that may not have it"
+                "a new statement at a member that may not have the new schema"
             );
         }
     }
 }
 
 #[test]
-fn catalog_takes_one_step_forward_or_back() {
+fn catalog_follows_by_one_step_forward_or_back() {
     let at = |step, position| catalog(Some(step), position);
     let (proposed, both) = (at(Step::Proposed, None), at(Step::Both, Some(AT)));
     let (new_only, forgotten) = (at(Step::NewOnly, Some(AT)), at(Step::Forgotten, Some(AT)));
     let none = catalog(None, None);
     for (next, before) in [(&both, &new_only), (&proposed, &both), (&none, &proposed)] {
-        assert_eq!(next.follows(before), Ok(()), "the way back");
+        assert_eq!(next.follows(before), Ok(()), "one step back");
     }
     for (next, before) in [
         (&both, &none),
@@ -161,7 +161,7 @@
     ));
     assert!(
         matches!(done.follows(&none), Err(CatalogError::Schema { .. })),
-        "without any step"
+        "a schema that is replaced without a change"
     );
     let many = (0..=MAX_STATEMENTS_PER_TENANT as u64)
         .map(|statement| (statement, known(0, None)))
@@ -181,9 +181,9 @@
     ));
 }
 
-/// Gateways of the builds before read this form, and the fleet's log keeps it.
+/// Older versions of the gateway read this format, and the fleet's log stores it.
 #[test]
-fn stored_form_is_stable() {
+fn stored_format_is_stable() {
     let stored = concat!(
         r#"{"shapes":{"1":{"tenant":"a","class":"read","form":1,"groups":{"3":[0,4]}},"#,
         r#""2":{"tenant":"a","class":"read","form":1,"groups":{"3":[5,null]}},"#,
