--- a/src/cells/migration.rs
+++ b/src/cells/migration.rs
@@ -20,7 +20,7 @@
 pub struct Timing {
     /// How long a lease lasts.
     pub lease: Micros,
-    /// How far two clocks may drift apart during a lease; a rate error of 0.1% and one clock step would already be much.
+    /// How far two clocks may drift apart during a lease. A rate error of 0.1% plus one clock step is a generous value.
     pub drift: Micros,
     /// How long writes may be held until the migration is aborted.
     pub hold: Micros,
--- a/src/statements/mod.rs
+++ b/src/statements/mod.rs
@@ -52,7 +52,7 @@
     }
 
     /// The step before this one; there is no way back from `Forgotten`, as the old schema may have been removed.
-    pub fn back(self) -> Option<Step> {
+    pub fn previous(self) -> Option<Step> {
         match self {
             Step::Both => Some(Step::Proposed),
             Step::NewOnly => Some(Step::Both),
@@ -163,7 +163,7 @@
     #[error(
         "group {group}: the change to schema {to} goes from {from:?} to {step:?}; take one step at a time"
     )]
-    Steps {
+    SkippedStep {
         /// The group of the change.
         group: u64,
         /// The schema that the change leads to.
@@ -177,10 +177,10 @@
     #[error(
         "group {0}: from step NewOnly on, a change needs its position; apply it at the primary and set the position first"
     )]
-    Position(u64),
+    MissingPosition(u64),
     /// The schema in use changes without a completed schema change.
     #[error("group {group}: schema {schema} replaces {before} without a change at step Forgotten; take the change through its steps first")]
-    Schema {
+    SchemaWithoutChange {
         /// The group of the schema.
         group: u64,
         /// The new schema.
@@ -190,7 +190,7 @@
     },
     /// Too many statements, of a tenant or in all.
     #[error("{0} has too many statements; remove the least used ones")]
-    TooMany(String),
+    TooManyStatements(String),
 }
 
 impl Catalog {
@@ -239,10 +239,10 @@
         }
         let mut counts = tenants.iter();
         if let Some((tenant, _)) = counts.find(|(_, count)| **count > MAX_STATEMENTS_PER_TENANT) {
-            return Err(CatalogError::TooMany(format!("tenant {tenant}")));
+            return Err(CatalogError::TooManyStatements(format!("tenant {tenant}")));
         }
         if self.statements.len() > MAX_STATEMENTS {
-            return Err(CatalogError::TooMany("the catalog".into()));
+            return Err(CatalogError::TooManyStatements("the catalog".into()));
         }
         Ok(())
     }
@@ -254,7 +254,7 @@
         let has_position =
             change.is_none_or(|new| new.step < Step::NewOnly || new.position.is_some());
         if !has_position {
-            return Err(CatalogError::Position(group));
+            return Err(CatalogError::MissingPosition(group));
         }
         Ok(())
     }
@@ -269,7 +269,7 @@
         if schema == schema_before || is_completed || is_first {
             return Ok(());
         }
-        Err(CatalogError::Schema {
+        Err(CatalogError::SchemaWithoutChange {
             group,
             schema,
             before: schema_before,
@@ -286,14 +286,14 @@
                 old.step == Step::Proposed || is_applied
             }
             (Some(old), Some(new)) => {
-                let steps = [Some(old.step), old.step.next(), old.step.back()];
+                let steps = [Some(old.step), old.step.next(), old.step.previous()];
                 old.to == new.to && steps.contains(&Some(new.step))
             }
         };
         if is_one_step {
             return Ok(());
         }
-        Err(CatalogError::Steps {
+        Err(CatalogError::SkippedStep {
             group,
             to: new.or(old).map_or(0, |change| change.to),
             from: old.map(|old| old.step),
--- a/src/statements/tests.rs
+++ b/src/statements/tests.rs
@@ -144,23 +144,26 @@
         (&none, &both),
     ] {
         assert!(
-            matches!(next.follows(before), Err(CatalogError::Steps { .. })),
+            matches!(next.follows(before), Err(CatalogError::SkippedStep { .. })),
             "{next:?} after {before:?}"
         );
     }
     assert_eq!(
         at(Step::NewOnly, None).follows(&both),
-        Err(CatalogError::Position(GROUP))
+        Err(CatalogError::MissingPosition(GROUP))
     );
     let mut done = none.clone();
     done.schemas.insert(GROUP, 5);
     assert_eq!(done.follows(&forgotten), Ok(()));
     assert!(matches!(
         done.follows(&new_only),
-        Err(CatalogError::Schema { .. })
+        Err(CatalogError::SchemaWithoutChange { .. })
     ));
     assert!(
-        matches!(done.follows(&none), Err(CatalogError::Schema { .. })),
+        matches!(
+            done.follows(&none),
+            Err(CatalogError::SchemaWithoutChange { .. })
+        ),
         "a schema that is replaced without a change"
     );
     let many = (0..=MAX_STATEMENTS_PER_TENANT as u64)
@@ -172,7 +175,7 @@
             ..none.clone()
         }
         .follows(&none),
-        Err(CatalogError::TooMany(_))
+        Err(CatalogError::TooManyStatements(_))
     ));
     assert_eq!(Catalog::read(&both.write()), Ok(both));
     assert!(matches!(
--- a/tests/cells.rs
+++ b/tests/cells.rs
@@ -12,7 +12,7 @@
 use asterreel::cells::{CellId, Epoch};
 use asterreel::interface::{Idempotency, MemberId};
 
-const S: u64 = 1_000_000;
+const SECOND: u64 = 1_000_000;
 
 fn cells(count: u64, groups: u64) -> Vec<Cell> {
     let cell = |at: u64| Cell {
@@ -314,7 +314,7 @@
     let mut quarantine = Quarantine::new(QuarantineOptions::default());
     let query = fingerprint("one", b"SELECT x FROM t WHERE a = 'p' /* id=1,c=search */");
     let suspect = (1, query);
-    let mut now = 100 * S;
+    let mut now = 100 * SECOND;
     let admit = |quarantine: &mut Quarantine, now, idempotency, ran| {
         quarantine.admit(now, suspect, idempotency, ran, 0)
     };
@@ -343,7 +343,7 @@
         admit(&mut quarantine, now, Idempotency::NonIdempotent, true),
         QuarantineDecision::Fail
     );
-    assert_eq!(quarantine.list(now), [(query, now + 300 * S)]);
+    assert_eq!(quarantine.list(now), [(query, now + 300 * SECOND)]);
     // The same query of another tenant has another fingerprint.
     let other = (2, fingerprint("two", b"SELECT x FROM t WHERE a = 'p'"));
     assert_eq!(
@@ -351,14 +351,14 @@
         QuarantineDecision::Allow
     );
     // The quarantine ends after 300 s; the second one lasts twice as long.
-    now += 301 * S;
+    now += 301 * SECOND;
     assert_eq!(
         admit(&mut quarantine, now, Idempotency::Idempotent, false),
         QuarantineDecision::Allow
     );
     quarantine.attempt_ended(now, suspect, MemberId(1), MemberOutcome::Crashed);
     quarantine.attempt_ended(now, suspect, MemberId(2), MemberOutcome::Crashed);
-    assert_eq!(quarantine.list(now), [(query, now + 600 * S)]);
+    assert_eq!(quarantine.list(now), [(query, now + 600 * SECOND)]);
     assert!(quarantine.lift(query) && !quarantine.lift(query));
     assert_eq!(
         admit(&mut quarantine, now, Idempotency::Idempotent, false),
@@ -372,7 +372,7 @@
         entries: 100,
         ..QuarantineOptions::default()
     });
-    let now = 100 * S;
+    let now = 100 * SECOND;
     // Two members crashed under the request's own attempts: there is no third, even if no fingerprint is quarantined.
     let suspect = (1, fingerprint("one", b"a"));
     assert_eq!(
@@ -398,7 +398,13 @@
         QuarantineDecision::Refuse,
         "the quarantined tenant is not evicted"
     );
-    quarantine.admit(now + 10_000 * S, suspect, Idempotency::Idempotent, false, 0);
+    quarantine.admit(
+        now + 10_000 * SECOND,
+        suspect,
+        Idempotency::Idempotent,
+        false,
+        0,
+    );
     assert!(quarantine.is_empty());
 }
 
@@ -427,10 +433,10 @@
 }
 
 const TIMING: Timing = Timing {
-    lease: 2 * S,
-    drift: S / 10,
-    hold: 5 * S,
-    settle: S,
+    lease: 2 * SECOND,
+    drift: SECOND / 10,
+    hold: 5 * SECOND,
+    settle: SECOND,
 };
 
 /// A migration and the actions that it returned. All actions succeed at once; tests supply leases and acknowledgements.
@@ -504,22 +510,22 @@
 fn migration_waits_for_leases_or_acknowledgements() {
     let mut migrator = Migrator::begin();
     assert_eq!(migrator.step(), Step::Holding);
-    migrator.event(S, Event::Leased(GatewayId(1), 4 * S));
-    migrator.event(S, Event::Acknowledged(GatewayId(1), Epoch(7)));
-    migrator.event(3 * S, Event::Tick);
+    migrator.event(SECOND, Event::Leased(GatewayId(1), 4 * SECOND));
+    migrator.event(SECOND, Event::Acknowledged(GatewayId(1), Epoch(7)));
+    migrator.event(3 * SECOND, Event::Tick);
     assert_eq!(
         migrator.step(),
         Step::Holding,
         "an acknowledgement of an older epoch does not count, and the lease lasts"
     );
-    migrator.event(3 * S, Event::Acknowledged(GatewayId(1), Epoch(8)));
+    migrator.event(3 * SECOND, Event::Acknowledged(GatewayId(1), Epoch(8)));
     assert_eq!(
         (migrator.step(), migrator.fenced.as_slice()),
         (Step::Settling, [CellId(0)].as_slice())
     );
-    migrator.event(3 * S, Event::Abort);
+    migrator.event(3 * SECOND, Event::Abort);
     assert_eq!(migrator.step(), Step::Settling);
-    migrator.event(4 * S, Event::Tick);
+    migrator.event(4 * SECOND, Event::Tick);
     assert_eq!(migrator.finished, Some(Step::Placed));
     let published: Vec<_> = migrator
         .homes
@@ -541,7 +547,7 @@
     let mut migrator = Migrator::begin();
     // A gateway renews its lease but never acknowledges the hold, as it does not know the outcome of a write.
     for at in 1..=5 {
-        migrator.event(at * S, Event::Leased(GatewayId(1), (at + 2) * S));
+        migrator.event(at * SECOND, Event::Leased(GatewayId(1), (at + 2) * SECOND));
     }
     assert_eq!(migrator.finished, Some(Step::Aborted));
     assert!(migrator.fenced.is_empty());
@@ -552,14 +558,14 @@
 fn migration_resumed_from_any_record_completes() {
     let records = {
         let mut migrator = Migrator::begin();
-        migrator.event(3 * S, Event::Tick);
-        migrator.event(4 * S, Event::Tick);
+        migrator.event(3 * SECOND, Event::Tick);
+        migrator.event(4 * SECOND, Event::Tick);
         migrator.records
     };
     assert_eq!(records.len(), 6);
     for record in records {
         let (step, mut actions) = (record.step, Vec::new());
-        let migration = Migration::resume(record, TIMING, 10 * S, &mut actions);
+        let migration = Migration::resume(record, TIMING, 10 * SECOND, &mut actions);
         let mut migrator = Migrator {
             migration,
             records: vec![],
@@ -567,9 +573,9 @@
             fenced: vec![],
             finished: None,
         };
-        migrator.carry_out(10 * S, actions);
+        migrator.carry_out(10 * SECOND, actions);
         for at in 0..8 {
-            migrator.event((11 + at) * S, Event::Tick);
+            migrator.event((11 + at) * SECOND, Event::Tick);
         }
         assert_eq!(migrator.finished, Some(Step::Placed), "from {step:?}");
         assert_eq!(migrator.homes.last(), Some(&home(1, 10)));
@@ -616,12 +622,12 @@
 #[test]
 fn gateway_writes_under_its_lease_and_acknowledges_when_idle() {
     let mut lease = GatewayLease::default();
-    let (now, place) = (10 * S, home(0, 7));
+    let (now, place) = (10 * SECOND, home(0, 7));
     assert!(!lease.may_write(now, &place), "there is no lease yet");
-    assert!(lease.renew(now - S, &TIMING, Epoch(7)));
+    assert!(lease.renew(now - SECOND, &TIMING, Epoch(7)));
     assert!(lease.may_write(now, &place));
     // The lease counts from when it was requested, not from when the answer arrived.
-    assert!(!lease.may_write(now + S, &place));
+    assert!(!lease.may_write(now + SECOND, &place));
     assert!(!lease.renew(now, &TIMING, Epoch(6)), "an older epoch");
     lease.write_sent("one");
     let held = Home {
@@ -633,12 +639,12 @@
         !lease.may_acknowledge(now, "one", &held),
         "a write is in flight"
     );
-    lease.write_ended(now, "one", Some(now + 3 * S));
+    lease.write_ended(now, "one", Some(now + 3 * SECOND));
     assert!(
-        !lease.may_acknowledge(now + S, "one", &held),
+        !lease.may_acknowledge(now + SECOND, "one", &held),
         "the write may still run"
     );
-    assert!(lease.may_acknowledge(now + 3 * S, "one", &held));
+    assert!(lease.may_acknowledge(now + 3 * SECOND, "one", &held));
     assert!(
         !lease.may_acknowledge(now, "one", &place),
         "this home is not held"
@@ -648,7 +654,7 @@
 #[test]
 fn frequent_statement_is_not_quarantined_for_crashes_of_others() {
     let mut quarantine = Quarantine::new(QuarantineOptions::default());
-    let (now, suspect) = (100 * S, (1, fingerprint("one", b"SELECT everyday")));
+    let (now, suspect) = (100 * SECOND, (1, fingerprint("one", b"SELECT everyday")));
     for crash in 0..6 {
         quarantine.attempt_ended(now, suspect, MemberId(crash), MemberOutcome::Crashed);
         for _ in 0..100 {
@@ -664,7 +670,7 @@
 fn proven_statement_is_quarantined_later_than_a_new_one() {
     let mut quarantine = Quarantine::new(QuarantineOptions::default());
     let (now, proven, new) = (
-        100 * S,
+        100 * SECOND,
         (1, fingerprint("one", b"SELECT known")),
         (2, fingerprint("two", b"SELECT new")),
     );
