--- a/src/cells/placement.rs
+++ b/src/cells/placement.rs
@@ -304,7 +304,7 @@
     }
     if cell.groups.len() < spread {
         return error(format!(
-            "{:?} has {} groups, fewer than spread, {spread}; add groups or lower spread",
+            "{:?} has {} groups, but spread is {spread}; add groups or lower spread",
             cell.name,
             cell.groups.len()
         ));
--- a/src/cells/record.rs
+++ b/src/cells/record.rs
@@ -14,8 +14,8 @@
 /// Why a file was rejected. The placement in force stays.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// Truncated, or not a placement.
-    #[error("the file is truncated or is not a placement; publish the placement again")]
+    /// Cut short, or not a placement.
+    #[error("the file is cut short or is not a placement; publish the placement again")]
     Truncated,
     /// The file has another version.
     #[error("the file has version {0}, but this program reads version {VERSION}; publish it with the gateways' version")]
