--- a/src/bin/asterreel/core.rs
+++ b/src/bin/asterreel/core.rs
@@ -175,7 +175,7 @@
     }
 
     /// Whether an attempt that was dispatched earlier may be written now.
-    pub(crate) fn may_write(&self, request: RequestId, member: MemberId) -> bool {
+    pub(crate) fn may_send(&self, request: RequestId, member: MemberId) -> bool {
         self.with(|state| state.router.may_send(self.clock.now(), request, member))
     }
 
--- a/src/bin/asterreel/front/request.rs
+++ b/src/bin/asterreel/front/request.rs
@@ -239,8 +239,8 @@
         let (gateway, mailbox) = (self.gateway.clone(), self.mailbox.clone());
         let (id, statement) = (request.id, request.statement.clone());
         spawn(move || {
-            let may_write = || gateway.core.may_write(id, member);
-            let result = attempt::run(&gateway.pool, address, &statement, &token, may_write);
+            let may_send = || gateway.core.may_send(id, member);
+            let result = attempt::run(&gateway.pool, address, &statement, &token, may_send);
             mailbox.post(SessionEvent::AttemptEnded(number, result));
         });
     }
--- a/src/bin/asterreel/request/attempt.rs
+++ b/src/bin/asterreel/request/attempt.rs
@@ -31,13 +31,13 @@
     }
 }
 
-/// Makes one attempt. `may_write` is called once, when the connection is ready.
+/// Makes one attempt. `may_send` is called once, when the connection is ready.
 pub(crate) fn run(
     pool: &Pool,
     address: SocketAddr,
     statement: &Statement,
     token: &CancellationToken,
-    may_write: impl Fn() -> bool,
+    may_send: impl Fn() -> bool,
 ) -> AttemptResult {
     let mut connection = match pool.acquire(address, token.deadline) {
         Ok(connection) => connection,
@@ -48,7 +48,7 @@
         }
     };
     // Connecting may have taken long: a bound on staleness or a drain can have run out since the decision.
-    if !may_write() {
+    if !may_send() {
         pool.release(address, connection);
         return AttemptResult::without_answer(Outcome::NotSent);
     }
