--- a/src/bin/asterreel/front/admission.rs
+++ b/src/bin/asterreel/front/admission.rs
@@ -92,7 +92,7 @@
             address: Some(client.address),
             comment: &comment,
         };
-        let target = (statement.cluster, &statement.key[..]);
+        let target = (statement.group, &statement.key[..]);
         let placed = cells.admit(
             &caller,
             target,
@@ -118,7 +118,7 @@
             ConsistencyLevel::Write | ConsistencyLevel::Session
         );
         let after_us = statement
-            .after
+            .after_ms
             .map(|after_ms| after_ms.saturating_mul(1000));
         let since_write = after_us
             .filter(|after_us| *after_us > 0)
@@ -139,7 +139,7 @@
             group: admitted
                 .placed
                 .as_ref()
-                .map_or(GroupId(statement.cluster), |placed| placed.admitted.group),
+                .map_or(GroupId(statement.group), |placed| placed.admitted.group),
             since_write: if is_settling { Some(0) } else { since_write },
         }
     }
--- a/src/bin/asterreel/front/request.rs
+++ b/src/bin/asterreel/front/request.rs
@@ -305,7 +305,7 @@
 
     fn log_done(&self, request: &Request, received_at: Micros) {
         let took = self.gateway.core.clock.now().saturating_sub(received_at);
-        let (class, group) = (request.admitted.class.0, request.statement.cluster);
+        let (class, group) = (request.admitted.class.0, request.statement.group);
         let wait = request.statement.wait_ms;
         debug!(request = request.id.0, class, group, took, wait, "done");
     }
--- a/src/bin/asterreel/postgres/statement.rs
+++ b/src/bin/asterreel/postgres/statement.rs
@@ -17,10 +17,10 @@
     pub class: String,
     /// How long the client will wait, in milliseconds.
     pub wait_ms: u64,
-    /// The group.
-    pub cluster: u64,
-    /// The position that the read must see, in Unix milliseconds.
-    pub after: Option<u64>,
+    /// The number of the group whose data it needs; `cluster` in the comment, 0 without it.
+    pub group: u64,
+    /// The position that the read must see, in Unix milliseconds; `after` in the comment.
+    pub after_ms: Option<u64>,
     /// The first quoted text, which may name a session.
     pub key: Vec<u8>,
 }
@@ -31,8 +31,8 @@
     id: Option<&'a [u8]>,
     class: Option<&'a [u8]>,
     wait: Option<Wait>,
-    cluster: Option<u64>,
-    after: Option<u64>,
+    group: Option<u64>,
+    after_ms: Option<u64>,
 }
 
 /// The wait in a comment: its value, and where in the statement it is.
@@ -65,8 +65,8 @@
                         range: start..start + value.len(),
                     });
                 }
-                b"cluster" => values.cluster = Some(number(value)?),
-                b"after" => values.after = Some(number(value)?),
+                b"cluster" => values.group = Some(number(value)?),
+                b"after" => values.after_ms = Some(number(value)?),
                 _ => {}
             }
         }
@@ -109,8 +109,8 @@
             id: id.to_vec(),
             class: class.to_owned(),
             wait_ms: wait.milliseconds,
-            cluster: values.cluster.unwrap_or(0),
-            after: values.after,
+            group: values.group.unwrap_or(0),
+            after_ms: values.after_ms,
             key: quoted.unwrap_or_default().to_vec(),
             bytes: bytes.to_vec(),
         })
--- a/src/bin/asterreel/postgres/tests.rs
+++ b/src/bin/asterreel/postgres/tests.rs
@@ -152,15 +152,11 @@
 fn forwarded_statement_changes_only_its_wait() {
     let statement = Statement::parse(READ).expect("valid");
     assert_eq!(
-        (
-            statement.class.as_str(),
-            statement.wait_ms,
-            statement.cluster
-        ),
+        (statement.class.as_str(), statement.wait_ms, statement.group),
         ("basket", 480, 2)
     );
     assert_eq!(
-        (statement.after, &statement.key[..]),
+        (statement.after_ms, &statement.key[..]),
         (Some(17), &b"7f"[..])
     );
     let text = String::from_utf8_lossy(READ).replace("d=480", "d=9");
