--- a/src/bin/asterreel/core.rs
+++ b/src/bin/asterreel/core.rs
@@ -174,7 +174,7 @@
         self.feed(Event::AttemptEnded(ended));
     }
 
-    /// Whether an attempt that was dispatched earlier may be written now.
+    /// Whether an attempt that was dispatched earlier may still be sent to its member, see [`Router::may_send`].
     pub(crate) fn may_send(&self, request: RequestId, member: MemberId) -> bool {
         self.with(|state| state.router.may_send(self.clock.now(), request, member))
     }
--- a/src/bin/asterreel/front/accept.rs
+++ b/src/bin/asterreel/front/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting clients, each of which gets a session.
+//! Accepts clients and starts a session for each.
 
 use super::gateway::Gateway;
 use super::session::Session;
@@ -10,10 +10,10 @@
 use std::sync::Arc;
 use tracing::warn;
 
-/// Wait after accepting failed, or while no more sessions may be opened.
+/// Wait after a failed accept, and while the limit on sessions is reached.
 const ACCEPT_RETRY_DELAY_US: Micros = 5_000;
 
-/// Accepts clients for as long as the process runs. Running out of descriptors only delays the next one.
+/// Accepts clients for as long as the process runs. When descriptors run out, the next client is accepted after a delay.
 pub(crate) fn accept(gateway: &Arc<Gateway>, listener: &TcpListener) {
     gateway.sessions.set_accept_waker(listener.waker());
     let pause = || {
@@ -30,13 +30,13 @@
         match listener.accept() {
             Ok((socket, from)) => {
                 let stream = Stream::new(socket, gateway.core.timer.clone());
-                // Registered here, so that the limit counts sessions whose coroutines have not run yet.
+                // Registered before its coroutine starts, so that the limit counts it at once.
                 let registered = gateway.register(stream.waker());
                 let session = Session::new(gateway.clone(), registered, stream, from.ip());
                 spawn(move || session.run());
             }
             Err(error) => {
-                warn!("accept: {error}");
+                warn!("cannot accept a client, retrying: {error}; check the limit on open files");
                 pause();
             }
         }
--- a/src/bin/asterreel/front/admission.rs
+++ b/src/bin/asterreel/front/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request is admitted, and what the router gets to know of it.
+//! Admission of requests, and what the router is given about them.
 
 use super::error_answer::ErrorAnswer;
 use super::open_requests::OpenRequestId;
@@ -11,23 +11,23 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use tracing::debug;
 
-/// What an admitted request holds until it is over.
+/// What an admitted request holds until it has completed.
 pub(super) struct Admitted {
-    /// Its class.
+    /// The number of its class.
     pub class: ClassId,
-    /// What repeating it does.
+    /// Whether running it more than once does harm.
     pub idempotency: Idempotency,
-    /// What data it needs.
+    /// Whether it writes, and otherwise how recent the data that it reads must be.
     pub consistency: ConsistencyLevel,
-    /// When its client stops waiting.
+    /// When its client stops waiting for an answer.
     pub due: Micros,
-    /// Its place in its cell, where cells are on.
+    /// Its admission to the cell of its tenant, where cells are configured.
     pub placed: Option<Placed>,
     _open_id: OpenRequestId,
 }
 
 impl Session {
-    /// Admits a request, or says with which final answer it is not.
+    /// Admits a request, or returns the final answer of one that is not admitted.
     pub(super) fn admit(
         &self,
         statement: &Statement,
@@ -37,7 +37,7 @@
         let class = gateway
             .class(&statement.class)
             .ok_or(ErrorAnswer::InvalidRequest("unknown class"))?;
-        // Two open requests with one id could get each other's answers from a server.
+        // A server could mix up the answers of two open requests with the same id.
         let open_id =
             gateway
                 .open_requests
@@ -51,12 +51,12 @@
             .saturating_add(wait)
             .min(gateway.last_answer_at());
         if gateway.core.clock.now() >= due {
-            // Its time passed while it was queued behind others: an attempt could not be written any more, and would
-            // cost the connection that it takes.
+            // Its deadline passed while it was queued behind others of its session. An attempt could no longer be written
+            // and would only occupy a connection.
             debug!(
                 class = class.id.0,
                 wait = statement.wait_ms,
-                "out of time before its turn"
+                "deadline passed before the request was handled"
             );
             return Err(ErrorAnswer::Failed("out of time"));
         }
@@ -71,7 +71,7 @@
         })
     }
 
-    /// Where a request's tenant is served, with a place in its cell; nothing where cells are off.
+    /// Admits a request to the cell of its tenant; `None` where cells are not configured.
     fn placed(
         &self,
         statement: &Statement,
@@ -99,7 +99,7 @@
             statement.text(),
             consistency == ConsistencyLevel::Write,
         )?;
-        // It would wait in vain: nothing of another cell may serve it.
+        // No member of another cell may serve the request, so it is rejected instead of waiting until its deadline.
         if self
             .gateway
             .core
@@ -110,7 +110,7 @@
         Ok(Some(placed))
     }
 
-    /// What the router gets to know of a request.
+    /// The arrival event of a request, as the router is given it.
     pub(super) fn arrival(&self, statement: &Statement, admitted: &Admitted) -> Arrival {
         let now = self.gateway.core.clock.now();
         let is_in_session = matches!(
@@ -123,7 +123,7 @@
         let since_write = after_us
             .filter(|after_us| *after_us > 0)
             .map(|after_us| now.saturating_sub(after_us));
-        // Just moved: replicas of the new cell may lack what the session wrote in the old one.
+        // The tenant has just moved: replicas of the new cell may lack what the session wrote in the old one.
         let is_settling = admitted.consistency == ConsistencyLevel::Session
             && admitted
                 .placed
--- a/src/bin/asterreel/front/attempts.rs
+++ b/src/bin/asterreel/front/attempts.rs
@@ -4,32 +4,32 @@
 use asterreel::interface::{AttemptNo, MemberId, Micros};
 use std::sync::Arc;
 
-/// An attempt in flight.
+/// An attempt that has not ended.
 pub(super) struct Attempt {
-    /// When the router's command to dispatch it was carried out.
+    /// When it was started; its latency counts from here.
     pub started_at: Micros,
-    /// The member it goes to.
+    /// The member that it is sent to.
     pub member: MemberId,
-    /// Cancels it.
+    /// Cancels the attempt.
     pub token: Arc<CancellationToken>,
 }
 
-/// The attempts of a request by number; those that have ended or were never started leave nothing but their number.
+/// The attempts of a request, indexed by number; `None` for one that has ended or was never started.
 #[derive(Default)]
 pub(super) struct Attempts(Vec<Option<Attempt>>);
 
 impl Attempts {
-    /// Whether any attempt has not ended.
+    /// Whether any attempt is in flight.
     pub(super) fn any_in_flight(&self) -> bool {
         self.0.iter().any(Option::is_some)
     }
 
-    /// Takes in an attempt that starts now, and numbers it.
+    /// Adds an attempt that starts now, and returns its number.
     pub(super) fn start(&mut self, attempt: Attempt) -> AttemptNo {
         self.push(Some(attempt))
     }
 
-    /// Uses up the number of an attempt that was dispatched and will not be started.
+    /// Returns the number of an attempt that was dispatched and will not be started. The router counts it too.
     pub(super) fn skip(&mut self) -> AttemptNo {
         self.push(None)
     }
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Removes an attempt that has ended.
+    /// Removes an attempt that has ended; `None` if it was removed before.
     pub(super) fn finish(&mut self, number: AttemptNo) -> Option<Attempt> {
         self.0.get_mut(number.0 as usize)?.take()
     }
--- a/src/bin/asterreel/front/error_answer.rs
+++ b/src/bin/asterreel/front/error_answer.rs
@@ -4,25 +4,25 @@
 use asterreel::cells::Rejection;
 use asterreel::interface::Micros;
 
-/// A final answer other than a row, with the text that its client gets.
+/// A final answer other than a row, with the text of the error message for the client.
 pub(super) enum ErrorAnswer {
-    /// The request breaks the protocol, or lacks what the gateway needs.
+    /// The request violates the protocol, or its comment lacks something that the gateway needs.
     InvalidRequest(&'static str),
-    /// No tenant is known for the client.
+    /// No tenant is known for the client, or for the statement.
     UnknownClient(&'static str),
-    /// Nothing ran: the client may retry, at best after the delay.
+    /// Nothing ran. The client may retry, preferably after the delay.
     Rejected {
         text: &'static str,
         retry_after: Option<Micros>,
     },
-    /// The request failed and may have run.
+    /// The request failed, and may have run.
     Failed(&'static str),
-    /// Its client has cancelled it.
+    /// The client sent a cancel request.
     Cancelled,
 }
 
 impl ErrorAnswer {
-    /// Appends the answer's message; a delay is given in milliseconds, rounded up.
+    /// Appends the ErrorResponse. Its detail is the retry delay, if there is one, in milliseconds, rounded up.
     pub(super) fn write(&self, out: &mut Vec<u8>) {
         let (code, text, retry_after) = match self {
             ErrorAnswer::InvalidRequest(text) => (sqlstate::PROTOCOL_VIOLATION, *text, None),
@@ -43,9 +43,9 @@
 }
 
 impl From<Rejection> for ErrorAnswer {
-    fn from(refusal: Rejection) -> ErrorAnswer {
-        let (text, retry_after) = refusal.message();
-        if refusal == Rejection::UnknownTenant {
+    fn from(rejection: Rejection) -> ErrorAnswer {
+        let (text, retry_after) = rejection.message();
+        if rejection == Rejection::UnknownTenant {
             ErrorAnswer::UnknownClient(text)
         } else {
             ErrorAnswer::Rejected { text, retry_after }
--- a/src/bin/asterreel/front/gateway.rs
+++ b/src/bin/asterreel/front/gateway.rs
@@ -1,6 +1,6 @@
-//! What all sessions share: the router, the pool, the classes of requests, limits, and the state of a drain.
+//! State that all sessions share: the router, the pool, the classes of requests, limits, and the state of a drain.
 //!
-//! No lock here is held over a wait.
+//! No lock here is held across a wait.
 
 use super::mailbox::Mailbox;
 use super::open_requests::OpenRequests;
@@ -18,62 +18,62 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// How many clients a gateway may have.
+/// Limits on the clients of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ClientLimits {
     /// How many sessions may be open.
     pub max_sessions: usize,
-    /// How many sessions past their opening and how many requests there may be.
+    /// How many sessions may have completed their opening, and how many requests may be open.
     pub max_served: usize,
 }
 
 impl ClientLimits {
-    /// The part of all descriptors that sessions past their opening may hold: each of their requests needs a connection
-    /// to a server as well.
-    const DESCRIPTORS_PER_SERVED: usize = 3;
+    /// Descriptors of the process for each session that has completed its opening: besides its own connection, each of
+    /// its requests needs a connection to a server.
+    const DESCRIPTORS_PER_SERVED_SESSION: usize = 3;
 
-    /// The limits of a process with so many descriptors, of which clients may hold `max_sessions`.
+    /// The limits of a process that may open `all_descriptors`, of which clients may hold `max_sessions`.
     pub(crate) fn new(max_sessions: usize, all_descriptors: usize) -> ClientLimits {
         ClientLimits {
             max_sessions,
-            max_served: all_descriptors / ClientLimits::DESCRIPTORS_PER_SERVED,
+            max_served: all_descriptors / ClientLimits::DESCRIPTORS_PER_SERVED_SESSION,
         }
     }
 }
 
-/// What a session needs to know of a class of requests.
+/// The settings of a class of requests that sessions use.
 pub(super) struct Class {
-    /// Its number.
+    /// Its index in the settings.
     pub id: ClassId,
     name: String,
-    /// What data its requests need.
+    /// Whether its requests write, and otherwise how recent the data that they read must be.
     pub consistency: ConsistencyLevel,
-    /// What repeating its requests does.
+    /// Whether running one of its requests more than once does harm.
     pub idempotency: Idempotency,
-    /// The longest wait of its requests.
+    /// The longest time that one of its requests may wait for its answer.
     pub deadline: Micros,
 }
 
-/// What all sessions share.
+/// The state that all sessions share.
 pub(crate) struct Gateway {
-    /// The router.
+    /// The router, and what its actions reach.
     pub core: Arc<Core>,
     /// Connections to servers.
     pub pool: Arc<Pool>,
     /// The classes of requests, by number.
     classes: Vec<Class>,
-    /// Which tenants may reach which groups, where the operator's file says so.
+    /// Admits the requests of tenants to the groups of their cells, where the operator's file configures cells.
     pub(super) cells: Option<Cells>,
-    /// How many clients may be connected and served.
+    /// The limits on sessions and requests.
     pub(super) limits: ClientLimits,
     draining: AtomicBool,
-    /// When the last answer must have been sent, once that is known.
+    /// When the last answer must have been sent; `Micros::MAX` until a drain sets it.
     last_answer_at: AtomicU64,
     /// The sessions that are open.
     pub(super) sessions: Sessions,
-    /// The ids by which clients name the requests that are open.
+    /// The client-assigned ids of open requests.
     pub(super) open_requests: OpenRequests,
-    /// Admission pacing of new clients, where the operator configures it.
+    /// Paces the admission of new clients, where the operator's file configures it.
     admission_pacing: Mutex<Option<Readmission>>,
 }
 
@@ -115,19 +115,19 @@
         }
     }
 
-    /// From now on new clients are admitted at this pace.
+    /// Admits new clients at this pace from now on.
     pub(crate) fn set_admission_pacing(&self, pacing: Readmission) {
         *lock(&self.admission_pacing) = Some(pacing);
     }
 
-    /// Sets how many gateways share the number of clients that the fleet may admit.
+    /// Sets the number of gateways among which the fleet's admission rate is divided.
     pub(crate) fn set_fleet_size(&self, gateways: u32) {
         if let Some(pacing) = lock(&self.admission_pacing).as_mut() {
             pacing.set_gateway_count(gateways);
         }
     }
 
-    /// Whether a new client at this address is admitted now; without admission pacing each is.
+    /// Whether a new client at this address is admitted now; without admission pacing every client is.
     pub(super) fn pace_admission(&self, from: IpAddr) -> Answer {
         match lock(&self.admission_pacing).as_mut() {
             Some(pacing) => pacing.arrive(self.core.clock.now(), from),
@@ -135,29 +135,29 @@
         }
     }
 
-    /// How many requests arrived since the start.
+    /// How many requests have arrived since the process started.
     pub(crate) fn requests(&self) -> u64 {
         self.core.requests()
     }
 
-    /// From now on no request is waited for any longer than this: the process may be killed soon after, and
-    /// what it had accepted by then would be lost.
+    /// Limits the deadlines of requests that are admitted from now on to `at`: the process may be killed soon after, and
+    /// requests that were still open would get no answer.
     pub(crate) fn set_last_answer_at(&self, at: Micros) {
         self.last_answer_at.store(at, Ordering::Release);
     }
 
-    /// When the last answer must have been sent.
+    /// When the last answer must have been sent; `Micros::MAX` before a drain.
     pub(super) fn last_answer_at(&self) -> Micros {
         self.last_answer_at.load(Ordering::Acquire)
     }
 
-    /// Starts the draining: from now on connections are closed between requests.
+    /// Starts a drain: connections are closed between requests from now on.
     pub(crate) fn drain(&self) {
         self.draining.store(true, Ordering::Release);
         self.sessions.wake_all();
     }
 
-    /// Whether connections are closed between requests.
+    /// Whether a drain has started, so that connections are closed between requests.
     pub(super) fn is_draining(&self) -> bool {
         self.draining.load(Ordering::Acquire)
     }
@@ -172,7 +172,7 @@
         self.sessions.count()
     }
 
-    /// How much of the capacity for clients is in use; nothing where a lock is held, as this never waits.
+    /// How much of the capacity for clients is in use; `None` where a lock is held, as this never waits.
     pub(crate) fn capacity(&self) -> Option<Capacity> {
         Some(Capacity {
             sessions: self.sessions.try_count()?,
@@ -182,12 +182,12 @@
         })
     }
 
-    /// Whether no more sessions may be opened.
+    /// Whether the limit on open sessions is reached.
     pub(super) fn is_full(&self) -> bool {
         self.open_sessions() >= self.limits.max_sessions
     }
 
-    /// Registers a new session that is woken by this waker, and numbers it.
+    /// Registers a new session, which this waker wakes.
     pub(super) fn register(&self, waker: WaitIoWaker) -> RegisteredSession {
         self.sessions
             .register(|| Mailbox::new(waker, self.core.clock.now(), self.core.commands.clone()))
--- a/src/bin/asterreel/front/local_statement.rs
+++ b/src/bin/asterreel/front/local_statement.rs
@@ -1,15 +1,15 @@
 //! Statements that the gateway answers itself, without a server.
 
-/// A statement that is answered here.
+/// A kind of statement that the gateway answers itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LocalStatement {
     /// Nothing but whitespace and semicolons.
     Empty,
-    /// A statement about the session's settings, with the tag of its CommandComplete.
+    /// A SET, RESET or DISCARD statement, with the tag of its CommandComplete. The gateway keeps no session settings.
     SessionSetting(&'static str),
 }
 
-/// Which statement of those that are answered here this is, if any.
+/// The kind of a statement that the gateway answers itself; `None` for every other statement.
 pub(super) fn local_statement(text: &[u8]) -> Option<LocalStatement> {
     let text = text.trim_ascii();
     let is_separator = |byte: &u8| byte.is_ascii_whitespace() || *byte == b';';
--- a/src/bin/asterreel/front/mailbox.rs
+++ b/src/bin/asterreel/front/mailbox.rs
@@ -1,4 +1,4 @@
-//! A session's mailbox: events that others have for it, and what they may see of it.
+//! A session's mailbox: events for the session, and the state of the session that other coroutines read.
 
 use crate::core::{Command, CommandCounters, CommandMailbox};
 use crate::request::attempt::AttemptResult;
@@ -9,9 +9,10 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// What a session waits for while a request is open, beside its client.
+/// An event of an open request. All but `ClientGone` and `DeadlinePassed` are posted to the mailbox; these two the
+/// session finds itself while it waits.
 pub(super) enum SessionEvent {
-    /// The router wants something done for the request.
+    /// The router has a command for the request.
     Command(Command),
     /// An attempt has ended.
     AttemptEnded(AttemptNo, AttemptResult),
@@ -23,7 +24,7 @@
     DeadlinePassed,
 }
 
-/// What a session without an open request waits for from its client.
+/// Which input a session without an open request waits for.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReadState {
     /// The opening message.
@@ -34,12 +35,12 @@
     Message,
 }
 
-/// What a session waits for from its client, and since when.
+/// A session's wait for input from its client.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) struct ClientWait {
-    /// What it waits for.
+    /// Which input it waits for.
     pub state: ReadState,
-    /// When it began to wait.
+    /// When the wait began.
     pub since: Micros,
 }
 
@@ -47,12 +48,12 @@
 pub(super) struct Mailbox {
     /// Wakes the session.
     pub waker: WaitIoWaker,
-    /// Asks the session to close, so that another client gets its connection.
+    /// Asks the session to close, so that another client can be accepted.
     close_requested: AtomicBool,
     events: Mutex<VecDeque<SessionEvent>>,
-    /// Nothing while the session is busy.
+    /// `None` while the session handles a message.
     client_wait: Mutex<Option<ClientWait>>,
-    commands: Arc<CommandCounters>,
+    command_counters: Arc<CommandCounters>,
 }
 
 impl Drop for Mailbox {
@@ -62,8 +63,12 @@
 }
 
 impl Mailbox {
-    /// The mailbox of a session that waits for its opening message from now on.
-    pub(super) fn new(waker: WaitIoWaker, now: Micros, commands: Arc<CommandCounters>) -> Mailbox {
+    /// The mailbox of a session that waits for its opening message as of `now`.
+    pub(super) fn new(
+        waker: WaitIoWaker,
+        now: Micros,
+        command_counters: Arc<CommandCounters>,
+    ) -> Mailbox {
         let opening = ClientWait {
             state: ReadState::Opening,
             since: now,
@@ -73,26 +78,26 @@
             close_requested: AtomicBool::new(false),
             events: Mutex::default(),
             client_wait: Mutex::new(Some(opening)),
-            commands,
+            command_counters,
         }
     }
 
-    /// What the session waits for from its client; nothing while it is busy.
+    /// The session's wait for its client; `None` while it handles a message.
     pub(super) fn client_wait(&self) -> Option<ClientWait> {
         *self.lock_client_wait()
     }
 
-    /// Notes what the session waits for from its client.
+    /// Records the session's wait for its client, or with `None` that it handles a message.
     pub(super) fn set_client_wait(&self, wait: Option<ClientWait>) {
         *self.lock_client_wait() = wait;
     }
 
-    /// Whether the session is asked to close.
+    /// Whether the session has been asked to close, or is closing.
     pub(super) fn is_close_requested(&self) -> bool {
         self.close_requested.load(Ordering::Acquire)
     }
 
-    /// Asks the session to close, or takes that back.
+    /// Asks the session to close, or withdraws the request.
     pub(super) fn set_close_requested(&self, close: bool) {
         self.close_requested.store(close, Ordering::Release);
     }
@@ -103,21 +108,23 @@
         self.waker.wakeup();
     }
 
-    /// Takes the oldest event.
+    /// Removes the oldest event and returns it.
     pub(super) fn take(&self) -> Option<SessionEvent> {
         let event = self.events().pop_front();
         if let Some(SessionEvent::Command(_)) = event {
-            self.commands.received.fetch_add(1, Ordering::AcqRel);
+            self.command_counters
+                .received
+                .fetch_add(1, Ordering::AcqRel);
         }
         event
     }
 
-    /// Whether no event waits.
+    /// Whether no event is queued.
     pub(super) fn is_empty(&self) -> bool {
         self.events().is_empty()
     }
 
-    /// Drops what is left of a request that is over: the next one's commands must not begin with its last.
+    /// Discards the remaining events of a completed request, so that they do not reach the next one.
     pub(super) fn clear(&self) {
         while self.take().is_some() {}
     }
@@ -133,7 +140,7 @@
 
 impl CommandMailbox for Mailbox {
     fn send(&self, command: Command) {
-        self.commands.sent.fetch_add(1, Ordering::AcqRel);
+        self.command_counters.sent.fetch_add(1, Ordering::AcqRel);
         self.post(SessionEvent::Command(command));
     }
 }
--- a/src/bin/asterreel/front/mod.rs
+++ b/src/bin/asterreel/front/mod.rs
@@ -1,9 +1,10 @@
-//! The front end for PostgreSQL clients: accepting them, their sessions, and the life of each request.
+//! The front end for PostgreSQL clients: their connections, sessions and requests.
 //!
-//! `accept` accepts connections, `gateway` holds what all sessions share, `sessions` and `open_requests` are registries; `shed` chooses which sessions are closed when
-//! capacity runs out. A client has a `session`, which reads its messages; its `mailbox` holds events from others.
-//! `request` is the life of one request from top to bottom: `admission` decides whether it is admitted, `attempts` keeps
-//! track of those in flight, and `error_answer` is any final answer other than a row.
+//! `accept` accepts connections and `gateway` holds the state that all sessions share. `sessions` and `open_requests` are
+//! registries, and `shed` selects the sessions to close when a limit on clients is near. Each client has a `session`,
+//! which reads its messages, and a `mailbox`, to which the router, attempts and other sessions post events for it.
+//! `request` handles one request from its arrival to its last attempt: `admission` decides whether it is admitted,
+//! `attempts` keeps track of the attempts in flight, and `error_answer` writes any final answer other than a row.
 
 mod accept;
 mod admission;
--- a/src/bin/asterreel/front/open_requests.rs
+++ b/src/bin/asterreel/front/open_requests.rs
@@ -1,15 +1,15 @@
-//! The ids of open requests, of which no two are the same.
+//! The client-assigned ids of open requests, each of which is used by one open request at most.
 
 use crate::runtime::sync::lock;
 use std::collections::HashSet;
 use std::sync::{Arc, Mutex};
 
-/// The ids by which clients name the requests that are open.
+/// The set of ids that open requests use.
 #[derive(Clone, Default)]
 pub(super) struct OpenRequests(Arc<Mutex<HashSet<Vec<u8>>>>);
 
 impl OpenRequests {
-    /// Reserves an id; nothing where an open request has it.
+    /// Reserves an id until the result is dropped; `None` where an open request uses it.
     pub(super) fn reserve(&self, id: &[u8]) -> Option<OpenRequestId> {
         let is_free = lock(&self.0).insert(id.to_vec());
         is_free.then(|| OpenRequestId {
@@ -18,13 +18,13 @@
         })
     }
 
-    /// How many requests are open; nothing where the lock is held, as this never waits.
+    /// How many requests are open; `None` where the lock is held, as this never waits.
     pub(super) fn try_count(&self) -> Option<usize> {
         Some(self.0.try_lock().ok()?.len())
     }
 }
 
-/// The id of an open request, which is free again once this is dropped.
+/// The reservation of an open request's id, which is released on drop.
 pub(super) struct OpenRequestId {
     open: OpenRequests,
     id: Vec<u8>,
--- a/src/bin/asterreel/front/request.rs
+++ b/src/bin/asterreel/front/request.rs
@@ -1,8 +1,8 @@
-//! The life of one request: its admission, its attempts, and its one final answer.
+//! Handling of one request: its admission, its attempts and its final answer.
 //!
-//! The router decides; here its commands are carried out, and it is notified of how attempts end. A request that was
-//! admitted gets exactly one final answer, at the latest shortly after its deadline. Nothing is dispatched for a client
-//! that has gone, and nothing is sent twice but by a command of the router.
+//! The router decides; this module carries out its commands and reports to it how attempts end. An admitted request gets
+//! exactly one final answer, at the latest [`DECISION_GRACE_US`] after its deadline. No attempt is dispatched for a
+//! client that has disconnected, and a statement is sent again only on a command of the router.
 
 use super::admission::Admitted;
 use super::attempts::{Attempt, Attempts};
@@ -20,32 +20,32 @@
 use std::sync::Arc;
 use tracing::{debug, warn};
 
-/// How long after a request's deadline the session answers by itself, should the router have decided nothing.
+/// How long after a request's deadline the session still waits for the router's decision before it sends an error itself.
 const DECISION_GRACE_US: Micros = 10_000;
 
-/// A request that the router knows, and how far it has come.
+/// An admitted request, with the state of its attempts and of its answer.
 struct Request {
     id: RequestId,
     statement: Arc<Statement>,
     admitted: Admitted,
     attempts: Attempts,
-    /// Its final answer has not been decided.
-    answer_owed: bool,
-    /// Whether an attempt that has ended may have run.
+    /// The final answer has not been decided yet.
+    answer_pending: bool,
+    /// Whether an attempt that ended without an answer may have run the statement.
     may_have_run: bool,
-    /// The members whose connections broke under an attempt.
+    /// The members whose connections broke during an attempt of this request.
     failed_members: HashSet<MemberId>,
 }
 
 impl Request {
-    /// Appends the final answer, unless there is one.
-    fn conclude(&mut self, answer: &ErrorAnswer, out: &mut Vec<u8>) {
-        if std::mem::replace(&mut self.answer_owed, false) {
+    /// Appends this error as the final answer, unless one has been decided before.
+    fn finish_with_error(&mut self, answer: &ErrorAnswer, out: &mut Vec<u8>) {
+        if std::mem::replace(&mut self.answer_pending, false) {
             answer.write(out);
         }
     }
 
-    /// Whether its cell admits another attempt, or which final answer it gets instead.
+    /// Whether the quarantine of the request's cell allows another attempt; the error is the final answer otherwise.
     fn check_quarantine(&self) -> Result<(), ErrorAnswer> {
         let Some(placed) = &self.admitted.placed else {
             return Ok(());
@@ -65,8 +65,8 @@
         }
     }
 
-    /// How an attempt ended that was dispatched and never started.
-    fn never_started(&mut self) -> AttemptEnded {
+    /// The `NotSent` end of an attempt that the router dispatched and that was never started; takes an attempt number.
+    fn unstarted_attempt(&mut self) -> AttemptEnded {
         AttemptEnded {
             request: self.id,
             attempt: self.attempts.skip(),
@@ -80,8 +80,8 @@
 }
 
 impl Session {
-    /// The life of one request, from its arrival to the end of its last attempt. Its final answer is written as soon as
-    /// it is decided, where attempts are still in flight then; otherwise it is appended to `out`.
+    /// Handles one request, from its arrival to the end of its last attempt. The final answer is appended to `out`; where
+    /// attempts are still in flight when it is decided, it is written to the client without waiting for their ends.
     pub(super) fn request(
         &mut self,
         statement: Statement,
@@ -98,24 +98,24 @@
         let decision_deadline = admitted.due.saturating_add(DECISION_GRACE_US);
         let core = self.gateway.core.clone();
         let _alarm = core.timer.alarm(decision_deadline, self.stream.waker());
-        let mut request = self.arrive(statement, admitted);
-        while request.answer_owed || request.attempts.any_in_flight() {
+        let mut request = self.submit(statement, admitted);
+        while request.answer_pending || request.attempts.any_in_flight() {
             self.write_decided_answer(&request, out);
-            let event = self.next_event(request.answer_owed.then_some(decision_deadline));
+            let event = self.next_event(request.answer_pending.then_some(decision_deadline));
             self.handle(&mut request, event, out);
         }
-        self.return_dispatches(&mut request);
+        self.report_unstarted_dispatches(&mut request);
         core.forget(request.id);
-        self.log_done(&request, received_at);
+        self.log_completion(&request, received_at);
         if self.client_gone {
             return Err(SessionError::ClientGone);
         }
         Ok(())
     }
 
-    /// Hands a request over to the router.
-    fn arrive(&self, statement: Statement, admitted: Admitted) -> Request {
-        // A cancel request that came between two requests is for none of them.
+    /// Registers an admitted request with the router.
+    fn submit(&self, statement: Statement, admitted: Admitted) -> Request {
+        // A cancel request that arrived between two requests applies to neither of them.
         self.mailbox.clear();
         let arrival = self.arrival(&statement, &admitted);
         let id = self.gateway.core.arrive(arrival, self.mailbox.clone());
@@ -124,27 +124,27 @@
             statement: Arc::new(statement),
             admitted,
             attempts: Attempts::default(),
-            answer_owed: true,
+            answer_pending: true,
             may_have_run: false,
             failed_members: HashSet::new(),
         }
     }
 
-    /// Writes a final answer that was decided while attempts are in flight: one that was cancelled may take a while to
-    /// end. Commands of the router go first, as a client that reads slowly may hold this up.
+    /// Writes a final answer that was decided while attempts are in flight, since a cancelled attempt may take a while to
+    /// end. Events in the mailbox are handled first, because a client that reads slowly blocks the write.
     fn write_decided_answer(&mut self, request: &Request, out: &mut Vec<u8>) {
-        if !request.answer_owed && !out.is_empty() && self.mailbox.is_empty() {
+        if !request.answer_pending && !out.is_empty() && self.mailbox.is_empty() {
             self.client_gone |= !self.client_gone && self.write(out).is_err();
             out.clear();
         }
     }
 
-    /// Waits for the next event of a request; the deadline counts while the final answer is owed.
+    /// Waits for the next event of a request. With `decision_deadline`, its passing is an event too.
     fn next_event(&mut self, decision_deadline: Option<Micros>) -> SessionEvent {
         loop {
-            // Before any command is taken: nothing is started for a client that has gone. What it sends ahead stays in
-            // the buffer, up to a limit; beyond that only the socket shows its close.
-            if !self.client_gone && self.client_has_gone() {
+            // Checked before any command is taken, so that nothing is started for a client that has disconnected. Requests
+            // that it pipelines stay in the buffer, up to a limit; beyond that only the socket shows its close.
+            if !self.client_gone && self.check_client_gone() {
                 self.client_gone = true;
                 return SessionEvent::ClientGone;
             }
@@ -158,8 +158,8 @@
         }
     }
 
-    /// Reads ahead, but not in a drain, and says whether the client has closed its connection or its sending side.
-    fn client_has_gone(&mut self) -> bool {
+    /// Reads ahead, except while draining, and returns whether the client has closed its connection or its sending side.
+    fn check_client_gone(&mut self) -> bool {
         let is_draining = self.gateway.is_draining();
         while !is_draining && self.stream.buffer.data().len() < pg::MAX_MESSAGE_BYTES {
             match self.stream.read_now() {
@@ -181,53 +181,54 @@
             }
             SessionEvent::Command(Command::Reject { retry_after }) => {
                 let text = "refused, try again";
-                request.conclude(&ErrorAnswer::Rejected { text, retry_after }, out);
+                request.finish_with_error(&ErrorAnswer::Rejected { text, retry_after }, out);
             }
             SessionEvent::Command(Command::Fail) => {
-                request.conclude(&ErrorAnswer::Failed("failed"), out);
+                request.finish_with_error(&ErrorAnswer::Failed("failed"), out);
             }
             SessionEvent::AttemptEnded(number, result) => {
                 self.attempt_ended(request, number, result, out);
             }
-            SessionEvent::CancelRequested if !request.answer_owed => {}
+            SessionEvent::CancelRequested if !request.answer_pending => {}
             SessionEvent::CancelRequested => {
-                request.conclude(&ErrorAnswer::Cancelled, out);
+                request.finish_with_error(&ErrorAnswer::Cancelled, out);
                 self.gateway.core.client_gone(request.id);
             }
             SessionEvent::ClientGone | SessionEvent::DeadlinePassed => {
-                if request.answer_owed {
+                if request.answer_pending {
                     warn!(
                         left = self.client_gone,
-                        "request ended without the module's answer"
+                        "the client left or the deadline passed before the router decided the request's answer"
                     );
                 }
-                request.conclude(&ErrorAnswer::Failed("out of time"), out);
+                request.finish_with_error(&ErrorAnswer::Failed("out of time"), out);
                 self.gateway.core.client_gone(request.id);
             }
         }
     }
 
-    /// Starts an attempt, unless the final answer was decided after the router's command.
+    /// Starts an attempt, unless the final answer was decided after the router's command or the quarantine forbids it; the
+    /// attempt is then reported as not sent.
     fn dispatch(&self, request: &mut Request, dispatch: &Dispatch, out: &mut Vec<u8>) {
         let &Dispatch {
             member,
             address,
             deadline,
         } = dispatch;
-        if request.answer_owed {
+        if request.answer_pending {
             debug!(
                 request = request.id.0,
                 class = request.admitted.class.0,
                 member = member.0,
                 due = request.admitted.due,
-                "send"
+                "dispatching attempt"
             );
             if let Err(answer) = request.check_quarantine() {
-                request.conclude(&answer, out);
+                request.finish_with_error(&answer, out);
             }
         }
-        if !request.answer_owed {
-            self.gateway.core.attempt_ended(request.never_started());
+        if !request.answer_pending {
+            self.gateway.core.attempt_ended(request.unstarted_attempt());
             return;
         }
         let token = Arc::new(CancellationToken::new(deadline));
@@ -245,7 +246,7 @@
         });
     }
 
-    /// Takes in how an attempt ended, and notifies the router.
+    /// Handles the end of an attempt and reports it to the router.
     fn attempt_ended(
         &self,
         request: &mut Request,
@@ -259,7 +260,7 @@
         let core = &self.gateway.core;
         let (outcome, role) = (result.outcome, result.answer_report.role);
         let is_served = outcome == Outcome::Served;
-        let is_finished = is_served || !request.answer_owed;
+        let is_finished = is_served || !request.answer_pending;
         request.may_have_run |= !is_served && !outcome.proves_no_effect();
         if let Some(placed) = &request.admitted.placed {
             placed.attempted(attempt.member, outcome);
@@ -267,7 +268,7 @@
                 request.failed_members.insert(attempt.member);
             }
         }
-        if is_served && std::mem::replace(&mut request.answer_owed, false) {
+        if is_served && std::mem::replace(&mut request.answer_pending, false) {
             out.extend_from_slice(&result.rows);
         }
         let latency = core.clock.now().saturating_sub(attempt.started_at);
@@ -276,7 +277,8 @@
             attempt = number.0,
             ?outcome,
             ?role,
-            latency
+            latency,
+            "attempt ended"
         );
         core.attempt_ended(AttemptEnded {
             request: request.id,
@@ -293,20 +295,23 @@
         });
     }
 
-    /// Drops what is left in the mailbox of a request that is over. Dispatches that were not carried out are returned to
-    /// the router, which would wait for their ends.
-    fn return_dispatches(&self, request: &mut Request) {
+    /// Discards the remaining events of a completed request. Dispatches that were not carried out are reported as not
+    /// sent, because the router would wait for their ends otherwise.
+    fn report_unstarted_dispatches(&self, request: &mut Request) {
         while let Some(event) = self.mailbox.take() {
             if matches!(event, SessionEvent::Command(Command::Dispatch(_))) {
-                self.gateway.core.attempt_ended(request.never_started());
+                self.gateway.core.attempt_ended(request.unstarted_attempt());
             }
         }
     }
 
-    fn log_done(&self, request: &Request, received_at: Micros) {
+    fn log_completion(&self, request: &Request, received_at: Micros) {
         let took = self.gateway.core.clock.now().saturating_sub(received_at);
         let (class, group) = (request.admitted.class.0, request.statement.group);
         let wait = request.statement.wait_ms;
-        debug!(request = request.id.0, class, group, took, wait, "done");
+        debug!(
+            request = request.id.0,
+            class, group, took, wait, "request done"
+        );
     }
 }
--- a/src/bin/asterreel/front/session.rs
+++ b/src/bin/asterreel/front/session.rs
@@ -1,7 +1,7 @@
-//! One client connection, from its opening to its close: its messages, and how each is answered.
+//! One client connection, from its opening to its close: reads the client's messages and answers them.
 //!
-//! Messages are answered one after the other, in the order in which they came. A message that breaks the framing ends the
-//! session with a FATAL error; every other one gets an answer or an error, and the session goes on.
+//! Messages are answered one after the other, in the order of their arrival. A message that breaks the framing ends the
+//! session with a FATAL error; every other one gets an answer or an error, and the session continues.
 
 use super::gateway::Gateway;
 use super::local_statement::{local_statement, LocalStatement};
@@ -19,33 +19,34 @@
 
 /// How long a client may take to read an answer.
 const WRITE_TIMEOUT_US: Micros = 5_000_000;
-/// How long a client may take over its opening, and over one message from its first byte on.
+/// How long a client may take to send its opening messages, and one message from its first byte on.
 const MESSAGE_TIMEOUT_US: Micros = 2_500_000;
-/// How long a connection is read on after its last answer until the client closes it too: many round trips.
+/// How long input is still read and discarded after the last answer, until the client closes its side too. The limit
+/// allows for many round trips.
 const CLOSE_TIMEOUT_US: Micros = 500_000;
-/// How many bytes are read meanwhile at most: more than what may be under way.
+/// How many bytes are read and discarded in that time at most: more than can be in transit.
 const CLOSE_MAX_BYTES: usize = 256 * 1024;
-/// After so many successful reads in a row other coroutines get their turn.
-const READS_PER_TURN: u32 = 8;
+/// The number of successful reads after which a session yields to other coroutines.
+const READS_BEFORE_YIELD: u32 = 8;
 
-/// Why a session ended early. Its text is what the log says.
+/// Why a session ended early. The text is logged.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub(super) enum SessionError {
-    /// The client has closed its connection, or can't be written to.
-    #[error("Left")]
+    /// The client closed its connection, or the connection could not be written to.
+    #[error("the client disconnected or stopped reading")]
     ClientGone,
-    /// The client broke the protocol, and got a FATAL error.
-    #[error("Malformed")]
+    /// The client violated the protocol or sent a message too slowly, and was sent a FATAL error.
+    #[error("protocol violation or incomplete message, as the error sent to the client says")]
     Malformed,
 }
 
-/// What is known of a client; its names only where cells are on.
+/// What is known about a client. The names are filled in only where cells are configured.
 pub(super) struct Client {
-    /// Where it connected from.
+    /// The address it connected from.
     pub address: IpAddr,
-    /// The user that it named when it connected.
+    /// The `user` of its startup message.
     pub user: String,
-    /// The application that it named when it connected.
+    /// The `application_name` of its startup message.
     pub application: String,
 }
 
@@ -55,20 +56,20 @@
     pub gateway: Arc<Gateway>,
     /// The connection.
     pub stream: Stream,
-    /// Events from others.
+    /// Events from the router, attempts and other sessions.
     pub mailbox: Arc<Mailbox>,
-    /// Whose connection it is.
+    /// The client of the connection.
     pub client: Client,
-    /// The client has closed its connection.
+    /// The client has closed its connection, or could not be written to while a request was open.
     pub client_gone: bool,
     number: u32,
-    reads: u32,
-    /// After an error in the extended protocol everything up to Sync is skipped.
-    is_skipping: bool,
+    read_count: u32,
+    /// After an error in the extended protocol, messages up to Sync are skipped.
+    skips_to_sync: bool,
 }
 
 impl Session {
-    /// The session of a connection that was registered.
+    /// The session of a registered connection.
     pub(super) fn new(
         gateway: Arc<Gateway>,
         registered: RegisteredSession,
@@ -87,8 +88,8 @@
             client,
             client_gone: false,
             number: registered.number,
-            reads: 0,
-            is_skipping: false,
+            read_count: 0,
+            skips_to_sync: false,
         }
     }
 
@@ -100,7 +101,7 @@
         }
         let (gateway, number) = (self.gateway.clone(), self.number);
         if ended != Err(SessionError::ClientGone) {
-            // It counts as closed: no other session need be closed in its place.
+            // Marked as closing, so that shedding counts it as closed and closes no other session in its place.
             self.mailbox.set_close_requested(true);
             let clock = gateway.core.clock;
             self.stream
@@ -126,7 +127,7 @@
         Ok(())
     }
 
-    /// Reads what comes before the first message; false where the connection is to be closed.
+    /// Handles the messages that open a connection; returns false where the connection is to be closed.
     fn open(&mut self) -> Result<bool, SessionError> {
         loop {
             let (opening, length) = match pg::opening(self.stream.buffer.data()) {
@@ -158,7 +159,7 @@
         Ok(true)
     }
 
-    /// Keeps the names in the startup message of this length. One that is longer than any tenant's is not kept.
+    /// Stores the names in the startup message, which is this long. A name longer than any tenant's is not stored.
     fn identify_client(&mut self, length: usize) {
         let message = &self.stream.buffer.data()[..length];
         let name = |parameter| {
@@ -172,7 +173,7 @@
         self.client.application = application;
     }
 
-    /// Waits for the next message, which is at the front of the buffer then; nothing when the connection is to be closed.
+    /// Waits until a complete message is at the front of the buffer; `None` when the connection is to be closed.
     fn next_message(&mut self) -> Result<Option<Message>, SessionError> {
         loop {
             match pg::message(self.stream.buffer.data()) {
@@ -187,23 +188,23 @@
         }
     }
 
-    /// Answers the message at the front of the buffer, and drops it from there.
+    /// Answers the message at the front of the buffer, and removes it from the buffer.
     fn answer(&mut self, message: Message) -> Result<(), SessionError> {
         let mut out = Vec::new();
         match message.tag {
             b'Q' => {
-                self.is_skipping = false;
+                self.skips_to_sync = false;
                 self.query(message, &mut out)?;
                 pg::ready(&mut out);
             }
             b'S' => {
                 self.stream.buffer.consume(message.body.end);
-                self.is_skipping = false;
+                self.skips_to_sync = false;
                 pg::ready(&mut out);
             }
             b'P' | b'B' | b'D' | b'E' | b'C' | b'H' | b'F' | b'd' | b'c' | b'f' => {
                 self.stream.buffer.consume(message.body.end);
-                if !std::mem::replace(&mut self.is_skipping, true) {
+                if !std::mem::replace(&mut self.skips_to_sync, true) {
                     let text = "only simple queries are served here";
                     let code = sqlstate::FEATURE_NOT_SUPPORTED;
                     pg::error(&mut out, Severity::Error, code, text, None);
@@ -214,9 +215,9 @@
         self.write(&out)
     }
 
-    /// Answers a simple query, but for the ReadyForQuery at the end.
+    /// Answers a simple query, except for the ReadyForQuery at the end.
     fn query(&mut self, message: Message, out: &mut Vec<u8>) -> Result<(), SessionError> {
-        // A request that was sent behind others has waited since then: its time runs from its last byte, not from here.
+        // A pipelined request has already waited in the buffer: its deadline counts from the arrival of its last byte.
         let received_at = self
             .stream
             .buffer
@@ -227,7 +228,7 @@
         self.stream.buffer.consume(message.body.end);
         match parsed {
             Ok((Some(LocalStatement::Empty), _)) => {
-                // The liveness check's query: its answer has to show that requests would get through.
+                // The liveness check sends this query; the answer must show that requests can get the router's lock.
                 self.gateway.core.wait_for_lock();
                 pg::empty_query_response(out);
             }
@@ -242,14 +243,15 @@
         Ok(())
     }
 
-    /// Waits for more bytes of the opening, or of the next message; false when the connection is to be closed.
+    /// Waits for more bytes of the opening, or of the next message; returns false when the connection is to be closed.
     fn read_more(&mut self, is_opening: bool) -> Result<bool, SessionError> {
         let core = self.gateway.core.clone();
         let has_begun = !self.stream.buffer.data().is_empty();
         let deadline = self.begin_client_wait(is_opening, has_begun);
         let _alarm = core.timer.alarm(deadline, self.stream.waker());
-        // While draining, a message that has begun is read to its end and nothing else: its client sends what was not
-        // read again elsewhere, and one that always has a next request would be owed an answer when the process is killed.
+        // While draining, only a message that has begun is read, up to its end. Clients send unread requests again to
+        // another gateway; a client that always has a next request would otherwise wait for an answer when the process
+        // is killed.
         let is_draining = self.gateway.is_draining();
         if is_draining && !has_begun {
             return Ok(false);
@@ -259,21 +261,22 @@
         } else {
             usize::MAX
         };
-        self.reads += 1;
-        if self.reads % READS_PER_TURN == 0 {
+        self.read_count += 1;
+        if self.read_count % READS_BEFORE_YIELD == 0 {
             may::coroutine::yield_now();
         }
         loop {
             match self.stream.read_at_most(max_bytes) {
                 Ok(Some(0)) | Err(_) => return Err(SessionError::ClientGone),
                 Ok(Some(_)) => {
-                    // The client is active after all: another session is to be closed.
+                    // The client is active: this session stays open, and shedding will select another one.
                     self.mailbox.set_close_requested(false);
                     return Ok(true);
                 }
                 Ok(None) => {}
             }
-            // Asked to close: only after a last look for a request that has come, and never inside one.
+            // A requested close is checked after the read, so that a request that has arrived is still
+            // served; an open request is never interrupted.
             if self.mailbox.is_close_requested() {
                 return Ok(false);
             }
@@ -287,8 +290,8 @@
         }
     }
 
-    /// Notes what the session waits for from its client, and returns until when. Single bytes of one message do not
-    /// start its time anew.
+    /// Records what the session waits for from its client, and returns the deadline of that wait. The deadline of a
+    /// message counts from its first byte; further bytes do not extend it.
     fn begin_client_wait(&self, is_opening: bool, has_begun: bool) -> Micros {
         let state = match (is_opening, has_begun) {
             (true, _) => ReadState::Opening,
@@ -311,7 +314,7 @@
         }
     }
 
-    /// Writes everything, or finds that the client has gone.
+    /// Writes all bytes; an error means that the client has disconnected or reads too slowly.
     pub(super) fn write(&mut self, bytes: &[u8]) -> Result<(), SessionError> {
         let core = self.gateway.core.clone();
         let deadline = core.clock.now() + WRITE_TIMEOUT_US;
@@ -320,7 +323,7 @@
         written.map_err(|_| SessionError::ClientGone)
     }
 
-    /// Sends a FATAL error, as the framing is lost, and returns how the session ends.
+    /// Sends a FATAL error, as the framing is lost, and returns the reason for which the session ends.
     fn fatal(&mut self, fault: Malformed) -> SessionError {
         let mut out = Vec::new();
         let code = sqlstate::PROTOCOL_VIOLATION;
@@ -331,7 +334,7 @@
         }
     }
 
-    /// Rejects a new client beyond the admission pace, and says after which delay to retry.
+    /// Rejects a new client in excess of the admission pace; the error's detail holds the delay before a retry.
     fn reject_connection(&mut self, delay: Micros) -> Result<(), SessionError> {
         let mut out = Vec::new();
         let delay_ms = delay.div_ceil(1_000);
--- a/src/bin/asterreel/front/sessions.rs
+++ b/src/bin/asterreel/front/sessions.rs
@@ -1,4 +1,4 @@
-//! The registry of open sessions, by number, and the keys with which clients may cancel their requests.
+//! The registry of open sessions, by number, and the keys with which clients cancel their requests.
 
 use super::mailbox::{Mailbox, SessionEvent};
 use crate::postgres as pg;
@@ -12,11 +12,11 @@
 /// The mailboxes of open sessions, by session number.
 pub(super) type SessionMap = BTreeMap<u32, Arc<Mailbox>>;
 
-/// A session that was registered and has not run yet.
+/// A session that has been registered and has not started to run.
 pub(super) struct RegisteredSession {
-    /// The number of the session.
+    /// The number of the session, unique among open sessions.
     pub number: u32,
-    /// Its mailbox.
+    /// The mailbox that the registry holds for it.
     pub mailbox: Arc<Mailbox>,
 }
 
@@ -25,14 +25,14 @@
 pub(super) struct Sessions {
     open: Mutex<SessionMap>,
     next_number: AtomicU32,
-    /// Derives the secrets that let clients cancel: seeded by the system, different in each process.
-    secrets: RandomState,
+    /// Derives the secrets of cancel keys; seeded by the system, so that they differ from process to process.
+    cancel_secrets: RandomState,
     /// Wakes the coroutine that accepts clients.
     accept_waker: Mutex<Option<WaitIoWaker>>,
 }
 
 impl Sessions {
-    /// Runs this under the lock of the registry.
+    /// Runs `work` under the lock of the registry.
     pub(super) fn with_open<T>(&self, work: impl FnOnce(&mut SessionMap) -> T) -> T {
         work(&mut lock(&self.open))
     }
@@ -42,17 +42,17 @@
         self.with_open(|open| open.len())
     }
 
-    /// How many sessions are open; nothing where the lock is held, as this never waits.
+    /// How many sessions are open; `None` where the lock is held, as this never waits.
     pub(super) fn try_count(&self) -> Option<usize> {
         Some(self.open.try_lock().ok()?.len())
     }
 
-    /// From now on this waker is used whenever a session has ended.
+    /// Sets the waker that [`Sessions::remove`] uses, that of the coroutine that accepts clients.
     pub(super) fn set_accept_waker(&self, waker: WaitIoWaker) {
         *lock(&self.accept_waker) = Some(waker);
     }
 
-    /// Registers a new session, whose mailbox `new_mailbox` makes, and numbers it.
+    /// Registers a new session under the next number, with the mailbox that `new_mailbox` creates.
     pub(super) fn register(&self, new_mailbox: impl FnOnce() -> Mailbox) -> RegisteredSession {
         let number = self.next_number.fetch_add(1, Ordering::Relaxed);
         let mailbox = Arc::new(new_mailbox());
@@ -60,7 +60,7 @@
         RegisteredSession { number, mailbox }
     }
 
-    /// Removes a session that has ended; the next client is accepted at once.
+    /// Removes a session that has ended, and wakes the coroutine that accepts clients.
     pub(super) fn remove(&self, number: u32) {
         self.with_open(|open| open.remove(&number));
         if let Some(waker) = lock(&self.accept_waker).as_ref() {
@@ -68,20 +68,20 @@
         }
     }
 
-    /// Wakes all sessions.
+    /// Wakes all open sessions.
     pub(super) fn wake_all(&self) {
         self.with_open(|open| open.values().for_each(|mailbox| mailbox.waker.wakeup()));
     }
 
-    /// The cancel key of a session; no key can be derived from another.
+    /// The cancel key of a session. Its secret cannot be derived from the keys of other sessions.
     pub(super) fn cancel_key(&self, session: u32) -> pg::CancelKey {
         pg::CancelKey {
             session,
-            secret: self.secrets.hash_one(session) as u32,
+            secret: self.cancel_secrets.hash_one(session) as u32,
         }
     }
 
-    /// Cancels what the session with this key is doing, if it is doing something; a wrong key does nothing.
+    /// Asks the session with this key to cancel its open request, if it has one; a wrong key has no effect.
     pub(super) fn cancel(&self, key: pg::CancelKey) {
         if key != self.cancel_key(key.session) {
             return;
--- a/src/bin/asterreel/front/shed.rs
+++ b/src/bin/asterreel/front/shed.rs
@@ -1,49 +1,52 @@
-//! Which sessions are closed when clients come close to the connections they may hold.
+//! Selects sessions to close when the limits on clients are near.
 //!
-//! Sessions are only asked to close here; each does so between requests, after a last look for one that has come.
+//! Sessions are only asked to close here. Each closes between requests, after it has checked once more that no request has
+//! arrived.
 
 use super::gateway::Gateway;
 use super::mailbox::{ClientWait, Mailbox, ReadState};
 use super::sessions::SessionMap;
 use asterreel::interface::Micros;
 
-/// How long a connection may be silent in its opening before it is closed first.
-const OPENING_SILENCE_US: Micros = 50_000;
-/// How long a connection may wait between requests, or inside a message, before it is closed first.
-const IDLE_SILENCE_US: Micros = 2_000_000;
-/// Capacity is freed ahead, so that new clients need not wait for a close: this part of all sessions.
-const HEADROOM_OF_ALL: usize = 16;
-/// The same of the sessions past their opening.
-const HEADROOM_OF_SERVED: usize = 4;
+/// How long a connection may be silent in its opening before it is among the first to be closed.
+const OPENING_IDLE_LIMIT_US: Micros = 50_000;
+/// How long a connection may be idle between requests, or take over a message, before its priority for a close rises.
+const IDLE_LIMIT_US: Micros = 2_000_000;
+/// Sessions are closed before the limit is reached, so that new clients need not wait for a close: one in this many of
+/// [`ClientLimits::max_sessions`](super::gateway::ClientLimits::max_sessions) is kept free.
+const SESSION_HEADROOM_DIVISOR: usize = 16;
+/// The same for sessions that have completed their opening: one in this many of
+/// [`ClientLimits::max_served`](super::gateway::ClientLimits::max_served) is kept free.
+const SERVED_HEADROOM_DIVISOR: usize = 4;
 
-/// Which of the limits on clients are close.
+/// Which limits on clients are near.
 #[derive(Clone, Copy)]
 struct Pressure {
-    /// That on all sessions.
-    all: bool,
-    /// That on sessions past their opening.
+    /// The limit on open sessions.
+    sessions: bool,
+    /// The limit on sessions that have completed their opening.
     served: bool,
 }
 
 impl Pressure {
     fn any(self) -> bool {
-        self.all || self.served
+        self.sessions || self.served
     }
 }
 
-/// A session that could be closed.
+/// A session that waits for its client and can be asked to close.
 struct Candidate<'a> {
     rank: u8,
     wait: ClientWait,
     mailbox: &'a Mailbox,
 }
 
-/// Which session is closed first: the lowest rank, and of equals the one that has waited for longest.
+/// The order in which sessions are closed: lowest rank first, and within a rank the one that has waited longest.
 fn rank(state: ReadState, waited: Micros) -> u8 {
     match (state, waited) {
-        (ReadState::Opening, OPENING_SILENCE_US..) => 0,
-        (ReadState::Message, IDLE_SILENCE_US..) => 0,
-        (ReadState::Idle, IDLE_SILENCE_US..) => 1,
+        (ReadState::Opening, OPENING_IDLE_LIMIT_US..) => 0,
+        (ReadState::Message, IDLE_LIMIT_US..) => 0,
+        (ReadState::Idle, IDLE_LIMIT_US..) => 1,
         (ReadState::Opening, _) => 2,
         (ReadState::Idle, _) => 3,
         (ReadState::Message, _) => 4,
@@ -51,12 +54,12 @@
 }
 
 impl Gateway {
-    /// Asks sessions to close where capacity runs out: first those that connected and sent nothing, then those that
-    /// have been idle for longest. Neither may keep out clients that send requests.
+    /// Asks sessions to close when a limit is near: first those that connected and sent nothing, then those that have
+    /// been idle for longest, so that neither keep out clients that send requests.
     pub(super) fn shed(&self) {
         self.sessions.with_open(|sessions| {
-            // Ranking looks at every session, at every accept: far from the limits it would cost the square of the
-            // sessions for nothing.
+            // Ranking visits every session, and this runs at every accept: far from the limits that would be quadratic
+            // in the number of sessions for no benefit.
             if self.pressure(sessions.len(), sessions.len()).any() {
                 self.shed_by_rank(sessions);
             }
@@ -65,8 +68,10 @@
 
     fn pressure(&self, sessions: usize, served: usize) -> Pressure {
         Pressure {
-            all: sessions + self.limits.max_sessions / HEADROOM_OF_ALL >= self.limits.max_sessions,
-            served: served + self.limits.max_served / HEADROOM_OF_SERVED >= self.limits.max_served,
+            sessions: sessions + self.limits.max_sessions / SESSION_HEADROOM_DIVISOR
+                >= self.limits.max_sessions,
+            served: served + self.limits.max_served / SERVED_HEADROOM_DIVISOR
+                >= self.limits.max_served,
         }
     }
 
@@ -94,7 +99,7 @@
             if !pressure.any() {
                 break;
             }
-            if !pressure.all && wait.state != ReadState::Idle {
+            if !pressure.sessions && wait.state != ReadState::Idle {
                 continue;
             }
             remaining -= 1;
--- a/src/bin/asterreel/request/attempt.rs
+++ b/src/bin/asterreel/request/attempt.rs
@@ -1,6 +1,7 @@
 //! One attempt at a server, from its connection to its outcome.
 //!
-//! An attempt is written at most once; one that is abandoned closes its connection.
+//! The statement is written at most once per attempt; an attempt that ends before its answer is complete closes its
+//! connection.
 
 use crate::postgres::{Answer, Statement};
 use crate::request::cancellation::CancellationToken;
@@ -13,11 +14,11 @@
 /// How an attempt ended.
 #[derive(Debug)]
 pub(crate) struct AttemptResult {
-    /// What came of it, and what that proves.
+    /// Its outcome, which says what may have run.
     pub outcome: Outcome,
-    /// What the server reported of itself along with its answer.
+    /// What the server reported about itself with its answer.
     pub answer_report: MemberReport,
-    /// The row, in messages as the server sent them, where it was served.
+    /// The messages of the row as the server sent them; empty unless the attempt was served.
     pub rows: Vec<u8>,
 }
 
@@ -31,7 +32,7 @@
     }
 }
 
-/// Makes one attempt. `may_send` is called once, when the connection is ready.
+/// Makes one attempt. `may_send` is called once, when the connection is ready; if it returns false, nothing is sent.
 pub(crate) fn run(
     pool: &Pool,
     address: SocketAddr,
@@ -47,7 +48,7 @@
             return AttemptResult::without_answer(outcome);
         }
     };
-    // Connecting may have taken long: a bound on staleness or a drain can have run out since the decision.
+    // Connecting may have taken long: the staleness bound may have been exceeded, or a drain begun, since the decision.
     if !may_send() {
         pool.release(address, connection);
         return AttemptResult::without_answer(Outcome::NotSent);
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -98,7 +98,9 @@
 
     /// Asserts that the gateway takes the client for gone, and dispatches nothing of it even to a primary that turns up.
     fn assert_gone_and_nothing_dispatched(&self) {
-        assert!(self.log.says("session ended: Left"));
+        assert!(self
+            .log
+            .says("session ended: the client disconnected or stopped reading"));
         self.promote_primary();
         assert_eq!(self.take_reached_ids(), [""; 0]);
     }
@@ -176,9 +178,10 @@
     let one = query(&[&read("ahead")[..], &vec![b' '; 20_000]].concat());
     (0..10).for_each(|_| client.send(&one));
     drop(client);
-    fixture
-        .log
-        .says_within("session ended: Left", Duration::from_secs(5));
+    fixture.log.says_within(
+        "session ended: the client disconnected or stopped reading",
+        Duration::from_secs(5),
+    );
     fixture.promote_primary();
     assert_eq!(fixture.take_reached_ids(), [""; 0]);
 }
@@ -202,7 +205,11 @@
     drop(clients);
     fixture.databases[0].primary.store(true, Ordering::SeqCst);
     fixture.gateway.signal("-CONT");
-    (0..30).for_each(|_| assert!(fixture.log.says("session ended: Left")));
+    (0..30).for_each(|_| {
+        assert!(fixture
+            .log
+            .says("session ended: the client disconnected or stopped reading"))
+    });
     fixture.promote_primary();
     assert_eq!(fixture.take_reached_ids(), [""; 0]);
 }
@@ -490,7 +497,7 @@
     // Nothing was begun for those whose time was over when their turn came.
     let lines = fixture
         .log
-        .lines_up_to("done request=2 ", PATIENCE)
+        .lines_up_to("request done request=2 ", PATIENCE)
         .expect("logged");
     let arrived = lines
         .iter()
@@ -498,7 +505,7 @@
         .count();
     let over = lines
         .iter()
-        .filter(|line| line.contains("out of time before its turn"))
+        .filter(|line| line.contains("deadline passed before the request was handled"))
         .count();
     assert_eq!((arrived, over), (2, 4), "the first and the last");
 }
--- a/tests/golden_answers.rs
+++ b/tests/golden_answers.rs
@@ -200,7 +200,10 @@
     replica.gate.set(false);
     let (mut cancelled, key) = Client::with_key(&gateway);
     cancelled.send(&statement(READ, "id=m,c=search,d=20000,cluster=0"));
-    assert!(log.says("send request="), "an attempt is out");
+    assert!(
+        log.says("dispatching attempt request="),
+        "an attempt is out"
+    );
     let other = exchange(
         &gateway,
         true,
