--- a/src/bin/asterreel/front/error_answer.rs
+++ b/src/bin/asterreel/front/error_answer.rs
@@ -38,7 +38,7 @@
             ),
         };
         let retry_after_ms = retry_after.map(|delay| delay.div_ceil(1_000));
-        pg::error(out, Severity::Error, code, text, retry_after_ms);
+        pg::error_response(out, Severity::Error, code, text, retry_after_ms);
     }
 }
 
--- a/src/bin/asterreel/front/session.rs
+++ b/src/bin/asterreel/front/session.rs
@@ -130,7 +130,7 @@
     /// Handles the messages that open a connection; returns false where the connection is to be closed.
     fn open(&mut self) -> Result<bool, SessionError> {
         loop {
-            let (opening, length) = match pg::opening(self.stream.buffer.data()) {
+            let (opening, length) = match pg::parse_opening(self.stream.buffer.data()) {
                 Ok(Some(opening)) => opening,
                 Ok(None) if self.read_more(true)? => continue,
                 Ok(None) => return Ok(false),
@@ -163,7 +163,7 @@
     fn identify_client(&mut self, length: usize) {
         let message = &self.stream.buffer.data()[..length];
         let name = |parameter| {
-            pg::parameter(message, parameter)
+            pg::startup_parameter(message, parameter)
                 .filter(|name| name.len() <= tenants::MAX_LENGTH_BYTES)
                 .unwrap_or_default()
                 .to_owned()
@@ -195,19 +195,19 @@
             b'Q' => {
                 self.skips_to_sync = false;
                 self.query(message, &mut out)?;
-                pg::ready(&mut out);
+                pg::ready_for_query(&mut out);
             }
             b'S' => {
                 self.stream.buffer.consume(message.body.end);
                 self.skips_to_sync = false;
-                pg::ready(&mut out);
+                pg::ready_for_query(&mut out);
             }
             b'P' | b'B' | b'D' | b'E' | b'C' | b'H' | b'F' | b'd' | b'c' | b'f' => {
                 self.stream.buffer.consume(message.body.end);
                 if !std::mem::replace(&mut self.skips_to_sync, true) {
                     let text = "only simple queries are served here";
                     let code = sqlstate::FEATURE_NOT_SUPPORTED;
-                    pg::error(&mut out, Severity::Error, code, text, None);
+                    pg::error_response(&mut out, Severity::Error, code, text, None);
                 }
             }
             _ => return Err(self.fatal(Malformed("unknown message"))),
@@ -224,7 +224,8 @@
             .read_at(message.body.end)
             .unwrap_or_else(|| self.gateway.core.clock.now());
         let body = &self.stream.buffer.data()[message.body.clone()];
-        let parsed = pg::query(body).map(|text| (local_statement(text), Statement::parse(text)));
+        let parsed =
+            pg::query_string(body).map(|text| (local_statement(text), Statement::parse(text)));
         self.stream.buffer.consume(message.body.end);
         match parsed {
             Ok((Some(LocalStatement::Empty), _)) => {
@@ -236,7 +237,7 @@
             Ok((None, Ok(statement))) => self.request(statement, received_at, out)?,
             Ok((None, Err(Malformed(fault)))) => {
                 let code = sqlstate::PROTOCOL_VIOLATION;
-                pg::error(out, Severity::Error, code, fault, None);
+                pg::error_response(out, Severity::Error, code, fault, None);
             }
             Err(fault) => return Err(self.fatal(fault)),
         }
@@ -327,7 +328,7 @@
     fn fatal(&mut self, fault: Malformed) -> SessionError {
         let mut out = Vec::new();
         let code = sqlstate::PROTOCOL_VIOLATION;
-        pg::error(&mut out, Severity::Fatal, code, fault.0, None);
+        pg::error_response(&mut out, Severity::Fatal, code, fault.0, None);
         match self.write(&out) {
             Ok(()) => SessionError::Malformed,
             Err(error) => error,
@@ -340,7 +341,7 @@
         let delay_ms = delay.div_ceil(1_000);
         let code = sqlstate::TOO_MANY_CONNECTIONS;
         let text = "too many come at once, come again";
-        pg::error(&mut out, Severity::Fatal, code, text, Some(delay_ms));
+        pg::error_response(&mut out, Severity::Fatal, code, text, Some(delay_ms));
         self.write(&out)
     }
 }
--- a/src/bin/asterreel/postgres/messages.rs
+++ b/src/bin/asterreel/postgres/messages.rs
@@ -1,58 +1,58 @@
-//! Messages written to clients and servers.
+//! Messages that the gateway writes to clients and servers.
 
-use super::framing::{put, put_text};
+use super::framing::{put_cstring, put_message};
 use super::sqlstate::SqlState;
 use super::startup::CancelKey;
 
-/// A query message of a plain statement.
+/// A Query message with this statement.
 pub(crate) fn simple_query(statement: &str) -> Vec<u8> {
     let mut out = Vec::new();
-    put(&mut out, b'Q', |out| put_text(out, statement));
+    put_message(&mut out, b'Q', |out| put_cstring(out, statement));
     out
 }
 
-/// The answer to a client's startup message.
+/// The answer to a client's startup message, up to ReadyForQuery.
 pub(crate) fn session_started(out: &mut Vec<u8>, key: CancelKey) {
-    put(out, b'R', |out| out.extend_from_slice(&[0; 4]));
+    put_message(out, b'R', |out| out.extend_from_slice(&[0; 4]));
     for (name, value) in [("server_version", "15.0"), ("client_encoding", "UTF8")] {
-        put(out, b'S', |out| {
-            put_text(out, name);
-            put_text(out, value);
+        put_message(out, b'S', |out| {
+            put_cstring(out, name);
+            put_cstring(out, value);
         });
     }
-    put(out, b'K', |out| {
+    put_message(out, b'K', |out| {
         out.extend_from_slice(&key.session.to_be_bytes());
         out.extend_from_slice(&key.secret.to_be_bytes());
     });
-    ready(out);
+    ready_for_query(out);
 }
 
-/// ReadyForQuery: the end of an answer.
-pub(crate) fn ready(out: &mut Vec<u8>) {
-    put(out, b'Z', |out| out.push(b'I'));
+/// ReadyForQuery, which ends an answer.
+pub(crate) fn ready_for_query(out: &mut Vec<u8>) {
+    put_message(out, b'Z', |out| out.push(b'I'));
 }
 
-/// EmptyQueryResponse.
+/// EmptyQueryResponse, the answer to a query without a statement.
 pub(crate) fn empty_query_response(out: &mut Vec<u8>) {
-    put(out, b'I', |_| {});
+    put_message(out, b'I', |_| {});
 }
 
 /// CommandComplete with this tag.
 pub(crate) fn command_complete(out: &mut Vec<u8>, tag: &str) {
-    put(out, b'C', |out| put_text(out, tag));
+    put_message(out, b'C', |out| put_cstring(out, tag));
 }
 
-/// How serious an error is.
+/// The severity field of an ErrorResponse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Severity {
-    /// The connection stays.
+    /// The session continues after the error.
     Error,
-    /// The connection ends with it.
+    /// The error ends the session.
     Fatal,
 }
 
-/// ErrorResponse; `detail` is a delay in milliseconds, where one is given.
-pub(crate) fn error(
+/// ErrorResponse; `detail` is the delay before a retry, in milliseconds.
+pub(crate) fn error_response(
     out: &mut Vec<u8>,
     severity: Severity,
     code: SqlState,
@@ -65,7 +65,7 @@
         "ERROR"
     };
     let detail = detail.map(|number| number.to_string());
-    put(out, b'E', |out| {
+    put_message(out, b'E', |out| {
         for (field, value) in [
             (b'S', severity.as_bytes()),
             (b'V', severity.as_bytes()),
@@ -78,7 +78,7 @@
         }
         if let Some(detail) = &detail {
             out.push(b'D');
-            put_text(out, detail);
+            put_cstring(out, detail);
         }
         out.push(0);
     });
--- a/src/bin/asterreel/postgres/mod.rs
+++ b/src/bin/asterreel/postgres/mod.rs
@@ -1,7 +1,7 @@
-//! PostgreSQL's wire protocol, version 3, as far as the gateway speaks it.
+//! The parts of PostgreSQL's wire protocol, version 3, that the gateway supports.
 //!
-//! No input or output: bytes in, typed messages out, and the other way round. Truncated and damaged input is an error or
-//! incomplete; nothing is read beyond the bytes given.
+//! This module does no I/O: it parses bytes to typed messages and writes messages to bytes. Truncated or damaged input
+//! is reported as incomplete or as an error, and nothing is read beyond the given bytes.
 
 mod answer;
 mod framing;
@@ -12,12 +12,17 @@
 mod statement;
 
 pub(crate) use answer::{Answer, QueryResult, ANSWER_TAGS};
-pub(crate) use framing::{message, missing_bytes, query, Malformed, Message, MAX_MESSAGE_BYTES};
+pub(crate) use framing::{
+    message, missing_bytes, query_string, Malformed, Message, MAX_MESSAGE_BYTES,
+};
 pub(crate) use messages::{
-    command_complete, empty_query_response, error, ready, session_started, simple_query, Severity,
+    command_complete, empty_query_response, error_response, ready_for_query, session_started,
+    simple_query, Severity,
 };
 pub(crate) use report::load_report;
-pub(crate) use startup::{opening, parameter, startup, startup_to, CancelKey, Opening};
+pub(crate) use startup::{
+    parse_opening, startup, startup_parameter, startup_to, CancelKey, Opening,
+};
 pub(crate) use statement::Statement;
 
 #[cfg(test)]
--- a/src/bin/asterreel/postgres/report.rs
+++ b/src/bin/asterreel/postgres/report.rs
@@ -1,9 +1,10 @@
-//! Load reports of servers, and the decimal numbers in them.
+//! Load reports of servers, and parsing of the decimal numbers in them.
 
 use asterreel::interface::{MemberReport, Role};
 
-/// A decimal number times ten to a power, rounded down; exact where a float would not be.
-pub(super) fn decimal(text: &[u8], power: usize) -> Option<u64> {
+/// Parses a decimal number and multiplies it by ten to the power, rounding down. Integers keep it exact, which a float
+/// would not.
+pub(super) fn parse_decimal(text: &[u8], power: usize) -> Option<u64> {
     let text = std::str::from_utf8(text).ok()?.trim();
     let (whole, part) = text.split_once('.').unwrap_or((text, ""));
     let mut value: u64 = whole.parse().ok()?;
@@ -15,12 +16,12 @@
     Some(value)
 }
 
-/// Decimal digits between a report's numbers and the integers they become: seconds to microseconds.
+/// The power of ten by which a report's numbers are multiplied: seconds become microseconds.
 const MICRO_DIGITS: usize = 6;
-/// `x1` at and above which a server is the primary, in millionths.
+/// The value of `x1`, in millionths, from which a server is the primary.
 const PRIMARY_THRESHOLD: u64 = 500_000;
 
-/// What a load report says: `x0` is the position in Unix seconds, `x1` whether it is the primary.
+/// Parses a load report: `x0` is the server's position in Unix seconds, and `x1` says whether it is the primary.
 pub(crate) fn load_report(value: &[u8]) -> MemberReport {
     let mut report = MemberReport::default();
     for pair in value.split(|byte| *byte == b',') {
@@ -28,7 +29,7 @@
             continue;
         };
         let (name, value) = (pair[..equals].trim_ascii(), &pair[equals + 1..]);
-        match (name, decimal(value, MICRO_DIGITS)) {
+        match (name, parse_decimal(value, MICRO_DIGITS)) {
             (b"x0", position) => report.position = position,
             (b"x1", Some(primary)) => {
                 report.role = Some(if primary >= PRIMARY_THRESHOLD {
--- a/src/bin/asterreel/postgres/startup.rs
+++ b/src/bin/asterreel/postgres/startup.rs
@@ -1,43 +1,43 @@
-//! What opens a connection: the startup message, requests for encryption, and requests to cancel a query.
+//! Messages that open a connection: the startup message, requests for encryption, and requests to cancel a query.
 
-use super::framing::{length, put_text, text, Malformed};
+use super::framing::{cstring, message_length, put_cstring, Malformed};
 
 /// Bytes of an opening message's length and code.
 const OPENING_HEADER_BYTES: usize = 8;
-/// Codes in the place of a protocol version.
+/// Request codes, sent in place of a protocol version.
 const SSL_REQUEST: u32 = 80_877_103;
 const GSSAPI_REQUEST: u32 = 80_877_104;
 const CANCEL_REQUEST: u32 = 80_877_102;
-/// The only version of the protocol that is served, in the upper half of the version's four bytes.
+/// The only major version of the protocol that is supported; the upper two of the version's four bytes.
 const PROTOCOL_MAJOR_VERSION: u32 = 3;
 
-/// What a client opens its connection with.
+/// The kind of a message that opens a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Opening {
     /// Starts a session.
     Start,
-    /// Asks for encryption, which is answered with one byte.
+    /// Requests encryption; the answer is one byte.
     Encrypt,
-    /// Asks to cancel what the session with this key is doing; gets no answer.
+    /// Requests that the open request of the session with this key is cancelled; there is no answer.
     Cancel(CancelKey),
 }
 
-/// What a client must know to cancel what its session is doing.
+/// The key that authorizes a cancel request for a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct CancelKey {
     /// The number of the session.
     pub session: u32,
-    /// Known to the session's client alone.
+    /// A secret that only the session's client is given.
     pub secret: u32,
 }
 
-/// The opening message and its length, once it is complete.
+/// The opening message and its length; `None` while it is incomplete.
 ///
 /// # Errors
 ///
-/// A message that opens no connection of this protocol.
-pub(crate) fn opening(bytes: &[u8]) -> Result<Option<(Opening, usize)>, Malformed> {
-    let Some(length) = length(bytes)? else {
+/// A length out of bounds, a cancel request without a key, or a version that is not supported.
+pub(crate) fn parse_opening(bytes: &[u8]) -> Result<Option<(Opening, usize)>, Malformed> {
+    let Some(length) = message_length(bytes)? else {
         return Ok(None);
     };
     if length < OPENING_HEADER_BYTES {
@@ -69,11 +69,11 @@
     }
 }
 
-/// A parameter of a startup message, by its name; nothing where it is not there or no text.
-pub(crate) fn parameter<'a>(message: &'a [u8], name: &str) -> Option<&'a str> {
+/// The value of a startup message's parameter; `None` where it is missing or not UTF-8.
+pub(crate) fn startup_parameter<'a>(message: &'a [u8], name: &str) -> Option<&'a str> {
     let mut rest = message.get(OPENING_HEADER_BYTES..)?;
-    while let Some((key, after)) = text(rest).filter(|(key, _)| !key.is_empty()) {
-        let (value, after) = text(after)?;
+    while let Some((key, after)) = cstring(rest).filter(|(key, _)| !key.is_empty()) {
+        let (value, after) = cstring(after)?;
         if key == name.as_bytes() {
             return std::str::from_utf8(value).ok();
         }
@@ -82,16 +82,16 @@
     None
 }
 
-/// What a gateway opens its connection to a database with.
+/// The startup message that the gateway sends to databases.
 pub(crate) fn startup() -> Vec<u8> {
     startup_to("orders")
 }
 
-/// The startup message for a database of this name.
+/// A startup message for the database of this name.
 pub(crate) fn startup_to(database: &str) -> Vec<u8> {
     let mut out = vec![0, 0, 0, 0, 0, 3, 0, 0];
     for text in ["user", "web", "database", database, ""] {
-        put_text(&mut out, text);
+        put_cstring(&mut out, text);
     }
     let length = out.len() as u32;
     out[..4].copy_from_slice(&length.to_be_bytes());
--- a/src/bin/asterreel/postgres/statement.rs
+++ b/src/bin/asterreel/postgres/statement.rs
@@ -1,31 +1,31 @@
-//! A client's statement and the comment at its end, which names the request, its class, its wait and its group.
+//! A client's statement and the comment at its end, which gives the request's id, class, wait and group.
 //!
-//! A forwarded statement differs from the one received in the value of `d` (the wait in milliseconds) alone.
+//! A forwarded statement differs from the one received only in the value of `d`, the wait in milliseconds.
 
-use super::framing::{put, Malformed};
+use super::framing::{put_message, Malformed};
 use std::ops::Range;
 
-/// A client's statement, with what its comment says.
+/// A client's statement, with the values of its comment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Statement {
     bytes: Vec<u8>,
-    /// Where the value of `d` is.
+    /// The range of the value of `d` in the statement.
     wait_range: Range<usize>,
-    /// What the client calls the request.
+    /// The request's id, assigned by the client; `id` in the comment.
     pub id: Vec<u8>,
-    /// The class, by name.
+    /// The name of the request's class; `c` in the comment.
     pub class: String,
-    /// How long the client will wait, in milliseconds.
+    /// How long the client waits for the answer, in milliseconds; `d` in the comment.
     pub wait_ms: u64,
     /// The number of the group whose data it needs; `cluster` in the comment, 0 without it.
     pub group: u64,
     /// The position that the read must see, in Unix milliseconds; `after` in the comment.
     pub after_ms: Option<u64>,
-    /// The first quoted text, which may name a session.
+    /// The first quoted string of the statement, which may identify a session; empty without one.
     pub key: Vec<u8>,
 }
 
-/// The values of a comment that the gateway acts on.
+/// The values of a comment that the gateway uses.
 #[derive(Default)]
 struct CommentValues<'a> {
     id: Option<&'a [u8]>,
@@ -35,14 +35,14 @@
     after_ms: Option<u64>,
 }
 
-/// The wait in a comment: its value, and where in the statement it is.
+/// The wait in a comment: its value, and its range in the statement.
 struct Wait {
     milliseconds: u64,
     range: Range<usize>,
 }
 
 impl<'a> CommentValues<'a> {
-    /// Reads the pairs between these places of a statement; the last of a name counts, and unknown names are ignored.
+    /// Parses the pairs in this range of a statement. The last pair of a name counts, and unknown names are ignored.
     fn parse(bytes: &'a [u8], range: Range<usize>) -> Result<CommentValues<'a>, Malformed> {
         let mut values = CommentValues::default();
         let mut next_pair = range.start;
@@ -61,12 +61,12 @@
                     let padding = padded.len() - padded.trim_ascii_start().len();
                     let start = pair_start + equals + 1 + padding;
                     values.wait = Some(Wait {
-                        milliseconds: number(value)?,
+                        milliseconds: parse_number(value)?,
                         range: start..start + value.len(),
                     });
                 }
-                b"cluster" => values.group = Some(number(value)?),
-                b"after" => values.after_ms = Some(number(value)?),
+                b"cluster" => values.group = Some(parse_number(value)?),
+                b"after" => values.after_ms = Some(parse_number(value)?),
                 _ => {}
             }
         }
@@ -74,7 +74,7 @@
     }
 }
 
-/// Where the text of the comment is that a statement ends with.
+/// The range of the text in the comment that ends a statement.
 fn comment_range(bytes: &[u8]) -> Result<Range<usize>, Malformed> {
     let find_last = |delimiter: &[u8]| bytes.windows(2).rposition(|pair| pair == delimiter);
     let (Some(open), Some(close)) = (find_last(b"/*"), find_last(b"*/")) else {
@@ -88,11 +88,12 @@
 }
 
 impl Statement {
-    /// Reads a statement and its comment.
+    /// Parses a statement and its comment.
     ///
     /// # Errors
     ///
-    /// A statement that does not end with a comment, and a comment without id, class or wait or with a bad number.
+    /// A statement that does not end with a comment, or a comment that lacks id, class or wait or has an invalid
+    /// number.
     pub(crate) fn parse(bytes: &[u8]) -> Result<Statement, Malformed> {
         let range = comment_range(bytes)?;
         let statement = &bytes[..range.start - 2];
@@ -121,7 +122,7 @@
         &self.bytes
     }
 
-    /// Names and values of the comment, as far as they are text.
+    /// The names and values in the comment; empty where the statement is not UTF-8.
     pub(crate) fn comment(&self) -> Vec<(&str, &str)> {
         let text = std::str::from_utf8(&self.bytes).unwrap_or_default();
         let comment = text
@@ -134,11 +135,11 @@
             .collect()
     }
 
-    /// The query message that forwards the statement; only `d` is changed, to the wait that is left.
+    /// The Query message that forwards the statement, in which only `d` is replaced, by the remaining wait.
     pub(crate) fn forward(&self, wait_ms: u64) -> Vec<u8> {
         let wait = wait_ms.to_string();
         let mut out = Vec::with_capacity(self.bytes.len() + wait.len() + 6);
-        put(&mut out, b'Q', |out| {
+        put_message(&mut out, b'Q', |out| {
             out.extend_from_slice(&self.bytes[..self.wait_range.start]);
             out.extend_from_slice(wait.as_bytes());
             out.extend_from_slice(&self.bytes[self.wait_range.end..]);
@@ -148,7 +149,7 @@
     }
 }
 
-fn number(value: &[u8]) -> Result<u64, Malformed> {
+fn parse_number(value: &[u8]) -> Result<u64, Malformed> {
     let text = std::str::from_utf8(value).ok();
     text.and_then(|text| text.parse().ok())
         .ok_or(Malformed("comment holds a bad number"))
--- a/src/bin/asterreel/postgres/tests.rs
+++ b/src/bin/asterreel/postgres/tests.rs
@@ -1,5 +1,5 @@
-use super::framing::put;
-use super::report::decimal;
+use super::framing::put_message;
+use super::report::parse_decimal;
 use super::*;
 use crate::fuzz;
 use asterreel::interface::{MemberReport, Role};
@@ -9,64 +9,67 @@
 
 fn row() -> Vec<u8> {
     let mut out = Vec::new();
-    put(&mut out, b'T', |out| {
+    put_message(&mut out, b'T', |out| {
         out.extend([&b"\0\x01payload\0"[..], &[0; 18]].concat())
     });
-    put(&mut out, b'D', |out| {
+    put_message(&mut out, b'D', |out| {
         out.extend_from_slice(b"\0\x01\0\0\0\x03\x9f\0Z")
     });
     command_complete(&mut out, "SELECT 1");
     let rows = out.clone();
-    put(&mut out, b'S', |out| {
+    put_message(&mut out, b'S', |out| {
         out.extend_from_slice(b"server_role\0writer\0")
     });
-    put(&mut out, b'S', |out| {
+    put_message(&mut out, b'S', |out| {
         out.extend_from_slice(b"commit_clock\x001767225600123\0")
     });
-    ready(&mut out);
-    let mut whole = Answer::default();
-    read(&out, &mut whole).expect("valid");
-    assert_eq!(whole.rows, rows);
+    ready_for_query(&mut out);
+    let mut answer = Answer::default();
+    read(&out, &mut answer).expect("valid");
+    assert_eq!(answer.rows, rows);
     out
 }
 
-/// Reads all messages that are whole; returns what is used.
+/// Parses all complete messages; returns how many bytes they have.
 fn read(bytes: &[u8], answer: &mut Answer) -> Result<usize, Malformed> {
     let mut used = 0;
     while let Some(found) = message(&bytes[used..])? {
-        let whole = &bytes[used..used + found.body.end];
-        answer.take(found.tag, whole, &whole[found.body])?;
-        used += whole.len();
+        let complete = &bytes[used..used + found.body.end];
+        answer.handle_message(found.tag, complete, &complete[found.body])?;
+        used += complete.len();
     }
     Ok(used)
 }
 
-/// Parameters of a startup message are found, and garbage holds none.
+/// Parameters of a startup message are found by name, and garbage yields no value longer than itself.
 #[test]
 fn startup_parameters_are_found_by_name() {
     let bytes = startup();
     assert_eq!(
-        (parameter(&bytes, "user"), parameter(&bytes, "database")),
+        (
+            startup_parameter(&bytes, "user"),
+            startup_parameter(&bytes, "database")
+        ),
         (Some("web"), Some("orders"))
     );
     assert_eq!(
         (
-            parameter(&bytes, "web"),
-            parameter(&bytes, "application_name")
+            startup_parameter(&bytes, "web"),
+            startup_parameter(&bytes, "application_name")
         ),
         (None, None)
     );
     fuzz::garbage(&bytes, |bytes| {
-        assert!(parameter(bytes, "user").is_none_or(|value| value.len() < bytes.len()));
+        assert!(startup_parameter(bytes, "user").is_none_or(|value| value.len() < bytes.len()));
     });
     let statement = Statement::parse(READ).expect("valid");
     assert_eq!(statement.comment()[0], ("id", "9b"));
     assert_eq!(statement.text(), READ);
 }
 
-/// An answer is the same however it is cut, and never complete before its end.
+/// An answer is parsed to the same result however its bytes are split into reads, and is not complete before its end.
 #[test]
-fn answer_does_not_depend_on_how_it_is_cut() {
+fn answer_does_not_depend_on_how_it_is_split() {
     let bytes = row();
     fuzz::cuts(&bytes, |ends| {
         let (mut answer, mut used) = (Answer::default(), 0);
@@ -87,17 +90,17 @@
     });
 }
 
-/// Complete messages that are damaged inside: a client would take them for its value or fail over them. An unreadable report
-/// does not invalidate the row it came with.
+/// Messages that are complete but have a damaged body are rejected; a client would read a wrong value from them, or
+/// fail. An unreadable report does not invalidate the row in the same answer.
 #[test]
 fn damaged_row_is_malformed() {
-    let spoilt = |what: &[u8], by: &[u8]| {
+    let read_corrupted = |original: &[u8], replacement: &[u8]| {
         let mut bytes = row();
         let at = bytes
-            .windows(what.len())
-            .position(|window| window == what)
-            .expect("there");
-        bytes[at..at + by.len()].copy_from_slice(by);
+            .windows(original.len())
+            .position(|window| window == original)
+            .expect("part of the row");
+        bytes[at..at + replacement.len()].copy_from_slice(replacement);
         let mut answer = Answer::default();
         let read = read(&bytes, &mut answer);
         (read.is_ok(), answer.result, answer.report.position)
@@ -109,21 +112,21 @@
         (b"payload\0", b"paylo\0d"),
         (b"CT 1\0", b"CT 1\x01"),
     ];
-    for (what, by) in cases {
-        assert!(!spoilt(what, by).0, "{what:?}");
+    for (original, replacement) in cases {
+        assert!(!read_corrupted(original, replacement).0, "{original:?}");
     }
     assert_eq!(
-        spoilt(b"commit_clock\x0017", b"commit_clock\x00?7"),
+        read_corrupted(b"commit_clock\x0017", b"commit_clock\x00?7"),
         (true, Some(QueryResult::Row), None)
     );
-    let unended = spoilt(b"5600123\0", b"5600123x");
-    assert_eq!(unended, (true, Some(QueryResult::Row), None));
+    let unterminated = read_corrupted(b"5600123\0", b"5600123x");
+    assert_eq!(unterminated, (true, Some(QueryResult::Row), None));
 }
 
-/// Garbage is an error or incomplete, and is never read past its end.
+/// Garbage is an error or incomplete, and is never read beyond its end.
 #[test]
 fn garbage_is_an_error_or_incomplete() {
-    let mut bad = 0;
+    let mut errors = 0;
     for valid in [
         &row()[..],
         &startup(),
@@ -133,21 +136,21 @@
         fuzz::garbage(valid, |bytes| {
             let read = read(bytes, &mut Answer::default());
             assert!(read.is_err() || read.is_ok_and(|used| used <= bytes.len()));
-            let opened = opening(bytes);
+            let opened = parse_opening(bytes);
             assert!(
                 opened.is_err() || opened.is_ok_and(|o| o.is_none_or(|(_, n)| n <= bytes.len()))
             );
             let parsed = Statement::parse(bytes);
-            bad += usize::from(read.is_err()) + usize::from(parsed.is_err());
-            let shown = parsed.map(|statement| statement.forward(1).len() <= bytes.len() + 7);
-            assert!(shown.unwrap_or(true));
+            errors += usize::from(read.is_err()) + usize::from(parsed.is_err());
+            let is_bounded = parsed.map(|statement| statement.forward(1).len() <= bytes.len() + 7);
+            assert!(is_bounded.unwrap_or(true));
             load_report(bytes);
         });
     }
-    assert!(bad > 1000, "most garbage is found out: {bad}");
+    assert!(errors > 1000, "too little garbage is rejected: {errors}");
 }
 
-/// Nothing but the value of the wait changes in a forwarded statement.
+/// Only the value of the wait changes in a forwarded statement.
 #[test]
 fn forwarded_statement_changes_only_its_wait() {
     let statement = Statement::parse(READ).expect("valid");
@@ -164,16 +167,16 @@
         &statement.forward(9)[5..],
         [text.as_bytes(), b"\0"].concat()
     );
-    // A value may hold anything, what looks like a comment included.
-    let odd = b"INSERT INTO entries VALUES ('/* d=1 */ \xff') /* id=1,c=w,d=5,cluster=0 */";
-    let forwarded = Statement::parse(odd).expect("valid").forward(77);
-    let wanted = b"INSERT INTO entries VALUES ('/* d=1 */ \xff') /* id=1,c=w,d=77,cluster=0 */\0";
-    assert_eq!(&forwarded[5..], wanted);
+    // A quoted value may contain anything, including text that looks like a comment.
+    let statement = b"INSERT INTO entries VALUES ('/* d=1 */ \xff') /* id=1,c=w,d=5,cluster=0 */";
+    let forwarded = Statement::parse(statement).expect("valid").forward(77);
+    let expected = b"INSERT INTO entries VALUES ('/* d=1 */ \xff') /* id=1,c=w,d=77,cluster=0 */\0";
+    assert_eq!(&forwarded[5..], expected);
     fuzz::cuts(READ, |ends| {
         for end in ends.iter().filter(|end| **end < READ.len()) {
             assert!(
                 Statement::parse(&READ[..*end]).is_err(),
-                "half a statement is none"
+                "a truncated statement is invalid"
             );
         }
     });
@@ -181,11 +184,17 @@
 
 #[test]
 fn positions_are_rounded_down_exactly() {
-    assert_eq!(decimal(b"1767225600.123999", 3), Some(1_767_225_600_123));
-    assert_eq!(decimal(b"1767225600123", 3), Some(1_767_225_600_123_000));
-    let note = load_report(b"x0=1767225600.5,x1=0,util=0.61");
     assert_eq!(
-        note,
+        parse_decimal(b"1767225600.123999", 3),
+        Some(1_767_225_600_123)
+    );
+    assert_eq!(
+        parse_decimal(b"1767225600123", 3),
+        Some(1_767_225_600_123_000)
+    );
+    let report = load_report(b"x0=1767225600.5,x1=0,util=0.61");
+    assert_eq!(
+        report,
         MemberReport {
             role: Some(Role::Replica),
             position: Some(1_767_225_600_500_000)
@@ -194,11 +203,11 @@
     assert_eq!(load_report(b"x0=soon,x1,=1"), MemberReport::default());
 }
 
-/// An error is read by its code, and a rejection says after which delay to retry.
+/// An error is identified by its code, and a rejection contains the delay before a retry.
 #[test]
 fn error_has_a_code_and_a_retry_delay() {
     let mut out = Vec::new();
-    error(
+    error_response(
         &mut out,
         Severity::Error,
         sqlstate::TOO_MANY_CONNECTIONS,
@@ -214,25 +223,25 @@
     assert!(out.windows(5).any(|field| field == b"D250\0"));
 }
 
-/// A message lacks its header, then its body, and never less than a byte.
+/// The missing bytes are those of the header, then those of the body, and at least one.
 #[test]
 fn missing_bytes_counts_header_then_body() {
-    let whole = simple_query("SELECT 1");
-    let lacks: Vec<usize> = (0..=whole.len())
-        .map(|end| missing_bytes(&whole[..end]))
+    let query = simple_query("SELECT 1");
+    let missing: Vec<usize> = (0..=query.len())
+        .map(|end| missing_bytes(&query[..end]))
         .collect();
-    assert_eq!(lacks[..5], [5, 4, 3, 2, 1]);
-    assert!((5..whole.len()).all(|end| lacks[end] == whole.len() - end));
+    assert_eq!(missing[..5], [5, 4, 3, 2, 1]);
+    assert!((5..query.len()).all(|end| missing[end] == query.len() - end));
     assert_eq!(
-        (lacks[whole.len()], missing_bytes(b"Q\xff\xff\xff\xff")),
+        (missing[query.len()], missing_bytes(b"Q\xff\xff\xff\xff")),
         (1, 1)
     );
-    fuzz::garbage(&whole, |bytes| {
+    fuzz::garbage(&query, |bytes| {
         assert!((1..=MAX_MESSAGE_BYTES + 1).contains(&missing_bytes(bytes)))
     });
 }
 
-/// A cancel request holds a key and nothing else.
+/// A cancel request is valid only with a complete key and nothing after it.
 #[test]
 fn cancel_request_holds_exactly_a_key() {
     let key = CancelKey {
@@ -247,12 +256,15 @@
         ]
         .concat()
     };
-    let whole = request(16, b"\0\0\0\x07\xfe\xed\xbe\xef");
-    assert_eq!(opening(&whole), Ok(Some((Opening::Cancel(key), 16))));
-    assert!((0..16).all(|end| opening(&whole[..end]) == Ok(None)));
-    assert!(opening(&request(12, b"\0\0\0\x07")).is_err());
-    assert!(opening(&request(20, b"\0\0\0\x07\xfe\xed\xbe\xef\0\0\0\0")).is_err());
-    // The key is the one that a session is welcomed with.
+    let complete = request(16, b"\0\0\0\x07\xfe\xed\xbe\xef");
+    assert_eq!(
+        parse_opening(&complete),
+        Ok(Some((Opening::Cancel(key), 16)))
+    );
+    assert!((0..16).all(|end| parse_opening(&complete[..end]) == Ok(None)));
+    assert!(parse_opening(&request(12, b"\0\0\0\x07")).is_err());
+    assert!(parse_opening(&request(20, b"\0\0\0\x07\xfe\xed\xbe\xef\0\0\0\0")).is_err());
+    // The key is the one in the answer to the startup message.
     let mut out = Vec::new();
     session_started(&mut out, key);
     assert!(out
--- a/src/bin/asterreel/request/round_trip.rs
+++ b/src/bin/asterreel/request/round_trip.rs
@@ -1,6 +1,6 @@
-//! One round trip on a connection to a server: a message is written, and its answer is read up to ReadyForQuery.
+//! One round trip on a connection to a server: writes a message and reads the answer up to ReadyForQuery.
 //!
-//! Nothing is ever written twice here, and an answer that is incomplete or malformed is never reported as complete.
+//! A message is never written twice, and an incomplete or malformed answer is never reported as complete.
 
 use crate::postgres::{self as pg, Answer};
 use crate::request::cancellation::CancellationToken;
@@ -11,22 +11,22 @@
 use std::io::{self, ErrorKind};
 use thiserror::Error;
 
-/// How long after its result the rest of an answer is waited for, which holds the server's report.
+/// How long to wait, after the result, for the rest of the answer, which contains the server's report.
 const REPORT_WAIT_US: Micros = 50_000;
 
-/// After so many successful reads in a row other coroutines get their turn.
-const READS_PER_TURN: u32 = 16;
+/// The number of successful reads after which the deadline is checked, and the coroutine yields to others.
+const READS_BEFORE_YIELD: u32 = 16;
 
 /// Why a round trip ended before ReadyForQuery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum ConnectionError {
-    /// The connection broke or was closed, before or after the last byte of the message was written.
+    /// The connection broke or was closed; `written` says whether the message had been written to its last byte.
     #[error("connection lost")]
     Lost { written: bool },
-    /// The deadline passed, or the attempt was cancelled.
+    /// The deadline passed, or the attempt was cancelled; `written` as for `Lost`.
     #[error("deadline passed or attempt cancelled")]
     Stopped { written: bool },
-    /// What came back is not the protocol.
+    /// The answer violates the protocol.
     #[error("malformed answer")]
     Malformed,
 }
@@ -35,7 +35,7 @@
 ///
 /// # Errors
 ///
-/// How the round trip broke off; `answer` then holds what had come by then, which may include a result.
+/// Why the round trip ended early; `answer` then holds what was received until then, which may include a result.
 pub(crate) fn round_trip(
     stream: &mut Stream,
     message: &[u8],
@@ -63,7 +63,7 @@
     }
 }
 
-/// Reads an answer to its end; `alarm` wakes this coroutine at the token's deadline.
+/// Reads an answer up to ReadyForQuery; `alarm` wakes this coroutine at the token's deadline.
 fn read_answer(
     stream: &mut Stream,
     answer: &mut Answer,
@@ -74,16 +74,17 @@
     let written = true;
     let (mut report_deadline, mut reads) = (Micros::MAX, 0);
     loop {
-        take_messages(stream, answer)?;
+        handle_messages(stream, answer)?;
         if answer.ready {
             return Ok(());
         }
         match stream.read_now() {
             Ok(Some(0)) | Err(_) => return Err(ConnectionError::Lost { written }),
             Ok(Some(_)) => {
-                // A server that sends without end must neither outlast its deadline nor hold up all other work.
+                // A server that sends without end must neither exceed the deadline nor keep other coroutines from
+                // running.
                 reads += 1;
-                if reads % READS_PER_TURN == 0 {
+                if reads % READS_BEFORE_YIELD == 0 {
                     if !token.is_active(clock) {
                         return Err(ConnectionError::Stopped { written });
                     }
@@ -94,7 +95,7 @@
             Ok(None) => {}
         }
         if answer.result.is_some() && report_deadline == Micros::MAX {
-            // The result stands; a server that falls silent before its report must not hold it back.
+            // The result is final; a server that sends nothing after it must not delay it.
             report_deadline = clock.now() + REPORT_WAIT_US;
             let wake_at = report_deadline.min(token.deadline);
             alarm = stream.timer.alarm(wake_at, stream.waker());
@@ -107,21 +108,21 @@
     }
 }
 
-/// Takes in all complete messages at the front of the buffer, up to the end of the answer.
-fn take_messages(stream: &mut Stream, answer: &mut Answer) -> Result<(), ConnectionError> {
+/// Handles all complete messages at the front of the buffer, up to the end of the answer.
+fn handle_messages(stream: &mut Stream, answer: &mut Answer) -> Result<(), ConnectionError> {
     let malformed = |_| ConnectionError::Malformed;
     while let Some(message) = pg::message(stream.buffer.data()).map_err(malformed)? {
         let bytes = stream.buffer.data();
         let message_bytes = &bytes[..message.body.end];
         answer
-            .take(message.tag, message_bytes, &bytes[message.body.clone()])
+            .handle_message(message.tag, message_bytes, &bytes[message.body.clone()])
             .map_err(malformed)?;
         stream.buffer.consume(message.body.end);
         if answer.ready {
             return Ok(());
         }
     }
-    // Garbage may claim a length whose end would be waited for in vain.
+    // An unknown tag is rejected at once: its length may be garbage, and its end would never arrive.
     let tag = stream.buffer.data().first();
     if tag.is_some_and(|tag| !pg::ANSWER_TAGS.contains(tag)) {
         return Err(ConnectionError::Malformed);
