--- a/src/bin/asterreel/request/attempt.rs
+++ b/src/bin/asterreel/request/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at a server, from its connection to its outcome.
+//! One attempt at a server, from acquiring a connection to the outcome.
 //!
 //! The statement is written at most once per attempt; an attempt that ends before its answer is complete closes its
 //! connection.
--- a/src/bin/asterreel/request/cancellation.rs
+++ b/src/bin/asterreel/request/cancellation.rs
@@ -1,4 +1,4 @@
-//! Cancellation of an attempt: by its deadline, or by a decision taken elsewhere.
+//! Cancellation of an attempt, by its deadline or by the router.
 
 use crate::runtime::sync::lock;
 use asterreel::interface::Micros;
@@ -7,9 +7,9 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Mutex;
 
-/// Tells an attempt when to stop waiting: at its deadline, or as soon as it is cancelled.
+/// Stops an attempt at its deadline, or earlier when it is cancelled. The session and the attempt share it.
 pub(crate) struct CancellationToken {
-    /// When the attempt's time is over.
+    /// When the attempt stops waiting for its answer.
     pub deadline: Micros,
     cancelled: AtomicBool,
     /// Wakes the coroutine that waits for the attempt's answer.
@@ -34,17 +34,17 @@
         }
     }
 
-    /// Whether the attempt was cancelled; a deadline that has passed is no cancellation.
+    /// Whether the attempt was cancelled. A deadline that has passed does not count as a cancellation.
     pub(crate) fn is_cancelled(&self) -> bool {
         self.cancelled.load(Ordering::Acquire)
     }
 
-    /// Whether the attempt is to go on.
+    /// Whether the attempt should continue: it is not cancelled, and its deadline has not passed.
     pub(crate) fn is_active(&self, clock: Clock) -> bool {
         !self.is_cancelled() && clock.now() < self.deadline
     }
 
-    /// From now on a cancellation wakes this coroutine.
+    /// Sets the waker of the coroutine that a cancellation wakes.
     pub(crate) fn set_waker(&self, waker: WaitIoWaker) {
         *self.waker() = Some(waker);
     }
--- a/src/bin/asterreel/request/mod.rs
+++ b/src/bin/asterreel/request/mod.rs
@@ -1,7 +1,8 @@
-//! From a dispatch decision to its outcome: connections to servers, and attempts over them.
+//! Attempts at servers, from the router's dispatch to the outcome, and the connections that they use.
 //!
-//! `cancellation` and `round_trip` stand below both `pool`, which opens connections by a round trip of its own, and
-//! `attempt`, which uses them; `outcome` says what an attempt's end proves.
+//! `cancellation` and `round_trip` are used by `pool`, which opens a connection with a round trip for the startup
+//! message, and by `attempt`, which sends a statement over a connection of the pool. `outcome` maps the end of an
+//! attempt to what it proves about what ran.
 
 pub(crate) mod attempt;
 pub(crate) mod cancellation;
--- a/src/bin/asterreel/request/outcome.rs
+++ b/src/bin/asterreel/request/outcome.rs
@@ -1,11 +1,11 @@
-//! The table of outcomes: what an attempt that ended in some way proves about what ran.
+//! The outcome of an attempt: what the way it ended proves about whether the statement ran.
 
 use crate::postgres::{sqlstate, QueryResult};
 use crate::request::pool::AcquireError;
 use crate::request::round_trip::ConnectionError;
 use asterreel::interface::Outcome;
 
-/// The outcome of an attempt that got no connection: nothing ran, whatever the reason.
+/// The outcome of an attempt that got no connection. Nothing was sent, whatever the reason.
 pub(crate) fn without_connection(error: AcquireError, deadline_passed: bool) -> Outcome {
     match error {
         AcquireError::Rejected => Outcome::Rejected,
@@ -15,7 +15,8 @@
     }
 }
 
-/// The outcome of an attempt whose round trip ended like this, with this result if one came.
+/// The outcome of an attempt from the end of its round trip, the result that was received, if any, and whether the
+/// attempt was cancelled.
 pub(crate) fn of_round_trip(
     round_trip: Result<(), ConnectionError>,
     result: Option<&QueryResult>,
@@ -26,11 +27,11 @@
         (Some(QueryResult::Error(code)), _) => match *code {
             sqlstate::READ_ONLY_TRANSACTION | sqlstate::SNAPSHOT_TOO_OLD => Outcome::Misrouted,
             sqlstate::TOO_MANY_CONNECTIONS => Outcome::Rejected,
-            // Any other member would answer alike, and a retry would count as a failure of each.
+            // Any other member would answer the same, and each retry would be counted as a failure of its member.
             code if code.is_invalid_statement() => Outcome::InvalidRequest,
             _ => Outcome::Error,
         },
-        // A server starts a query once its last byte has come: one not written to its end never runs.
+        // A server runs a query only once its last byte has arrived: one that was not written completely never runs.
         (None, Err(ConnectionError::Lost { written: false })) => Outcome::ConnectFailed,
         (None, Err(ConnectionError::Stopped { written: false })) => Outcome::NotSent,
         (None, Err(ConnectionError::Lost { written: true })) => Outcome::Reset,
--- a/src/bin/asterreel/request/outcome/tests.rs
+++ b/src/bin/asterreel/request/outcome/tests.rs
@@ -12,7 +12,7 @@
     let row = Some(QueryResult::Row);
     let cases = [
         (Ok(()), row.clone(), false, Outcome::Served),
-        // Served is served, even if the connection breaks before the report.
+        // A row makes the attempt served, even if the connection breaks before the report.
         (lost(true), row, false, Outcome::Served),
         (Ok(()), error(b"25006"), false, Outcome::Misrouted),
         (Ok(()), error(b"72000"), false, Outcome::Misrouted),
@@ -20,7 +20,7 @@
         (Ok(()), error(b"53300"), false, Outcome::Rejected),
         (Ok(()), error(b"42601"), false, Outcome::InvalidRequest),
         (Ok(()), error(b"08P01"), false, Outcome::InvalidRequest),
-        // Only the codes of the table prove anything; a shutdown notice does not.
+        // Only the codes above prove that nothing ran; a shutdown notice does not.
         (lost(true), error(b"57P03"), false, Outcome::Error),
         (lost(false), None, false, Outcome::ConnectFailed),
         (lost(true), None, false, Outcome::Reset),
@@ -30,18 +30,18 @@
         (Err(ConnectionError::Malformed), None, false, Outcome::Error),
         (Ok(()), None, false, Outcome::Error),
     ];
-    for (ended, result, cancelled, wanted) in cases {
+    for (ended, result, cancelled, expected) in cases {
         assert_eq!(
             of_round_trip(ended, result.as_ref(), cancelled),
-            wanted,
+            expected,
             "{ended:?} {result:?}"
         );
     }
 }
 
-/// Nothing ran in any of them, and a member is blamed only for what it did.
+/// Without a connection nothing ran. Only failures that the member caused may count against it.
 #[test]
-fn missing_connection_blames_member_only_for_its_acts() {
+fn missing_connection_maps_to_outcome_by_cause() {
     assert_eq!(
         without_connection(AcquireError::Rejected, false),
         Outcome::Rejected
--- a/src/bin/asterreel/request/pool.rs
+++ b/src/bin/asterreel/request/pool.rs
@@ -1,7 +1,7 @@
-//! Connections to servers: opened, kept while idle, and never more than the descriptors allow.
+//! The pool of connections to servers. Connections are opened on demand and kept while idle, within a limit.
 //!
-//! Whoever acquires a connection owns it. Only one whose last answer is complete may be released to the pool; dropping
-//! any other closes it, and its permit is free again. No lock is held over a wait.
+//! The caller that acquires a connection owns it. Only a connection whose last answer is complete may be released to
+//! the pool; any other is dropped, which closes it and frees its permit. No lock is held across a wait.
 
 use crate::postgres::{self as pg, sqlstate, Answer, QueryResult};
 use crate::request::cancellation::CancellationToken;
@@ -20,11 +20,11 @@
 
 /// Connections to all servers.
 pub(crate) struct Pool {
-    /// The clock of all times here.
+    /// The clock for deadlines and idle times.
     pub clock: Clock,
-    /// Wakes coroutines that wait for a server.
+    /// Wakes coroutines at the deadlines of their waits for servers.
     pub timer: Arc<Timer>,
-    /// How long opening a connection may take.
+    /// How long it may take until a new connection is ready for a query.
     pub connect_timeout: Micros,
     idle: Mutex<IdleConnections>,
     open_connections: Arc<AtomicUsize>,
@@ -47,7 +47,7 @@
     _permit: ConnectionPermit,
 }
 
-/// One of the descriptors reserved for servers; given back when dropped.
+/// The right to one of at most `max_connections` connections, returned on drop.
 struct ConnectionPermit(Arc<AtomicUsize>);
 
 impl Drop for ConnectionPermit {
@@ -56,16 +56,16 @@
     }
 }
 
-/// Why there is no connection. In every case nothing was sent.
+/// Why no connection could be acquired. Nothing of the statement was sent in any of these cases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum AcquireError {
-    /// All descriptors reserved for servers are in use, or this machine lacks something that connections need.
+    /// All connections that the limit allows are in use, or the machine lacks ports, memory or a route.
     #[error("no capacity for another connection")]
     NoCapacity,
-    /// The server has too many connections.
+    /// The server rejected the connection because it has too many.
     #[error("the server has too many connections")]
     Rejected,
-    /// Refused, not ready in time, or broken.
+    /// The server refused the connection, did not get it ready in time, or broke it.
     #[error("connecting failed")]
     ConnectFailed,
 }
@@ -87,7 +87,8 @@
             idle: Mutex::default(),
             open_connections: Arc::default(),
             max_connections,
-            // A query written to a connection that the server is closing may have run: close it well before.
+            // A query written to a connection that the server is closing may have run, so an idle connection is closed
+            // here well before the server closes it.
             max_idle_time: server_idle_timeout * 2 / 3,
         }
     }
@@ -96,11 +97,11 @@
         work(&mut lock(&self.idle))
     }
 
-    /// An idle connection to a server, or a new one that is ready by the connect timeout and by `deadline`.
+    /// An idle connection to a server, or a new one, which must be ready within the connect timeout and by `deadline`.
     ///
     /// # Errors
     ///
-    /// Why there is none.
+    /// Without a permit, and where the server rejects the connection or does not get it ready in time.
     pub(crate) fn acquire(
         &self,
         address: SocketAddr,
@@ -110,13 +111,14 @@
             .map_or_else(|| self.open(address, deadline), Ok)
     }
 
-    /// An idle connection that the server has not closed.
+    /// The idle connection to a server that was used last and that the server has not closed.
     fn take_idle(&self, address: SocketAddr) -> Option<Connection> {
         self.close_idle();
         loop {
             let idle = self.with_idle(|idle| idle.get_mut(&address).and_then(Vec::pop))?;
             let mut connection = idle.connection;
-            // A query written to one that has ended, failed or sent something unasked could be lost after it ran.
+            // A query on a connection that has ended, failed or received unsolicited bytes could run and its answer be
+            // lost.
             if matches!(connection.stream.read_now(), Ok(None))
                 && connection.stream.buffer.data().is_empty()
             {
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Keeps a connection for the next query.
+    /// Returns a connection to the pool as idle.
     pub(crate) fn release(&self, address: SocketAddr, connection: Connection) {
         let since = self.clock.now();
         self.with_idle(|idle| {
@@ -136,7 +138,7 @@
         self.close_idle();
     }
 
-    /// Keeps a connection whose answer is complete, and closes any other.
+    /// Returns a connection to the pool if its answer is complete, and closes it otherwise.
     pub(crate) fn release_if_complete(
         &self,
         address: SocketAddr,
@@ -149,7 +151,7 @@
         }
     }
 
-    /// Closes connections that have been idle for too long.
+    /// Closes connections that have been idle for [`Pool::max_idle_time`] or longer.
     fn close_idle(&self) {
         let now = self.clock.now();
         let is_expired =
@@ -161,7 +163,8 @@
         });
     }
 
-    /// A permit for one more connection. Where all are in use, the connection that has been idle for longest is closed.
+    /// A permit for one more connection; `None` at the limit. At the limit, the connection that has been idle for
+    /// longest is closed first.
     fn reserve(&self) -> Option<ConnectionPermit> {
         if self.open_connections.load(Ordering::Acquire) >= self.max_connections {
             self.with_idle(|idle| {
@@ -178,7 +181,7 @@
         (in_use < self.max_connections).then_some(permit)
     }
 
-    /// Opens a connection; it must be ready by the connect timeout, and by `deadline`.
+    /// Opens a connection, which must be ready within the connect timeout and by `deadline`.
     fn open(&self, address: SocketAddr, deadline: Micros) -> Result<Connection, AcquireError> {
         let permit = self.reserve().ok_or(AcquireError::NoCapacity)?;
         let now = self.clock.now();
@@ -209,7 +212,8 @@
     }
 }
 
-/// What `socket` and `connect` fail with where this machine has run out of something, or has no route for a moment.
+/// Errors of socket(2) and connect(2) that mean that this machine has run out of a resource, or has no route at the
+/// moment.
 const LOCAL_ERRORS: [Errno; 8] = [
     Errno::EMFILE,
     Errno::ENFILE,
@@ -221,7 +225,7 @@
     Errno::ENETUNREACH,
 ];
 
-/// Tells faults of this machine from those of the server.
+/// Separates errors of this machine from those of the server.
 fn classify_error(error: &std::io::Error) -> AcquireError {
     let code = error.raw_os_error().map(Errno::from_raw);
     match code {
--- a/src/bin/asterreel/request/pool/tests.rs
+++ b/src/bin/asterreel/request/pool/tests.rs
@@ -1,13 +1,14 @@
 use super::*;
 use std::net::TcpListener;
 
-/// Runs as a coroutine and hands back what came of it.
+/// Runs `work` as a coroutine and returns its result.
 fn in_coroutine<T: Send + 'static>(work: impl FnOnce() -> T + Send + 'static) -> T {
     may::config().set_workers(1).set_worker_pin(false);
     may::go!(work).join().expect("no panic")
 }
 
-/// A pool of at most so many connections, and a server that accepts one and closes it when the sender is dropped.
+/// A pool of at most `max_connections` connections, and a server that accepts one and closes it when the sender is
+/// dropped.
 fn pool(max_connections: usize) -> (Arc<Pool>, SocketAddr, std::sync::mpsc::Sender<()>) {
     let clock = Clock::start();
     let timer = Timer::new(clock);
@@ -37,27 +38,27 @@
 #[test]
 fn connection_closed_by_server_is_not_reused() {
     let (pool, address, close) = pool(4);
-    let again = in_coroutine(move || {
+    let is_closed = in_coroutine(move || {
         let until = pool.clock.now() + 20_000_000;
         let connection = pool.open(address, until).expect("opened");
         pool.release(address, connection);
-        let mut kept = pool.take_idle(address).expect("still good");
+        let mut taken = pool.take_idle(address).expect("still open");
         drop(close);
-        // The end has arrived once it can be read; only then is the connection given back.
-        while matches!(kept.stream.read_now(), Ok(None)) {
-            kept.stream.wait();
+        // The connection is released only once the server's close can be read from it.
+        while matches!(taken.stream.read_now(), Ok(None)) {
+            taken.stream.wait();
         }
-        pool.release(address, kept);
+        pool.release(address, taken);
         pool.take_idle(address).is_none()
     });
-    assert!(again);
+    assert!(is_closed);
 }
 
 #[test]
 fn idle_connection_is_closed_at_the_limit() {
     let (pool, address, _close) = pool(1);
-    let (elsewhere, other, _close_other) = super::tests::pool(1);
-    drop(elsewhere);
+    let (unused_pool, other, _close_other) = super::tests::pool(1);
+    drop(unused_pool);
     let outcomes = in_coroutine(move || {
         let until = pool.clock.now() + 20_000_000;
         let held = pool.open(address, until).expect("opened");
@@ -73,9 +74,9 @@
 }
 
 #[test]
-fn local_errors_are_not_blamed_on_the_server() {
+fn local_errors_do_not_count_against_the_server() {
     let error = |code: Errno| std::io::Error::from_raw_os_error(code as i32);
-    // As Linux documents socket(2) and connect(2).
+    // The error codes are those in the Linux manual pages of socket(2) and connect(2).
     for code in [
         Errno::EMFILE,
         Errno::ENFILE,
