--- a/src/bin/asterreel/core.rs
+++ b/src/bin/asterreel/core.rs
@@ -1,7 +1,7 @@
 //! The router of this process behind a lock: events go in, and its actions are carried out.
 //!
-//! Nothing here knows the protocol that clients or members speak. The lock is never held over a wait, and every action is
-//! carried out under the lock under which it was decided, so that mailboxes get commands in the router's order.
+//! Nothing here knows the protocol that clients or members speak. The lock is never held over a wait, and every action
+//! is carried out under the lock under which it was decided, so that mailboxes get commands in the router's order.
 
 mod commands;
 mod members;
--- a/src/bin/asterreel/front/accept.rs
+++ b/src/bin/asterreel/front/accept.rs
@@ -13,7 +13,8 @@
 /// Wait after a failed accept, and while the limit on sessions is reached.
 const ACCEPT_RETRY_DELAY_US: Micros = 5_000;
 
-/// Accepts clients for as long as the process runs. When descriptors run out, the next client is accepted after a delay.
+/// Accepts clients for as long as the process runs. When descriptors run out, the next client is accepted after a
+/// delay.
 pub(crate) fn accept(gateway: &Arc<Gateway>, listener: &TcpListener) {
     gateway.sessions.set_accept_waker(listener.waker());
     let pause = || {
--- a/src/bin/asterreel/front/admission.rs
+++ b/src/bin/asterreel/front/admission.rs
@@ -51,8 +51,8 @@
             .saturating_add(wait)
             .min(gateway.last_answer_at());
         if gateway.core.clock.now() >= due {
-            // Its deadline passed while it was queued behind others of its session. An attempt could no longer be written
-            // and would only occupy a connection.
+            // Its deadline passed while it was queued behind others of its session. An attempt could no longer be
+            // written and would only occupy a connection.
             debug!(
                 class = class.id.0,
                 wait = statement.wait_ms,
--- a/src/bin/asterreel/front/gateway.rs
+++ b/src/bin/asterreel/front/gateway.rs
@@ -140,8 +140,8 @@
         self.core.requests()
     }
 
-    /// Limits the deadlines of requests that are admitted from now on to `at`: the process may be killed soon after, and
-    /// requests that were still open would get no answer.
+    /// Limits the deadlines of requests that are admitted from now on to `at`: the process may be killed soon after,
+    /// and requests that were still open would get no answer.
     pub(crate) fn set_last_answer_at(&self, at: Micros) {
         self.last_answer_at.store(at, Ordering::Release);
     }
--- a/src/bin/asterreel/front/request.rs
+++ b/src/bin/asterreel/front/request.rs
@@ -1,8 +1,8 @@
 //! Handling of one request: its admission, its attempts and its final answer.
 //!
-//! The router decides; this module carries out its commands and reports to it how attempts end. An admitted request gets
-//! exactly one final answer, at the latest [`DECISION_GRACE_US`] after its deadline. No attempt is dispatched for a
-//! client that has disconnected, and a statement is sent again only on a command of the router.
+//! The router decides; this module carries out its commands and reports to it how attempts end. An admitted request
+//! gets exactly one final answer, at the latest [`DECISION_GRACE_US`] after its deadline. No attempt is dispatched for
+//! a client that has disconnected, and a statement is sent again only on a command of the router.
 
 use super::admission::Admitted;
 use super::attempts::{Attempt, Attempts};
@@ -20,7 +20,8 @@
 use std::sync::Arc;
 use tracing::{debug, warn};
 
-/// How long after a request's deadline the session still waits for the router's decision before it sends an error itself.
+/// How long after a request's deadline the session still waits for the router's decision before it sends an error
+/// itself.
 const DECISION_GRACE_US: Micros = 10_000;
 
 /// An admitted request, with the state of its attempts and of its answer.
@@ -80,8 +81,9 @@
 }
 
 impl Session {
-    /// Handles one request, from its arrival to the end of its last attempt. The final answer is appended to `out`; where
-    /// attempts are still in flight when it is decided, it is written to the client without waiting for their ends.
+    /// Handles one request, from its arrival to the end of its last attempt. The final answer is appended to `out`;
+    /// where attempts are still in flight when it is decided, it is written to the client without waiting for their
+    /// ends.
     pub(super) fn request(
         &mut self,
         statement: Statement,
@@ -130,8 +132,8 @@
         }
     }
 
-    /// Writes a final answer that was decided while attempts are in flight, since a cancelled attempt may take a while to
-    /// end. Events in the mailbox are handled first, because a client that reads slowly blocks the write.
+    /// Writes a final answer that was decided while attempts are in flight, since a cancelled attempt may take a while
+    /// to end. Events in the mailbox are handled first, because a client that reads slowly blocks the write.
     fn write_decided_answer(&mut self, request: &Request, out: &mut Vec<u8>) {
         if !request.answer_pending && !out.is_empty() && self.mailbox.is_empty() {
             self.client_gone |= !self.client_gone && self.write(out).is_err();
@@ -142,8 +144,9 @@
     /// Waits for the next event of a request. With `decision_deadline`, its passing is an event too.
     fn next_event(&mut self, decision_deadline: Option<Micros>) -> SessionEvent {
         loop {
-            // Checked before any command is taken, so that nothing is started for a client that has disconnected. Requests
-            // that it pipelines stay in the buffer, up to a limit; beyond that only the socket shows its close.
+            // Checked before any command is taken, so that nothing is started for a client that has disconnected.
+            // Requests that it pipelines stay in the buffer, up to a limit; beyond that only the socket shows its
+            // close.
             if !self.client_gone && self.check_client_gone() {
                 self.client_gone = true;
                 return SessionEvent::ClientGone;
@@ -158,7 +161,8 @@
         }
     }
 
-    /// Reads ahead, except while draining, and returns whether the client has closed its connection or its sending side.
+    /// Reads ahead, except while draining, and returns whether the client has closed its connection or its sending
+    /// side.
     fn check_client_gone(&mut self) -> bool {
         let is_draining = self.gateway.is_draining();
         while !is_draining && self.stream.buffer.data().len() < pg::MAX_MESSAGE_BYTES {
@@ -207,8 +211,8 @@
         }
     }
 
-    /// Starts an attempt, unless the final answer was decided after the router's command or the quarantine forbids it; the
-    /// attempt is then reported as not sent.
+    /// Starts an attempt, unless the final answer was decided after the router's command or the quarantine forbids it;
+    /// the attempt is then reported as not sent.
     fn dispatch(&self, request: &mut Request, dispatch: &Dispatch, out: &mut Vec<u8>) {
         let &Dispatch {
             member,
--- a/src/bin/asterreel/front/shed.rs
+++ b/src/bin/asterreel/front/shed.rs
@@ -1,7 +1,7 @@
 //! Selects sessions to close when the limits on clients are near.
 //!
-//! Sessions are only asked to close here. Each closes between requests, after it has checked once more that no request has
-//! arrived.
+//! Sessions are only asked to close here. Each closes between requests, after it has checked once more that no request
+//! has arrived.
 
 use super::gateway::Gateway;
 use super::mailbox::{ClientWait, Mailbox, ReadState};
