--- a/src/bin/asterreel/core.rs
+++ b/src/bin/asterreel/core.rs
@@ -1,7 +1,8 @@
-//! The router of this process behind a lock: events go in, and its actions are carried out.
+//! The router of this process behind a lock: passes events to it and carries out its actions.
 //!
-//! Nothing here knows the protocol that clients or members speak. The lock is never held over a wait, and every action
-//! is carried out under the lock under which it was decided, so that mailboxes get commands in the router's order.
+//! This module does not depend on the protocol of clients and members. The lock is never held across a wait, and every
+//! action is carried out under the lock under which it was decided, so that mailboxes get commands in the router's
+//! order.
 
 mod commands;
 mod members;
@@ -24,52 +25,53 @@
 use std::sync::{Arc, Mutex, TryLockError};
 use tracing::{debug, info, warn};
 
-/// The router, and everything that its actions reach.
+/// The router, and everything that its actions need.
 pub(crate) struct Core {
-    /// The clock of all events.
+    /// The clock for the times of events.
     pub clock: Clock,
     /// The timer that wakes the router and coroutines.
     pub timer: Arc<Timer>,
-    /// How many commands mailboxes were sent and sessions received.
+    /// How many commands were sent to mailboxes, and how many of them sessions have received.
     pub commands: Arc<CommandCounters>,
     state: Mutex<State>,
 }
 
 struct State {
     router: Router,
-    /// Follows events and actions for health reports and cells, where either is configured.
+    /// Observes events and actions for health reports and cells; `None` where neither is configured.
     observer: Option<Observer>,
     open_requests: HashMap<RequestId, OpenRequest>,
-    /// Requests that have arrived since the start.
+    /// How many requests have arrived since the process started.
     requests: u64,
     members: Members,
-    /// Kept between events for its allocation; empty outside of `feed`.
+    /// Reused from event to event to save allocations; empty outside of [`State::handle`].
     actions: Vec<Action>,
     health_checks: Sender<HealthCheck>,
     watches: Sender<()>,
 }
 
-/// A request that commands can still go to.
+/// A request to which commands can still be sent.
 struct OpenRequest {
     mailbox: Arc<dyn CommandMailbox>,
     due: Micros,
 }
 
-/// A health check that the router asks for.
+/// A health check that the router has requested.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct HealthCheck {
     /// The member to check.
     pub member: MemberId,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
 }
 
 impl Core {
-    /// A router without members. It asks for health checks and for watches on discovery through these channels.
+    /// A router without members. Its requests for health checks and for watches on discovery are sent to these
+    /// channels.
     ///
     /// # Errors
     ///
-    /// Settings that the router rejects.
+    /// If the router rejects the settings.
     pub(crate) fn new(
         config: &Config,
         clock: Clock,
@@ -96,7 +98,7 @@
         })
     }
 
-    /// Runs this under the lock.
+    /// Runs `work` while the lock is held.
     #[cfg(test)]
     pub(crate) fn hold(&self, work: impl FnOnce()) {
         self.with(|_| work());
@@ -106,12 +108,13 @@
         work(&mut lock(&self.state))
     }
 
-    /// From now on an observer follows events and actions. Call it before the first list, or it misses that.
+    /// Adds an observer of events and actions. To be called before the first list, which the observer would miss
+    /// otherwise.
     pub(crate) fn observe(&self, settings: &Settings) {
         self.with(|state| state.observer = Some(Observer::new(settings)));
     }
 
-    /// The report of the observer, or nothing where the lock is held: never waits.
+    /// The observer's report, which is empty without an observer; `None` where the lock is held, as this never waits.
     pub(crate) fn look(&self) -> Option<Report> {
         let mut state = match self.state.try_lock() {
             Ok(state) => state,
@@ -137,21 +140,22 @@
         })
     }
 
-    /// Takes the lock and releases it, which shows that requests could take it too.
+    /// Takes the lock and releases it. Returning shows that requests can get the lock.
     pub(crate) fn wait_for_lock(&self) {
         self.with(|_| ());
     }
 
-    fn feed(&self, event: Event) {
-        self.with(|state| state.feed(self, event));
+    fn handle(&self, event: Event) {
+        self.with(|state| state.handle(self, event));
     }
 
-    /// How many requests arrived since the start.
+    /// How many requests have arrived since the process started.
     pub(crate) fn requests(&self) -> u64 {
         self.with(|state| state.requests)
     }
 
-    /// A request has arrived; its commands go to the mailbox until [`Core::forget`]. Returns its number.
+    /// Handles the arrival of a request and returns its id. Commands for it are sent to the mailbox until
+    /// [`Core::forget`].
     pub(crate) fn arrive(
         &self,
         mut arrival: Arrival,
@@ -164,14 +168,14 @@
             state
                 .open_requests
                 .insert(arrival.request, OpenRequest { mailbox, due });
-            state.feed(self, Event::RequestArrived(arrival));
+            state.handle(self, Event::RequestArrived(arrival));
             arrival.request
         })
     }
 
-    /// An attempt has ended.
+    /// Handles the end of an attempt.
     pub(crate) fn attempt_ended(&self, ended: AttemptEnded) {
-        self.feed(Event::AttemptEnded(ended));
+        self.handle(Event::AttemptEnded(ended));
     }
 
     /// Whether an attempt that was dispatched earlier may still be sent to its member, see [`Router::may_send`].
@@ -179,41 +183,42 @@
         self.with(|state| state.router.may_send(self.clock.now(), request, member))
     }
 
-    /// The client of a request has gone.
+    /// Handles the end of a request that the router did not decide: its client has gone or cancelled it, or its deadline
+    /// has passed.
     pub(crate) fn client_gone(&self, request: RequestId) {
-        self.feed(Event::ClientGone(request));
+        self.handle(Event::ClientGone(request));
     }
 
-    /// A health check has ended.
+    /// Handles the end of a health check.
     pub(crate) fn health_check_ended(
         &self,
         member: MemberId,
         outcome: Outcome,
         report: MemberReport,
     ) {
-        self.feed(Event::HealthChecked(member, outcome, report));
+        self.handle(Event::HealthChecked(member, outcome, report));
     }
 
-    /// The watch on discovery was lost.
+    /// Handles the loss of the watch on discovery.
     pub(crate) fn list_lost(&self, loss: WatchLoss) {
-        self.feed(Event::WatchLost(loss));
+        self.handle(Event::WatchLost(loss));
     }
 
-    /// The time has come for which the router set its timer.
+    /// Handles the expiry of the router's timer.
     pub(crate) fn timer_fired(&self) {
-        self.feed(Event::TimerFired);
+        self.handle(Event::TimerFired);
     }
 
-    /// Commands for a request are dropped from now on.
+    /// Drops commands for a request from now on.
     pub(crate) fn forget(&self, request: RequestId) {
         self.with(|state| state.open_requests.remove(&request));
     }
 
-    /// Takes in an update of the endpoints.
+    /// Applies an update of the endpoints.
     ///
     /// # Errors
     ///
-    /// An endpoint that is invalid; the update then changes nothing.
+    /// If an endpoint is invalid; the update then changes nothing.
     pub(crate) fn listed(
         &self,
         kind: UpdateKind,
@@ -221,7 +226,7 @@
     ) -> Result<(), ListingError> {
         self.with(|state| {
             let endpoints = state.members.endpoints(listing)?;
-            state.feed(self, Event::EndpointsUpdated(kind, endpoints.into()));
+            state.handle(self, Event::EndpointsUpdated(kind, endpoints.into()));
             let router = &state.router;
             state.members.retain(|member| router.has_member(member));
             Ok(())
@@ -230,9 +235,9 @@
 }
 
 impl State {
-    fn feed(&mut self, core: &Core, event: Event) {
+    fn handle(&mut self, core: &Core, event: Event) {
         let now = core.clock.now();
-        // Together with the names of members these lines allow a run to be replayed from the logs of a fleet.
+        // Together with the lines that log members' names, these lines allow a run to be replayed from a fleet's logs.
         debug!(now, "{event:?}");
         let mut actions = std::mem::take(&mut self.actions);
         if let Some(observer) = &mut self.observer {
@@ -244,12 +249,12 @@
                 observer.action(now, &action);
             }
             debug!(now, "{action:?}");
-            self.carry_out(core, now, action);
+            self.execute(core, now, action);
         }
         self.actions = actions;
     }
 
-    fn carry_out(&mut self, core: &Core, now: Micros, action: Action) {
+    fn execute(&mut self, core: &Core, now: Micros, action: Action) {
         match action {
             Action::Dispatch {
                 request,
@@ -257,7 +262,10 @@
                 timeout,
             } => {
                 let Some(address) = self.members.address(member) else {
-                    return warn!("a send to a member without an address");
+                    return warn!(
+                        member = self.members.name(member).unwrap_or("?"),
+                        "cannot dispatch an attempt: no endpoint update has given the member's address"
+                    );
                 };
                 let Some(open) = self.open_requests.get(&request) else {
                     return;
@@ -279,12 +287,12 @@
             Action::Fail(request) => self.send(request, Command::Fail),
             Action::CheckHealth(member) => {
                 if let Some(address) = self.members.address(member) {
-                    // The receiver lasts as long as the process.
+                    // The receiver lives as long as the process.
                     let _ = self.health_checks.send(HealthCheck { member, address });
                 }
             }
             Action::Watch => {
-                // The receiver lasts as long as the process.
+                // The receiver lives as long as the process.
                 let _ = self.watches.send(());
             }
             Action::ReportTransition { member, transition } => {
--- a/src/bin/asterreel/core/commands.rs
+++ b/src/bin/asterreel/core/commands.rs
@@ -1,51 +1,51 @@
-//! Commands of the router for open requests, and the mailboxes they go to.
+//! Commands of the router for open requests, and the mailboxes that receive them.
 
 use asterreel::interface::{AttemptNo, MemberId, Micros};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// An attempt that the router wants made.
+/// An attempt that the router dispatches.
 #[derive(Debug)]
 pub(crate) struct Dispatch {
-    /// The member it goes to.
+    /// The member that it is sent to.
     pub member: MemberId,
-    /// Where that member listens.
+    /// The address on which that member listens.
     pub address: SocketAddr,
-    /// Until when its answer is waited for.
+    /// When the attempt stops waiting for its answer.
     pub deadline: Micros,
 }
 
-/// What the router wants done for one request.
+/// A command of the router for one request.
 #[derive(Debug)]
 pub(crate) enum Command {
     /// Start an attempt.
     Dispatch(Dispatch),
     /// Cancel an attempt.
     CancelAttempt(AttemptNo),
-    /// Final answer: rejected; a retry makes sense after the delay at best.
+    /// Final answer: rejected. If there is a delay, a retry before it is unlikely to succeed.
     Reject { retry_after: Option<Micros> },
     /// Final answer: failed.
     Fail,
 }
 
-/// Where the router's commands for a request go.
+/// The receiver of the router's commands for a request.
 pub(crate) trait CommandMailbox: Send + Sync {
-    /// Takes a command; called under the router's lock, so it must not wait.
+    /// Queues a command. Called while the router's lock is held, so it must not wait.
     fn send(&self, command: Command);
 }
 
-/// How many commands were sent to mailboxes, and how many sessions have received or will never receive. Read without a
-/// lock, by the liveness check.
+/// Counts the commands sent to mailboxes, and those that have left them, received by their session or discarded. The
+/// liveness check reads the counts without a lock.
 #[derive(Default)]
 pub(crate) struct CommandCounters {
-    /// Commands that mailboxes were sent.
+    /// Commands sent to mailboxes.
     pub sent: AtomicU64,
-    /// Commands that left their mailbox.
+    /// Commands that have left their mailbox.
     pub received: AtomicU64,
 }
 
 impl CommandCounters {
-    /// How many were sent and received; never fewer sent.
+    /// The numbers sent and received. The number sent is never the smaller one.
     pub(crate) fn counts(&self) -> (u64, u64) {
         let received = self.received.load(Ordering::Acquire);
         (self.sent.load(Ordering::Acquire), received)
--- a/src/bin/asterreel/core/members.rs
+++ b/src/bin/asterreel/core/members.rs
@@ -1,6 +1,6 @@
-//! The members of endpoint updates: their numbers, names and addresses.
+//! The members known from endpoint updates: their ids, names and addresses.
 //!
-//! A member keeps its number for as long as the router knows it; one that comes back later is a new member.
+//! A member keeps its id for as long as the router knows it. If it is listed again later, it is a new member.
 
 use asterreel::config::EndpointList;
 use asterreel::interface::{Endpoint, EndpointState, MemberId};
@@ -9,14 +9,16 @@
 use thiserror::Error;
 use tracing::debug;
 
-/// An endpoint in an update that can't be used; names the server.
+/// An invalid endpoint in an update. The message starts with the name of its server.
 #[derive(Debug, Error)]
 pub(crate) enum ListingError {
-    /// Its role, state or zone is unknown, or a number is out of bounds.
+    /// Its role, state or zone is unknown, or one of its numbers is out of bounds.
     #[error("{server}: {reason}")]
     InvalidEndpoint { server: String, reason: String },
-    /// It is ready, and where it listens is no IP address with a port.
-    #[error("{server}: bad address {address:?}")]
+    /// It is ready, and its address is not an IP address with a port.
+    #[error(
+        "{server}: address {address:?} is not an IP address with a port, such as 192.0.2.1:5432"
+    )]
     InvalidAddress { server: String, address: String },
 }
 
@@ -30,12 +32,12 @@
 
 struct Member {
     name: String,
-    /// Where it listens; nothing where no update has said so.
+    /// The address on which it listens; `None` until an update gives it.
     address: Option<SocketAddr>,
 }
 
 impl Members {
-    /// No members; endpoints name their zone among these.
+    /// An empty set of members. Endpoints must be in one of these zones.
     pub(super) fn new(zones: Vec<String>) -> Members {
         Members {
             by_name: HashMap::new(),
@@ -45,27 +47,27 @@
         }
     }
 
-    /// How many members there are.
+    /// How many members are known by name, and how many by id.
     #[cfg(test)]
     pub(super) fn counts(&self) -> (usize, usize) {
         (self.by_name.len(), self.by_id.len())
     }
 
-    /// Where a member listens.
+    /// The address on which a member listens, if an update has given it.
     pub(super) fn address(&self, member: MemberId) -> Option<SocketAddr> {
         self.by_id.get(&member)?.address
     }
 
-    /// The name of a member.
+    /// The name of a member; `None` if it is not known.
     pub(super) fn name(&self, member: MemberId) -> Option<&str> {
         Some(&self.by_id.get(&member)?.name)
     }
 
-    /// The endpoints of an update, with the numbers of their members; new ones are added.
+    /// The endpoints of an update, with the ids of their members. Members that are not known yet are added.
     ///
     /// # Errors
     ///
-    /// An endpoint that is invalid; no member is added then.
+    /// If an endpoint is invalid; no member is added or changed then.
     pub(super) fn endpoints(
         &mut self,
         listing: &EndpointList,
@@ -99,7 +101,7 @@
         Ok(endpoints)
     }
 
-    /// The number of a member by its name; an address replaces the one known before.
+    /// The id of the member of this name, which is added if it is not known. A given address replaces the previous one.
     fn identify(&mut self, name: &str, address: Option<SocketAddr>) -> MemberId {
         let next = MemberId(self.next_id);
         let id = *self.by_name.entry(name.to_owned()).or_insert(next);
@@ -113,7 +115,8 @@
         id
     }
 
-    /// Removes members that the router no longer knows: servers are replaced by others under new names all the time.
+    /// Removes members that the router no longer knows. Without this the maps would grow without limit, as servers are
+    /// replaced by others under new names.
     pub(super) fn retain(&mut self, is_known: impl Fn(MemberId) -> bool) {
         let by_id = &mut self.by_id;
         by_id.retain(|member, _| is_known(*member));
--- a/src/bin/asterreel/core/tests.rs
+++ b/src/bin/asterreel/core/tests.rs
@@ -17,12 +17,12 @@
 
 fn core_with_channels() -> (Core, Config, Channels) {
     let config =
-        Config::parse(include_bytes!("../../../../examples/config.json"), |_| None).expect("good");
+        Config::parse(include_bytes!("../../../../examples/config.json"), |_| None).expect("valid");
     let clock = Clock::start();
-    let (health_checks, checks_asked) = channel();
-    let (watches, watches_asked) = channel();
-    let core = Core::new(&config, clock, Timer::new(clock), health_checks, watches).expect("good");
-    (core, config, (checks_asked, watches_asked))
+    let (health_checks, requested_checks) = channel();
+    let (watches, requested_watches) = channel();
+    let core = Core::new(&config, clock, Timer::new(clock), health_checks, watches).expect("valid");
+    (core, config, (requested_checks, requested_watches))
 }
 
 fn core() -> (Core, Config) {
@@ -32,26 +32,30 @@
 
 #[test]
 fn update_with_invalid_endpoint_changes_nothing() {
-    let (core, config, (checks_asked, watches_asked)) = core_with_channels();
+    let (core, config, (requested_checks, requested_watches)) = core_with_channels();
     let clock = core.clock;
     core.listed(UpdateKind::CachedSnapshot, &config.known_endpoints)
-        .expect("good");
-    assert!(watches_asked.try_recv().is_ok());
-    let checks: Vec<HealthCheck> = checks_asked.try_iter().collect();
-    assert_eq!(checks.len(), 2, "both are checked before a first dispatch");
+        .expect("valid");
+    assert!(requested_watches.try_recv().is_ok());
+    let checks: Vec<HealthCheck> = requested_checks.try_iter().collect();
+    assert_eq!(
+        checks.len(),
+        2,
+        "both members are checked before the first dispatch"
+    );
 
-    let corrupt: [fn(&mut EndpointList); 2] = [
+    let corruptions: [fn(&mut EndpointList); 2] = [
         |list| list.members[1].state = "odd".into(),
         |list| list.members[1].address = "x".into(),
     ];
-    for corrupt in corrupt {
-        let mut bad = config.known_endpoints.clone();
-        bad.members.remove(0);
-        bad.members.push(bad.members[0].clone());
-        corrupt(&mut bad);
-        assert!(core.listed(UpdateKind::Snapshot, &bad).is_err());
+    for corrupt in corruptions {
+        let mut invalid = config.known_endpoints.clone();
+        invalid.members.remove(0);
+        invalid.members.push(invalid.members[0].clone());
+        corrupt(&mut invalid);
+        assert!(core.listed(UpdateKind::Snapshot, &invalid).is_err());
     }
-    // The primary, which those lists left out, still gets a write.
+    // The primary, which is missing in those updates, still gets a write.
     let primary = MemberReport {
         role: Some(Role::Primary),
         position: None,
@@ -76,23 +80,24 @@
     );
 }
 
-/// Neither the numbers nor the names of removed members are kept.
+/// Ids and names of removed members are not kept; otherwise the maps would grow with every server that is replaced.
 #[test]
-fn removed_member_comes_back_as_new() {
+fn removed_members_are_not_kept() {
     let (core, config) = core();
     for round in 0..5 {
         let mut list = config.known_endpoints.clone();
         list.members[1].store = format!("s-{round}");
-        core.listed(UpdateKind::Snapshot, &list).expect("good");
+        core.listed(UpdateKind::Snapshot, &list).expect("valid");
         core.with(|state| assert_eq!(state.members.counts(), (2, 2)));
     }
-    let mut gone = EndpointList {
+    let mut removal = EndpointList {
         complete: false,
         ..config.known_endpoints.clone()
     };
-    gone.members
+    removal
+        .members
         .iter_mut()
         .for_each(|member| member.state = "gone".into());
-    core.listed(UpdateKind::Delta, &gone).expect("good");
+    core.listed(UpdateKind::Delta, &removal).expect("valid");
     core.with(|state| assert_eq!(state.members.counts(), (1, 1)));
 }
