--- a/src/bin/asterreel/front/tests.rs
+++ b/src/bin/asterreel/front/tests.rs
@@ -7,7 +7,7 @@
 use asterreel::config::Config;
 use asterreel::interface::*;
 use asterreel_control::clock::Clock;
-use asterreel_testbench::database as toy;
+use asterreel_testbench::database as test_database;
 use may::net::TcpListener;
 use may::sync::mpsc::channel;
 use std::io::{ErrorKind, Read, Write};
@@ -16,10 +16,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Far beyond what anything here takes on a slow machine, and as long as an attempt at the silent database lasts.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// A limit that no step reaches, even on a slow machine; also the connect timeout, for which an attempt at the silent
+/// database lasts.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A gateway in front of one primary, in this process, with its clients' and the database's addresses.
+/// A gateway in this process, the address for its clients, and the listener of its only database, a primary.
 struct Fixture {
     gateway: Arc<Gateway>,
     clients: SocketAddr,
@@ -30,29 +31,35 @@
     fn new() -> Fixture {
         may::config().set_workers(1).set_worker_pin(false);
         let database = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-        let place = database.local_addr().expect("bound").to_string();
-        let example =
-            include_str!("../../../../examples/config.json").replace("127.0.0.1:5501", &place);
-        let config = Config::parse(example.as_bytes(), |_| None).expect("good");
+        let database_address = database.local_addr().expect("bound").to_string();
+        let example = include_str!("../../../../examples/config.json")
+            .replace("127.0.0.1:5501", &database_address);
+        let config = Config::parse(example.as_bytes(), |_| None).expect("valid");
         let clock = Clock::start();
         let timer = Timer::new(clock);
-        let ((probes, asked), (watches, _watched)) = (channel(), channel());
-        let core =
-            Arc::new(Core::new(&config, clock, timer.clone(), probes, watches).expect("good"));
+        let ((health_checks, requested_checks), (watches, _requested_watches)) =
+            (channel(), channel());
+        let core = Arc::new(
+            Core::new(&config, clock, timer.clone(), health_checks, watches).expect("valid"),
+        );
         core.listed(UpdateKind::CachedSnapshot, &config.known_endpoints)
-            .expect("good");
+            .expect("valid");
         let primary = MemberReport {
             role: Some(Role::Primary),
             position: None,
         };
-        let checks: Vec<HealthCheck> = asked.try_iter().collect();
-        let listed = checks
+        let checks: Vec<HealthCheck> = requested_checks.try_iter().collect();
+        let check = checks
             .iter()
-            .find(|check| check.address.to_string() == place);
-        core.health_check_ended(listed.expect("probed").member, Outcome::Served, primary);
-        let woken = core.clone();
-        thread::spawn(move || timer.clone().run(|| woken.timer_fired()));
-        let connect_timeout = PATIENCE.as_micros() as Micros;
+            .find(|check| check.address.to_string() == database_address);
+        core.health_check_ended(
+            check.expect("a check of the primary").member,
+            Outcome::Served,
+            primary,
+        );
+        let timer_core = core.clone();
+        thread::spawn(move || timer.clone().run(|| timer_core.timer_fired()));
+        let connect_timeout = TIMEOUT.as_micros() as Micros;
         let pool = Arc::new(Pool::new(
             clock,
             core.timer.clone(),
@@ -80,16 +87,16 @@
         }
     }
 
-    /// A client that has been welcomed.
+    /// A client whose startup is complete.
     fn client(&self) -> TcpStream {
         let mut client = TcpStream::connect(self.clients).expect("connected");
-        client.set_read_timeout(Some(PATIENCE)).expect("set");
+        client.set_read_timeout(Some(TIMEOUT)).expect("set");
         client.write_all(&pg::startup()).expect("sent");
-        while message(&mut client) != b'Z' {}
+        while read_tag(&mut client) != b'Z' {}
         client
     }
 
-    /// Sends the only session a command as the router would.
+    /// Sends a command to the only session, as the router does.
     fn send(&self, command: Command) {
         let mailbox = self
             .gateway
@@ -99,41 +106,42 @@
     }
 }
 
-/// The tag of the next message.
-fn message(client: &mut TcpStream) -> u8 {
+/// Reads the next message and returns its tag.
+fn read_tag(client: &mut TcpStream) -> u8 {
     let mut tag = [0];
     client.read_exact(&mut tag).expect("a message in time");
-    toy::read_body(client).expect("whole");
+    test_database::read_body(client).expect("a complete message");
     tag[0]
 }
 
-fn write(id: &str) -> Vec<u8> {
+fn write_query(id: &str) -> Vec<u8> {
     pg::simple_query(&format!(
         "INSERT INTO entries VALUES ('k') /* id={id},c=booking,d=3000,cluster=0 */"
     ))
 }
 
-/// The router's rejection comes while the attempt that it cancels still waits for a connection to be ready, which nothing
-/// shortens. The client gets the rejection at once, once, and its next request waits for the end of that attempt.
+/// The router rejects a request and cancels its attempt while the attempt waits for its connection to be ready, a wait
+/// that a cancellation does not end. The client gets the rejection at once and only once, and its next request is
+/// handled after the end of that attempt.
 #[test]
 fn rejection_is_sent_before_cancelled_attempt_ends() {
     let fixture = Fixture::new();
     let mut client = fixture.client();
     client
-        .write_all(&[write("first"), write("second")].concat())
+        .write_all(&[write_query("first"), write_query("second")].concat())
         .expect("sent");
     let (mut silent, _) = fixture.database.accept().expect("an attempt");
-    toy::read_body(&mut silent).expect("a startup message, which is not answered");
-    let decided = Instant::now();
+    test_database::read_body(&mut silent).expect("a startup message, which is not answered");
+    let decided_at = Instant::now();
     fixture.send(Command::Reject { retry_after: None });
     fixture.send(Command::CancelAttempt(AttemptNo(0)));
-    assert_eq!(message(&mut client), b'E');
+    assert_eq!(read_tag(&mut client), b'E');
     assert!(
-        decided.elapsed() < Duration::from_secs(2),
+        decided_at.elapsed() < Duration::from_secs(2),
         "rejected after {:?}",
-        decided.elapsed()
+        decided_at.elapsed()
     );
-    // Neither the end of the answer nor another attempt.
+    // Neither ReadyForQuery nor another attempt follows.
     thread::sleep(Duration::from_millis(300));
     client.set_nonblocking(true).expect("set");
     fixture.database.set_nonblocking(true).expect("set");
@@ -147,23 +155,30 @@
     );
     client.set_nonblocking(false).expect("set");
     fixture.database.set_nonblocking(false).expect("set");
-    // The connection comes up now, too late: nothing is written to it, and it isn't used for the next request either.
+    // The connection is ready only now: nothing is written to it, and the next request does not use it.
     silent
         .write_all(b"R\0\0\0\x08\0\0\0\0Z\0\0\0\x05I")
-        .expect("welcomed");
+        .expect("ready");
     assert_eq!(silent.read(&mut [0]).expect("an end"), 0);
-    assert_eq!(message(&mut client), b'Z');
-    let (serving, _) = fixture
+    assert_eq!(read_tag(&mut client), b'Z');
+    let (connection, _) = fixture
         .database
         .accept()
         .expect("the next request's attempt");
     let answer = [
-        toy::row(b"second"),
-        toy::note(toy::Role::Primary, asterreel_testbench::now() / 1000),
+        test_database::row(b"second"),
+        test_database::note(
+            test_database::Role::Primary,
+            asterreel_testbench::now() / 1000,
+        ),
     ]
     .concat();
-    thread::spawn(move || toy::session(serving, move |_| toy::Reply::Answer(answer.clone())));
-    assert_eq!([(); 4].map(|()| message(&mut client)), *b"TDCZ");
+    thread::spawn(move || {
+        test_database::session(connection, move |_| {
+            test_database::Reply::Answer(answer.clone())
+        })
+    });
+    assert_eq!([(); 4].map(|()| read_tag(&mut client)), *b"TDCZ");
     client.set_nonblocking(true).expect("set");
     assert_eq!(
         client.peek(&mut [0]).expect_err("no more").kind(),
