--- a/src/bin/asterreel/core.rs
+++ b/src/bin/asterreel/core.rs
@@ -42,7 +42,7 @@
     observer: Option<Observer>,
     open_requests: HashMap<RequestId, OpenRequest>,
     /// How many requests have arrived since the process started.
-    requests: u64,
+    request_count: u64,
     members: Members,
     /// Reused from event to event to save allocations; empty outside of [`State::handle`].
     actions: Vec<Action>,
@@ -84,7 +84,7 @@
             router,
             observer: None,
             open_requests: HashMap::new(),
-            requests: 0,
+            request_count: 0,
             members: Members::new(config.setup.zones.clone()),
             actions: Vec::new(),
             health_checks,
@@ -151,7 +151,7 @@
 
     /// How many requests have arrived since the process started.
     pub(crate) fn requests(&self) -> u64 {
-        self.with(|state| state.requests)
+        self.with(|state| state.request_count)
     }
 
     /// Handles the arrival of a request and returns its id. Commands for it are sent to the mailbox until
@@ -162,8 +162,8 @@
         mailbox: Arc<dyn CommandMailbox>,
     ) -> RequestId {
         self.with(|state| {
-            state.requests += 1;
-            arrival.request = RequestId(state.requests);
+            state.request_count += 1;
+            arrival.request = RequestId(state.request_count);
             let due = arrival.due;
             state
                 .open_requests
@@ -183,8 +183,8 @@
         self.with(|state| state.router.may_send(self.clock.now(), request, member))
     }
 
-    /// Handles the end of a request that the router did not decide: its client has gone or cancelled it, or its deadline
-    /// has passed.
+    /// Reports to the router that a request needs no answer from it any more: its client has gone or cancelled it, or
+    /// its deadline has passed.
     pub(crate) fn client_gone(&self, request: RequestId) {
         self.handle(Event::ClientGone(request));
     }
--- a/src/bin/asterreel/front/admission.rs
+++ b/src/bin/asterreel/front/admission.rs
@@ -46,13 +46,13 @@
                     "a request with this id is open",
                 ))?;
         // No client waits longer than its class allows: a huge deadline must not hold capacity.
-        let wait = statement.wait_ms.saturating_mul(1000).min(class.deadline);
+        let wait = statement.wait_ms.saturating_mul(1000).min(class.max_wait);
         let due = received_at
             .saturating_add(wait)
             .min(gateway.last_answer_at());
         if gateway.core.clock.now() >= due {
             // Its deadline passed while it was queued behind others of its session. An attempt could no longer be
-            // written and would only occupy a connection.
+            // written, and the connection acquired for it would be closed.
             debug!(
                 class = class.id.0,
                 wait = statement.wait_ms,
--- a/src/bin/asterreel/front/gateway.rs
+++ b/src/bin/asterreel/front/gateway.rs
@@ -51,7 +51,7 @@
     /// Whether running one of its requests more than once does harm.
     pub idempotency: Idempotency,
     /// The longest time that one of its requests may wait for its answer.
-    pub deadline: Micros,
+    pub max_wait: Micros,
 }
 
 /// The state that all sessions share.
@@ -99,7 +99,7 @@
                 name: profile.name.clone(),
                 consistency: *consistency,
                 idempotency: class.idempotency,
-                deadline: class.deadline,
+                max_wait: class.deadline,
             });
         Gateway {
             core,
--- a/src/bin/asterreel/front/request.rs
+++ b/src/bin/asterreel/front/request.rs
@@ -32,7 +32,7 @@
     attempts: Attempts,
     /// The final answer has not been decided yet.
     answer_pending: bool,
-    /// Whether an attempt that ended without an answer may have run the statement.
+    /// Whether an attempt that was not served may have run the statement.
     may_have_run: bool,
     /// The members whose connections broke during an attempt of this request.
     failed_members: HashSet<MemberId>,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The `NotSent` end of an attempt that the router dispatched and that was never started; takes an attempt number.
+    /// The `NotSent` end of an attempt that was dispatched and never started. It uses the next attempt number.
     fn unstarted_attempt(&mut self) -> AttemptEnded {
         AttemptEnded {
             request: self.id,
--- a/src/bin/asterreel/front/session.rs
+++ b/src/bin/asterreel/front/session.rs
@@ -116,7 +116,7 @@
             return Ok(());
         }
         let mut out = Vec::new();
-        pg::session_started(&mut out, self.gateway.sessions.cancel_key(self.number));
+        pg::startup_response(&mut out, self.gateway.sessions.cancel_key(self.number));
         self.write(&out)?;
         while let Some(message) = self.next_message()? {
             if message.tag == b'X' {
--- a/src/bin/asterreel/postgres/messages.rs
+++ b/src/bin/asterreel/postgres/messages.rs
@@ -12,7 +12,7 @@
 }
 
 /// The answer to a client's startup message, up to ReadyForQuery.
-pub(crate) fn session_started(out: &mut Vec<u8>, key: CancelKey) {
+pub(crate) fn startup_response(out: &mut Vec<u8>, key: CancelKey) {
     put_message(out, b'R', |out| out.extend_from_slice(&[0; 4]));
     for (name, value) in [("server_version", "15.0"), ("client_encoding", "UTF8")] {
         put_message(out, b'S', |out| {
--- a/src/bin/asterreel/postgres/mod.rs
+++ b/src/bin/asterreel/postgres/mod.rs
@@ -16,8 +16,8 @@
     message, missing_bytes, query_string, Malformed, Message, MAX_MESSAGE_BYTES,
 };
 pub(crate) use messages::{
-    command_complete, empty_query_response, error_response, ready_for_query, session_started,
-    simple_query, Severity,
+    command_complete, empty_query_response, error_response, ready_for_query, simple_query,
+    startup_response, Severity,
 };
 pub(crate) use report::load_report;
 pub(crate) use startup::{
--- a/src/bin/asterreel/postgres/tests.rs
+++ b/src/bin/asterreel/postgres/tests.rs
@@ -266,7 +266,7 @@
     assert!(parse_opening(&request(20, b"\0\0\0\x07\xfe\xed\xbe\xef\0\0\0\0")).is_err());
     // The key is the one in the answer to the startup message.
     let mut out = Vec::new();
-    session_started(&mut out, key);
+    startup_response(&mut out, key);
     assert!(out
         .windows(13)
         .any(|bytes| bytes == b"K\0\0\0\x0c\0\0\0\x07\xfe\xed\xbe\xef"));
--- a/src/bin/asterreel/request/pool.rs
+++ b/src/bin/asterreel/request/pool.rs
@@ -59,7 +59,8 @@
 /// Why no connection could be acquired. Nothing of the statement was sent in any of these cases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum AcquireError {
-    /// All connections that the limit allows are in use, or the machine lacks ports, memory or a route.
+    /// All connections that the limit allows are in use, or the machine lacks descriptors, ports,
+    /// memory or a route.
     #[error("no capacity for another connection")]
     NoCapacity,
     /// The server rejected the connection because it has too many.
