--- a/src/health/drain.rs
+++ b/src/health/drain.rs
@@ -1,33 +1,34 @@
-//! The drain's timetable: how long a gateway that was told to end goes on taking requests, so that no balancer
-//! sends a client to a closed door, and until when it answers.
+//! The timetable of a drain: for how long after SIGTERM the gateway still accepts requests, so that no balancer sends
+//! a client to a closed port, and until when it must have answered them.
 
 use crate::interface::Micros;
 use asterreel_control::settings::{check_within, SettingError};
 use serde::{Deserialize, Serialize};
 
-/// Nothing is sent to a gateway later than this after its drain was announced.
+/// Balancers must have stopped sending clients to a gateway this long after it announced its drain.
 const MAX_ANNOUNCE_MS: u64 = 2_000;
-/// What the status needs to reach the checks, and a client that was sent at the last moment to arrive.
+/// Time for a new status to reach the health checks, and for a client that was sent just before to connect.
 const PROPAGATION_MARGIN_MS: u64 = 150;
-/// A gateway keeps serving for this long in any case: the platform's front sends new connections for 0.4 s, and
-/// what comes after 0.7 s must be answered before the process may be killed.
+/// A draining gateway accepts requests for at least this long: the platform's front sends new connections for 0.4 s,
+/// and a request that arrives after 0.7 s must be answered before the process may be killed.
 const MIN_ANNOUNCE_MS: u64 = 750;
-/// Nobody kills the process earlier than the longest deadline, this much of it at most, ...
+/// The platform waits for the longest deadline, up to this much of it, before it kills the process, microseconds.
 const MAX_COUNTED_DEADLINE: Micros = 3_000_000;
-/// ... and so much more after SIGTERM.
+/// The platform waits this much longer than the counted deadline, microseconds.
 const KILL_GRACE_PERIOD: Micros = 700_000;
-/// Time for the last answers.
+/// Time to write the last answers before the process may be killed, microseconds.
 pub const LAST_ANSWERS: Micros = 100_000;
 
-/// How the balancer in front checks; its keys are named as balancers name them.
+/// How the balancer checks the gateway. The keys have the names that balancers use.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Balancer {
-    /// Time between two checks of one gateway; 10 to 2000, default 250.
+    /// Time between two checks of one gateway, milliseconds; 10 to 2000, default 250.
     pub interval_ms: u64,
-    /// Failed checks in a row that take a gateway out; 1 to 10, default 2. An agent's `drain` needs one.
+    /// Consecutive failed checks after which the balancer takes a gateway out of service; 1 to 10, default 2. For an
+    /// agent-check a single `drain` reply is enough.
     pub fall: u64,
-    /// How long a check may take; 10 to 2000, default 250.
+    /// How long a check may take, milliseconds; 10 to 2000, default 250.
     pub timeout_ms: u64,
 }
 
@@ -41,69 +42,69 @@
     }
 }
 
-/// What the operator says of the drain.
+/// The operator's settings for the drain.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Drain {
-    /// How long requests are still taken after SIGTERM; computed where it is left out.
+    /// How long requests are still accepted after SIGTERM, milliseconds; computed from [`Balancer`] if left out.
     pub announce_ms: Option<u64>,
-    /// When the process may be killed, after SIGTERM; where left out, the platform's rule holds: the longest
-    /// deadline, 3 s of it at most, and 0.7 s.
+    /// When the process may be killed, milliseconds after SIGTERM. If left out, the platform's rule applies: the longest
+    /// deadline, of which at most 3 s count, plus 0.7 s.
     pub kill_after_ms: Option<u64>,
 }
 
-/// What follows for a drain.
+/// The phases of a drain, computed from the settings of the operator and the balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timetable {
-    /// How long after SIGTERM requests are still taken.
+    /// How long after SIGTERM requests are still accepted.
     pub announce: Micros,
-    /// Until when after SIGTERM everything must be answered.
+    /// How long after SIGTERM all requests must have been answered.
     pub answer_until: Micros,
 }
 
-/// When the platform may kill the process, after SIGTERM.
-fn killed_after(longest_deadline: Micros) -> Micros {
+/// When the platform may kill the process, microseconds after SIGTERM.
+fn kill_after(longest_deadline: Micros) -> Micros {
     longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_GRACE_PERIOD
 }
 
 impl Timetable {
-    /// Without balancers to tell: what the platform's front needs.
+    /// The timetable without health checks, where only the platform's front must stop sending connections.
     pub fn plain(longest_deadline: Micros) -> Timetable {
         Timetable {
             announce: MIN_ANNOUNCE_MS * 1000,
-            answer_until: killed_after(longest_deadline) - LAST_ANSWERS,
+            answer_until: kill_after(longest_deadline) - LAST_ANSWERS,
         }
     }
 }
 
-/// How a balancer finds out that a gateway drains.
+/// How a balancer detects that a gateway drains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DetectionMethod {
-    /// An agent-check: one answer counts at once.
+    /// By an agent-check, where a single reply takes effect.
     AgentCheck,
-    /// Health checks: `fall` of them must fail in a row.
+    /// By health checks, of which `fall` in a row must fail.
     FailedChecks,
 }
 
 impl Balancer {
-    /// The longest time from a change until the balancer acts on it, milliseconds.
+    /// The longest time between a change of status and the balancer's reaction, milliseconds.
     pub fn detection_time_ms(&self, detection_method: DetectionMethod) -> u64 {
         let checks = if detection_method == DetectionMethod::AgentCheck {
             1
         } else {
             self.fall
         };
-        // The change may come just after a check; each answer takes as long as it may.
+        // Worst case: the status changes just after a check, and the last check takes its whole timeout.
         checks * self.interval_ms + self.timeout_ms + PROPAGATION_MARGIN_MS
     }
 }
 
 impl Drain {
-    /// Computes the timetable, or says which keys can't be kept together.
+    /// Computes the timetable and checks that the settings are compatible with each other.
     ///
     /// # Errors
     ///
-    /// The key at fault, and which others it can't be kept with.
+    /// The key at fault, and the other keys that it conflicts with.
     pub fn timetable(
         &self,
         balancer: &Balancer,
@@ -113,17 +114,20 @@
         check_within("balancer.interval_ms", balancer.interval_ms, 10, 2_000)?;
         check_within("balancer.fall", balancer.fall, 1, 10)?;
         check_within("balancer.timeout_ms", balancer.timeout_ms, 10, 2_000)?;
-        let heard = balancer.detection_time_ms(detection_method);
+        let detection_ms = balancer.detection_time_ms(detection_method);
         let keys = "balancer.interval_ms, balancer.fall and balancer.timeout_ms";
-        if heard > MAX_ANNOUNCE_MS {
-            let fault =
-                format!("with balancer.fall and balancer.timeout_ms a drain is heard after {heard} ms, and nothing may be sent {MAX_ANNOUNCE_MS} ms after its word");
+        if detection_ms > MAX_ANNOUNCE_MS {
+            let fault = format!(
+                "with balancer.fall and balancer.timeout_ms, the balancer detects a drain only after {detection_ms} ms, but it must within {MAX_ANNOUNCE_MS} ms; lower one of the three"
+            );
             return Err(SettingError::new("balancer.interval_ms", fault));
         }
-        let announce = self.announce_ms.unwrap_or(heard.max(MIN_ANNOUNCE_MS));
-        if announce < heard {
+        let announce = self
+            .announce_ms
+            .unwrap_or(detection_ms.max(MIN_ANNOUNCE_MS));
+        if announce < detection_ms {
             let fault = format!(
-                "{announce} is less than the {heard} ms after which {keys} let a drain be heard"
+                "{announce} is less than the {detection_ms} ms that a balancer needs to detect a drain with {keys}; raise it or lower those"
             );
             return Err(SettingError::new("drain.announce_ms", fault));
         }
@@ -133,14 +137,15 @@
             MIN_ANNOUNCE_MS,
             MAX_ANNOUNCE_MS,
         )?;
-        let killed = self
+        let kill_at = self
             .kill_after_ms
-            .map_or(killed_after(longest_deadline), |ms| ms.saturating_mul(1000));
-        let answer_until = killed.saturating_sub(LAST_ANSWERS);
+            .map_or(kill_after(longest_deadline), |ms| ms.saturating_mul(1000));
+        let answer_until = kill_at.saturating_sub(LAST_ANSWERS);
         if announce * 1000 + LAST_ANSWERS > answer_until {
             let fault = format!(
-                "{} ms leave no time to answer what drain.announce_ms, {announce}, still takes",
-                killed / 1000
+                "{} ms leave no time to answer the requests accepted during drain.announce_ms, {announce} ms; set it to at least {} ms or lower drain.announce_ms",
+                kill_at / 1000,
+                announce + 2 * LAST_ANSWERS / 1000
             );
             return Err(SettingError::new("drain.kill_after_ms", fault));
         }
--- a/src/health/drain/tests.rs
+++ b/src/health/drain/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-fn table(
+fn timetable(
     announce: Option<u64>,
     kill: Option<u64>,
     balancer: &Balancer,
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn the_announcement_lasts_until_every_balancer_has_heard() {
+fn announcement_lasts_until_the_balancer_detects_the_drain() {
     let quick = Balancer {
         interval_ms: 50,
         fall: 2,
@@ -23,23 +23,27 @@
         announce: 750_000,
         answer_until: 3_600_000,
     };
-    assert_eq!(table(None, None, &quick), Ok(wanted));
+    assert_eq!(timetable(None, None, &quick), Ok(wanted));
     let slow = Balancer {
         interval_ms: 500,
         fall: 3,
         timeout_ms: 100,
     };
     assert_eq!(
-        table(None, None, &slow).map(|table| table.announce),
+        timetable(None, None, &slow).map(|timetable| timetable.announce),
         Ok(1_750_000)
     );
-    assert_eq!(Timetable::plain(10_000_000), wanted, "the least there is");
+    assert_eq!(
+        Timetable::plain(10_000_000),
+        wanted,
+        "the shortest announcement"
+    );
     let agent = Drain::default().timetable(&slow, DetectionMethod::AgentCheck, 10_000_000);
-    assert_eq!(agent.map(|table| table.announce), Ok(750_000));
+    assert_eq!(agent.map(|timetable| timetable.announce), Ok(750_000));
 }
 
 #[test]
-fn what_can_not_reach_the_balancer_in_time_is_rejected_by_key() {
+fn incompatible_drain_settings_are_rejected_by_key() {
     let slow = Balancer {
         interval_ms: 1_000,
         fall: 3,
@@ -67,7 +71,7 @@
     ];
     for (announce, kill, balancer, key) in cases {
         assert_eq!(
-            table(announce, kill, &balancer).map_err(|fault| fault.key),
+            timetable(announce, kill, &balancer).map_err(|fault| fault.key),
             Err(key.into())
         );
     }
--- a/src/health/options.rs
+++ b/src/health/options.rs
@@ -1,37 +1,39 @@
-//! What an operator may set of the decisions on health, with units, defaults and bounds.
+//! The operator's settings for health decisions, with their units, defaults and bounds.
 
 use crate::interface::Micros;
 use asterreel_control::settings::{check_within, SettingError};
 use serde::{Deserialize, Serialize};
 
-/// The options, `knobs` in the operator's file; milliseconds where a name ends in `_ms`.
+/// The options that `knobs` sets in the operator's file; in milliseconds where a name ends in `_ms`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-// The error message of an operator's file names the type that it expected.
+// `expecting` keeps the type name that error messages about the operator's file show.
 #[serde(default, deny_unknown_fields, expecting = "struct Knobs")]
 pub struct HealthOptions {
-    /// Least weight while anything can be served; 1 to 50, default 10.
+    /// Lowest weight while any request can be served; 1 to 50, default 10.
     pub floor: u8,
-    /// Share of requests refused, failed or late from which a step down is due; default 0.2.
+    /// Share of requests rejected, failed or late at which the weight is lowered by a step; above 0 to 1, default 0.2.
     pub strain_high: f64,
-    /// The share below which it is calm; less than `strain_high`, default 0.05.
+    /// Share up to which the load counts as low; at least 0 and less than `strain_high`, default 0.05.
     pub strain_low: f64,
-    /// How long it must be calm before a step up; 100 to 60000, default 2000.
+    /// How long the load must be low before the weight is raised by a step; 100 to 60000, default 2000.
     pub calm_ms: u64,
-    /// Time between two rises of a weight; 50 to 60000, default 500.
+    /// Least time between two increases of a weight; 50 to 60000, default 500.
     pub rise_every_ms: u64,
-    /// How much one rise adds; 1 to 100, default 20.
+    /// How much one increase adds to the weight; 1 to 100, default 20.
     pub rise_step: u8,
-    /// How often in a minute a weight may turn from falling to rising; 1 to 60, default 6.
+    /// How often per minute a weight may change from falling to rising; 1 to 60, default 6.
     pub flaps_per_minute: u32,
     /// Time between two heartbeats; 20 to 1000, default 50.
     pub beat_every_ms: u64,
-    /// An unanswered heartbeat this old means hung; 100 to 10000, default 250.
+    /// The request path counts as hung once a heartbeat is unanswered for this long; 100 to 10000 and at least twice
+    /// `beat_every_ms`, default 250.
     pub hung_after_ms: u64,
-    /// How long beats must be good after a hang; doubles when it comes back within a minute; default 1000.
+    /// How long heartbeats must be answered after a hang before it is over; 100 to 30000, default 1000. Doubles with
+    /// each hang that begins within a minute of the last.
     pub recover_after_ms: u64,
-    /// How long the start waits for discovery and a member of each group; up to 600000, default 10000.
+    /// How long the start waits for discovery and a usable member of each group; 0 to 600000, default 10000.
     pub start_wait_ms: u64,
-    /// Nothing new should be sent here: `maint` to an agent, 503 to HTTP.
+    /// Asks balancers to send no new clients: reported as `maint` by the agent front, as 503 by the HTTP front.
     pub maintenance: bool,
 }
 
@@ -55,7 +57,7 @@
 }
 
 impl HealthOptions {
-    /// Whether the values make sense, each and together; a fault names the key.
+    /// Checks each value's range and that the values are compatible with each other.
     ///
     /// # Errors
     ///
@@ -78,14 +80,14 @@
         }
         if !(self.strain_low >= 0.0 && self.strain_low < self.strain_high) {
             let fault = format!(
-                "{} is not below strain_high, {}",
+                "{} is not at least 0 and below strain_high, {}",
                 self.strain_low, self.strain_high
             );
             return Err(SettingError::new("strain_low", fault));
         }
         if self.hung_after_ms < 2 * self.beat_every_ms {
             let fault = format!(
-                "{} is less than two of beat_every_ms, {}",
+                "{} is less than twice beat_every_ms, {}; raise it or lower beat_every_ms",
                 self.hung_after_ms, self.beat_every_ms
             );
             return Err(SettingError::new("hung_after_ms", fault));
