--- a/src/health/agent.rs
+++ b/src/health/agent.rs
@@ -1,17 +1,17 @@
 //! HAProxy's agent-check (HAProxy Configuration Manual, `agent-check`): one ASCII line per connection.
 //!
-//! No input or output: parses queries and formats replies.
+//! Only parses queries and formats replies; it does no I/O.
 
 use super::{Reason, State, Status};
 use crate::interface::GroupId;
 
-/// The longest text of a balancer's `agent-send` that is taken in.
+/// The longest `agent-send` text that is accepted, in bytes.
 pub const MAX_QUERY_BYTES: usize = 64;
 
-/// What a balancer asked for.
+/// The scope that a balancer queries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Selector {
-    /// Its line has not ended yet.
+    /// The line is not terminated yet; more bytes are needed.
     Incomplete,
     /// The whole gateway.
     Gateway,
@@ -21,7 +21,7 @@
     Invalid,
 }
 
-/// Reads the text of `agent-send`: an empty line or `gateway`, or a group's number, also as `group N`.
+/// Parses the text of `agent-send`: an empty line or `gateway`, or a group's number, also as `group N`.
 pub fn parse_selector(bytes: &[u8]) -> Selector {
     let Some(end) = bytes.iter().position(|byte| *byte == b'\n') else {
         return if bytes.len() < MAX_QUERY_BYTES {
@@ -48,7 +48,7 @@
         .map_or(Selector::Invalid, |number| Selector::Group(GroupId(number)))
 }
 
-/// The line that states a status, with `maxconn` where given.
+/// Formats the reply line for a status, with `maxconn` if given. Without a status the group is unknown.
 pub fn reply_line(status: Option<Status>, maxconn: Option<usize>) -> String {
     let Some(status) = status else {
         return "down #unknown-group\n".into();
@@ -56,7 +56,7 @@
     match (status.state, status.reason) {
         (State::Starting, _) => format!("down #{}\n", status.reason.code()),
         (State::Hung, _) => "down #hung\n".into(),
-        // `maint` takes the gateway out by the operator's wish; `drain` keeps existing sessions.
+        // `maint` puts the server in maintenance on the operator's request; `drain` lets existing sessions finish.
         (_, Reason::Maintenance) => "maint\n".into(),
         (State::Draining, _) => "drain 0%\n".into(),
         (State::Stopping, _) => "stopped #drained\n".into(),
@@ -65,38 +65,38 @@
         }
         (State::Up | State::Degraded, _) => {
             let maxconn = maxconn.map_or(String::new(), |most| format!(" maxconn:{most}"));
-            // `ready` takes back a drain or `maint` of this gateway's earlier incarnation.
+            // `ready` cancels a `drain` or `maint` that an earlier process of this gateway reported.
             format!("ready up {}%{maxconn}\n", status.weight)
         }
     }
 }
 
-/// What a line says, as a balancer reads it; words that are not known are skipped, as HAProxy does.
+/// A reply line as a balancer interprets it; unknown words are skipped, as HAProxy does.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AgentReply {
     /// `up` or `down` (also `fail` and `stopped`).
     pub up: Option<bool>,
-    /// `ready`, or `drain` and `maint`, which take it out of service.
+    /// True for `ready`; false for `drain` and `maint`, which take the server out of service.
     pub ready: Option<bool>,
     /// The weight in percent.
     pub weight: Option<u32>,
-    /// `maxconn`.
+    /// The `maxconn` that the agent sets for the server.
     pub maxconn: Option<u32>,
-    /// What stands behind `#`.
-    pub remark: Option<String>,
+    /// The description after `#`.
+    pub description: Option<String>,
 }
 
-/// Reads a line as a balancer does; nothing while it has not ended.
+/// Parses a reply line as a balancer does; `None` until the line is terminated.
 pub fn parse_reply(bytes: &[u8]) -> Option<AgentReply> {
     let end = bytes
         .iter()
         .position(|byte| matches!(byte, b'\n' | b'\r'))?;
     let line = String::from_utf8_lossy(&bytes[..end]);
-    let (words, remark) = line
+    let (words, description) = line
         .split_once('#')
         .map_or((&*line, None), |(words, rest)| (words, Some(rest)));
     let mut reply = AgentReply {
-        remark: remark.map(|rest| rest.trim().to_owned()),
+        description: description.map(|rest| rest.trim().to_owned()),
         ..AgentReply::default()
     };
     for word in words
--- a/src/health/agent/tests.rs
+++ b/src/health/agent/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn each_status_has_its_line_and_a_balancer_reads_back_what_was_meant() {
+fn reply_line_of_each_status_parses_back_to_its_readiness() {
     let cases = [
         (
             status(State::Starting, 0, Reason::Start),
@@ -55,25 +55,29 @@
         (None, None, "down #unknown-group\n"),
     ];
     for (status, maxconn, wanted) in cases {
-        let said = reply_line(status, maxconn);
-        assert_eq!(said, wanted);
-        let told = parse_reply(said.as_bytes()).expect("a whole line");
-        let takes = told.up != Some(false) && told.ready != Some(false);
-        assert_eq!(takes, status.is_some_and(|status| status.ready()), "{said}");
+        let line = reply_line(status, maxconn);
+        assert_eq!(line, wanted);
+        let reply = parse_reply(line.as_bytes()).expect("a whole line");
+        let in_service = reply.up != Some(false) && reply.ready != Some(false);
         assert_eq!(
-            told.maxconn,
-            maxconn.filter(|_| takes).map(|most| most as u32)
+            in_service,
+            status.is_some_and(|status| status.ready()),
+            "{line}"
+        );
+        assert_eq!(
+            reply.maxconn,
+            maxconn.filter(|_| in_service).map(|most| most as u32)
         );
     }
     assert_eq!(
         parse_reply(b"up 75%"),
         None,
-        "a line that has not ended says nothing"
+        "an unterminated line has no reply yet"
     );
 }
 
 #[test]
-fn a_selector_names_a_group_and_is_bounded() {
+fn selector_names_a_scope_and_has_a_bounded_length() {
     assert_eq!(parse_selector(b"gro"), Selector::Incomplete);
     assert_eq!(parse_selector(b"\r\n"), Selector::Gateway);
     for text in ["7\n", "group 7\r\n", "group=7\n", "group/7\n"] {
@@ -88,12 +92,12 @@
     assert_eq!(
         parse_selector(&[b'1'; MAX_QUERY_BYTES]),
         Selector::Invalid,
-        "a megabyte without a line end"
+        "a text of the longest length without a line end"
     );
 }
 
 #[test]
-fn cuts_and_garbage_never_panic_and_a_cut_selector_means_what_the_whole_does() {
+fn parsers_never_panic_on_partial_or_random_bytes() {
     let whole = b"group 17\n";
     fuzz::cuts(whole, |ends| {
         for end in ends {
@@ -106,12 +110,12 @@
         }
     });
     fuzz::garbage(b"ready up 75% maxconn:9 #fine\n", |bytes| {
-        let told = parse_reply(bytes);
+        let reply = parse_reply(bytes);
         assert_eq!(
-            told.is_some(),
+            reply.is_some(),
             bytes.iter().any(|byte| matches!(byte, b'\n' | b'\r'))
         );
-        let more = parse_selector(bytes) == Selector::Incomplete;
-        assert!(!more || bytes.len() < MAX_QUERY_BYTES && !bytes.contains(&b'\n'));
+        let incomplete = parse_selector(bytes) == Selector::Incomplete;
+        assert!(!incomplete || bytes.len() < MAX_QUERY_BYTES && !bytes.contains(&b'\n'));
     });
 }
--- a/src/health/connection_limit.rs
+++ b/src/health/connection_limit.rs
@@ -1,22 +1,23 @@
-//! Who may hold a connection to the health fronts: a limiter must cost neither the request path a descriptor nor a
-//! balancer its check.
+//! Limits the connections to the health fronts, so that a flood of them neither uses up the file descriptors of the
+//! request path nor keeps a balancer's checks from being served.
 
 use crate::interface::Micros;
 use ipnet::IpNet;
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-/// How long a connection must be idle before another one may replace it, microseconds.
+/// How long a connection must be idle before another may replace it, microseconds; it does not protect an address that
+/// has at least two connections more than that of the new one.
 const MIN_IDLE_TIME: Micros = 250_000;
 
-/// What to do with a new connection.
+/// The decision on a new connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Serve it under this number.
+    /// Serve the connection under this number.
     Admit(u64),
-    /// Close the other, which has been idle for longest, and serve this one under the first number.
+    /// Serve the new connection under the first number and close the idle connection with the second number.
     Replace(u64, u64),
-    /// Close it.
+    /// Close the new connection.
     Reject,
 }
 
@@ -26,26 +27,26 @@
     last_active: Micros,
 }
 
-/// The connections of all health fronts.
+/// Tracks the open connections of all health fronts.
 pub struct ConnectionLimiter {
     allow: Vec<IpNet>,
-    most: usize,
+    max_connections: usize,
     connections: BTreeMap<u64, Connection>,
-    next: u64,
+    next_number: u64,
 }
 
 impl ConnectionLimiter {
-    /// At most `most` connections, from these networks only; none named allows all.
-    pub fn new(allow: Vec<IpNet>, most: usize) -> ConnectionLimiter {
+    /// Allows at most `max_connections`, only from the networks in `allow`; an empty list allows all addresses.
+    pub fn new(allow: Vec<IpNet>, max_connections: usize) -> ConnectionLimiter {
         ConnectionLimiter {
             allow,
-            most,
+            max_connections,
             connections: BTreeMap::new(),
-            next: 0,
+            next_number: 0,
         }
     }
 
-    /// Other networks from now on; who is there stays until its check is done.
+    /// Replaces the allowed networks; connections that are open stay until their check is done.
     pub fn allow(&mut self, allow: Vec<IpNet>) {
         self.allow = allow;
     }
@@ -56,29 +57,31 @@
         if !self.allow.is_empty() && !self.allow.iter().any(|net| net.contains(&address)) {
             return Admission::Reject;
         }
-        if self.connections.len() < self.most {
+        if self.connections.len() < self.max_connections {
             return Admission::Admit(self.insert(now, address));
         }
-        // The address that holds most gives up its oldest, so that one that floods displaces itself; where all hold
-        // alike, whoever has rested longest does, and one that has only just come keeps its place.
-        let mut held: BTreeMap<IpAddr, (usize, Micros, u64)> = BTreeMap::new();
+        // The address with the most connections loses its longest idle one, so that an address that floods displaces
+        // only its own connections. Among addresses with equally many, the longest idle connection is closed, and one
+        // that was active within the minimum idle time is kept.
+        let mut by_address: BTreeMap<IpAddr, (usize, Micros, u64)> = BTreeMap::new();
         for (id, connection) in &self.connections {
-            let entry = held
-                .entry(connection.address)
-                .or_insert((0, connection.last_active, *id));
+            let entry =
+                by_address
+                    .entry(connection.address)
+                    .or_insert((0, connection.last_active, *id));
             entry.0 += 1;
             if connection.last_active < entry.1 {
                 (entry.1, entry.2) = (connection.last_active, *id);
             }
         }
-        let mine = held.get(&address).map_or(0, |entry| entry.0);
-        let Some((_, &(most, last_active, oldest))) = held
+        let own_count = by_address.get(&address).map_or(0, |entry| entry.0);
+        let Some((_, &(largest_count, last_active, oldest))) = by_address
             .iter()
             .max_by_key(|(_, (count, last_active, _))| (*count, std::cmp::Reverse(*last_active)))
         else {
             return Admission::Reject;
         };
-        if most <= mine + 1 && now.saturating_sub(last_active) < MIN_IDLE_TIME {
+        if largest_count <= own_count + 1 && now.saturating_sub(last_active) < MIN_IDLE_TIME {
             return Admission::Reject;
         }
         self.connections.remove(&oldest);
@@ -87,8 +90,8 @@
 
     /// Adds a connection and returns its number.
     fn insert(&mut self, now: Micros, address: IpAddr) -> u64 {
-        let number = self.next;
-        self.next += 1;
+        let number = self.next_number;
+        self.next_number += 1;
         let connection = Connection {
             address,
             last_active: now,
@@ -97,19 +100,19 @@
         number
     }
 
-    /// A connection has sent a request: it counts as active.
+    /// Marks a connection as active because it has sent a request.
     pub fn touch(&mut self, now: Micros, number: u64) {
         self.connections
             .entry(number)
             .and_modify(|connection| connection.last_active = now);
     }
 
-    /// A connection has ended.
+    /// Removes a connection that has ended.
     pub fn release(&mut self, number: u64) {
         self.connections.remove(&number);
     }
 
-    /// Open connections.
+    /// The number of open connections.
     pub fn count(&self) -> usize {
         self.connections.len()
     }
--- a/src/health/connection_limit/tests.rs
+++ b/src/health/connection_limit/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn only_allowed_networks_come_in_also_as_mapped_addresses() {
+fn limiter_admits_allowed_networks_also_as_mapped_addresses() {
     let mut limiter = ConnectionLimiter::new(vec!["127.0.0.0/30".parse().expect("a network")], 4);
     assert_eq!(limiter.admit(0, ip(9)), Admission::Reject);
     assert_eq!(
@@ -20,19 +20,20 @@
 }
 
 #[test]
-fn one_that_floods_displaces_itself_and_not_a_balancer() {
+fn flooding_address_displaces_its_own_connections_only() {
     let mut limiter = ConnectionLimiter::new(Vec::new(), 4);
     assert_eq!(limiter.admit(0, ip(1)), Admission::Admit(0));
     for number in 1..4 {
         assert_eq!(limiter.admit(number, ip(2)), Admission::Admit(number));
     }
-    // More of the same: none while its own are fresh, then its own oldest.
+    // Further connections of the flooding address are rejected while its own were recently active; later each replaces
+    // its longest idle one.
     assert_eq!(limiter.admit(10, ip(2)), Admission::Reject);
     assert_eq!(
         limiter.admit(MIN_IDLE_TIME + 10, ip(2)),
         Admission::Replace(4, 1)
     );
-    // The balancer's next check finds a place at once.
+    // The balancer's next check is admitted at once.
     assert_eq!(
         limiter.admit(MIN_IDLE_TIME + 11, ip(1)),
         Admission::Replace(5, 2)
