--- a/src/bin/asterreel/health/grpc.rs
+++ b/src/bin/asterreel/health/grpc.rs
@@ -1,7 +1,7 @@
-//! gRPC health v1 over HTTP/2: Check and Watch.
+//! Serves the gRPC health checking protocol, `Check` and `Watch`, over HTTP/2.
 
 use super::client::HealthClient;
-use asterreel::health::grpc::{self, Response, Serving};
+use asterreel::health::grpc::{self, Response, ServingStatus};
 use asterreel::health::Scope;
 use bytes::Bytes;
 use h2::server::{Builder, SendResponse};
@@ -12,16 +12,16 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long a handshake and one check may take.
+/// How long the handshake may take, and how long reading one request may take.
 const CHECK_TIMEOUT: Duration = Duration::from_secs(1);
-/// Streams of one connection at once.
-const STREAMS: u32 = 8;
-/// The window of one connection: no request is longer.
-const WINDOW: u32 = 16 * 1024;
+/// Concurrent streams of one connection.
+const MAX_STREAMS: u32 = 8;
+/// The flow-control window of a connection and of each stream, in bytes; larger than any valid request.
+const WINDOW_BYTES: u32 = 16 * 1024;
 
-/// gRPC's status codes that are used here.
+// gRPC status codes.
 const OK: &str = "0";
-const INVALID: &str = "3";
+const INVALID_ARGUMENT: &str = "3";
 const NOT_FOUND: &str = "5";
 const UNIMPLEMENTED: &str = "12";
 
@@ -29,13 +29,13 @@
 pub(super) async fn serve(client: &HealthClient, stream: TcpStream) -> io::Result<()> {
     let mut builder = Builder::new();
     builder
-        .max_concurrent_streams(STREAMS)
-        .initial_window_size(WINDOW)
-        .initial_connection_window_size(WINDOW)
+        .max_concurrent_streams(MAX_STREAMS)
+        .initial_window_size(WINDOW_BYTES)
+        .initial_connection_window_size(WINDOW_BYTES)
         .max_header_list_size(4096)
-        .max_frame_size(WINDOW)
-        .max_concurrent_reset_streams(STREAMS as usize)
-        .max_send_buffer_size(WINDOW as usize);
+        .max_frame_size(WINDOW_BYTES)
+        .max_concurrent_reset_streams(MAX_STREAMS as usize)
+        .max_send_buffer_size(WINDOW_BYTES as usize);
     let handshake = timeout(CHECK_TIMEOUT, builder.handshake::<_, Bytes>(stream)).await;
     let mut connection = handshake
         .map_err(|_| io::ErrorKind::TimedOut)?
@@ -48,7 +48,7 @@
                     let (request, respond) = request.map_err(io::Error::other)?;
                     client.touch();
                     let shared = client.shared.clone();
-                    calls.spawn_local(async move { call(&shared, request, respond).await });
+                    calls.spawn_local(async move { handle_call(&shared, request, respond).await });
                 }
                 None => return Ok(()),
             },
@@ -57,7 +57,7 @@
     }
 }
 
-async fn call(
+async fn handle_call(
     shared: &super::Shared,
     request: Request<RecvStream>,
     mut respond: SendResponse<Bytes>,
@@ -65,74 +65,75 @@
     let watch = match request.uri().path() {
         "/grpc.health.v1.Health/Check" => false,
         "/grpc.health.v1.Health/Watch" => true,
-        _ => return only_status(&mut respond, UNIMPLEMENTED),
+        _ => return send_trailers_only(&mut respond, UNIMPLEMENTED),
     };
-    let read = timeout(CHECK_TIMEOUT, body(request.into_body())).await;
-    let Some(asked) = read.unwrap_or(None) else {
-        return only_status(&mut respond, INVALID);
+    let read = timeout(CHECK_TIMEOUT, read_request(request.into_body())).await;
+    let Some(request) = read.unwrap_or(None) else {
+        return send_trailers_only(&mut respond, INVALID_ARGUMENT);
     };
-    let scope = grpc::scope(&asked.service);
-    let serving = || grpc::serving(scope.and_then(|scope: Scope| shared.status(scope)));
-    if !watch && serving() == Serving::ServiceUnknown {
-        return only_status(&mut respond, NOT_FOUND);
+    let scope = grpc::service_scope(&request.service);
+    let current_status =
+        || grpc::serving_status(scope.and_then(|scope: Scope| shared.status(scope)));
+    if !watch && current_status() == ServingStatus::ServiceUnknown {
+        return send_trailers_only(&mut respond, NOT_FOUND);
     }
-    let Ok(mut stream) = respond.send_response(head(None), false) else {
+    let Ok(mut stream) = respond.send_response(response_head(None), false) else {
         return;
     };
     let mut changes = shared.changes.subscribe();
-    let mut last = serving();
-    if send(&mut stream, last).is_err() {
+    let mut last = current_status();
+    if send_status(&mut stream, last).is_err() {
         return;
     }
     if watch {
-        // Ends when the watcher goes, or the program does.
+        // Ends when the client resets the stream or the program ends.
         loop {
-            let gone = std::future::poll_fn(|context| stream.poll_reset(context));
+            let reset = std::future::poll_fn(|context| stream.poll_reset(context));
             tokio::select! {
                 changed = changes.changed() => if changed.is_err() { break },
-                _ = gone => return,
+                _ = reset => return,
             }
-            let now = serving();
+            let now = current_status();
             if now == last {
                 continue;
             }
             last = now;
-            // A watcher that reads nothing must not make this remember all that it missed.
-            if stream.capacity() == 0 || send(&mut stream, now).is_err() {
+            // Changes are not buffered for a client that does not read: its stream is reset.
+            if stream.capacity() == 0 || send_status(&mut stream, now).is_err() {
                 stream.send_reset(Reason::ENHANCE_YOUR_CALM);
                 return;
             }
         }
     }
-    let _ = stream.send_trailers(status(OK));
+    let _ = stream.send_trailers(trailers(OK));
 }
 
-fn send(stream: &mut SendStream<Bytes>, serving: Serving) -> Result<(), h2::Error> {
+fn send_status(stream: &mut SendStream<Bytes>, status: ServingStatus) -> Result<(), h2::Error> {
     let frame = grpc::frame(&Response {
-        status: serving as i32,
+        status: status as i32,
     });
-    // Room for the next as well, whose lack shows a watcher that does not read.
+    // Reserves capacity for the next message too; when it is missing then, the client does not read.
     stream.reserve_capacity(frame.len() * 2);
     stream.send_data(frame.into(), false)
 }
 
-async fn body(mut stream: RecvStream) -> Option<grpc::Request> {
+async fn read_request(mut stream: RecvStream) -> Option<grpc::Request> {
     let mut bytes = Vec::new();
     while let Some(chunk) = stream.data().await {
         let chunk = chunk.ok()?;
-        if bytes.len() + chunk.len() > grpc::LONGEST {
+        if bytes.len() + chunk.len() > grpc::MAX_REQUEST_BYTES {
             return None;
         }
         bytes.extend_from_slice(&chunk);
         stream.flow_control().release_capacity(chunk.len()).ok()?;
-        if let Some(request) = grpc::request(&bytes).ok()? {
+        if let Some(request) = grpc::decode_request(&bytes).ok()? {
             return Some(request);
         }
     }
     None
 }
 
-fn head(code: Option<&'static str>) -> http::Response<()> {
+fn response_head(code: Option<&'static str>) -> http::Response<()> {
     let mut head = http::Response::new(());
     head.headers_mut()
         .insert("content-type", HeaderValue::from_static("application/grpc"));
@@ -143,13 +144,13 @@
     head
 }
 
-fn status(code: &'static str) -> HeaderMap {
+fn trailers(code: &'static str) -> HeaderMap {
     let mut map = HeaderMap::new();
     map.insert("grpc-status", HeaderValue::from_static(code));
     map
 }
 
-/// An answer without a message: gRPC's trailers-only form.
-fn only_status(respond: &mut SendResponse<Bytes>, code: &'static str) {
-    let _ = respond.send_response(head(Some(code)), true);
+/// Sends a gRPC response without a message, in the trailers-only form.
+fn send_trailers_only(respond: &mut SendResponse<Bytes>, code: &'static str) {
+    let _ = respond.send_response(response_head(Some(code)), true);
 }
--- a/src/health/grpc.rs
+++ b/src/health/grpc.rs
@@ -1,17 +1,17 @@
-//! Messages of the gRPC health checking protocol (grpc/health/v1): a service's name is a group's number, and the
-//! empty name is the whole gateway. Framing only; HTTP/2 is the front's.
+//! Messages of the gRPC health checking protocol (grpc/health/v1). A service name is a group's number; the empty name
+//! stands for the whole gateway. This module only encodes and decodes frames; the gRPC front handles HTTP/2.
 
 use super::{Scope, Status};
 use crate::interface::GroupId;
 use prost::Message;
 
-/// The longest request that is taken in, with its frame.
-pub const LONGEST: usize = 256;
+/// The longest request that is accepted, in bytes; the gRPC front counts its frame header as well.
+pub const MAX_REQUEST_BYTES: usize = 256;
 
 /// `HealthCheckRequest`.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Request {
-    /// Which service is asked for.
+    /// The service to check; empty for the whole gateway.
     #[prost(string, tag = "1")]
     pub service: String,
 }
@@ -19,27 +19,27 @@
 /// `HealthCheckResponse`.
 #[derive(Clone, PartialEq, Eq, Message)]
 pub struct Response {
-    /// A [`Serving`].
-    #[prost(enumeration = "Serving", tag = "1")]
+    /// A [`ServingStatus`].
+    #[prost(enumeration = "ServingStatus", tag = "1")]
     pub status: i32,
 }
 
 /// `HealthCheckResponse.ServingStatus`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
-pub enum Serving {
-    /// Never told here.
+pub enum ServingStatus {
+    /// Part of the protocol; this gateway never sends it.
     Unknown = 0,
-    /// New work is welcome.
+    /// New clients should be sent.
     Serving = 1,
-    /// It is not.
+    /// No new clients should be sent.
     NotServing = 2,
-    /// Told by `Watch` only.
+    /// The service is not known; sent by `Watch` only, as `Check` ends with the status NOT_FOUND.
     ServiceUnknown = 3,
 }
 
-/// What a service's name stands for.
-pub fn scope(service: &str) -> Option<Scope> {
+/// The scope that a service name stands for; `None` if it is not a number.
+pub fn service_scope(service: &str) -> Option<Scope> {
     if service.is_empty() {
         return Some(Scope::Gateway);
     }
@@ -49,36 +49,36 @@
         .map(|number| Scope::Group(GroupId(number)))
 }
 
-/// What is told of a status.
-pub fn serving(status: Option<Status>) -> Serving {
+/// The serving status to report for a status; `None` means that the service is not known.
+pub fn serving_status(status: Option<Status>) -> ServingStatus {
     match status {
-        None => Serving::ServiceUnknown,
-        Some(status) if status.ready() => Serving::Serving,
-        Some(_) => Serving::NotServing,
+        None => ServingStatus::ServiceUnknown,
+        Some(status) if status.ready() => ServingStatus::Serving,
+        Some(_) => ServingStatus::NotServing,
     }
 }
 
-/// The request in a frame: nothing while it is not whole, an error when it never will be.
+/// Decodes the request in a frame; `None` while the frame is incomplete.
 ///
 /// # Errors
 ///
 /// What is wrong with the frame.
-pub fn request(bytes: &[u8]) -> Result<Option<Request>, &'static str> {
-    let Some((head, rest)) = bytes.split_first_chunk::<5>() else {
+pub fn decode_request(bytes: &[u8]) -> Result<Option<Request>, &'static str> {
+    let Some((header, rest)) = bytes.split_first_chunk::<5>() else {
         return Ok(None);
     };
-    let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
-    match (head[0], length) {
-        (1, _) => Err("compressed messages are not taken"),
-        (0, 0..=LONGEST) if rest.len() < length => Ok(None),
-        (0, 0..=LONGEST) => Request::decode(&rest[..length])
+    let length = u32::from_be_bytes([header[1], header[2], header[3], header[4]]) as usize;
+    match (header[0], length) {
+        (1, _) => Err("compressed messages are not supported"),
+        (0, 0..=MAX_REQUEST_BYTES) if rest.len() < length => Ok(None),
+        (0, 0..=MAX_REQUEST_BYTES) => Request::decode(&rest[..length])
             .map(Some)
-            .map_err(|_| "not a HealthCheckRequest"),
-        _ => Err("frame out of bounds"),
+            .map_err(|_| "the message is not a HealthCheckRequest"),
+        _ => Err("the message is too long or its compression flag is invalid"),
     }
 }
 
-/// A message in its frame.
+/// Encodes a message with its frame header.
 pub fn frame(message: &impl Message) -> Vec<u8> {
     let body = message.encode_to_vec();
     [&[0][..], &(body.len() as u32).to_be_bytes(), &body].concat()
