--- a/src/health/liveness.rs
+++ b/src/health/liveness.rs
@@ -1,81 +1,86 @@
-//! Liveness of the request path, from the heartbeat, the age of commands that no session has taken, and the core's lock.
+//! Detects a hang of the request path, from the heartbeat, the age of commands that no session has received, and the
+//! lock of the core.
 
 use super::HealthOptions;
 use crate::interface::Micros;
 
-/// Longest gap between two events that is taken for ordinary, microseconds; in a longer one this thread itself stood
-/// still, and answers that came meanwhile could not be read.
+/// Longest gap between two events while this thread runs normally, microseconds. In a longer gap the thread itself was
+/// not running and could not read answers that arrived meanwhile.
 const STALL_THRESHOLD: Micros = 150_000;
-/// A hang this soon after the last one is a relapse, microseconds.
+/// A hang within this time after the last one began is a relapse, microseconds.
 const RELAPSE_WINDOW: Micros = 60_000_000;
-/// Longest time that heartbeats must be answered after a hang, microseconds, however many relapses there were.
-const MAX_RECOVERY_PROOF: Micros = 30_000_000;
+/// Upper bound of the time for which heartbeats must be answered after a hang, microseconds; it doubles with each
+/// relapse.
+const MAX_RECOVERY_TIME: Micros = 30_000_000;
+/// Maximum number of samples that [`CommandAge`] keeps.
+const MAX_SAMPLES: usize = 256;
 
-/// What became of the heartbeat.
+/// An event of the heartbeat, which sends empty queries through the gateway's own listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Heartbeat {
-    /// An empty query was written on a session that is open.
+    /// An empty query was sent on the open session.
     Sent,
-    /// It was answered.
+    /// That query was answered.
     Answered,
-    /// A fresh connection was begun.
+    /// A new connection attempt began.
     ConnectStarted,
-    /// It was accepted, opened and its empty query answered.
+    /// The new connection was accepted, its session started and an empty query answered.
     Connected,
-    /// The open session ended; the next fresh connection takes its place.
+    /// The open session ended; the next new connection replaces it.
     SessionLost,
 }
 
-/// Whether the request path hangs, and whether it accepts connections.
+/// Tracks whether the request path hangs, and whether it accepts connections.
 pub struct Liveness {
-    last: Micros,
+    last_event_at: Micros,
     unanswered_since: Option<Micros>,
     connecting_since: Option<Micros>,
-    /// A session is open, so that the path can be asked without a fresh connection.
-    open: bool,
-    lost_at: Micros,
-    answered: bool,
-    missed_since: Option<Micros>,
+    /// Whether the heartbeat has an open session, so that the path can be checked without a new connection.
+    session_open: bool,
+    session_lost_at: Micros,
+    ever_answered: bool,
+    observation_missed_since: Option<Micros>,
     command_age: Micros,
-    full: bool,
+    sessions_full: bool,
     hung: bool,
-    good_since: Micros,
+    /// Since when nothing was overdue and the heartbeat could show progress.
+    healthy_since: Micros,
     relapses: u32,
     hung_at: Micros,
     accepts: bool,
 }
 
 impl Liveness {
-    /// Nothing was sent, nothing answered.
+    /// The state before the first heartbeat.
     pub fn new(now: Micros) -> Liveness {
         Liveness {
-            last: now,
+            last_event_at: now,
             unanswered_since: None,
             connecting_since: None,
-            open: false,
-            lost_at: 0,
-            answered: false,
-            missed_since: None,
+            session_open: false,
+            session_lost_at: 0,
+            ever_answered: false,
+            observation_missed_since: None,
             command_age: 0,
-            full: false,
+            sessions_full: false,
             hung: false,
-            good_since: now,
+            healthy_since: now,
             relapses: 0,
             hung_at: 0,
             accepts: true,
         }
     }
 
-    /// Time passes. What is outstanding does not age while this thread itself stood still: a process that was
-    /// stopped as a whole must not wake up hung.
+    /// Advances the time. Heartbeats and connection attempts that are outstanding do not age while this thread itself was
+    /// not running, so that a process that was stopped as a whole does not count as hung when it continues.
     pub fn advance(&mut self, now: Micros) {
-        let gap = now.saturating_sub(self.last);
-        self.last = now;
+        let gap = now.saturating_sub(self.last_event_at);
+        self.last_event_at = now;
         if gap > STALL_THRESHOLD {
             for since in [
                 &mut self.unanswered_since,
                 &mut self.connecting_since,
-                &mut self.missed_since,
+                &mut self.observation_missed_since,
             ] {
                 *since = since.map(|at| at.saturating_add(gap).min(now));
             }
@@ -83,7 +88,7 @@
         }
     }
 
-    /// Takes in what became of the heartbeat.
+    /// Records an event of the heartbeat.
     pub fn heartbeat(&mut self, now: Micros, beat: Heartbeat) {
         match beat {
             Heartbeat::Sent => self.unanswered_since = self.unanswered_since.or(Some(now)),
@@ -91,34 +96,38 @@
             Heartbeat::ConnectStarted => {
                 self.connecting_since = self.connecting_since.or(Some(now))
             }
-            Heartbeat::Connected => (self.connecting_since, self.open) = (None, true),
-            // What it owed will never come; whether the path moves is for the next connection to show.
+            Heartbeat::Connected => (self.connecting_since, self.session_open) = (None, true),
+            // An answer that was outstanding cannot arrive any more; the next connection shows whether the path works.
             Heartbeat::SessionLost => {
-                (self.unanswered_since, self.open, self.lost_at) = (None, false, now)
+                (
+                    self.unanswered_since,
+                    self.session_open,
+                    self.session_lost_at,
+                ) = (None, false, now)
             }
         }
-        self.answered |= matches!(beat, Heartbeat::Answered | Heartbeat::Connected);
+        self.ever_answered |= matches!(beat, Heartbeat::Answered | Heartbeat::Connected);
     }
 
-    /// The core was observed; `full` when no further session can be accepted.
-    pub fn observed(&mut self, full: bool) {
-        self.missed_since = None;
-        self.full = full;
+    /// Records that the core was observed, and whether no further session can be accepted.
+    pub fn observed(&mut self, sessions_full: bool) {
+        self.observation_missed_since = None;
+        self.sessions_full = sessions_full;
     }
 
-    /// The core's lock was held.
+    /// Records that the core could not be observed because its lock was held.
     pub fn observation_missed(&mut self, now: Micros) {
-        self.missed_since = self.missed_since.or(Some(now));
+        self.observation_missed_since = self.observation_missed_since.or(Some(now));
     }
 
-    /// The age of the oldest command that no session has taken, microseconds.
+    /// Records the age of the oldest command that no session has received, microseconds.
     pub fn oldest_command_age(&mut self, age: Micros) {
         self.command_age = age;
     }
 
-    /// Whether a heartbeat was ever answered.
+    /// Whether any heartbeat has been answered.
     pub fn has_answered(&self) -> bool {
-        self.answered
+        self.ever_answered
     }
 
     /// Whether the request path hangs.
@@ -131,25 +140,27 @@
         self.accepts
     }
 
-    /// Decides anew whether the path hangs.
+    /// Updates whether the path hangs and whether it accepts connections.
     pub fn evaluate(&mut self, now: Micros, options: &HealthOptions) {
         let bound = options.hung_after();
-        let old = |since: Option<Micros>| since.is_some_and(|at| now.saturating_sub(at) >= bound);
-        // A connection attempt that waits for capacity shows load; one that waits while no session is open to ask and
-        // there is capacity shows a path that hangs.
-        let not_accepted = old(self.connecting_since.map(|at| at.max(self.lost_at)))
-            && !self.open
-            && !self.full
-            && self.answered;
-        let stuck = old(self.unanswered_since)
-            || old(self.missed_since)
+        let overdue =
+            |since: Option<Micros>| since.is_some_and(|at| now.saturating_sub(at) >= bound);
+        // A connection attempt that waits while all sessions are in use indicates load. One that waits although sessions
+        // are free, while the heartbeat has no open session, indicates a hang.
+        let not_accepted = overdue(self.connecting_since.map(|at| at.max(self.session_lost_at)))
+            && !self.session_open
+            && !self.sessions_full
+            && self.ever_answered;
+        let no_progress = overdue(self.unanswered_since)
+            || overdue(self.observation_missed_since)
             || self.command_age >= bound
             || not_accepted;
-        self.accepts = !old(self.connecting_since);
-        if stuck {
+        self.accepts = !overdue(self.connecting_since);
+        if no_progress {
             if !self.hung {
-                let soon = now.saturating_sub(self.hung_at) < RELAPSE_WINDOW && self.hung_at > 0;
-                self.relapses = if soon {
+                let is_relapse =
+                    now.saturating_sub(self.hung_at) < RELAPSE_WINDOW && self.hung_at > 0;
+                self.relapses = if is_relapse {
                     self.relapses.saturating_add(1)
                 } else {
                     0
@@ -157,46 +168,51 @@
                 self.hung_at = now;
             }
             self.hung = true;
-            self.good_since = now;
+            self.healthy_since = now;
         } else if self.hung
-            && (self.unanswered_since.is_some_and(|at| at < self.good_since) || !self.open)
+            && (self
+                .unanswered_since
+                .is_some_and(|at| at < self.healthy_since)
+                || !self.session_open)
         {
-            // Not stuck any more, but nothing has shown that it moves.
-            self.good_since = now;
+            // Nothing is overdue any more, but no heartbeat has shown progress yet.
+            self.healthy_since = now;
         }
-        let proof = options
+        let recovery_time = options
             .recover_after()
             .saturating_mul(1 << self.relapses.min(8))
-            .min(MAX_RECOVERY_PROOF);
-        if self.hung && now.saturating_sub(self.good_since) >= proof {
+            .min(MAX_RECOVERY_TIME);
+        if self.hung && now.saturating_sub(self.healthy_since) >= recovery_time {
             self.hung = false;
         }
     }
 }
 
-/// The age of the oldest command that no session has taken, from counts alone: commands are taken about in the order in
-/// which they were given, so it is at least as old as the first sample that saw more given than are taken now.
+/// Estimates the age of the oldest command that no session has received, from counts alone. Commands are received roughly
+/// in the order in which they were sent, so the oldest is at least as old as the first sample whose count of sent
+/// commands exceeds the count received now.
 #[derive(Default)]
 pub struct CommandAge {
+    /// Time of each sample and the count of sent commands then.
     samples: std::collections::VecDeque<(Micros, u64)>,
 }
 
 impl CommandAge {
-    /// Takes a sample of the counts; the age of the oldest command, microseconds.
-    pub fn sample(&mut self, now: Micros, given: u64, taken: u64) -> Micros {
+    /// Adds a sample of the counts and returns the age of the oldest command, microseconds.
+    pub fn sample(&mut self, now: Micros, sent: u64, received: u64) -> Micros {
         while self
             .samples
             .front()
-            .is_some_and(|(_, given)| *given <= taken)
+            .is_some_and(|(_, sent)| *sent <= received)
         {
             self.samples.pop_front();
         }
-        // Samples that saw the same count tell nothing new: kept, they would pile up while nothing moves.
-        if given > taken
-            && self.samples.back().is_none_or(|(_, last)| *last < given)
-            && self.samples.len() < 256
+        // A sample with the same count adds no information; keeping it would fill the queue while nothing is received.
+        if sent > received
+            && self.samples.back().is_none_or(|(_, last)| *last < sent)
+            && self.samples.len() < MAX_SAMPLES
         {
-            self.samples.push_back((now, given));
+            self.samples.push_back((now, sent));
         }
         self.samples
             .front()
--- a/src/health/weight.rs
+++ b/src/health/weight.rs
@@ -1,30 +1,34 @@
-//! Weights under load: steps down and up, and a ramp that falls at once and rises slowly.
+//! Weights under load: [`WeightSteps`] lowers and raises a weight in steps, and [`WeightRamp`] follows a target at once
+//! when it falls and slowly when it rises.
 
 use super::{HealthOptions, FULL};
 use crate::interface::Micros;
 use std::collections::VecDeque;
 
-/// Weights of the steps above the floor.
+/// The weight of each step; the step after the last has the weight of the floor.
 const STEPS: [u8; 4] = [100, 75, 50, 25];
-/// Utilization of capacity from which a step down is due, and up to which a step up is allowed.
+/// Utilization of capacity at which the weight is lowered by a step.
 const UTILIZATION_HIGH: f64 = 0.9;
+/// Utilization of capacity up to which the load counts as low.
 const UTILIZATION_LOW: f64 = 0.7;
-/// Time between two steps down, microseconds: the effect of one must show before the next.
+/// Least time between two steps down, microseconds, so that the effect of one is visible before the next.
 const STEP_INTERVAL: Micros = 300_000;
-/// The span over which flaps are bounded.
-const FLAP_SPAN: Micros = 60_000_000;
+/// The window within which the changes from falling to rising are bounded, microseconds.
+const FLAP_WINDOW: Micros = 60_000_000;
 
-/// Steps down under overload and up again after a calm time; between the two thresholds it stays.
+/// Steps the weight down under overload, and up again after a time of low load. It stays while the load is between the
+/// two thresholds.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WeightSteps {
     step: usize,
-    moved_at: Micros,
-    overloaded_at: Micros,
+    stepped_at: Micros,
+    /// When the load was last above the lower threshold.
+    not_low_at: Micros,
 }
 
 impl WeightSteps {
-    /// Takes in the share of requests that were rejected, failed or late, where enough ended to tell, and the utilization
-    /// of capacity.
+    /// Updates the step from the share of requests that were rejected, failed or late, `None` if too few ended, and from
+    /// the utilization of capacity.
     pub fn update(
         &mut self,
         now: Micros,
@@ -38,21 +42,21 @@
         let low = overload_share.is_none_or(|overload_share| overload_share <= options.strain_low)
             && utilization <= UTILIZATION_LOW;
         if !low {
-            self.overloaded_at = now;
+            self.not_low_at = now;
         }
-        let rested = now.saturating_sub(self.moved_at);
-        if high && self.step < STEPS.len() && rested >= STEP_INTERVAL {
-            (self.step, self.moved_at) = (self.step + 1, now);
+        let since_step = now.saturating_sub(self.stepped_at);
+        if high && self.step < STEPS.len() && since_step >= STEP_INTERVAL {
+            (self.step, self.stepped_at) = (self.step + 1, now);
         } else if low
             && self.step > 0
-            && now.saturating_sub(self.overloaded_at) >= options.calm()
-            && rested >= options.rise_every()
+            && now.saturating_sub(self.not_low_at) >= options.calm()
+            && since_step >= options.rise_every()
         {
-            (self.step, self.moved_at) = (self.step - 1, now);
+            (self.step, self.stepped_at) = (self.step - 1, now);
         }
     }
 
-    /// The weight of the step it stands on; the floor is the last.
+    /// The weight of the current step, at least the floor.
     pub fn weight(&self, options: &HealthOptions) -> u8 {
         STEPS
             .get(self.step)
@@ -60,58 +64,59 @@
     }
 }
 
-/// A weight that falls at once and rises slowly, with a bound on how often it turns.
+/// A weight that falls at once and rises slowly, with a bound on how often it changes from falling to rising.
 #[derive(Clone, Debug)]
 pub struct WeightRamp {
     weight: u8,
     moved_at: Micros,
-    fell: bool,
-    /// When it turned from falling to rising, within the span.
-    turns: VecDeque<Micros>,
+    /// Whether the last change was a fall.
+    falling: bool,
+    /// When the weight changed from falling to rising, within the window.
+    flaps: VecDeque<Micros>,
 }
 
 impl WeightRamp {
-    /// Stands at a weight.
+    /// A ramp that starts at `weight`.
     pub fn new(weight: u8, now: Micros) -> WeightRamp {
         WeightRamp {
             weight,
             moved_at: now,
-            fell: false,
-            turns: VecDeque::new(),
+            falling: false,
+            flaps: VecDeque::new(),
         }
     }
 
-    /// The weight it shows.
+    /// The current weight.
     pub fn weight(&self) -> u8 {
         self.weight
     }
 
-    /// Moves towards a target.
+    /// Lowers the weight to the target at once, or raises it towards the target by one step.
     pub fn move_towards(&mut self, now: Micros, target: u8, options: &HealthOptions) {
         let target = target.min(FULL);
         while self
-            .turns
+            .flaps
             .front()
-            .is_some_and(|at| now.saturating_sub(*at) >= FLAP_SPAN)
+            .is_some_and(|at| now.saturating_sub(*at) >= FLAP_WINDOW)
         {
-            self.turns.pop_front();
+            self.flaps.pop_front();
         }
         if target < self.weight {
-            (self.weight, self.moved_at, self.fell) = (target, now, true);
+            (self.weight, self.moved_at, self.falling) = (target, now, true);
             return;
         }
         if target == self.weight || now.saturating_sub(self.moved_at) < options.rise_every() {
             return;
         }
-        if self.fell {
-            // Up again after a fall: a flap, and only so many of them in a minute.
-            if self.turns.len() >= options.flaps_per_minute as usize {
+        if self.falling {
+            // A rise after a fall is a flap; only `flaps_per_minute` of them are allowed.
+            if self.flaps.len() >= options.flaps_per_minute as usize {
                 return;
             }
-            self.turns.push_back(now);
-            self.fell = false;
+            self.flaps.push_back(now);
+            self.falling = false;
         }
-        // From nothing, the floor is the first step.
+        // The first rise from 0 goes to the floor at least.
         let next = self
             .weight
             .saturating_add(options.rise_step)
