--- a/src/bin/asterreel/health/fronts.rs
+++ b/src/bin/asterreel/health/fronts.rs
@@ -168,7 +168,7 @@
         let used = parsed
             .as_ref()
             .map_or(bytes.len(), |request| request.length);
-        let (out, ends) = http::answer(&parsed, &client.shared.facts());
+        let (out, ends) = http::answer(&parsed, &client.shared.snapshot());
         within(CHECK_TIMEOUT, async { stream.write_all(&out).await }).await?;
         if ends {
             return stream.shutdown().await;
@@ -181,14 +181,14 @@
     let (mut check, mut bytes) = (postgres::Check::default(), Vec::with_capacity(256));
     loop {
         let mut out = Vec::new();
-        let (used, next) = check.take(&bytes, &mut out);
+        let (used, next) = check.process(&bytes, &mut out);
         bytes.drain(..used);
         let ends = match next {
-            postgres::Next::More => false,
+            postgres::Next::Read => false,
             postgres::Next::Close => true,
-            postgres::Next::Greet(group) => {
+            postgres::Next::AnswerStartup(group) => {
                 let scope = group.map_or(Scope::Gateway, Scope::Group);
-                postgres::greet(client.shared.status(scope), &mut out)
+                postgres::answer_startup(client.shared.status(scope), &mut out)
             }
         };
         stream.write_all(&out).await?;
--- a/src/bin/asterreel/health/mod.rs
+++ b/src/bin/asterreel/health/mod.rs
@@ -15,7 +15,7 @@
 use crate::front::Gateway;
 use asterreel::health::connection_limit::ConnectionLimiter;
 use asterreel::health::{
-    http::Facts, Action, Capacity, CommandAge, Event, Machine, Scope, State, Status,
+    http::Snapshot, Action, Capacity, CommandAge, Event, Machine, Scope, State, Status,
 };
 use asterreel::operator::Health;
 use asterreel_control::clock::Clock;
@@ -146,10 +146,10 @@
         self.machine.borrow().status(scope)
     }
 
-    fn facts(&self) -> Facts {
+    fn snapshot(&self) -> Snapshot {
         let machine = self.machine.borrow();
         let settings = self.settings.borrow();
-        Facts {
+        Snapshot {
             name: self.name.clone(),
             version: env!("CARGO_PKG_VERSION"),
             statuses: machine.statuses().collect(),
--- a/src/health/http.rs
+++ b/src/health/http.rs
@@ -1,36 +1,36 @@
-//! Health over HTTP/1.1, for balancers and orchestrators (RFC 9110, RFC 9112).
+//! Health endpoints over HTTP/1.1, for balancers and orchestrators (RFC 9110, RFC 9112).
 //!
-//! The headers are those that Envoy's health checking reads (`x-envoy-degraded`,
+//! The response headers are those that Envoy's health checking reads (`x-envoy-degraded`,
 //! `x-envoy-immediate-health-check-fail`) and the load report of ORCA (`endpoint-load-metrics`, JSON form); the body
-//! of `/health` is `application/health+json` (draft-inadarei-api-health-check). No input or output.
+//! of `/health` is `application/health+json` (draft-inadarei-api-health-check). This module does no I/O.
 
 use super::{Capacity, GroupReport, Reason, Scope, State, Status};
 use crate::interface::GroupId;
 use serde_json::{json, Value};
 
-/// The longest head of a request that is taken in.
+/// The longest request head that is accepted, in bytes.
 pub const MAX_HEAD_BYTES: usize = 4096;
 const MAX_HEADERS: usize = 32;
 const PLAIN_TEXT: &str = "text/plain";
 
-/// A status code for a request that can't be served as it is; its connection ends.
+/// The status code for a request that is invalid or too large; the connection is closed after it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejected(pub u16);
 
-/// A request whose head is whole.
+/// A request whose head has been read completely.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Request {
-    /// Its method; only GET and HEAD are served.
+    /// The method; only GET and HEAD are served.
     pub method: String,
-    /// Its path, without a query.
+    /// The path, without a query.
     pub path: String,
-    /// The connection may be used again.
+    /// Whether the client keeps the connection open for another request.
     pub keep_alive: bool,
-    /// The bytes it took.
+    /// The length of the head, in bytes.
     pub length: usize,
 }
 
-/// The first request of the bytes, once its head is there as a whole.
+/// Parses the first request in `bytes`; `None` until its head is complete.
 ///
 /// # Errors
 ///
@@ -45,34 +45,36 @@
         Err(httparse::Error::Version) => return Err(Rejected(505)),
         Err(_) => return Err(Rejected(400)),
     };
-    let named = |name: &str| -> Vec<&[u8]> {
+    let header_values = |name: &str| -> Vec<&[u8]> {
         let found = parsed
             .headers
             .iter()
             .filter(|header| header.name.eq_ignore_ascii_case(name));
         found.map(|header| header.value.trim_ascii()).collect()
     };
-    // A body would be read as the next request.
-    if !named("transfer-encoding").is_empty()
-        || named("content-length").iter().any(|length| *length != b"0")
+    // Bodies are not read, so a body would be parsed as the next request.
+    if !header_values("transfer-encoding").is_empty()
+        || header_values("content-length")
+            .iter()
+            .any(|length| *length != b"0")
     {
         return Err(Rejected(413));
     }
-    let newer = parsed.version == Some(1);
-    if newer && named("host").len() != 1 {
+    let is_http_1_1 = parsed.version == Some(1);
+    if is_http_1_1 && header_values("host").len() != 1 {
         return Err(Rejected(400));
     }
-    let says = |word: &[u8]| {
-        let tokens = named("connection");
+    let connection_has = |option: &[u8]| {
+        let tokens = header_values("connection");
         let mut tokens = tokens
             .iter()
             .flat_map(|value| value.split(|byte| *byte == b','));
-        tokens.any(|token| token.trim_ascii().eq_ignore_ascii_case(word))
+        tokens.any(|token| token.trim_ascii().eq_ignore_ascii_case(option))
     };
-    let keep_alive = if newer {
-        !says(b"close")
+    let keep_alive = if is_http_1_1 {
+        !connection_has(b"close")
     } else {
-        says(b"keep-alive")
+        connection_has(b"keep-alive")
     };
     let target = parsed.path.unwrap_or_default();
     let path = target.split('?').next().unwrap_or_default();
@@ -88,8 +90,8 @@
     }))
 }
 
-/// What answers are made from.
-pub struct Facts {
+/// The state of the gateway that answers are made from.
+pub struct Snapshot {
     /// The gateway's name.
     pub name: String,
     /// The version of the program.
@@ -98,15 +100,15 @@
     pub statuses: Vec<(Scope, Status)>,
     /// The capacity in use.
     pub capacity: Capacity,
-    /// The `Retry-After` of answers that are not good, seconds.
+    /// The `Retry-After` of answers with status 503, seconds.
     pub retry_after: u64,
-    /// Whether the start is over.
+    /// Whether the gateway has left the state [`State::Starting`].
     pub started: bool,
-    /// Counts of each group.
+    /// The latest counts of each group.
     pub groups: Vec<GroupReport>,
 }
 
-impl Facts {
+impl Snapshot {
     fn status(&self, scope: Scope) -> Option<Status> {
         self.statuses
             .iter()
@@ -115,34 +117,34 @@
     }
 }
 
-/// The answer to a request, and whether its connection ends with it.
-pub fn answer(request: &Result<Request, Rejected>, facts: &Facts) -> (Vec<u8>, bool) {
+/// The answer to a request, and whether the connection is closed after it.
+pub fn answer(request: &Result<Request, Rejected>, snapshot: &Snapshot) -> (Vec<u8>, bool) {
     let request = match request {
         Ok(request) => request,
         Err(Rejected(code)) => {
-            let bytes = write(*code, &[], PLAIN_TEXT, "", Some(false), false);
+            let bytes = encode_response(*code, &[], PLAIN_TEXT, "", Some(false), false);
             return (bytes, true);
         }
     };
-    let keep = Some(request.keep_alive);
-    let head = request.method == "HEAD";
-    let bytes = if !head && request.method != "GET" {
+    let keep_alive = Some(request.keep_alive);
+    let head_only = request.method == "HEAD";
+    let bytes = if !head_only && request.method != "GET" {
         let allow = [("allow", "GET, HEAD".to_owned())];
-        write(405, &allow, PLAIN_TEXT, "", keep, false)
-    } else if let Some(resource) = Resource::at(&request.path, facts) {
-        let code = if resource.good { 200 } else { 503 };
-        let headers = status_headers(&resource, facts);
-        let (kind, body) = (resource.content_type(), resource.body(facts));
-        write(code, &headers, kind, &body, keep, head)
+        encode_response(405, &allow, PLAIN_TEXT, "", keep_alive, false)
+    } else if let Some(resource) = Resource::for_path(&request.path, snapshot) {
+        let code = if resource.healthy { 200 } else { 503 };
+        let headers = status_headers(&resource, snapshot);
+        let (content_type, body) = (resource.content_type(), resource.body(snapshot));
+        encode_response(code, &headers, content_type, &body, keep_alive, head_only)
     } else {
-        write(404, &[], PLAIN_TEXT, "not found\n", keep, head)
+        encode_response(404, &[], PLAIN_TEXT, "not found\n", keep_alive, head_only)
     };
     (bytes, !request.keep_alive)
 }
 
-/// The form in which a path tells its status.
+/// The body format of a resource.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Form {
+enum BodyFormat {
     /// One line of text.
     Line,
     /// The gateway and all its groups, as JSON.
@@ -151,66 +153,70 @@
     Group(GroupId),
 }
 
-/// What a path tells about, and whether that is good.
+/// The status that a path reports, and whether the answer is 200 (healthy) or 503.
 struct Resource {
-    form: Form,
+    format: BodyFormat,
     status: Option<Status>,
-    good: bool,
+    healthy: bool,
 }
 
 impl Resource {
     /// The resource at `path`, if there is one.
-    fn at(path: &str, facts: &Facts) -> Option<Resource> {
+    fn for_path(path: &str, snapshot: &Snapshot) -> Option<Resource> {
         if let Some(number) = path.strip_prefix("/health/groups/") {
             let id = GroupId(number.parse().ok()?);
-            let status = facts.status(Scope::Group(id))?;
+            let status = snapshot.status(Scope::Group(id))?;
             return Some(Resource {
-                form: Form::Group(id),
+                format: BodyFormat::Group(id),
                 status: Some(status),
-                good: status.ready(),
+                healthy: status.ready(),
             });
         }
-        let status = facts.status(Scope::Gateway);
+        let status = snapshot.status(Scope::Gateway);
         let ready = status.is_some_and(|status| status.ready());
-        let (form, good) = match path {
-            // A process that drains is alive; to end it for that would lose what it owes.
+        let (format, healthy) = match path {
+            // A draining process is alive: if the orchestrator killed it, the requests in flight would be lost.
             "/livez" => (
-                Form::Line,
+                BodyFormat::Line,
                 status.is_none_or(|status| status.state != State::Hung),
             ),
-            "/startupz" => (Form::Line, facts.started),
-            "/readyz" => (Form::Line, ready),
-            "/health" => (Form::Gateway, ready),
+            "/startupz" => (BodyFormat::Line, snapshot.started),
+            "/readyz" => (BodyFormat::Line, ready),
+            "/health" => (BodyFormat::Gateway, ready),
             _ => return None,
         };
-        Some(Resource { form, status, good })
+        Some(Resource {
+            format,
+            status,
+            healthy,
+        })
     }
 
     fn content_type(&self) -> &'static str {
-        match self.form {
-            Form::Line => PLAIN_TEXT,
-            Form::Gateway | Form::Group(_) => "application/health+json",
+        match self.format {
+            BodyFormat::Line => PLAIN_TEXT,
+            BodyFormat::Gateway | BodyFormat::Group(_) => "application/health+json",
         }
     }
 
-    fn body(&self, facts: &Facts) -> String {
-        match (self.form, self.status) {
-            (Form::Gateway, _) => gateway_body(facts),
-            (Form::Group(id), Some(status)) => group_body(facts, id, status),
-            (Form::Line, Some(status)) => format!("{}\n", plain(status)),
-            (Form::Group(_) | Form::Line, None) => String::new(),
+    fn body(&self, snapshot: &Snapshot) -> String {
+        match (self.format, self.status) {
+            (BodyFormat::Gateway, _) => gateway_body(snapshot),
+            (BodyFormat::Group(id), Some(status)) => group_body(snapshot, id, status),
+            (BodyFormat::Line, Some(status)) => format!("{}\n", status_line(status)),
+            (BodyFormat::Group(_) | BodyFormat::Line, None) => String::new(),
         }
     }
 }
 
-/// The headers by which balancers read a status.
-fn status_headers(resource: &Resource, facts: &Facts) -> Vec<(&'static str, String)> {
+/// The headers from which balancers read the status.
+fn status_headers(resource: &Resource, snapshot: &Snapshot) -> Vec<(&'static str, String)> {
     let Some(status) = resource.status else {
         return Vec::new();
     };
     let mut headers = Vec::new();
-    if !resource.good {
-        headers.push(("retry-after", facts.retry_after.to_string()));
+    if !resource.healthy {
+        headers.push(("retry-after", snapshot.retry_after.to_string()));
     }
     if status.state == State::Degraded {
         headers.push(("x-envoy-degraded", "true".to_owned()));
@@ -223,13 +229,13 @@
     }
     headers.push((
         "endpoint-load-metrics",
-        load_report(status, &facts.capacity),
+        load_report(status, &snapshot.capacity),
     ));
     headers.push(("x-asterreel-weight", status.weight.to_string()));
     headers
 }
 
-fn plain(status: Status) -> String {
+fn status_line(status: Status) -> String {
     let state = json!(status.state);
     format!(
         "{} {} {}",
@@ -239,11 +245,11 @@
     )
 }
 
-/// ORCA's report: utilization of the application as this gateway sees it, and its weight as a named metric.
+/// The ORCA load report: the gateway's utilization as that of the application, and its weight as a named metric.
 fn load_report(status: Status, capacity: &Capacity) -> String {
-    let used = capacity.utilization().clamp(0.0, 1.0);
+    let utilization = capacity.utilization().clamp(0.0, 1.0);
     let report = json!({
-        "application_utilization": used,
+        "application_utilization": utilization,
         "named_metrics": {"weight": f64::from(status.weight) / f64::from(super::FULL)},
     });
     format!("JSON {report}")
@@ -257,13 +263,13 @@
     }
 }
 
-fn entry(status: Status) -> Value {
+fn status_value(status: Status) -> Value {
     json!({"status": check_status(status), "state": status.state, "weight": status.weight, "reason": status.reason})
 }
 
-fn group_value(facts: &Facts, id: GroupId, status: Status) -> Value {
-    let mut value = entry(status);
-    if let Some(counts) = facts.groups.iter().find(|counts| counts.group == id) {
+fn group_value(snapshot: &Snapshot, id: GroupId, status: Status) -> Value {
+    let mut value = status_value(status);
+    if let Some(counts) = snapshot.groups.iter().find(|counts| counts.group == id) {
         value["in_flight"] = json!(counts.in_flight);
         value["held"] = json!(counts.queued);
         value["usable_members"] = json!(counts.usable);
@@ -272,28 +278,28 @@
     value
 }
 
-fn group_body(facts: &Facts, id: GroupId, status: Status) -> String {
-    group_value(facts, id, status).to_string()
+fn group_body(snapshot: &Snapshot, id: GroupId, status: Status) -> String {
+    group_value(snapshot, id, status).to_string()
 }
 
-fn gateway_body(facts: &Facts) -> String {
-    let gateway = facts.status(Scope::Gateway);
+fn gateway_body(snapshot: &Snapshot) -> String {
+    let gateway = snapshot.status(Scope::Gateway);
     let gateway = gateway.unwrap_or(Status {
         state: State::Starting,
         weight: 0,
         reason: Reason::Start,
     });
-    let mut value = entry(gateway);
-    value["serviceId"] = json!(facts.name);
-    value["version"] = json!(facts.version);
-    value["room"] = json!(facts.capacity);
-    let checks: serde_json::Map<String, Value> = facts
+    let mut value = status_value(gateway);
+    value["serviceId"] = json!(snapshot.name);
+    value["version"] = json!(snapshot.version);
+    value["room"] = json!(snapshot.capacity);
+    let checks: serde_json::Map<String, Value> = snapshot
         .statuses
         .iter()
         .filter_map(|(scope, status)| match scope {
             Scope::Group(id) => Some((
                 format!("group:{}", id.0),
-                json!([group_value(facts, *id, *status)]),
+                json!([group_value(snapshot, *id, *status)]),
             )),
             Scope::Gateway => None,
         })
@@ -302,13 +308,13 @@
     value.to_string()
 }
 
-fn write(
+fn encode_response(
     code: u16,
     headers: &[(&str, String)],
-    kind: &str,
+    content_type: &str,
     body: &str,
-    keep: Option<bool>,
-    head: bool,
+    keep_alive: Option<bool>,
+    head_only: bool,
 ) -> Vec<u8> {
     let phrase = match code {
         200 => "OK",
@@ -322,20 +328,20 @@
         505 => "HTTP Version Not Supported",
         _ => "Error",
     };
-    let connection = if keep == Some(true) {
+    let connection = if keep_alive == Some(true) {
         "keep-alive"
     } else {
         "close"
     };
     let mut out = format!(
-        "HTTP/1.1 {code} {phrase}\r\nContent-Type: {kind}\r\nContent-Length: {}\r\nCache-Control: no-store\r\nConnection: {connection}\r\n",
+        "HTTP/1.1 {code} {phrase}\r\nContent-Type: {content_type}\r\nContent-Length: {}\r\nCache-Control: no-store\r\nConnection: {connection}\r\n",
         body.len()
     );
     for (name, value) in headers {
         out.push_str(&format!("{name}: {value}\r\n"));
     }
     out.push_str("\r\n");
-    if !head {
+    if !head_only {
         out.push_str(body);
     }
     out.into_bytes()
--- a/src/health/http/tests.rs
+++ b/src/health/http/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 use crate::fuzz;
 
-fn facts(state: State, weight: u8, reason: Reason) -> Facts {
+fn snapshot(state: State, weight: u8, reason: Reason) -> Snapshot {
     let status = Status {
         state,
         weight,
         reason,
     };
-    Facts {
+    Snapshot {
         name: "one".into(),
         version: "0",
         statuses: vec![(Scope::Gateway, status), (Scope::Group(GroupId(3)), status)],
@@ -35,9 +35,9 @@
     }
 }
 
-fn ask(text: &str, facts: &Facts) -> (u16, String, bool) {
+fn respond(text: &str, snapshot: &Snapshot) -> (u16, String, bool) {
     let parsed = parse_request(text.as_bytes()).map(|found| found.expect("whole"));
-    let (bytes, ends) = answer(&parsed, facts);
+    let (bytes, ends) = answer(&parsed, snapshot);
     let text = String::from_utf8(bytes).expect("text");
     (text[9..12].parse().expect("a code"), text, ends)
 }
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn each_endpoint_tells_its_own_truth_in_each_state() {
+fn each_endpoint_has_its_status_code_in_each_state() {
     let paths = [
         "/livez",
         "/readyz",
@@ -75,19 +75,19 @@
         (State::Hung, 0, Reason::Hung, [503, 503, 200, 503, 503]),
     ];
     for (state, weight, reason, codes) in cases {
-        let facts = facts(state, weight, reason);
+        let snapshot = snapshot(state, weight, reason);
         for (path, code) in paths.iter().zip(codes) {
-            let (said, text, _) = ask(&get(path), &facts);
-            assert_eq!(said, code, "{state:?} {path}");
+            let (answered, text, _) = respond(&get(path), &snapshot);
+            assert_eq!(answered, code, "{state:?} {path}");
             assert_eq!(text.contains("retry-after: 1"), code == 503, "{text}");
             assert_eq!(
                 text.contains("x-envoy-degraded: true"),
                 state == State::Degraded
             );
-            let fails = matches!(state, State::Draining | State::Stopping | State::Hung);
+            let fails_at_once = matches!(state, State::Draining | State::Stopping | State::Hung);
             assert_eq!(
                 text.contains("x-envoy-immediate-health-check-fail: true"),
-                fails
+                fails_at_once
             );
             assert!(
                 text.contains("endpoint-load-metrics: JSON {\"application_utilization\":0.5"),
@@ -98,9 +98,9 @@
 }
 
 #[test]
-fn the_body_of_health_is_json_with_each_group_and_head_has_none() {
-    let facts = facts(State::Degraded, 60, Reason::NoPrimary);
-    let (_, text, ends) = ask(&get("/health"), &facts);
+fn health_body_is_json_with_each_group_and_empty_for_head() {
+    let snapshot = snapshot(State::Degraded, 60, Reason::NoPrimary);
+    let (_, text, ends) = respond(&get("/health"), &snapshot);
     let body = text.split_once("\r\n\r\n").expect("a head").1;
     let value: Value = serde_json::from_str(body).expect("JSON");
     assert_eq!(
@@ -109,7 +109,7 @@
     );
     assert_eq!(value["checks"]["group:3"][0]["usable_members"], json!(3));
     assert!(!ends && text.contains("application/health+json"));
-    let (code, text, _) = ask("HEAD /health HTTP/1.1\r\nHost: x\r\n\r\n", &facts);
+    let (code, text, _) = respond("HEAD /health HTTP/1.1\r\nHost: x\r\n\r\n", &snapshot);
     assert!(
         code == 200
             && text.ends_with("\r\n\r\n")
@@ -118,8 +118,8 @@
 }
 
 #[test]
-fn everything_else_is_a_proper_error() {
-    let facts = facts(State::Up, 100, Reason::Fine);
+fn unknown_and_invalid_requests_have_their_status_codes() {
+    let snapshot = snapshot(State::Up, 100, Reason::Fine);
     let long = format!(
         "GET /{} HTTP/1.1\r\nHost: x\r\n\r\n",
         "x".repeat(MAX_HEAD_BYTES)
@@ -155,13 +155,13 @@
         (long, 431, true),
     ];
     for (text, code, ends) in cases {
-        let (said, _, ended) = ask(&text, &facts);
-        assert_eq!((said, ended), (code, ends), "{text:.60}");
+        let (answered, _, ended) = respond(&text, &snapshot);
+        assert_eq!((answered, ended), (code, ends), "{text:.60}");
     }
 }
 
 #[test]
-fn a_request_is_the_same_however_it_is_cut_and_garbage_is_bounded() {
+fn partial_request_is_awaited_and_random_bytes_are_bounded() {
     let text = get("/health/groups/3");
     let whole = parse_request(text.as_bytes())
         .expect("valid")
@@ -172,12 +172,12 @@
             assert_eq!(found.as_ref(), Some(&whole).filter(|_| *end == text.len()));
         }
     });
-    let facts = facts(State::Up, 100, Reason::Fine);
+    let snapshot = snapshot(State::Up, 100, Reason::Fine);
     fuzz::garbage(text.as_bytes(), |bytes| {
         let found = parse_request(bytes);
         assert!(!matches!(&found, Ok(Some(request)) if request.length > bytes.len()));
         if let Some(found) = found.transpose() {
-            assert!(answer(&found, &facts).0.starts_with(b"HTTP/1.1 "));
+            assert!(answer(&found, &snapshot).0.starts_with(b"HTTP/1.1 "));
         }
     });
 }
