--- a/src/bin/asterreel/health/mod.rs
+++ b/src/bin/asterreel/health/mod.rs
@@ -156,7 +156,7 @@
             capacity: self.capacity.get(),
             retry_after: settings.balancer.interval_ms.div_ceil(1000).max(1),
             started: self.started.get(),
-            groups: machine.seen_groups().cloned().collect(),
+            groups: machine.group_reports().cloned().collect(),
         }
     }
 }
@@ -353,7 +353,7 @@
     /// Tells the service manager that the request path moves; while it does not, nothing is told.
     fn notify_service_manager(&self) {
         if let Some(notify) = &self.notify {
-            if self.machine.borrow().moves() {
+            if self.machine.borrow().makes_progress() {
                 let _ = notify.try_send(notify::Command::Moves);
             }
         }
--- a/src/health/http.rs
+++ b/src/health/http.rs
@@ -250,7 +250,7 @@
     let utilization = capacity.utilization().clamp(0.0, 1.0);
     let report = json!({
         "application_utilization": utilization,
-        "named_metrics": {"weight": f64::from(status.weight) / f64::from(super::FULL)},
+        "named_metrics": {"weight": f64::from(status.weight) / f64::from(super::MAX_WEIGHT)},
     });
     format!("JSON {report}")
 }
--- a/src/health/http/tests.rs
+++ b/src/health/http/tests.rs
@@ -21,7 +21,7 @@
         started: state != State::Starting,
         groups: vec![GroupReport {
             group: GroupId(3),
-            primary: true,
+            has_primary: true,
             primary_since: 0,
             usable: 3,
             members: 4,
@@ -29,7 +29,7 @@
             queued: 2,
             ended: 0,
             overloaded: 0,
-            needs_primary: 0.5,
+            primary_only_share: 0.5,
             recent_weight: 1.0,
         }],
     }
--- a/src/health/mod.rs
+++ b/src/health/mod.rs
@@ -1,9 +1,9 @@
-//! How much load this gateway should get from whoever balances clients over gateways.
+//! Health of the gateway for load balancers: how many of the clients this gateway should receive.
 //!
-//! Decides a [`State`] and a weight of 0 to 100, for the whole gateway and for each group, from what
-//! [`Observer`] saw of the decision module's events and actions, from the heartbeat of the request path, from the
-//! capacity that is left, and from the drain's timetable. One entry point: [`Machine::handle`]. It never routes, rejects
-//! or delays a request, and does no input or output; `docs/design/health.md` says why it decides as it does.
+//! [`Machine`] decides a [`State`] and a weight of 0 to 100, for the whole gateway and for each group, from the counts of
+//! [`Observer`], the heartbeat of the request path, the capacity in use and the phase of a drain. Its entry point is
+//! [`Machine::handle`]. It never routes, rejects or delays a request and does no I/O. `docs/design/health.md` gives the
+//! reasons for its rules.
 
 pub mod agent;
 pub mod connection_limit;
@@ -25,28 +25,28 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The highest weight.
-pub const FULL: u8 = 100;
+/// The highest weight, which a gateway or group has when nothing is wrong.
+pub const MAX_WEIGHT: u8 = 100;
 
-/// What the whole gateway, or one group through it, is fit for.
+/// The state of the whole gateway, or of one group as served through it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
     /// Not yet ready for clients.
     Starting,
-    /// Serving all it should.
+    /// Serving with full weight.
     Up,
-    /// Serving less than it should.
+    /// Serving with a lower weight, which is 0 if no member can serve.
     Degraded,
-    /// Still serving what comes, but nothing new should be sent.
+    /// Still accepting and serving requests, but no new clients should be sent.
     Draining,
-    /// Closing what is left.
+    /// Closing the remaining connections.
     Stopping,
-    /// The request path makes no progress, whether or not its port accepts connections.
+    /// The request path makes no progress, even if its port still accepts connections.
     Hung,
 }
 
-/// Why a state or weight is as it is.
+/// The reason for a state or weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
@@ -54,28 +54,29 @@
     Fine,
     /// No endpoint list yet, or a group with no reachable member yet.
     Start,
-    /// It recovers: the weight rises slowly.
+    /// The cause of a lower weight is gone and the weight rises slowly.
     Recovering,
     /// No member is marked primary.
     NoPrimary,
-    /// Rejections and late answers, or little capacity left.
+    /// Many requests are rejected, failed or late, or little capacity is left.
     Overload,
     /// No member can serve.
     NoMember,
-    /// Fresh connections are not accepted; those that are open are served.
+    /// New connections are not accepted; open ones are served.
     Accept,
-    /// The fleet's log can't be reached, or the others took the gateway's registration away: it may not act on what they agree.
+    /// The gateway has no registration in the fleet's log, because it cannot reach the log or the other gateways removed
+    /// it. It may not act on the decisions that the fleet agrees on there.
     ShutOut,
-    /// The operator's file says so.
+    /// The operator's file sets `maintenance`.
     Maintenance,
-    /// The program was told to end.
+    /// The gateway drains after SIGTERM or SIGINT.
     Drain,
-    /// The heartbeat is not answered.
+    /// The request path makes no progress, for example because heartbeats are not answered.
     Hung,
 }
 
 impl Reason {
-    /// Its code in protocols and logs.
+    /// The code of the reason in protocols and logs.
     pub fn code(self) -> &'static str {
         match self {
             Reason::Fine => "fine",
@@ -93,14 +94,14 @@
     }
 }
 
-/// What is reported about a scope.
+/// The status that is reported for a scope.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Status {
-    /// Fitness.
+    /// Whether and how the scope serves.
     pub state: State,
-    /// 0 to 100.
+    /// The weight for balancing, from 0 (no new clients) to 100 (a full share).
     pub weight: u8,
-    /// Why.
+    /// The reason for the state and weight.
     pub reason: Reason,
 }
 
@@ -111,7 +112,7 @@
     }
 }
 
-/// What a status is about.
+/// The subject of a status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Scope {
     /// The whole gateway.
@@ -120,71 +121,71 @@
     Group(GroupId),
 }
 
-/// How much of what it may hold the gateway holds.
+/// The capacity of the gateway: what is in use, and the limits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Capacity {
-    /// Client connections that are open, and the most there may be.
+    /// Open client connections.
     pub sessions: usize,
-    /// See `sessions`.
+    /// The most client connections; 0 means no limit.
     #[serde(rename = "most_sessions")]
     pub max_sessions: usize,
-    /// Requests that are open, and the most that descriptors allow.
+    /// Open requests.
     pub requests: usize,
-    /// See `requests`.
+    /// The most open requests that the file descriptors allow; 0 means no limit.
     #[serde(rename = "most_requests")]
     pub max_requests: usize,
 }
 
 impl Capacity {
-    /// The share that is taken, of whatever is nearest its limit; idle sessions make room for others, so they
-    /// count only once not even that helps.
+    /// The share in use of the resource that is nearest its limit. Sessions count only when nearly all are in use, because
+    /// idle ones are closed to make room for new ones.
     fn utilization(&self) -> f64 {
-        let share = |held: usize, most: usize| {
-            if most == 0 {
+        let share = |used: usize, limit: usize| {
+            if limit == 0 {
                 0.0
             } else {
-                held as f64 / most as f64
+                used as f64 / limit as f64
             }
         };
         let sessions = share(self.sessions, self.max_sessions);
         share(self.requests, self.max_requests).max(if sessions >= 0.99 { sessions } else { 0.0 })
     }
 
-    /// No further session can be accepted.
+    /// Whether no further session can be accepted.
     pub fn is_full(&self) -> bool {
         self.max_sessions > 0 && self.sessions >= self.max_sessions
     }
 }
 
-/// What happens to a [`Machine`].
+/// The input of a [`Machine`].
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The decision module's report and the capacity in use.
+    /// The observer's report and the capacity in use.
     Observed(Report, Capacity),
-    /// The decision module could not be asked: its lock is held.
+    /// The observer could not be read because the lock of the core was held.
     ObservationMissed,
-    /// Progress of the heartbeat.
+    /// An event of the heartbeat.
     Heartbeat(Heartbeat),
-    /// The age of the oldest command that no session has taken.
+    /// The age of the oldest command that no session has received, microseconds.
     OldestCommandAge(Micros),
-    /// The program was told to end.
+    /// SIGTERM or SIGINT was received.
     Terminate,
-    /// Connections are being closed.
+    /// The gateway has begun to close its connections.
     Stopping,
-    /// Whether the gateway has no registration in the fleet's log, where there is one.
+    /// Whether the gateway has lost its registration in the fleet's log; sent only if the gateway uses one.
     RegistrationLost(bool),
-    /// The operator's file was read again.
+    /// The operator's file was reloaded.
     Configured(HealthOptions),
-    /// Time passed.
+    /// Only the time advanced.
     Tick,
 }
 
-/// What a [`Machine`] wants done.
+/// The output of a [`Machine`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Report this status from now on.
     Announce(Scope, Status),
-    /// A scope is no longer served or reported.
+    /// Stop reporting a scope, because the gateway no longer serves it.
     Withdraw(Scope),
 }
 
@@ -196,17 +197,16 @@
     Stopping,
 }
 
-/// The state of a group.
+/// The health of one group.
 struct Group {
-    /// The share of its priority weight that needs the primary, as it was when the primary was lost.
+    /// The share of the group's priority weight that only the primary can serve, as it was when the primary was lost.
     lost_primary_share: Option<f64>,
     steps: WeightSteps,
     ramp: WeightRamp,
-    /// The last that was seen of it.
-    seen: GroupReport,
+    last_report: GroupReport,
 }
 
-/// The state machine; see the module.
+/// The state machine that decides the status of the gateway and of each group.
 pub struct Machine {
     options: HealthOptions,
     started_at: Micros,
@@ -222,7 +222,7 @@
 }
 
 impl Machine {
-    /// A gateway that has just started; `options` must have passed [`HealthOptions::check`].
+    /// The state of a gateway that has just started; `options` must have passed [`HealthOptions::check`].
     pub fn new(options: HealthOptions, now: Micros) -> Machine {
         Machine {
             liveness: Liveness::new(now),
@@ -239,16 +239,16 @@
         }
     }
 
-    /// Takes in one event and appends what is to be done. Time never goes back.
+    /// Handles one event and appends the resulting actions. A time before that of an earlier event counts as the latter.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.liveness.advance(self.now);
         match event {
-            Event::Observed(report, capacity) => self.observed(report, capacity),
+            Event::Observed(report, capacity) => self.apply_report(report, capacity),
             Event::ObservationMissed => self.liveness.observation_missed(self.now),
             Event::Heartbeat(beat) => self.liveness.heartbeat(self.now, beat),
             Event::OldestCommandAge(age) => self.liveness.oldest_command_age(age),
-            // A second signal changes nothing, and nothing leads back.
+            // A repeated signal has no effect, and a drain cannot be cancelled.
             Event::Terminate if self.phase < Phase::Draining => self.phase = Phase::Draining,
             Event::Stopping => self.phase = Phase::Stopping,
             Event::Configured(options) => self.options = options,
@@ -258,72 +258,83 @@
             Event::Terminate | Event::Tick => {}
         }
         self.liveness.evaluate(self.now, &self.options);
-        self.leave_start();
-        self.move_weights();
-        self.announce(actions);
+        self.serve_if_started();
+        self.update_weights();
+        self.announce_changes(actions);
     }
 
-    /// The status of a scope that is reported now.
+    /// The status that is currently reported for a scope.
     pub fn status(&self, scope: Scope) -> Option<Status> {
         self.announced.get(&scope).copied()
     }
 
-    /// All statuses that are reported now.
+    /// All statuses that are currently reported.
     pub fn statuses(&self) -> impl Iterator<Item = (Scope, Status)> + '_ {
         self.announced
             .iter()
             .map(|(scope, status)| (*scope, *status))
     }
 
-    /// Whether the request path makes progress, as far as is known: what a watchdog may be told.
-    pub fn moves(&self) -> bool {
+    /// Whether the request path makes progress as far as is known, so that a watchdog may be notified.
+    pub fn makes_progress(&self) -> bool {
         !self.liveness.is_hung()
     }
 
-    /// The last that was seen of the groups.
-    pub fn seen_groups(&self) -> impl Iterator<Item = &GroupReport> {
-        self.groups.values().map(|group| &group.seen)
+    /// The latest report of each group.
+    pub fn group_reports(&self) -> impl Iterator<Item = &GroupReport> {
+        self.groups.values().map(|group| &group.last_report)
     }
 
-    fn observed(&mut self, report: Report, capacity: Capacity) {
+    fn apply_report(&mut self, report: Report, capacity: Capacity) {
         let (now, options) = (self.now, &self.options);
         self.liveness.observed(capacity.is_full());
         self.list_received |= report.list_received;
         self.groups
             .retain(|id, _| report.groups.iter().any(|group| group.group == *id));
-        for seen in report.groups {
-            let group = self.groups.entry(seen.group).or_insert_with(|| Group {
-                lost_primary_share: None,
-                steps: WeightSteps::default(),
-                ramp: WeightRamp::new(0, 0),
-                seen: seen.clone(),
-            });
-            // Frozen when it is lost: without a primary, clients' retries would count over and over.
-            group.lost_primary_share = match (seen.primary, group.lost_primary_share) {
+        for group_report in report.groups {
+            let group = self
+                .groups
+                .entry(group_report.group)
+                .or_insert_with(|| Group {
+                    lost_primary_share: None,
+                    steps: WeightSteps::default(),
+                    ramp: WeightRamp::new(0, 0),
+                    last_report: group_report.clone(),
+                });
+            // The share is kept as it was when the primary was lost: afterwards, clients' retries of requests for the
+            // primary would raise it.
+            group.lost_primary_share = match (group_report.has_primary, group.lost_primary_share) {
                 (true, _) => None,
-                (false, None) => Some(seen.needs_primary),
+                (false, None) => Some(group_report.primary_only_share),
                 (false, share) => share,
             };
-            group.steps.update(now, seen.overload_share(), 0.0, options);
-            group.seen = seen;
+            group
+                .steps
+                .update(now, group_report.overload_share(), 0.0, options);
+            group.last_report = group_report;
         }
         self.steps
             .update(now, None, capacity.utilization(), options);
     }
 
-    fn leave_start(&mut self) {
+    /// Ends the start once discovery has sent a list and each group has a usable member, or the start has waited long
+    /// enough.
+    fn serve_if_started(&mut self) {
         if self.phase != Phase::Starting || !self.liveness.has_answered() {
             return;
         }
-        let usable =
-            !self.groups.is_empty() && self.groups.values().all(|group| group.seen.usable > 0);
+        let usable = !self.groups.is_empty()
+            && self
+                .groups
+                .values()
+                .all(|group| group.last_report.usable > 0);
         let waited = self.now.saturating_sub(self.started_at) >= self.options.start_wait();
         if (self.list_received && usable) || waited {
             self.phase = Phase::Serving;
-            // A new gateway starts slowly.
+            // The weight of a new gateway rises slowly from the floor.
             self.ramp = WeightRamp::new(self.options.floor, self.now);
             for group in self.groups.values_mut() {
-                let floor = if group.seen.usable > 0 {
+                let floor = if group.last_report.usable > 0 {
                     self.options.floor
                 } else {
                     0
@@ -333,39 +344,42 @@
         }
     }
 
-    /// The weight a group should have, and why.
+    /// The weight that a group should have, and the reason.
     fn group_target(&self, group: &Group) -> (u8, Reason) {
-        if group.seen.usable == 0 {
+        if group.last_report.usable == 0 {
             return (0, Reason::NoMember);
         }
         let level = group.steps.weight(&self.options);
         let served = f64::from(level) * (1.0 - group.lost_primary_share.unwrap_or(0.0));
-        // Reads can be served: never 0, or the last gateways of a group would be taken out with it.
-        let weight = (served.round() as u8).clamp(self.options.floor, FULL);
+        // At least the floor, because reads can be served: with 0, balancers would take all gateways of the group out of
+        // service.
+        let weight = (served.round() as u8).clamp(self.options.floor, MAX_WEIGHT);
         match group.lost_primary_share {
             Some(_) => (weight, Reason::NoPrimary),
-            None if level < FULL => (weight, Reason::Overload),
+            None if level < MAX_WEIGHT => (weight, Reason::Overload),
             None => (weight, Reason::Fine),
         }
     }
 
-    /// The weight of the whole gateway: its groups' by their priority weight, less what it lacks capacity for.
-    fn target(&self) -> (u8, Reason) {
+    /// The weight that the whole gateway should have, and the reason: the mean of its groups' weights by their priority
+    /// weight, lowered when capacity runs short.
+    fn gateway_target(&self) -> (u8, Reason) {
         let (mut weight_sum, mut sum, mut reason) = (0.0, 0.0, Reason::Fine);
         for group in self.groups.values() {
-            let (weight, why) = self.group_target(group);
-            weight_sum += group.seen.recent_weight;
-            sum += group.seen.recent_weight * f64::from(weight);
-            reason = reason.max(why);
+            let (weight, group_reason) = self.group_target(group);
+            weight_sum += group.last_report.recent_weight;
+            sum += group.last_report.recent_weight * f64::from(weight);
+            reason = reason.max(group_reason);
         }
         if weight_sum <= 0.0 || sum <= 0.0 {
             return (0, Reason::NoMember);
         }
         let level = self.steps.weight(&self.options);
-        let weight = sum / weight_sum * f64::from(level) / f64::from(FULL);
-        let weight = (weight.round() as u8).clamp(self.options.floor, FULL);
+        let weight = sum / weight_sum * f64::from(level) / f64::from(MAX_WEIGHT);
+        let weight = (weight.round() as u8).clamp(self.options.floor, MAX_WEIGHT);
         let accepts = self.liveness.accepts();
-        // Never 0 without a registration: it serves clients on, and if all gateways lost theirs, none is better.
+        // Without a registration the weight is the floor, not 0: the gateway still serves clients, and if all gateways
+        // lost theirs, balancers must not take all of them out of service.
         let weight = if accepts && !self.registration_lost {
             weight
         } else {
@@ -374,13 +388,14 @@
         let reason = match reason {
             _ if !accepts => Reason::Accept,
             _ if self.registration_lost => Reason::ShutOut,
-            Reason::Fine if level < FULL => Reason::Overload,
+            Reason::Fine if level < MAX_WEIGHT => Reason::Overload,
             reason => reason,
         };
         (weight, reason)
     }
 
-    fn move_weights(&mut self) {
+    /// Moves the weights of the gateway and its groups towards their targets.
+    fn update_weights(&mut self) {
         let (now, hung) = (self.now, self.liveness.is_hung());
         let targets: Vec<(GroupId, u8)> = self
             .groups
@@ -390,7 +405,7 @@
         let gateway_target = if hung {
             self.options.floor
         } else {
-            self.target().0
+            self.gateway_target().0
         };
         for (id, target) in targets {
             if let Some(group) = self.groups.get_mut(&id) {
@@ -407,8 +422,8 @@
         }
     }
 
-    /// What outranks any weight: the same for the gateway and all its groups.
-    fn overriding(&self) -> Option<Status> {
+    /// The status that replaces the weighted one, for the gateway and all its groups alike.
+    fn override_status(&self) -> Option<Status> {
         let status = |state, reason| {
             Some(Status {
                 state,
@@ -428,39 +443,43 @@
         }
     }
 
-    fn announce(&mut self, actions: &mut Vec<Action>) {
-        let overriding = self.overriding();
-        let shown = |weight: u8, (target, reason): (u8, Reason)| {
+    /// Appends actions for the statuses that changed.
+    fn announce_changes(&mut self, actions: &mut Vec<Action>) {
+        let override_status = self.override_status();
+        let status_for = |weight: u8, (target, reason): (u8, Reason)| {
             let reason = if reason == Reason::Fine && weight < target {
                 Reason::Recovering
             } else {
                 reason
             };
-            let state = if weight == FULL {
+            let state = if weight == MAX_WEIGHT {
                 State::Up
             } else {
                 State::Degraded
             };
-            overriding.unwrap_or(Status {
+            override_status.unwrap_or(Status {
                 state,
                 weight,
                 reason,
             })
         };
-        let mut now = vec![(Scope::Gateway, shown(self.ramp.weight(), self.target()))];
-        now.extend(self.groups.iter().map(|(id, group)| {
+        let mut current = vec![(
+            Scope::Gateway,
+            status_for(self.ramp.weight(), self.gateway_target()),
+        )];
+        current.extend(self.groups.iter().map(|(id, group)| {
             (
                 Scope::Group(*id),
-                shown(group.ramp.weight(), self.group_target(group)),
+                status_for(group.ramp.weight(), self.group_target(group)),
             )
         }));
-        let gone = |scope: &&Scope| !now.iter().any(|(told, _)| told == *scope);
-        let gone: Vec<Scope> = self.announced.keys().filter(gone).copied().collect();
-        for scope in gone {
+        let is_gone = |scope: &&Scope| !current.iter().any(|(current, _)| current == *scope);
+        let withdrawn: Vec<Scope> = self.announced.keys().filter(is_gone).copied().collect();
+        for scope in withdrawn {
             self.announced.remove(&scope);
             actions.push(Action::Withdraw(scope));
         }
-        for (scope, status) in now {
+        for (scope, status) in current {
             if self.announced.insert(scope, status) != Some(status) {
                 actions.push(Action::Announce(scope, status));
             }
--- a/src/health/observer.rs
+++ b/src/health/observer.rs
@@ -1,58 +1,59 @@
-//! Statistics of each group for health, from the router's own events and actions.
+//! Statistics of each group for health decisions, from the events and actions of the router.
 //!
-//! It observes only: it is given each event before the router and each action after it, and changes neither.
+//! [`Observer`] receives each event before the router does and each action after the router has returned it. It changes
+//! neither.
 
 use crate::interface::*;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// The window over which outcomes are counted, in slots.
+/// Length of a slot, microseconds; outcomes are counted over a window of [`SLOT_COUNT`] slots.
 const SLOT_LENGTH: Micros = 100_000;
 const SLOT_COUNT: usize = 10;
-/// Fewest ended requests in the window from which an overload share is computed.
+/// Minimum number of ended requests in the window for an overload share.
 const MIN_SAMPLES: u32 = 10;
-/// Half-life of the recent weights, microseconds: long enough that a quiet moment does not change it.
+/// Half-life of the recent weights, microseconds; long enough that a short pause between requests hardly changes them.
 const WEIGHT_HALF_LIFE_US: f64 = 10e6;
 
-/// Counts of one group.
+/// The counts of one group at the time of the report.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GroupReport {
-    /// The group.
+    /// The group that the counts are about.
     pub group: GroupId,
-    /// The primary is known.
-    pub primary: bool,
-    /// Since when one is, or none is.
+    /// Whether a primary is known.
+    pub has_primary: bool,
+    /// Since when a primary has been known, or since when none has, microseconds.
     pub primary_since: Micros,
-    /// Members that serve: reachable and not failed; and all that are listed as ready.
+    /// Members that can serve: reachable and not failed.
     pub usable: u32,
-    /// See `usable`.
+    /// Members that discovery lists as ready.
     pub members: u32,
     /// Attempts in flight.
     pub in_flight: u32,
-    /// Requests that are queued: not dispatched yet.
+    /// Requests that are queued because they have not been dispatched yet.
     pub queued: u32,
-    /// Requests that ended within the last second, and those of them that were rejected, failed or late.
+    /// Requests that ended within the last second.
     pub ended: u32,
-    /// See `ended`.
+    /// Requests among `ended` that were rejected, failed or late.
     pub overloaded: u32,
-    /// The share of the recent weight that only the primary can serve.
-    pub needs_primary: f64,
-    /// The priority weight of recent requests, decaying.
+    /// The share of `recent_weight` that only the primary can serve, 0 to 1.
+    pub primary_only_share: f64,
+    /// The sum of the priority weights of recent requests, decaying with time; above 0.
     pub recent_weight: f64,
 }
 
 impl GroupReport {
-    /// The share of requests that were rejected, failed or late, where enough ended to tell.
+    /// The share of ended requests that were rejected, failed or late; `None` if too few ended.
     pub fn overload_share(&self) -> Option<f64> {
         (self.ended >= MIN_SAMPLES).then(|| f64::from(self.overloaded) / f64::from(self.ended))
     }
 }
 
-/// Counts of all groups.
+/// The counts of all groups.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    /// A list of discovery has been received.
+    /// Whether discovery has sent a list; a cached snapshot, which may be stale, does not count.
     pub list_received: bool,
-    /// By group.
+    /// The counts by group, in the order of group numbers.
     pub groups: Vec<GroupReport>,
 }
 
@@ -90,32 +91,33 @@
     arrived_at: Micros,
     in_flight: u32,
     dispatched: bool,
-    /// It has its final answer; only attempts in flight keep it here.
+    /// The request has its final answer; it is kept only until its attempts in flight have ended.
     answered: bool,
 }
 
-/// How a request ended, and when.
+/// How a request ended, and when if it is counted.
 #[derive(Clone, Copy)]
 enum RequestOutcome {
     Served(Micros),
     /// Rejected or failed.
     NotServed(Micros),
-    /// Its client has left; that tells nothing.
-    Left,
+    /// The client disconnected, or the answer was passed on without being served; this is not counted because it does not
+    /// indicate load.
+    Uncounted,
 }
 
-/// Counts what happens to requests and members; see the module.
+/// Counts the outcomes of requests and tracks the state of members.
 pub struct Observer {
     classes: Vec<(Class, ConsistencyLevel)>,
     probes: Permit,
     list_received: bool,
     members: BTreeMap<MemberId, Member>,
     groups: BTreeMap<GroupId, Group>,
-    open: HashMap<RequestId, OpenRequest>,
+    open_requests: HashMap<RequestId, OpenRequest>,
 }
 
 impl Observer {
-    /// An observer with the settings that the router has.
+    /// Creates an observer; `settings` must be those of the router.
     pub fn new(settings: &Settings) -> Observer {
         let classes = settings
             .classes
@@ -128,16 +130,16 @@
             list_received: false,
             members: BTreeMap::new(),
             groups: BTreeMap::new(),
-            open: HashMap::new(),
+            open_requests: HashMap::new(),
         }
     }
 
-    /// Counts an event, before the router gets it.
+    /// Counts an event; to be called before the router handles it.
     pub fn event(&mut self, now: Micros, event: &Event) {
         match event {
             Event::RequestArrived(arrival) => self.request_arrived(now, arrival),
             Event::AttemptEnded(ended) => self.attempt_ended(now, ended),
-            Event::ClientGone(id) => self.request_ended(*id, RequestOutcome::Left),
+            Event::ClientGone(id) => self.request_ended(*id, RequestOutcome::Uncounted),
             Event::HealthChecked(member, outcome, _) => {
                 self.health_checked(*member, *outcome == Outcome::Served)
             }
@@ -146,11 +148,11 @@
         }
     }
 
-    /// Counts an action of the router.
+    /// Counts an action that the router returned.
     pub fn action(&mut self, now: Micros, action: &Action) {
         match action {
             Action::Dispatch { request: id, .. } => {
-                if let Some(open) = self.open.get_mut(id) {
+                if let Some(open) = self.open_requests.get_mut(id) {
                     open.in_flight += 1;
                     let first = !std::mem::replace(&mut open.dispatched, true);
                     let group = self.groups.entry(open.group).or_default();
@@ -175,24 +177,24 @@
     fn endpoints_updated(&mut self, now: Micros, kind: UpdateKind, entries: &[Endpoint]) {
         self.list_received |= kind != UpdateKind::CachedSnapshot;
         if kind != UpdateKind::Delta {
-            let named: HashSet<MemberId> = entries.iter().map(|entry| entry.member).collect();
-            self.members.retain(|id, _| named.contains(id));
+            let listed: HashSet<MemberId> = entries.iter().map(|entry| entry.member).collect();
+            self.members.retain(|id, _| listed.contains(id));
         }
         for entry in entries {
             if entry.state != EndpointState::Ready {
                 self.members.remove(&entry.member);
                 continue;
             }
-            let fresh = Member {
+            let new_member = Member {
                 group: entry.group,
                 started: entry.started,
-                // Where probes are forbidden nothing is heard before a first request.
+                // Without the permit for probes, a member's reachability is unknown until a first request, so it is assumed.
                 reachable: !self.probes.granted(),
                 failed: false,
             };
-            let member = self.members.entry(entry.member).or_insert(fresh);
+            let member = self.members.entry(entry.member).or_insert(new_member);
             if member.started < entry.started {
-                *member = fresh;
+                *member = new_member;
             }
             let group = self.groups.entry(entry.group).or_default();
             group.primary_since = if group.primary_since == 0 {
@@ -214,7 +216,7 @@
 
     fn transition(&mut self, now: Micros, id: MemberId, transition: MemberTransition) {
         let Some(member) = self.members.get_mut(&id) else {
-            // A member that left the list is no longer primary.
+            // A member that is no longer listed is no longer primary.
             for group in self
                 .groups
                 .values_mut()
@@ -228,8 +230,12 @@
         let group = self.groups.entry(member.group).or_default();
         match transition {
             MemberTransition::Promoted => {
-                let had = group.primary.replace(id).is_some();
-                group.primary_since = if had { group.primary_since } else { now };
+                let had_primary = group.primary.replace(id).is_some();
+                group.primary_since = if had_primary {
+                    group.primary_since
+                } else {
+                    now
+                };
             }
             MemberTransition::Demoted if group.primary == Some(id) => {
                 (group.primary, group.primary_since) = (None, now);
@@ -242,7 +248,8 @@
         let Some((class, consistency)) = self.classes.get(arrival.class.0) else {
             return;
         };
-        // A group that is not listed is a client's word only: nothing may be kept under it.
+        // The client chooses the group's number, so a request for a group that is not listed must not leave any state
+        // behind.
         let Some(group) = self.groups.get_mut(&arrival.group) else {
             return;
         };
@@ -262,11 +269,11 @@
             dispatched: false,
             answered: false,
         };
-        self.open.insert(arrival.request, open);
+        self.open_requests.insert(arrival.request, open);
     }
 
     fn attempt_ended(&mut self, now: Micros, ended: &AttemptEnded) {
-        let Some(open) = self.open.get_mut(&ended.request) else {
+        let Some(open) = self.open_requests.get_mut(&ended.request) else {
             return;
         };
         open.in_flight = open.in_flight.saturating_sub(1);
@@ -280,48 +287,52 @@
                 if served {
                     RequestOutcome::Served(now)
                 } else {
-                    RequestOutcome::Left
+                    RequestOutcome::Uncounted
                 },
             );
         }
-        self.forget_if_done(ended.request);
+        self.remove_if_done(ended.request);
     }
 
-    /// A request has its final answer, or nobody waits for one.
+    /// Counts a request that has its final answer or whose client no longer waits for one.
     fn request_ended(&mut self, id: RequestId, outcome: RequestOutcome) {
-        let Some(open) = self.open.get_mut(&id).filter(|open| !open.answered) else {
+        let Some(open) = self
+            .open_requests
+            .get_mut(&id)
+            .filter(|open| !open.answered)
+        else {
             return;
         };
         open.answered = true;
         let (class, consistency) = &self.classes[open.class];
         if let Some(group) = self.groups.get_mut(&open.group) {
             group.queued -= u32::from(!open.dispatched && group.queued > 0);
-            // What waits for a primary that is not there tells nothing of load.
-            let excused = group.primary.is_none() && consistency.needs_primary();
+            // A request that waited for a primary while none was known does not indicate load.
+            let lacked_primary = group.primary.is_none() && consistency.needs_primary();
             match outcome {
                 RequestOutcome::Served(now) => group.count(
                     now,
                     now.saturating_sub(open.arrived_at) > class.latency_objective,
                 ),
-                RequestOutcome::NotServed(now) if !excused => group.count(now, true),
-                RequestOutcome::NotServed(_) | RequestOutcome::Left => {}
+                RequestOutcome::NotServed(now) if !lacked_primary => group.count(now, true),
+                RequestOutcome::NotServed(_) | RequestOutcome::Uncounted => {}
             }
         }
-        self.forget_if_done(id);
+        self.remove_if_done(id);
     }
 
-    fn forget_if_done(&mut self, id: RequestId) {
+    fn remove_if_done(&mut self, id: RequestId) {
         if self
-            .open
+            .open_requests
             .get(&id)
             .is_some_and(|open| open.answered && open.in_flight == 0)
         {
-            self.open.remove(&id);
+            self.open_requests.remove(&id);
         }
     }
 
-    /// Whether a group has lost all its members: each has failed, or none is listed. One that was not heard from yet is
-    /// not lost.
+    /// Whether a group has lost all its members: each has failed, or none is listed. A member that has not been checked
+    /// yet does not count as failed.
     pub fn has_lost_all_members(&self, group: GroupId) -> bool {
         self.members
             .values()
@@ -329,7 +340,7 @@
             .all(|member| member.failed)
     }
 
-    /// The counts of now.
+    /// Reports the current counts.
     pub fn report(&mut self, now: Micros) -> Report {
         let mut members: BTreeMap<GroupId, (u32, u32)> = BTreeMap::new();
         for member in self.members.values() {
@@ -337,7 +348,7 @@
             *usable += u32::from(member.reachable && !member.failed);
             *all += 1;
         }
-        // Before anything was asked for, each class counts for one request.
+        // Each class counts as one request in addition, so that the shares are defined before the first request.
         let prior: f64 = self
             .classes
             .iter()
@@ -354,7 +365,7 @@
             let (ended, overloaded) = group.outcomes(now);
             GroupReport {
                 group: *id,
-                primary: group.primary.is_some(),
+                has_primary: group.primary.is_some(),
                 primary_since: group.primary_since,
                 usable,
                 members: all,
@@ -362,7 +373,7 @@
                 queued: group.queued,
                 ended,
                 overloaded,
-                needs_primary: (group.recent_primary_weight + prior_primary)
+                primary_only_share: (group.recent_primary_weight + prior_primary)
                     / (group.recent_weight + prior).max(f64::MIN_POSITIVE),
                 recent_weight: group.recent_weight + prior.max(f64::MIN_POSITIVE),
             }
@@ -373,17 +384,17 @@
         }
     }
 
-    /// Requests that are remembered; for tests of leaks.
+    /// The number of requests that are tracked; for tests that check for leaks.
     pub fn open_requests(&self) -> usize {
-        self.open.len()
+        self.open_requests.len()
     }
 }
 
 impl Group {
     fn decay(&mut self, now: Micros) {
-        let share = 0.5_f64.powf(now.saturating_sub(self.decayed_at) as f64 / WEIGHT_HALF_LIFE_US);
-        self.recent_weight *= share;
-        self.recent_primary_weight *= share;
+        let factor = 0.5_f64.powf(now.saturating_sub(self.decayed_at) as f64 / WEIGHT_HALF_LIFE_US);
+        self.recent_weight *= factor;
+        self.recent_primary_weight *= factor;
         self.decayed_at = now;
     }
 
@@ -400,7 +411,7 @@
         slot.overloaded += u32::from(overloaded);
     }
 
-    /// Requests that ended within the window, and those of them that were rejected, failed or late.
+    /// The number of requests that ended within the window, and of those among them that were rejected, failed or late.
     fn outcomes(&self, now: Micros) -> (u32, u32) {
         let oldest = (now / SLOT_LENGTH).saturating_sub(SLOT_COUNT as u64 - 1);
         let recent = self.slots.iter().filter(|slot| slot.number >= oldest);
--- a/src/health/weight.rs
+++ b/src/health/weight.rs
@@ -1,7 +1,7 @@
 //! Weights under load: [`WeightSteps`] lowers and raises a weight in steps, and [`WeightRamp`] follows a target at once
 //! when it falls and slowly when it rises.
 
-use super::{HealthOptions, FULL};
+use super::{HealthOptions, MAX_WEIGHT};
 use crate::interface::Micros;
 use std::collections::VecDeque;
 
@@ -93,7 +93,7 @@
 
     /// Lowers the weight to the target at once, or raises it towards the target by one step.
     pub fn move_towards(&mut self, now: Micros, target: u8, options: &HealthOptions) {
-        let target = target.min(FULL);
+        let target = target.min(MAX_WEIGHT);
         while self
             .flaps
             .front()
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -3,7 +3,7 @@
 
 use asterreel::health::{
     Action, Capacity, Event, GroupReport, HealthOptions, Heartbeat, Machine, Observer, Reason,
-    Report, Scope, State, Status, WeightRamp, WeightSteps, FULL,
+    Report, Scope, State, Status, WeightRamp, WeightSteps, MAX_WEIGHT,
 };
 use asterreel::interface::{Event as RouterEvent, *};
 use common::{attempt_ended, endpoint, settings, TestGateway, GROUP, MS, START};
@@ -27,7 +27,7 @@
 fn group_report() -> GroupReport {
     GroupReport {
         group: GROUP,
-        primary: true,
+        has_primary: true,
         primary_since: START,
         usable: 3,
         members: 3,
@@ -35,7 +35,7 @@
         queued: 0,
         ended: 100,
         overloaded: 0,
-        needs_primary: 0.4,
+        primary_only_share: 0.4,
         recent_weight: 10.0,
     }
 }
@@ -67,7 +67,7 @@
     fn up() -> Subject {
         let mut subject = Subject::new(HealthOptions::default());
         subject.pass(10 * S);
-        assert_eq!(subject.told(), (State::Up, FULL, Reason::Fine));
+        assert_eq!(subject.told(), (State::Up, MAX_WEIGHT, Reason::Fine));
         subject.history.clear();
         subject
     }
@@ -130,7 +130,7 @@
     subject.pass(25 * MS);
     assert_eq!((subject.told().0, subject.told().1), (State::Degraded, 10));
     subject.pass(5 * S);
-    assert_eq!(subject.told().1, FULL);
+    assert_eq!(subject.told().1, MAX_WEIGHT);
     let weights: Vec<u8> = subject
         .history
         .iter()
@@ -177,19 +177,19 @@
 #[test]
 fn without_a_primary_the_weight_falls_by_what_needs_one_and_rises_only_with_the_next() {
     let mut subject = Subject::up();
-    subject.group.primary = false;
+    subject.group.has_primary = false;
     subject.pass(25 * MS);
     assert_eq!(subject.told(), (State::Degraded, 60, Reason::NoPrimary));
     assert_eq!(subject.told_of_group().weight, 60);
     // What clients ask again meanwhile changes nothing.
-    subject.group.needs_primary = 1.0;
+    subject.group.primary_only_share = 1.0;
     subject.pass(5 * S);
     assert_eq!(subject.told().1, 60);
-    subject.group.primary = true;
+    subject.group.has_primary = true;
     subject.pass(5 * S);
-    assert_eq!(subject.told(), (State::Up, FULL, Reason::Fine));
+    assert_eq!(subject.told(), (State::Up, MAX_WEIGHT, Reason::Fine));
     // A group of writes alone still keeps the floor: its reads could be served.
-    subject.group.primary = false;
+    subject.group.has_primary = false;
     subject.pass(25 * MS);
     assert_eq!(subject.told().1, HealthOptions::default().floor);
 }
@@ -256,7 +256,7 @@
     assert_eq!(subject.told().1, 10);
     subject.group.overloaded = 0;
     subject.pass(15 * S);
-    assert_eq!(subject.told(), (State::Up, FULL, Reason::Fine));
+    assert_eq!(subject.told(), (State::Up, MAX_WEIGHT, Reason::Fine));
 }
 
 #[test]
@@ -308,7 +308,7 @@
             }
         );
         assert!(at - began <= 350 * MS, "{}", at - began);
-        assert!(!subject.machine.moves());
+        assert!(!subject.machine.makes_progress());
     }
 }
 
@@ -362,7 +362,7 @@
     }
     assert_eq!(actions, []);
     subject.pass(S);
-    assert_eq!(subject.told(), (State::Up, FULL, Reason::Fine));
+    assert_eq!(subject.told(), (State::Up, MAX_WEIGHT, Reason::Fine));
 }
 
 #[test]
@@ -411,18 +411,18 @@
     );
     subject.event(Event::RegistrationLost(false));
     subject.pass(10 * S);
-    assert_eq!(subject.told(), (State::Up, FULL, Reason::Fine));
+    assert_eq!(subject.told(), (State::Up, MAX_WEIGHT, Reason::Fine));
 }
 
 #[test]
 fn a_drain_is_told_at_once_also_without_a_primary_and_nothing_leads_back() {
     let mut subject = Subject::up();
-    subject.group.primary = false;
+    subject.group.has_primary = false;
     subject.pass(S);
     subject.event(Event::Terminate);
     assert_eq!(subject.told(), (State::Draining, 0, Reason::Drain));
     assert_eq!(subject.told_of_group().state, State::Draining);
-    subject.group.primary = true;
+    subject.group.has_primary = true;
     subject.event(Event::Configured(HealthOptions::default()));
     subject.pass(S);
     assert_eq!(subject.told().0, State::Draining);
@@ -454,7 +454,7 @@
     subject.pass(10 * S);
     subject.history.clear();
     for _ in 0..60 {
-        subject.group.primary = !subject.group.primary;
+        subject.group.has_primary = !subject.group.has_primary;
         subject.pass(S);
     }
     assert_eq!(turns(&subject.history, 60 * S), 3);
@@ -463,7 +463,7 @@
 
 /// The most turns from falling to rising within any such span.
 fn turns(history: &[(Micros, Status)], span: Micros) -> usize {
-    let (mut fell, mut last, mut times) = (false, FULL, Vec::new());
+    let (mut fell, mut last, mut times) = (false, MAX_WEIGHT, Vec::new());
     for (at, status) in history {
         if status.weight > last && fell {
             times.push(*at);
@@ -587,7 +587,7 @@
         observed.healthy(member, report);
     }
     let report = observed.observer.report(observed.gateway.now);
-    assert!(report.list_received && report.groups[0].primary);
+    assert!(report.list_received && report.groups[0].has_primary);
     assert_eq!((report.groups[0].usable, report.groups[0].members), (3, 3));
 
     // Twenty writes, one after the other: all within the objective.
@@ -597,11 +597,11 @@
     }
     let group = observed.group();
     assert!(group.overloaded == 0 && group.ended >= 10, "{group:?}");
-    assert!(group.needs_primary > 0.8, "{group:?}");
+    assert!(group.primary_only_share > 0.8, "{group:?}");
 
     // The primary reports as a replica: it is demoted, writes are queued and then rejected, which is no overload.
     observed.healthy(0, common::member_report(Role::Replica, 0));
-    assert!(!observed.group().primary);
+    assert!(!observed.group().has_primary);
     let attempts: Vec<RequestId> = (0..10).flat_map(|_| observed.write(GROUP)).collect();
     let group = observed.group();
     let open = group.queued + group.in_flight;
@@ -664,7 +664,7 @@
         let (mut drained, mut stopped) = (false, false);
         for (step, ticks) in steps {
             match step {
-                Step::Primary(there) => subject.group.primary = there,
+                Step::Primary(there) => subject.group.has_primary = there,
                 Step::Strain(overloaded) => subject.group.overloaded = overloaded,
                 Step::Usable(usable) => subject.group.usable = usable,
                 Step::Answers(answers) => subject.answers = answers,
@@ -677,7 +677,7 @@
             }
             subject.pass(ticks * 25 * MS);
             let (state, weight, _) = subject.told();
-            prop_assert!(weight <= FULL);
+            prop_assert!(weight <= MAX_WEIGHT);
             prop_assert_eq!(stopped, state == State::Stopping);
             prop_assert_eq!(drained && !stopped, state == State::Draining);
             // The floor, for as long as anything could be served and the path moved.
@@ -703,8 +703,8 @@
             ramp.move_towards(now, target, &options);
             let after = ramp.weight();
             let step = options.rise_step.max(options.floor);
-            prop_assert!(after <= FULL && after <= before.saturating_add(step));
-            prop_assert!(target.min(FULL) >= before || after == target);
+            prop_assert!(after <= MAX_WEIGHT && after <= before.saturating_add(step));
+            prop_assert!(target.min(MAX_WEIGHT) >= before || after == target);
             if after != before {
                 history.push((now, Status { state: State::Up, weight: after, reason: Reason::Fine }));
             }
