--- a/src/bin/asterreel/health/client.rs
+++ b/src/bin/asterreel/health/client.rs
@@ -1,21 +1,21 @@
-//! A connection to one of the health fronts, and its permit among all of them.
+//! A client connection to a health front, and its entry in the connection limiter.
 
 use super::{Shared, RESERVED_DESCRIPTORS};
 use std::rc::Rc;
 
-/// One connection's permit; dropping it gives the permit back.
+/// A connection that the limiter admitted; dropping it releases its entry and refills the reserved descriptors.
 pub(super) struct HealthClient {
     pub shared: Rc<Shared>,
     number: u64,
 }
 
 impl HealthClient {
-    /// The connection that the limiter admitted under this number.
+    /// `number` is the one under which the limiter admitted the connection.
     pub(super) fn new(shared: Rc<Shared>, number: u64) -> HealthClient {
         HealthClient { shared, number }
     }
 
-    /// It has sent a request: it counts as active.
+    /// Marks the connection as active because it has sent a request.
     pub(super) fn touch(&self) {
         self.shared
             .connections
--- a/src/bin/asterreel/health/fronts.rs
+++ b/src/bin/asterreel/health/fronts.rs
@@ -1,4 +1,4 @@
-//! The fronts of agent-check, HTTP and PostgreSQL's check: each serves one connection from its codec.
+//! Accepts connections to the health fronts, and serves agent-checks, HTTP requests and PostgreSQL connection checks.
 
 use super::client::HealthClient;
 use super::{grpc, Shared};
@@ -12,16 +12,16 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-/// How long a check may take, from its first byte on where it has one.
+/// How long a check may take; for HTTP, from the first byte of the request.
 const CHECK_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a connection may rest between two checks; it makes room for others sooner.
+/// How long an HTTP connection may be idle between two checks; the connection limiter may close it sooner.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Wait after accepting failed.
+/// How long to wait after accepting failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 const EMFILE: i32 = Errno::EMFILE as i32;
 const ENFILE: i32 = Errno::ENFILE as i32;
 
-/// What a listener speaks.
+/// The protocol of a health listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Front {
     Agent,
@@ -31,8 +31,8 @@
 }
 
 impl Front {
-    /// By the key of its address.
-    pub(super) fn of(key: &str) -> Front {
+    /// The front for the settings key of a listener's address.
+    pub(super) fn for_key(key: &str) -> Front {
         match key {
             "agent.listen" => Front::Agent,
             "http.listen" => Front::Http,
@@ -42,13 +42,14 @@
     }
 }
 
-/// Accepts for as long as the process runs.
+/// Accepts connections for as long as the process runs.
 pub(super) async fn accept(shared: Rc<Shared>, listener: TcpListener, front: Front) {
     loop {
         match listener.accept().await {
             Ok((stream, from)) => admit(&shared, stream, from.ip(), front),
             Err(error) if matches!(error.raw_os_error(), Some(EMFILE | ENFILE)) => {
-                // Others have taken what was set aside. One descriptor kept for this lets one check through.
+                // The process has no free descriptor, although the limits set some aside for health. Closing a reserved
+                // one lets the next check be accepted.
                 if shared.reserved_descriptors.borrow_mut().pop().is_none() {
                     sleep(ACCEPT_RETRY_DELAY).await;
                 }
@@ -74,29 +75,32 @@
     let client = HealthClient::new(shared.clone(), number);
     let task = tokio::task::spawn_local(async move {
         let _ = stream.set_nodelay(true);
-        // A peer that closes or sends nonsense ends its own check and nothing else.
+        // An error ends only this connection: the peer closed it or sent an invalid request.
         let _ = match front {
-            Front::Agent => within(CHECK_TIMEOUT, agent(&client, stream)).await,
-            Front::Http => http(&client, stream).await,
-            Front::Postgres => within(CHECK_TIMEOUT, postgres(&client, stream)).await,
+            Front::Agent => with_timeout(CHECK_TIMEOUT, serve_agent(&client, stream)).await,
+            Front::Http => serve_http(&client, stream).await,
+            Front::Postgres => with_timeout(CHECK_TIMEOUT, serve_postgres(&client, stream)).await,
             Front::Grpc => grpc::serve(&client, stream).await,
         };
     });
-    // It may not have run yet, so it has not taken itself off the list.
+    // The task runs only after this returns, so it has not removed its entry yet.
     shared
         .clients
         .borrow_mut()
         .insert(number, task.abort_handle());
 }
 
-async fn within(span: Duration, work: impl Future<Output = io::Result<()>>) -> io::Result<()> {
-    timeout(span, work)
+async fn with_timeout(
+    limit: Duration,
+    work: impl Future<Output = io::Result<()>>,
+) -> io::Result<()> {
+    timeout(limit, work)
         .await
         .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
 
-async fn agent(client: &HealthClient, mut stream: TcpStream) -> io::Result<()> {
-    let (wait, maxconn) = {
+async fn serve_agent(client: &HealthClient, mut stream: TcpStream) -> io::Result<()> {
+    let (wait_ms, reports_maxconn) = {
         let settings = client.shared.settings.borrow();
         let agent = settings.agent.as_ref();
         (
@@ -105,8 +109,8 @@
         )
     };
     let mut bytes = Vec::with_capacity(agent::MAX_QUERY_BYTES);
-    // Most balancers send nothing and wait for the line.
-    let first = timeout(Duration::from_millis(wait), stream.read_buf(&mut bytes)).await;
+    // Most balancers send nothing and wait for the reply.
+    let first = timeout(Duration::from_millis(wait_ms), stream.read_buf(&mut bytes)).await;
     let mut selector = agent::Selector::Gateway;
     if let Ok(count) = first {
         if count? > 0 {
@@ -127,15 +131,15 @@
         }
     };
     let capacity = client.shared.capacity.get();
-    let maxconn = maxconn
+    let maxconn = reports_maxconn
         .then_some(capacity.max_sessions)
-        .filter(|most| *most > 0);
+        .filter(|limit| *limit > 0);
     let line = agent::reply_line(client.shared.status(scope), maxconn);
     stream.write_all(line.as_bytes()).await?;
     stream.shutdown().await
 }
 
-async fn http(client: &HealthClient, mut stream: TcpStream) -> io::Result<()> {
+async fn serve_http(client: &HealthClient, mut stream: TcpStream) -> io::Result<()> {
     let mut bytes = Vec::with_capacity(512);
     loop {
         if bytes.is_empty()
@@ -153,7 +157,7 @@
                     Ok(None) if stream.read_buf(&mut bytes).await? == 0 => return Ok(Ok(None)),
                     Ok(None) => {}
                     Ok(Some(request)) => return Ok(Ok(Some(request))),
-                    Err(refused) => return Ok::<_, io::Error>(Err(refused)),
+                    Err(rejected) => return Ok::<_, io::Error>(Err(rejected)),
                 }
             }
         };
@@ -163,27 +167,27 @@
         {
             Ok(None) => return Ok(()),
             Ok(Some(request)) => Ok(request),
-            Err(refused) => Err(refused),
+            Err(rejected) => Err(rejected),
         };
         let used = parsed
             .as_ref()
             .map_or(bytes.len(), |request| request.length);
-        let (out, ends) = http::answer(&parsed, &client.shared.snapshot());
-        within(CHECK_TIMEOUT, async { stream.write_all(&out).await }).await?;
-        if ends {
+        let (out, close) = http::answer(&parsed, &client.shared.snapshot());
+        with_timeout(CHECK_TIMEOUT, async { stream.write_all(&out).await }).await?;
+        if close {
             return stream.shutdown().await;
         }
         bytes.drain(..used);
     }
 }
 
-async fn postgres(client: &HealthClient, mut stream: TcpStream) -> io::Result<()> {
+async fn serve_postgres(client: &HealthClient, mut stream: TcpStream) -> io::Result<()> {
     let (mut check, mut bytes) = (postgres::Check::default(), Vec::with_capacity(256));
     loop {
         let mut out = Vec::new();
         let (used, next) = check.process(&bytes, &mut out);
         bytes.drain(..used);
-        let ends = match next {
+        let close = match next {
             postgres::Next::Read => false,
             postgres::Next::Close => true,
             postgres::Next::AnswerStartup(group) => {
@@ -192,10 +196,10 @@
             }
         };
         stream.write_all(&out).await?;
-        if ends {
+        if close {
             return stream.shutdown().await;
         }
-        // What is used up may leave a whole message.
+        // The remaining bytes may hold a complete message already.
         if used > 0 && !bytes.is_empty() {
             continue;
         }
--- a/src/bin/asterreel/health/heartbeat.rs
+++ b/src/bin/asterreel/health/heartbeat.rs
@@ -1,7 +1,7 @@
-//! The heartbeat: an empty query through the gateway's own listener, as a client would send it.
+//! The heartbeat: empty queries through the gateway's own listener, as a client would send them.
 //!
-//! One session stays open and is asked at every beat, which shows that the worker, sessions and the core's lock move;
-//! about once a second a fresh connection shows that clients are accepted, and takes the session's place.
+//! One session stays open and sends a query at every heartbeat, which shows that the worker, the sessions and the core's
+//! lock make progress. About once a second a new connection shows that clients are accepted, and replaces the session.
 
 use super::Shared;
 use crate::postgres as pg;
@@ -15,29 +15,34 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 
-/// Time between two fresh connections.
+/// Time between two new connections.
 const CONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Wait after a connection failed.
+/// How long to wait after a connection failed.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// When a connection that got no answer is given up for another; what it waits for counts on.
+/// When a connection attempt without an answer is given up and another is made; the time since the first attempt
+/// keeps counting.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(10);
-/// The longest answer to an empty query or a startup message.
-const LONGEST: usize = 4096;
+/// The longest answer to an empty query or a startup message, in bytes.
+const MAX_ANSWER_BYTES: usize = 4096;
 
-/// Starts both halves.
+/// Starts the tasks that open new connections and that send heartbeats on the open session.
 pub(super) fn start(shared: &Rc<Shared>, address: SocketAddr) {
-    let (entered, sessions) = mpsc::channel(1);
-    tokio::task::spawn_local(connect_check(shared.clone(), address, entered));
-    tokio::task::spawn_local(beat(shared.clone(), sessions));
+    let (new_sessions, sessions) = mpsc::channel(1);
+    tokio::task::spawn_local(check_connections(shared.clone(), address, new_sessions));
+    tokio::task::spawn_local(send_heartbeats(shared.clone(), sessions));
 }
 
-async fn connect_check(shared: Rc<Shared>, address: SocketAddr, entered: mpsc::Sender<TcpStream>) {
-    while !shared.ending.get() {
-        shared.event(Event::Heartbeat(Heartbeat::ConnectStarted));
+async fn check_connections(
+    shared: Rc<Shared>,
+    address: SocketAddr,
+    new_sessions: mpsc::Sender<TcpStream>,
+) {
+    while !shared.terminating.get() {
+        shared.handle_event(Event::Heartbeat(Heartbeat::ConnectStarted));
         match timeout(CONNECT_TIMEOUT, connect(address)).await {
             Ok(Ok(stream)) => {
-                shared.event(Event::Heartbeat(Heartbeat::Connected));
-                if entered.send(stream).await.is_err() {
+                shared.handle_event(Event::Heartbeat(Heartbeat::Connected));
+                if new_sessions.send(stream).await.is_err() {
                     return;
                 }
                 tokio::select! {
@@ -45,7 +50,7 @@
                     () = shared.connect_check.notified() => {}
                 }
             }
-            // Refused or closed: the age of this connection attempt keeps growing.
+            // Refused or closed: the time since the first unsuccessful attempt keeps counting.
             Ok(Err(_)) => sleep(RETRY_DELAY).await,
             Err(_) => {}
         }
@@ -56,18 +61,18 @@
     let mut stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     stream.write_all(&pg::startup()).await?;
-    until_ready(&mut stream).await?;
-    ask(&mut stream).await?;
+    read_until_ready(&mut stream).await?;
+    send_empty_query(&mut stream).await?;
     Ok(stream)
 }
 
-async fn ask(stream: &mut TcpStream) -> io::Result<()> {
+async fn send_empty_query(stream: &mut TcpStream) -> io::Result<()> {
     stream.write_all(&pg::simple_query("")).await?;
-    until_ready(stream).await
+    read_until_ready(stream).await
 }
 
-/// Reads messages up to ReadyForQuery; an error message is an error.
-async fn until_ready(stream: &mut TcpStream) -> io::Result<()> {
+/// Reads messages up to ReadyForQuery; an ErrorResponse is returned as an error.
+async fn read_until_ready(stream: &mut TcpStream) -> io::Result<()> {
     let (mut bytes, mut used) = (Vec::new(), 0);
     loop {
         while let Some(message) = pg::message(&bytes[used..]).map_err(|_| ErrorKind::InvalidData)? {
@@ -78,7 +83,7 @@
                 _ => {}
             }
         }
-        if bytes.len() > LONGEST {
+        if bytes.len() > MAX_ANSWER_BYTES {
             return Err(ErrorKind::InvalidData.into());
         }
         if stream.read_buf(&mut bytes).await? == 0 {
@@ -87,40 +92,40 @@
     }
 }
 
-async fn beat(shared: Rc<Shared>, mut sessions: mpsc::Receiver<TcpStream>) {
+async fn send_heartbeats(shared: Rc<Shared>, mut sessions: mpsc::Receiver<TcpStream>) {
     let mut session: Option<TcpStream> = None;
-    while !shared.ending.get() {
-        // The newest takes the place of the one before, which is closed.
-        while let Ok(newer) = sessions.try_recv() {
-            session = Some(newer);
+    while !shared.terminating.get() {
+        // The newest session replaces the previous one, which is closed.
+        while let Ok(new_session) = sessions.try_recv() {
+            session = Some(new_session);
         }
         let Some(stream) = &mut session else {
             tokio::select! {
-                newer = sessions.recv() => session = newer,
+                new_session = sessions.recv() => session = new_session,
                 () = shared.connect_check.notified() => {}
             }
             continue;
         };
-        shared.event(Event::Heartbeat(Heartbeat::Sent));
+        shared.handle_event(Event::Heartbeat(Heartbeat::Sent));
         let answered = tokio::select! {
-            answered = ask(stream) => answered.is_ok(),
-            () = ended(&shared) => false,
+            answered = send_empty_query(stream) => answered.is_ok(),
+            () = wait_for_termination(&shared) => false,
         };
         if answered {
-            shared.event(Event::Heartbeat(Heartbeat::Answered));
+            shared.handle_event(Event::Heartbeat(Heartbeat::Answered));
         } else {
             session = None;
-            shared.event(Event::Heartbeat(Heartbeat::SessionLost));
+            shared.handle_event(Event::Heartbeat(Heartbeat::SessionLost));
             shared.connect_check.notify_waiters();
         }
-        let every = Duration::from_millis(shared.settings.borrow().options.beat_every_ms);
-        sleep(every).await;
+        let interval = Duration::from_millis(shared.settings.borrow().options.beat_every_ms);
+        sleep(interval).await;
     }
 }
 
-/// Returns once the program ends.
-async fn ended(shared: &Shared) {
-    while !shared.ending.get() {
+/// Returns once the program has been told to terminate.
+async fn wait_for_termination(shared: &Shared) {
+    while !shared.terminating.get() {
         shared.connect_check.notified().await;
     }
 }
--- a/src/bin/asterreel/health/mod.rs
+++ b/src/bin/asterreel/health/mod.rs
@@ -1,8 +1,8 @@
-//! Tells balancers how fit this gateway is for clients.
+//! Serves the health fronts, which report the gateway's state and weight to load balancers.
 //!
-//! All of it runs on one plain thread with an event loop of its own, beside `may`'s worker: what answers health must
-//! not stand still when the worker does, and must not wait for any lock that the request path holds. It never writes
-//! a log line itself, as a full pipe would stop it; another thread does.
+//! All of it runs on one thread with its own event loop, beside the worker of `may`: health must be answered even while
+//! the worker makes no progress, so this thread waits for no lock that the request path holds. A separate thread writes
+//! the log lines, because writing to a full pipe would block.
 
 mod client;
 mod fronts;
@@ -32,14 +32,15 @@
 use tokio::task::{AbortHandle, LocalSet};
 use tracing::info;
 
-/// Time between two observations: the longest that a change waits before it is announced.
-const TICK: Duration = Duration::from_millis(25);
-/// Changes that may wait to be logged; more are dropped, as the next one says the same.
+/// Time between two ticks. The core is observed at every other one, so a change of its counts is announced within two
+/// ticks.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
+/// Changes that may be queued for the log. More are dropped: the line of a later change states the status anyway.
 const LOG_QUEUE_LENGTH: usize = 256;
-/// Descriptors held in reserve, given up when accepting finds none.
+/// File descriptors held in reserve, closed when accepting fails for lack of a descriptor.
 const RESERVED_DESCRIPTORS: usize = 2;
 
-/// What the program asks of the health thread.
+/// A command to the health thread.
 enum Command {
     Terminate,
     Stopping,
@@ -50,32 +51,32 @@
 /// Sends commands to the health thread.
 pub(crate) struct Handle {
     commands: mpsc::UnboundedSender<Command>,
-    /// What was set when it started.
+    /// The settings at the start, to find the keys that need a restart.
     settings: Health,
 }
 
 impl Handle {
-    /// SIGTERM came: told to balancers from now on.
+    /// Reports the drain to balancers from now on, after SIGTERM or SIGINT.
     pub(crate) fn terminate(&self) {
         let _ = self.commands.send(Command::Terminate);
     }
 
-    /// Connections are being closed.
+    /// Reports that the gateway has begun to close its connections.
     pub(crate) fn stopping(&self) {
         let _ = self.commands.send(Command::Stopping);
     }
 
-    /// Whether the gateway has no registration in the fleet's log.
+    /// Reports whether the gateway has lost its registration in the fleet's log.
     pub(crate) fn registration_lost(&self, lost: bool) {
         let _ = self.commands.send(Command::RegistrationLost(lost));
     }
 
-    /// Puts what was read again into force; the keys that have to wait for the next start.
+    /// Applies reloaded settings; returns the keys whose changes take effect only at the next start.
     pub(crate) fn reload(&mut self, settings: Health) -> Vec<&'static str> {
         let before = &self.settings;
-        let later = [
+        let restart_keys = [
             (
-                "health: listeners",
+                "health listeners (agent, http, postgres, grpc)",
                 before.listeners() != settings.listeners(),
             ),
             (
@@ -88,7 +89,7 @@
             }),
         ];
         let _ = self.commands.send(Command::Reload(Box::new(settings)));
-        later
+        restart_keys
             .into_iter()
             .filter(|(_, changed)| *changed)
             .map(|(key, _)| key)
@@ -96,7 +97,7 @@
     }
 }
 
-/// What all parts of the thread share; nothing of it leaves the thread.
+/// The state that all tasks of the health thread share; it never leaves the thread.
 struct Shared {
     name: String,
     clock: Clock,
@@ -108,17 +109,18 @@
     connections: RefCell<ConnectionLimiter>,
     clients: RefCell<HashMap<u64, AbortHandle>>,
     reserved_descriptors: RefCell<Vec<File>>,
-    /// The heartbeat rests: the program ends, and its sessions must not hold that up.
-    ending: Cell<bool>,
+    /// Whether the program terminates: the heartbeat stops then, because its sessions would delay the drain.
+    terminating: Cell<bool>,
+    /// Wakes the tasks of the heartbeat: to connect again at once, or to end.
     connect_check: Notify,
-    /// Counts changes, for those that watch.
+    /// Counts the changes of statuses, to wake `Watch` calls.
     changes: watch::Sender<u64>,
     log: SyncSender<(Scope, Option<Status>)>,
     notify: Option<SyncSender<notify::Command>>,
 }
 
 impl Shared {
-    fn event(&self, event: Event) {
+    fn handle_event(&self, event: Event) {
         let mut actions = Vec::new();
         self.machine
             .borrow_mut()
@@ -132,7 +134,7 @@
                 self.started
                     .set(self.started.get() || status.state != State::Starting);
                 if let Some(notify) = &self.notify {
-                    let _ = notify.try_send(notify::Command::Changed(status));
+                    let _ = notify.try_send(notify::Command::StatusChanged(status));
                 }
             }
             let _ = self.log.try_send((scope, status));
@@ -161,7 +163,7 @@
     }
 }
 
-/// Binds the listeners; an error names the key.
+/// Binds the listeners of the fronts; an error names the settings key.
 fn bind_listeners(settings: &Health) -> io::Result<Vec<(&'static str, TcpListener)>> {
     let mut listeners = Vec::new();
     for (key, address) in settings.listeners() {
@@ -169,27 +171,29 @@
             listener.set_nonblocking(true)?;
             Ok(listener)
         });
-        let bound =
-            bound.map_err(|error| io::Error::other(format!("health.{key}: {address}: {error}")))?;
+        let bound = bound.map_err(|error| {
+            io::Error::other(format!("health.{key}: cannot listen on {address}: {error}"))
+        })?;
         listeners.push((key, bound));
     }
     Ok(listeners)
 }
 
-/// Starts the thread that writes the log, which a full pipe may hold up.
+/// Starts the thread that writes the log lines, so that a full pipe blocks only this thread.
 fn start_log() -> io::Result<SyncSender<(Scope, Option<Status>)>> {
-    let (log, logged) = sync_channel::<(Scope, Option<Status>)>(LOG_QUEUE_LENGTH);
+    let (log, changes) = sync_channel::<(Scope, Option<Status>)>(LOG_QUEUE_LENGTH);
     std::thread::Builder::new()
         .name("health-log".into())
         .spawn(move || {
-            for (scope, status) in logged {
+            for (scope, status) in changes {
                 write_log(scope, status);
             }
         })?;
     Ok(log)
 }
 
-/// Binds the fronts and starts the thread; an error names the key.
+/// Binds the fronts and starts the health thread. `client` is the address of the gateway's client listener, where the
+/// heartbeat connects; an error of a listener names the settings key.
 pub(crate) fn start(
     name: &str,
     settings: &Health,
@@ -203,8 +207,8 @@
     } else {
         None
     };
-    let (commands, told) = mpsc::unbounded_channel();
-    let (clock, own) = (gateway.core.clock, settings.clone());
+    let (commands, received_commands) = mpsc::unbounded_channel();
+    let (clock, own_settings) = (gateway.core.clock, settings.clone());
     let name = name.to_owned();
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_io()
@@ -216,25 +220,25 @@
             let shared = Rc::new(Shared {
                 name,
                 clock,
-                machine: RefCell::new(Machine::new(own.options.clone(), clock.now())),
+                machine: RefCell::new(Machine::new(own_settings.options.clone(), clock.now())),
                 connections: RefCell::new(ConnectionLimiter::new(
-                    own.allow.clone(),
-                    own.connections,
+                    own_settings.allow.clone(),
+                    own_settings.connections,
                 )),
-                settings: RefCell::new(own),
+                settings: RefCell::new(own_settings),
                 gateway,
                 started: Cell::default(),
                 capacity: Cell::default(),
                 clients: RefCell::default(),
                 reserved_descriptors: RefCell::default(),
-                ending: Cell::default(),
+                terminating: Cell::default(),
                 connect_check: Notify::new(),
                 changes: watch::Sender::new(0),
                 log,
                 notify,
             });
-            let set = LocalSet::new();
-            set.block_on(&runtime, run(shared, listeners, told, client));
+            let tasks = LocalSet::new();
+            tasks.block_on(&runtime, run(shared, listeners, received_commands, client));
         })?;
     Ok(Handle {
         commands,
@@ -255,7 +259,7 @@
         }) => {
             info!(scope, ?state, weight, reason = reason.code(), "health");
         }
-        None => info!(scope, "health: no longer served"),
+        None => info!(scope, "health: scope is no longer served"),
     }
 }
 
@@ -270,15 +274,15 @@
         .borrow_mut()
         .extend((0..RESERVED_DESCRIPTORS).filter_map(|_| File::open("/dev/null").ok()));
     for (key, listener) in listeners {
-        // Registering fails only where the process has no descriptors at all, which the start has shown otherwise.
+        // Registration fails only without a free descriptor, and the start has already opened more.
         let Ok(listener) = tokio::net::TcpListener::from_std(listener) else {
             continue;
         };
-        let front = fronts::Front::of(key);
+        let front = fronts::Front::for_key(key);
         tokio::task::spawn_local(fronts::accept(shared.clone(), listener, front));
     }
     heartbeat::start(&shared, connectable(client));
-    let mut ticks = tokio::time::interval(TICK);
+    let mut ticks = tokio::time::interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut command_age = CommandAge::default();
     let mut observe = true;
@@ -287,12 +291,12 @@
             biased;
             command = commands.recv() => match command {
                 Some(command) => shared.apply(command),
-                // The program is gone, but for its exit.
+                // The program has dropped its handle and is about to exit.
                 None => return,
             },
             _ = ticks.tick() => {
                 shared.measure_command_age(&mut command_age);
-                // Every other tick: observing takes the core's lock, if only for some microseconds.
+                // Every other tick only, because observing holds the core's lock for some microseconds.
                 observe = !observe;
                 if observe {
                     shared.observe();
@@ -303,7 +307,7 @@
     }
 }
 
-/// An address to connect to: one that stands for all of the machine's is replaced by a loopback address.
+/// An address to connect to: an unspecified address is replaced by the loopback address.
 fn connectable(address: SocketAddr) -> SocketAddr {
     if address.ip().is_unspecified() {
         (Ipv4Addr::LOCALHOST, address.port()).into()
@@ -313,48 +317,47 @@
 }
 
 impl Shared {
-    /// Does what the program asks for.
     fn apply(&self, command: Command) {
         match command {
             Command::Terminate => {
-                self.ending.set(true);
+                self.terminating.set(true);
                 self.connect_check.notify_waiters();
-                self.event(Event::Terminate);
+                self.handle_event(Event::Terminate);
             }
-            Command::Stopping => self.event(Event::Stopping),
-            Command::RegistrationLost(lost) => self.event(Event::RegistrationLost(lost)),
+            Command::Stopping => self.handle_event(Event::Stopping),
+            Command::RegistrationLost(lost) => self.handle_event(Event::RegistrationLost(lost)),
             Command::Reload(settings) => {
                 self.connections.borrow_mut().allow(settings.allow.clone());
-                self.event(Event::Configured(settings.options.clone()));
-                let mut own = self.settings.borrow_mut();
-                (own.options, own.allow) = (settings.options, settings.allow);
+                self.handle_event(Event::Configured(settings.options.clone()));
+                let mut own_settings = self.settings.borrow_mut();
+                (own_settings.options, own_settings.allow) = (settings.options, settings.allow);
             }
         }
     }
 
-    /// Reports how old the oldest command is that the request path has not taken.
+    /// Passes the age of the oldest command that no session has received to the state machine.
     fn measure_command_age(&self, command_age: &mut CommandAge) {
-        let (given, taken) = self.gateway.core.commands.counts();
-        let age = command_age.sample(self.clock.now(), given, taken);
-        self.event(Event::OldestCommandAge(age));
+        let (sent, received) = self.gateway.core.commands.counts();
+        let age = command_age.sample(self.clock.now(), sent, received);
+        self.handle_event(Event::OldestCommandAge(age));
     }
 
-    /// Reports what the decision module did since the last time, if its lock is free.
+    /// Passes the observer's report and the capacity in use to the state machine, if the core's lock is free.
     fn observe(&self) {
         let capacity = self.gateway.capacity().unwrap_or(self.capacity.get());
         self.capacity.set(capacity);
-        let seen = self.gateway.core.look();
-        let event = seen.map_or(Event::ObservationMissed, |report| {
+        let report = self.gateway.core.look();
+        let event = report.map_or(Event::ObservationMissed, |report| {
             Event::Observed(report, capacity)
         });
-        self.event(event);
+        self.handle_event(event);
     }
 
-    /// Tells the service manager that the request path moves; while it does not, nothing is told.
+    /// Notifies the service manager while the request path makes progress.
     fn notify_service_manager(&self) {
         if let Some(notify) = &self.notify {
             if self.machine.borrow().makes_progress() {
-                let _ = notify.try_send(notify::Command::Moves);
+                let _ = notify.try_send(notify::Command::Progress);
             }
         }
     }
--- a/src/bin/asterreel/health/tests.rs
+++ b/src/bin/asterreel/health/tests.rs
@@ -1,4 +1,4 @@
-//! The fronts of a gateway whose own request path is made to stand still.
+//! Health answers of a gateway whose request path is blocked on purpose.
 use super::*;
 use crate::core::Core;
 use crate::request::pool::Pool;
@@ -9,14 +9,14 @@
 use std::net::TcpStream;
 use std::time::Instant;
 
-/// As long as no machine, however crowded, should take.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longer than any expected answer takes even on a loaded machine.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A gateway in this process whose databases do not exist, and where its HTTP front listens.
+/// Starts a gateway in this process whose databases do not exist; returns the address of its HTTP health front.
 fn gateway() -> (Arc<Core>, Handle, SocketAddr) {
     let mut config =
         Config::parse(include_bytes!("../../../../examples/config.json"), |_| None).expect("good");
-    // Nobody listens there.
+    // No database listens on this port.
     config
         .known_endpoints
         .members
@@ -33,17 +33,17 @@
     let core = Arc::new(Core::new(&config, clock, timer.clone(), probes, watches).expect("good"));
     core.observe(&config.settings);
     let pool = Arc::new(Pool::new(clock, timer.clone(), 8, 15_000_000, 250_000));
-    let woken = core.clone();
-    std::thread::spawn(move || timer.run(|| woken.timer_fired()));
+    let timed_core = core.clone();
+    std::thread::spawn(move || timer.run(|| timed_core.timer_fired()));
     core.listed(UpdateKind::Snapshot, &config.known_endpoints)
         .expect("good");
-    // Free a moment ago; nothing else of this machine picks an address of its own there.
-    let port = || {
+    // Ports that were free a moment ago; no other program uses this loopback address.
+    let free_address = || {
         TcpListener::bind("127.83.7.1:0")
-            .and_then(|one| one.local_addr())
+            .and_then(|listener| listener.local_addr())
             .expect("a port")
     };
-    let (client, front) = (port(), port());
+    let (client, front) = (free_address(), free_address());
     let gateway = Arc::new(Gateway::new(
         core.clone(),
         pool,
@@ -63,10 +63,10 @@
     (core, handle, front)
 }
 
-/// What the front says of a path; it must say something, whatever stands still.
+/// The status code and text of the answer for a path; the front must answer whatever is blocked.
 fn get(front: SocketAddr, path: &str) -> (u16, String) {
     let mut stream = TcpStream::connect(front).expect("the front listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    stream.set_read_timeout(Some(ANSWER_TIMEOUT)).expect("set");
     write!(
         stream,
         "GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
@@ -77,52 +77,55 @@
     (text[9..12].parse().expect("a code"), text)
 }
 
-fn until(front: SocketAddr, path: &str, wanted: u16) -> String {
+fn wait_for_code(front: SocketAddr, path: &str, wanted: u16) -> String {
     let began = Instant::now();
     loop {
         let (code, text) = get(front, path);
         if code == wanted {
             return text;
         }
-        assert!(began.elapsed() < PATIENCE, "{path} stays {text}");
+        assert!(
+            began.elapsed() < ANSWER_TIMEOUT,
+            "{path} did not answer {wanted}, but: {text}"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
 #[test]
-fn health_answers_and_says_hung_while_the_worker_or_the_core_stands_still() {
+fn health_reports_hung_while_the_worker_or_core_is_blocked() {
     let (core, handle, front) = gateway();
-    until(front, "/startupz", 200);
+    wait_for_code(front, "/startupz", 200);
     assert_eq!(get(front, "/livez").0, 200);
 
-    // A coroutine that blocks the one worker, until it is released.
+    // A coroutine blocks the only worker until it is released.
     let (release, released) = std::sync::mpsc::channel::<()>();
     crate::runtime::coroutine::spawn(move || {
         assert!(released.recv().is_err());
     });
-    let text = until(front, "/livez", 503);
+    let text = wait_for_code(front, "/livez", 503);
     assert!(
         text.contains("hung 0 hung") && text.contains("x-envoy-immediate-health-check-fail: true"),
         "{text}"
     );
     drop(release);
-    until(front, "/livez", 200);
+    wait_for_code(front, "/livez", 200);
 
-    // The core's lock held by a thread that does not let go.
+    // A thread holds the core's lock until it is released.
     let (release, released) = std::sync::mpsc::channel::<()>();
     let holder = std::thread::spawn(move || core.hold(|| assert!(released.recv().is_err())));
-    until(front, "/livez", 503);
+    wait_for_code(front, "/livez", 503);
     drop(release);
     holder.join().expect("no panic");
-    until(front, "/livez", 200);
+    wait_for_code(front, "/livez", 200);
 
-    // A drain outranks all else, and nothing leads back.
+    // A drain replaces any other status and is not cancelled.
     handle.terminate();
-    assert!(until(front, "/readyz", 503).contains("draining 0 drain"));
+    assert!(wait_for_code(front, "/readyz", 503).contains("draining 0 drain"));
     assert_eq!(get(front, "/livez").0, 200);
     handle.stopping();
     let began = Instant::now();
     while !get(front, "/readyz").1.contains("stopping 0 drain") {
-        assert!(began.elapsed() < PATIENCE);
+        assert!(began.elapsed() < ANSWER_TIMEOUT);
     }
 }
