--- a/tests/health.rs
+++ b/tests/health.rs
@@ -1,4 +1,4 @@
-//! What a gateway tells of itself, replayed on the state machine with a clock of the test's own.
+//! Tests of the health state machine, its weights and its observer with a simulated clock.
 mod common;
 
 use asterreel::health::{
@@ -11,17 +11,19 @@
 
 const S: Micros = 1_000 * MS;
 
-/// A machine under test, its clock, and what it announced for the whole gateway.
+/// A state machine under test, its clock, its inputs, and the statuses that it announced for the whole gateway.
 struct Subject {
     machine: Machine,
     now: Micros,
     history: Vec<(Micros, Status)>,
     group: GroupReport,
-    /// What a round of the heartbeat does.
+    /// Whether heartbeats are answered.
     answers: bool,
-    sees: bool,
-    enters: bool,
-    room: Capacity,
+    /// Whether the core can be observed.
+    observes: bool,
+    /// Whether new connections are accepted.
+    accepts: bool,
+    capacity: Capacity,
 }
 
 fn group_report() -> GroupReport {
@@ -49,9 +51,9 @@
             history: Vec::new(),
             group: group_report(),
             answers: true,
-            sees: true,
-            enters: true,
-            room: Capacity {
+            observes: true,
+            accepts: true,
+            capacity: Capacity {
                 sessions: 5,
                 max_sessions: 100,
                 requests: 1,
@@ -63,11 +65,11 @@
         subject
     }
 
-    /// One that has started and risen to its full weight.
+    /// A state machine that has started and reached the full weight.
     fn up() -> Subject {
         let mut subject = Subject::new(HealthOptions::default());
-        subject.pass(10 * S);
-        assert_eq!(subject.told(), (State::Up, MAX_WEIGHT, Reason::Fine));
+        subject.advance(10 * S);
+        assert_eq!(subject.status(), (State::Up, MAX_WEIGHT, Reason::Fine));
         subject.history.clear();
         subject
     }
@@ -82,8 +84,8 @@
         }
     }
 
-    /// Time passes as the front makes it pass: ticks, a look at the core, beats.
-    fn pass(&mut self, span: Micros) {
+    /// Advances the time with the events of the health thread: observations, heartbeats and ticks.
+    fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         while self.now < end {
             self.now += 25 * MS;
@@ -91,8 +93,8 @@
                 list_received: true,
                 groups: vec![self.group.clone()],
             };
-            self.event(if self.sees {
-                Event::Observed(report, self.room)
+            self.event(if self.observes {
+                Event::Observed(report, self.capacity)
             } else {
                 Event::ObservationMissed
             });
@@ -102,7 +104,7 @@
             }
             if self.now % S < 25 * MS {
                 self.event(Event::Heartbeat(Heartbeat::ConnectStarted));
-                if self.enters {
+                if self.accepts {
                     self.event(Event::Heartbeat(Heartbeat::Connected));
                 }
             }
@@ -110,27 +112,33 @@
         }
     }
 
-    fn told(&self) -> (State, u8, Reason) {
-        let status = self.machine.status(Scope::Gateway).expect("always told");
+    fn status(&self) -> (State, u8, Reason) {
+        let status = self
+            .machine
+            .status(Scope::Gateway)
+            .expect("always reported");
         (status.state, status.weight, status.reason)
     }
 
-    fn told_of_group(&self) -> Status {
+    fn group_status(&self) -> Status {
         self.machine.status(Scope::Group(GROUP)).expect("listed")
     }
 }
 
 #[test]
-fn it_starts_once_discovery_told_and_each_group_has_a_member_and_rises_slowly() {
+fn start_ends_with_a_usable_member_and_weight_rises_slowly() {
     let mut subject = Subject::new(HealthOptions::default());
     subject.group.usable = 0;
-    subject.pass(S);
-    assert_eq!(subject.told(), (State::Starting, 0, Reason::Start));
+    subject.advance(S);
+    assert_eq!(subject.status(), (State::Starting, 0, Reason::Start));
     subject.group.usable = 1;
-    subject.pass(25 * MS);
-    assert_eq!((subject.told().0, subject.told().1), (State::Degraded, 10));
-    subject.pass(5 * S);
-    assert_eq!(subject.told().1, MAX_WEIGHT);
+    subject.advance(25 * MS);
+    assert_eq!(
+        (subject.status().0, subject.status().1),
+        (State::Degraded, 10)
+    );
+    subject.advance(5 * S);
+    assert_eq!(subject.status().1, MAX_WEIGHT);
     let weights: Vec<u8> = subject
         .history
         .iter()
@@ -140,14 +148,14 @@
 }
 
 #[test]
-fn with_discovery_down_from_the_start_it_serves_what_it_knows_after_the_stated_wait() {
+fn start_without_discovery_ends_after_the_configured_wait() {
     let options = HealthOptions {
         start_wait_ms: 3_000,
         ..HealthOptions::default()
     };
     let mut machine = Machine::new(options, START);
     let mut actions = Vec::new();
-    let mut look = |machine: &mut Machine, at, usable| {
+    let mut observe = |machine: &mut Machine, at, usable| {
         let group = GroupReport {
             usable,
             ..group_report()
@@ -162,66 +170,78 @@
             Event::Observed(report, Capacity::default()),
             &mut actions,
         );
-        machine.status(Scope::Gateway).expect("told").state
+        machine.status(Scope::Gateway).expect("reported").state
     };
-    assert_eq!(look(&mut machine, START + 2_900 * MS, 2), State::Starting);
-    assert_eq!(look(&mut machine, START + 3_000 * MS, 2), State::Degraded);
-    assert_eq!(look(&mut machine, START + 3_100 * MS, 0), State::Degraded);
     assert_eq!(
-        machine.status(Scope::Gateway).expect("told").weight,
+        observe(&mut machine, START + 2_900 * MS, 2),
+        State::Starting
+    );
+    assert_eq!(
+        observe(&mut machine, START + 3_000 * MS, 2),
+        State::Degraded
+    );
+    assert_eq!(
+        observe(&mut machine, START + 3_100 * MS, 0),
+        State::Degraded
+    );
+    assert_eq!(
+        machine.status(Scope::Gateway).expect("reported").weight,
         0,
-        "no member at all can serve"
+        "no member can serve"
     );
 }
 
 #[test]
-fn without_a_primary_the_weight_falls_by_what_needs_one_and_rises_only_with_the_next() {
+fn lost_primary_lowers_weight_by_its_share_until_the_next() {
     let mut subject = Subject::up();
     subject.group.has_primary = false;
-    subject.pass(25 * MS);
-    assert_eq!(subject.told(), (State::Degraded, 60, Reason::NoPrimary));
-    assert_eq!(subject.told_of_group().weight, 60);
-    // What clients ask again meanwhile changes nothing.
+    subject.advance(25 * MS);
+    assert_eq!(subject.status(), (State::Degraded, 60, Reason::NoPrimary));
+    assert_eq!(subject.group_status().weight, 60);
+    // Retries of clients while there is no primary do not change the share.
     subject.group.primary_only_share = 1.0;
-    subject.pass(5 * S);
-    assert_eq!(subject.told().1, 60);
+    subject.advance(5 * S);
+    assert_eq!(subject.status().1, 60);
     subject.group.has_primary = true;
-    subject.pass(5 * S);
-    assert_eq!(subject.told(), (State::Up, MAX_WEIGHT, Reason::Fine));
-    // A group of writes alone still keeps the floor: its reads could be served.
+    subject.advance(5 * S);
+    assert_eq!(subject.status(), (State::Up, MAX_WEIGHT, Reason::Fine));
+    // A group with writes only keeps the floor, because reads could be served.
     subject.group.has_primary = false;
-    subject.pass(25 * MS);
-    assert_eq!(subject.told().1, HealthOptions::default().floor);
+    subject.advance(25 * MS);
+    assert_eq!(subject.status().1, HealthOptions::default().floor);
 }
 
 #[test]
-fn a_group_without_any_member_has_no_weight_and_the_others_keep_theirs() {
+fn group_without_usable_members_does_not_affect_other_groups() {
     let mut subject = Subject::up();
     let other = GroupReport {
         group: GroupId(8),
         ..group_report()
     };
-    let lost = GroupReport {
+    let unusable = GroupReport {
         usable: 0,
         ..group_report()
     };
     let report = Report {
         list_received: true,
-        groups: vec![lost, other],
+        groups: vec![unusable, other],
     };
     subject.now += 25 * MS;
-    subject.event(Event::Observed(report.clone(), subject.room));
+    subject.event(Event::Observed(report.clone(), subject.capacity));
     subject.now += 25 * MS;
-    subject.event(Event::Observed(report, subject.room));
+    subject.event(Event::Observed(report, subject.capacity));
     assert_eq!(
-        subject.told_of_group(),
+        subject.group_status(),
         Status {
             state: State::Degraded,
             weight: 0,
             reason: Reason::NoMember
         }
     );
-    assert_eq!((subject.told().0, subject.told().1), (State::Degraded, 50));
+    assert_eq!(
+        (subject.status().0, subject.status().1),
+        (State::Degraded, 50)
+    );
     let mut actions = Vec::new();
     let report = Report {
         list_received: true,
@@ -229,7 +249,7 @@
     };
     subject.machine.handle(
         subject.now,
-        Event::Observed(report, subject.room),
+        Event::Observed(report, subject.capacity),
         &mut actions,
     );
     assert!(
@@ -239,36 +259,36 @@
 }
 
 #[test]
-fn overload_lowers_the_weight_in_steps_to_the_floor_and_never_says_down() {
+fn overload_lowers_weight_in_steps_to_the_floor_but_not_below() {
     let mut subject = Subject::up();
     subject.group.overloaded = 60;
-    subject.pass(10 * S);
-    assert_eq!(subject.told(), (State::Degraded, 10, Reason::Overload));
+    subject.advance(10 * S);
+    assert_eq!(subject.status(), (State::Degraded, 10, Reason::Overload));
     let weights: Vec<u8> = subject
         .history
         .iter()
         .map(|(_, status)| status.weight)
         .collect();
     assert_eq!(weights, [75, 50, 25, 10]);
-    // Between the thresholds it stays; calm, it rises.
+    // The weight stays while the load is between the thresholds, and rises once the load is low.
     subject.group.overloaded = 10;
-    subject.pass(5 * S);
-    assert_eq!(subject.told().1, 10);
+    subject.advance(5 * S);
+    assert_eq!(subject.status().1, 10);
     subject.group.overloaded = 0;
-    subject.pass(15 * S);
-    assert_eq!(subject.told(), (State::Up, MAX_WEIGHT, Reason::Fine));
+    subject.advance(15 * S);
+    assert_eq!(subject.status(), (State::Up, MAX_WEIGHT, Reason::Fine));
 }
 
 #[test]
-fn three_gateways_overloaded_together_keep_a_weight_between_them() {
+fn gateways_that_are_all_overloaded_keep_a_weight() {
     let mut gateways = [Subject::up(), Subject::up(), Subject::up()];
     for _ in 0..400 {
         for gateway in &mut gateways {
             gateway.group.overloaded = 100;
-            gateway.room.requests = gateway.room.max_requests;
-            gateway.pass(25 * MS);
+            gateway.capacity.requests = gateway.capacity.max_requests;
+            gateway.advance(25 * MS);
         }
-        let statuses: Vec<_> = gateways.iter().map(Subject::told).collect();
+        let statuses: Vec<_> = gateways.iter().map(Subject::status).collect();
         let sum: u32 = statuses
             .iter()
             .map(|(_, weight, _)| u32::from(*weight))
@@ -281,10 +301,10 @@
 }
 
 #[test]
-fn a_hang_is_told_within_half_a_second_whatever_hangs() {
+fn hang_is_reported_within_half_a_second_for_each_cause() {
     let hangs: [fn(&mut Subject); 3] = [
         |subject| subject.answers = false,
-        |subject| subject.sees = false,
+        |subject| subject.observes = false,
         |subject| {
             let now = subject.now;
             for age in (0..400).step_by(25) {
@@ -297,7 +317,7 @@
         let mut subject = Subject::up();
         let began = subject.now;
         hang(&mut subject);
-        subject.pass(400 * MS);
+        subject.advance(400 * MS);
         let (at, status) = subject.history[0];
         assert_eq!(
             status,
@@ -313,42 +333,42 @@
 }
 
 #[test]
-fn after_a_hang_it_must_show_that_it_moves_and_for_longer_each_time() {
+fn recovery_time_after_a_hang_doubles_with_each_relapse() {
     let mut subject = Subject::up();
-    let mut proofs = Vec::new();
+    let mut recovery_times = Vec::new();
     for _ in 0..3 {
         subject.answers = false;
-        subject.pass(S);
-        assert_eq!(subject.told().0, State::Hung);
-        let mended = subject.now;
+        subject.advance(S);
+        assert_eq!(subject.status().0, State::Hung);
+        let answered_at = subject.now;
         subject.answers = true;
-        while subject.told().0 == State::Hung {
-            subject.pass(25 * MS);
+        while subject.status().0 == State::Hung {
+            subject.advance(25 * MS);
         }
         assert!(
-            subject.told().1 <= 30,
-            "it rises from the floor: {:?}",
-            subject.told()
+            subject.status().1 <= 30,
+            "the weight rises from the floor: {:?}",
+            subject.status()
         );
-        proofs.push((subject.now - mended) / S);
+        recovery_times.push((subject.now - answered_at) / S);
     }
-    assert_eq!(proofs, [1, 2, 4]);
+    assert_eq!(recovery_times, [1, 2, 4]);
 }
 
 #[test]
-fn a_process_that_was_stopped_as_a_whole_does_not_wake_up_hung() {
+fn stopped_process_is_not_hung_when_it_continues() {
     let mut subject = Subject::up();
     subject.event(Event::Heartbeat(Heartbeat::Sent));
     subject.now += 20 * S;
     subject.event(Event::Tick);
-    assert_eq!(subject.told().0, State::Up);
-    subject.pass(S);
-    assert_eq!(subject.told().0, State::Up);
+    assert_eq!(subject.status().0, State::Up);
+    subject.advance(S);
+    assert_eq!(subject.status().0, State::Up);
     assert!(subject.history.is_empty());
 }
 
 #[test]
-fn a_clock_that_steps_back_moves_nothing() {
+fn clock_that_steps_back_changes_nothing() {
     let mut subject = Subject::up();
     let now = subject.now;
     let mut actions = Vec::new();
@@ -361,18 +381,18 @@
             .handle(now - back, Event::Tick, &mut actions);
     }
     assert_eq!(actions, []);
-    subject.pass(S);
-    assert_eq!(subject.told(), (State::Up, MAX_WEIGHT, Reason::Fine));
+    subject.advance(S);
+    assert_eq!(subject.status(), (State::Up, MAX_WEIGHT, Reason::Fine));
 }
 
 #[test]
-fn connections_that_are_not_accepted_lower_the_weight_while_open_ones_are_served() {
+fn unaccepted_connections_lower_weight_or_indicate_a_hang() {
     let mut subject = Subject::up();
-    subject.enters = false;
-    subject.pass(2 * S);
-    assert_eq!(subject.told(), (State::Degraded, 10, Reason::Accept));
-    // Its own session lost as well, for lack of room: load, not a hang.
-    subject.room.sessions = subject.room.max_sessions;
+    subject.accepts = false;
+    subject.advance(2 * S);
+    assert_eq!(subject.status(), (State::Degraded, 10, Reason::Accept));
+    // The heartbeat's session is lost while all sessions are in use: this indicates load, not a hang.
+    subject.capacity.sessions = subject.capacity.max_sessions;
     subject.event(Event::Heartbeat(Heartbeat::SessionLost));
     subject.answers = true;
     for _ in 0..80 {
@@ -381,88 +401,90 @@
             list_received: true,
             groups: vec![subject.group.clone()],
         };
-        subject.event(Event::Observed(report, subject.room));
+        subject.event(Event::Observed(report, subject.capacity));
         subject.event(Event::Heartbeat(Heartbeat::ConnectStarted));
     }
-    assert_eq!(subject.told().0, State::Degraded);
-    // With room to spare and nothing open, a path that lets nobody in is hung.
-    subject.room.sessions = 1;
+    assert_eq!(subject.status().0, State::Degraded);
+    // With free sessions and no open session of the heartbeat, a path that accepts no connection is hung.
+    subject.capacity.sessions = 1;
     let report = Report {
         list_received: true,
         groups: vec![subject.group.clone()],
     };
-    subject.event(Event::Observed(report, subject.room));
-    assert_eq!(subject.told().0, State::Hung);
+    subject.event(Event::Observed(report, subject.capacity));
+    assert_eq!(subject.status().0, State::Hung);
 }
 
-/// One without its registration serves clients on, but others are better; when all are, they are alike.
+/// A gateway without its registration still serves clients, but others are preferred. The weight is not 0, or balancers
+/// would take all gateways out of service when all lost theirs.
 #[test]
-fn one_that_is_shut_out_of_the_fleet_is_worth_the_floor_until_it_is_back() {
+fn lost_registration_lowers_weight_to_the_floor_until_regained() {
     let mut subject = Subject::up();
     subject.event(Event::RegistrationLost(true));
-    subject.pass(2 * S);
-    assert_eq!(subject.told(), (State::Degraded, 10, Reason::ShutOut));
+    subject.advance(2 * S);
+    assert_eq!(subject.status(), (State::Degraded, 10, Reason::ShutOut));
     assert!(
         subject
             .machine
             .status(Scope::Gateway)
             .is_some_and(|status| status.ready()),
-        "never 0"
+        "the weight is not 0"
     );
     subject.event(Event::RegistrationLost(false));
-    subject.pass(10 * S);
-    assert_eq!(subject.told(), (State::Up, MAX_WEIGHT, Reason::Fine));
+    subject.advance(10 * S);
+    assert_eq!(subject.status(), (State::Up, MAX_WEIGHT, Reason::Fine));
 }
 
+/// A drain is reported also without a primary, and neither a new primary nor reloaded options cancel it.
 #[test]
-fn a_drain_is_told_at_once_also_without_a_primary_and_nothing_leads_back() {
+fn drain_is_reported_at_once_and_never_cancelled() {
     let mut subject = Subject::up();
     subject.group.has_primary = false;
-    subject.pass(S);
+    subject.advance(S);
     subject.event(Event::Terminate);
-    assert_eq!(subject.told(), (State::Draining, 0, Reason::Drain));
-    assert_eq!(subject.told_of_group().state, State::Draining);
+    assert_eq!(subject.status(), (State::Draining, 0, Reason::Drain));
+    assert_eq!(subject.group_status().state, State::Draining);
     subject.group.has_primary = true;
     subject.event(Event::Configured(HealthOptions::default()));
-    subject.pass(S);
-    assert_eq!(subject.told().0, State::Draining);
+    subject.advance(S);
+    assert_eq!(subject.status().0, State::Draining);
     subject.event(Event::Stopping);
     subject.event(Event::Terminate);
-    subject.pass(S);
-    assert_eq!(subject.told(), (State::Stopping, 0, Reason::Drain));
+    subject.advance(S);
+    assert_eq!(subject.status(), (State::Stopping, 0, Reason::Drain));
 }
 
 #[test]
-fn maintenance_takes_it_out_and_the_file_read_again_brings_it_back() {
+fn maintenance_ends_when_a_reloaded_file_unsets_it() {
     let mut subject = Subject::up();
     subject.event(Event::Configured(HealthOptions {
         maintenance: true,
         ..HealthOptions::default()
     }));
-    assert_eq!(subject.told(), (State::Draining, 0, Reason::Maintenance));
+    assert_eq!(subject.status(), (State::Draining, 0, Reason::Maintenance));
     subject.event(Event::Configured(HealthOptions::default()));
-    assert_eq!(subject.told().0, State::Up);
+    assert_eq!(subject.status().0, State::Up);
 }
 
 #[test]
-fn a_primary_lost_and_found_over_and_over_turns_the_weight_no_oftener_than_allowed() {
+fn repeated_loss_of_the_primary_keeps_the_bound_on_flaps() {
     let options = HealthOptions {
         flaps_per_minute: 3,
         ..HealthOptions::default()
     };
     let mut subject = Subject::new(options);
-    subject.pass(10 * S);
+    subject.advance(10 * S);
     subject.history.clear();
     for _ in 0..60 {
         subject.group.has_primary = !subject.group.has_primary;
-        subject.pass(S);
+        subject.advance(S);
     }
-    assert_eq!(turns(&subject.history, 60 * S), 3);
-    assert!(subject.told().1 >= 10);
+    assert_eq!(max_flaps(&subject.history, 60 * S), 3);
+    assert!(subject.status().1 >= 10);
 }
 
-/// The most turns from falling to rising within any such span.
-fn turns(history: &[(Micros, Status)], span: Micros) -> usize {
+/// The most changes from falling to rising within any window of length `span`.
+fn max_flaps(history: &[(Micros, Status)], span: Micros) -> usize {
     let (mut fell, mut last, mut times) = (false, MAX_WEIGHT, Vec::new());
     for (at, status) in history {
         if status.weight > last && fell {
@@ -484,7 +506,7 @@
     times.iter().map(within).max().unwrap_or(0)
 }
 
-/// A router with an observer beside it, fed as the program feeds both.
+/// A router and an observer that receives its events and actions as in the program.
 struct Observed {
     observer: Observer,
     gateway: TestGateway,
@@ -499,7 +521,8 @@
         }
     }
 
-    /// The observer is given each event first, then the router's actions. Where attempts go out by them.
+    /// Passes the event to the observer and the router, then the router's actions to the observer. Returns the requests of
+    /// the attempts that are dispatched.
     fn feed(&mut self, event: RouterEvent) -> Vec<RequestId> {
         self.observer.event(self.gateway.now, &event);
         let actions = self.gateway.event(event);
@@ -510,7 +533,7 @@
         sent.iter().map(|(request, _)| *request).collect()
     }
 
-    /// The only group, as it is seen now.
+    /// The current report of the only group.
     fn group(&mut self) -> GroupReport {
         self.observer.report(self.gateway.now).groups[0].clone()
     }
@@ -526,7 +549,7 @@
         self.feed(RouterEvent::HealthChecked(member, Outcome::Served, report));
     }
 
-    /// A write for a group arrives; the attempts that go out.
+    /// A write for a group arrives; returns the requests of the attempts that are dispatched.
     fn write(&mut self, group: GroupId) -> Vec<RequestId> {
         self.gateway.next += 1;
         self.feed(RouterEvent::RequestArrived(Arrival {
@@ -541,7 +564,7 @@
         }))
     }
 
-    /// A write that is dispatched at once and served after so long.
+    /// A write is dispatched at once and served after `took`.
     fn write_served_after(&mut self, took: Micros) {
         assert_eq!(self.write(GROUP).len(), 1);
         assert_eq!(self.group().in_flight, 1);
@@ -552,7 +575,7 @@
         self.feed(RouterEvent::AttemptEnded(served));
     }
 
-    /// Time passes in which every attempt is misrouted, these that are out first.
+    /// Advances the time; every attempt ends as misrouted, beginning with those given.
     fn misroute_attempts(&mut self, mut attempts: Vec<RequestId>, time: Micros) {
         let end = self.gateway.now + time;
         while self.gateway.now < end {
@@ -590,7 +613,7 @@
     assert!(report.list_received && report.groups[0].has_primary);
     assert_eq!((report.groups[0].usable, report.groups[0].members), (3, 3));
 
-    // Twenty writes, one after the other: all within the objective.
+    // Twenty writes in sequence, all within the latency objective.
     for round in 0..20 {
         let took = if round % 2 == 0 { 10 * MS } else { 60 * MS };
         observed.write_served_after(took);
@@ -599,13 +622,17 @@
     assert!(group.overloaded == 0 && group.ended >= 10, "{group:?}");
     assert!(group.primary_only_share > 0.8, "{group:?}");
 
-    // The primary reports as a replica: it is demoted, writes are queued and then rejected, which is no overload.
+    // The primary reports that it is a replica and is demoted. Writes are queued and then rejected, which does not count
+    // as overload.
     observed.healthy(0, common::member_report(Role::Replica, 0));
     assert!(!observed.group().has_primary);
     let attempts: Vec<RequestId> = (0..10).flat_map(|_| observed.write(GROUP)).collect();
     let group = observed.group();
     let open = group.queued + group.in_flight;
-    assert_eq!(open, 10, "one of them may seek the primary");
+    assert_eq!(
+        open, 10,
+        "one of them may be dispatched to find the primary"
+    );
     observed.misroute_attempts(attempts, 3 * S);
     let group = observed.group();
     let open = observed.observer.open_requests();
@@ -613,7 +640,7 @@
     let share = group.overload_share();
     assert_eq!(share, None, "rejected for lack of a primary: {group:?}");
 
-    // A client that names a group that does not exist leaves nothing behind.
+    // A request for a group that does not exist leaves no state behind.
     observed.write(GroupId(99));
     let groups = observed.observer.report(observed.gateway.now).groups.len();
     assert_eq!((observed.observer.open_requests(), groups), (0, 1));
@@ -624,13 +651,14 @@
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Primary(bool),
-    Strain(u32),
+    Overloaded(u32),
     Usable(u32),
     Answers(bool),
-    Sees(bool),
-    Enters(bool),
+    Observes(bool),
+    Accepts(bool),
     Full(bool),
-    Leap(u64),
+    /// Advances the clock by this many milliseconds without events.
+    Gap(u64),
     Terminate,
     Stopping,
 }
@@ -638,13 +666,13 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => any::<bool>().prop_map(Step::Primary),
-        4 => (0u32..=100).prop_map(Step::Strain),
+        4 => (0u32..=100).prop_map(Step::Overloaded),
         1 => (0u32..=3).prop_map(Step::Usable),
         2 => any::<bool>().prop_map(Step::Answers),
-        1 => any::<bool>().prop_map(Step::Sees),
-        1 => any::<bool>().prop_map(Step::Enters),
+        1 => any::<bool>().prop_map(Step::Observes),
+        1 => any::<bool>().prop_map(Step::Accepts),
         1 => any::<bool>().prop_map(Step::Full),
-        1 => (0u64..30_000).prop_map(Step::Leap),
+        1 => (0u64..30_000).prop_map(Step::Gap),
         1 => Just(Step::Terminate),
         1 => Just(Step::Stopping),
     ]
@@ -654,7 +682,7 @@
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
     #[test]
-    fn weights_keep_their_bounds_and_a_drain_never_turns_back(
+    fn weights_stay_within_bounds_and_drains_are_not_cancelled(
         steps in proptest::collection::vec((step(), 1u64..40), 1..60),
         floor in 1u8..=50,
         flaps in 1u32..6,
@@ -664,34 +692,34 @@
         let (mut drained, mut stopped) = (false, false);
         for (step, ticks) in steps {
             match step {
-                Step::Primary(there) => subject.group.has_primary = there,
-                Step::Strain(overloaded) => subject.group.overloaded = overloaded,
+                Step::Primary(has_primary) => subject.group.has_primary = has_primary,
+                Step::Overloaded(overloaded) => subject.group.overloaded = overloaded,
                 Step::Usable(usable) => subject.group.usable = usable,
                 Step::Answers(answers) => subject.answers = answers,
-                Step::Sees(sees) => subject.sees = sees,
-                Step::Enters(enters) => subject.enters = enters,
-                Step::Full(full) => subject.room.requests = if full { 50 } else { 0 },
-                Step::Leap(ms) => subject.now += ms * MS,
+                Step::Observes(observes) => subject.observes = observes,
+                Step::Accepts(accepts) => subject.accepts = accepts,
+                Step::Full(full) => subject.capacity.requests = if full { 50 } else { 0 },
+                Step::Gap(ms) => subject.now += ms * MS,
                 Step::Terminate => { subject.event(Event::Terminate); drained = true; }
                 Step::Stopping => { subject.event(Event::Stopping); stopped = true; }
             }
-            subject.pass(ticks * 25 * MS);
-            let (state, weight, _) = subject.told();
+            subject.advance(ticks * 25 * MS);
+            let (state, weight, _) = subject.status();
             prop_assert!(weight <= MAX_WEIGHT);
             prop_assert_eq!(stopped, state == State::Stopping);
             prop_assert_eq!(drained && !stopped, state == State::Draining);
-            // The floor, for as long as anything could be served and the path moved.
-            if matches!(state, State::Up | State::Degraded) && subject.group.usable > 0 && subject.sees {
+            // At least the floor while any request can be served and the path makes progress.
+            if matches!(state, State::Up | State::Degraded) && subject.group.usable > 0 && subject.observes {
                 prop_assert!(weight >= floor, "{:?} {} under {}", state, weight, floor);
             }
         }
         let served: Vec<_> = subject.history.iter().copied()
             .filter(|(_, status)| matches!(status.state, State::Up | State::Degraded)).collect();
-        prop_assert!(turns(&served, 60 * S) <= flaps as usize + 1, "{:?}", served);
+        prop_assert!(max_flaps(&served, 60 * S) <= flaps as usize + 1, "{:?}", served);
     }
 
     #[test]
-    fn a_weight_falls_at_once_rises_by_steps_and_turns_within_its_bound(
+    fn ramp_falls_at_once_and_rises_by_steps_with_bounded_flaps(
         targets in proptest::collection::vec((0u8..=120, 10u64..3_000), 1..200),
         flaps in 1u32..10,
     ) {
@@ -709,19 +737,19 @@
                 history.push((now, Status { state: State::Up, weight: after, reason: Reason::Fine }));
             }
         }
-        prop_assert!(turns(&history, 60 * S) <= flaps as usize);
+        prop_assert!(max_flaps(&history, 60 * S) <= flaps as usize);
     }
 
     #[test]
-    fn strain_alone_never_takes_the_ladder_under_the_floor(
-        strains in proptest::collection::vec((proptest::option::of(0.0..=1.0f64), 0.0..=1.5f64, 1u64..900), 1..100),
+    fn overload_never_lowers_the_step_weight_below_the_floor(
+        loads in proptest::collection::vec((proptest::option::of(0.0..=1.0f64), 0.0..=1.5f64, 1u64..900), 1..100),
         floor in 1u8..=50,
     ) {
         let options = HealthOptions { floor, ..HealthOptions::default() };
         let (mut steps, mut now) = (WeightSteps::default(), 0);
-        for (share, taken, wait) in strains {
+        for (share, utilization, wait) in loads {
             now += wait * MS;
-            steps.update(now, share, taken, &options);
+            steps.update(now, share, utilization, &options);
             prop_assert!(steps.weight(&options) >= floor);
         }
     }
--- a/tests/health_fronts.rs
+++ b/tests/health_fronts.rs
@@ -1,4 +1,5 @@
-//! Health on sockets: a real gateway, in front of the testbench's databases, asked as balancers ask, and bothered.
+//! Health answers over sockets: a gateway process in front of the testbench's databases, checked as balancers check it,
+//! also under a flood of connections and without free file descriptors.
 
 use asterreel_testbench::balancer::Check;
 use asterreel_testbench::fleet::{Fleet, Shape};
@@ -13,11 +14,12 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// As long as no machine, however crowded, should take.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Longer than any expected answer takes even on a loaded machine.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
 const PROGRAM: &str = env!("CARGO_BIN_EXE_asterreel");
 
-struct Scene {
+/// A running gateway and the databases behind it.
+struct TestBed {
     fleet: Arc<Fleet>,
     plan: Plan,
     gateway: Gateway,
@@ -32,32 +34,32 @@
     }
 }
 
-fn scene(extra: &str) -> Scene {
+fn test_bed(extra: &str) -> TestBed {
     let fleet = Fleet::start(Shape::default()).expect("a fleet");
     let plan = plan(&fleet, extra);
     let gateway = Gateway::start(&plan).expect("started");
-    let scene = Scene {
+    let test_bed = TestBed {
         fleet,
         plan,
         gateway,
     };
-    scene.until_agent("", |line| line.starts_with("ready up 100%"));
-    scene
+    test_bed.wait_for_agent("", |line| line.starts_with("ready up 100%"));
+    test_bed
 }
 
-impl Scene {
+impl TestBed {
     fn agent(&self, text: &str) -> String {
         let check = Check::Agent(self.plan.agent, text.into());
-        check.run(PATIENCE).map_or_else(
+        check.run(ANSWER_TIMEOUT).map_or_else(
             |error| error.to_string(),
             |found| format!("{} {}", found.word, found.weight),
         )
     }
 
-    /// Waits until the agent's own line satisfies this.
+    /// Waits until the reply line of the agent satisfies `wanted`.
     #[track_caller]
-    fn until_agent(&self, text: &str, wanted: impl Fn(&str) -> bool) -> String {
-        until(|| {
+    fn wait_for_agent(&self, text: &str, wanted: impl Fn(&str) -> bool) -> String {
+        wait_for(|| {
             let line = exchange(self.plan.agent, text.as_bytes());
             wanted(&line).then_some(line)
         })
@@ -72,42 +74,45 @@
 }
 
 #[track_caller]
-fn until<T>(mut look: impl FnMut() -> Option<T>) -> T {
+fn wait_for<T>(mut check: impl FnMut() -> Option<T>) -> T {
     let began = Instant::now();
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = check() {
             return found;
         }
-        assert!(began.elapsed() < PATIENCE, "it never came to that");
+        assert!(
+            began.elapsed() < ANSWER_TIMEOUT,
+            "the expected state was not reached within {ANSWER_TIMEOUT:?}"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Sends, and reads to the end; what went wrong is nothing said.
+/// Sends `bytes` and reads to the end; returns what was read before an error.
 fn exchange(address: SocketAddr, bytes: &[u8]) -> String {
     let mut text = Vec::new();
     if let Ok(mut stream) = TcpStream::connect(address) {
-        let _ = stream.set_read_timeout(Some(PATIENCE));
+        let _ = stream.set_read_timeout(Some(ANSWER_TIMEOUT));
         let _ = stream.write_all(bytes);
         let _ = stream.read_to_end(&mut text);
     }
     String::from_utf8_lossy(&text).into_owned()
 }
 
-/// One request on a connection of its own: the tags of its answer.
+/// Sends one query on a new connection; returns the message tags of its answer.
 fn request(client: SocketAddr, statement: &str) -> String {
     let mut stream = TcpStream::connect(client).expect("connected");
-    stream.set_read_timeout(Some(PATIENCE)).expect("set");
+    stream.set_read_timeout(Some(ANSWER_TIMEOUT)).expect("set");
     let startup = b"\0\0\0\x22\0\x03\0\0user\0web\0database\0orders\0\0";
     let query = asterreel_testbench::database::message(b'Q', format!("{statement}\0").as_bytes());
     stream.write_all(startup).expect("sent");
     stream.write_all(&query).expect("sent");
-    let (mut tags, mut readies) = (String::new(), 0);
-    while readies < 2 {
+    let (mut tags, mut ready_messages) = (String::new(), 0);
+    while ready_messages < 2 {
         let mut tag = [0];
         stream.read_exact(&mut tag).expect("an answer");
         asterreel_testbench::database::read_body(&mut stream).expect("whole");
-        readies += i32::from(tag[0] == b'Z');
+        ready_messages += i32::from(tag[0] == b'Z');
         tags.push(tag[0].into());
     }
     tags.rsplit_once("KZ")
@@ -130,59 +135,60 @@
         .expect("it runs")
 }
 
+/// The drain is announced also for a group without a primary, and SIGHUP during the drain does not cancel it.
 #[test]
-fn a_drain_is_announced_while_requests_are_taken_also_without_a_primary_and_through_sighup() {
-    let mut scene = scene("drain = drain(announce_ms = 2000),");
-    assert!(scene.get("/readyz").starts_with("HTTP/1.1 200"));
-    scene.fleet.elect(None);
-    let line = scene.until_agent("group 0\n", |line| !line.starts_with("ready up 100%"));
+fn drain_is_announced_while_requests_are_still_accepted() {
+    let mut test_bed = test_bed("drain = drain(announce_ms = 2000),");
+    assert!(test_bed.get("/readyz").starts_with("HTTP/1.1 200"));
+    test_bed.fleet.elect(None);
+    let line = test_bed.wait_for_agent("group 0\n", |line| !line.starts_with("ready up 100%"));
     assert!(
         line.starts_with("ready up 40%"),
         "a group without a primary still serves reads: {line}"
     );
-    assert!(scene
+    assert!(test_bed
         .get("/health/groups/0")
         .contains("\"reason\":\"no-primary\""));
 
-    scene.gateway.signal(Signal::SIGTERM).expect("sent");
-    scene.until_agent("", |line| line.starts_with("drain"));
+    test_bed.gateway.signal(Signal::SIGTERM).expect("sent");
+    test_bed.wait_for_agent("", |line| line.starts_with("drain"));
     assert!(
-        scene.get("/livez").starts_with("HTTP/1.1 200"),
-        "it is alive, and owes answers"
+        test_bed.get("/livez").starts_with("HTTP/1.1 200"),
+        "a draining gateway is alive"
     );
     assert_eq!(
-        search(scene.plan.client, "a"),
+        search(test_bed.plan.client, "a"),
         "TDCZ",
-        "a client that was sent before the word came is served"
+        "a client that was sent before the balancer detected the drain is served"
     );
-    scene.gateway.signal(Signal::SIGHUP).expect("sent");
-    scene.fleet.elect(Some(0));
-    let again = scene.gateway.logged(0, PATIENCE, |line| {
+    test_bed.gateway.signal(Signal::SIGHUP).expect("sent");
+    test_bed.fleet.elect(Some(0));
+    let reloaded = test_bed.gateway.logged(0, ANSWER_TIMEOUT, |line| {
         line["message"] == "operator's file read again"
     });
-    assert!(again.is_some());
-    assert_eq!(scene.agent("group 0\n"), "drain 0");
-    assert!(scene
+    assert!(reloaded.is_some());
+    assert_eq!(test_bed.agent("group 0\n"), "drain 0");
+    assert!(test_bed
         .get("/readyz")
         .contains("x-envoy-immediate-health-check-fail: true"));
-    assert!(scene.gateway.wait(PATIENCE).expect("it ends"));
+    assert!(test_bed.gateway.wait(ANSWER_TIMEOUT).expect("it ends"));
 }
 
 #[test]
-fn a_crowd_on_the_health_ports_costs_no_request_a_descriptor_and_no_balancer_its_check() {
-    let scene = scene("allow = ['127.0.0.1/32', '127.0.0.2/32'],\n  connections = 16,");
-    let (before, _) = scene.gateway.holds().expect("it runs");
-    let mut crowd = Vec::new();
+fn connection_flood_on_health_ports_blocks_no_request_or_check() {
+    let test_bed = test_bed("allow = ['127.0.0.1/32', '127.0.0.2/32'],\n  connections = 16,");
+    let (before, _) = test_bed.gateway.holds().expect("it runs");
+    let mut flood = Vec::new();
     for number in 0..500 {
-        let place = if number % 2 == 0 {
-            scene.plan.agent
+        let address = if number % 2 == 0 {
+            test_bed.plan.agent
         } else {
-            scene.plan.http
+            test_bed.plan.http
         };
-        let Ok(mut stream) = TcpStream::connect(place) else {
+        let Ok(mut stream) = TcpStream::connect(address) else {
             continue;
         };
-        // Nothing, a byte, a line that does not end, half a request.
+        // Nothing, one byte, a line without an end, an incomplete request.
         let text: &[u8] = match number % 4 {
             0 => b"",
             1 => b"G",
@@ -190,35 +196,35 @@
             _ => b"GET /health HTTP/1.1\r\nx: ",
         };
         let _ = stream.write_all(text);
-        crowd.push(stream);
+        flood.push(stream);
     }
-    // One that never ends its line, a megabyte long.
-    if let Ok(mut stream) = TcpStream::connect(scene.plan.agent) {
+    // One client sends a megabyte without a line end.
+    if let Ok(mut stream) = TcpStream::connect(test_bed.plan.agent) {
         let _ = stream.write_all(&vec![b'1'; 1 << 20]);
     }
-    let (held, _) = scene.gateway.holds().expect("it runs");
+    let (held, _) = test_bed.gateway.holds().expect("it runs");
     assert!(
         held <= before + 16 + 4,
         "{held} descriptors, {before} before"
     );
-    // A balancer whose checks come from elsewhere is served as if nobody were there.
-    let line = until(|| {
-        let from = socket_from("127.0.0.2", scene.plan.agent)?;
-        let line = read_all(from);
+    // A balancer at another address is served in spite of the flood.
+    let line = wait_for(|| {
+        let stream = socket_from("127.0.0.2", test_bed.plan.agent)?;
+        let line = read_all(stream);
         line.starts_with("ready up").then_some(line)
     });
     assert!(line.contains("up"));
     for number in 0..20 {
-        assert_eq!(search(scene.plan.client, &format!("r{number}")), "TDCZ");
+        assert_eq!(search(test_bed.plan.client, &format!("r{number}")), "TDCZ");
     }
-    // Whoever is not allowed is closed without a word.
-    let stranger = socket_from("127.0.0.3", scene.plan.agent).expect("it connects");
-    assert_eq!(read_all(stranger), "");
-    drop(crowd);
-    scene.until_agent("", |line| line.starts_with("ready up"));
+    // A connection from an address that is not allowed is closed without an answer.
+    let not_allowed = socket_from("127.0.0.3", test_bed.plan.agent).expect("it connects");
+    assert_eq!(read_all(not_allowed), "");
+    drop(flood);
+    test_bed.wait_for_agent("", |line| line.starts_with("ready up"));
 }
 
-/// A connection from this address; the standard library can't choose one.
+/// Connects from the address `from`, which the standard library cannot choose.
 fn socket_from(from: &str, to: SocketAddr) -> Option<TcpStream> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_io()
@@ -229,7 +235,7 @@
         socket.bind(SocketAddr::new(from.parse().ok()?, 0)).ok()?;
         let stream = socket.connect(to).await.ok()?.into_std().ok()?;
         stream.set_nonblocking(false).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).ok()?;
+        stream.set_read_timeout(Some(ANSWER_TIMEOUT)).ok()?;
         Some(stream)
     })
 }
@@ -241,24 +247,25 @@
 }
 
 #[test]
-fn with_no_descriptor_left_health_still_answers_and_says_what_is_wrong() {
+fn health_answers_without_free_descriptors_and_gives_the_reason() {
     let fleet = Fleet::start(Shape::default()).expect("a fleet");
     let mut plan = plan(&fleet, "connections = 8,");
-    // The system allows fewer than the configuration says: accepting fails, for clients and for health.
+    // The process limit is below the configured number of sockets, so that accepting fails for clients and for health
+    // checks.
     plan.before = Some("ulimit -n 60".into());
     plan.sockets = 512;
     let gateway = Gateway::start(&plan).expect("started");
-    let scene = Scene {
+    let test_bed = TestBed {
         fleet,
         plan,
         gateway,
     };
-    scene.until_agent("", |line| line.starts_with("ready up 100%"));
-    // Ever more clients that say nothing, until nobody gets in.
+    test_bed.wait_for_agent("", |line| line.starts_with("ready up 100%"));
+    // Idle clients connect until no connection is accepted any more.
     let mut clients = Vec::new();
-    let body = until(|| {
-        clients.extend(TcpStream::connect(scene.plan.client));
-        let body = scene.get("/health");
+    let body = wait_for(|| {
+        clients.extend(TcpStream::connect(test_bed.plan.client));
+        let body = test_bed.get("/health");
         body.contains("\"reason\":\"accept\"").then_some(body)
     });
     assert!(
@@ -266,40 +273,40 @@
         "{body}"
     );
     drop(clients);
-    scene.until_agent("", |line| line.starts_with("ready up 100%"));
+    test_bed.wait_for_agent("", |line| line.starts_with("ready up 100%"));
 }
 
 #[test]
-fn with_discovery_down_from_the_start_it_says_starting_until_the_stated_wait_is_over() {
+fn gateway_without_discovery_starts_after_the_configured_wait() {
     let fleet = Fleet::start(Shape::default()).expect("a fleet");
     let mut plan = plan(&fleet, "knobs = knobs(start_wait_ms = 1500),");
-    // Nobody listens there.
+    // No discovery service listens on this port.
     plan.discovery = free(1).expect("a port")[0];
     let gateway = Gateway::start(&plan).expect("started");
     let began = Instant::now();
-    let scene = Scene {
+    let test_bed = TestBed {
         fleet,
         plan,
         gateway,
     };
-    scene.until_agent("", |line| line.starts_with("down #start"));
-    assert!(scene.get("/startupz").starts_with("HTTP/1.1 503"));
-    scene.until_agent("", |line| line.starts_with("ready up"));
+    test_bed.wait_for_agent("", |line| line.starts_with("down #start"));
+    assert!(test_bed.get("/startupz").starts_with("HTTP/1.1 503"));
+    test_bed.wait_for_agent("", |line| line.starts_with("ready up"));
     assert!(began.elapsed() >= Duration::from_millis(1500));
-    assert!(scene.get("/startupz").starts_with("HTTP/1.1 200"));
+    assert!(test_bed.get("/startupz").starts_with("HTTP/1.1 200"));
     assert_eq!(
-        search(scene.plan.client, "a"),
+        search(test_bed.plan.client, "a"),
         "TDCZ",
-        "from the list it was started with"
+        "served from the list in the configuration"
     );
 }
 
 #[test]
-fn systemd_hears_ready_status_and_stopping_and_no_watchdog_from_a_path_that_stands_still() {
+fn systemd_gets_status_but_no_watchdog_during_a_hang() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("notify");
     let socket = UnixDatagram::bind(&path).expect("bound");
-    socket.set_read_timeout(Some(PATIENCE)).expect("set");
+    socket.set_read_timeout(Some(ANSWER_TIMEOUT)).expect("set");
     let fleet = Fleet::start(Shape::default()).expect("a fleet");
     let mut plan = plan(&fleet, "notify = True,");
     plan.before = Some(format!(
@@ -309,16 +316,17 @@
     let mut gateway = Gateway::start(&plan).expect("started");
     let next = || {
         let mut bytes = [0; 512];
-        let count = socket.recv(&mut bytes).expect("word");
+        let count = socket.recv(&mut bytes).expect("a notification");
         String::from_utf8_lossy(&bytes[..count]).into_owned()
     };
-    let hear = |wanted: &str| until(|| Some(next()).filter(|word| word.contains(wanted)));
-    hear("READY=1");
-    hear("STATUS=up, weight 100, fine");
-    hear("WATCHDOG=1");
+    let wait_for_notification =
+        |wanted: &str| wait_for(|| Some(next()).filter(|text| text.contains(wanted)));
+    wait_for_notification("READY=1");
+    wait_for_notification("STATUS=up, weight 100, fine");
+    wait_for_notification("WATCHDOG=1");
     let frozen = gateway.freeze().expect("the worker stops");
-    hear("STATUS=hung");
-    // From here on none, until it moves again.
+    wait_for_notification("STATUS=hung");
+    // No notification is sent until the worker continues.
     socket
         .set_read_timeout(Some(Duration::from_millis(600)))
         .expect("set");
@@ -328,19 +336,19 @@
         "{}",
         String::from_utf8_lossy(&bytes)
     );
-    socket.set_read_timeout(Some(PATIENCE)).expect("set");
+    socket.set_read_timeout(Some(ANSWER_TIMEOUT)).expect("set");
     drop(frozen);
-    hear("WATCHDOG=1");
+    wait_for_notification("WATCHDOG=1");
     gateway.signal(Signal::SIGTERM).expect("sent");
-    hear("STOPPING=1");
-    assert!(gateway.wait(PATIENCE).expect("it ends"));
+    wait_for_notification("STOPPING=1");
+    assert!(gateway.wait(ANSWER_TIMEOUT).expect("it ends"));
 }
 
 #[test]
-fn grpc_check_and_watch_tell_a_group_and_the_end_of_its_service() {
-    let place = free(1).expect("a port")[0];
-    let scene = scene(&format!("grpc = listener(listen = '{place}'),"));
-    let address = place.to_string();
+fn grpc_check_and_watch_report_groups_and_the_drain() {
+    let grpc_address = free(1).expect("a port")[0];
+    let test_bed = test_bed(&format!("grpc = listener(listen = '{grpc_address}'),"));
+    let address = grpc_address.to_string();
     let probe = |arguments: &[&str]| {
         let all = [
             &[
@@ -373,14 +381,15 @@
         .enable_all()
         .build()
         .expect("a runtime");
-    let told = runtime.block_on(async {
-        let stream = tokio::net::TcpStream::connect(place)
+    let statuses = runtime.block_on(async {
+        let stream = tokio::net::TcpStream::connect(grpc_address)
             .await
             .expect("connected");
-        let (client, connection) = h2::client::handshake(stream).await.expect("greeted");
+        let (client, connection) = h2::client::handshake(stream).await.expect("a handshake");
         tokio::spawn(connection);
         let mut client = client.ready().await.expect("ready");
-        let request = http::Request::post(format!("http://{place}/grpc.health.v1.Health/Watch"));
+        let request =
+            http::Request::post(format!("http://{grpc_address}/grpc.health.v1.Health/Watch"));
         let request = request
             .header("content-type", "application/grpc")
             .body(())
@@ -390,22 +399,25 @@
             .expect("sent");
         let mut body = answer.await.expect("an answer").into_body();
         let first = body.data().await.expect("a message").expect("whole");
-        scene.gateway.signal(Signal::SIGTERM).expect("sent");
+        test_bed.gateway.signal(Signal::SIGTERM).expect("sent");
         let second = body.data().await.expect("a message").expect("whole");
         [first, second]
     });
     assert_eq!(
-        told,
+        statuses,
         [&b"\0\0\0\0\x02\x08\x01"[..], b"\0\0\0\0\x02\x08\x02"]
     );
 }
 
 #[test]
-fn the_command_line_says_what_it_found_and_exits_as_documented() {
-    let scene = scene("");
-    let (agent, http) = (scene.plan.agent.to_string(), scene.plan.http.to_string());
-    let nobody = free(1).expect("a port")[0].to_string();
-    let client = scene.plan.client.to_string();
+fn commands_report_results_and_exit_as_documented() {
+    let test_bed = test_bed("");
+    let (agent, http) = (
+        test_bed.plan.agent.to_string(),
+        test_bed.plan.http.to_string(),
+    );
+    let unused = free(1).expect("a port")[0].to_string();
+    let client = test_bed.plan.client.to_string();
     let cases: &[(&[&str], i32, &str)] = &[
         (&["probe", &http], 0, "ready (up 100 fine)"),
         (
@@ -419,12 +431,12 @@
             "unknown-group",
         ),
         (&["probe", &http, "--group", "7"], 4, "404"),
-        (&["probe", &nobody, "--timeout-ms", "500"], 3, "no answer"),
+        (&["probe", &unused, "--timeout-ms", "500"], 3, "no answer"),
         (&["probe", "nowhere"], 2, ""),
         (&["probe", &client, "--protocol", "postgres"], 0, "greeted"),
         (&["health", &http], 0, "group 0"),
         (&["health", &http, "--json"], 0, "\"serviceId\":\"rig\""),
-        (&["health", &nobody], 3, ""),
+        (&["health", &unused], 3, ""),
         (&["nonsense"], 2, ""),
         (&["--help"], 0, "probe"),
     ];
