--- a/src/health/drain.rs
+++ b/src/health/drain.rs
@@ -12,7 +12,8 @@
 /// A draining gateway accepts requests for at least this long: the platform's front sends new connections for 0.4 s,
 /// and a request that arrives after 0.7 s must be answered before the process may be killed.
 const MIN_ANNOUNCE_MS: u64 = 750;
-/// The platform waits for the longest deadline, up to this much of it, before it kills the process, microseconds.
+/// After SIGTERM the platform waits for the longest deadline, of which at most this much counts, before it kills the
+/// process, microseconds.
 const MAX_COUNTED_DEADLINE: Micros = 3_000_000;
 /// The platform waits this much longer than the counted deadline, microseconds.
 const KILL_GRACE_PERIOD: Micros = 700_000;
--- a/src/health/liveness.rs
+++ b/src/health/liveness.rs
@@ -9,7 +9,7 @@
 const STALL_THRESHOLD: Micros = 150_000;
 /// A hang within this time after the last one began is a relapse, microseconds.
 const RELAPSE_WINDOW: Micros = 60_000_000;
-/// Upper bound of the time for which heartbeats must be answered after a hang, microseconds; it doubles with each
+/// Upper bound of the time for which heartbeats must be answered after a hang, microseconds. That time doubles with each
 /// relapse.
 const MAX_RECOVERY_TIME: Micros = 30_000_000;
 /// Maximum number of samples that [`CommandAge`] keeps.
--- a/src/health/weight.rs
+++ b/src/health/weight.rs
@@ -1,5 +1,5 @@
-//! Weights under load: [`WeightSteps`] lowers and raises a weight in steps, and [`WeightRamp`] follows a target at once
-//! when it falls and slowly when it rises.
+//! Weights under load: [`WeightSteps`] lowers and raises a weight in steps, and [`WeightRamp`] follows a falling target
+//! at once and a rising one slowly.
 
 use super::{HealthOptions, MAX_WEIGHT};
 use crate::interface::Micros;
