--- a/src/bin/asterreel/health/heartbeat.rs
+++ b/src/bin/asterreel/health/heartbeat.rs
@@ -1,7 +1,8 @@
 //! The heartbeat: empty queries through the gateway's own listener, as a client would send them.
 //!
-//! One session stays open and sends a query at every heartbeat, which shows that the worker, the sessions and the core's
-//! lock make progress. About once a second a new connection shows that clients are accepted, and replaces the session.
+//! One session stays open and sends a query at every heartbeat, which shows that the worker, the sessions and the
+//! core's lock make progress. About once a second a new connection shows that clients are accepted, and replaces the
+//! session.
 
 use super::Shared;
 use crate::postgres as pg;
--- a/src/health/drain.rs
+++ b/src/health/drain.rs
@@ -49,8 +49,8 @@
 pub struct Drain {
     /// How long requests are still accepted after SIGTERM, milliseconds; computed from [`Balancer`] if left out.
     pub announce_ms: Option<u64>,
-    /// When the process may be killed, milliseconds after SIGTERM. If left out, the platform's rule applies: the longest
-    /// deadline, of which at most 3 s count, plus 0.7 s.
+    /// When the process may be killed, milliseconds after SIGTERM. If left out, the platform's rule applies: the
+    /// longest deadline, of which at most 3 s count, plus 0.7 s.
     pub kill_after_ms: Option<u64>,
 }
 
--- a/src/health/liveness.rs
+++ b/src/health/liveness.rs
@@ -9,8 +9,8 @@
 const STALL_THRESHOLD: Micros = 150_000;
 /// A hang within this time after the last one began is a relapse, microseconds.
 const RELAPSE_WINDOW: Micros = 60_000_000;
-/// Upper bound of the time for which heartbeats must be answered after a hang, microseconds. That time doubles with each
-/// relapse.
+/// Upper bound of the time for which heartbeats must be answered after a hang, microseconds. That time doubles with
+/// each relapse.
 const MAX_RECOVERY_TIME: Micros = 30_000_000;
 /// Maximum number of samples that [`CommandAge`] keeps.
 const MAX_SAMPLES: usize = 256;
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Advances the time. Heartbeats and connection attempts that are outstanding do not age while this thread itself was
-    /// not running, so that a process that was stopped as a whole does not count as hung when it continues.
+    /// Advances the time. Heartbeats and connection attempts that are outstanding do not age while this thread itself
+    /// was not running, so that a process that was stopped as a whole does not count as hung when it continues.
     pub fn advance(&mut self, now: Micros) {
         let gap = now.saturating_sub(self.last_event_at);
         self.last_event_at = now;
@@ -145,8 +145,8 @@
         let bound = options.hung_after();
         let overdue =
             |since: Option<Micros>| since.is_some_and(|at| now.saturating_sub(at) >= bound);
-        // A connection attempt that waits while all sessions are in use indicates load. One that waits although sessions
-        // are free, while the heartbeat has no open session, indicates a hang.
+        // A connection attempt that waits while all sessions are in use indicates load. One that waits although
+        // sessions are free, while the heartbeat has no open session, indicates a hang.
         let not_accepted = overdue(self.connecting_since.map(|at| at.max(self.session_lost_at)))
             && !self.session_open
             && !self.sessions_full
@@ -188,9 +188,9 @@
     }
 }
 
-/// Estimates the age of the oldest command that no session has received, from counts alone. Commands are received roughly
-/// in the order in which they were sent, so the oldest is at least as old as the first sample whose count of sent
-/// commands exceeds the count received now.
+/// Estimates the age of the oldest command that no session has received, from counts alone. Commands are received
+/// roughly in the order in which they were sent, so the oldest is at least as old as the first sample whose count of
+/// sent commands exceeds the count received now.
 #[derive(Default)]
 pub struct CommandAge {
     /// Time of each sample and the count of sent commands then.
--- a/src/health/mod.rs
+++ b/src/health/mod.rs
@@ -1,9 +1,9 @@
 //! Health of the gateway for load balancers: how many of the clients this gateway should receive.
 //!
-//! [`Machine`] decides a [`State`] and a weight of 0 to 100, for the whole gateway and for each group, from the counts of
-//! [`Observer`], the heartbeat of the request path, the capacity in use and the phase of a drain. Its entry point is
-//! [`Machine::handle`]. It never routes, rejects or delays a request and does no I/O. `docs/design/health.md` gives the
-//! reasons for its rules.
+//! [`Machine`] decides a [`State`] and a weight of 0 to 100, for the whole gateway and for each group, from the
+//! counts of [`Observer`], the heartbeat of the request path, the capacity in use and the phase of a drain. Its entry
+//! point is [`Machine::handle`]. It never routes, rejects or delays a request and does no I/O.
+//! `docs/design/health.md` gives the reasons for its rules.
 
 pub mod agent;
 pub mod connection_limit;
@@ -64,8 +64,8 @@
     NoMember,
     /// New connections are not accepted; open ones are served.
     Accept,
-    /// The gateway has no registration in the fleet's log, because it cannot reach the log or the other gateways removed
-    /// it. It may not act on the decisions that the fleet agrees on there.
+    /// The gateway has no registration in the fleet's log, because it cannot reach the log or the other gateways
+    /// removed it. It may not act on the decisions that the fleet agrees on there.
     ShutOut,
     /// The operator's file sets `maintenance`.
     Maintenance,
@@ -137,8 +137,8 @@
 }
 
 impl Capacity {
-    /// The share in use of the resource that is nearest its limit. Sessions count only when nearly all are in use, because
-    /// idle ones are closed to make room for new ones.
+    /// The share in use of the resource that is nearest its limit. Sessions count only when nearly all are in use,
+    /// because idle ones are closed to make room for new ones.
     fn utilization(&self) -> f64 {
         let share = |used: usize, limit: usize| {
             if limit == 0 {
@@ -239,7 +239,8 @@
         }
     }
 
-    /// Handles one event and appends the resulting actions. A time before that of an earlier event counts as the latter.
+    /// Handles one event and appends the resulting actions. If the clock steps back, the time of the previous event is
+    /// used.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.liveness.advance(self.now);
@@ -351,8 +352,8 @@
         }
         let level = group.steps.weight(&self.options);
         let served = f64::from(level) * (1.0 - group.lost_primary_share.unwrap_or(0.0));
-        // At least the floor, because reads can be served: with 0, balancers would take all gateways of the group out of
-        // service.
+        // At least the floor, because reads can be served: with 0, balancers would take all gateways of the group out
+        // of service.
         let weight = (served.round() as u8).clamp(self.options.floor, MAX_WEIGHT);
         match group.lost_primary_share {
             Some(_) => (weight, Reason::NoPrimary),
--- a/src/health/observer.rs
+++ b/src/health/observer.rs
@@ -101,8 +101,8 @@
     Served(Micros),
     /// Rejected or failed.
     NotServed(Micros),
-    /// The client disconnected, or the answer was passed on without being served; this is not counted because it does not
-    /// indicate load.
+    /// The client disconnected, or has its final answer from an attempt that was not served; this is not counted
+    /// because it does not indicate load.
     Uncounted,
 }
 
@@ -188,7 +188,8 @@
             let new_member = Member {
                 group: entry.group,
                 started: entry.started,
-                // Without the permit for probes, a member's reachability is unknown until a first request, so it is assumed.
+                // Without the permit for probes, a member's reachability is unknown until a first request, so it is
+                // assumed.
                 reachable: !self.probes.granted(),
                 failed: false,
             };
--- a/src/health/postgres.rs
+++ b/src/health/postgres.rs
@@ -54,8 +54,8 @@
             .first_chunk::<4>()
             .map_or(0, |code| u32::from_be_bytes(*code));
         if ENCRYPTION_REQUEST_CODES.contains(&code) {
-            // An SSLRequest after an earlier encryption request ends the connection, so that a peer cannot keep it open by
-            // repeating it.
+            // An SSLRequest after an earlier encryption request ends the connection, so that a peer cannot keep it
+            // open by repeating it.
             if std::mem::replace(&mut self.encryption_requested, true)
                 && code == ENCRYPTION_REQUEST_CODES[0]
             {
--- a/src/health/weight.rs
+++ b/src/health/weight.rs
@@ -27,8 +27,8 @@
 }
 
 impl WeightSteps {
-    /// Updates the step from the share of requests that were rejected, failed or late, `None` if too few ended, and from
-    /// the utilization of capacity.
+    /// Updates the step from the share of requests that were rejected, failed or late, `None` if too few ended, and
+    /// from the utilization of capacity.
     pub fn update(
         &mut self,
         now: Micros,
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -521,8 +521,8 @@
         }
     }
 
-    /// Passes the event to the observer and the router, then the router's actions to the observer. Returns the requests of
-    /// the attempts that are dispatched.
+    /// Passes the event to the observer and the router, then the router's actions to the observer. Returns the
+    /// requests of the attempts that are dispatched.
     fn feed(&mut self, event: RouterEvent) -> Vec<RequestId> {
         self.observer.event(self.gateway.now, &event);
         let actions = self.gateway.event(event);
@@ -622,8 +622,8 @@
     assert!(group.overloaded == 0 && group.ended >= 10, "{group:?}");
     assert!(group.primary_only_share > 0.8, "{group:?}");
 
-    // The primary reports that it is a replica and is demoted. Writes are queued and then rejected, which does not count
-    // as overload.
+    // The primary reports that it is a replica and is demoted. Writes are queued and then rejected, which does not
+    // count as overload.
     observed.healthy(0, common::member_report(Role::Replica, 0));
     assert!(!observed.group().has_primary);
     let attempts: Vec<RequestId> = (0..10).flat_map(|_| observed.write(GROUP)).collect();
