--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -1,5 +1,6 @@
-//! The instants in which something ends while something is owed: docs/design/endings.md lists them. Bad orders are made to
-//! happen by scripted peers, gates and a gateway that is stopped meanwhile; no test races.
+//! What happens when a client, an attempt, the gateway or discovery ends while a request or an answer is still open;
+//! docs/design/endings.md lists the cases. Scripted peers, gates and SIGSTOP of the gateway force each bad order of events,
+//! so that no test depends on a race.
 mod process;
 use asterreel_testbench::database as toy;
 use process::*;
@@ -10,14 +11,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long clients of a database that hangs wait for an answer, how much later it may come on a slow machine, and how much
-/// earlier a router that sees no chance left may fail the request.
-const WAIT: Duration = Duration::from_millis(2_000);
-const LATE: Duration = Duration::from_millis(700);
-const EARLY: Duration = Duration::from_millis(200);
+/// The deadline of requests to a database that hangs.
+const REQUEST_DEADLINE: Duration = Duration::from_millis(2_000);
+/// How much later than the deadline the answer may come on a slow machine.
+const MAX_DELAY: Duration = Duration::from_millis(700);
+/// How much before the deadline the router may fail a request that no attempt can complete in time.
+const MAX_LEAD: Duration = Duration::from_millis(200);
 
-/// A read whose client waits so long.
-fn read_within(id: &str, wait: Duration) -> Vec<u8> {
+/// A read whose client waits this long for the answer.
+fn read_with_wait(id: &str, wait: Duration) -> Vec<u8> {
     let wait = format!("d={}", wait.as_millis());
     let comment = format!("/* id={id},c=search,{wait},cluster=0,k=1 */");
     [
@@ -28,20 +30,21 @@
 }
 
 /// A primary and a replica that answer at once.
-fn primary_and_replica(seen: &Sender<Vec<u8>>) -> [Database; 2] {
-    [true, false].map(|primary| Database::start(primary, true, seen, |_| None))
+fn primary_and_replica(statements: &Sender<Vec<u8>>) -> [Database; 2] {
+    [true, false].map(|primary| Database::start(primary, true, statements, |_| None))
 }
 
 fn addresses_of(databases: &[Database; 2]) -> [SocketAddr; 2] {
     [databases[0].address, databases[1].address]
 }
 
-/// An address where nobody listens.
-fn nowhere() -> SocketAddr {
+/// An address on which nothing listens, so that connections are refused.
+fn refusing_address() -> SocketAddr {
     listen().local_addr().expect("bound")
 }
 
-fn id(statement: &[u8]) -> String {
+/// The request id in the comment of a statement.
+fn request_id(statement: &[u8]) -> String {
     let text = String::from_utf8_lossy(statement).into_owned();
     let from = text.find("id=").map_or(0, |at| at + 3);
     text[from..]
@@ -51,34 +54,36 @@
         .to_owned()
 }
 
-/// A gateway in front of two replicas: writes are queued until one of them reports that it is the primary.
+/// A gateway in front of two replicas: writes stay queued until one of them reports that it is the primary.
 struct Fixture {
     gateway: Gateway,
     log: Log,
     databases: [Database; 2],
-    seen: Receiver<Vec<u8>>,
+    /// The statements that reached the databases.
+    statements: Receiver<Vec<u8>>,
 }
 
 impl Fixture {
     fn new() -> Fixture {
-        Fixture::answering(|_| None)
+        Fixture::with_answers(|_| None)
     }
 
-    fn answering(instead: fn(&[u8]) -> Option<Vec<u8>>) -> Fixture {
-        let (statements, seen) = channel();
-        let databases = [(); 2].map(|()| Database::start(false, true, &statements, instead));
-        let places = addresses_of(&databases);
-        let (gateway, log) = staged(places, nowhere(), |config| config);
+    /// A fixture whose databases send this in place of their answer where it returns one.
+    fn with_answers(override_answer: fn(&[u8]) -> Option<Vec<u8>>) -> Fixture {
+        let (sender, statements) = channel();
+        let databases = [(); 2].map(|()| Database::start(false, true, &sender, override_answer));
+        let addresses = addresses_of(&databases);
+        let (gateway, log) = staged(addresses, refusing_address(), |config| config);
         Fixture {
             gateway,
             log,
             databases,
-            seen,
+            statements,
         }
     }
 
-    /// The same, and neither database answers statements.
-    fn hanging() -> Fixture {
+    /// A fixture of which neither database answers statements.
+    fn with_hanging_databases() -> Fixture {
         let fixture = Fixture::new();
         fixture
             .databases
@@ -87,30 +92,33 @@
         fixture
     }
 
-    /// The same, and a client whose write is queued.
-    fn with_queued_write(name: &str) -> (Fixture, Client) {
+    /// A fixture, and a client whose write with this id is queued.
+    fn with_queued_write(id: &str) -> (Fixture, Client) {
         let fixture = Fixture::new();
         let mut client = Client::ready(&fixture.gateway);
-        client.send(&query(&write(name)));
-        fixture.wait_until_queued(name);
+        client.send(&query(&write(id)));
+        fixture.wait_until_queued(id);
         (fixture, client)
     }
 
-    /// Asserts that the gateway takes the client for gone, and dispatches nothing of it even to a primary that turns up.
-    fn assert_gone_and_nothing_dispatched(&self) {
+    /// Asserts that the gateway ends the session because its client left, and does not dispatch the client's requests even
+    /// when there is a primary again.
+    fn assert_session_ended_without_dispatch(&self) {
         assert!(self.log.says("session ended: Left"));
         self.promote_primary();
-        assert_eq!(self.take_reached_ids(), [""; 0]);
+        assert_eq!(self.take_dispatched_ids(), [""; 0]);
     }
 
-    /// Waits until this write has been tried at replicas as often as it may be, and is only queued from then on.
-    fn wait_until_queued(&self, write: &str) {
+    /// Waits until the write with this id has used up its attempts at replicas, after which it is queued for a primary.
+    fn wait_until_queued(&self, write_id: &str) {
         for _ in 0..7 {
-            while id(&self.seen.recv_timeout(PATIENCE).expect("offered")) != write {}
+            while request_id(&self.statements.recv_timeout(PATIENCE).expect("an attempt"))
+                != write_id
+            {}
         }
     }
 
-    /// Makes the first replica the primary and waits until new writes are served, before which queued ones had their turn.
+    /// Makes the first replica the primary and waits until new writes are served: all queued ones are dispatched before.
     fn promote_primary(&self) {
         self.databases[0].primary.store(true, Ordering::SeqCst);
         for proof in ["proof-1", "proof-2"] {
@@ -120,9 +128,12 @@
         }
     }
 
-    /// The ids of the statements that have reached a server since the last call, but for those of `promote_primary`.
-    fn take_reached_ids(&self) -> Vec<String> {
-        let ids = self.seen.try_iter().map(|statement| id(&statement));
+    /// The request ids that have reached a database since the last call, except for those of `promote_primary`.
+    fn take_dispatched_ids(&self) -> Vec<String> {
+        let ids = self
+            .statements
+            .try_iter()
+            .map(|statement| request_id(&statement));
         ids.filter(|id| !id.starts_with("proof")).collect()
     }
 }
@@ -132,7 +143,7 @@
 fn queued_write_is_dropped_when_client_closes() {
     let (fixture, client) = Fixture::with_queued_write("gone");
     drop(client);
-    fixture.assert_gone_and_nothing_dispatched();
+    fixture.assert_session_ended_without_dispatch();
 }
 
 /// A write that is queued is not dispatched once its client has reset the connection.
@@ -142,21 +153,21 @@
     let mut client = Client::connect(&fixture.gateway);
     client.send(&[startup(), query(&write("gone"))].concat());
     fixture.wait_until_queued("gone");
-    // The welcome is still unread: this close is a reset.
+    // The client has not read the answer to its startup, so that closing the socket resets the connection.
     drop(client);
-    fixture.assert_gone_and_nothing_dispatched();
+    fixture.assert_session_ended_without_dispatch();
 }
 
-/// A client that closes only its sending side has gone: nothing can tell it from one that closed both.
+/// A client that closes only its sending side counts as gone: the gateway cannot tell it from one that closed both.
 #[test]
 fn half_closed_client_counts_as_gone() {
     let (fixture, mut client) = Fixture::with_queued_write("half");
     client.0.shutdown(std::net::Shutdown::Write).expect("shut");
-    fixture.assert_gone_and_nothing_dispatched();
+    fixture.assert_session_ended_without_dispatch();
     assert_eq!(client.answer().0, "", "closed");
 }
 
-/// What a client sent ahead of its close is not dispatched either.
+/// Requests that a client pipelined before its close are not dispatched either.
 #[test]
 fn pipelined_request_of_gone_client_is_dropped() {
     let (fixture, mut client) = Fixture::with_queued_write("first");
@@ -165,11 +176,11 @@
         .collect();
     client.send(&ahead);
     drop(client);
-    fixture.assert_gone_and_nothing_dispatched();
+    fixture.assert_session_ended_without_dispatch();
 }
 
-/// A session stops reading at the longest message sent ahead; the close behind that must be seen all the same, and neither
-/// the queued write nor what was sent after it is dispatched.
+/// A session stops reading once as much as the longest message is buffered. It must notice the close behind the unread
+/// bytes all the same, and dispatch neither the queued write nor what the client sent after it.
 #[test]
 fn client_close_is_seen_behind_unread_bytes() {
     let (fixture, mut client) = Fixture::with_queued_write("first");
@@ -180,10 +191,10 @@
         .log
         .says_within("session ended: Left", Duration::from_secs(5));
     fixture.promote_primary();
-    assert_eq!(fixture.take_reached_ids(), [""; 0]);
+    assert_eq!(fixture.take_dispatched_ids(), [""; 0]);
 }
 
-/// The gateway is stopped while thirty clients leave and a primary turns up: nothing of theirs is dispatched.
+/// Thirty clients leave and a primary appears while the gateway is stopped: none of their requests is dispatched.
 #[test]
 fn requests_of_a_burst_of_gone_clients_are_dropped() {
     let fixture = Fixture::new();
@@ -192,9 +203,9 @@
         client.send(&query(&write(&format!("gone-{n}"))));
     }
     fixture.wait_until_queued("gone-0");
-    // Those behind it in the queue were offered less often or not at all.
+    // Writes behind it in the queue have had fewer attempts or none; wait until no more arrive.
     while fixture
-        .seen
+        .statements
         .recv_timeout(Duration::from_millis(300))
         .is_ok()
     {}
@@ -204,10 +215,10 @@
     fixture.gateway.signal("-CONT");
     (0..30).for_each(|_| assert!(fixture.log.says("session ended: Left")));
     fixture.promote_primary();
-    assert_eq!(fixture.take_reached_ids(), [""; 0]);
+    assert_eq!(fixture.take_dispatched_ids(), [""; 0]);
 }
 
-/// The first attempt ends with an error in the very moment in which the client leaves: no second one starts.
+/// The gateway sees the error that ends the first attempt together with the client's close: it starts no second attempt.
 #[test]
 fn retry_is_not_started_for_gone_client() {
     let broken = |statement: &[u8]| {
@@ -215,7 +226,7 @@
             .starts_with(b"SELECT")
             .then(|| toy::error("XX000", "broken"))
     };
-    let fixture = Fixture::answering(broken);
+    let fixture = Fixture::with_answers(broken);
     fixture
         .databases
         .iter()
@@ -223,7 +234,7 @@
     let mut client = Client::ready(&fixture.gateway);
     client.send(&query(&read("gone")));
     fixture
-        .seen
+        .statements
         .recv_timeout(PATIENCE)
         .expect("a first attempt");
     fixture.gateway.signal("-STOP");
@@ -232,40 +243,36 @@
         .databases
         .iter()
         .for_each(|database| database.gate.set(true));
-    // Both are there before it goes on: what a database writes is on its way at once on this machine.
+    // The close and the error must both have arrived when the gateway continues; on loopback 100 ms are enough.
     thread::sleep(Duration::from_millis(100));
     fixture.gateway.signal("-CONT");
-    fixture.assert_gone_and_nothing_dispatched();
+    fixture.assert_session_ended_without_dispatch();
 }
 
-/// A cancel request with the key of a session ends its request, as in PostgreSQL; one with any other key does nothing.
+/// A cancel request with the key of a session ends its open request, as in PostgreSQL; one with another key has no effect.
 #[test]
 fn cancel_requires_the_right_key() {
     let fixture = Fixture::new();
     fixture.databases[0].primary.store(true, Ordering::SeqCst);
-    let (mut client, key) = Client::with_key(&fixture.gateway);
-    let (other, others) = Client::with_key(&fixture.gateway);
-    assert_ne!(
-        key[4..],
-        others[4..],
-        "each session has a secret of its own"
-    );
+    let (mut client, key) = Client::ready_with_key(&fixture.gateway);
+    let (other, other_key) = Client::ready_with_key(&fixture.gateway);
+    assert_ne!(key[4..], other_key[4..], "each session has its own secret");
     drop(other);
-    // Between two requests there is nothing to cancel, and the next is not touched.
+    // Between two requests there is nothing to cancel, and the next request is not affected.
     let cancel = |key: &[u8]| {
-        let mut asks = Client::connect(&fixture.gateway);
-        asks.send(&cancel_request(key));
-        assert_eq!(asks.answer().0, "", "no answer");
+        let mut canceller = Client::connect(&fixture.gateway);
+        canceller.send(&cancel_request(key));
+        assert_eq!(canceller.answer().0, "", "no answer");
     };
     cancel(&key);
     client.send(&query(&write("before")));
     assert_eq!(client.answer().0, "TDCZ");
     fixture.databases[0].gate.set(false);
     client.send(&query(&write("held")));
-    while id(&fixture.seen.recv_timeout(PATIENCE).expect("sent")) != "held" {}
-    let wrong = [&key[..4], &[key[4] ^ 1], &key[5..]].concat();
-    cancel(&wrong);
-    cancel(&others);
+    while request_id(&fixture.statements.recv_timeout(PATIENCE).expect("sent")) != "held" {}
+    let wrong_key = [&key[..4], &[key[4] ^ 1], &key[5..]].concat();
+    cancel(&wrong_key);
+    cancel(&other_key);
     client.0.set_nonblocking(true).expect("set");
     assert_eq!(
         client.0.peek(&mut [0]).expect_err("no answer yet").kind(),
@@ -274,14 +281,14 @@
     client.0.set_nonblocking(false).expect("set");
     cancel(&key);
     let (tags, bytes) = client.answer();
-    assert_eq!((tags.as_str(), code(&bytes)), ("EZ", &b"57014"[..]));
+    assert_eq!((tags.as_str(), error_code(&bytes)), ("EZ", &b"57014"[..]));
     fixture.databases[0].gate.set(true);
     client.send(&query(&read("after")));
     assert_eq!(client.answer().0, "TDCZ", "the session goes on");
     assert_eq!(
-        fixture.take_reached_ids(),
+        fixture.take_dispatched_ids(),
         ["after"],
-        "what was cancelled is not sent again"
+        "the cancelled write is not sent again"
     );
 }
 
@@ -289,31 +296,33 @@
 #[test]
 fn cancelled_request_is_not_dispatched() {
     let fixture = Fixture::new();
-    let (mut client, key) = Client::with_key(&fixture.gateway);
+    let (mut client, key) = Client::ready_with_key(&fixture.gateway);
     client.send(&query(&write("waits")));
     fixture.wait_until_queued("waits");
-    let mut asks = Client::connect(&fixture.gateway);
-    asks.send(&cancel_request(&key));
+    let mut canceller = Client::connect(&fixture.gateway);
+    canceller.send(&cancel_request(&key));
     let (tags, bytes) = client.answer();
-    assert_eq!((tags.as_str(), code(&bytes)), ("EZ", &b"57014"[..]));
+    assert_eq!((tags.as_str(), error_code(&bytes)), ("EZ", &b"57014"[..]));
     fixture.promote_primary();
-    assert_eq!(fixture.take_reached_ids(), [""; 0]);
+    assert_eq!(fixture.take_dispatched_ids(), [""; 0]);
 }
 
-/// After SIGTERM clients send on every connection that stays open, up to SIGKILL. A client that always has a next request
-/// must not keep its session, and the process, until it is killed with one unanswered.
+/// After SIGTERM clients keep sending on every connection that stays open. A client that always sends a next request must
+/// not keep its session, and so the process, open until SIGKILL ends it with a request unanswered.
 #[test]
 fn busy_client_does_not_delay_a_drain() {
     let (statements, seen) = channel();
     let databases = primary_and_replica(&statements);
-    let (mut gateway, log) = staged(addresses_of(&databases), nowhere(), |config| config);
-    // One waits for each answer, the other sends on and on without looking.
-    let mut asks = Client::ready(&gateway);
-    let mut sends = Client::ready(&gateway);
-    let mut sending = sends.0.try_clone().expect("cloned");
+    let (mut gateway, log) = staged(addresses_of(&databases), refusing_address(), |config| {
+        config
+    });
+    // One client waits for each answer, the other keeps sending without waiting.
+    let mut waiting = Client::ready(&gateway);
+    let mut pipelining = Client::ready(&gateway);
+    let mut sending = pipelining.0.try_clone().expect("cloned");
     let begun = Instant::now();
     let writer = thread::spawn(move || {
-        // Ten at a time, so that some are always there; for far longer than a drain takes, but not for ever.
+        // Ten at a time, so that the gateway always has unread requests; stops after far more time than a drain takes.
         (0..).step_by(10).find(|first| {
             let ten: Vec<u8> = (*first..first + 10)
                 .flat_map(|n| query(&read(&format!("sent-{n}"))))
@@ -324,13 +333,17 @@
     });
     let reader = thread::spawn(move || {
         let mut answers = 0;
-        while sends
+        while pipelining
             .0
             .peek(&mut [0])
             .expect("an answer or an end, and no reset")
             > 0
         {
-            assert_eq!(sends.answer().0, "TDCZ", "whole, after {answers}");
+            assert_eq!(
+                pipelining.answer().0,
+                "TDCZ",
+                "complete, after {answers} answers"
+            );
             answers += 1;
         }
         answers
@@ -340,8 +353,8 @@
     assert!(log.says("draining"));
     let drained = Instant::now();
     while drained.elapsed() < PATIENCE {
-        asks.send(&query(&read(&format!("asked-{answers}"))));
-        if asks
+        waiting.send(&query(&read(&format!("asked-{answers}"))));
+        if waiting
             .0
             .peek(&mut [0])
             .expect("an answer or an end, and no reset")
@@ -349,12 +362,19 @@
         {
             break;
         }
-        assert_eq!(asks.answer().0, "TDCZ", "whole, after {answers}");
+        assert_eq!(
+            waiting.answer().0,
+            "TDCZ",
+            "complete, after {answers} answers"
+        );
         answers += 1;
     }
-    assert!(answers > 0, "served on for as long as clients may come");
-    gateway.exits_well();
-    // Nothing is owed 0.75 s after the signal but what was read by then.
+    assert!(
+        answers > 0,
+        "requests are served until the drain closes the sessions"
+    );
+    gateway.wait_for_success();
+    // From 0.75 s after the signal only requests that were read before are still answered.
     assert!(
         drained.elapsed() < Duration::from_millis(2_500),
         "{:?}",
@@ -363,26 +383,28 @@
     let served = reader.join().expect("no reset");
     writer.join().expect("it ends");
     drop(gateway);
-    // Each that reached a database was answered: nothing that was read after the end was forwarded.
-    let reached = seen
+    // Every request that reached a database was answered: none was forwarded after its session had ended.
+    let dispatched = seen
         .try_iter()
-        .filter(|statement| id(statement).starts_with("sent"))
+        .filter(|statement| request_id(statement).starts_with("sent"))
         .count();
-    assert_eq!(reached, served);
+    assert_eq!(dispatched, served);
 }
 
-/// A close over unread bytes resets the connection, and what was written last may go with it: a client that has sent more
-/// than was read still gets its last answer and an end.
+/// Closing a socket with unread bytes resets the connection, and the peer may lose what was written last. A client that
+/// has sent more than the gateway read must still receive its last answer and a regular close.
 #[test]
 fn unread_bytes_do_not_reset_the_last_answer() {
     let (statements, _seen) = channel();
     let databases = primary_and_replica(&statements);
-    let (gateway, _log) = staged(addresses_of(&databases), nowhere(), |config| config);
+    let (gateway, _log) = staged(addresses_of(&databases), refusing_address(), |config| {
+        config
+    });
     let mut client = Client::ready(&gateway);
-    // No message, and then far more than one read takes in.
+    // An invalid message, followed by far more bytes than one read returns.
     client.send(&[&[0xff; 5][..], &[b'x'; 100_000]].concat());
-    let rest = client.end().expect("an end and no reset");
-    assert_eq!((rest[0], code(&rest)), (b'E', &b"08P01"[..]));
+    let rest = client.read_to_end().expect("an end and no reset");
+    assert_eq!((rest[0], error_code(&rest)), (b'E', &b"08P01"[..]));
     let mut client = Client::connect(&gateway);
     client.send(
         &[
@@ -393,14 +415,14 @@
         ]
         .concat(),
     );
-    let rest = client.end().expect("an end and no reset");
+    let rest = client.read_to_end().expect("an end and no reset");
     assert!(
         rest.windows(8).any(|bytes| bytes == b"SELECT 1"),
-        "the answer before its goodbye"
+        "the answer to the query sent before Terminate"
     );
 }
 
-/// A server sends notices without end, as fast as it can: the request ends at its deadline, and others are served meanwhile.
+/// A server sends notices endlessly, as fast as it can: the request ends at its deadline, and others are served meanwhile.
 #[test]
 fn endless_answer_is_stopped_at_its_deadline() {
     let (statements, _seen) = channel();
@@ -411,9 +433,9 @@
         listener
             .incoming()
             .flatten()
-            .for_each(|client| drop(thread::spawn(move || pour(client))))
+            .for_each(|client| drop(thread::spawn(move || serve_endless_notices(client))))
     });
-    let (gateway, _log) = staged([good.address, endless], nowhere(), |config| config);
+    let (gateway, _log) = staged([good.address, endless], refusing_address(), |config| config);
     let begun = Instant::now();
     let mut waiting = Client::ready(&gateway);
     let statement = String::from_utf8_lossy(&read("endless")).replace("d=60000", "d=1500");
@@ -438,8 +460,8 @@
     );
 }
 
-/// A server that starts sessions and reports as a replica in step, and answers statements with notices without end.
-fn pour(mut client: TcpStream) -> std::io::Result<()> {
+/// Starts a session and reports as a replica that is up to date, and answers the first statement with endless notices.
+fn serve_endless_notices(mut client: TcpStream) -> std::io::Result<()> {
     toy::read_body(&mut client)?;
     client.write_all(&[toy::message(b'R', &[0; 4]), toy::message(b'Z', b"I")].concat())?;
     let notices = toy::message(b'S', b"server_version\x0015\0").repeat(2_000);
@@ -461,143 +483,153 @@
     }
 }
 
-/// The time of each request that a client sends at once runs from its own last byte, whatever stands before it: each is
-/// answered in its time while a server hangs.
+/// The deadline of a pipelined request counts from its own last byte, not from its turn behind earlier requests: each is
+/// answered by its deadline while a server hangs.
 #[test]
 fn pipelined_requests_keep_their_own_deadlines() {
-    let fixture = Fixture::hanging();
+    let fixture = Fixture::with_hanging_databases();
     let mut client = Client::ready(&fixture.gateway);
     let sent = Instant::now();
     let all: Vec<u8> = (0..5)
-        .flat_map(|n| query(&read_within(&format!("r-{n}"), WAIT)))
+        .flat_map(|n| query(&read_with_wait(&format!("r-{n}"), REQUEST_DEADLINE)))
         .collect();
     client.send(&all);
     for n in 0..5 {
         assert_eq!(client.answer().0, "EZ", "request {n}");
         assert!(
-            sent.elapsed() < WAIT + LATE,
+            sent.elapsed() < REQUEST_DEADLINE + MAX_DELAY,
             "request {n} is answered after {:?}",
             sent.elapsed()
         );
     }
-    // The session goes on, and a request that comes later has all of its time.
+    // The session goes on, and a later request has its full time.
     fixture
         .databases
         .iter()
         .for_each(|database| database.gate.set(true));
     client.send(&query(&read("after")));
     assert_eq!(client.answer().0, "TDCZ");
-    // Nothing was begun for those whose time was over when their turn came.
+    // Requests whose deadline had passed when their turn came were not passed to the router.
     let lines = fixture
         .log
         .lines_up_to("done request=2 ", PATIENCE)
         .expect("logged");
-    let arrived = lines
+    let passed = lines
         .iter()
         .filter(|line| line.contains("RequestArrived(Arrival"))
         .count();
-    let over = lines
+    let expired = lines
         .iter()
         .filter(|line| line.contains("out of time before its turn"))
         .count();
-    assert_eq!((arrived, over), (2, 4), "the first and the last");
+    assert_eq!(
+        (passed, expired),
+        (2, 4),
+        "only the first and the last are passed to the router"
+    );
 }
 
-/// The first request and half of the second come in one read, the rest of it byte by byte, its end in one read with the
-/// complete third: the time of the second and third runs from then on, neither from their first bytes nor from their turn.
+/// The first request and half of the second arrive in one read, then parts of the second, then its end together with the
+/// complete third. The deadlines of the second and third count from that last read, neither from their first bytes nor from
+/// their turn.
 #[test]
 fn deadline_runs_from_the_last_byte_of_a_request() {
-    let fixture = Fixture::hanging();
+    let fixture = Fixture::with_hanging_databases();
     let mut client = Client::ready(&fixture.gateway);
-    let [first, second, third] = ["r-1", "r-2", "r-3"].map(|id| query(&read_within(id, WAIT)));
+    let [first, second, third] =
+        ["r-1", "r-2", "r-3"].map(|id| query(&read_with_wait(id, REQUEST_DEADLINE)));
     let (front, back) = second.split_at(second.len() / 2);
-    let (pieces, end) = back.split_at(back.len() - 3);
+    let (middle, end) = back.split_at(back.len() - 3);
     let sent = Instant::now();
     client.send(&[&first[..], front].concat());
-    for piece in pieces.chunks(pieces.len().div_ceil(10)) {
-        thread::sleep(WAIT / 20);
+    for piece in middle.chunks(middle.len().div_ceil(10)) {
+        thread::sleep(REQUEST_DEADLINE / 20);
         client.send(piece);
     }
     client.send(&[end, &third[..]].concat());
-    let whole = Instant::now();
-    // A slow machine may take longer over the pieces, but must not be done before the first is given up.
-    assert!(sent.elapsed() < WAIT, "written while the first still waits");
+    let complete = Instant::now();
+    // A slow machine may take longer to send the parts, but the first request must still be open when the last is sent.
+    assert!(
+        sent.elapsed() < REQUEST_DEADLINE,
+        "everything is sent while the first request is still open"
+    );
     assert_eq!(client.answer().0, "EZ");
     assert!(
-        sent.elapsed() < WAIT + LATE,
+        sent.elapsed() < REQUEST_DEADLINE + MAX_DELAY,
         "the first is answered after {:?}",
         sent.elapsed()
     );
     for n in [2, 3] {
         assert_eq!(client.answer().0, "EZ");
-        let took = whole.elapsed();
+        let took = complete.elapsed();
         assert!(
-            took > WAIT - EARLY && took < WAIT + LATE,
+            took > REQUEST_DEADLINE - MAX_LEAD && took < REQUEST_DEADLINE + MAX_DELAY,
             "request {n} is answered after {took:?}"
         );
     }
 }
 
-/// Listens at an address only from now on: until then calls are refused.
-fn listen_again(place: SocketAddr) -> TcpListener {
+/// Starts to listen on an address that refused connections until now; retries for 5 s while the address is in use.
+fn listen_with_retries(address: SocketAddr) -> TcpListener {
     (0..500)
         .find_map(|_| {
             thread::sleep(Duration::from_millis(10));
-            TcpListener::bind(place).ok()
+            TcpListener::bind(address).ok()
         })
-        .expect("the place is free")
+        .expect("the address is free")
 }
 
-/// Whatever happened to the calls before, the next one comes within 6 s after discovery can be reached again, less the 2 s
-/// that it may wait in discovery's queue: the backoff does not grow beyond that with refusals or the size of the fleet.
+/// After refused calls, the next call comes within 6 s of discovery being reachable again, less the 2 s that it may wait in
+/// discovery's queue: the backoff does not grow beyond that with the number of refusals or the size of the fleet.
 #[test]
 fn discovery_is_called_in_time_after_refusals() {
-    let plays = [1, 30, 300].map(|fleet| {
+    let runs = [1, 30, 300].map(|fleet| {
         thread::spawn(move || {
-            // An address of its own: nobody else is given its port meanwhile.
-            let mut place = own_address();
-            place.set_port(8_500);
+            // A unique address, so that nothing else binds its port before discovery listens.
+            let mut address = unique_address();
+            address.set_port(8_500);
             let fleet_size = format!("\"FleetSize\": {fleet}");
             let change = |config: String| {
                 config
                     .replace("\"FleetSize\": 1,", &format!("{fleet_size},"))
                     .replace("10000000,", "60000000,")
             };
-            let (gateway, log) = staged([nowhere(), nowhere()], place, change);
+            let (gateway, log) = staged([refusing_address(), refusing_address()], address, change);
             assert!(
                 gateway.config.contains(&fleet_size)
                     && gateway.config.contains("\"AskEveryUs\": 60000000")
             );
             (0..4).for_each(|_| assert!(log.says("watch lost"), "refused"));
-            let back = Instant::now();
-            let discovery = listen_again(place);
-            called(&discovery).expect("it calls");
-            (fleet, back.elapsed())
+            let reachable = Instant::now();
+            let discovery = listen_with_retries(address);
+            accept_call(&discovery).expect("it calls");
+            (fleet, reachable.elapsed())
         })
     });
-    // All of them, before anything is asserted: none may be left behind.
-    let played: Vec<_> = plays.into_iter().map(thread::JoinHandle::join).collect();
-    let took: Vec<_> = played
+    // Join all threads before any assertion, so that none of them outlives the test.
+    let results: Vec<_> = runs.into_iter().map(thread::JoinHandle::join).collect();
+    let took: Vec<_> = results
         .into_iter()
-        .map(|play| play.expect("called"))
+        .map(|result| result.expect("called"))
         .collect();
-    // One second more for the machine.
+    // 4 s are allowed by the rule above, one more for a slow machine.
     assert!(
         took.iter().all(|(_, took)| *took < Duration::from_secs(5)),
-        "fleets, called after: {took:?}"
+        "fleet sizes, and when discovery was called: {took:?}"
     );
 }
 
-/// A list counts from when the agent has it: a watch that ends is opened again at once, in a fleet of any size.
+/// An update counts as notified once the agent has it, whether or not the gateway's watch is open. A watch on the agent
+/// that ends is therefore opened again at once, in a fleet of any size.
 #[test]
 fn ended_watch_on_agent_is_reopened_at_once() {
     let agent = listen();
-    let _gateway = pushed(&agent, 300);
+    let _gateway = start_with_push_agent(&agent, 300);
     for _ in 0..6 {
-        let watch = toy::Watch::begin(called(&agent).expect("a watch")).expect("begun");
+        let watch = toy::Watch::begin(accept_call(&agent).expect("a watch")).expect("begun");
         drop(watch);
         let ended = Instant::now();
-        let again = called(&agent).expect("it calls again");
+        let again = accept_call(&agent).expect("it calls again");
         assert!(
             ended.elapsed() < Duration::from_secs(1),
             "called again after {:?}",
@@ -607,18 +639,22 @@
     }
 }
 
-/// A gateway is ready from the known list whatever discovery does: refuses, sends nothing, or can't be reached at all.
+/// A gateway becomes ready with the known list whether discovery refuses connections, sends nothing or cannot be reached.
 #[test]
 fn restarted_gateway_serves_from_known_list() {
     let silent = listen();
-    // Nobody ever accepts there, and its queue is full.
+    // Its accept queue is full and never read, so that connections to it time out.
     let full = listen();
-    let place = full.local_addr().expect("bound");
+    let full_address = full.local_addr().expect("bound");
     let queue: Vec<_> = (0..200)
-        .map(|_| TcpStream::connect_timeout(&place, Duration::from_millis(20)))
+        .map(|_| TcpStream::connect_timeout(&full_address, Duration::from_millis(20)))
         .collect();
-    let places = [nowhere(), silent.local_addr().expect("bound"), place];
-    for place in places {
+    let discovery_addresses = [
+        refusing_address(),
+        silent.local_addr().expect("bound"),
+        full_address,
+    ];
+    for discovery in discovery_addresses {
         for fleet in [1, 300] {
             let (statements, _seen) = channel();
             let databases = primary_and_replica(&statements);
@@ -627,7 +663,7 @@
             let change = |config: String| {
                 config.replace("\"FleetSize\": 1,", &format!("\"FleetSize\": {fleet},"))
             };
-            let (gateway, _log) = staged(addresses, place, change);
+            let (gateway, _log) = staged(addresses, discovery, change);
             let mut client = Client::ready(&gateway);
             client.send(&query(b""));
             assert_eq!(client.answer().0, "IZ", "ready");
@@ -643,74 +679,78 @@
     drop(queue);
 }
 
-/// Idle clients may use all descriptors of clients while discovery is down: when it is back, it is watched at once, servers
-/// are reached, and a new client is served in the place of an idle one.
+/// Idle clients may use all descriptors that are meant for clients while discovery is down. When discovery is back, it is
+/// watched at once, connections to servers can be opened, and new clients replace idle ones.
 #[test]
 fn idle_clients_leave_descriptors_for_the_rest() {
-    let mut place = own_address();
-    place.set_port(8_500);
+    let mut address = unique_address();
+    address.set_port(8_500);
     let (statements, seen) = channel();
     let databases = primary_and_replica(&statements);
     let addresses = addresses_of(&databases);
-    let (gateway, log) = staged(addresses, place, |config| config.replace("1024", "96"));
-    let mut resting: Vec<Client> = (0..60).map(|_| Client::ready(&gateway)).collect();
+    let (gateway, log) = staged(addresses, address, |config| config.replace("1024", "96"));
+    let mut idle: Vec<Client> = (0..60).map(|_| Client::ready(&gateway)).collect();
     databases
         .iter()
         .for_each(|database| database.gate.set(false));
     let mut busy = Client::ready(&gateway);
     busy.send(&query(&write("busy")));
-    while id(&seen.recv_timeout(PATIENCE).expect("sent")) != "busy" {}
+    while request_id(&seen.recv_timeout(PATIENCE).expect("sent")) != "busy" {}
     assert!(log.says("watch lost"), "discovery is down");
-    let held = descriptors(&gateway);
-    assert!(held <= 96, "{held} descriptors");
-    let discovery = listen_again(place);
-    let back = Instant::now();
-    let mut watch = toy::Watch::begin(called(&discovery).expect("it calls")).expect("begun");
+    let open = open_descriptors(&gateway);
+    assert!(open <= 96, "{open} descriptors");
+    let discovery = listen_with_retries(address);
+    let reachable = Instant::now();
+    let mut watch = toy::Watch::begin(accept_call(&discovery).expect("it calls")).expect("begun");
     watch
-        .tell(&format!("{}\n", list_of(&gateway.config)))
+        .tell(&format!("{}\n", endpoint_list_of(&gateway.config)))
         .expect("sent");
     assert!(
-        back.elapsed() < Duration::from_secs(5),
+        reachable.elapsed() < Duration::from_secs(5),
         "called after {:?}",
-        back.elapsed()
+        reachable.elapsed()
     );
     // New clients, of whom one sends a request.
-    resting.extend((0..30).map(|_| Client::ready(&gateway)));
+    idle.extend((0..30).map(|_| Client::ready(&gateway)));
     databases
         .iter()
         .for_each(|database| database.gate.set(true));
-    let last = resting.last_mut().expect("30 clients");
+    let last = idle.last_mut().expect("30 clients");
     last.send(&query(&read("asks")));
     assert_eq!(last.answer().0, "TDCZ");
-    assert_eq!(busy.answer().0, "TDCZ", "none is closed inside a request");
-    assert!(descriptors(&gateway) <= 96);
+    assert_eq!(
+        busy.answer().0,
+        "TDCZ",
+        "a session with an open request is not closed"
+    );
+    assert!(open_descriptors(&gateway) <= 96);
 }
 
-fn descriptors(gateway: &Gateway) -> usize {
+fn open_descriptors(gateway: &Gateway) -> usize {
     let open = std::fs::read_dir(format!("/proc/{}/fd", gateway.process.id()));
     open.expect("a process").count()
 }
 
-/// One server accepts and never answers the startup message, another closes each connection in the moment it is idle: reads
-/// go to the next, and a write in the way of such a close has not run twice.
+/// A server accepts connections and never answers the startup message: each read is still served, by the other server.
 #[test]
-fn hanging_connect_costs_a_read_only_time() {
+fn hanging_startup_only_delays_reads() {
     let (statements, _seen) = channel::<Vec<u8>>();
     let good = Database::start(true, true, &statements, |_| None);
     let listener = listen();
-    let place = listener.local_addr().expect("bound");
-    let kept: Sender<TcpStream> = {
-        let (keep, kept) = channel();
-        thread::spawn(move || kept.into_iter().collect::<Vec<TcpStream>>());
-        keep
+    let silent = listener.local_addr().expect("bound");
+    // Keeps the accepted connections open.
+    let accepted: Sender<TcpStream> = {
+        let (sender, accepted) = channel();
+        thread::spawn(move || accepted.into_iter().collect::<Vec<TcpStream>>());
+        sender
     };
     thread::spawn(move || {
         listener
             .incoming()
             .flatten()
-            .try_for_each(|client| kept.send(client))
+            .try_for_each(|client| accepted.send(client))
     });
-    let (gateway, _log) = staged([good.address, place], nowhere(), |config| config);
+    let (gateway, _log) = staged([good.address, silent], refusing_address(), |config| config);
     let mut client = Client::ready(&gateway);
     for n in 0..10 {
         client.send(&query(&read(&format!("r-{n}"))));
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -23,7 +23,7 @@
     assert_eq!(tags, "TDCZ");
     assert!(bytes.starts_with(&toy::row(b"\x9f\x03toy")));
     let seen = gateway
-        .seen
+        .statements
         .recv_timeout(Duration::from_secs(20))
         .expect("a database got it");
     let (before, after) = (
@@ -141,7 +141,7 @@
         .expect("set");
     for client in bad.iter_mut().chain([&mut slow]) {
         let (tags, bytes) = client.answer();
-        assert_eq!((tags.as_str(), code(&bytes)), ("E", &b"08P01"[..]));
+        assert_eq!((tags.as_str(), error_code(&bytes)), ("E", &b"08P01"[..]));
     }
     client.send(&complete);
     assert_eq!(
@@ -164,14 +164,14 @@
     ));
     let (tags, bytes) = client.answer();
     // It may have run: failed, not refused.
-    assert_eq!((tags.as_str(), code(&bytes)), ("EZ", &b"58000"[..]));
+    assert_eq!((tags.as_str(), error_code(&bytes)), ("EZ", &b"58000"[..]));
     let ran = |statement: &Vec<u8>| statement.starts_with(b"INSERT");
-    assert_eq!(gateway.seen.try_iter().filter(ran).count(), 1);
+    assert_eq!(gateway.statements.try_iter().filter(ran).count(), 1);
     client.send(&query(&read("r")));
     let (tags, bytes) = client.answer();
-    assert_eq!((tags.as_str(), code(&bytes)), ("EZ", &b"53300"[..]));
+    assert_eq!((tags.as_str(), error_code(&bytes)), ("EZ", &b"53300"[..]));
     assert!(
-        gateway.seen.try_iter().count() > 1,
+        gateway.statements.try_iter().count() > 1,
         "a safe read was tried again"
     );
 }
@@ -187,8 +187,8 @@
         b"INSERT INTO entries VALUES ('k') /* id=w,c=booking,d=5000,cluster=0 */",
     ));
     let (tags, bytes) = client.answer();
-    assert_eq!((tags.as_str(), code(&bytes)), ("EZ", &b"58000"[..]));
-    assert_eq!(gateway.seen.try_iter().count(), 1);
+    assert_eq!((tags.as_str(), error_code(&bytes)), ("EZ", &b"58000"[..]));
+    assert_eq!(gateway.statements.try_iter().count(), 1);
 }
 
 /// A statement that servers reject as invalid fails at once and is sent to no other member.
@@ -200,8 +200,8 @@
     let mut client = Client::ready(&gateway);
     client.send(&query(&read("u")));
     let (tags, bytes) = client.answer();
-    assert_eq!((tags.as_str(), code(&bytes)), ("EZ", &b"58000"[..]));
-    assert_eq!(gateway.seen.try_iter().count(), 1);
+    assert_eq!((tags.as_str(), error_code(&bytes)), ("EZ", &b"58000"[..]));
+    assert_eq!(gateway.statements.try_iter().count(), 1);
 }
 
 /// A request with the id of an open one gets an error and reaches no server.
@@ -230,15 +230,15 @@
             .expect("set");
     }
     let (tags, bytes) = clients[second].answer();
-    assert_eq!((tags.as_str(), code(&bytes)), ("EZ", &b"08P01"[..]));
+    assert_eq!((tags.as_str(), error_code(&bytes)), ("EZ", &b"08P01"[..]));
     // Its id is free again once the first has been served.
     for asking in [1 - second, second] {
         gateway
-            .seen
+            .statements
             .recv_timeout(Duration::from_secs(20))
             .expect("a database got it");
         assert_eq!(clients[asking].answer().0, "TDCZ");
-        assert!(gateway.seen.try_recv().is_err(), "once only");
+        assert!(gateway.statements.try_recv().is_err(), "once only");
         clients[second].send(&query(&read("same")));
     }
 }
@@ -279,7 +279,7 @@
 /// On SIGTERM the gateway answers open requests, closes idle connections late, and exits with success.
 #[test]
 fn sigterm_drains_open_requests_and_exits() {
-    let mut gateway = start_logging(0, 1024, |_| None, Stdio::piped());
+    let mut gateway = start_with_log(0, 1024, |_| None, Stdio::piped());
     let mut idle = Client::ready(&gateway);
     let mut busy = Client::ready(&gateway);
     let mut late = Client::ready(&gateway);
@@ -299,7 +299,7 @@
     );
     // Only now does the database answer.
     gateway
-        .seen
+        .statements
         .recv_timeout(Duration::from_secs(20))
         .expect("a database got it");
     let mut tags = [busy.answer().0, late.answer().0];
@@ -311,7 +311,7 @@
         (busy.answer().0, late.answer().0),
         (String::new(), String::new())
     );
-    gateway.exits_well();
+    gateway.wait_for_success();
 }
 
 /// A bad configuration ends the gateway, and the error names the key.
@@ -338,7 +338,7 @@
 fn closed_log_does_not_stop_service() {
     let (reader, writer) = UnixStream::pair().expect("a pair");
     drop(reader);
-    let gateway = start_logging(1000, 1024, |_| None, OwnedFd::from(writer).into());
+    let gateway = start_with_log(1000, 1024, |_| None, OwnedFd::from(writer).into());
     let mut client = Client::ready(&gateway);
     client.send(&query(&read("q")));
     assert_eq!(client.answer().0, "TDCZ");
@@ -368,7 +368,7 @@
         let (listener, key) = discovery_place();
         gateway.reload(&[&gateway.config[..from], &key, &gateway.config[to..]].concat());
         // The old place is still up, and its watch open.
-        let mut watch = called(&listener).expect("the gateway calls");
+        let mut watch = accept_call(&listener).expect("the gateway calls");
         watch.read_exact(&mut call).expect("a call");
         assert!(
             call.starts_with(b"GET /v1/servers?watch=1&after=0 "),
@@ -388,7 +388,7 @@
     gateway.signal("-TERM");
     gateway.signal("-HUP");
     assert_eq!(idle.answer().0, "");
-    gateway.exits_well();
+    gateway.wait_for_success();
 }
 
 /// Where an agent on the gateway's machine pushes the list, the router never asks for a watch: the gateway must watch the
@@ -396,8 +396,8 @@
 #[test]
 fn pushing_agent_is_watched_from_the_start() {
     let agent = listen();
-    let _gateway = pushed(&agent, 1);
-    let mut call = called(&agent).expect("the gateway watches the agent unasked");
+    let _gateway = start_with_push_agent(&agent, 1);
+    let mut call = accept_call(&agent).expect("the gateway watches the agent unasked");
     let mut head = [0; 32];
     call.read_exact(&mut head).expect("a call");
     assert!(
@@ -412,13 +412,13 @@
 #[test]
 fn silent_watch_is_reopened_in_a_fleet_of_300() {
     let agent = listen();
-    let _gateway = pushed(&agent, 300);
-    let mut watch = toy::Watch::begin(called(&agent).expect("a watch")).expect("begun");
+    let _gateway = start_with_push_agent(&agent, 300);
+    let mut watch = toy::Watch::begin(accept_call(&agent).expect("a watch")).expect("begun");
     let list = "{\n  \"revision\": 777,\n  \"complete\": true,\n\n  \"members\": [\n  ]\n}\n";
     watch.tell(&list[..9]).expect("sent");
     watch.tell(&list[9..]).expect("sent");
     let silent = Instant::now();
-    let mut call = called(&agent).expect("it calls again");
+    let mut call = accept_call(&agent).expect("it calls again");
     let took = silent.elapsed();
     let mut head = [0; 36];
     call.read_exact(&mut head).expect("a call");
--- a/tests/golden_answers.rs
+++ b/tests/golden_answers.rs
@@ -198,7 +198,7 @@
     // From here on the databases have statements and do not answer.
     primary.gate.set(false);
     replica.gate.set(false);
-    let (mut cancelled, key) = Client::with_key(&gateway);
+    let (mut cancelled, key) = Client::ready_with_key(&gateway);
     cancelled.send(&statement(READ, "id=m,c=search,d=20000,cluster=0"));
     assert!(log.says("send request="), "an attempt is out");
     let other = exchange(
--- a/tests/process/mod.rs
+++ b/tests/process/mod.rs
@@ -1,4 +1,4 @@
-//! The gateway's process on sockets, to test with: how it is started, and a client.
+//! Starts the gateway as a process in front of stand-in databases and discovery, and provides a PostgreSQL client.
 #![allow(dead_code)]
 
 use asterreel_testbench::{bounded, database as toy};
@@ -11,27 +11,27 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long anything is waited for: far longer than it takes on a slow machine.
+/// The most that tests wait for anything to happen: far longer than it takes on a slow machine.
 pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
 
-/// The example configuration, which tests change by replacing parts of its text.
+/// The text of the example configuration, in which tests replace parts.
 pub(crate) const EXAMPLE: &str = include_str!("../../examples/config.json");
 
-/// The process of a gateway, killed when dropped.
+/// A gateway's process, which is killed when this is dropped.
 pub(crate) struct Gateway {
-    /// The process.
     pub process: Child,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub address: SocketAddr,
-    /// The statements that the databases got.
-    pub seen: Receiver<Vec<u8>>,
-    /// The configuration file and its text.
+    /// The statements that the databases received.
+    pub statements: Receiver<Vec<u8>>,
+    /// The configuration file.
     pub file: tempfile::NamedTempFile,
+    /// The text of the configuration file at the start.
     pub config: String,
 }
 
 impl Gateway {
-    /// Sends a signal, named as for kill(1).
+    /// Sends a signal, given as an option of kill(1), such as `-TERM`.
     pub(crate) fn signal(&self, name: &str) {
         let status = Command::new("kill")
             .arg(name)
@@ -46,8 +46,8 @@
         self.signal("-HUP");
     }
 
-    /// Waits for the process to end, and asserts success.
-    pub(crate) fn exits_well(&mut self) {
+    /// Waits for the process to exit and asserts that its status is success.
+    pub(crate) fn wait_for_success(&mut self) {
         assert!(bounded::exit(&mut self.process, PATIENCE)
             .expect("it ends")
             .success());
@@ -61,50 +61,57 @@
     }
 }
 
-/// A listener on a free port.
+/// A listener on a free port of the loopback interface.
 pub(crate) fn listen() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").expect("a free port")
 }
 
-/// A gateway in front of a primary and a replica that answer at once.
+/// Starts a gateway in front of a primary and a replica that answer at once.
 pub(crate) fn start() -> Gateway {
     start_with(1000, 1024, |_| None)
 }
 
-/// A gateway whose databases hold back answers while more than `unseen` statements have not been received from `seen`.
-pub(crate) fn start_with(unseen: usize, sockets: u32, spoil: toy::Spoil) -> Gateway {
-    start_logging(unseen, sockets, spoil, Stdio::null())
+/// Starts a gateway whose databases withhold answers while more than `unread` statements have not been taken from
+/// [`Gateway::statements`]. `sockets` is the gateway's descriptor limit. Where `last_answer` returns bytes for a statement,
+/// the database sends them in place of its answer and closes the connection.
+pub(crate) fn start_with(unread: usize, sockets: u32, last_answer: toy::Spoil) -> Gateway {
+    start_with_log(unread, sockets, last_answer, Stdio::null())
 }
 
-/// The same, with its log going to `log`.
-pub(crate) fn start_logging(unseen: usize, sockets: u32, spoil: toy::Spoil, log: Stdio) -> Gateway {
-    let (statements, seen) = sync_channel(unseen);
-    // A slow machine must not run into a deadline.
+/// Like [`start_with`], with the gateway's log written to `log`.
+pub(crate) fn start_with_log(
+    unread: usize,
+    sockets: u32,
+    last_answer: toy::Spoil,
+    log: Stdio,
+) -> Gateway {
+    let (sender, statements) = sync_channel(unread);
+    // Long enough that requests do not reach their deadline on a slow machine.
     let config = EXAMPLE.replace("\"DeadlineUs\": 1200000", "\"DeadlineUs\": 20000000");
     let mut config = config.replace("1024", &sockets.to_string());
     for (port, role) in [("5501", toy::Role::Primary), ("5502", toy::Role::Replica)] {
-        let (listener, statements) = (listen(), statements.clone());
+        let (listener, sender) = (listen(), sender.clone());
         let address = listener.local_addr().expect("bound").to_string();
         config = config.replace(&format!("127.0.0.1:{port}"), &address);
-        thread::spawn(move || toy::toy(&listener, role, Some(statements), spoil));
+        thread::spawn(move || toy::toy(&listener, role, Some(sender), last_answer));
     }
-    let list = list_of(&config);
+    let list = endpoint_list_of(&config);
     let discovery = listen();
     config = config.replace(
         "127.0.0.1:8500",
         &discovery.local_addr().expect("bound").to_string(),
     );
     thread::spawn(move || toy::discovery(&discovery, &list));
-    let address = own_address();
+    let address = unique_address();
     config = config.replace("127.0.0.1:6433", &address.to_string());
-    spawn(config, address, seen, log)
+    spawn(config, address, statements, log)
 }
 
-/// The gateway's process, reading this configuration from a file of its own.
+/// Starts the gateway's process with this configuration, written to a temporary file.
 pub(crate) fn spawn(
     config: String,
     address: SocketAddr,
-    seen: Receiver<Vec<u8>>,
+    statements: Receiver<Vec<u8>>,
     log: Stdio,
 ) -> Gateway {
     let mut file = tempfile::NamedTempFile::new().expect("a file");
@@ -119,14 +126,15 @@
     Gateway {
         process,
         address,
-        seen,
+        statements,
         file,
         config,
     }
 }
 
-/// An address of its own for a gateway, where no other test's or client's port can be in the way.
-pub(crate) fn own_address() -> SocketAddr {
+/// A loopback address that no other gateway of this or another test process uses, so that its port cannot already be
+/// taken by another test or by a client's connection.
+pub(crate) fn unique_address() -> SocketAddr {
     static STARTED: AtomicU8 = AtomicU8::new(0);
     let [.., high, low] = std::process::id().to_be_bytes();
     SocketAddr::from((
@@ -135,12 +143,12 @@
     ))
 }
 
-/// A gate at which databases hold statements back while it is closed.
+/// A gate that delays a database's answers while it is closed.
 #[derive(Clone)]
 pub(crate) struct Gate(Arc<(Mutex<bool>, Condvar)>);
 
 impl Gate {
-    /// A gate, open or closed.
+    /// A gate that is open or closed at first.
     pub(crate) fn new(open: bool) -> Gate {
         Gate(Arc::new((Mutex::new(open), Condvar::new())))
     }
@@ -151,8 +159,8 @@
         self.0 .1.notify_all();
     }
 
-    /// Waits while the gate is closed.
-    fn pass(&self) {
+    /// Blocks while the gate is closed.
+    fn wait_until_open(&self) {
         let closed = self.0 .0.lock().expect("not poisoned");
         drop(
             self.0
@@ -163,26 +171,27 @@
     }
 }
 
-/// A database whose role, time and answers a test decides.
+/// A stand-in database whose role, delays and answers the test controls.
 #[derive(Clone)]
 pub(crate) struct Database {
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     /// Whether it is the primary.
     pub primary: Arc<AtomicBool>,
-    /// Holds its answers back while closed.
+    /// Delays answers to statements other than load reports while closed.
     pub gate: Gate,
-    /// What it answers statements with instead, and goes on.
-    pub instead: fn(&[u8]) -> Option<Vec<u8>>,
+    /// The answer to a statement that replaces the usual one; the connection stays open.
+    pub override_answer: fn(&[u8]) -> Option<Vec<u8>>,
 }
 
 impl Database {
-    /// Serves; each statement but those for load reports goes to `seen` before it waits at the gate.
+    /// Starts serving on a thread. Each statement other than `SHOW usage`, which asks for a load report, is sent to
+    /// `statements` before it waits at the gate.
     pub(crate) fn start(
         primary: bool,
         open: bool,
-        seen: &Sender<Vec<u8>>,
-        instead: fn(&[u8]) -> Option<Vec<u8>>,
+        statements: &Sender<Vec<u8>>,
+        override_answer: fn(&[u8]) -> Option<Vec<u8>>,
     ) -> Database {
         let listener = listen();
         let address = listener.local_addr().expect("bound");
@@ -191,20 +200,22 @@
             address,
             primary,
             gate: Gate::new(open),
-            instead,
+            override_answer,
         };
-        let (serving, seen) = (database.clone(), seen.clone());
+        let (server, statements) = (database.clone(), statements.clone());
         thread::spawn(move || {
-            toy::serve(&listener, move |statement| serving.reply(statement, &seen))
+            toy::serve(&listener, move |statement| {
+                server.reply(statement, &statements)
+            })
         });
         database
     }
 
-    fn reply(&self, statement: &[u8], seen: &Sender<Vec<u8>>) -> toy::Reply {
-        let asked = statement == b"SHOW usage";
-        if !asked {
-            let _ = seen.send(statement.to_vec());
-            self.gate.pass();
+    fn reply(&self, statement: &[u8], statements: &Sender<Vec<u8>>) -> toy::Reply {
+        let report_requested = statement == b"SHOW usage";
+        if !report_requested {
+            let _ = statements.send(statement.to_vec());
+            self.gate.wait_until_open();
         }
         let primary = self.primary.load(Ordering::SeqCst);
         let role = if primary {
@@ -213,10 +224,10 @@
             toy::Role::Replica
         };
         let position = asterreel_testbench::now() / 1000;
-        let answer = if asked {
+        let answer = if report_requested {
             toy::report(role, position, 0.1)
-        } else if let Some(instead) = (self.instead)(statement) {
-            instead
+        } else if let Some(answer) = (self.override_answer)(statement) {
+            answer
         } else if statement.starts_with(b"INSERT") && !primary {
             toy::error("25006", "this is a replica")
         } else {
@@ -226,14 +237,14 @@
     }
 }
 
-/// A gateway in front of these two databases, with its log, and settings changed as a test wants; discovery is where it
-/// says. A slow machine must not run into a deadline.
+/// Starts a gateway in front of these two databases, with its discovery at `discovery` and its configuration passed
+/// through `change`. Deadlines are raised to 20 s so that requests do not reach them on a slow machine.
 pub(crate) fn staged(
     databases: [SocketAddr; 2],
     discovery: SocketAddr,
     change: impl Fn(String) -> String,
 ) -> (Gateway, Log) {
-    let address = own_address();
+    let address = unique_address();
     let mut config = EXAMPLE
         .replace("\"DeadlineUs\": 1200000", "\"DeadlineUs\": 20000000")
         .replace("\"DeadlineUs\": 3000000", "\"DeadlineUs\": 20000000")
@@ -247,47 +258,47 @@
     (gateway, log)
 }
 
-/// The list in a configuration, on one line.
-pub(crate) fn list_of(config: &str) -> String {
+/// The endpoint list in a configuration, on one line.
+pub(crate) fn endpoint_list_of(config: &str) -> String {
     let from = config.find("{\"revision\"").expect("a list");
     let to = config.find("]},").expect("its end") + 2;
     config[from..to].replace('\n', " ")
 }
 
-/// What a gateway logs, debug lines included.
+/// The lines that a gateway logs, at level debug and above.
 pub(crate) struct Log(Receiver<String>);
 
 impl Log {
     fn of(gateway: &mut Gateway) -> Log {
         let lines = BufReader::new(gateway.process.stderr.take().expect("piped")).lines();
-        let (lines_read, logged) = channel();
+        let (sender, logged) = channel();
         thread::spawn(move || {
             lines
                 .map_while(Result::ok)
-                .try_for_each(|line| lines_read.send(line))
+                .try_for_each(|line| sender.send(line))
         });
         Log(logged)
     }
 
-    /// Waits for a line that holds this, 20 s at most; whether it came.
-    pub(crate) fn says(&self, what: &str) -> bool {
-        self.says_within(what, Duration::from_secs(20))
+    /// Waits up to 20 s for a line that contains this text; returns whether one was logged.
+    pub(crate) fn says(&self, text: &str) -> bool {
+        self.says_within(text, Duration::from_secs(20))
     }
 
-    /// Waits for a line that holds this, for this long at most; whether it came.
-    pub(crate) fn says_within(&self, what: &str, within: Duration) -> bool {
-        self.lines_up_to(what, within).is_some()
+    /// Waits for a line that contains this text, at most this long; returns whether one was logged.
+    pub(crate) fn says_within(&self, text: &str, within: Duration) -> bool {
+        self.lines_up_to(text, within).is_some()
     }
 
-    /// The lines that are still unread up to one that holds this, once it comes.
-    pub(crate) fn lines_up_to(&self, what: &str, within: Duration) -> Option<Vec<String>> {
+    /// The unread lines up to and including the first that contains this text; `None` if none is logged in this time.
+    pub(crate) fn lines_up_to(&self, text: &str, within: Duration) -> Option<Vec<String>> {
         let (until, mut lines) = (Instant::now() + within, Vec::new());
         while let Ok(line) = self
             .0
             .recv_timeout(until.saturating_duration_since(Instant::now()))
         {
             lines.push(line);
-            if lines.last().is_some_and(|line| line.contains(what)) {
+            if lines.last().is_some_and(|line| line.contains(text)) {
                 return Some(lines);
             }
         }
@@ -295,22 +306,22 @@
     }
 }
 
-/// A client's connection.
+/// A client's connection to the gateway.
 pub(crate) struct Client(pub TcpStream);
 
-/// A startup message.
+/// The startup message of user `web` for the database `orders`.
 pub(crate) fn startup() -> Vec<u8> {
     let parameters = b"user\0web\0database\0orders\0\0";
     let length = (parameters.len() as u32 + 8).to_be_bytes();
     [&length[..], &[0, 3, 0, 0], parameters].concat()
 }
 
-/// A query message of this statement.
+/// The message of a simple query with this statement.
 pub(crate) fn query(statement: &[u8]) -> Vec<u8> {
     toy::message(b'Q', &[statement, b"\0"].concat())
 }
 
-/// A read.
+/// The statement of a read with this request id.
 pub(crate) fn read(id: &str) -> Vec<u8> {
     let comment = format!("/* id={id},c=search,d=60000,cluster=0,k=1 */");
     [
@@ -321,7 +332,7 @@
 }
 
 impl Client {
-    /// Connects as soon as the gateway listens.
+    /// Connects, retrying for 10 s until the gateway listens.
     pub(crate) fn connect(gateway: &Gateway) -> Client {
         let mut attempts = 0;
         let stream = loop {
@@ -336,7 +347,7 @@
         Client(stream)
     }
 
-    /// A client whose session has started.
+    /// Connects and completes the startup.
     pub(crate) fn ready(gateway: &Gateway) -> Client {
         let mut client = Client::connect(gateway);
         client.send(&startup());
@@ -344,22 +355,21 @@
         client
     }
 
-    /// Sends these bytes.
     pub(crate) fn send(&mut self, bytes: &[u8]) {
         self.0.write_all(bytes).expect("sent");
     }
 
-    /// The messages up to ReadyForQuery or the end of the connection: tags, and all bytes.
+    /// Reads messages up to ReadyForQuery or the end of the connection; returns their tags and all bytes.
     pub(crate) fn answer(&mut self) -> (String, Vec<u8>) {
         let (mut tags, mut bytes) = (String::new(), Vec::new());
         let mut head = [0; 5];
         loop {
             if let Err(end) = self.0.read_exact(&mut head) {
-                // Silence is no end.
+                // A read that timed out does not mean that the connection was closed.
                 assert_ne!(
                     end.kind(),
                     ErrorKind::WouldBlock,
-                    "neither an answer nor a close"
+                    "the gateway neither answered nor closed the connection"
                 );
                 break;
             }
@@ -376,8 +386,8 @@
         (tags, bytes)
     }
 
-    /// A client whose session has started, with the key that it may cancel with.
-    pub(crate) fn with_key(gateway: &Gateway) -> (Client, Vec<u8>) {
+    /// Connects and completes the startup; returns also the key for cancel requests.
+    pub(crate) fn ready_with_key(gateway: &Gateway) -> (Client, Vec<u8>) {
         let mut client = Client::connect(gateway);
         client.send(&startup());
         let (_, session_started) = client.answer();
@@ -388,35 +398,35 @@
         (client, session_started[at + 5..at + 13].to_vec())
     }
 
-    /// Reads what is still to come until the connection is closed; an error where it is reset.
-    pub(crate) fn end(&mut self) -> std::io::Result<Vec<u8>> {
+    /// Reads until the connection is closed; fails if it is reset.
+    pub(crate) fn read_to_end(&mut self) -> std::io::Result<Vec<u8>> {
         let mut rest = Vec::new();
         self.0.read_to_end(&mut rest).map(|_| rest)
     }
 }
 
-/// A cancel request, which is sent on a connection of its own.
+/// A cancel request with this key, which the client sends on a separate connection.
 pub(crate) fn cancel_request(key: &[u8]) -> Vec<u8> {
     [&16u32.to_be_bytes()[..], &80_877_102u32.to_be_bytes(), key].concat()
 }
 
-/// A write.
+/// The statement of a write with this request id.
 pub(crate) fn write(id: &str) -> Vec<u8> {
     format!("INSERT INTO entries VALUES ('k') RETURNING payload /* id={id},c=booking,d=60000,cluster=0 */")
         .into_bytes()
 }
 
-/// The code of the error in an answer.
-pub(crate) fn code(bytes: &[u8]) -> &[u8] {
+/// The SQLSTATE code of the error in an answer.
+pub(crate) fn error_code(bytes: &[u8]) -> &[u8] {
     let at = bytes
         .windows(2)
         .position(|field| field == b"\0C")
-        .expect("a code");
+        .expect("an answer with an error code");
     &bytes[at + 2..at + 7]
 }
 
-/// A gateway in a fleet of this size whose list is pushed by this agent.
-pub(crate) fn pushed(agent: &TcpListener, fleet: u32) -> Gateway {
+/// Starts a gateway in a fleet of this size whose endpoint list is pushed by this agent.
+pub(crate) fn start_with_push_agent(agent: &TcpListener, fleet: u32) -> Gateway {
     let config = EXAMPLE
         .replace(
             "\"Discovery\": \"subscribe\"",
@@ -433,7 +443,7 @@
     spawn(config, address, sync_channel(1).1, Stdio::null())
 }
 
-/// The next call that comes to an agent.
-pub(crate) fn called(agent: &TcpListener) -> Option<TcpStream> {
+/// Accepts the gateway's next connection to this agent; `None` if there is none within [`PATIENCE`].
+pub(crate) fn accept_call(agent: &TcpListener) -> Option<TcpStream> {
     bounded::accept(agent, PATIENCE).ok()
 }
