--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway on sockets, in front of the testbench's databases and discovery.
+//! Tests the gateway's process over sockets, in front of the testbench's stand-in databases and discovery.
 mod process;
 use asterreel_testbench::database as toy;
 use process::*;
@@ -9,12 +9,12 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// A request is forwarded with only its wait changed, and its row comes back complete.
+/// A statement is forwarded with only the wait in its comment changed, and its row comes back complete.
 #[test]
 fn forwarded_statement_changes_only_its_wait() {
     let gateway = start();
     let mut client = Client::connect(&gateway);
-    // The startup message and the first query come in one packet.
+    // The startup message and the first query arrive in one packet.
     client.send(&[startup(), query(b"")].concat());
     assert_eq!(client.answer().0, "RSSKZ");
     assert_eq!(client.answer().0, "IZ");
@@ -63,7 +63,7 @@
     assert_eq!(tags, ["TDCZ", "CZ", "TDCZ", "IZ"]);
 }
 
-/// More clients than descriptors are served in turn, by closing idle connections.
+/// More clients than descriptors allow are served in turn: idle connections are closed for new ones.
 #[test]
 fn idle_connections_are_closed_at_the_descriptor_limit() {
     // 96 descriptors leave 40 for clients.
@@ -75,37 +75,37 @@
     assert_eq!(clients[0].answer().0, "", "closed between requests");
 }
 
-/// Clients that send one request and stay leave connections for others.
+/// Clients that stay connected after one request do not keep others from being served.
 #[test]
 fn idle_served_clients_are_closed_for_others() {
-    // Of 384 descriptors clients with requests hold 128, and one that finds none left gets no answer.
+    // Of 384 descriptors, clients with requests may use 128; a client that finds none free gets no answer.
     let gateway = start_with(1000, 384, |_| None);
-    let mut stayed: Vec<Client> = vec![];
+    let mut idle: Vec<Client> = vec![];
     for n in 0..128 {
         let mut client = Client::ready(&gateway);
         client.send(&query(&read(&format!("once-{n}"))));
         assert_eq!(client.answer().0, "TDCZ");
-        stayed.push(client);
+        idle.push(client);
     }
-    for client in &mut stayed[..32] {
+    for client in &mut idle[..32] {
         assert_eq!(
             client.answer().0,
             "",
-            "those that have rested longest are closed"
+            "those that have been idle longest are closed"
         );
     }
-    let last = stayed.last_mut().expect("128 clients");
+    let last = idle.last_mut().expect("128 clients");
     last.send(&query(&read("again")));
     assert_eq!(last.answer().0, "TDCZ");
 }
 
-/// Connections that send nothing do not take the places of clients.
+/// Connections that send nothing do not use up the connections of clients.
 #[test]
 fn silent_connections_do_not_displace_clients() {
     let gateway = start_with(1000, 96, |_| None);
     let mut client = Client::ready(&gateway);
     let mut silent: Vec<Client> = (0..200).map(|_| Client::connect(&gateway)).collect();
-    // Neither from one that is served already, nor from one that comes behind the silent ones.
+    // Neither the client that was ready before the silent connections nor one that connects after them is displaced.
     for client in [&mut client, &mut Client::ready(&gateway)] {
         client.send(&query(&read("s")));
         assert_eq!(client.answer().0, "TDCZ");
@@ -113,21 +113,22 @@
     let mut answers = silent.iter_mut().map(|one| one.answer().0);
     assert!(
         answers.any(|tags| tags == "E"),
-        "the others get an error, as they took too long"
+        "silent connections get an error when their time for the startup is over"
     );
 }
 
-/// An opening or a message that does not end is rejected in time.
+/// A startup or a message that is not completed in time is rejected.
 #[test]
 fn incomplete_message_is_rejected_in_time() {
     let gateway = start();
     let mut client = Client::ready(&gateway);
     let complete = query(&read("h"));
-    // One says nothing, one stops in its opening, one in a message, and one sends a byte now and then.
-    let mut bad = [(); 3].map(|()| Client::connect(&gateway));
-    bad[1].send(&startup()[..9]);
-    bad[2].send(&[startup(), complete[..30].to_vec()].concat());
-    assert_eq!(bad[2].answer().0, "RSSKZ");
+    // One connection sends nothing, one stops within its startup message, one within a query, and one sends a byte at a
+    // time.
+    let mut incomplete = [(); 3].map(|()| Client::connect(&gateway));
+    incomplete[1].send(&startup()[..9]);
+    incomplete[2].send(&[startup(), complete[..30].to_vec()].concat());
+    assert_eq!(incomplete[2].answer().0, "RSSKZ");
     let mut slow = Client::ready(&gateway);
     slow.0
         .set_read_timeout(Some(Duration::from_millis(100)))
@@ -139,7 +140,7 @@
     slow.0
         .set_read_timeout(Some(Duration::from_secs(20)))
         .expect("set");
-    for client in bad.iter_mut().chain([&mut slow]) {
+    for client in incomplete.iter_mut().chain([&mut slow]) {
         let (tags, bytes) = client.answer();
         assert_eq!((tags.as_str(), error_code(&bytes)), ("E", &b"08P01"[..]));
     }
@@ -147,32 +148,32 @@
     assert_eq!(
         client.answer().0,
         "TDCZ",
-        "one that rested meanwhile is served"
+        "a client that was idle meanwhile is served"
     );
 }
 
-/// Half an answer fails; a write is never sent again, a read is, and half an answer is never forwarded as complete.
+/// An incomplete answer fails the attempt and is never forwarded as complete. A read is sent again; a write never is.
 #[test]
 fn truncated_answer_is_retried_for_reads_only() {
     let gateway = start_with(1000, 1024, |_| {
-        let whole = toy::row(b"\x9f\x03toy");
-        Some(whole[..whole.len() - 4].to_vec())
+        let complete = toy::row(b"\x9f\x03toy");
+        Some(complete[..complete.len() - 4].to_vec())
     });
     let mut client = Client::ready(&gateway);
     client.send(&query(
         b"INSERT INTO entries VALUES ('k') /* id=w,c=booking,d=5000,cluster=0 */",
     ));
     let (tags, bytes) = client.answer();
-    // It may have run: failed, not refused.
+    // The write may have run, so that it is answered as failed and not as rejected.
     assert_eq!((tags.as_str(), error_code(&bytes)), ("EZ", &b"58000"[..]));
-    let ran = |statement: &Vec<u8>| statement.starts_with(b"INSERT");
-    assert_eq!(gateway.statements.try_iter().filter(ran).count(), 1);
+    let is_write = |statement: &Vec<u8>| statement.starts_with(b"INSERT");
+    assert_eq!(gateway.statements.try_iter().filter(is_write).count(), 1);
     client.send(&query(&read("r")));
     let (tags, bytes) = client.answer();
     assert_eq!((tags.as_str(), error_code(&bytes)), ("EZ", &b"53300"[..]));
     assert!(
         gateway.statements.try_iter().count() > 1,
-        "a safe read was tried again"
+        "a read is sent again"
     );
 }
 
@@ -207,7 +208,7 @@
 /// A request with the id of an open one gets an error and reaches no server.
 #[test]
 fn duplicate_request_id_is_rejected() {
-    // The database answers only once its statement is taken note of.
+    // The databases answer only when the test takes their statement from the channel.
     let gateway = start_with(0, 1024, |_| None);
     let mut clients = [Client::ready(&gateway), Client::ready(&gateway)];
     for client in &mut clients {
@@ -217,11 +218,11 @@
             .set_read_timeout(Some(Duration::from_millis(200)))
             .expect("set");
     }
-    // Whichever came second gets its error before any server has answered.
-    let refused =
+    // Whichever arrived second gets its error before any server has answered.
+    let answered =
         |clients: &[Client; 2]| clients.iter().position(|one| one.0.peek(&mut [0]).is_ok());
     let second = (0..50)
-        .find_map(|_| refused(&clients))
+        .find_map(|_| answered(&clients))
         .expect("one of them gets an error");
     for client in &mut clients {
         client
@@ -232,13 +233,16 @@
     let (tags, bytes) = clients[second].answer();
     assert_eq!((tags.as_str(), error_code(&bytes)), ("EZ", &b"08P01"[..]));
     // Its id is free again once the first has been served.
-    for asking in [1 - second, second] {
+    for waiting in [1 - second, second] {
         gateway
             .statements
             .recv_timeout(Duration::from_secs(20))
             .expect("a database got it");
-        assert_eq!(clients[asking].answer().0, "TDCZ");
-        assert!(gateway.statements.try_recv().is_err(), "once only");
+        assert_eq!(clients[waiting].answer().0, "TDCZ");
+        assert!(
+            gateway.statements.try_recv().is_err(),
+            "the statement reaches a database once only"
+        );
         clients[second].send(&query(&read("same")));
     }
 }
@@ -256,27 +260,31 @@
         client.send(&query(statement));
         assert_eq!(client.answer().0, "EZ");
     }
-    // No such group: refused at once.
+    // There is no such group: the request is rejected at once.
     client.send(&query(b"SELECT 1 /* id=1,c=search,d=900,cluster=9 */"));
     let (tags, bytes) = client.answer();
     assert_eq!(tags, "EZ");
     assert!(bytes.windows(6).any(|field| field == b"C53300"));
-    // The extended protocol is not spoken here; Sync brings the session back.
+    // The extended query protocol is not supported; after Sync the session can be used again.
     client.send(&[toy::message(b'P', b"\0\0\0\0"), toy::message(b'S', b"")].concat());
     assert_eq!(client.answer().0, "EZ");
     client.send(b"Q\xff\xff\xff\xff");
     let (tags, bytes) = client.answer();
-    assert_eq!(tags, "E", "fatal, and the end");
+    assert_eq!(tags, "E", "a fatal error, and the connection is closed");
     assert!(bytes.windows(6).any(|field| field == b"SFATAL"));
     client = Client::connect(&gateway);
     client.send(b"GET / HTTP/1.1\r\n\r\n");
     assert_eq!(client.answer().0, "E");
     client = Client::ready(&gateway);
     client.send(&query(&read("e")));
-    assert_eq!(client.answer().0, "TDCZ", "it serves on");
+    assert_eq!(
+        client.answer().0,
+        "TDCZ",
+        "the gateway still serves other clients"
+    );
 }
 
-/// On SIGTERM the gateway answers open requests, closes idle connections late, and exits with success.
+/// On SIGTERM the gateway answers open requests, keeps idle connections open for 0.7 s or longer, and exits with success.
 #[test]
 fn sigterm_drains_open_requests_and_exits() {
     let mut gateway = start_with_log(0, 1024, |_| None, Stdio::piped());
@@ -290,23 +298,30 @@
         .lines()
         .any(|line| line.expect("text").contains("draining")));
     busy.send(&query(&read("c")));
-    // One of the two is not answered by its database before the process may be killed.
+    // The database answers only one of the two requests before the time at which the process may be killed.
     late.send(&query(&read("d")));
     assert_eq!(idle.answer().0, "", "closed");
     assert!(
         signalled.elapsed() >= Duration::from_millis(700),
-        "clients may still use it for so long"
+        "clients may still send requests for this time"
     );
-    // Only now does the database answer.
+    // The database answers only when the test takes its statement from the channel.
     gateway
         .statements
         .recv_timeout(Duration::from_secs(20))
         .expect("a database got it");
     let mut tags = [busy.answer().0, late.answer().0];
     tags.sort_unstable();
-    assert_eq!(tags, ["EZ", "TDCZ"], "what was taken is answered");
-    // The read may wait for 20 s, but the process may be killed 3.7 s after the signal.
-    assert!(signalled.elapsed() < Duration::from_millis(3700), "in time");
+    assert_eq!(
+        tags,
+        ["EZ", "TDCZ"],
+        "requests that were accepted are answered"
+    );
+    // The read's deadline is 20 s, but the process may be killed 3.7 s after the signal.
+    assert!(
+        signalled.elapsed() < Duration::from_millis(3700),
+        "answered before the process may be killed"
+    );
     assert_eq!(
         (busy.answer().0, late.answer().0),
         (String::new(), String::new())
@@ -314,7 +329,7 @@
     gateway.wait_for_success();
 }
 
-/// A bad configuration ends the gateway, and the error names the key.
+/// The gateway exits on an invalid configuration, and the error names the key.
 #[test]
 fn bad_configuration_names_the_key() {
     let mut file = tempfile::NamedTempFile::new().expect("a file");
@@ -333,7 +348,7 @@
     assert!(error.contains("settings.Allowed.MaxAttempts"), "{error}");
 }
 
-/// A gateway whose log is closed goes on serving.
+/// A gateway goes on serving when the reader of its log has closed the stream.
 #[test]
 fn closed_log_does_not_stop_service() {
     let (reader, writer) = UnixStream::pair().expect("a pair");
@@ -344,14 +359,14 @@
     assert_eq!(client.answer().0, "TDCZ");
 }
 
-/// A place for discovery, with a key of the configuration that names it.
-fn discovery_place() -> (TcpListener, String) {
+/// A listener for discovery, and the entry of the configuration that names its address.
+fn discovery_listener() -> (TcpListener, String) {
     let listener = listen();
-    let key = format!(
+    let entry = format!(
         "\"discovery\": \"{}\"",
         listener.local_addr().expect("bound")
     );
-    (listener, key)
+    (listener, entry)
 }
 
 /// On SIGHUP discovery is watched at its new address, and a bad file changes nothing.
@@ -363,24 +378,24 @@
     let to = from + gateway.config[from..].find(',').expect("its end");
     let mut call = [0; 64];
     for _ in 0..2 {
-        // A file that can't be used: nothing ends, and the next one is read all the same.
+        // An invalid file changes nothing, and the next one is read all the same.
         gateway.reload("{\"listen\": ");
-        let (listener, key) = discovery_place();
-        gateway.reload(&[&gateway.config[..from], &key, &gateway.config[to..]].concat());
-        // The old place is still up, and its watch open.
+        let (listener, entry) = discovery_listener();
+        gateway.reload(&[&gateway.config[..from], &entry, &gateway.config[to..]].concat());
+        // The old address still accepts, and its watch is open; the new address must be called all the same.
         let mut watch = accept_call(&listener).expect("the gateway calls");
         watch.read_exact(&mut call).expect("a call");
         assert!(
             call.starts_with(b"GET /v1/servers?watch=1&after=0 "),
-            "everything is asked for"
+            "the complete list is requested"
         );
-        // The new place is silent: the members stay known.
+        // The new discovery sends nothing: the known members stay in use.
         client.send(&query(&read("h")));
         assert_eq!(client.answer().0, "TDCZ");
     }
 }
 
-/// A SIGHUP that comes in a drain does not stop it.
+/// A SIGHUP during a drain does not end the drain.
 #[test]
 fn sighup_does_not_end_a_drain() {
     let mut gateway = start();
@@ -391,13 +406,14 @@
     gateway.wait_for_success();
 }
 
-/// Where an agent on the gateway's machine pushes the list, the router never asks for a watch: the gateway must watch the
-/// agent from its start, or it is never notified of a drain or a new member.
+/// Where an agent on the gateway's machine pushes the endpoint list, the router never requests a watch. The gateway must
+/// open one from the start, or it is never notified of a drain or a new member.
 #[test]
 fn pushing_agent_is_watched_from_the_start() {
     let agent = listen();
     let _gateway = start_with_push_agent(&agent, 1);
-    let mut call = accept_call(&agent).expect("the gateway watches the agent unasked");
+    let mut call =
+        accept_call(&agent).expect("the gateway opens a watch without a request of the router");
     let mut head = [0; 32];
     call.read_exact(&mut head).expect("a call");
     assert!(
@@ -407,8 +423,8 @@
     );
 }
 
-/// A watch that stays open and sends nothing is opened again before the 6 s are over in which a change must be noticed, in
-/// a large fleet too. The list before that is indented, as lists may be.
+/// A watch that stays open but sends nothing is opened again within the 6 s in which a change must be noticed, in a large
+/// fleet too. The list that the watch sent before is indented, which must not keep the gateway from reading it.
 #[test]
 fn silent_watch_is_reopened_in_a_fleet_of_300() {
     let agent = listen();
@@ -425,9 +441,9 @@
     assert_eq!(
         &head[..],
         b"GET /v1/servers?watch=1&after=777 HT",
-        "it has read the list"
+        "the gateway has read the list"
     );
-    // Beats come every 2 s, and a call may wait 2 s in discovery's queue before the 6 s are over; one more for the machine.
+    // Heartbeats come every 2 s. Of the 6 s, a call may wait 2 s in discovery's queue; 1 s more is for a slow machine.
     let (least, most) = (Duration::from_millis(2_500), Duration::from_millis(5_000));
     assert!((least..most).contains(&took), "called again after {took:?}");
 }
