--- a/tests/golden/mod.rs
+++ b/tests/golden/mod.rs
@@ -1,37 +1,38 @@
-//! Records of what must not change: texts and bytes that other programs, files on disk and operators rely on.
+//! Compares output with recorded files: texts and bytes that other programs, files on disk and operators rely on.
 //!
-//! The files beside this one were written by the build before any name in the code was changed. They are never written
-//! anew to get a pass: where a change is wanted, its commit says so and replaces the lines that it concerns.
+//! The records beside this file were written by a build from before the names in the code were changed. They are never
+//! regenerated to make a test pass: a commit that changes such output on purpose says so and replaces only those lines.
 #![allow(dead_code)]
 
 use std::path::Path;
 
-/// Compares what was seen with the record of this name; what differs is left in the build's temporary folder.
+/// Asserts that the output equals the record of this name. If not, the output is written to a file of the same name in
+/// Cargo's temporary folder for tests.
 #[track_caller]
-pub(crate) fn assert_matches(name: &str, seen: &str) {
+pub(crate) fn assert_matches(name: &str, output: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
         .join(name);
     let record = std::fs::read_to_string(&path).unwrap_or_default();
-    if seen == record {
+    if output == record {
         return;
     }
-    let left = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::write(&left, seen).expect("written");
-    let place = seen
+    let output_path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+    std::fs::write(&output_path, output).expect("written");
+    let line = output
         .lines()
         .zip(record.lines())
-        .position(|(one, other)| one != other);
-    let place = place.unwrap_or(seen.lines().count().min(record.lines().count()));
-    let (one, other) = (seen.lines().nth(place), record.lines().nth(place));
+        .position(|(found, expected)| found != expected);
+    let line = line.unwrap_or(output.lines().count().min(record.lines().count()));
+    let (found, expected) = (output.lines().nth(line), record.lines().nth(line));
     panic!(
-        "{name}, line {}: {one:?} in place of {other:?}; all of it is in {}",
-        place + 1,
-        left.display()
+        "{name}, line {}: found {found:?}, expected {expected:?}; the complete output is in {}",
+        line + 1,
+        output_path.display()
     );
 }
 
-/// Bytes as text: what is not printable is escaped.
+/// Bytes as text, with those that are not printable ASCII escaped.
 pub(crate) fn escaped(bytes: &[u8]) -> String {
     bytes.escape_ascii().to_string()
 }
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -1,6 +1,6 @@
-//! What is said of both files that an operator writes, pinned: a gateway's configuration with every key, each key left out
-//! and each with a value of another type; the operator's file with every key, and each key misspelt or given nonsense. And how a list of
-//! discovery is read.
+//! Compares with records what the gateway reports about the two files that an operator writes: its configuration with every
+//! key, with each key left out and with each value of another type or out of range; the operator's file with every key, and
+//! with each key misspelt or given an invalid value. Also compares how a list from discovery is read.
 
 mod golden;
 
@@ -16,21 +16,21 @@
 const CONFIG: &str = include_str!("golden/config.json");
 const OPERATOR: &str = include_str!("golden/operator.star");
 
-/// The path of every value within another, by keys and places.
-fn paths(value: &Value, path: &str, all: &mut Vec<String>) {
-    let mut inner = |key: String, value: &Value| {
+/// Collects the JSON pointer of every value within another.
+fn collect_pointers(value: &Value, path: &str, all: &mut Vec<String>) {
+    let mut visit = |key: String, value: &Value| {
         let path = format!("{path}/{key}");
         all.push(path.clone());
-        paths(value, &path, all);
+        collect_pointers(value, &path, all);
     };
     match value {
         Value::Object(map) => map
             .iter()
-            .for_each(|(key, value)| inner(key.clone(), value)),
+            .for_each(|(key, value)| visit(key.clone(), value)),
         Value::Array(list) => list
             .iter()
             .enumerate()
-            .for_each(|(at, value)| inner(at.to_string(), value)),
+            .for_each(|(index, value)| visit(index.to_string(), value)),
         _ => {}
     }
 }
@@ -40,20 +40,20 @@
     let (parent, key) = path.rsplit_once('/').expect("a path");
     match value.pointer_mut(parent) {
         Some(Value::Object(map)) => drop(map.remove(key)),
-        Some(Value::Array(list)) => drop(list.remove(key.parse().expect("a place"))),
-        _ => panic!("{path} is there"),
+        Some(Value::Array(list)) => drop(list.remove(key.parse().expect("an index"))),
+        _ => panic!("{path} is not in the configuration"),
     }
     value
 }
 
 fn with(value: &Value, path: &str, new: Value) -> Value {
     let mut value = value.clone();
-    *value.pointer_mut(path).expect("it is there") = new;
+    *value.pointer_mut(path).expect("the path exists") = new;
     value
 }
 
-/// What is said of a configuration.
-fn said(config: &Value) -> String {
+/// The error of a configuration, or `good`.
+fn config_fault(config: &Value) -> String {
     match Config::parse(config.to_string().as_bytes(), |_| None) {
         Ok(_) => "good".to_owned(),
         Err(fault) => fault.to_string(),
@@ -63,80 +63,87 @@
 #[test]
 fn config_faults_match_record() {
     let config: Value = serde_json::from_str(CONFIG).expect("JSON");
-    assert_eq!(said(&config), "good");
+    assert_eq!(config_fault(&config), "good");
     let mut all = Vec::new();
-    paths(&config, "", &mut all);
-    assert!(all.len() > 100, "every key: {}", all.len());
-    let mut seen = String::new();
+    collect_pointers(&config, "", &mut all);
+    assert!(all.len() > 100, "only {} keys", all.len());
+    let mut output = String::new();
     for path in all {
-        seen += &format!("{path} left out: {}\n", said(&without(&config, &path)));
-        let old = config.pointer(&path).expect("it is there");
-        let nonsense = if old.is_string() {
+        output += &format!(
+            "{path} left out: {}\n",
+            config_fault(&without(&config, &path))
+        );
+        let old = config.pointer(&path).expect("the path exists");
+        let other_type = if old.is_string() {
             json!([7])
         } else {
             json!("nonsense")
         };
-        seen += &format!(
+        output += &format!(
             "{path} of another type: {}\n",
-            said(&with(&config, &path, nonsense))
+            config_fault(&with(&config, &path, other_type))
         );
         if old.is_string() {
-            seen += &format!(
+            output += &format!(
                 "{path} unknown: {}\n",
-                said(&with(&config, &path, json!("unheard-of")))
+                config_fault(&with(&config, &path, json!("unheard-of")))
             );
         }
         if old.is_number() {
-            seen += &format!(
+            output += &format!(
                 "{path} negative: {}\n",
-                said(&with(&config, &path, json!(-1)))
+                config_fault(&with(&config, &path, json!(-1)))
+            );
+            output += &format!(
+                "{path} zero: {}\n",
+                config_fault(&with(&config, &path, json!(0)))
             );
-            seen += &format!("{path} zero: {}\n", said(&with(&config, &path, json!(0))));
         }
     }
-    golden::assert_matches("config-faults.txt", &seen);
+    golden::assert_matches("config-faults.txt", &output);
 }
 
-/// The evaluator, and a text of the operator's file in a folder of its own.
-struct Operator {
+/// The evaluator, and an operator's file in a temporary folder.
+struct OperatorFile {
     evaluator: &'static Path,
     folder: tempfile::TempDir,
     path: std::path::PathBuf,
 }
 
-impl Operator {
-    fn new(text: &str) -> Operator {
+impl OperatorFile {
+    fn new(text: &str) -> OperatorFile {
         let folder = tempfile::tempdir().expect("a folder");
         let path = folder.path().join("operator.star");
         std::fs::write(&path, text).expect("written");
-        Operator {
+        OperatorFile {
             evaluator: Path::new(env!("CARGO_BIN_EXE_asterreel-config-eval")),
             folder,
             path,
         }
     }
 
-    fn without_folder(&self, text: &str) -> String {
+    /// Replaces the path of the temporary folder, which differs from run to run.
+    fn mask_folder(&self, text: &str) -> String {
         text.replace(&self.folder.path().display().to_string(), "FOLDER")
     }
 
-    /// What the evaluator answers.
+    /// The evaluator's output for the file.
     fn reply(&self) -> String {
         let output = Command::new(self.evaluator)
             .arg(&self.path)
             .arg("20000")
             .output()
             .expect("it runs");
-        self.without_folder(&String::from_utf8(output.stdout).expect("text"))
+        self.mask_folder(&String::from_utf8(output.stdout).expect("text"))
     }
 
-    /// What is said of the file beside the configuration.
-    fn said(&self) -> String {
+    /// The error of the file together with the configuration, or `good`.
+    fn fault(&self) -> String {
         let config = Config::parse(CONFIG.as_bytes(), |_| None).expect("good");
         let evaluated = operator::evaluate(self.evaluator, &self.path, Duration::from_secs(20));
-        let beside = evaluated.and_then(|evaluated| evaluated.beside(&config).map(drop));
-        beside.map_or_else(
-            |fault| self.without_folder(&fault.to_string()),
+        let result = evaluated.and_then(|evaluated| evaluated.beside(&config).map(drop));
+        result.map_or_else(
+            |fault| self.mask_folder(&fault.to_string()),
             |()| "good".to_owned(),
         )
     }
@@ -144,14 +151,14 @@
 
 #[test]
 fn operator_file_matches_record() {
-    let operator = Operator::new(OPERATOR);
-    assert_eq!(operator.said(), "good");
+    let operator = OperatorFile::new(OPERATOR);
+    assert_eq!(operator.fault(), "good");
     golden::assert_matches("operator-reply.json", &operator.reply());
 }
 
-/// The places in a text where a named argument is given: where its name begins, where its value does.
-fn arguments(text: &str) -> Vec<(usize, usize)> {
-    let word = |at: &usize| {
+/// The named arguments in a text: the offsets at which the name and the value begin.
+fn argument_offsets(text: &str) -> Vec<(usize, usize)> {
+    let name_length = |at: &usize| {
         text[..*at]
             .chars()
             .rev()
@@ -159,22 +166,22 @@
             .count()
     };
     let equals = text.match_indices(" = ").map(|(at, _)| at);
-    equals.map(|at| (at - word(&at), at + 3)).collect()
+    equals.map(|at| (at - name_length(&at), at + 3)).collect()
 }
 
-/// Wrong files, each with what is wrong with it.
-fn wrong_files() -> Vec<(String, String)> {
+/// Invalid operator's files, each with a description of its fault.
+fn invalid_files() -> Vec<(String, String)> {
     let mut all = Vec::new();
-    for (name, value) in arguments(OPERATOR) {
+    for (name, value) in argument_offsets(OPERATOR) {
         let (key, line) = (&OPERATOR[name..value - 3], OPERATOR[..name].lines().count());
         let misspelt = format!("{}x{}", &OPERATOR[..name], &OPERATOR[name..]);
         all.push((format!("{line} {key} misspelt"), misspelt));
         let rest = &OPERATOR[value..];
         let end = rest.find([',', ')', '\n']).expect("an end");
         if !rest[..end].contains(['(', '[', '{']) {
-            for nonsense in ["'nonsense'", "-1", "0", "99999999"] {
-                let wrong = format!("{}{nonsense}{}", &OPERATOR[..value], &rest[end..]);
-                all.push((format!("{line} {key} = {nonsense}"), wrong));
+            for invalid in ["'nonsense'", "-1", "0", "99999999"] {
+                let text = format!("{}{invalid}{}", &OPERATOR[..value], &rest[end..]);
+                all.push((format!("{line} {key} = {invalid}"), text));
             }
         }
     }
@@ -183,20 +190,21 @@
 
 #[test]
 fn operator_faults_match_record() {
-    let files = wrong_files();
-    let say = |(name, text): &(String, String)| format!("{name}: {}\n", Operator::new(text).said());
-    // Each file takes a process: some at a time.
+    let files = invalid_files();
+    let report =
+        |(name, text): &(String, String)| format!("{name}: {}\n", OperatorFile::new(text).fault());
+    // Each file starts a process, so that four threads share the files.
     let parts = files.chunks(files.len().div_ceil(4));
-    let seen: String = std::thread::scope(|scope| {
+    let output: String = std::thread::scope(|scope| {
         let threads: Vec<_> = parts
-            .map(|part| scope.spawn(move || part.iter().map(say).collect::<String>()))
+            .map(|part| scope.spawn(move || part.iter().map(report).collect::<String>()))
             .collect();
         threads
             .into_iter()
             .map(|thread| thread.join().expect("it ends"))
             .collect()
     });
-    golden::assert_matches("operator-faults.txt", &seen);
+    golden::assert_matches("operator-faults.txt", &output);
 }
 
 #[test]
@@ -204,34 +212,34 @@
     let list: EndpointList =
         serde_json::from_str(include_str!("golden/discovery-list.json")).expect("a list");
     let zones = ["east".to_owned(), "west".to_owned()];
-    let mut seen = format!("revision {}, complete {}\n", list.revision, list.complete);
-    for (number, item) in list.members.iter().enumerate() {
-        let read = item
+    let mut output = format!("revision {}, complete {}\n", list.revision, list.complete);
+    for (number, entry) in list.members.iter().enumerate() {
+        let endpoint = entry
             .endpoint(MemberId(number as u32), &zones)
             .expect("an entry");
-        let state = match read.state {
+        let state = match endpoint.state {
             EndpointState::Ready => "on",
             EndpointState::Draining => "draining",
             EndpointState::Removed => "gone",
         };
-        let role = if read.role == Role::Primary {
+        let role = if endpoint.role == Role::Primary {
             "primary"
         } else {
             "replica"
         };
-        let (group, zone, hash) = (read.group.0, read.zone.0, read.tie_break_hash);
-        seen += &format!(
+        let (group, zone, hash) = (endpoint.group.0, endpoint.zone.0, endpoint.tie_break_hash);
+        output += &format!(
             "{} at {:?}: {state} {role}, group {group}, zone {zone}, size {}, started {}, hash {hash:016x}\n",
-            item.store, item.address, read.size, read.started
+            entry.store, entry.address, endpoint.size, endpoint.started
         );
     }
     let unknown = r#"{"id": "s", "phase": "lost", "cell": 0}"#;
-    let unknown: EndpointRecord = serde_json::from_str(unknown).expect("an item");
-    seen += &format!(
+    let unknown: EndpointRecord = serde_json::from_str(unknown).expect("an entry");
+    output += &format!(
         "{}\n",
         unknown
             .endpoint(MemberId(0), &zones)
             .expect_err("an unknown state")
     );
-    golden::assert_matches("discovery-list.txt", &seen);
+    golden::assert_matches("discovery-list.txt", &output);
 }
--- a/tests/golden_simulator.rs
+++ b/tests/golden_simulator.rs
@@ -1,7 +1,7 @@
-//! What the adapter answers on the simulator's wire, pinned: a world drawn from a seed plays against the program, and a
-//! digest of all replies must be the one on record. A decision that changes, or a word of the wire, changes the digest.
+//! Compares the simulator adapter's replies with a record: a small simulation with a fixed seed runs against the program,
+//! and the digest of all replies must equal the recorded one. Any change to a decision or to the protocol changes the digest.
 //!
-//! The transcripts are left in the build's temporary folder, to be compared where the record differs.
+//! The transcripts are written to Cargo's temporary folder for tests, to be compared when the digest differs.
 
 mod golden;
 
@@ -11,19 +11,22 @@
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 use xxhash_rust::xxh3::xxh3_64;
 
+/// Simulated time between batches, microseconds.
 const PERIOD_US: u64 = 5_000;
 const BATCHES: u64 = 3_000;
-const ZERO_US: u64 = 1_000_000;
+/// The simulated time at which log positions start, microseconds.
+const POSITION_ZERO_US: u64 = 1_000_000;
 const ZONES: u64 = 3;
 
-/// A deployment to play: how its settings differ, and how many databases it has.
+/// A deployment to simulate: how it changes the settings of [`setup`], and its size.
 struct Scenario {
     name: &'static str,
     seed: u64,
     change: fn(&mut Value),
     cells: u64,
-    members_of_cell: u64,
-    arrivals_of_batch: u64,
+    members_per_cell: u64,
+    /// The most requests that arrive in a batch, except during load peaks.
+    max_arrivals: u64,
 }
 
 fn setup() -> Value {
@@ -36,7 +39,7 @@
                     "ParallelTries": false, "RetryAfter": true},
         "Customers": [{"QuotaRps": 100.0}, {"QuotaRps": 20.0}],
         "Discovery": "subscribe",
-        "FamilyInfo": {"Checks": "none", "PositionZeroUs": ZERO_US, "ProgressTold": true, "RoleListed": "trailing",
+        "FamilyInfo": {"Checks": "none", "PositionZeroUs": POSITION_ZERO_US, "ProgressTold": true, "RoleListed": "trailing",
             "Consistency": ["mutate", "strong", "causal", "lag_bound", "eventual", "mutate", "eventual", "mutate"],
             "SessionMarks": "brought", "StalenessBoundUs": [0, 0, 0, 150_000, 0, 0, 0, 0]},
         "FleetSize": 3, "OverShareWorth": 0.1, "PeriodUs": PERIOD_US,
@@ -57,8 +60,8 @@
         seed: 1,
         change: |_| {},
         cells: 2,
-        members_of_cell: 4,
-        arrivals_of_batch: 4,
+        members_per_cell: 4,
+        max_arrivals: 4,
     },
     Scenario {
         name: "checked reads in a large fleet",
@@ -68,8 +71,8 @@
             setup["FamilyInfo"]["Checks"] = json!("bounce");
         },
         cells: 3,
-        members_of_cell: 5,
-        arrivals_of_batch: 2,
+        members_per_cell: 5,
+        max_arrivals: 2,
     },
     Scenario {
         name: "unchecked reads in a large fleet",
@@ -79,8 +82,8 @@
             setup["Rules"]["DroppedStayOpen"] = json!(true);
         },
         cells: 2,
-        members_of_cell: 6,
-        arrivals_of_batch: 2,
+        members_per_cell: 6,
+        max_arrivals: 2,
     },
     Scenario {
         name: "no probes and two attempts at once",
@@ -96,8 +99,8 @@
             setup["FamilyInfo"]["RoleListed"] = json!("none");
         },
         cells: 1,
-        members_of_cell: 5,
-        arrivals_of_batch: 6,
+        members_per_cell: 5,
+        max_arrivals: 6,
     },
 ];
 
@@ -107,66 +110,73 @@
     cell: u64,
     started_us: u64,
     state: &'static str,
-    /// How far its copy is behind, microseconds.
+    /// Its replication lag, microseconds.
     lag_us: u64,
-    /// Times its usual latency.
+    /// The multiple of the usual latency at which it answers.
     slowness: u64,
+    /// Whether it answers nothing, so that attempts and probes time out.
     hangs: bool,
 }
 
-struct World {
+struct Simulation {
     rng: fastrand::Rng,
+    /// The simulated time, microseconds.
     now: u64,
     databases: Vec<Database>,
-    /// By cell, the database that takes writes.
+    /// The index of the primary by cell.
     primaries: Vec<usize>,
-    /// What reaches the instance, and when; equal times in the order of their making.
-    due: BTreeMap<(u64, u64), Value>,
-    made: u64,
-    jobs: u64,
-    /// By job: its profile, cell, attempts so far, and when it is due.
-    open: BTreeMap<String, (usize, u64, u32, u64)>,
-    tables: u64,
-    arrivals_of_batch: u64,
+    /// The events to be sent to the instance, by time and, for equal times, by the order in which they were scheduled.
+    scheduled: BTreeMap<(u64, u64), Value>,
+    /// How many events have been scheduled.
+    scheduled_count: u64,
+    /// How many jobs have been created.
+    job_count: u64,
+    /// The profile, cell, number of attempts so far, and deadline of each job, by its name.
+    jobs: BTreeMap<String, (usize, u64, u32, u64)>,
+    /// How many lists have been sent; the number of the latest.
+    table_count: u64,
+    max_arrivals: u64,
 }
 
-impl World {
-    fn new(scenario: &Scenario) -> World {
+impl Simulation {
+    fn new(scenario: &Scenario) -> Simulation {
         let rng = fastrand::Rng::with_seed(scenario.seed);
         let database = |number: u64| Database {
             name: format!("store.{number}"),
             zone: number % ZONES,
-            cell: number / scenario.members_of_cell,
+            cell: number / scenario.members_per_cell,
             started_us: 0,
             state: "on",
             lag_us: 4_000,
             slowness: 1,
             hangs: false,
         };
-        let count = scenario.cells * scenario.members_of_cell;
-        World {
+        let count = scenario.cells * scenario.members_per_cell;
+        Simulation {
             rng,
             now: 100_000_000,
             databases: (0..count).map(database).collect(),
             primaries: (0..scenario.cells)
-                .map(|cell| (cell * scenario.members_of_cell) as usize)
+                .map(|cell| (cell * scenario.members_per_cell) as usize)
                 .collect(),
-            due: BTreeMap::new(),
-            made: 0,
-            jobs: 0,
-            open: BTreeMap::new(),
-            tables: 0,
-            arrivals_of_batch: scenario.arrivals_of_batch,
+            scheduled: BTreeMap::new(),
+            scheduled_count: 0,
+            job_count: 0,
+            jobs: BTreeMap::new(),
+            table_count: 0,
+            max_arrivals: scenario.max_arrivals,
         }
     }
 
-    fn one_in(&mut self, chances: u64) -> bool {
-        self.rng.u64(0..chances) == 0
+    /// Draws an event with a probability of one in `n`.
+    fn one_in(&mut self, n: u64) -> bool {
+        self.rng.u64(0..n) == 0
     }
 
-    fn later(&mut self, after_us: u64, event: Value) {
-        self.made += 1;
-        self.due.insert((self.now + after_us, self.made), event);
+    fn schedule(&mut self, after_us: u64, event: Value) {
+        self.scheduled_count += 1;
+        self.scheduled
+            .insert((self.now + after_us, self.scheduled_count), event);
     }
 
     fn is_primary(&self, number: usize) -> bool {
@@ -184,21 +194,24 @@
 
     fn feedback(&self, number: usize) -> Value {
         let role = if self.is_primary(number) { 1.0 } else { 0.0 };
-        json!([(self.position_us(number) - ZERO_US) as f64 / 1e6, role])
+        json!([
+            (self.position_us(number) - POSITION_ZERO_US) as f64 / 1e6,
+            role
+        ])
     }
 
-    /// A list, all of it or the entries from a place on, and what announces it.
+    /// A list of the databases from this index on, and the event that announces it.
     fn view(&mut self, how: &str, from: usize) -> [Value; 2] {
         let items: Vec<Value> = self.databases[from..]
             .iter()
             .enumerate()
-            .map(|(place, one)| {
-                json!({"Campus": one.zone, "State": one.state, "Writer": u8::from(self.is_primary(from + place)),
-                       "Cell": one.cell, "Size": 1.0, "Store": one.name, "ReadyAtUs": one.started_us})
+            .map(|(offset, database)| {
+                json!({"Campus": database.zone, "State": database.state, "Writer": u8::from(self.is_primary(from + offset)),
+                       "Cell": database.cell, "Size": 1.0, "Store": database.name, "ReadyAtUs": database.started_us})
             })
             .collect();
-        self.tables += 1;
-        let table = self.tables;
+        self.table_count += 1;
+        let table = self.table_count;
         [
             json!({"DEFINE_LIST": {"Table": table, "Items": items}}),
             json!({"VIEW": {"How": how, "Stamp": table, "Table": table}}),
@@ -207,7 +220,7 @@
 
     fn announce(&mut self, after_us: u64, how: &str, from: usize) {
         for event in self.view(how, from) {
-            self.later(after_us, event);
+            self.schedule(after_us, event);
         }
     }
 
@@ -216,13 +229,13 @@
             self.rng.usize(0..8),
             self.rng.usize(0..self.primaries.len()) as u64,
         );
-        let job = format!("j{}", self.jobs);
-        self.jobs += 1;
+        let job = format!("j{}", self.job_count);
+        self.job_count += 1;
         let due = self.now + self.rng.u64(60_000..1_200_000);
-        self.open.insert(job.clone(), (profile, cell, 0, due));
+        self.jobs.insert(job.clone(), (profile, cell, 0, due));
         if self.one_in(60) {
             let after = self.rng.u64(0..200_000);
-            self.later(after, json!({"TIMED_OUT_CLIENT": {"Job": job}}));
+            self.schedule(after, json!({"TIMED_OUT_CLIENT": {"Job": job}}));
         }
         let mut accept = json!({"Job": job, "Profile": profile, "Owner": self.rng.u8(0..2), "DueUs": due, "DbNo": cell,
                                 "ClientKey": self.rng.u64(0..40)});
@@ -235,12 +248,12 @@
         json!({"ACCEPT": accept})
     }
 
-    /// What the world does by itself at the start of a batch.
-    fn change(&mut self) {
+    /// Applies random changes to the databases and announces them, at the start of a batch.
+    fn change_databases(&mut self) {
         if self.one_in(150) {
-            let one = self.rng.usize(0..self.databases.len());
+            let index = self.rng.usize(0..self.databases.len());
             let now = self.now;
-            let database = &mut self.databases[one];
+            let database = &mut self.databases[index];
             match self.rng.u8(0..7) {
                 0 => (database.state, database.started_us, database.hangs) = ("on", now, false),
                 1 => database.state = "fading",
@@ -251,28 +264,29 @@
                 _ => database.state = "on",
             }
             let delay = self.rng.u64(0..300_000);
-            self.announce(delay, "incr", one);
+            self.announce(delay, "incr", index);
         }
         if self.one_in(400) {
             let cell = self.rng.usize(0..self.primaries.len());
-            let of_cell = self.databases.len() / self.primaries.len();
-            self.primaries[cell] = cell * of_cell + self.rng.usize(0..of_cell);
+            let members_per_cell = self.databases.len() / self.primaries.len();
+            self.primaries[cell] = cell * members_per_cell + self.rng.usize(0..members_per_cell);
         }
         if self.one_in(200) {
-            self.databases
-                .iter_mut()
-                .for_each(|one| (one.slowness, one.hangs, one.state) = (1, false, "on"));
+            self.databases.iter_mut().for_each(|database| {
+                (database.slowness, database.hangs, database.state) = (1, false, "on")
+            });
             self.announce(20_000, "total", 0);
         }
         if self.one_in(250) {
-            self.later(1_000, json!({"VIEW": {"How": "lost", "Stamp": 0}}));
+            self.schedule(1_000, json!({"VIEW": {"How": "lost", "Stamp": 0}}));
         }
     }
 
-    /// What becomes of an attempt: how long it takes, and with which result it ends.
-    fn attempt(&mut self, number: usize, profile: usize, timeout: u64) -> (u64, u8) {
-        let usual = [4_000, 3_000, 2_500, 2_000, 2_000, 4_000, 90_000, 4_000][profile];
-        let latency = self.rng.u64(usual / 2..usual * 2) * self.databases[number].slowness;
+    /// Draws the latency and the result code of an attempt.
+    fn draw_attempt(&mut self, number: usize, profile: usize, timeout: u64) -> (u64, u8) {
+        let usual_latency = [4_000, 3_000, 2_500, 2_000, 2_000, 4_000, 90_000, 4_000][profile];
+        let latency =
+            self.rng.u64(usual_latency / 2..usual_latency * 2) * self.databases[number].slowness;
         let writes = matches!(profile, 0 | 1 | 5 | 7);
         let result = match self.rng.u8(0..100) {
             0 => 20,
@@ -293,49 +307,51 @@
         (if result == 10 { latency } else { 800 }, result)
     }
 
+    /// Handles a `ROUTE`: schedules the reply to the attempt.
     fn route(&mut self, route: &Value) {
         let (job, store) = (text(&route["Job"]), text(&route["Store"]));
         let timeout = route["TimeoutUs"].as_u64().expect("a number");
         let number = self
             .databases
             .iter()
-            .position(|one| one.name == store)
+            .position(|database| database.name == store)
             .expect("a database of the list");
-        let (profile, _, round, _) = *self.open.get(&job).expect("a job that is open");
-        self.open.entry(job.clone()).and_modify(|open| open.2 += 1);
-        let (latency, result) = self.attempt(number, profile, timeout);
+        let (profile, _, round, _) = *self.jobs.get(&job).expect("a known job");
+        self.jobs.entry(job.clone()).and_modify(|job| job.2 += 1);
+        let (latency, result) = self.draw_attempt(number, profile, timeout);
         if result == 10 && self.one_in(10) {
-            self.later(latency / 2, json!({"ACCEPTED": {"Job": job}}));
+            self.schedule(latency / 2, json!({"ACCEPTED": {"Job": job}}));
         }
         let role = if self.is_primary(number) { 1 } else { 2 };
-        let stamp = (self.position_us(number) + latency - ZERO_US) / 1_000 * 4 + role;
+        let stamp = (self.position_us(number) + latency - POSITION_ZERO_US) / 1_000 * 4 + role;
         let answered = matches!(result, 10 | 20 | 30 | 90);
         let mut reply = json!({"Job": job, "Last": result == 10, "RoundNo": round, "Result": result,
                                "LatencyUs": latency, "Stamp": if answered { stamp } else { 0 }});
         if answered {
             reply["Feedback"] = self.feedback(number);
         }
-        self.later(latency, json!({"REPLY": reply}));
+        self.schedule(latency, json!({"REPLY": reply}));
     }
 
-    fn take(&mut self, output: &Value) {
-        let (word, body) = output
+    /// Schedules the events that follow from an output of the instance.
+    fn handle_output(&mut self, output: &Value) {
+        let (name, body) = output
             .as_object()
             .and_then(|all| all.iter().next())
-            .expect("one word");
-        match word.as_str() {
+            .expect("an object with one key");
+        match name.as_str() {
             "ROUTE" => self.route(body),
             "WITHDRAW" => {
                 let reply = json!({"Job": body["Job"], "Last": false, "RoundNo": body["RoundNo"], "Result": 70,
                                    "LatencyUs": 1_000, "Stamp": 0});
-                self.later(1_000, json!({"REPLY": reply}));
+                self.schedule(1_000, json!({"REPLY": reply}));
             }
             "TEST" => {
                 let store = text(&body["Store"]);
                 let number = self
                     .databases
                     .iter()
-                    .position(|one| one.name == store)
+                    .position(|database| database.name == store)
                     .expect("listed");
                 let result = match (self.databases[number].state, self.databases[number].hangs) {
                     ("off", _) => 50,
@@ -352,19 +368,19 @@
                 } else {
                     self.rng.u64(500..3_000)
                 };
-                self.later(after, json!({"HEALTH": health}));
+                self.schedule(after, json!({"HEALTH": health}));
             }
             "TRACK" => {
                 let after = self.rng.u64(1_000..30_000);
                 match self.rng.u8(0..5) {
-                    0 => self.later(after, json!({"VIEW": {"How": "lost", "Stamp": 0}})),
+                    0 => self.schedule(after, json!({"VIEW": {"How": "lost", "Stamp": 0}})),
                     1 => self.announce(after, "incr", 0),
                     _ => self.announce(after, "total", 0),
                 }
             }
             "SLEEP" => {
                 let after = body["FromNowUs"].as_u64().expect("a number");
-                self.later(after, json!({"DUE": {"Cookie": body["Cookie"]}}));
+                self.schedule(after, json!({"DUE": {"Cookie": body["Cookie"]}}));
             }
             "TURN_AWAY" | "FINISH_ERROR" | "NOTE_DOWN" => {}
             other => panic!("{other}: {body}"),
@@ -377,13 +393,13 @@
         if self.one_in(500) {
             self.now += 400_000;
         }
-        self.change();
-        let later = self.due.split_off(&(self.now + 1, 0));
-        let mut events: Vec<Value> = std::mem::replace(&mut self.due, later)
+        self.change_databases();
+        let future = self.scheduled.split_off(&(self.now + 1, 0));
+        let mut events: Vec<Value> = std::mem::replace(&mut self.scheduled, future)
             .into_values()
             .collect();
-        let crowd = if self.now / 1_000_000 % 5 == 3 { 3 } else { 1 };
-        for _ in 0..self.rng.u64(0..=self.arrivals_of_batch * crowd) {
+        let load_factor = if self.now / 1_000_000 % 5 == 3 { 3 } else { 1 };
+        for _ in 0..self.rng.u64(0..=self.max_arrivals * load_factor) {
             events.push(self.arrival());
         }
         events
@@ -394,6 +410,7 @@
     value.as_str().expect("a string").to_owned()
 }
 
+/// The adapter's process, with a transcript of what was exchanged with it.
 struct Adapter {
     process: Child,
     input: ChildStdin,
@@ -423,7 +440,8 @@
         }
     }
 
-    fn ask(&mut self, number: u64, now: u64, events: Vec<Value>) -> Vec<Value> {
+    /// Sends a batch of events and returns the instance's outputs.
+    fn exchange(&mut self, number: u64, now: u64, events: Vec<Value>) -> Vec<Value> {
         let parts = if events.is_empty() {
             json!([])
         } else {
@@ -443,31 +461,31 @@
     }
 }
 
-/// Plays a scenario; its record, and the transcript.
-fn play(scenario: &Scenario) -> (String, String) {
-    let (mut world, mut adapter) = (World::new(scenario), Adapter::start());
+/// Runs a scenario; returns its line of the record, and the transcript.
+fn run(scenario: &Scenario) -> (String, String) {
+    let (mut simulation, mut adapter) = (Simulation::new(scenario), Adapter::start());
     let mut settings = setup();
     (scenario.change)(&mut settings);
     let mut events = vec![json!({"NEW_INSTANCE": {"Entropy": scenario.seed, "Setup": settings}})];
-    events.extend(world.view("warm_copy", 0));
-    let mut words: BTreeMap<String, u64> = BTreeMap::new();
+    events.extend(simulation.view("warm_copy", 0));
+    let mut counts: BTreeMap<String, u64> = BTreeMap::new();
     for number in 1..=BATCHES {
-        let outputs = adapter.ask(number, world.now, events);
+        let outputs = adapter.exchange(number, simulation.now, events);
         for output in &outputs {
-            world.take(output);
-            let word = output
+            simulation.handle_output(output);
+            let name = output
                 .as_object()
                 .and_then(|all| all.keys().next())
-                .expect("one word");
-            *words.entry(word.clone()).or_default() += 1;
+                .expect("an object with one key");
+            *counts.entry(name.clone()).or_default() += 1;
         }
-        events = world.batch();
+        events = simulation.batch();
     }
     drop(adapter.input);
     assert!(adapter.process.wait().expect("it ends").success());
-    let counts: Vec<String> = words
+    let counts: Vec<String> = counts
         .iter()
-        .map(|(word, count)| format!("{word} {count}"))
+        .map(|(name, count)| format!("{name} {count}"))
         .collect();
     let record = format!(
         "{}: {:016x}; {}",
@@ -480,15 +498,15 @@
 
 #[test]
 fn simulator_decisions_match_record() {
-    let played: Vec<(String, String)> = SCENARIOS.iter().map(play).collect();
-    let seen: String = played
+    let runs: Vec<(String, String)> = SCENARIOS.iter().map(run).collect();
+    let output: String = runs
         .iter()
         .map(|(record, _)| format!("{record}\n"))
         .collect();
     let folder = std::path::Path::new(env!("CARGO_TARGET_TMPDIR"));
-    for ((_, transcript), scenario) in played.iter().zip(&SCENARIOS) {
+    for ((_, transcript), scenario) in runs.iter().zip(&SCENARIOS) {
         let file = folder.join(format!("{}.txt", scenario.name.replace(' ', "-")));
         std::fs::write(file, transcript).expect("written");
     }
-    golden::assert_matches("simulator.txt", &seen);
+    golden::assert_matches("simulator.txt", &output);
 }
