--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -1,6 +1,8 @@
-//! A small fleet at size: thirty hollow gateways beside five real ones, and what they say to each other, counted.
+//! Counts the control plane's messages in a fleet of five complete gateways, which are the voters, and thirty "hollow" ones,
+//! which run the control plane over real sockets but have no request path.
 //!
-//! Only counts are asserted, with room for a busy machine: it may make messages fewer, as several go in one, never more.
+//! Only counts are asserted, with a margin for a busy machine: there messages become fewer, as several are sent in one, but
+//! never more.
 
 use asterreel_testbench::bounded;
 use asterreel_testbench::scale::fleet::{Sample, Voter};
@@ -10,66 +12,66 @@
 use std::time::Duration;
 
 const GATEWAYS: u32 = 35;
-/// How long anything is waited for: far longer than it takes, as no time is asserted.
-const LONG: Duration = Duration::from_secs(120);
+/// The most that the test waits for anything to happen: far longer than it takes, as no time is asserted.
+const WAIT_LIMIT: Duration = Duration::from_secs(120);
 /// How long messages are counted.
-const WINDOW: Duration = Duration::from_secs(4);
-/// Frames that a gateway sends and receives a second at rest, at most, whatever the fleet's size: it keeps its registration once a
-/// second and is answered once; as much again for what is asked anew on a busy machine, and a little over.
-const FRAMES: u64 = 3;
-/// Bytes of such a frame, at most.
-const FRAME: u64 = 120;
-/// Frames that a control member sends another a second at rest, at most, whatever the fleet's size: at most 20 rounds of
-/// confirmation and 16 heartbeats of the consensus, and a dozen for entries of the log and greetings.
-const MEMBER_FRAMES: u64 = 48;
-/// Bytes of such a frame, at most.
-const MEMBER_FRAME: u64 = 160;
-/// Sockets by which the leader's and a follower's may differ from one for each gateway: pools of databases differ too.
-const SOCKETS_SPARE: u64 = 8;
+const COUNTING_PERIOD: Duration = Duration::from_secs(4);
+/// The most frames that an idle gateway sends, and receives, per second in a fleet of any size: it renews its registration
+/// once a second and gets one answer; as much again for renewals that are repeated on a busy machine, and one as margin.
+const MAX_GATEWAY_FRAMES_PER_S: u64 = 3;
+/// The most bytes of such a frame, on average.
+const MAX_GATEWAY_FRAME_BYTES: u64 = 120;
+/// The most frames that an idle control member sends to another per second in a fleet of any size: at most 20 rounds of
+/// confirmation and 16 heartbeats of the consensus, and a dozen for log entries and the opening of connections.
+const MAX_MEMBER_FRAMES_PER_S: u64 = 48;
+/// The most bytes of such a frame, on average.
+const MAX_MEMBER_FRAME_BYTES: u64 = 160;
+/// The most that the difference between the leader's and a follower's sockets may deviate from one per gateway: their
+/// connection pools to databases differ too.
+const SOCKET_TOLERANCE: u64 = 8;
 
-/// Microseconds of a second.
-const SECOND_US: u64 = 1_000_000;
+const MICROS_PER_SECOND: u64 = 1_000_000;
 
 /// What each hollow gateway received and sent between two samples: frames in, frames out, bytes in, bytes out.
-fn counts(before: &Sample, after: &Sample) -> Vec<[u64; 4]> {
-    let all = |sample: &Sample| {
+fn hollow_gateway_traffic(before: &Sample, after: &Sample) -> Vec<[u64; 4]> {
+    let gateways = |sample: &Sample| {
         sample
             .hollow
             .iter()
             .flat_map(|used| used.gateways.clone())
             .collect::<Vec<_>>()
     };
-    let pairs = all(before).into_iter().zip(all(after));
-    let between = pairs.map(|(was, is)| {
-        assert_eq!(was.gateway, is.gateway);
-        let (was, is) = (was.traffic, is.traffic);
+    let pairs = gateways(before).into_iter().zip(gateways(after));
+    let differences = pairs.map(|(before, after)| {
+        assert_eq!(before.gateway, after.gateway);
+        let (before, after) = (before.traffic, after.traffic);
         [
-            is.frames_in - was.frames_in,
-            is.frames_out - was.frames_out,
-            is.bytes_in - was.bytes_in,
-            is.bytes_out - was.bytes_out,
+            after.frames_in - before.frames_in,
+            after.frames_out - before.frames_out,
+            after.bytes_in - before.bytes_in,
+            after.bytes_out - before.bytes_out,
         ]
     });
-    between.collect()
+    differences.collect()
 }
 
-/// A sample in which all that control members log of their traffic was counted after this moment.
-fn sample_of_now(fleet: &mut Fleet) -> Sample {
+/// A sample in which every control member's logged traffic was counted after the call.
+fn fresh_sample(fleet: &mut Fleet) -> Sample {
     let now = asterreel_testbench::now();
-    let counted = bounded::until(LONG, || {
+    let sample = bounded::until(WAIT_LIMIT, || {
         let sample = fleet.measure().expect("read");
-        let new = |voter: &Voter| voter.traffic.is_some_and(|traffic| traffic.at >= now);
-        sample.voters.values().all(new).then_some(sample)
+        let is_fresh = |voter: &Voter| voter.traffic.is_some_and(|traffic| traffic.at >= now);
+        sample.voters.values().all(is_fresh).then_some(sample)
     });
-    counted.expect("each control member logs its traffic")
+    sample.expect("each control member logs its traffic")
 }
 
-/// Two samples between which the same control member led; a window in which another came to lead says nothing about rest.
-fn rest(fleet: &mut Fleet) -> (u32, Sample, Sample) {
+/// The leader, and two samples between which it did not change: an election causes messages that an idle fleet does not send.
+fn samples_under_one_leader(fleet: &mut Fleet) -> (u32, Sample, Sample) {
     loop {
         let leader = fleet.leader();
-        let before = sample_of_now(fleet);
-        sleep(WINDOW);
+        let before = fresh_sample(fleet);
+        sleep(COUNTING_PERIOD);
         let after = fleet.measure().expect("read");
         if fleet.leader() == leader {
             return (leader, before, after);
@@ -77,72 +79,74 @@
     }
 }
 
-/// Each hollow gateway says and hears what keeps its registration, and no more.
-fn gateways_keep_their_registrations_and_say_no_more(before: &Sample, after: &Sample) {
-    let counts = counts(before, after);
-    assert_eq!(counts.len(), (GATEWAYS - VOTERS) as usize);
-    // A sample is taken of one process after another: a second over.
-    let most = FRAMES * (WINDOW.as_secs() + 1);
-    for [frames_in, frames_out, bytes_in, bytes_out] in counts {
-        // A registration that lasts three seconds is kept at least every other one.
-        let least = WINDOW.as_secs() / 2;
+/// Each hollow gateway sends and receives what renews its registration, and no more.
+fn assert_gateway_traffic(before: &Sample, after: &Sample) {
+    let traffic = hollow_gateway_traffic(before, after);
+    assert_eq!(traffic.len(), (GATEWAYS - VOTERS) as usize);
+    // The processes are sampled one after another, which can add a second.
+    let most = MAX_GATEWAY_FRAMES_PER_S * (COUNTING_PERIOD.as_secs() + 1);
+    for [frames_in, frames_out, bytes_in, bytes_out] in traffic {
+        // A registration that lasts three seconds is renewed at least every two seconds.
+        let least = COUNTING_PERIOD.as_secs() / 2;
         assert!(
             (least..=most).contains(&frames_in) && (least..=most).contains(&frames_out),
-            "{frames_in}, {frames_out}"
+            "{frames_in} frames in, {frames_out} frames out, not in {least}..={most}"
         );
         assert!(
-            bytes_in <= most * FRAME && bytes_out <= most * FRAME,
-            "{bytes_in} in, {bytes_out} out"
+            bytes_in <= most * MAX_GATEWAY_FRAME_BYTES
+                && bytes_out <= most * MAX_GATEWAY_FRAME_BYTES,
+            "{bytes_in} bytes in, {bytes_out} bytes out"
         );
     }
 }
 
-/// The member that leads serves all gateways, the others none, and what they say to each other does not grow with gateways.
-fn members_say_no_more_than_they_must(leader: u32, before: &Sample, after: &Sample) {
-    for (member, now) in &after.voters {
-        let (was, is) = before.voters[member]
+/// The leader serves all gateways and the other members none. The traffic between members does not grow with the number of
+/// gateways.
+fn assert_member_traffic(leader: u32, before: &Sample, after: &Sample) {
+    for (member, voter) in &after.voters {
+        let (first, last) = before.voters[member]
             .traffic
-            .zip(now.traffic)
-            .expect("it logs its traffic");
-        // What it logged last may be of a renewal before.
-        let seconds = (is.at - was.at).div_ceil(SECOND_US) + 1;
-        let served = is.gateways.frames_in - was.gateways.frames_in;
+            .zip(voter.traffic)
+            .expect("each control member logs its traffic");
+        // The logged counts may be as old as the last renewal, up to a second.
+        let seconds = (last.at - first.at).div_ceil(MICROS_PER_SECOND) + 1;
+        let served = last.gateways.frames_in - first.gateways.frames_in;
         if *member == leader {
-            let least = u64::from(GATEWAYS) * WINDOW.as_secs() / 4;
-            let most = u64::from(GATEWAYS) * FRAMES * seconds;
+            let least = u64::from(GATEWAYS) * COUNTING_PERIOD.as_secs() / 4;
+            let most = u64::from(GATEWAYS) * MAX_GATEWAY_FRAMES_PER_S * seconds;
             assert!(
                 (least..=most).contains(&served),
-                "the leader hears {served} frames of gateways"
+                "the leader receives {served} frames from gateways, not {least}..={most}"
             );
         } else {
             assert_eq!(
                 served, 0,
-                "frames of gateways at member {member}, which does not lead"
+                "frames from gateways at member {member}, which is not the leader"
             );
         }
-        let others = if *member == leader {
+        let peers = if *member == leader {
             u64::from(VOTERS) - 1
         } else {
             1
         };
         let (frames, bytes) = (
-            is.members.frames_out - was.members.frames_out,
-            is.members.bytes_out - was.members.bytes_out,
+            last.members.frames_out - first.members.frames_out,
+            last.members.bytes_out - first.members.bytes_out,
         );
-        let most = others * MEMBER_FRAMES * seconds;
+        let most = peers * MAX_MEMBER_FRAMES_PER_S * seconds;
         assert!(
             frames > 0 && frames <= most,
             "member {member} sends {frames} frames in {seconds} s"
         );
         assert!(
-            bytes <= most * MEMBER_FRAME,
+            bytes <= most * MAX_MEMBER_FRAME_BYTES,
             "member {member} sends {bytes} bytes in {seconds} s"
         );
     }
 }
 
-/// The leader has a socket for each gateway, and no other member has.
-fn sockets_are_the_leaders(leader: u32, after: &Sample) {
+/// The leader has a socket for each gateway; the other members have none for them.
+fn assert_only_leader_serves_gateways(leader: u32, after: &Sample) {
     let sockets = |voter: u32| {
         after
             .voters
@@ -154,58 +158,76 @@
         .map(sockets)
         .collect();
     of_followers.sort_unstable();
-    let served = sockets(leader).saturating_sub(of_followers[of_followers.len() / 2]);
-    let one_each = u64::from(GATEWAYS);
+    let extra = sockets(leader).saturating_sub(of_followers[of_followers.len() / 2]);
+    let expected = u64::from(GATEWAYS);
     assert!(
-        (one_each - SOCKETS_SPARE..=one_each + SOCKETS_SPARE).contains(&served),
+        (expected - SOCKET_TOLERANCE..=expected + SOCKET_TOLERANCE).contains(&extra),
         "leader {leader} has {} sockets, followers {of_followers:?}",
         sockets(leader)
     );
 }
 
-/// The version in force at each gateway, with its number.
-fn in_force(fleet: &mut Fleet) -> Vec<(u64, u32)> {
-    let all = fleet.look(&[]).expect("looked");
-    all.iter().map(|one| (one.in_force, one.gateway)).collect()
+/// The version in force at each gateway, and the gateway's number.
+fn versions_in_force(fleet: &mut Fleet) -> Vec<(u64, u32)> {
+    let all = fleet.look(&[]).expect("all gateways answer");
+    all.iter()
+        .map(|standing| (standing.in_force, standing.gateway))
+        .collect()
 }
 
-/// A third that is cut off stops by itself; the others go on, and all agree again once it is back.
-fn a_third_is_cut_off_and_comes_back(fleet: &mut Fleet) {
-    let first = in_force(fleet)[0].0;
+/// A partitioned third of the fleet stops acting by itself, the others go on, and all agree again after the partition heals.
+fn assert_partitioned_third_recovers(fleet: &mut Fleet) {
+    let first_version = versions_in_force(fleet)[0].0;
     assert!(
-        in_force(fleet).iter().all(|(number, _)| *number == first),
+        versions_in_force(fleet)
+            .iter()
+            .all(|(version, _)| *version == first_version),
         "{:?}",
-        in_force(fleet)
+        versions_in_force(fleet)
     );
 
     fleet.cut(true).expect("cut");
-    let (lapsed, _) = fleet
+    let (stopped, _) = fleet
         .wait(
-            LONG,
+            WAIT_LIMIT,
             &[Part::Dead, Part::Stopped, Part::Tenth, Part::Rest],
-            |one| one.gateway <= VOTERS || !one.acts_now(),
+            |standing| standing.gateway <= VOTERS || !standing.acts_now(),
         )
-        .expect("looked");
-    assert!(lapsed, "a third that is cut off stops by itself");
-    // Their registrations are taken away a moment after their rights ran out: an offer waits for that.
-    let moved = fleet.agree(LONG, &[Part::Third]).expect("played").is_some();
-    assert!(moved, "the others go on: {:?}", in_force(fleet));
-    let behind = in_force(fleet)
+        .expect("the gateways answer");
+    assert!(stopped, "the partitioned third stops acting by itself");
+    // Their registrations are removed shortly after their right to act has ended; a new version waits for that.
+    let agreed = fleet
+        .agree(WAIT_LIMIT, &[Part::Third])
+        .expect("the gateways answer")
+        .is_some();
+    assert!(
+        agreed,
+        "the others do not agree on a new version: {:?}",
+        versions_in_force(fleet)
+    );
+    let behind = versions_in_force(fleet)
         .iter()
-        .filter(|(number, _)| *number == first)
+        .filter(|(version, _)| *version == first_version)
         .count();
     assert_eq!(
         behind,
         GATEWAYS as usize / 3,
-        "and the third has not heard of it"
+        "only the partitioned third still has the first version"
     );
     fleet.cut(false).expect("healed");
-    let agreed = fleet.agree(LONG, &[]).expect("played").is_some();
-    assert!(agreed, "all agree again: {:?}", in_force(fleet));
+    let agreed = fleet
+        .agree(WAIT_LIMIT, &[])
+        .expect("the gateways answer")
+        .is_some();
+    assert!(
+        agreed,
+        "the fleet does not agree after the partition: {:?}",
+        versions_in_force(fleet)
+    );
 }
 
 #[test]
-fn thirty_hollow_gateways_beside_five_real_ones_agree_and_say_no_more_than_they_must() {
+fn fleet_agrees_with_bounded_control_traffic() {
     let size = Size {
         program: env!("CARGO_BIN_EXE_asterreel").into(),
         host: Host::Here,
@@ -216,12 +238,15 @@
     };
     let mut fleet = Fleet::start(size).expect("started");
     assert!(
-        fleet.agree(LONG, &[]).expect("played").is_some(),
-        "all act on one version"
+        fleet
+            .agree(WAIT_LIMIT, &[])
+            .expect("the gateways answer")
+            .is_some(),
+        "the gateways do not agree on one version after the start"
     );
-    let (leader, before, after) = rest(&mut fleet);
-    gateways_keep_their_registrations_and_say_no_more(&before, &after);
-    members_say_no_more_than_they_must(leader, &before, &after);
-    sockets_are_the_leaders(leader, &after);
-    a_third_is_cut_off_and_comes_back(&mut fleet);
+    let (leader, before, after) = samples_under_one_leader(&mut fleet);
+    assert_gateway_traffic(&before, &after);
+    assert_member_traffic(leader, &before, &after);
+    assert_only_leader_serves_gateways(leader, &after);
+    assert_partitioned_third_recovers(&mut fleet);
 }
