--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -1,5 +1,5 @@
-//! Toy databases and discovery, to try the gateway with: start this, then the gateway with
-//! `RELAY_CONFIG=examples/config.json`. They are the testbench's stand-ins at the example's addresses.
+//! Serves the testbench's stand-in databases and discovery on the addresses of the example configuration, to try the gateway
+//! with: start this program, then the gateway with `RELAY_CONFIG=examples/config.json`.
 
 use asterreel_testbench::database::{self, Role};
 use std::net::TcpListener;
@@ -10,8 +10,8 @@
 fn main() -> std::io::Result<()> {
     let from = CONFIG
         .find("{\"revision\"")
-        .expect("the example has a list");
-    let to = CONFIG.find("]},").expect("the list ends");
+        .expect("the example configuration has an endpoint list");
+    let to = CONFIG.find("]},").expect("the endpoint list has an end");
     let list = CONFIG[from..to + 2].replace('\n', " ");
     for (address, role) in [
         ("127.0.0.1:5501", Role::Primary),
--- a/tests/architecture.rs
+++ b/tests/architecture.rs
@@ -1,11 +1,10 @@
-//! The page on the architecture names modules and types that exist: a path that is gone, or a name that its file does not
-//! define any more, fails here.
+//! Checks that docs/ARCHITECTURE.md names only paths that exist, and only names that the file at the path defines.
 
 use std::path::Path;
 
 const PAGE: &str = include_str!("../docs/ARCHITECTURE.md");
 
-/// The spans of a line that are set as code.
+/// The code spans of a line of Markdown.
 fn code_spans(line: &str) -> Vec<&str> {
     line.split('`').skip(1).step_by(2).collect()
 }
@@ -14,14 +13,14 @@
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// Whether a span names a file or folder of the repository.
+/// Whether a code span is a path within the repository.
 fn is_path(span: &str) -> bool {
-    let begins = ["src/", "control/", "docs/", "tests/", "testbench/"];
-    begins.iter().any(|begin| span.starts_with(begin))
+    let prefixes = ["src/", "control/", "docs/", "tests/", "testbench/"];
+    prefixes.iter().any(|prefix| span.starts_with(prefix))
 }
 
-/// The paths of the page, each with the name that follows it after a colon.
-fn named() -> Vec<(&'static str, Option<&'static str>)> {
+/// The paths on the page, each with the code span that follows it after a colon, if there is one.
+fn paths_and_names() -> Vec<(&'static str, Option<&'static str>)> {
     let mut all = Vec::new();
     for line in PAGE.lines() {
         let spans = code_spans(line);
@@ -36,14 +35,14 @@
 
 #[test]
 fn architecture_paths_exist() {
-    let all = named();
+    let all = paths_and_names();
     assert!(all.len() > 50, "only {} paths", all.len());
-    let gone: Vec<&str> = all
+    let missing: Vec<&str> = all
         .iter()
         .map(|(path, _)| *path)
         .filter(|path| !root().join(path).exists())
         .collect();
-    assert_eq!(gone, Vec::<&str>::new());
+    assert_eq!(missing, Vec::<&str>::new());
 }
 
 #[test]
@@ -51,16 +50,16 @@
     let defines = |text: &str, name: &str| {
         let kinds = ["struct", "enum", "trait", "fn", "const", "type", "mod"];
         let defined = |kind: &&str| {
-            let wanted = format!("{kind} {name}");
-            text.match_indices(&wanted).any(|(at, _)| {
-                let next = text[at + wanted.len()..].chars().next();
+            let definition = format!("{kind} {name}");
+            text.match_indices(&definition).any(|(at, _)| {
+                let next = text[at + definition.len()..].chars().next();
                 !next.is_some_and(|c| c.is_alphanumeric() || c == '_')
             })
         };
         kinds.iter().any(defined)
     };
     let mut checked = 0;
-    for (path, name) in named() {
+    for (path, name) in paths_and_names() {
         let Some(name) = name else { continue };
         let text = std::fs::read_to_string(root().join(path)).expect(path);
         for part in name.split("::") {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A gateway to test the router with: the router, its clock, and what it did.
+//! Settings and a harness to test the router with: it passes events to the router at a simulated time and returns the
+//! router's actions.
 #![allow(dead_code)]
 
 use asterreel::interface::*;
@@ -7,7 +8,7 @@
 pub(crate) const MS: Micros = 1_000;
 pub(crate) const START: Micros = 100_000_000;
 pub(crate) const GROUP: GroupId = GroupId(7);
-/// The classes of [`settings`].
+/// The indices of the classes in [`settings`].
 pub(crate) const WRITE: usize = 0;
 pub(crate) const STRONG: usize = 1;
 pub(crate) const SESSION: usize = 2;
@@ -76,7 +77,7 @@
     }
 }
 
-/// The same, where eventual reads are long beside the rest.
+/// Like [`settings`], but eventual reads have a much longer latency objective than the other classes.
 pub(crate) fn settings_with_long_reads() -> Settings {
     let mut settings = settings();
     for (number, class) in settings
@@ -90,9 +91,11 @@
     settings
 }
 
+/// A router and its simulated time.
 pub(crate) struct TestGateway {
     pub router: Router,
     pub now: Micros,
+    /// The id of the next request to arrive.
     pub next: u64,
 }
 
@@ -117,12 +120,13 @@
 }
 
 impl TestGateway {
-    /// A gateway of a group with that many members, all on for long; without any report of them.
+    /// A gateway of a group with this many members, all listed as ready since time 0 and none of which has reported yet; and
+    /// the actions on its cached snapshot.
     pub(crate) fn new(settings: Settings, members: u32) -> (TestGateway, Vec<Action>) {
         TestGateway::with_seed(settings, members, 1)
     }
 
-    /// A gateway with a seed of its own, and what it does when it is given its cached snapshot.
+    /// Like [`TestGateway::new`], with this seed.
     pub(crate) fn with_seed(
         settings: Settings,
         members: u32,
@@ -142,19 +146,20 @@
         (gateway, actions)
     }
 
-    /// The same gateway as [`TestGateway::new`], with a seed of its own.
+    /// Like [`TestGateway::with_seed`], without the actions.
     pub(crate) fn seeded(settings: Settings, members: u32, seed: u64) -> TestGateway {
         TestGateway::with_seed(settings, members, seed).0
     }
 
-    /// The same, after a good health check of each: member 0 is the primary, the others are in sync.
+    /// Like [`TestGateway::new`], after a successful health check of each member: member 0 is the primary, the others are in
+    /// sync.
     pub(crate) fn ready(settings: Settings, members: u32) -> TestGateway {
         let (mut gateway, _) = TestGateway::new(settings, members);
         gateway.report_roles(members);
         gateway
     }
 
-    /// A good health check of each member: member 0 is the primary, the others are in sync.
+    /// A successful health check of each member: member 0 is the primary, the others are in sync.
     pub(crate) fn report_roles(&mut self, members: u32) {
         for m in 0..members {
             self.report_role(m, if m == 0 { Role::Primary } else { Role::Replica });
@@ -167,24 +172,24 @@
         actions
     }
 
-    /// A good health check that reports a role and the present as position.
+    /// A successful health check that reports this role and the current time as position.
     pub(crate) fn report_role(&mut self, m: u32, role: Role) -> Vec<Action> {
         self.report_lag(m, role, 0)
     }
 
-    /// A good health check that reports a role and a position so far behind the present.
+    /// A successful health check that reports this role and a position that is `lag` behind the current time.
     pub(crate) fn report_lag(&mut self, m: u32, role: Role, lag: Micros) -> Vec<Action> {
         let report = member_report(role, self.now - lag);
         self.event(Event::HealthChecked(MemberId(m), Outcome::Served, report))
     }
 
-    /// A health check that is not answered.
+    /// A health check that times out.
     pub(crate) fn fail_health_check(&mut self, m: u32) -> Vec<Action> {
         let none = MemberReport::default();
         self.event(Event::HealthChecked(MemberId(m), Outcome::TimedOut, none))
     }
 
-    /// A listed change of one member.
+    /// A delta of the endpoint list with this state and start of one member.
     pub(crate) fn update_endpoint(
         &mut self,
         m: u32,
@@ -195,6 +200,7 @@
         self.event(Event::EndpointsUpdated(UpdateKind::Delta, entries))
     }
 
+    /// Advances the time in steps of 5 ms and fires the timer at each.
     pub(crate) fn advance(&mut self, span: Micros) -> Vec<Action> {
         let mut actions = Vec::new();
         let end = self.now + span;
@@ -246,7 +252,7 @@
         )))
     }
 
-    /// A first attempt that was served.
+    /// The first attempt of a request is served.
     pub(crate) fn serve(
         &mut self,
         request: RequestId,
@@ -257,7 +263,7 @@
         self.event(Event::AttemptEnded(served))
     }
 
-    /// A first attempt that got no answer in time, and ended its request.
+    /// The first attempt of a request times out, and the request ends with it.
     pub(crate) fn time_out(&mut self, request: RequestId, latency: Micros) -> Vec<Action> {
         let late = attempt_ended(
             request,
@@ -273,7 +279,7 @@
     }
 }
 
-/// How an attempt ended; being served finishes its request.
+/// The end of an attempt; if it was served, the answer is finished.
 pub(crate) fn attempt_ended(
     request: RequestId,
     attempt: u32,
