--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -68,7 +68,7 @@
         Fixture::with_answers(|_| None)
     }
 
-    /// A fixture whose databases send this in place of their answer where it returns one.
+    /// A fixture whose databases answer a statement with what this function returns for it, if it returns anything.
     fn with_answers(override_answer: fn(&[u8]) -> Option<Vec<u8>>) -> Fixture {
         let (sender, statements) = channel();
         let databases = [(); 2].map(|()| Database::start(false, true, &sender, override_answer));
@@ -82,7 +82,7 @@
         }
     }
 
-    /// A fixture of which neither database answers statements.
+    /// A fixture in which neither database answers statements.
     fn with_hanging_databases() -> Fixture {
         let fixture = Fixture::new();
         fixture
@@ -336,7 +336,7 @@
         while pipelining
             .0
             .peek(&mut [0])
-            .expect("an answer or an end, and no reset")
+            .expect("an answer or a close, and no reset")
             > 0
         {
             assert_eq!(
@@ -357,7 +357,7 @@
         if waiting
             .0
             .peek(&mut [0])
-            .expect("an answer or an end, and no reset")
+            .expect("an answer or a close, and no reset")
             == 0
         {
             break;
@@ -380,8 +380,8 @@
         "{:?}",
         drained.elapsed()
     );
-    let served = reader.join().expect("no reset");
-    writer.join().expect("it ends");
+    let served = reader.join().expect("the connection is not reset");
+    writer.join().expect("the writer does not panic");
     drop(gateway);
     // Every request that reached a database was answered: none was forwarded after its session had ended.
     let dispatched = seen
@@ -403,7 +403,9 @@
     let mut client = Client::ready(&gateway);
     // An invalid message, followed by far more bytes than one read returns.
     client.send(&[&[0xff; 5][..], &[b'x'; 100_000]].concat());
-    let rest = client.read_to_end().expect("an end and no reset");
+    let rest = client
+        .read_to_end()
+        .expect("the connection is closed and not reset");
     assert_eq!((rest[0], error_code(&rest)), (b'E', &b"08P01"[..]));
     let mut client = Client::connect(&gateway);
     client.send(
@@ -415,7 +417,9 @@
         ]
         .concat(),
     );
-    let rest = client.read_to_end().expect("an end and no reset");
+    let rest = client
+        .read_to_end()
+        .expect("the connection is closed and not reset");
     assert!(
         rest.windows(8).any(|bytes| bytes == b"SELECT 1"),
         "the answer to the query sent before Terminate"
@@ -455,7 +459,7 @@
     assert!(tags == "EZ" || tags == "TDCZ", "{tags}");
     assert!(
         served > 0 && begun.elapsed() < Duration::from_secs(10),
-        "{served} in {:?}",
+        "{served} other requests served in {:?}",
         begun.elapsed()
     );
 }
@@ -602,7 +606,7 @@
             (0..4).for_each(|_| assert!(log.says("watch lost"), "refused"));
             let reachable = Instant::now();
             let discovery = listen_with_retries(address);
-            accept_call(&discovery).expect("it calls");
+            accept_call(&discovery).expect("the gateway calls discovery");
             (fleet, reachable.elapsed())
         })
     });
@@ -629,7 +633,7 @@
         let watch = toy::Watch::begin(accept_call(&agent).expect("a watch")).expect("begun");
         drop(watch);
         let ended = Instant::now();
-        let again = accept_call(&agent).expect("it calls again");
+        let again = accept_call(&agent).expect("the gateway calls the agent again");
         assert!(
             ended.elapsed() < Duration::from_secs(1),
             "called again after {:?}",
@@ -671,7 +675,7 @@
             assert_eq!(client.answer().0, "TDCZ");
             assert!(
                 begun.elapsed() < Duration::from_secs(5),
-                "{:?} after its start",
+                "served {:?} after the start of the gateway",
                 begun.elapsed()
             );
         }
@@ -701,7 +705,9 @@
     assert!(open <= 96, "{open} descriptors");
     let discovery = listen_with_retries(address);
     let reachable = Instant::now();
-    let mut watch = toy::Watch::begin(accept_call(&discovery).expect("it calls")).expect("begun");
+    let mut watch =
+        toy::Watch::begin(accept_call(&discovery).expect("the gateway calls discovery"))
+            .expect("begun");
     watch
         .tell(&format!("{}\n", endpoint_list_of(&gateway.config)))
         .expect("sent");
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -25,7 +25,7 @@
     let seen = gateway
         .statements
         .recv_timeout(Duration::from_secs(20))
-        .expect("a database got it");
+        .expect("the statement reaches a database");
     let (before, after) = (
         b"id=a,c=search,d=".as_slice(),
         b",cluster=0,k=1 */".as_slice(),
@@ -136,7 +136,7 @@
     let is_rejected = complete
         .iter()
         .any(|byte| slow.0.write_all(&[*byte]).is_err() || slow.0.peek(&mut [0]).is_ok());
-    assert!(is_rejected, "before its message is complete");
+    assert!(is_rejected, "the message is rejected before it is complete");
     slow.0
         .set_read_timeout(Some(Duration::from_secs(20)))
         .expect("set");
@@ -237,7 +237,7 @@
         gateway
             .statements
             .recv_timeout(Duration::from_secs(20))
-            .expect("a database got it");
+            .expect("the statement reaches a database");
         assert_eq!(clients[waiting].answer().0, "TDCZ");
         assert!(
             gateway.statements.try_recv().is_err(),
@@ -309,7 +309,7 @@
     gateway
         .statements
         .recv_timeout(Duration::from_secs(20))
-        .expect("a database got it");
+        .expect("the statement reaches a database");
     let mut tags = [busy.answer().0, late.answer().0];
     tags.sort_unstable();
     assert_eq!(
@@ -342,7 +342,7 @@
     let output = Command::new(env!("CARGO_BIN_EXE_asterreel"))
         .env("RELAY_CONFIG", file.path())
         .output();
-    let output = output.expect("it runs");
+    let output = output.expect("the gateway starts");
     assert!(!output.status.success());
     let error = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(error.contains("settings.Allowed.MaxAttempts"), "{error}");
@@ -434,7 +434,7 @@
     watch.tell(&list[..9]).expect("sent");
     watch.tell(&list[9..]).expect("sent");
     let silent = Instant::now();
-    let mut call = accept_call(&agent).expect("it calls again");
+    let mut call = accept_call(&agent).expect("the gateway calls the agent again");
     let took = silent.elapsed();
     let mut head = [0; 36];
     call.read_exact(&mut head).expect("a call");
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -133,7 +133,7 @@
             .arg(&self.path)
             .arg("20000")
             .output()
-            .expect("it runs");
+            .expect("the evaluator starts");
         self.mask_folder(&String::from_utf8(output.stdout).expect("text"))
     }
 
@@ -201,7 +201,7 @@
             .collect();
         threads
             .into_iter()
-            .map(|thread| thread.join().expect("it ends"))
+            .map(|thread| thread.join().expect("the thread does not panic"))
             .collect()
     });
     golden::assert_matches("operator-faults.txt", &output);
--- a/tests/golden_simulator.rs
+++ b/tests/golden_simulator.rs
@@ -352,7 +352,7 @@
                     .databases
                     .iter()
                     .position(|database| database.name == store)
-                    .expect("listed");
+                    .expect("a database of the list");
                 let result = match (self.databases[number].state, self.databases[number].hangs) {
                     ("off", _) => 50,
                     (_, true) => 40,
@@ -482,7 +482,7 @@
         events = simulation.batch();
     }
     drop(adapter.input);
-    assert!(adapter.process.wait().expect("it ends").success());
+    assert!(adapter.process.wait().expect("the adapter exits").success());
     let counts: Vec<String> = counts
         .iter()
         .map(|(name, count)| format!("{name} {count}"))
--- a/tests/process/mod.rs
+++ b/tests/process/mod.rs
@@ -49,7 +49,7 @@
     /// Waits for the process to exit and asserts that its status is success.
     pub(crate) fn wait_for_success(&mut self) {
         assert!(bounded::exit(&mut self.process, PATIENCE)
-            .expect("it ends")
+            .expect("the gateway exits")
             .success());
     }
 }
