--- a/testbench/src/balancer.rs
+++ b/testbench/src/balancer.rs
@@ -1,4 +1,5 @@
-//! A balancer: checks gateways, spreads requests by smooth weighted round robin, and records every change.
+//! A load balancer that checks gateways, distributes requests by smooth weighted round robin, and records each change
+//! of a gateway's state.
 
 use crate::now;
 use std::io::{self, Read, Write};
@@ -8,29 +9,29 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How a gateway is checked.
+/// The kind of health check.
 #[derive(Clone, Debug)]
 pub enum Check {
-    /// Whether a connection opens: all that a front without health protocols learns.
+    /// A TCP connect: all that a balancer without a health protocol checks.
     Connect(SocketAddr),
-    /// Agent-check, with the text of `agent-send`.
+    /// HAProxy's agent-check, with the text of `agent-send`.
     Agent(SocketAddr, String),
-    /// HTTP: 200 is up, and `x-asterreel-weight` the weight.
+    /// An HTTP GET of a path: 200 is up, and the header `x-asterreel-weight` gives the weight.
     Http(SocketAddr, String),
 }
 
-/// How often, and how many checks count.
+/// Check interval, thresholds and slow start.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
-    /// Time between two checks.
+    /// Time from the start of one check to the start of the next.
     pub interval: Duration,
-    /// Failed checks that take a gateway out; an agent's word needs one.
+    /// Consecutive failed checks after which a gateway is down; one is enough for an agent's answer.
     pub fall: u32,
-    /// Good ones that take it in.
+    /// Consecutive successful checks after which it is up.
     pub rise: u32,
-    /// How long a check may take.
+    /// Timeout of a check.
     pub timeout: Duration,
-    /// How long after coming in a gateway's share grows to its full.
+    /// How long after it comes up a gateway's share of requests grows linearly to its full weight.
     pub slow_start: Duration,
 }
 
@@ -47,40 +48,41 @@
     }
 }
 
-/// What a check found: the word for it, the weight, and whether it counts at once.
+/// The result of a check.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Found {
-    /// `up`, `drain`, `down` and what the gateway added.
+    /// State of the gateway, as `up`, `drain` or `down`, and the reason that it gave; the body of an HTTP answer.
     pub word: String,
-    /// 0 to 100.
+    /// Weight in percent, 0 to 100; 0 is down.
     pub weight: u32,
+    /// Whether a weight of 0 takes effect without waiting for `fall` failed checks.
     at_once: bool,
 }
 
-/// A change, as recorded.
+/// A recorded change of a gateway's state or weight.
 #[derive(Clone, Debug)]
 pub struct Change {
-    /// Unix microseconds.
+    /// Time of the change, Unix microseconds.
     pub at: u64,
-    /// Which gateway.
+    /// Index of the gateway.
     pub gateway: usize,
-    /// What was found.
+    /// The new state; see [`Found::word`].
     pub word: String,
-    /// The weight from then on.
+    /// The new weight, 0 to 100.
     pub weight: u32,
 }
 
 struct Server {
     weight: u32,
     word: String,
-    bad: u32,
-    good: u32,
-    since: Instant,
-    /// Of the round robin.
-    credit: i64,
+    failures: u32,
+    successes: u32,
+    up_since: Instant,
+    /// Current weight in smooth weighted round robin; the server with the highest is picked next.
+    current_weight: i64,
 }
 
-/// A running balancer.
+/// A running balancer; its check threads end after [`Balancer::stop`].
 pub struct Balancer {
     servers: Mutex<Vec<Server>>,
     changes: Mutex<Vec<Change>>,
@@ -93,15 +95,15 @@
 }
 
 impl Balancer {
-    /// Checks these gateways, each on a thread of its own, until [`Balancer::stop`].
+    /// Starts a thread for each gateway that checks it until [`Balancer::stop`].
     pub fn start(checks: Vec<Check>, pace: Pace) -> Arc<Balancer> {
         let server = |_: &Check| Server {
             weight: 0,
             word: "none".into(),
-            bad: 0,
-            good: 0,
-            since: Instant::now(),
-            credit: 0,
+            failures: 0,
+            successes: 0,
+            up_since: Instant::now(),
+            current_weight: 0,
         };
         let balancer = Arc::new(Balancer {
             servers: Mutex::new(checks.iter().map(server).collect()),
@@ -131,18 +133,18 @@
         });
         let mut servers = lock(&self.servers);
         let server = &mut servers[gateway];
-        (server.bad, server.good) = if found.weight == 0 {
-            (server.bad + 1, 0)
+        (server.failures, server.successes) = if found.weight == 0 {
+            (server.failures + 1, 0)
         } else {
-            (0, server.good + 1)
+            (0, server.successes + 1)
         };
         let counts = match found.weight {
-            0 => found.at_once || server.bad >= self.pace.fall,
-            _ => server.weight > 0 || server.good >= self.pace.rise,
+            0 => found.at_once || server.failures >= self.pace.fall,
+            _ => server.weight > 0 || server.successes >= self.pace.rise,
         };
         if counts && (server.weight != found.weight || server.word != found.word) {
             if server.weight == 0 && found.weight > 0 {
-                server.since = Instant::now();
+                server.up_since = Instant::now();
             }
             (server.weight, server.word) = (found.weight, found.word.clone());
             drop(servers);
@@ -155,7 +157,7 @@
         }
     }
 
-    /// The gateway for the next request; none when all are out.
+    /// Chooses the gateway for the next request; none if all are down.
     pub fn pick(&self) -> Option<usize> {
         let mut servers = lock(&self.servers);
         let slow = self.pace.slow_start;
@@ -164,17 +166,17 @@
             let grown = if slow.is_zero() {
                 1.0
             } else {
-                (server.since.elapsed().as_secs_f64() / slow.as_secs_f64()).min(1.0)
+                (server.up_since.elapsed().as_secs_f64() / slow.as_secs_f64()).min(1.0)
             };
             let weight = if server.weight == 0 {
                 0
             } else {
                 ((f64::from(server.weight) * grown * 100.0) as i64).max(1)
             };
-            server.credit = if weight == 0 {
+            server.current_weight = if weight == 0 {
                 0
             } else {
-                server.credit + weight
+                server.current_weight + weight
             };
             total += weight;
         }
@@ -182,34 +184,34 @@
             .iter_mut()
             .enumerate()
             .filter(|(_, server)| server.weight > 0);
-        let (number, server) = open.max_by_key(|(_, server)| server.credit)?;
-        server.credit -= total;
+        let (number, server) = open.max_by_key(|(_, server)| server.current_weight)?;
+        server.current_weight -= total;
         Some(number)
     }
 
-    /// The word and weight of a gateway now.
+    /// The current state and weight of a gateway.
     pub fn now(&self, gateway: usize) -> (String, u32) {
         let servers = lock(&self.servers);
         (servers[gateway].word.clone(), servers[gateway].weight)
     }
 
-    /// All changes so far.
+    /// All recorded changes, oldest first.
     pub fn changes(&self) -> Vec<Change> {
         lock(&self.changes).clone()
     }
 
-    /// Ends the checks.
+    /// Stops all checks.
     pub fn stop(&self) {
         self.stop.store(true, Ordering::Release);
     }
 }
 
 impl Check {
-    /// Checks once.
+    /// Performs one check.
     ///
     /// # Errors
     ///
-    /// The connection failed, or nothing that can be understood came within the timeout.
+    /// The connection failed, or no answer came within the timeout.
     pub fn run(&self, timeout: Duration) -> io::Result<Found> {
         match self {
             Check::Connect(address) => {
@@ -228,7 +230,7 @@
                 let call = format!("GET {path} HTTP/1.1\r\nHost: rig\r\nConnection: close\r\n\r\n");
                 let answer = exchange(*address, call.as_bytes(), timeout)?;
                 let head = answer.split("\r\n\r\n").next().unwrap_or_default();
-                let good = head.starts_with("HTTP/1.1 200");
+                let is_ok = head.starts_with("HTTP/1.1 200");
                 let find = |name: &str| {
                     head.lines()
                         .find_map(|line| line.strip_prefix(name))
@@ -246,7 +248,7 @@
                     .to_owned();
                 Ok(Found {
                     word,
-                    weight: if good { weight } else { 0 },
+                    weight: if is_ok { weight } else { 0 },
                     at_once,
                 })
             }
@@ -254,7 +256,7 @@
     }
 }
 
-/// Reads an agent's line by the manual's words: what is not known is skipped, and `#` begins a remark.
+/// Parses an agent's line as HAProxy's manual specifies: unknown words are skipped, and `#` begins a description.
 fn agent(line: &str) -> Found {
     let (words, remark) = line.trim().split_once('#').unwrap_or((line.trim(), ""));
     let (mut weight, mut out) = (100, None);
--- a/testbench/src/balancer/tests.rs
+++ b/testbench/src/balancer/tests.rs
@@ -1,16 +1,16 @@
 use super::*;
 
 #[test]
-fn requests_are_spread_by_weight_and_none_goes_to_one_that_is_out() {
+fn requests_are_distributed_by_weight_and_skip_down_gateways() {
     let balancer = Balancer::start(Vec::new(), Pace::default());
     for weight in [100, 50, 0, 10] {
         lock(&balancer.servers).push(Server {
             weight,
             word: "up".into(),
-            bad: 0,
-            good: 0,
-            since: Instant::now(),
-            credit: 0,
+            failures: 0,
+            successes: 0,
+            up_since: Instant::now(),
+            current_weight: 0,
         });
     }
     let mut counts = [0; 4];
@@ -18,7 +18,7 @@
         counts[balancer.pick().expect("some are up")] += 1;
     }
     assert_eq!(counts, [1000, 500, 0, 100]);
-    // An agent's word counts at once, a failed check only after as many as `fall` says.
+    // An agent's answer takes effect at once, failed checks only after `fall` of them in a row.
     balancer.found(0, Ok(agent("drain 0%\n")));
     balancer.found(1, Err(io::ErrorKind::TimedOut.into()));
     assert_eq!((balancer.now(0).1, balancer.now(1).1), (0, 50));
--- a/testbench/src/bounded.rs
+++ b/testbench/src/bounded.rs
@@ -1,7 +1,7 @@
-//! Waits that end: for something to come true, for a connection, for the end of a process.
+//! Waits with a time limit: for a condition, for a connection, for the exit of a process.
 //!
-//! A blocking `accept` or `wait` has no time limit of its own, so what never comes would hold a test or an experiment up
-//! for good.
+//! A blocking `accept` or `wait` has no time limit of its own, so a test or an experiment would hang if the event never
+//! occurred.
 
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -9,10 +9,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Wait between two looks.
-const LOOK_AGAIN: Duration = Duration::from_millis(2);
+/// Pause between two polls.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// Looks until something is found, for at most so long, and once at least.
+/// Polls until `look` returns a value or the time limit has passed; polls at least once.
 pub fn until<T>(within: Duration, mut look: impl FnMut() -> Option<T>) -> Option<T> {
     let end = Instant::now() + within;
     loop {
@@ -22,15 +22,15 @@
         if Instant::now() >= end {
             return None;
         }
-        thread::sleep(LOOK_AGAIN);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// The next connection that comes to a listener, blocking; the listener is left non-blocking.
+/// Accepts the next connection of a listener. The stream is blocking; the listener is left non-blocking.
 ///
 /// # Errors
 ///
-/// `TimedOut` where none comes in time, and whatever accepting one fails with.
+/// `TimedOut` if no connection arrives in time, or the error of `accept`.
 pub fn accept(listener: &TcpListener, within: Duration) -> io::Result<TcpStream> {
     listener.set_nonblocking(true)?;
     let accepted = until(within, || match listener.accept() {
@@ -43,11 +43,11 @@
     Ok(stream)
 }
 
-/// How a process ends.
+/// Waits for a process to exit and returns its status.
 ///
 /// # Errors
 ///
-/// `TimedOut` where it goes on, and whatever asking for its status fails with.
+/// `TimedOut` if it is still running after the time limit, or the error of `try_wait`.
 pub fn exit(child: &mut Child, within: Duration) -> io::Result<ExitStatus> {
     let ended = until(within, || child.try_wait().transpose());
     ended.unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))
--- a/testbench/src/capacity/resting.rs
+++ b/testbench/src/capacity/resting.rs
@@ -36,7 +36,7 @@
         for session in &mut sessions {
             // One that the gateway has closed is counted below.
             let id = format!("{:016x}", random.u64(..));
-            let _ = load::ask(
+            let _ = load::send_request(
                 session,
                 &load::statement(&id, false, random.u64(..groups), false),
             );
--- a/testbench/src/cells.rs
+++ b/testbench/src/cells.rs
@@ -1,4 +1,4 @@
-//! The experiment on cells: how far the queries of one poisoned tenant reach.
+//! The experiment on cells: which other tenants are affected by a tenant whose queries crash databases.
 
 use crate::health::{plan, recorded, Setting, PATIENCE};
 use anyhow::ensure;
@@ -16,32 +16,32 @@
 
 const TENANTS: usize = 24;
 const CELLS: usize = 6;
-/// The tenant whose reads kill the database that runs them, where a run has one.
+/// The tenant whose reads crash the database that executes them, in runs with poison.
 const POISONED_TENANT: usize = 0;
-/// A database that died is started again after this long.
+/// Time from the crash of a database to its restart.
 const RESTART_DELAY: Duration = Duration::from_secs(3);
 const RESTART_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// From the gateway's full weight to the first request.
+/// Pause between the gateway's full weight and the first request.
 const SETTLE_TIME: Duration = Duration::from_secs(1);
 
-/// What a run on the common schedule differs in.
+/// A variant of the run; all variants use the same request schedule.
 struct Arm {
     name: &'static str,
     poison: Option<usize>,
-    /// More arguments of `health(...)`, and further calls, in the operator's file.
+    /// Further arguments of `health(...)`, and further calls, in the operator's file.
     operator: String,
 }
 
-/// What a run showed.
+/// The result of a run.
 struct Measured {
     name: &'static str,
     deaths: usize,
-    /// By tenant, the share of the weight of its requests that was served.
+    /// By tenant, the share of the worth of its requests that was earned.
     goodput: Vec<f64>,
 }
 
-/// Plays 24 tenants over six groups, one of them poisoned, with cells and without, on the same schedule; writes the table
-/// and the chart.
+/// Runs 24 tenants on six groups with the same request schedule: without poison, and with one poisoned tenant, without
+/// cells and with them. Writes the table and the chart.
 pub(crate) fn blast_radius(setting: &Setting) -> anyhow::Result<()> {
     let folder = tempfile::tempdir()?;
     let placement = publish_placement(setting, folder.path())?;
@@ -78,7 +78,7 @@
     ]
 }
 
-/// Publishes a placement that deals the tenants out over the cells, and says where it is.
+/// Publishes a placement that assigns tenants to cells in turn, and returns its path.
 fn publish_placement(setting: &Setting, folder: &Path) -> anyhow::Result<PathBuf> {
     let source = folder.join("source.json");
     let placement = folder.join("placement");
@@ -101,11 +101,14 @@
         .arg(&source)
         .arg(&placement)
         .status()?;
-    ensure!(published.success(), "the placement was not published");
+    ensure!(
+        published.success(),
+        "`asterreel cells publish` failed: {published}; its output above says why"
+    );
     Ok(placement)
 }
 
-/// Plays one arm on databases and a gateway of its own.
+/// Runs one arm with its own databases and gateway.
 fn play(setting: &Setting, arm: &Arm) -> anyhow::Result<Measured> {
     let shape = fleet::Shape {
         groups: CELLS,
@@ -118,14 +121,20 @@
     let check = Check::Http(plan.http, "/livez".into());
     let balancer = Balancer::start(vec![check], Pace::default());
     let ready = recorded(&balancer, 0, 0, |change| change.weight == 100);
-    ensure!(ready.is_some(), "it never came up");
+    ensure!(
+        ready.is_some(),
+        "the gateway did not reach weight 100 within {PATIENCE:?}"
+    );
     thread::sleep(SETTLE_TIME);
     let restarter = Restarter::start(&fleet);
     let started_at = now();
     let records = load::play(load_shape(setting, arm), &balancer, &[plan.client]);
     restarter.stop()?;
     let took = now() - started_at;
-    ensure!(took < PATIENCE.as_micros() as u64 * 10, "it hung");
+    ensure!(
+        took < PATIENCE.as_micros() as u64 * 10,
+        "the load took {took} us, more than ten times {PATIENCE:?}"
+    );
     balancer.stop();
     let deaths = fleet.revive(RESTART_DELAY);
     let all = goodput(records.iter());
@@ -156,7 +165,7 @@
     goodput(records.iter().filter(|record| record.tenant == tenant))
 }
 
-/// Starts databases that died again, on a thread of its own.
+/// A thread that restarts crashed databases.
 struct Restarter {
     stopping: Arc<AtomicBool>,
     thread: JoinHandle<()>,
@@ -177,7 +186,10 @@
 
     fn stop(self) -> anyhow::Result<()> {
         self.stopping.store(true, Ordering::Release);
-        ensure!(self.thread.join().is_ok(), "restarting databases panicked");
+        ensure!(
+            self.thread.join().is_ok(),
+            "the thread that restarts databases panicked"
+        );
         Ok(())
     }
 }
@@ -198,7 +210,7 @@
     Ok(())
 }
 
-/// Prints the worst goodput outside the poisoned tenant's cell, and of its neighbours within.
+/// Prints the lowest goodput of a tenant outside the poisoned tenant's cell, and of the other tenants in its cell.
 fn print_worst(measured: &Measured) {
     let worst = |is_counted: &dyn Fn(usize) -> bool| {
         let counted = measured.goodput.iter().enumerate();
--- a/testbench/src/chart.rs
+++ b/testbench/src/chart.rs
@@ -1,12 +1,12 @@
-//! Tables and charts of what was measured.
+//! Line charts as SVG files, and quantiles.
 
 use plotters::prelude::*;
 use std::path::Path;
 
-/// A named line of points.
+/// A name for the legend, and the points (x, y) of a line.
 pub type Line = (String, Vec<(f64, f64)>);
 
-/// Draws lines over common axes into an SVG file.
+/// Draws lines into an SVG file, on axes that begin at 0 and fit all lines.
 ///
 /// # Errors
 ///
@@ -48,7 +48,7 @@
     Ok(())
 }
 
-/// The value below which this share of the sorted values lies.
+/// The quantile `share` (0 to 1) of sorted values by the nearest rank; 0 if there are none.
 pub fn quantile(sorted: &[u64], share: f64) -> u64 {
     let last = sorted.len().saturating_sub(1);
     sorted
--- a/testbench/src/database.rs
+++ b/testbench/src/database.rs
@@ -1,4 +1,4 @@
-//! A database on a socket, as far as a gateway sees one, and discovery: the parts of all stand-ins.
+//! The parts of a simulated database server and of a discovery service that a gateway uses.
 
 use std::io::{self, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -6,37 +6,37 @@
 use std::thread;
 use std::time::Duration;
 
-/// What a stand-in is.
+/// The role of a simulated database.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It takes writes.
+    /// Accepts writes.
     Primary,
-    /// It turns writes away.
+    /// Rejects writes.
     Replica,
 }
 
-/// What a stand-in does about a statement.
+/// The reaction of a simulated database to a statement.
 pub enum Reply {
-    /// Answers, and waits for the next.
+    /// Writes these messages and waits for the next statement.
     Answer(Vec<u8>),
-    /// Writes this and closes the connection.
+    /// Writes these messages and closes the connection.
     Last(Vec<u8>),
 }
 
-/// Serves connections, a thread each; `reply` sees every statement.
+/// Serves each connection on its own thread; `reply` is called for every statement.
 pub fn serve(listener: &TcpListener, reply: impl Fn(&[u8]) -> Reply + Clone + Send + 'static) {
     for client in listener.incoming().flatten() {
         let reply = reply.clone();
-        // A connection that breaks ends its thread; there is nothing to clean up.
+        // The error of a failed connection needs no handling: the connection is closed when its thread ends.
         thread::spawn(move || session(client, reply));
     }
 }
 
-/// One connection: its opening, then statements until it ends.
+/// Serves one connection: the startup, then simple queries until the client sends another message or disconnects.
 ///
 /// # Errors
 ///
-/// The connection failed or ended within a message.
+/// The connection failed, or was closed without a terminate message.
 pub fn session(mut client: TcpStream, reply: impl Fn(&[u8]) -> Reply) -> io::Result<()> {
     client.set_nodelay(true)?;
     read_body(&mut client)?;
@@ -55,7 +55,7 @@
     }
 }
 
-/// The end of an answer: what the database says of itself, and that it is ready.
+/// The end of an answer: the database's role and position as ParameterStatus messages, and ReadyForQuery.
 pub fn note(role: Role, position_ms: u64) -> Vec<u8> {
     let name = if role == Role::Primary {
         "writer"
@@ -70,7 +70,7 @@
     .concat()
 }
 
-/// A load report, as the answer to `SHOW usage`.
+/// A load report: the result of `SHOW usage`, without ReadyForQuery. `util` is 0 to 1.
 pub fn report(role: Role, position_ms: u64, util: f64) -> Vec<u8> {
     let primary = u8::from(role == Role::Primary);
     row(format!(
@@ -80,15 +80,16 @@
     .as_bytes())
 }
 
-/// An error with a code.
+/// An ErrorResponse with an SQLSTATE code.
 pub fn error(code: &str, text: &str) -> Vec<u8> {
     message(b'E', format!("SERROR\0C{code}\0M{text}\0\0").as_bytes())
 }
 
-/// What to say instead of an answer to a statement, but for reports, before the connection is closed.
+/// Optional bytes to write in place of the answer to a statement, after which the connection is closed; not called for
+/// load reports.
 pub type Spoil = fn(&[u8]) -> Option<Vec<u8>>;
 
-/// A database that answers at once; each statement, but for reports, is passed on to `seen` before its answer.
+/// Runs a database that answers without delay; each statement except load reports is sent to `seen` before the answer.
 pub fn toy(listener: &TcpListener, role: Role, seen: Option<SyncSender<Vec<u8>>>, spoil: Spoil) {
     serve(listener, move |statement| {
         let position = crate::now() / 1000;
@@ -110,7 +111,7 @@
     });
 }
 
-/// Serves as discovery: answers every watch with the list, then with heartbeats.
+/// Runs a discovery service that sends the member list to every watch, then heartbeats.
 pub fn discovery(listener: &TcpListener, list: &str) {
     for client in listener.incoming().flatten() {
         let line = format!("{list}\n");
@@ -125,15 +126,15 @@
     }
 }
 
-/// A watch that a gateway keeps on discovery.
+/// The server side of a gateway's discovery watch.
 pub struct Watch(TcpStream);
 
 impl Watch {
-    /// Reads the call and begins the answer.
+    /// Reads the HTTP request and sends the head of a chunked response.
     ///
     /// # Errors
     ///
-    /// The connection failed before the call was whole or the answer begun.
+    /// The connection failed before the whole request was read or the response head was written.
     pub fn begin(mut client: TcpStream) -> io::Result<Watch> {
         client.set_nodelay(true)?;
         let mut request = Vec::new();
@@ -146,7 +147,7 @@
         Ok(Watch(client))
     }
 
-    /// Sends a chunk.
+    /// Sends a chunk of the response.
     ///
     /// # Errors
     ///
@@ -157,11 +158,11 @@
     }
 }
 
-/// Reads a message's length and body.
+/// Reads a PostgreSQL message's length and body; the tag has been read.
 ///
 /// # Errors
 ///
-/// The connection failed or ended before the message did.
+/// The connection failed or was closed before the end of the message.
 pub fn read_body(from: &mut TcpStream) -> io::Result<Vec<u8>> {
     let mut length = [0; 4];
     from.read_exact(&mut length)?;
@@ -170,13 +171,13 @@
     Ok(body)
 }
 
-/// A message with its tag and length.
+/// Encodes a PostgreSQL message: tag, length, body.
 pub fn message(tag: u8, body: &[u8]) -> Vec<u8> {
     let length = (body.len() as u32 + 4).to_be_bytes();
     [&[tag], &length[..], body].concat()
 }
 
-/// The answer of one row of one column.
+/// A result with one row of one column: RowDescription, DataRow and CommandComplete.
 pub fn row(value: &[u8]) -> Vec<u8> {
     let description = [&[0, 1][..], b"payload\0", &[0; 18]].concat();
     let data = [&[0, 1][..], &(value.len() as u32).to_be_bytes(), value].concat();
--- a/testbench/src/fit.rs
+++ b/testbench/src/fit.rs
@@ -1,30 +1,32 @@
-//! What curve goes through measured points: a line, a parabola, or nothing that may be said.
+//! Fits a line or a parabola to measured points.
 //!
-//! Least squares, first of degree one, then of degree two. A parabola always lies closer to the points than a line; it is
-//! believed only where an F test says, at one in a hundred, that noise would not explain how much closer. Points that
-//! neither describes, or too few of them, are `Unknown`: nothing may be extrapolated from them.
+//! Least squares of degree one and of degree two. The residuals of a parabola are never larger than those of a line, so
+//! it is chosen only if an F test at the 1% level says that noise does not explain the difference. Points that neither
+//! curve describes, or too few points, are `Unknown`: nothing is extrapolated from them.
 
 use std::fmt;
 
-/// Distinct sizes below which nothing is said: a parabola goes through any three points, so that four are the fewest
-/// that can contradict one.
-pub const FEWEST_SIZES: usize = 4;
-/// The largest residual error, as a share of the largest value, at which a curve still describes its points.
-pub const WIDEST: f64 = 0.10;
-/// How much of the largest value a parabola's bend must make up: less is a line to whoever plans by it.
-const SLIGHTEST_BEND: f64 = 0.03;
-/// The F distribution's 99% quantiles with 1 and `index + 1` degrees of freedom, from common tables; the last holds for
-/// all that follow, which errs on the side of the line.
+/// The number of distinct sizes below which the shape is `Unknown`. A parabola passes through any three points, so at
+/// least four are needed to contradict one.
+pub const MIN_SIZES: usize = 4;
+/// The largest residual standard error, as a share of the largest value, at which a curve describes its points.
+pub const MAX_RESIDUAL_SHARE: f64 = 0.10;
+/// The smallest quadratic term at the largest size, as a share of the largest value, that counts as a parabola; a
+/// smaller one makes no difference to capacity planning.
+const MIN_QUADRATIC_SHARE: f64 = 0.03;
+/// The 99% quantiles of the F distribution with 1 and `index + 1` degrees of freedom. The last is also used for more
+/// degrees of freedom, where the true quantile is smaller; this favours the line.
 const F_99: [f64; 10] = [4052.0, 98.5, 34.1, 21.2, 16.3, 13.7, 12.2, 11.3, 10.6, 10.0];
 
 /// Which curve describes the points.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shape {
-    /// A line.
+    /// A line describes the points.
     Linear,
-    /// A parabola that bends upwards.
+    /// A parabola that opens upwards describes the points.
     Quadratic,
-    /// Neither, or too few points, or a bend downwards, which may not be carried on.
+    /// Neither curve describes the points, there are too few, or the parabola opens downwards, which can't be
+    /// extrapolated.
     Unknown,
 }
 
@@ -38,12 +40,12 @@
     }
 }
 
-/// A line through points, with its errors.
+/// A fitted line with its standard errors.
 #[derive(Clone, Copy, Debug)]
 pub struct Line {
     /// The value at size 0.
     pub intercept: f64,
-    /// What one more costs.
+    /// The increase of the value per unit of size.
     pub slope: f64,
     /// The slope's standard error.
     pub slope_error: f64,
@@ -54,32 +56,32 @@
     spread: f64,
 }
 
-/// A parabola through points: `constant + linear x + square x^2`.
+/// A fitted parabola: `constant + linear x + square x^2`.
 #[derive(Clone, Copy, Debug)]
 pub struct Parabola {
     /// The value at size 0.
     pub constant: f64,
     /// The coefficient of the size.
     pub linear: f64,
-    /// The coefficient of its square.
+    /// The coefficient of the size's square.
     pub square: f64,
     /// The residual standard error, in the values' unit.
     pub residual: f64,
 }
 
-/// Both curves through the points, and which of them describes these.
+/// Both fitted curves, and which of them describes the points.
 #[derive(Clone, Copy, Debug)]
 pub struct Fit {
-    /// What may be said.
+    /// The curve that describes the points.
     pub shape: Shape,
-    /// The line.
+    /// The fitted line.
     pub line: Line,
-    /// The parabola, where there are enough points for one.
+    /// The fitted parabola; none for fewer than three distinct sizes, or if the equations have no stable solution.
     pub parabola: Option<Parabola>,
 }
 
 impl Fit {
-    /// Fits points of (size, value); nothing for fewer than two sizes, or values that are no numbers.
+    /// Fits points of (size, value). Returns none for fewer than two distinct sizes, or if a number is not finite.
     pub fn of(points: &[(f64, f64)]) -> Option<Fit> {
         if points
             .iter()
@@ -97,7 +99,7 @@
             None
         };
         let shape = match parabola {
-            Some(parabola) if sizes.len() >= FEWEST_SIZES => judge(points, &line, &parabola),
+            Some(parabola) if sizes.len() >= MIN_SIZES => choose_shape(points, &line, &parabola),
             _ => Shape::Unknown,
         };
         Some(Fit {
@@ -107,10 +109,10 @@
         })
     }
 
-    /// The value at a size by the curve that was chosen, and its standard error; nothing where none was.
+    /// The value at a size by the chosen curve, and its standard error; none if the shape is `Unknown`.
     ///
-    /// The error is that of the fit alone: it knows nothing of what may happen beyond the sizes measured, and is somewhat
-    /// too small where noise grows with the size.
+    /// The error covers only the fit. It does not cover other effects outside the measured sizes, and it is somewhat
+    /// too small if the noise grows with the size.
     pub fn at(&self, size: f64) -> Option<(f64, f64)> {
         match (self.shape, self.parabola) {
             (Shape::Linear, _) => Some((self.line.at(size), self.line.error_at(size))),
@@ -120,21 +122,21 @@
     }
 }
 
-fn judge(points: &[(f64, f64)], line: &Line, parabola: &Parabola) -> Shape {
+fn choose_shape(points: &[(f64, f64)], line: &Line, parabola: &Parabola) -> Shape {
     let count = points.len();
     let largest = points.iter().map(|point| point.1.abs()).fold(0.0, f64::max);
-    let furthest = points.iter().map(|point| point.0.abs()).fold(0.0, f64::max);
-    let describes = |residual: f64| residual <= WIDEST * largest;
+    let largest_size = points.iter().map(|point| point.0.abs()).fold(0.0, f64::max);
+    let describes = |residual: f64| residual <= MAX_RESIDUAL_SHARE * largest;
     let freedom = (count - 3) as f64;
-    let (squares_line, squares_bent) = (
+    let (squares_line, squares_parabola) = (
         line.residual.powi(2) * (freedom + 1.0),
         parabola.residual.powi(2) * freedom,
     );
-    // Points that lie on a parabola but for rounding leave nothing to divide by.
-    let gained =
-        (squares_line - squares_bent) / (squares_bent / freedom).max((1e-9 * largest).powi(2));
-    let bends = gained > F_99[(count - 4).min(F_99.len() - 1)]
-        && (parabola.square * furthest.powi(2)).abs() > SLIGHTEST_BEND * largest;
+    // The lower bound avoids a division by almost zero when only rounding errors separate the points from a parabola.
+    let f_statistic = (squares_line - squares_parabola)
+        / (squares_parabola / freedom).max((1e-9 * largest).powi(2));
+    let bends = f_statistic > F_99[(count - 4).min(F_99.len() - 1)]
+        && (parabola.square * largest_size.powi(2)).abs() > MIN_QUADRATIC_SHARE * largest;
     match bends {
         true if parabola.square > 0.0 && describes(parabola.residual) => Shape::Quadratic,
         false if describes(line.residual) => Shape::Linear,
@@ -146,22 +148,22 @@
     fn through(points: &[(f64, f64)]) -> Option<Line> {
         let count = points.len() as f64;
         let mean = points.iter().map(|point| point.0).sum::<f64>() / count;
-        let level = points.iter().map(|point| point.1).sum::<f64>() / count;
+        let mean_value = points.iter().map(|point| point.1).sum::<f64>() / count;
         let spread: f64 = points.iter().map(|point| (point.0 - mean).powi(2)).sum();
         if points.len() < 2 || spread <= 0.0 {
             return None;
         }
         let slope = points
             .iter()
-            .map(|point| (point.0 - mean) * (point.1 - level))
+            .map(|point| (point.0 - mean) * (point.1 - mean_value))
             .sum::<f64>()
             / spread;
-        let intercept = level - slope * mean;
+        let intercept = mean_value - slope * mean;
         let squares: f64 = points
             .iter()
             .map(|point| (point.1 - intercept - slope * point.0).powi(2))
             .sum();
-        // A line through two points has no error that could be known.
+        // The residual error of a line through two points is undefined.
         let residual = if points.len() > 2 {
             (squares / (count - 2.0)).sqrt()
         } else {
@@ -191,7 +193,7 @@
 }
 
 impl Parabola {
-    /// Solves the normal equations in sizes scaled to 1, so that their fourth powers stay within a float's digits.
+    /// Solves the normal equations with sizes scaled to at most 1, as fourth powers of unscaled sizes lose precision.
     fn through(points: &[(f64, f64)]) -> Option<Parabola> {
         let scale = points.iter().map(|point| point.0.abs()).fold(0.0, f64::max);
         if scale <= 0.0 {
@@ -210,17 +212,17 @@
         }
         let rows: [[f64; 3]; 3] =
             std::array::from_fn(|row| std::array::from_fn(|column| powers[row + column]));
-        let whole = determinant(&rows);
-        if whole.abs() < 1e-12 {
+        let denominator = determinant(&rows);
+        if denominator.abs() < 1e-12 {
             return None;
         }
-        // Cramer's rule: three unknowns are few enough.
+        // Cramer's rule is precise enough for three unknowns.
         let solved: [f64; 3] = std::array::from_fn(|unknown| {
             let mut replaced = rows;
             for (row, value) in replaced.iter_mut().zip(values) {
                 row[unknown] = value;
             }
-            determinant(&replaced) / whole
+            determinant(&replaced) / denominator
         });
         let mut parabola = Parabola {
             constant: solved[0],
--- a/testbench/src/fleet.rs
+++ b/testbench/src/fleet.rs
@@ -1,4 +1,5 @@
-//! Groups of databases that can crash, drain, lag, start cold and elect a primary, with its discovery.
+//! Groups of simulated databases that can crash, drain, lag, start cold and elect a primary, and their discovery
+//! service.
 
 use crate::database::{self, Reply, Role, Watch};
 use crate::now;
@@ -9,18 +10,19 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long a start stays cold, and the share of its speed that it begins with.
+/// How long a database is slower after a start.
 const COLD_MS: u64 = 10_000;
-const COLD_SHARE: f64 = 0.25;
+/// The share of its full speed with which a database starts; it grows linearly to 1 within `COLD_MS`.
+const COLD_START_SPEED: f64 = 0.25;
 
-/// A write that a database took.
+/// A write that a database executed.
 #[derive(Clone, Debug)]
 pub struct Taken {
-    /// The request's id.
+    /// The request's id, from the statement's comment.
     pub id: String,
-    /// When, Unix microseconds.
+    /// Time of execution, Unix microseconds.
     pub at: u64,
-    /// By which database.
+    /// Number of the database.
     pub member: usize,
 }
 
@@ -29,12 +31,12 @@
     alive: bool,
     phase: &'static str,
     lag_ms: u64,
-    /// When its process started; 0 is long ago.
+    /// Unix milliseconds of its last restart; 0 if it has run since the start of the fleet and is not cold.
     started_ms: u64,
     busy: usize,
     waiting: usize,
     open: Vec<TcpStream>,
-    /// Gateways that can't reach it.
+    /// Gateways that cannot reach it.
     cut: HashSet<usize>,
 }
 
@@ -45,22 +47,22 @@
     deaths: Vec<(usize, u64)>,
 }
 
-/// What a fleet is made of.
+/// The size of a fleet and the speed of its databases.
 #[derive(Clone, Copy, Debug)]
 pub struct Shape {
-    /// Groups, and databases of each.
+    /// Number of groups.
     pub groups: usize,
-    /// See `groups`.
+    /// Databases in each group.
     pub members: usize,
-    /// Gateways, each of which reaches every database at an address of its own.
+    /// Number of gateways; each reaches every database at a separate address.
     pub gateways: usize,
-    /// Requests that a database works on at once, and how many may wait.
+    /// Requests that a database executes at the same time.
     pub cores: usize,
-    /// See `cores`.
+    /// Requests that may wait in a database; further ones are rejected.
     pub queue: usize,
-    /// The work of a read and of a write, milliseconds.
+    /// Execution time of a read at full speed, milliseconds.
     pub read_ms: u64,
-    /// See `read_ms`.
+    /// Execution time of a write at full speed, milliseconds.
     pub write_ms: u64,
 }
 
@@ -78,7 +80,7 @@
     }
 }
 
-/// A running fleet; its threads end with the process.
+/// A running fleet; its threads run until the process exits.
 pub struct Fleet {
     shape: Shape,
     state: Mutex<State>,
@@ -90,7 +92,7 @@
 }
 
 impl Fleet {
-    /// Starts the databases, the first of each group primary, and discovery.
+    /// Starts the databases, with the first of each group as primary, and the discovery service.
     ///
     /// # Errors
     ///
@@ -101,12 +103,14 @@
                 .map(|_| TcpListener::bind("127.0.0.1:0"))
                 .collect()
         };
-        let doors: Vec<Vec<TcpListener>> = (0..shape.gateways)
+        let listeners: Vec<Vec<TcpListener>> = (0..shape.gateways)
             .map(|_| bind(shape.groups * shape.members))
             .collect::<Result<_, _>>()?;
         let lists = bind(shape.gateways)?;
-        let places = |doors: &Vec<TcpListener>| doors.iter().map(TcpListener::local_addr).collect();
-        let addresses: Vec<Vec<SocketAddr>> = doors.iter().map(places).collect::<Result<_, _>>()?;
+        let places =
+            |listeners: &Vec<TcpListener>| listeners.iter().map(TcpListener::local_addr).collect();
+        let addresses: Vec<Vec<SocketAddr>> =
+            listeners.iter().map(places).collect::<Result<_, _>>()?;
         let discoveries: Vec<SocketAddr> = places(&lists)?;
         let member = |number: usize| Member {
             role: if number % shape.members == 0 {
@@ -137,10 +141,10 @@
             addresses,
             discoveries,
         });
-        for (gateway, doors) in doors.into_iter().enumerate() {
-            for (number, door) in doors.into_iter().enumerate() {
+        for (gateway, listeners) in listeners.into_iter().enumerate() {
+            for (number, listener) in listeners.into_iter().enumerate() {
                 let fleet = fleet.clone();
-                thread::spawn(move || fleet.accept(&door, gateway, number));
+                thread::spawn(move || fleet.accept(&listener, gateway, number));
             }
         }
         for (gateway, list) in lists.into_iter().enumerate() {
@@ -159,12 +163,12 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Where discovery answers a gateway.
+    /// The address of the discovery service for a gateway.
     pub fn discovery(&self, gateway: usize) -> SocketAddr {
         self.discoveries[gateway]
     }
 
-    /// The list as a gateway is told it.
+    /// The member list as discovery sends it to a gateway, with the addresses for that gateway.
     pub fn list(&self, gateway: usize) -> Value {
         let state = self.lock();
         let members: Vec<Value> = state
@@ -202,8 +206,8 @@
         }
     }
 
-    fn accept(self: &Arc<Fleet>, door: &TcpListener, gateway: usize, number: usize) {
-        for client in door.incoming().flatten() {
+    fn accept(self: &Arc<Fleet>, listener: &TcpListener, gateway: usize, number: usize) {
+        for client in listener.incoming().flatten() {
             {
                 let mut state = self.lock();
                 let member = &mut state.members[number];
@@ -218,7 +222,7 @@
                 let ended = client.try_clone();
                 let _ =
                     database::session(client, |statement| fleet.reply(gateway, number, statement));
-                // The copy that is kept to cut it must not keep it open.
+                // `Member::open` holds a duplicate for `crash`; without a shutdown it would keep the connection open.
                 let _ = ended.map(|stream| stream.shutdown(Shutdown::Both));
             });
         }
@@ -226,7 +230,7 @@
 
     fn reply(&self, gateway: usize, number: usize, statement: &[u8]) -> Reply {
         let write = statement.starts_with(b"INSERT");
-        // A statement that kills whoever runs it.
+        // A poisoned statement crashes the database that executes it.
         if statement.windows(6).any(|word| word == b"poison") {
             self.crash(number);
             self.lock().deaths.push((number, now()));
@@ -272,8 +276,8 @@
         member.busy += 1;
         let age = (now() / 1000).saturating_sub(member.started_ms);
         let cold = member.started_ms > 0 && age < COLD_MS;
-        let warmth = if cold {
-            COLD_SHARE + (1.0 - COLD_SHARE) * age as f64 / COLD_MS as f64
+        let speed = if cold {
+            COLD_START_SPEED + (1.0 - COLD_START_SPEED) * age as f64 / COLD_MS as f64
         } else {
             1.0
         };
@@ -283,7 +287,7 @@
             self.shape.read_ms
         };
         drop(state);
-        thread::sleep(Duration::from_micros((work as f64 * 1e3 / warmth) as u64));
+        thread::sleep(Duration::from_micros((work as f64 * 1e3 / speed) as u64));
         let mut state = self.lock();
         state.members[number].busy -= 1;
         self.changed.notify_all();
@@ -303,7 +307,7 @@
         Reply::Answer([database::row(b"rig"), note(role)].concat())
     }
 
-    /// The process of a database dies; its connections are reset.
+    /// Simulates the crash of a database: all its connections are shut down, new ones are closed.
     pub fn crash(&self, number: usize) {
         let mut state = self.lock();
         state.members[number].alive = false;
@@ -313,7 +317,7 @@
         self.changed.notify_all();
     }
 
-    /// It starts again, cold, as a replica.
+    /// Restarts a crashed database, cold and as a replica.
     pub fn restart(&self, number: usize) {
         let mut state = self.lock();
         let member = &mut state.members[number];
@@ -322,7 +326,7 @@
         self.changed.notify_all();
     }
 
-    /// Makes a database the primary of the one group, and no other.
+    /// Makes a database the only primary of the fleet, or leaves the fleet without one; for fleets of one group.
     pub fn elect(&self, number: Option<usize>) {
         let mut state = self.lock();
         for (other, member) in state.members.iter_mut().enumerate() {
@@ -334,7 +338,7 @@
         }
     }
 
-    /// Sets what discovery says of a database: `ready`, `draining` or `gone`.
+    /// Sets the phase that discovery reports for a database: `ready`, `draining` or `gone`.
     pub fn phase(&self, number: usize, phase: &'static str) {
         let mut state = self.lock();
         state.members[number].phase = phase;
@@ -342,12 +346,12 @@
         self.changed.notify_all();
     }
 
-    /// How far a replica is behind.
+    /// Sets the replication lag of a database while it is a replica.
     pub fn lag(&self, number: usize, ms: u64) {
         self.lock().members[number].lag_ms = ms;
     }
 
-    /// Cuts a database off from one gateway, or mends that.
+    /// Blocks or restores the connections from one gateway to a database.
     pub fn cut(&self, gateway: usize, number: usize, is_cut: bool) {
         let mut state = self.lock();
         let member = &mut state.members[number];
@@ -358,7 +362,8 @@
         }
     }
 
-    /// Databases that died of a statement, and when; each is started again by whoever asks after this long.
+    /// Restarts, in their former roles, the databases that a statement crashed at least `after` ago. Returns how often
+    /// any database has crashed so.
     pub fn revive(&self, after: Duration) -> usize {
         let due = now().saturating_sub(after.as_micros() as u64);
         let dead: Vec<usize> = {
@@ -377,13 +382,13 @@
         self.lock().deaths.len()
     }
 
-    /// All writes that were taken.
+    /// All writes that were executed.
     pub fn taken(&self) -> Vec<Taken> {
         self.lock().taken.clone()
     }
 }
 
-/// A value of a statement's comment.
+/// The value of a key in a statement's trailing comment; empty if it is missing.
 fn comment(statement: &[u8], name: &str) -> String {
     let text = String::from_utf8_lossy(statement);
     let comment = text.rsplit_once("/*").map_or("", |(_, comment)| comment);
--- a/testbench/src/gateway.rs
+++ b/testbench/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Real gateways: started as processes of their own, signalled, watched, and frozen in part.
+//! Starts, signals and monitors processes of the asterreel program, and can suspend their worker threads.
 
 use crate::fleet::Fleet;
 use crate::{bounded, process};
@@ -16,7 +16,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// What a process is.
+/// The subcommand that a process runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Part {
     /// A gateway: `asterreel run`.
@@ -26,63 +26,63 @@
     Member,
 }
 
-/// How a gateway is set up.
+/// The configuration of a process.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The program.
+    /// Path of the asterreel executable.
     pub program: PathBuf,
-    /// What it is to be.
+    /// The subcommand that it runs.
     pub part: Part,
-    /// What a shell does before it becomes the program: limits, variables.
+    /// Shell commands that run before the program in the same process, to set limits or variables.
     pub before: Option<String>,
-    /// Where clients connect, agent-check, HTTP.
+    /// Address for clients.
     pub client: SocketAddr,
-    /// See `client`.
+    /// Address for agent-checks.
     pub agent: SocketAddr,
-    /// See `client`.
+    /// Address for HTTP health checks.
     pub http: SocketAddr,
-    /// Health is on.
+    /// Whether the operator's file has a `health(...)` call.
     pub health: bool,
-    /// The balancer's interval, milliseconds, and what else `health(...)` is given.
+    /// `balancer.interval_ms` of `health(...)`, milliseconds.
     pub interval_ms: u64,
-    /// See `interval_ms`.
+    /// Further arguments of `health(...)`.
     pub extra: String,
-    /// The fleet's discovery and list.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
-    /// See `discovery`.
+    /// The member list in the program's configuration, `known`.
     pub known: Value,
-    /// Descriptors allowed.
+    /// The setting `limits.sockets`.
     pub sockets: usize,
-    /// What else the operator's file says.
+    /// The operator's file, without the `health(...)` call.
     pub operator: String,
-    /// The platform's settings.
+    /// The `settings` of the program's configuration.
     pub settings: Value,
 }
 
 impl Plan {
-    /// One gateway of a fleet, by its number, at addresses that are free now; health is on and checked every 100 ms.
+    /// The plan of a fleet's gateway, by its number, at free addresses; health is on, with an interval of 100 ms.
     ///
     /// # Errors
     ///
-    /// No free ports.
+    /// No ports are free.
     pub fn beside(fleet: &Fleet, gateway: usize, program: PathBuf) -> io::Result<Plan> {
         Plan::with_list(fleet.discovery(gateway), fleet.list(gateway), program)
     }
 
-    /// One gateway before the databases of a list, at addresses that are free now; otherwise as above.
+    /// The same with a given discovery address and member list.
     ///
     /// # Errors
     ///
-    /// No free ports.
+    /// No ports are free.
     pub fn with_list(discovery: SocketAddr, known: Value, program: PathBuf) -> io::Result<Plan> {
-        let places = free(3)?;
+        let addresses = free(3)?;
         Ok(Plan {
             program,
             part: Part::Gateway,
             before: None,
-            client: places[0],
-            agent: places[1],
-            http: places[2],
+            client: addresses[0],
+            agent: addresses[1],
+            http: addresses[2],
             health: true,
             interval_ms: 100,
             extra: String::new(),
@@ -95,8 +95,8 @@
     }
 }
 
-/// Addresses that are free, on a loopback host of this call's own: on the common one, a port that was free a moment ago
-/// may be some client's by the time that it is listened on.
+/// Free addresses on a loopback host that only this call uses. On 127.0.0.1, a client could take a port as its local
+/// port between this call and the time when the gateway listens on it.
 ///
 /// # Errors
 ///
@@ -116,49 +116,49 @@
     held.iter().map(TcpListener::local_addr).collect()
 }
 
-/// A line of a gateway's log.
+/// A line of a process's log.
 #[derive(Clone, Debug)]
 pub struct Line {
     /// When it was read, Unix microseconds.
     pub at: u64,
-    /// Its fields.
+    /// The fields of the JSON line, or the text of a line that is not JSON.
     pub fields: Value,
 }
 
-/// The operator's file within a gateway's folder.
-const OPERATOR: &str = "operator.star";
+/// File name of the operator's file in a process's directory.
+const OPERATOR_FILE_NAME: &str = "operator.star";
 
-/// Threads of the program that do not run requests, beside that of its control plane.
+/// Names of the program's threads that do not handle requests, except that of the control plane.
 const NAMED_THREADS: [&str; 5] = ["timer", "health", "health-log", "health-notify", "operator"];
-/// How the name of the control plane's thread begins.
-const CONTROL_THREAD: &str = "control-";
-/// The number under which a control member takes part has its gateway's in these bits.
-const GATEWAY_BITS: u64 = 0xFFFF;
+/// Prefix of the name of the control plane's thread.
+const CONTROL_THREAD_PREFIX: &str = "control-";
+/// The bits of a control member's id in the Raft group that hold its gateway's number.
+const GATEWAY_NUMBER_MASK: u64 = 0xFFFF;
 
 /// The name of the thread that runs a gateway's control plane.
 pub fn control_thread(gateway: u32) -> String {
-    format!("{CONTROL_THREAD}{gateway}")
+    format!("{CONTROL_THREAD_PREFIX}{gateway}")
 }
 
-/// Who leads, as a control member logged it: the term, and the gateway's number, 0 where nobody does.
+/// The leaders that a control member logged: the term, and the leader's gateway number, 0 if there was none.
 pub fn leaders(log: Vec<Line>) -> impl Iterator<Item = (u64, u32)> {
     let said = log
         .into_iter()
         .filter(|line| line.fields["message"] == "log: leader or term changed");
     said.filter_map(|line| {
-        let leader = line.fields["leader"].as_u64()? & GATEWAY_BITS;
+        let leader = line.fields["leader"].as_u64()? & GATEWAY_NUMBER_MASK;
         Some((line.fields["term"].as_u64()?, leader as u32))
     })
 }
 
-/// A running gateway.
+/// A running process of the program; it is killed on drop.
 pub struct Gateway {
     child: Child,
     log: Arc<Mutex<Vec<Line>>>,
     files: tempfile::TempDir,
 }
 
-/// The settings of the testbench's databases, in the platform's words: one gateway, searches and bookings.
+/// The program's settings for the simulated databases: one gateway, and the request classes search and booking.
 pub fn settings() -> Value {
     json!({
         "Allowed": {"Cancel": true, "ConnIdleUs": 15_000_000, "ConnectTimeoutUs": 250_000, "MaxAttempts": 10, "MayProbe": true},
@@ -178,7 +178,7 @@
 }
 
 impl Gateway {
-    /// Starts one.
+    /// Starts the process.
     ///
     /// # Errors
     ///
@@ -192,7 +192,7 @@
         let path = files.path().join("config.json");
         std::fs::write(&path, config.to_string())?;
         let mut command = match &plan.before {
-            // No script of its own: one just written can't always be run while other threads start processes.
+            // A script file could fail with ETXTBSY if another thread forks while it is still open for writing.
             Some(text) => {
                 let mut shell = Command::new("/bin/sh");
                 shell
@@ -223,7 +223,7 @@
             );
         }
         if !text.is_empty() {
-            let operator = files.path().join(OPERATOR);
+            let operator = files.path().join(OPERATOR_FILE_NAME);
             std::fs::write(&operator, text)?;
             command.arg("--operator").arg(&operator);
         }
@@ -248,21 +248,21 @@
         Ok(Gateway { child, log, files })
     }
 
-    /// Puts another operator's file in place of what it was started with; it reads it on SIGHUP, or when asked.
+    /// Replaces the operator's file; the gateway reads it on SIGHUP or when an operator's command requests it.
     ///
     /// # Errors
     ///
     /// The file could not be written.
     pub fn rewrite(&self, text: &str) -> io::Result<()> {
-        std::fs::write(self.files.path().join(OPERATOR), text)
+        std::fs::write(self.files.path().join(OPERATOR_FILE_NAME), text)
     }
 
-    /// Its process.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// What it has logged so far.
+    /// All lines that it has logged.
     pub fn log(&self) -> Vec<Line> {
         self.log
             .lock()
@@ -270,7 +270,7 @@
             .clone()
     }
 
-    /// Waits until a line satisfies this, from the given line on.
+    /// Waits for a log line that satisfies `wanted`, at or after the index `from`.
     pub fn logged(
         &self,
         from: usize,
@@ -285,34 +285,34 @@
         })
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the process.
     ///
     /// # Errors
     ///
-    /// The process is gone.
+    /// The process has exited.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
         Ok(kill(Pid::from_raw(self.child.id() as i32), signal)?)
     }
 
-    /// How it ended, where it did.
+    /// The exit status, if it has exited.
     pub fn ended(&mut self) -> Option<std::process::ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Waits for its end; false when it ended badly.
+    /// Waits until the process exits; returns whether its status was success.
     ///
     /// # Errors
     ///
-    /// The process could not be waited for.
+    /// The process is still running after the time limit, or could not be waited for.
     pub fn wait(&mut self, within: Duration) -> io::Result<bool> {
         Ok(bounded::exit(&mut self.child, within)?.success())
     }
 
-    /// CPU time it has used, microseconds.
+    /// CPU time that the process has used, microseconds; 0 if /proc/PID/stat has no such numbers.
     ///
     /// # Errors
     ///
-    /// The process is gone, or what the system says of it makes no sense.
+    /// The process has exited, or /proc/PID/stat could not be read.
     pub fn cpu_us(&self) -> io::Result<u64> {
         let stat =
             std::fs::read_to_string(Path::new("/proc").join(self.id().to_string()).join("stat"))?;
@@ -322,15 +322,15 @@
                 .nth(number)
                 .and_then(|text| text.parse::<u64>().ok())
         };
-        // utime and stime, in hundredths of a second (proc(5)).
+        // utime and stime, in clock ticks of 1/100 s (proc(5)).
         Ok((field(11).unwrap_or(0) + field(12).unwrap_or(0)) * 10_000)
     }
 
-    /// Descriptors it holds, and its resident memory in KiB.
+    /// The number of its open file descriptors, and its resident memory in KiB.
     ///
     /// # Errors
     ///
-    /// The process is gone, or what the system says of it makes no sense.
+    /// The process has exited, or its files in /proc could not be read.
     pub fn holds(&self) -> io::Result<(usize, u64)> {
         Ok((
             process::descriptors(self.id())?,
@@ -338,17 +338,18 @@
         ))
     }
 
-    /// Stops the thread that runs requests, and nothing else, until the guard is dropped: the port still accepts and
-    /// other threads go on. Only for a process that this one started.
+    /// Suspends the worker threads that handle requests until the guard is dropped. The kernel still accepts
+    /// connections, and other threads continue. Works only for a process that this process started.
     ///
     /// # Errors
     ///
-    /// The process is gone, or its threads may not be traced.
+    /// The process has exited, or its threads may not be traced with ptrace.
     pub fn freeze(&self) -> io::Result<Frozen> {
         let mut threads = Vec::new();
         for (thread, name) in process::threads(self.id())? {
-            // Threads of the program that have names of their own are not the worker.
-            let named = NAMED_THREADS.contains(&name.as_str()) || name.starts_with(CONTROL_THREAD);
+            // Threads with these names, and the main thread, do not handle requests.
+            let named =
+                NAMED_THREADS.contains(&name.as_str()) || name.starts_with(CONTROL_THREAD_PREFIX);
             if !named && thread != self.id() {
                 threads.push(Pid::from_raw(thread as i32));
             }
@@ -361,7 +362,8 @@
     }
 }
 
-/// Threads that stand still until this is dropped, on the thread that stopped them.
+/// Threads that are suspended until this is dropped. Drop it on the thread that called [`Gateway::freeze`], as ptrace
+/// requires.
 pub struct Frozen(Vec<Pid>);
 
 impl Drop for Frozen {
--- a/testbench/src/lib.rs
+++ b/testbench/src/lib.rs
@@ -1,7 +1,9 @@
-//! Stand-ins of the systems around asterreel, on loopback, and what experiments with them share.
+//! Simulated databases, discovery, load balancers and clients for asterreel, on loopback, and the code that experiments
+//! with them share.
 //!
-//! Written from public specifications: PostgreSQL's protocol, discovery's watch as the gateway reads it, and a
-//! balancer that checks as HAProxy's manual describes. Plain threads and blocking sockets: few of each.
+//! They implement public specifications: the PostgreSQL protocol, the discovery watch that the gateway reads, and a
+//! balancer whose health checks follow HAProxy's manual. They use plain threads and blocking sockets, as there are few
+//! of each.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -21,7 +23,7 @@
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Unix time in microseconds, the clock of all records.
+/// The current Unix time in microseconds; all records use this clock.
 pub fn now() -> u64 {
     let unix = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/testbench/src/load.rs
+++ b/testbench/src/load.rs
@@ -1,4 +1,4 @@
-//! An open load: requests arrive on a schedule drawn from a seed, whatever becomes of them.
+//! An open-loop load: requests are sent on a schedule drawn from a seed, independent of how earlier ones end.
 
 use crate::balancer::Balancer;
 use crate::{database, now};
@@ -9,29 +9,29 @@
 use std::thread;
 use std::time::Duration;
 
-/// What is asked for.
+/// The parameters of a load.
 #[derive(Clone, Copy, Debug)]
 pub struct Shape {
-    /// Requests a second.
+    /// Mean number of requests per second.
     pub rate: f64,
-    /// The share of bookings.
+    /// The share of requests that are writes (class booking), 0 to 1.
     pub writes: f64,
-    /// For how long.
+    /// Duration of the schedule.
     pub span: Duration,
-    /// Clients that ask at once, at most.
+    /// Number of client threads, each with at most one request at a time.
     pub clients: usize,
-    /// Of the schedule.
+    /// Seed of the schedule.
     pub seed: u64,
-    /// Clients name a user of their own, by their number, and any of so many clusters; 0 is one user and one cluster.
+    /// Number of tenants, each with its own user name; clients are assigned to them in turn. 0 is one user, `web`.
     pub tenants: usize,
-    /// See `tenants`.
+    /// Number of clusters that requests name at random; 0 counts as 1.
     pub clusters: u64,
-    /// This tenant's reads are poison.
+    /// The tenant whose reads crash the database that executes them, if any.
     pub poison: Option<usize>,
 }
 
 impl Default for Shape {
-    /// A minute of three hundred requests a second, of which the platform's share are bookings, of one user.
+    /// One minute of 300 requests per second of one user, 15% of them bookings.
     fn default() -> Shape {
         Shape {
             rate: 300.0,
@@ -46,45 +46,45 @@
     }
 }
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
-    /// Served within the wanted time.
+    /// Served within its latency target.
     Served,
-    /// Served later.
+    /// Served after its latency target.
     Late,
-    /// 53300 or 57P03.
+    /// Rejected with SQLSTATE 53300 or 57P03.
     Refused,
     /// Any other error.
     Failed,
-    /// The connection ended inside it, or nothing came.
+    /// The connection was closed before the end of the answer, or the answer timed out.
     Lost,
-    /// No gateway took it: all out, or the connection was refused.
+    /// All gateways were down, or no session could be opened.
     NoGateway,
 }
 
-/// A request and its end.
+/// A request and its outcome.
 #[derive(Clone, Debug)]
 pub struct Record {
-    /// Its id.
+    /// The request's id.
     pub id: String,
-    /// When it was due to be sent, and sent; Unix microseconds.
+    /// The scheduled time, Unix microseconds.
     pub due: u64,
-    /// See `due`.
+    /// The time when it was sent, Unix microseconds.
     pub sent: u64,
-    /// To which gateway, if any.
+    /// Index of the gateway that it was sent to, if any.
     pub gateway: Option<usize>,
-    /// It changes data.
+    /// Whether it is a write.
     pub write: bool,
-    /// Whose it was.
+    /// Number of the tenant that sent it.
     pub tenant: usize,
-    /// Its end, and how long that took in microseconds.
+    /// Its outcome.
     pub fate: Fate,
-    /// See `fate`.
+    /// Time from the scheduled time to the outcome, microseconds.
     pub took: u64,
 }
 
-/// How many requests were served in time.
+/// The number of requests that were served within their latency target.
 pub fn served(records: &[Record]) -> usize {
     records
         .iter()
@@ -93,7 +93,7 @@
 }
 
 impl Record {
-    /// What it is worth when served in time.
+    /// The worth of the request if it is served within its latency target.
     pub fn worth(&self) -> f64 {
         if self.write {
             3.0
@@ -102,7 +102,7 @@
         }
     }
 
-    /// What it earned.
+    /// The worth that was earned: a part of it if it was served late, 0 if it was not served.
     pub fn earned(&self) -> f64 {
         match self.fate {
             Fate::Served => self.worth(),
@@ -112,18 +112,18 @@
     }
 }
 
-/// The share of the worth asked for that was earned.
+/// The worth that was earned as a share of the worth of all requests.
 pub fn goodput<'a>(records: impl Iterator<Item = &'a Record> + Clone) -> f64 {
     let asked: f64 = records.clone().map(Record::worth).sum();
     records.map(Record::earned).sum::<f64>() / asked.max(f64::MIN_POSITIVE)
 }
 
-/// Plays a load through a balancer; returns when all requests have ended.
+/// Sends a load through a balancer; returns when all requests have ended.
 pub fn play(shape: Shape, balancer: &Arc<Balancer>, gateways: &[SocketAddr]) -> Vec<Record> {
     let mut random = fastrand::Rng::with_seed(shape.seed);
     let (mut at, end) = (0.0, shape.span.as_secs_f64());
     let begin = now() + 50_000;
-    // Whose a request is belongs to the schedule, not to whichever client is free.
+    // The schedule assigns requests to tenants, so that a tenant's load does not depend on which clients are free.
     let mut due: Vec<VecDeque<(u64, bool, u64)>> = vec![VecDeque::new(); shape.tenants.max(1)];
     while at < end {
         at += -(1.0 - random.f64()).ln() / shape.rate;
@@ -169,7 +169,7 @@
         thread::sleep(Duration::from_micros(at.saturating_sub(now())));
         let cluster = id % shape.clusters.max(1);
         let poison = shape.poison == Some(tenant) && !write;
-        let who = if shape.tenants > 0 {
+        let user = if shape.tenants > 0 {
             format!("tenant-{tenant}")
         } else {
             "web".to_owned()
@@ -177,10 +177,10 @@
         let id = format!("{id:016x}");
         let statement = statement(&id, write, cluster, poison);
         let sent = now();
-        let (gateway, fate) = request(&mut open, balancer, gateways, &who, &statement);
+        let (gateway, fate) = request(&mut open, balancer, gateways, &user, &statement);
         let took = now().saturating_sub(at);
-        let aim = if write { 1_000_000 } else { 300_000 };
-        let fate = if fate == Fate::Served && took > aim {
+        let latency_target_us = if write { 1_000_000 } else { 300_000 };
+        let fate = if fate == Fate::Served && took > latency_target_us {
             Fate::Late
         } else {
             fate
@@ -198,26 +198,27 @@
     }
 }
 
-/// One request. A close that crosses it on a connection used before is no end of it: it is sent once more, anew.
+/// Sends one request. If a reused connection turns out to be closed before any answer, the request is repeated once on
+/// a new connection.
 fn request(
     open: &mut [Option<TcpStream>],
     balancer: &Balancer,
     gateways: &[SocketAddr],
-    who: &str,
+    user: &str,
     statement: &str,
 ) -> (Option<usize>, Fate) {
-    for again in [false, true] {
+    for is_repetition in [false, true] {
         let Some(gateway) = balancer.pick() else {
             return (None, Fate::NoGateway);
         };
-        // The second time on a connection of its own: another that was kept may be closing as well.
-        let kept = open[gateway].take().filter(|_| !again);
-        let used_before = kept.is_some();
-        let stream = kept.map_or_else(|| connect(gateways[gateway], who), Ok);
+        // The repetition uses a new connection, as another reused one may be closing too.
+        let reused = open[gateway].take().filter(|_| !is_repetition);
+        let used_before = reused.is_some();
+        let stream = reused.map_or_else(|| connect(gateways[gateway], user), Ok);
         let Ok(mut stream) = stream else {
             return (Some(gateway), Fate::NoGateway);
         };
-        match ask(&mut stream, statement) {
+        match send_request(&mut stream, statement) {
             Ok((fate, keep)) => {
                 open[gateway] = keep.then_some(stream);
                 return (Some(gateway), fate);
@@ -229,19 +230,19 @@
     (None, Fate::Lost)
 }
 
-/// Opens a session of this user.
-pub(crate) fn connect(address: SocketAddr, who: &str) -> io::Result<TcpStream> {
+/// Opens a session as the given user.
+pub(crate) fn connect(address: SocketAddr, user: &str) -> io::Result<TcpStream> {
     let mut stream = TcpStream::connect_timeout(&address, Duration::from_millis(500))?;
     stream.set_nodelay(true)?;
     stream.set_read_timeout(Some(Duration::from_millis(3_500)))?;
-    let words = format!("user\0{who}\0database\0orders\0\0");
+    let words = format!("user\0{user}\0database\0orders\0\0");
     let length = (words.len() as u32 + 8).to_be_bytes();
     stream.write_all(&[&length[..], &[0, 3, 0, 0], words.as_bytes()].concat())?;
     answer(&mut stream).map_err(|_| io::ErrorKind::UnexpectedEof)?;
     Ok(stream)
 }
 
-/// A request's statement, as the platform writes it.
+/// The SQL statement of a request, with the comment that the gateway reads.
 pub(crate) fn statement(id: &str, write: bool, cluster: u64, poison: bool) -> String {
     let column = if poison { "poison" } else { "payload" };
     if write {
@@ -253,8 +254,9 @@
     format!("SELECT {column} FROM entries WHERE ref = '{id}' /* id={id},c=search,d=1200,cluster={cluster} */")
 }
 
-/// Sends a request and reads its end; an error says whether the connection ended before anything came of it.
-pub(crate) fn ask(stream: &mut TcpStream, statement: &str) -> Result<(Fate, bool), bool> {
+/// Sends a request and reads the answer; returns the outcome and whether the connection can be reused. The error is
+/// whether the connection ended before the first byte of an answer.
+pub(crate) fn send_request(stream: &mut TcpStream, statement: &str) -> Result<(Fate, bool), bool> {
     let query = database::message(b'Q', &[statement.as_bytes(), b"\0"].concat());
     stream.write_all(&query).map_err(|_| true)?;
     answer(stream)
--- a/testbench/src/main.rs
+++ b/testbench/src/main.rs
@@ -1,4 +1,4 @@
-//! Experiments with real gateways in front of stand-ins; each writes a table (CSV) and, where it has one, a chart.
+//! Experiments with real gateways in front of simulated databases; each writes a CSV table, and some an SVG chart.
 #![forbid(unsafe_code)]
 
 mod cells;
@@ -9,7 +9,7 @@
 use clap::{Parser, Subcommand, ValueEnum};
 use std::path::PathBuf;
 
-/// Experiments with real gateways in front of stand-ins, on loopback
+/// Experiments with real gateways in front of simulated databases, on loopback
 #[derive(Parser)]
 #[command(version, about)]
 struct Cli {
@@ -19,27 +19,27 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// What balancers learn of gateways, and what that is worth
+    /// How fast balancers detect changes of gateways, and how much goodput health checks save
     Health(Health),
-    /// How far a poisoned tenant reaches, with cells and without
+    /// Which tenants are affected by one whose queries crash databases, with and without cells
     Cells(Common),
-    /// Fleets that share a log, under faults drawn from seeds; fails if anything happened that never must
+    /// Fleets that share a Raft log, under random faults from a seed; fails if an invariant was violated
     Cluster(Cluster),
-    /// What one more connection, statement, gateway or database costs: slopes for docs/CAPACITY.md
+    /// The cost of one more connection, statement, gateway or database: slopes for docs/CAPACITY.md
     Capacity(Capacity),
-    /// What the control plane costs each role at sizes: real control members, hollow gateways beside them
+    /// The cost of the control plane per role and fleet size: real control members and hollow gateways
     Scale(sizes::Scale),
-    /// A process of hollow gateways, driven over its standard input by `scale`
+    /// Runs hollow gateways (control plane only) in this process, on commands that `scale` writes to standard input
     #[command(hide = true)]
     ScaleHollow,
 }
 
 #[derive(clap::Args)]
 struct Capacity {
-    /// Only these experiments; all of them otherwise
+    /// Run only these experiments; by default, all
     #[arg(long, value_enum)]
     only: Vec<capacity::Experiment>,
-    /// How often each point is measured
+    /// Number of measurements of each point
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u32).range(1..=20))]
     repeats: u32,
     #[command(flatten)]
@@ -70,54 +70,55 @@
 
 #[derive(clap::Args)]
 struct Health {
-    /// Which experiment
+    /// The experiment to run
     #[arg(value_enum)]
     experiment: health::Experiment,
     #[command(flatten)]
     common: Common,
-    /// How many rounds, for `changes`
+    /// Number of rounds of the experiment `changes`
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u32).range(1..=1000))]
     rounds: u32,
 }
 
 #[derive(clap::Args)]
 struct Cluster {
-    /// The first run's seed; the others' follow
+    /// Seed of the first run; each further run adds 1
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many runs
+    /// Number of runs
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=1000))]
     runs: u64,
-    /// How many runs at a time
+    /// Number of runs at the same time
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(1..=8))]
     beside: u64,
-    /// Gateways of each fleet; 3 of them vote, or 5 where there are so many
+    /// Gateways of each fleet; 5 of them are voters, or 3 in a fleet of fewer than 5
     #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(3..=9))]
     gateways: u64,
-    /// How long faults go on in each run, seconds
+    /// How long faults are injected in each run, seconds
     #[arg(long, default_value_t = 60, value_parser = clap::value_parser!(u64).range(1..=600))]
     seconds: u64,
-    /// The gateway's program
+    /// Path of the asterreel executable
     #[arg(long, default_value = "target/release/asterreel")]
     program: PathBuf,
 }
 
 impl Cluster {
-    /// Plays the runs; a line each, and the sum.
+    /// Executes the runs; prints one line for each, and a summary.
     fn play(&self) -> anyhow::Result<()> {
-        let (mut bad, mut faults, mut versions, mut took) = (Vec::new(), 0, 0, Vec::new());
+        let (mut failed_seeds, mut faults, mut versions, mut recovery_ms) =
+            (Vec::new(), 0, 0, Vec::new());
         let seeds: Vec<u64> = (self.seed..self.seed + self.runs).collect();
-        for some in seeds.chunks(self.beside as usize) {
+        for batch in seeds.chunks(self.beside as usize) {
             let run = |seed: u64| {
                 let (program, gateways) = (self.program.clone(), self.gateways as usize);
                 let span = std::time::Duration::from_secs(self.seconds);
                 std::thread::spawn(move || cluster::play(program, seed, gateways, span))
             };
-            let runs: Vec<_> = some.iter().map(|seed| (*seed, run(*seed))).collect();
+            let runs: Vec<_> = batch.iter().map(|seed| (*seed, run(*seed))).collect();
             for (seed, run) in runs {
                 let found = run
                     .join()
-                    .map_err(|_| anyhow::anyhow!("seed {seed}: the run itself failed"))??;
+                    .map_err(|_| anyhow::anyhow!("seed {seed}: the run panicked"))??;
                 println!(
                     "seed {seed}: {} faults, {} versions, {} lines, well after {} ms, {} violations",
                     found.faults,
@@ -131,30 +132,30 @@
                     .iter()
                     .for_each(|violation| println!("  {violation}"));
                 (faults, versions) = (faults + found.faults, versions + found.versions);
-                took.push(found.well_after.as_millis() as u64);
+                recovery_ms.push(found.well_after.as_millis() as u64);
                 if !found.violations.is_empty() {
-                    bad.push(seed);
+                    failed_seeds.push(seed);
                 }
             }
         }
-        took.sort_unstable();
+        recovery_ms.sort_unstable();
         let (median, worst) = (
-            chart::quantile(&took, 0.5),
-            took.last().copied().unwrap_or(0),
+            chart::quantile(&recovery_ms, 0.5),
+            recovery_ms.last().copied().unwrap_or(0),
         );
         println!(
             "{} runs: {faults} faults, {versions} versions; well after {median} ms, worst {worst} ms",
-            took.len()
+            recovery_ms.len()
         );
-        let again = |seed: &u64| {
+        let repeat_command = |seed: &u64| {
             let (gateways, seconds) = (self.gateways, self.seconds);
             format!("asterreel-testbench cluster --seed {seed} --gateways {gateways} --seconds {seconds}")
         };
-        let again: Vec<String> = bad.iter().map(again).collect();
+        let repeat_commands: Vec<String> = failed_seeds.iter().map(repeat_command).collect();
         anyhow::ensure!(
-            bad.is_empty(),
-            "violations; to play them again:\n{}",
-            again.join("\n")
+            failed_seeds.is_empty(),
+            "invariants were violated; to repeat these runs:\n{}",
+            repeat_commands.join("\n")
         );
         Ok(())
     }
@@ -162,13 +163,13 @@
 
 #[derive(clap::Args)]
 struct Common {
-    /// Of the load's schedule
+    /// Seed of the load's schedule
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// The gateway's program
+    /// Path of the asterreel executable
     #[arg(long, default_value = "target/release/asterreel")]
     program: PathBuf,
-    /// Where tables and charts go
+    /// Directory for tables and charts
     #[arg(long, default_value = "docs/measurements")]
     out: PathBuf,
 }
--- a/testbench/src/process.rs
+++ b/testbench/src/process.rs
@@ -1,19 +1,19 @@
-//! What Linux says of processes, their threads, and the machine's memory (proc(5)).
+//! Resource usage of processes, their threads and the machine's memory, read from /proc (proc(5)).
 
 use serde::{Deserialize, Serialize};
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// What a process holds, and has written.
+/// Memory, descriptors and disk writes of a process.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Usage {
     /// Resident memory, KiB.
     pub resident_kib: u64,
-    /// Open descriptors.
+    /// Open file descriptors.
     pub descriptors: u64,
-    /// Those of them that are sockets.
+    /// File descriptors that are sockets.
     pub sockets: u64,
-    /// Bytes that it had written to disks.
+    /// Bytes that it has caused to be written to disk (`write_bytes`).
     pub written: u64,
 }
 
@@ -21,24 +21,27 @@
     Path::new("/proc").join(process.to_string())
 }
 
-fn no_number(key: &str) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, format!("no number after {key}"))
+fn missing_number(key: &str) -> io::Error {
+    io::Error::new(
+        io::ErrorKind::InvalidData,
+        format!("no number for {key} in /proc"),
+    )
 }
 
-/// The number after a key at the beginning of a line, without its unit.
+/// Parses the number after a key at the beginning of a line; a unit of kB is ignored.
 fn number_after(text: &str, key: &str) -> io::Result<u64> {
     let value = text.lines().find_map(|line| line.strip_prefix(key));
     let value = value.map(|value| value.trim().trim_end_matches(" kB"));
     value
         .and_then(|value| value.parse().ok())
-        .ok_or_else(|| no_number(key))
+        .ok_or_else(|| missing_number(key))
 }
 
-/// Reads what a process holds.
+/// Reads the usage of a process.
 ///
 /// # Errors
 ///
-/// The process is gone, or what the system says of it makes no sense.
+/// The process has exited, or its files in /proc could not be read or parsed.
 pub fn usage(process: u32) -> io::Result<Usage> {
     let folder = folder(process);
     let mut found = Usage {
@@ -48,7 +51,7 @@
     };
     for entry in std::fs::read_dir(folder.join("fd"))? {
         found.descriptors += 1;
-        // One that was closed meanwhile is no socket any more.
+        // A descriptor that was closed since the directory was listed does not count as a socket.
         let target = std::fs::read_link(entry?.path()).unwrap_or_default();
         found.sockets += u64::from(target.to_string_lossy().starts_with("socket:"));
     }
@@ -59,7 +62,7 @@
 ///
 /// # Errors
 ///
-/// The process is gone, or what the system says of it makes no sense.
+/// The process has exited, or its files in /proc could not be read or parsed.
 pub fn resident_kib(process: u32) -> io::Result<u64> {
     number_after(
         &std::fs::read_to_string(folder(process).join("status"))?,
@@ -67,11 +70,12 @@
     )
 }
 
-/// Memory that a process has touched and that no file backs, KiB: what a limit on memory counts and nobody can take back.
+/// Resident memory of a process that no file backs, KiB: the kernel can't reclaim it, and it counts towards memory
+/// limits.
 ///
 /// # Errors
 ///
-/// The process is gone, or what the system says of it makes no sense.
+/// The process has exited, or its files in /proc could not be read or parsed.
 pub fn anonymous_kib(process: u32) -> io::Result<u64> {
     number_after(
         &std::fs::read_to_string(folder(process).join("status"))?,
@@ -79,26 +83,26 @@
     )
 }
 
-/// Descriptors that a process holds.
+/// The number of open file descriptors of a process.
 ///
 /// # Errors
 ///
-/// The process is gone, or what the system says of it makes no sense.
+/// The process has exited, or its files in /proc could not be read or parsed.
 pub fn descriptors(process: u32) -> io::Result<usize> {
     Ok(std::fs::read_dir(folder(process).join("fd"))?.count())
 }
 
-/// The threads of a process: their number and name.
+/// The threads of a process: id and name.
 ///
 /// # Errors
 ///
-/// The process is gone, or what the system says of it makes no sense.
+/// The process has exited, or its files in /proc could not be read or parsed.
 pub fn threads(process: u32) -> io::Result<Vec<(u32, String)>> {
     let mut all = Vec::new();
     for entry in std::fs::read_dir(folder(process).join("task"))? {
         let entry = entry?;
         let number = entry.file_name().to_string_lossy().parse();
-        // A thread may have ended since the folder was listed.
+        // A thread may have ended since the directory was listed.
         if let (Ok(number), Ok(name)) = (number, std::fs::read_to_string(entry.path().join("comm")))
         {
             all.push((number, name.trim().to_owned()));
@@ -112,34 +116,34 @@
     text.split_whitespace()
         .next()
         .and_then(|word| word.parse().ok())
-        .ok_or_else(|| no_number("schedstat"))
+        .ok_or_else(|| missing_number("schedstat"))
 }
 
-/// Nanoseconds that a thread has run on a processor.
+/// CPU time of a thread, nanoseconds.
 ///
 /// # Errors
 ///
-/// The process is gone, or what the system says of it makes no sense.
+/// The process has exited, or its files in /proc could not be read or parsed.
 pub fn thread_cpu_ns(process: u32, thread: u32) -> io::Result<u64> {
     scheduled_ns(&folder(process).join("task").join(thread.to_string()))
 }
 
-/// Nanoseconds that all threads of a process that still run have run on a processor: the scheduler's own count, as the
-/// ticks of `stat` are too coarse for a few seconds at little load.
+/// CPU time of all threads of a process that have not ended, nanoseconds. It is read from `schedstat`, as the clock
+/// ticks of `stat` are too coarse for a few seconds of low load.
 ///
 /// # Errors
 ///
-/// The process is gone, or what the system says of it makes no sense.
+/// The process has exited, or its files in /proc could not be read or parsed.
 pub fn cpu_ns(process: u32) -> io::Result<u64> {
     let tasks = std::fs::read_dir(folder(process).join("task"))?;
     tasks.map(|task| scheduled_ns(&task?.path())).sum()
 }
 
-/// Memory that the machine could still give away, KiB.
+/// Memory of the machine that is available to new processes without swapping (`MemAvailable`), KiB.
 ///
 /// # Errors
 ///
-/// What the system says of its memory makes no sense.
+/// /proc/meminfo could not be read or has no number for `MemAvailable`.
 pub fn available_kib() -> io::Result<u64> {
     number_after(&std::fs::read_to_string("/proc/meminfo")?, "MemAvailable:")
 }
--- a/testbench/src/sizes.rs
+++ b/testbench/src/sizes.rs
@@ -1,11 +1,11 @@
-//! The command that plays fleets of several sizes, and writes their tables and charts.
+//! The command `scale`: runs fleets of several sizes and writes their tables and charts.
 
 use asterreel_testbench::scale::{self, slopes, table, Event, Host, Pace, Size};
 use clap::ValueEnum;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The event that slopes and charts are about.
+/// The event whose measurements the slopes and the chart use.
 const AT_REST: &str = "at rest";
 const KIB_OF_GIB: u64 = 1 << 20;
 
@@ -14,44 +14,44 @@
     /// Gateways of each fleet, voters included
     #[arg(long, value_delimiter = ',', default_value = "25,50,100,200,410")]
     gateways: Vec<u32>,
-    /// What happens to each, in this order; all by default
+    /// The events of each fleet, in this order; by default, all
     #[arg(long, value_enum, value_delimiter = ',')]
     events: Vec<Event>,
-    /// Of all that is drawn
+    /// Seed of all random choices
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Requests a second of clients
+    /// Requests per second of clients
     #[arg(long, default_value_t = 50.0)]
     rate: f64,
-    /// Minutes for which the third of the event `cut` stays cut off at least, with a change each 36 s among the rest
+    /// Minimum minutes for which the event `cut` disconnects a third of the fleet; the rest get a new version each 36 s
     #[arg(long, default_value_t = 0, value_parser = clap::value_parser!(u64).range(0..=120))]
     cut_minutes: u64,
-    /// Minutes after which a fleet begins no further event
+    /// Minutes after which no further event is started in a fleet
     #[arg(long, default_value_t = 10, value_parser = clap::value_parser!(u64).range(1..=60))]
     minutes: u64,
-    /// Memory of the machine that a fleet may take, GiB
+    /// Memory that a fleet may use, GiB
     #[arg(long, default_value_t = 12, value_parser = clap::value_parser!(u64).range(1..=1024))]
     gib: u64,
-    /// What the tables' names begin with
+    /// Prefix of the file names of tables and charts
     #[arg(long, default_value = "scale")]
     name: String,
-    /// The gateway's program
+    /// Path of the asterreel executable
     #[arg(long, default_value = "target/release/asterreel")]
     program: PathBuf,
-    /// Where tables and charts go
+    /// Directory for tables and charts
     #[arg(long, default_value = "docs/measurements")]
     out: PathBuf,
-    /// Play nothing: fit slopes and draw the chart anew from the tables that are there
+    /// Start no fleets; recompute the slopes and the chart from the existing tables
     #[arg(long)]
     no_play: bool,
 }
 
 impl Scale {
-    /// Plays each size; what is measured of one is written before the next.
+    /// Runs a fleet of each size; writes its measurements before the next one starts.
     pub(crate) fn play(&self) -> anyhow::Result<()> {
         std::fs::create_dir_all(&self.out)?;
         if self.no_play {
-            return self.conclude();
+            return self.write_results();
         }
         let events = if self.events.is_empty() {
             Event::value_variants()
@@ -75,18 +75,18 @@
             };
             println!("{gateways} gateways");
             let found = scale::play(size, events, pace)?;
-            if let Some(why) = &found.ended {
-                println!("{gateways} gateways: {why}");
+            if let Some(reason) = &found.ended {
+                println!("{gateways} gateways: {reason}");
             }
             table::write(&self.file("loads.csv"), &[gateways], &found.loads)?;
             table::write(&self.file("changes.csv"), &[gateways], &found.changes)?;
-            self.conclude()?;
+            self.write_results()?;
         }
         Ok(())
     }
 
-    /// Writes what follows from the tables of all sizes.
-    fn conclude(&self) -> anyhow::Result<()> {
+    /// Writes the slopes and the chart from the tables of all sizes.
+    fn write_results(&self) -> anyhow::Result<()> {
         let loads = self.file("loads.csv");
         slopes::write(
             &loads,
--- a/testbench/src/standing.rs
+++ b/testbench/src/standing.rs
@@ -1,23 +1,23 @@
-//! How a gateway stands with its fleet: what is in force there, and until when it may act.
+//! The state of a gateway in its fleet: the version in force, and until when its registration lets it act.
 
 use crate::gateway::Line;
 use serde::{Deserialize, Serialize};
 
-/// How one gateway stands. Times are Unix microseconds; 0 is never.
+/// The state of one gateway in its fleet. Times are Unix microseconds; 0 is never.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Standing {
-    /// Its number.
+    /// The gateway's number.
     pub gateway: u32,
-    /// The version of the operator's file in force there; 0 is none.
+    /// Number of the version of the operator's file in force; 0 is none.
     pub in_force: u64,
     /// Since when that version is in force.
     pub since: u64,
-    /// When its right to act ends, unless it is renewed.
+    /// When its registration expires, unless it is renewed.
     pub until: u64,
 }
 
 impl Standing {
-    /// How a real gateway stands, by what it has logged in its present life.
+    /// Derives the state from the log lines of a gateway's current process.
     pub fn logged(gateway: u32, log: &[Line]) -> Standing {
         let mut found = Standing {
             gateway,
@@ -37,18 +37,18 @@
         found
     }
 
-    /// Whether it may act at this time. A gateway that has just connected may know of a version in force before it has a
-    /// registration: it does not act on it yet.
+    /// Whether it may act at this time. A gateway that has just connected may learn the version in force before it has
+    /// a registration; it does not act on that version yet.
     pub fn acts(&self, at: u64) -> bool {
         self.until > at
     }
 
-    /// Whether it may act at this moment.
+    /// Whether it may act now.
     pub fn acts_now(&self) -> bool {
         self.acts(crate::now())
     }
 
-    /// When the heartbeat was sent to which it owes its right, where rights last so long.
+    /// When the heartbeat was sent that gained its registration, given the length of a lease.
     pub fn asked_at(&self, lease_us: u64) -> u64 {
         self.until.saturating_sub(lease_us)
     }
--- a/testbench/tests/fit.rs
+++ b/testbench/tests/fit.rs
@@ -1,6 +1,6 @@
 //! Fits of known curves: what is called linear, quadratic and unknown, and with which error.
 
-use asterreel_testbench::fit::{Fit, Shape, FEWEST_SIZES};
+use asterreel_testbench::fit::{Fit, Shape, MIN_SIZES};
 
 const SIZES: [f64; 7] = [0.0, 500.0, 1_000.0, 2_000.0, 3_000.0, 4_000.0, 4_800.0];
 
@@ -111,7 +111,7 @@
 
 #[test]
 fn too_few_sizes_are_unknown() {
-    for sizes in 2..FEWEST_SIZES {
+    for sizes in 2..MIN_SIZES {
         let few: Vec<(f64, f64)> = points(|size| 3.0 * size).into_iter().take(sizes).collect();
         assert_eq!(fit(&few).shape, Shape::Unknown, "{sizes} sizes");
         // Runs repeated at the same sizes tell nothing of what lies between.
