--- a/testbench/src/cluster/faults.rs
+++ b/testbench/src/cluster/faults.rs
@@ -1,4 +1,4 @@
-//! Runs of a fleet under faults that one seed draws, and what must hold in them and at their end.
+//! Runs of a fleet with random faults from a seed, and the checks during and after them.
 
 use super::history::{self, Line};
 use super::{Cluster, Role, LEASE_MS, RENEW_MS};
@@ -9,37 +9,38 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Gateways that do not vote, beside those that do.
-const SERVED: usize = 2;
-/// Voters of a fleet that has so many gateways, and of a smaller one.
+/// Gateways of a run that no other operator's file lists.
+const UNLISTED_GATEWAYS: usize = 2;
+/// Voters of a fleet with at least as many gateways.
 const VOTERS: usize = 5;
-const FEWER_VOTERS: usize = 3;
-/// Within what time after the last fault all must be well: a lease and its wait, two elections, a rejoin that is damped,
-/// and the verdicts on a version.
-pub(super) const WELL: Duration = Duration::from_millis(20_000);
-/// Time between two lost disks: at most one voter is without its own at a time, as two at once would be a majority that
-/// remembers nothing.
-const BETWEEN_WIPES: Duration = Duration::from_secs(8);
-/// Milliseconds between two faults, at least and at most.
+/// Voters of a smaller fleet.
+const VOTERS_OF_SMALL_FLEET: usize = 3;
+/// The time limit for recovery after the last fault: it covers a lease and the wait after it, two elections, a delayed
+/// rejoin, and the validation of a version.
+pub(super) const RECOVERY_TIMEOUT: Duration = Duration::from_millis(20_000);
+/// The minimum time between two lost disks. At most one voter may be without its store at a time: of three voters, two
+/// that lost theirs would be a majority that does not know the log.
+const MIN_TIME_BETWEEN_WIPES: Duration = Duration::from_secs(8);
+/// Range of the pause between two faults, milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 100..700;
 
-/// What a run found.
+/// The result of a run.
 #[derive(Debug, Default)]
 pub struct Found {
-    /// What must never have been.
+    /// Violated invariants; empty if the run passed.
     pub violations: Vec<String>,
-    /// Versions that came in force.
+    /// Number of versions that came into force.
     pub versions: usize,
-    /// Faults that were made.
+    /// Number of faults that were injected.
     pub faults: usize,
-    /// How long after the last fault each gateway acted on a version that was offered then.
+    /// Time from the last fault until all gateways acted on a version that was offered after it.
     pub well_after: Duration,
-    /// The log lines that the fleet wrote.
+    /// Number of log lines that the fleet wrote.
     pub lines: usize,
 }
 
-/// Plays a run of so long from a seed, with so many gateways that are control members or listed by them, and a few more
-/// that they only serve.
+/// Executes a run with faults for `span`. `gateways` of the processes are control members or are listed by them; a few
+/// more gateways are not listed.
 ///
 /// # Errors
 ///
@@ -48,11 +49,11 @@
     let voters = if gateways >= VOTERS {
         VOTERS
     } else {
-        FEWER_VOTERS
+        VOTERS_OF_SMALL_FLEET
     };
     let mut roles = vec![Role::Voter; voters];
     roles.resize(gateways, Role::Listed);
-    roles.resize(gateways + SERVED, Role::Client);
+    roles.resize(gateways + UNLISTED_GATEWAYS, Role::Client);
     let cluster = Cluster::start_as(program, roles, (LEASE_MS, RENEW_MS), "")?;
     let random = fastrand::Rng::with_seed(seed);
     let mut run = Run {
@@ -61,19 +62,21 @@
         wiped_at: None,
         found: Found::default(),
     };
-    if run.cluster.agree(WELL)?.is_none() {
+    if run.cluster.agree(RECOVERY_TIMEOUT)?.is_none() {
         run.found
             .violations
-            .push("no version came in force without any fault".into());
+            .push(format!(
+                "not all gateways acted on one version within {RECOVERY_TIMEOUT:?} of the start, before any fault"
+            ));
         return Ok(run.found);
     }
     let until = Instant::now() + span;
     while Instant::now() < until {
         sleep(Duration::from_millis(run.random.u64(PAUSE_MS)));
-        run.make_a_fault()?;
+        run.inject_fault()?;
     }
-    run.end_all_faults()?;
-    run.check_that_it_is_well()?;
+    run.remove_all_faults()?;
+    run.check_recovery()?;
     run.check_history();
     Ok(run.found)
 }
@@ -81,7 +84,7 @@
 struct Run {
     cluster: Cluster,
     random: fastrand::Rng,
-    /// When a voter's disk was taken away last.
+    /// When a store was last removed.
     wiped_at: Option<Instant>,
     found: Found,
 }
@@ -91,7 +94,7 @@
         self.cluster.roles.len()
     }
 
-    fn make_a_fault(&mut self) -> io::Result<()> {
+    fn inject_fault(&mut self) -> io::Result<()> {
         let gateways = self.gateways();
         let (one, other) = (
             self.random.usize(0..gateways),
@@ -99,59 +102,69 @@
         );
         self.found.faults += 1;
         match self.random.u8(0..17) {
-            0 => self.cluster.way(one, other).cut(true),
+            0 => self.cluster.direction(one, other).cut(true),
             1 => {
                 let side: Vec<usize> = (0..gateways).filter(|_| self.random.bool()).collect();
                 self.cluster.part(&side, true);
             }
-            2 => self.cluster.way(one, other).delay(self.random.u64(1..500)),
-            3 => self.cluster.way(one, other).mangle(self.random.u64(2..9)),
+            2 => self
+                .cluster
+                .direction(one, other)
+                .delay(self.random.u64(1..500)),
+            3 => self
+                .cluster
+                .direction(one, other)
+                .mangle(self.random.u64(2..9)),
             4 => self.cluster.signal(one, Signal::SIGSTOP),
             5 => self.cluster.kill(one),
-            6 if self.wiped_at.is_none_or(|at| at.elapsed() > BETWEEN_WIPES) => {
-                self.lose_a_disk(one)?
+            6 if self
+                .wiped_at
+                .is_none_or(|at| at.elapsed() > MIN_TIME_BETWEEN_WIPES) =>
+            {
+                self.lose_disk(one)?
             }
             7 | 8 => self
                 .cluster
                 .offer(one, self.random.bool().then_some(other))?,
             9 => self.cluster.spoil(one)?,
-            10..=13 => self.make_a_fault_at_the_leader(one),
-            _ => self.end_all_faults()?,
+            10..=13 => self.inject_fault_at_leader(one),
+            _ => self.remove_all_faults()?,
         }
         Ok(())
     }
 
-    fn lose_a_disk(&mut self, gateway: usize) -> io::Result<()> {
+    fn lose_disk(&mut self, gateway: usize) -> io::Result<()> {
         self.cluster.heal();
         self.cluster.wipe(gateway)?;
         self.wiped_at = Some(Instant::now());
         self.cluster.revive(gateway)
     }
 
-    fn make_a_fault_at_the_leader(&mut self, one: usize) {
+    fn inject_fault_at_leader(&mut self, one: usize) {
         let Some(leader) = self.cluster.leader() else {
             return;
         };
         match self.random.u8(0..4) {
             0 => self.cluster.kill(leader),
             1 => self.cluster.signal(leader, Signal::SIGSTOP),
-            2 => self.cut_off_from_a_part_of_the_members(leader),
+            2 => self.cut_off_leader_from_some_voters(leader),
             _ if one != leader => self.cluster.part_two(leader, one),
             _ => {}
         }
     }
 
-    /// It falls as a leader, and so does its service of gateways.
-    fn cut_off_from_a_part_of_the_members(&mut self, leader: usize) {
+    /// Cuts the links between the leader and a random part of the other voters. Without a majority it loses leadership
+    /// and stops serving gateways.
+    fn cut_off_leader_from_some_voters(&mut self, leader: usize) {
         let votes = |gateway: &usize| *gateway != leader && self.cluster.roles[*gateway].votes();
         let others: Vec<usize> = (0..self.gateways()).filter(votes).collect();
-        let apart: Vec<usize> = others.into_iter().filter(|_| self.random.bool()).collect();
-        apart
+        let unreachable: Vec<usize> = others.into_iter().filter(|_| self.random.bool()).collect();
+        unreachable
             .into_iter()
             .for_each(|other| self.cluster.part_two(leader, other));
     }
 
-    fn end_all_faults(&mut self) -> io::Result<()> {
+    fn remove_all_faults(&mut self) -> io::Result<()> {
         self.cluster.heal();
         for gateway in 0..self.gateways() {
             self.cluster.signal(gateway, Signal::SIGCONT);
@@ -160,18 +173,19 @@
         Ok(())
     }
 
-    fn check_that_it_is_well(&mut self) -> io::Result<()> {
-        match self.cluster.agree(WELL)? {
+    fn check_recovery(&mut self) -> io::Result<()> {
+        match self.cluster.agree(RECOVERY_TIMEOUT)? {
             Some(after) => self.found.well_after = after,
             None => {
                 let numbers = self.cluster.in_force();
-                let said: Vec<String> = self
+                let log_lines: Vec<String> = self
                     .behind()
-                    .map(|gateway| self.cluster.last_words(gateway))
+                    .map(|gateway| self.cluster.last_log_lines(gateway))
                     .collect();
-                let said = said.join("\n");
+                let log_lines = log_lines.join("\n");
                 self.found.violations.push(format!(
-                    "{WELL:?} after the last fault not all act on one new version: {numbers:?}\n{said}"
+                    "{RECOVERY_TIMEOUT:?} after the last fault not all gateways act on one new version; in force: {numbers:?}; \
+                     last log lines of those behind:\n{log_lines}"
                 ));
             }
         }
@@ -179,7 +193,7 @@
         Ok(())
     }
 
-    /// Gateways that do not act, or not on the newest version.
+    /// Gateways that may not act, or whose version is not the newest.
     fn behind(&self) -> impl Iterator<Item = usize> + '_ {
         let (standings, now) = (self.cluster.standings(), crate::now());
         let newest = standings.iter().map(|one| one.in_force).max().unwrap_or(0);
@@ -204,7 +218,7 @@
     }
 }
 
-/// Lines of panics, each with the next one of the same gateway, which says why.
+/// Descriptions of logged panics, each with the same gateway's next line, which has the panic's message.
 fn panics(history: &[Line]) -> Vec<String> {
     let panicked = |line: &Line| {
         line.fields
@@ -215,7 +229,7 @@
         .iter()
         .enumerate()
         .filter(|(_, line)| panicked(line));
-    let said = lines.map(|(place, line)| {
+    let log_lines = lines.map(|(place, line)| {
         let next = history[place + 1..]
             .iter()
             .find(|next| next.gateway == line.gateway);
@@ -226,5 +240,5 @@
             next.map(|line| &line.fields)
         )
     });
-    said.collect()
+    log_lines.collect()
 }
--- a/testbench/src/cluster/history.rs
+++ b/testbench/src/cluster/history.rs
@@ -1,21 +1,21 @@
-//! What gateways said that they did, and what of it must never be: read from their JSON log lines.
+//! Checks invariants on the JSON log lines of gateways.
 
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the testbench adds to a gateway's lines once its process has been killed.
+/// The message of the line that the testbench adds to a gateway's log when its process has exited.
 pub const KILLED: &str = "killed";
 
 /// A line of one gateway's log.
 #[derive(Clone, Debug)]
 pub struct Line {
-    /// Which gateway.
+    /// The gateway's number.
     pub gateway: u64,
-    /// Its fields.
+    /// The fields of the JSON line, or the text of a line that is not JSON.
     pub fields: Value,
 }
 
-/// A span of time in which a gateway may act, microseconds on the machine's clock; `until` is not part of it.
+/// A half-open interval in which a gateway may act, `from` (inclusive) to `until` (exclusive), Unix microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Span {
     gateway: u64,
@@ -32,7 +32,9 @@
     line.fields["message"].as_str().unwrap_or("")
 }
 
-/// Spans from lines that say until when a gateway may act, and lines that say that it stopped earlier.
+/// Collects the spans in which gateways may act: `acting` lines say until when, and lines that begin with `stopped` end
+/// a span earlier. Only lines that satisfy `same`, and
+/// [`KILLED`] lines, are used.
 fn spans<'a>(
     lines: impl Iterator<Item = &'a Line>,
     acting: &str,
@@ -42,10 +44,10 @@
     let mut all: Vec<Span> = Vec::new();
     for line in lines.filter(|line| same(line) || message(line) == KILLED) {
         let (gateway, at) = (line.gateway, number(line, "at"));
-        // A process that is gone does nothing more, and the next one's log begins with what it learns anew.
+        // A process that has exited no longer acts; the next process logs its own spans.
         if message(line) == KILLED {
-            let own = all.iter_mut().filter(|span| span.gateway == gateway);
-            own.for_each(|span| span.until = span.until.min(at));
+            let of_gateway = all.iter_mut().filter(|span| span.gateway == gateway);
+            of_gateway.for_each(|span| span.until = span.until.min(at));
         } else if message(line) == acting {
             let (token, until) = (number(line, "token"), number(line, "until"));
             let open = all.iter_mut().rev().find(|span| span.gateway == gateway);
@@ -68,7 +70,8 @@
     all
 }
 
-/// All that must never be and was, in words; empty where nothing was.
+/// Describes all violated invariants: no two gateways hold a duty at the same time, each holder's token is newer than
+/// the former one's, and gateways agree on versions, as `versions` checks.
 pub fn violations(lines: &[Line]) -> Vec<String> {
     let mut found = Vec::new();
     let duties: BTreeSet<&str> = lines
@@ -76,8 +79,13 @@
         .filter_map(|line| line.fields["duty"].as_str())
         .collect();
     for duty in duties {
-        let own = |line: &Line| line.fields["duty"].as_str() == Some(duty);
-        let mut held = spans(lines.iter(), "duty: acting", "duty: stopped acting", own);
+        let same_duty = |line: &Line| line.fields["duty"].as_str() == Some(duty);
+        let mut held = spans(
+            lines.iter(),
+            "duty: acting",
+            "duty: stopped acting",
+            same_duty,
+        );
         held.sort_by_key(|span| span.from);
         for (one, other) in held
             .iter()
@@ -89,7 +97,7 @@
             }
             if other.gateway != one.gateway && other.token <= one.token {
                 found.push(format!(
-                    "{duty}: {other:?} came after {one:?} with a token that is not newer"
+                    "{duty}: {other:?} follows {one:?} with a token that is not newer"
                 ));
             }
         }
@@ -98,25 +106,30 @@
     found
 }
 
-/// Never a third version, and everywhere the same order of them.
+/// Checks that gateways act only on the newest version and its predecessor at any time, and that each version has the
+/// same predecessor at all gateways.
 fn versions(lines: &[Line]) -> Vec<String> {
     let mut found = Vec::new();
-    let mut before: BTreeMap<(String, u64), u64> = BTreeMap::new();
-    // By topic and gateway, from when it acted on which version.
-    let mut steps: BTreeMap<String, BTreeMap<u64, Vec<(u64, u64)>>> = BTreeMap::new();
+    let mut predecessors: BTreeMap<(String, u64), u64> = BTreeMap::new();
+    // By topic and gateway: when each version came into force, and its number.
+    let mut activations: BTreeMap<String, BTreeMap<u64, Vec<(u64, u64)>>> = BTreeMap::new();
     for line in lines
         .iter()
         .filter(|line| message(line) == "version: activated")
     {
         let topic = line.fields["topic"].as_str().unwrap_or("").to_owned();
-        let (version, former) = (number(line, "number"), number(line, "before"));
-        if *before.entry((topic.clone(), version)).or_insert(former) != former {
+        let (version, predecessor) = (number(line, "number"), number(line, "before"));
+        if *predecessors
+            .entry((topic.clone(), version))
+            .or_insert(predecessor)
+            != predecessor
+        {
             found.push(format!(
-                "{topic}: {version} follows {former} at {} and another elsewhere",
+                "{topic}: version {version} follows version {predecessor} at gateway {}, and another one elsewhere",
                 line.gateway
             ));
         }
-        let of = steps
+        let of = activations
             .entry(topic)
             .or_default()
             .entry(line.gateway)
@@ -129,31 +142,35 @@
         "registration: stopped acting",
         |_| true,
     );
-    for (topic, gateways) in &steps {
-        let moments = gateways.values().flatten().map(|(at, _)| *at);
-        for at in moments.chain(registrations.iter().map(|registration| registration.from)) {
-            let acted = registrations
+    for (topic, gateways) in &activations {
+        let times = gateways.values().flatten().map(|(at, _)| *at);
+        for at in times.chain(registrations.iter().map(|registration| registration.from)) {
+            let active_versions = registrations
                 .iter()
                 .filter(|registration| (registration.from..registration.until).contains(&at))
                 .filter_map(|registration| {
-                    let steps = gateways.get(&registration.gateway)?;
-                    steps
+                    let activations = gateways.get(&registration.gateway)?;
+                    activations
                         .iter()
                         .rev()
                         .find(|(from, _)| *from <= at)
                         .map(|(_, version)| *version)
                 });
-            let acted: BTreeSet<u64> = acted.collect();
-            let Some(&newest) = acted.last() else {
+            let active_versions: BTreeSet<u64> = active_versions.collect();
+            let Some(&newest) = active_versions.last() else {
                 continue;
             };
-            let former = before.get(&(topic.clone(), newest)).copied().unwrap_or(0);
-            if acted
+            let predecessor = predecessors
+                .get(&(topic.clone(), newest))
+                .copied()
+                .unwrap_or(0);
+            if active_versions
                 .iter()
-                .any(|version| *version != newest && *version != former)
+                .any(|version| *version != newest && *version != predecessor)
             {
                 found.push(format!(
-                    "{topic}: at {at} versions {acted:?} are acted on, and {former} was before {newest}"
+                    "{topic}: at {at} gateways act on versions {active_versions:?}, but only {newest} and its predecessor {predecessor} may \
+                     be acted on"
                 ));
             }
         }
--- a/testbench/src/cluster/history/tests.rs
+++ b/testbench/src/cluster/history/tests.rs
@@ -17,18 +17,18 @@
     )
 }
 
-fn force(gateway: u64, at: u64, number: u64, before: u64) -> Line {
+fn activated(gateway: u64, at: u64, number: u64, before: u64) -> Line {
     let fields = json!({"message": "version: activated", "topic": "Operator", "at": at, "number": number, "before": before});
     line(gateway, fields)
 }
 
 #[test]
-fn two_holders_at_once_or_a_token_that_does_not_grow_is_found() {
+fn overlapping_duty_holders_and_stale_tokens_are_violations() {
     let good = [duty(1, 10, 1, 40), duty(1, 30, 1, 60), duty(2, 60, 5, 90)];
     assert_eq!(violations(&good), Vec::<String>::new());
     assert!(violations(&[duty(1, 10, 1, 40), duty(2, 39, 5, 90)])[0].contains("at once"));
     assert!(violations(&[duty(1, 10, 5, 40), duty(2, 41, 5, 90)])[0].contains("not newer"));
-    // It stopped earlier than it had to.
+    // The first holder stopped before its right ended.
     let stopped = line(
         1,
         json!({"message": "duty: stopped acting", "duty": "probes", "at": 30}),
@@ -40,43 +40,48 @@
 }
 
 #[test]
-fn a_third_version_or_another_order_is_found() {
+fn third_active_version_and_diverging_order_are_violations() {
     let good = [
         registration(1, 0, 100),
         registration(2, 0, 100),
-        force(1, 10, 3, 0),
-        force(2, 20, 3, 0),
-        force(1, 30, 7, 3),
+        activated(1, 10, 3, 0),
+        activated(2, 20, 3, 0),
+        activated(1, 30, 7, 3),
     ];
     assert_eq!(violations(&good), Vec::<String>::new());
-    let third = [&good[..], &[force(1, 40, 9, 7)]].concat();
+    let third = [&good[..], &[activated(1, 40, 9, 7)]].concat();
     assert!(
         violations(&third)[0].contains("[3, 9]") || violations(&third)[0].contains("{3, 9}"),
         "{:?}",
         violations(&third)
     );
-    // One that was killed starts again and learns the versions anew, while its former life's right would still run.
+    // A gateway that was killed restarts and activates the version again, while the registration of its former process
+    // would not have expired.
     let killed = line(2, json!({"message": KILLED, "at": 25}));
-    let reborn = [
+    let restarted = [
         registration(1, 0, 100),
         registration(2, 0, 100),
-        force(2, 5, 3, 0),
+        activated(2, 5, 3, 0),
         killed,
-        force(2, 30, 3, 0),
+        activated(2, 30, 3, 0),
+    ];
+    let rest = [
+        activated(1, 10, 3, 0),
+        activated(1, 20, 7, 3),
+        activated(1, 26, 9, 7),
     ];
-    let rest = [force(1, 10, 3, 0), force(1, 20, 7, 3), force(1, 26, 9, 7)];
     assert_eq!(
-        violations(&[&reborn[..], &rest[..]].concat()),
+        violations(&[&restarted[..], &rest[..]].concat()),
         Vec::<String>::new()
     );
-    // One whose right has run out acts on nothing.
-    let lapsed = [
+    // A gateway whose registration has expired does not act on any version.
+    let expired = [
         registration(1, 0, 100),
         registration(2, 0, 35),
-        force(2, 20, 3, 0),
-        force(1, 30, 7, 3),
-        force(1, 40, 9, 7),
+        activated(2, 20, 3, 0),
+        activated(1, 30, 7, 3),
+        activated(1, 40, 9, 7),
     ];
-    assert_eq!(violations(&lapsed), Vec::<String>::new());
-    assert!(violations(&[force(1, 10, 3, 0), force(2, 10, 3, 1)])[0].contains("elsewhere"));
+    assert_eq!(violations(&expired), Vec::<String>::new());
+    assert!(violations(&[activated(1, 10, 3, 0), activated(2, 10, 3, 1)])[0].contains("elsewhere"));
 }
--- a/testbench/src/cluster/mod.rs
+++ b/testbench/src/cluster/mod.rs
@@ -1,10 +1,10 @@
-//! A fleet of real processes that agree, control members and gateways, with every link between them through a fault proxy.
+//! A fleet of real processes, control members and gateways, in which every link goes through a fault proxy.
 //!
-//! In a run ([`play`]) one seed draws all faults and their times: cuts in one direction and both, partitions, slow links,
-//! doubled and swapped frames, processes that stand still, die, come back, or lose their disk, and the same at the control
-//! member that leads; and the versions that are offered meanwhile.
-//! How the processes themselves are scheduled is the machine's, so a run with the same seed meets the same faults, not
-//! the same instants. A run ends with all faults over, and checks what must never have been and what must be by then.
+//! In a run ([`play`]) all faults, their times and the versions that are offered are drawn from one seed. The faults
+//! are: links cut in one direction or both, partitions, slow links, duplicated and reordered frames, processes that are
+//! suspended, killed, restarted, or lose their disk; some of them are aimed at the leader of the control members. As
+//! the machine schedules the processes, a run with the same seed has the same faults, but not the same timing. At its
+//! end a run removes all faults, checks that the fleet recovers, and checks the invariants on the whole log history.
 
 mod faults;
 pub mod history;
@@ -14,11 +14,11 @@
 use crate::fleet::{Fleet, Shape};
 use crate::gateway::{free, leaders, Gateway, Part, Plan};
 use crate::standing::Standing;
-use faults::WELL;
+use faults::RECOVERY_TIMEOUT;
 pub use faults::{play, Found};
 use history::Line;
 use nix::sys::signal::Signal;
-use proxy::Way;
+use proxy::Direction;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -27,23 +27,23 @@
 use std::time::{Duration, Instant};
 pub use storm::Storm;
 
-/// How long rights last in these fleets, milliseconds, unless they are started otherwise: short, so that a run sees many.
+/// Default duration of leases in these fleets, milliseconds; short, so that many expire and are renewed in a run.
 const LEASE_MS: u64 = 1_200;
 const RENEW_MS: u64 = 200;
 const MARGIN_MS: u64 = 50;
-/// Lines that a gateway logged last, as many as are shown of one that is not well.
-const LAST_WORDS: usize = 12;
+/// Number of last log lines that are shown of a gateway that did not recover.
+const LAST_LOG_LINES: usize = 12;
 
-/// What a process of a fleet does.
+/// The role of a process in a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Votes, and serves clients.
+    /// A voter that serves clients.
     Voter,
-    /// Votes, and serves no clients: `asterreel control`.
+    /// A voter that serves no clients: `asterreel control`.
     Member,
-    /// Serves clients; the files of the others list it as one that does not vote.
+    /// Serves clients; the operator's files of the others list it as a peer that is not a voter.
     Listed,
-    /// Serves clients; no file but its own knows of it.
+    /// Serves clients; the operator's files of the others do not list it.
     Client,
 }
 
@@ -52,18 +52,18 @@
         matches!(self, Role::Voter | Role::Member)
     }
 
-    /// Whether it has a registration, and puts versions in force.
+    /// Whether it has a registration and activates versions.
     fn registered(self) -> bool {
         self != Role::Member
     }
 }
 
-/// A fleet of gateways.
+/// A fleet of control members and gateways.
 pub struct Cluster {
     gateways: Vec<Option<Gateway>>,
     plans: Vec<Plan>,
     places: Vec<SocketAddr>,
-    ways: Vec<Vec<Arc<Way>>>,
+    directions: Vec<Vec<Arc<Direction>>>,
     /// The addresses at which gateway `i` reaches gateway `j`.
     seen: Vec<Vec<SocketAddr>>,
     roles: Vec<Role>,
@@ -77,7 +77,7 @@
 }
 
 impl Cluster {
-    /// Starts so many gateways, the first `voters` of which vote.
+    /// Starts a fleet of `gateways` processes, of which the first `voters` are voters.
     ///
     /// # Errors
     ///
@@ -86,7 +86,7 @@
         Cluster::start_with(program, gateways, voters, "")
     }
 
-    /// The same, with more in each operator's file.
+    /// The same, with `extra` appended to each operator's file.
     ///
     /// # Errors
     ///
@@ -108,7 +108,7 @@
         Cluster::start_as(program, roles, (LEASE_MS, RENEW_MS), extra)
     }
 
-    /// Starts processes of these roles, with rights that last and are renewed after so many milliseconds.
+    /// Starts processes of these roles, with the duration and the renewal interval of leases, milliseconds.
     ///
     /// # Errors
     ///
@@ -128,12 +128,16 @@
         };
         let databases = Fleet::start(shape)?;
         let places = free(gateways)?;
-        let ways: Vec<Vec<Arc<Way>>> = (0..gateways)
+        let directions: Vec<Vec<Arc<Direction>>> = (0..gateways)
             .map(|_| (0..gateways).map(|_| Arc::default()).collect())
             .collect();
         let link = |from: usize, to: usize| match from == to {
             true => Ok(places[to]),
-            false => proxy::link(places[to], ways[from][to].clone(), ways[to][from].clone()),
+            false => proxy::link(
+                places[to],
+                directions[from][to].clone(),
+                directions[to][from].clone(),
+            ),
         };
         let seen = (0..gateways).map(|from| (0..gateways).map(|to| link(from, to)).collect());
         let seen = seen.collect::<io::Result<Vec<Vec<SocketAddr>>>>()?;
@@ -155,7 +159,7 @@
             gateways: (0..gateways).map(|_| None).collect(),
             plans,
             places,
-            ways,
+            directions,
             seen,
             roles,
             lease_ms,
@@ -174,7 +178,7 @@
         self.folder.path().join(format!("store-{gateway}"))
     }
 
-    /// The operator's file of a gateway; editions differ in a network that may connect.
+    /// The operator's file of a gateway. Editions differ in a network in `allow`.
     fn file(&self, gateway: usize, edition: u64) -> String {
         let role = self.roles[gateway];
         let known = |to: &usize| {
@@ -212,7 +216,7 @@
         )
     }
 
-    /// Starts a gateway that does not run, on the store that it has.
+    /// Starts a gateway that is not running, with its existing store.
     ///
     /// # Errors
     ///
@@ -225,15 +229,17 @@
                 ..self.plans[gateway].clone()
             };
             let started = Gateway::start(&plan)?;
-            // Before that a signal would end it, as it would any program.
-            let up = started.logged(0, WELL, |line| line["message"] == "control: started");
+            // Before this line it has no signal handlers, and a signal would kill it.
+            let up = started.logged(0, RECOVERY_TIMEOUT, |line| {
+                line["message"] == "control: started"
+            });
             self.gateways[gateway] = Some(started);
             up.ok_or(io::ErrorKind::TimedOut)?;
         }
         Ok(())
     }
 
-    /// Gateways that ended by themselves, and how.
+    /// Descriptions of the gateways that exited without having been stopped, with their exit status.
     pub fn ended(&mut self) -> Vec<String> {
         let running = self
             .gateways
@@ -246,19 +252,19 @@
         ended.collect()
     }
 
-    /// Kills a gateway outright; its store stays.
+    /// Kills a gateway with SIGKILL; its store stays.
     pub fn kill(&mut self, gateway: usize) {
         self.signal(gateway, Signal::SIGCONT);
         self.signal(gateway, Signal::SIGKILL);
-        self.bury(gateway);
+        self.save_log(gateway);
     }
 
-    /// Keeps what a process that is gone has logged.
-    fn bury(&mut self, gateway: usize) {
-        if let Some(dead) = self.gateways[gateway].take() {
-            // What it wrote last is still on its way.
+    /// Saves the log lines of a process that has exited.
+    fn save_log(&mut self, gateway: usize) {
+        if let Some(exited) = self.gateways[gateway].take() {
+            // The thread that reads its log may not have read its last lines yet.
             sleep(Duration::from_millis(20));
-            self.past.extend(lines(gateway, &dead));
+            self.past.extend(lines(gateway, &exited));
             let fields = serde_json::json!({"message": history::KILLED, "at": crate::now()});
             self.past.push(Line {
                 gateway: gateway as u64 + 1,
@@ -267,11 +273,11 @@
         }
     }
 
-    /// Takes a dead gateway's disk away; one that does not vote has nothing there.
+    /// Kills a gateway and removes its store; a process that is not a voter has none.
     ///
     /// # Errors
     ///
-    /// The folder could not be removed.
+    /// The directory could not be removed.
     pub fn wipe(&mut self, gateway: usize) -> io::Result<()> {
         self.kill(gateway);
         match std::fs::remove_dir_all(self.store(gateway)) {
@@ -284,79 +290,80 @@
         }
     }
 
-    /// The control member that leads, by the newest term that a running one has logged.
+    /// The leader in the newest term that a running control member has logged.
     pub fn leader(&self) -> Option<usize> {
-        let told = self
+        let logged = self
             .gateways
             .iter()
             .flatten()
             .flat_map(|gateway| leaders(gateway.log()));
-        let newest = told.filter(|(_, gateway)| *gateway != 0).max();
+        let newest = logged.filter(|(_, gateway)| *gateway != 0).max();
         newest.map(|(_, gateway)| gateway as usize - 1)
     }
 
-    /// Asks a process to end in order, and says whether it did in time.
+    /// Stops a process with SIGTERM, or kills it after the time limit. Returns whether its exit status was success.
     ///
     /// # Errors
     ///
-    /// The process could not be signalled.
+    /// The process did not exit in time, or could not be waited for.
     pub fn end(&mut self, gateway: usize, within: Duration) -> io::Result<bool> {
         self.signal(gateway, Signal::SIGTERM);
         let ended = self.gateways[gateway]
             .as_mut()
             .map_or(Ok(true), |running| running.wait(within));
         match &ended {
-            Ok(_) => self.bury(gateway),
+            Ok(_) => self.save_log(gateway),
             Err(_) => self.kill(gateway),
         }
         ended
     }
 
-    /// Processes that have a registration.
+    /// The processes whose role has a registration.
     fn registered(&self) -> Vec<usize> {
         (0..self.roles.len())
             .filter(|gateway| self.roles[*gateway].registered())
             .collect()
     }
 
-    /// Sends a running gateway a signal.
+    /// Sends a signal to a gateway, if it is running.
     pub fn signal(&self, gateway: usize, signal: Signal) {
         if let Some(running) = &self.gateways[gateway] {
             let _ = running.signal(signal);
         }
     }
 
-    /// What one direction between two gateways does.
-    pub fn way(&self, from: usize, to: usize) -> &Way {
-        &self.ways[from][to]
+    /// The faults of one direction between two gateways.
+    pub fn direction(&self, from: usize, to: usize) -> &Direction {
+        &self.directions[from][to]
     }
 
-    /// Cuts or heals both directions between those of one side and the rest.
+    /// Cuts or restores both directions between the gateways of `side` and all others.
     pub fn part(&self, side: &[usize], cut: bool) {
         for one in side {
             for other in (0..self.places.len()).filter(|other| !side.contains(other)) {
-                self.way(*one, other).cut(cut);
-                self.way(other, *one).cut(cut);
+                self.direction(*one, other).cut(cut);
+                self.direction(other, *one).cut(cut);
             }
         }
     }
 
-    /// Cuts both directions between two.
+    /// Cuts both directions between two gateways.
     pub fn part_two(&self, one: usize, other: usize) {
-        self.way(one, other).cut(true);
-        self.way(other, one).cut(true);
+        self.direction(one, other).cut(true);
+        self.direction(other, one).cut(true);
     }
 
-    /// Heals all links.
+    /// Removes all faults of links.
     pub fn heal(&self) {
-        for way in self.ways.iter().flatten() {
-            way.cut(false);
-            way.delay(0);
-            way.mangle(0);
+        for direction in self.directions.iter().flatten() {
+            direction.cut(false);
+            direction.delay(0);
+            direction.mangle(0);
         }
     }
 
-    /// Puts a new edition of the operator's file on all gateways but `except`, and has one of them offer it.
+    /// Writes a new edition of the operator's file for all running gateways except `except`, and has gateway `by` offer
+    /// it.
     ///
     /// # Errors
     ///
@@ -372,20 +379,20 @@
         Ok(())
     }
 
-    /// Spoils one gateway's operator's file.
+    /// Replaces the operator's file of a gateway with an invalid one.
     ///
     /// # Errors
     ///
     /// The file could not be written.
     pub fn spoil(&self, gateway: usize) -> io::Result<()> {
-        let bad = "lease(me = 'none')\n";
+        let invalid = "lease(me = 'none')\n";
         self.gateways[gateway]
             .as_ref()
-            .map_or(Ok(()), |running| running.rewrite(bad))
+            .map_or(Ok(()), |running| running.rewrite(invalid))
     }
 
-    /// What a running gateway logged last.
-    fn last_words(&self, gateway: usize) -> String {
+    /// The last log lines of a running gateway.
+    fn last_log_lines(&self, gateway: usize) -> String {
         let log = self.gateways[gateway]
             .as_ref()
             .map(Gateway::log)
@@ -393,18 +400,18 @@
         let last = log
             .iter()
             .rev()
-            .take(LAST_WORDS)
+            .take(LAST_LOG_LINES)
             .rev()
             .map(|line| format!("{} {}", gateway + 1, line.fields));
         last.collect::<Vec<String>>().join("\n")
     }
 
-    /// Has so many clients come to a gateway at once, and again when they are told, until all are in or time is up.
+    /// Opens sessions of `clients` clients at a gateway at once; see [`Storm`].
     pub fn storm(&self, gateway: usize, clients: usize, within: Duration) -> Storm {
         storm::play(self.plans[gateway].client, clients, within)
     }
 
-    /// All lines so far.
+    /// All log lines so far, by time.
     pub fn history(&self) -> Vec<Line> {
         let running = self
             .gateways
@@ -417,7 +424,7 @@
         all
     }
 
-    /// How each process stands, in its present life.
+    /// The state of each process, from its log lines since its last start.
     fn standings(&self) -> Vec<Standing> {
         let numbered = (1..).zip(&self.gateways);
         let logged = numbered.map(|(number, gateway)| {
@@ -427,7 +434,7 @@
         logged.collect()
     }
 
-    /// The newest version of the operator's file in force at each process, in its present life; 0 where there is none.
+    /// The newest version of the operator's file in force at each process since its last start; 0 if there is none.
     pub fn in_force(&self) -> Vec<u64> {
         self.standings()
             .iter()
@@ -435,8 +442,8 @@
             .collect()
     }
 
-    /// The newest version that was ever in force at any gateway, in any of its lives: one that has just started again puts
-    /// what was in force before in force once more.
+    /// The newest version that was ever in force at any gateway, before its last start too: a gateway that has just
+    /// restarted first activates the version that was in force before.
     fn newest(&self) -> u64 {
         let history = self.history();
         let in_force = history
@@ -448,7 +455,7 @@
             .unwrap_or(0)
     }
 
-    /// Waits until this holds; how long it took, or nothing.
+    /// Waits until the condition holds; returns how long that took, or none if the time limit passed.
     pub fn wait(&self, within: Duration, holds: impl Fn(&Cluster) -> bool) -> Option<Duration> {
         let began = Instant::now();
         while began.elapsed() < within {
@@ -460,7 +467,8 @@
         None
     }
 
-    /// Offers editions until each gateway acts on the same one, newer than all before, and says how long that took.
+    /// Offers new editions until all gateways act on the same new version; returns how long that took, or none if the
+    /// time limit passed.
     ///
     /// # Errors
     ///
@@ -469,7 +477,7 @@
         self.agree_without(within, usize::MAX)
     }
 
-    /// The same, but for one gateway that is gone.
+    /// The same, without one gateway that is not running.
     ///
     /// # Errors
     ///
@@ -482,22 +490,19 @@
             if began.elapsed() >= within {
                 return Ok(None);
             }
-            // Who offers may have no registration yet: each in turn.
+            // The gateway that offers may have no registration yet, so each round uses the next one.
             self.offer(registered[round % registered.len()], None)?;
-            let everywhere = |cluster: &Cluster| {
+            let all_agree = |cluster: &Cluster| {
                 let (all, now) = (cluster.standings(), crate::now());
-                let there = registered.iter().filter(|gateway| **gateway != gone);
-                let there: Vec<Standing> = there.map(|gateway| all[*gateway]).collect();
-                let number = there[0].in_force;
+                let expected = registered.iter().filter(|gateway| **gateway != gone);
+                let expected: Vec<Standing> = expected.map(|gateway| all[*gateway]).collect();
+                let number = expected[0].in_force;
                 number > newest
-                    && there
+                    && expected
                         .iter()
                         .all(|one| one.in_force == number && one.acts(now))
             };
-            if self
-                .wait(Duration::from_millis(1_500), everywhere)
-                .is_some()
-            {
+            if self.wait(Duration::from_millis(1_500), all_agree).is_some() {
                 return Ok(Some(began.elapsed()));
             }
         }
--- a/testbench/src/cluster/proxy.rs
+++ b/testbench/src/cluster/proxy.rs
@@ -1,4 +1,5 @@
-//! Links between gateways that can be cut in one direction or both, slowed, and made to double or swap frames.
+//! Proxied links between gateways that can be cut in one direction or both, delayed, and made to duplicate or reorder
+//! frames.
 
 use std::io::{self, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,31 +8,32 @@
 use std::thread;
 use std::time::Duration;
 
-/// What one direction between two gateways does to what goes over it.
+/// The faults of one direction between two gateways.
 #[derive(Debug, Default)]
-pub struct Way {
-    /// Nothing comes through; what is on its way waits, as TCP's own repeats do.
+pub struct Direction {
+    /// No frames are forwarded; they wait until the cut ends, as TCP retransmits lost segments.
     cut: AtomicBool,
-    /// Added to every frame's way, milliseconds.
+    /// Delay of every frame, milliseconds.
     delay_ms: AtomicU64,
-    /// Every so many frames one is doubled, and another swapped with the next; 0 is never.
-    mangle_every: AtomicU64,
+    /// Each frame whose number is a multiple of this is faulty: alternately one is duplicated, and one is sent after
+    /// the frame that follows it. 0 is never.
+    fault_every: AtomicU64,
 }
 
-impl Way {
-    /// Cuts it or heals it.
+impl Direction {
+    /// Cuts the direction or restores it.
     pub fn cut(&self, cut: bool) {
         self.cut.store(cut, Ordering::Relaxed);
     }
 
-    /// Slows it.
+    /// Sets the delay of every frame.
     pub fn delay(&self, ms: u64) {
         self.delay_ms.store(ms, Ordering::Relaxed);
     }
 
-    /// Doubles and swaps one in so many frames.
+    /// Duplicates or reorders one in `every` frames; 0 is none.
     pub fn mangle(&self, every: u64) {
-        self.mangle_every.store(every, Ordering::Relaxed);
+        self.fault_every.store(every, Ordering::Relaxed);
     }
 
     fn is_cut(&self) -> bool {
@@ -39,75 +41,91 @@
     }
 }
 
-/// Time between two looks at whether a cut is healed.
-const LOOK: Duration = Duration::from_millis(5);
-/// A frame longer than this ends the link: the gateways' own bound is a mebibyte.
-const LONGEST: usize = 2 << 20;
+/// How often a direction that is cut is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// A longer frame closes the link; the gateways' own limit is 1 MiB.
+const MAX_FRAME_BYTES: usize = 2 << 20;
 
-/// Listens in front of `target` for one gateway that dials it; `to` is the direction to the target, `back` from it.
-pub(super) fn link(target: SocketAddr, to: Arc<Way>, back: Arc<Way>) -> io::Result<SocketAddr> {
+/// Starts a proxy to `target` for one gateway that connects to it, and returns the proxy's address. `to` is the
+/// direction to the target, `back` the one from it.
+pub(super) fn link(
+    target: SocketAddr,
+    to: Arc<Direction>,
+    back: Arc<Direction>,
+) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
     thread::spawn(move || {
         for client in listener.incoming().flatten() {
             let (to, back) = (to.clone(), back.clone());
-            thread::spawn(move || carry(client, target, &to, back));
+            thread::spawn(move || proxy_connection(client, target, &to, back));
         }
     });
     Ok(address)
 }
 
-fn carry(client: TcpStream, target: SocketAddr, to: &Way, back: Arc<Way>) -> io::Result<()> {
-    // A new connection needs both directions.
+fn proxy_connection(
+    client: TcpStream,
+    target: SocketAddr,
+    to: &Direction,
+    back: Arc<Direction>,
+) -> io::Result<()> {
+    // A TCP handshake needs both directions.
     while to.is_cut() || back.is_cut() {
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
     let server = TcpStream::connect(target)?;
     client.set_nodelay(true)?;
     server.set_nodelay(true)?;
     let (from, into) = (server.try_clone()?, client.try_clone()?);
-    thread::spawn(move || pump(from, into, &back));
-    pump(client, server, to)
+    thread::spawn(move || forward(from, into, &back));
+    forward(client, server, to)
 }
 
-fn pump(mut from: TcpStream, mut into: TcpStream, way: &Way) -> io::Result<()> {
-    let ended = frames(&mut from, &mut into, way);
+fn forward(mut from: TcpStream, mut into: TcpStream, direction: &Direction) -> io::Result<()> {
+    let result = forward_frames(&mut from, &mut into, direction);
     let _ = from.shutdown(Shutdown::Both);
     let _ = into.shutdown(Shutdown::Both);
-    ended
+    result
 }
 
-/// Carries whole frames: a length of four bytes, and so many bytes.
-fn frames(from: &mut TcpStream, into: &mut TcpStream, way: &Way) -> io::Result<()> {
+/// Forwards whole frames: a length of four bytes, big-endian, and as many bytes.
+fn forward_frames(
+    from: &mut TcpStream,
+    into: &mut TcpStream,
+    direction: &Direction,
+) -> io::Result<()> {
     let mut count = 0_u64;
-    let mut held: Option<Vec<u8>> = None;
+    let mut delayed: Option<Vec<u8>> = None;
     loop {
         let mut length = [0; 4];
         from.read_exact(&mut length)?;
         let size = u32::from_be_bytes(length) as usize;
-        if size > LONGEST {
+        if size > MAX_FRAME_BYTES {
             return Err(io::ErrorKind::InvalidData.into());
         }
         let mut frame = length.to_vec();
         frame.resize(4 + size, 0);
         from.read_exact(&mut frame[4..])?;
-        thread::sleep(Duration::from_millis(way.delay_ms.load(Ordering::Relaxed)));
-        while way.is_cut() {
-            thread::sleep(LOOK);
+        thread::sleep(Duration::from_millis(
+            direction.delay_ms.load(Ordering::Relaxed),
+        ));
+        while direction.is_cut() {
+            thread::sleep(POLL_INTERVAL);
         }
         count += 1;
-        let every = way.mangle_every.load(Ordering::Relaxed);
-        // The first frame is a greeting, which the gateways want first.
-        let mangled = every > 0 && count > 1 && count % every == 0;
-        if mangled && count % (2 * every) == 0 && held.is_none() {
-            held = Some(frame);
+        let every = direction.fault_every.load(Ordering::Relaxed);
+        // The first frame is the hello, which must arrive first and once.
+        let is_faulty = every > 0 && count > 1 && count % every == 0;
+        if is_faulty && count % (2 * every) == 0 && delayed.is_none() {
+            delayed = Some(frame);
             continue;
         }
         into.write_all(&frame)?;
-        if mangled {
+        if is_faulty {
             into.write_all(&frame)?;
         }
-        if let Some(earlier) = held.take() {
+        if let Some(earlier) = delayed.take() {
             into.write_all(&earlier)?;
         }
     }
--- a/testbench/src/cluster/storm.rs
+++ b/testbench/src/cluster/storm.rs
@@ -1,4 +1,4 @@
-//! Clients that come to one gateway all at once, as when another one has died.
+//! Many clients that connect to one gateway at the same time, as after the failure of another gateway.
 
 use crate::database::read_body;
 use std::io::{self, Read, Write};
@@ -6,35 +6,36 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// How long a client waits for a gateway's word.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// When a client comes again that was refused and not told when.
-const UNTOLD: Duration = Duration::from_millis(100);
-/// When a client comes again that was not answered at all.
-const UNANSWERED: Duration = Duration::from_millis(20);
+/// Read timeout of a client.
+const READ_TIMEOUT: Duration = Duration::from_secs(2);
+/// Retry delay of a client that was refused without a retry delay.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Retry delay of a client whose connection failed.
+const RECONNECT_DELAY: Duration = Duration::from_millis(20);
 
-/// What a crowd of clients met.
+/// The results of many clients that opened sessions at the same time. A client that is refused retries after the delay
+/// that the gateway gave, until it is admitted or the time limit passes.
 #[derive(Clone, Debug, Default)]
 pub struct Storm {
-    /// When each was admitted, Unix microseconds.
+    /// The time at which each admitted client was admitted, Unix microseconds.
     pub admitted: Vec<u64>,
-    /// How often clients were refused.
+    /// Number of refusals of all clients.
     pub refused: usize,
-    /// Whether each refusal said when to come again.
+    /// Whether every refusal contained a retry delay.
     pub told: bool,
 }
 
-/// How a gateway answers a client that opens a session.
+/// A gateway's answer to a client that opens a session.
 enum Answer {
     Admitted,
-    /// With the time after which to come again, where it said one.
+    /// With the retry delay, if the answer contained one.
     Refused(Option<Duration>),
 }
 
-/// Opens a session and closes it.
-fn knock(address: SocketAddr) -> io::Result<Answer> {
+/// Opens a session, reads the first message of the answer, and disconnects.
+fn open_session(address: SocketAddr) -> io::Result<Answer> {
     let mut client = TcpStream::connect(address)?;
-    client.set_read_timeout(Some(PATIENCE))?;
+    client.set_read_timeout(Some(READ_TIMEOUT))?;
     let words = b"user\0web\0database\0orders\0\0";
     let opening = [
         &(words.len() as u32 + 8).to_be_bytes()[..],
@@ -59,7 +60,7 @@
     Ok(Answer::Refused(wait))
 }
 
-/// Has so many clients come to a gateway at once, and again when they are told, until all are in or time is up.
+/// Runs `clients` clients at the same time until all are admitted or the time limit has passed.
 pub(super) fn play(address: SocketAddr, clients: usize, within: Duration) -> Storm {
     let until = Instant::now() + within;
     let all: Vec<_> = (0..clients)
@@ -71,35 +72,35 @@
             told: true,
             ..Storm::default()
         },
-        Storm::with,
+        Storm::merge,
     )
 }
 
-/// One of them, until it is in or time is up.
+/// Runs one client until it is admitted or the time limit has passed.
 fn one_client(address: SocketAddr, until: Instant) -> Storm {
-    let mut met = Storm {
+    let mut storm = Storm {
         told: true,
         ..Storm::default()
     };
     while Instant::now() < until {
-        match knock(address) {
+        match open_session(address) {
             Ok(Answer::Admitted) => {
-                met.admitted.push(crate::now());
+                storm.admitted.push(crate::now());
                 break;
             }
             Ok(Answer::Refused(wait)) => {
-                met.refused += 1;
-                met.told &= wait.is_some();
-                sleep(wait.unwrap_or(UNTOLD));
+                storm.refused += 1;
+                storm.told &= wait.is_some();
+                sleep(wait.unwrap_or(DEFAULT_RETRY_DELAY));
             }
-            Err(_) => sleep(UNANSWERED),
+            Err(_) => sleep(RECONNECT_DELAY),
         }
     }
-    met
+    storm
 }
 
 impl Storm {
-    fn with(mut self, other: Storm) -> Storm {
+    fn merge(mut self, other: Storm) -> Storm {
         self.admitted.extend(other.admitted);
         self.refused += other.refused;
         self.told &= other.told;
