--- a/testbench/src/cells.rs
+++ b/testbench/src/cells.rs
@@ -1,6 +1,6 @@
 //! The experiment on cells: which other tenants are affected by a tenant whose queries crash databases.
 
-use crate::health::{plan, recorded, Setting, PATIENCE};
+use crate::health::{plan, recorded, Setting, TIMEOUT};
 use anyhow::ensure;
 use asterreel_testbench::balancer::{Balancer, Check, Pace};
 use asterreel_testbench::fleet::{self, Fleet};
@@ -123,7 +123,7 @@
     let ready = recorded(&balancer, 0, 0, |change| change.weight == 100);
     ensure!(
         ready.is_some(),
-        "the gateway did not reach weight 100 within {PATIENCE:?}"
+        "the gateway did not reach weight 100 within {TIMEOUT:?}"
     );
     thread::sleep(SETTLE_TIME);
     let restarter = Restarter::start(&fleet);
@@ -132,8 +132,8 @@
     restarter.stop()?;
     let took = now() - started_at;
     ensure!(
-        took < PATIENCE.as_micros() as u64 * 10,
-        "the load took {took} us, more than ten times {PATIENCE:?}"
+        took < TIMEOUT.as_micros() as u64 * 10,
+        "the load took {took} us, more than ten times {TIMEOUT:?}"
     );
     balancer.stop();
     let deaths = fleet.revive(RESTART_DELAY);
--- a/testbench/src/health/changes.rs
+++ b/testbench/src/health/changes.rs
@@ -1,6 +1,6 @@
-//! How soon a balancer records each kind of change.
+//! Measures how soon a balancer records each kind of change of a gateway's state.
 
-use super::{plan, recorded, Setting, PATIENCE};
+use super::{plan, recorded, Setting, TIMEOUT};
 use anyhow::{ensure, Context};
 use asterreel_testbench::balancer::{Balancer, Change, Check, Pace};
 use asterreel_testbench::chart::{self, quantile};
@@ -13,22 +13,26 @@
 use std::thread;
 use std::time::Duration;
 
-/// Gateways that the changes are measured on at once.
-const LANES: usize = 10;
+/// Number of gateways that are measured in parallel.
+const SUBJECTS: usize = 10;
 
-/// A kind of change and its scope.
+/// The name of a change, and its scope: `gateway` or `group`.
 type Kind = (&'static str, &'static str);
+/// Microseconds from a change to the balancer's record of it.
 type Delays = BTreeMap<Kind, Vec<u64>>;
 
-struct Lane {
+/// A gateway under measurement, on a thread of its own. All of them go through the same steps at the same time, as they
+/// share the fleet.
+struct Subject {
     plan: Plan,
     fleet: Arc<Fleet>,
-    leads: bool,
+    /// Whether this one elects and removes the fleet's primary.
+    controls_primary: bool,
     seed: u64,
-    together: Arc<Barrier>,
+    step_barrier: Arc<Barrier>,
 }
 
-impl Lane {
+impl Subject {
     fn play(&self, rounds: u32) -> anyhow::Result<Delays> {
         let scopes = [("gateway", "\n"), ("group", "group 0\n")];
         let checks = scopes
@@ -37,15 +41,15 @@
             .collect();
         let balancer = Balancer::start(checks, Pace::default());
         let mut delays = Delays::new();
-        let mut note = |kind,
-                        from: usize,
-                        cause: u64,
-                        wanted: &dyn Fn(&Change) -> bool|
+        let mut record = |kind,
+                          from: usize,
+                          cause: u64,
+                          wanted: &dyn Fn(&Change) -> bool|
          -> anyhow::Result<()> {
             for (server, (scope, _)) in scopes.iter().enumerate() {
                 let change = recorded(&balancer, server, from, wanted);
-                let change =
-                    change.with_context(|| format!("{kind} of the {scope} was never recorded"))?;
+                let change = change
+                    .with_context(|| format!("{kind} of the {scope} was not recorded in time"))?;
                 delays
                     .entry((kind, scope))
                     .or_default()
@@ -53,77 +57,81 @@
             }
             Ok(())
         };
-        // Lanes must not meet the balancer's checks all at the same point of its interval.
+        // Random pauses, so that changes occur at random points of the balancers' check intervals.
         let mut random = fastrand::Rng::with_seed(self.seed);
-        let mut somewhen = || thread::sleep(Duration::from_micros(random.u64(0..200_000)));
+        let mut random_pause = || thread::sleep(Duration::from_micros(random.u64(0..200_000)));
         for _ in 0..rounds {
-            self.together.wait();
-            somewhen();
+            self.step_barrier.wait();
+            random_pause();
             let from = balancer.changes().len();
             let mut gateway = Gateway::start(&self.plan)?;
-            let told = |state: &'static str| {
+            let logged_state = |state: &'static str| {
                 move |fields: &serde_json::Value| {
                     fields["scope"] == "gateway" && fields["state"] == state
                 }
             };
             let up = gateway
-                .logged(0, PATIENCE, told("Up"))
-                .context("it never came up")?;
-            note("up", from, up.at, &|change| change.weight == 100)?;
+                .logged(0, TIMEOUT, logged_state("Up"))
+                .context("the gateway did not log the state Up in time")?;
+            record("up", from, up.at, &|change| change.weight == 100)?;
 
-            self.together.wait();
+            self.step_barrier.wait();
             let (from, line) = (balancer.changes().len(), gateway.log().len());
-            if self.leads {
+            if self.controls_primary {
                 self.fleet.elect(None);
             }
-            let lost = gateway.logged(line, PATIENCE, |fields| fields["message"] == "Demoted");
-            note(
+            let lost = gateway.logged(line, TIMEOUT, |fields| fields["message"] == "Demoted");
+            record(
                 "no primary",
                 from,
-                lost.context("the loss was not seen")?.at,
+                lost.context("the gateway did not log Demoted in time")?.at,
                 &|change| change.weight < 100,
             )?;
 
-            self.together.wait();
+            self.step_barrier.wait();
             let (from, line) = (balancer.changes().len(), gateway.log().len());
-            if self.leads {
+            if self.controls_primary {
                 self.fleet.elect(Some(0));
             }
-            let found = gateway.logged(line, PATIENCE, |fields| fields["message"] == "Promoted");
-            note(
+            let found = gateway.logged(line, TIMEOUT, |fields| fields["message"] == "Promoted");
+            record(
                 "primary again",
                 from,
-                found.context("the primary was not seen")?.at,
+                found
+                    .context("the gateway did not log Promoted in time")?
+                    .at,
                 &|change| change.weight == 100,
             )?;
 
-            self.together.wait();
-            somewhen();
+            self.step_barrier.wait();
+            random_pause();
             let from = balancer.changes().len();
-            let frozen = gateway.freeze().context("the worker can't be stopped")?;
-            note("hung", from, now(), &|change| {
+            let frozen = gateway
+                .freeze()
+                .context("cannot trace its worker threads")?;
+            record("hung", from, now(), &|change| {
                 change.word.starts_with("down hung")
             })?;
             drop(frozen);
-            let moving = recorded(
+            let resumed = recorded(
                 &balancer,
                 0,
                 balancer.changes().len().saturating_sub(1),
                 |c| c.weight == 100,
             );
-            moving.context("it never moved again")?;
+            resumed.context("the resumed gateway did not reach weight 100 in time")?;
 
-            self.together.wait();
-            somewhen();
+            self.step_barrier.wait();
+            random_pause();
             let from = balancer.changes().len();
             let cause = now();
             gateway.signal(Signal::SIGTERM)?;
-            note("draining", from, cause, &|change| {
+            record("draining", from, cause, &|change| {
                 change.word.starts_with("drain")
             })?;
-            // With nothing owed it is gone as soon as it closes its connections.
-            ensure!(gateway.wait(PATIENCE)?, "it ended badly");
-            note("stopped", from, now(), &|change| {
+            // Without requests in progress it exits as soon as it has closed its connections.
+            ensure!(gateway.wait(TIMEOUT)?, "the gateway exited with an error");
+            record("stopped", from, now(), &|change| {
                 change.word.starts_with("stopped") || change.word == "no-answer"
             })?;
         }
@@ -132,38 +140,38 @@
     }
 }
 
-/// Measures how soon a balancer records each kind of change, over all lanes at once.
+/// Measures all gateways in parallel and writes the table and the chart.
 pub(super) fn play(setting: &Setting, rounds: u32) -> anyhow::Result<()> {
     let fleet = Fleet::start(fleet::Shape {
-        gateways: LANES,
+        gateways: SUBJECTS,
         ..fleet::Shape::default()
     })?;
-    let together = Arc::new(Barrier::new(LANES));
-    // Weights move at once, so that the balancer's hearing is measured and not their slow rise.
+    let step_barrier = Arc::new(Barrier::new(SUBJECTS));
+    // Weights change at once, so that the delay of the balancer is measured and not the slow rise of weights.
     let knobs =
         "knobs = knobs(rise_every_ms = 50, rise_step = 100, flaps_per_minute = 60, recover_after_ms = 100),";
-    let lanes: Vec<_> = (0..LANES)
+    let subjects: Vec<_> = (0..SUBJECTS)
         .map(|number| {
             let plan = plan(setting, &fleet, number, true, knobs)?;
-            let lane = Lane {
+            let subject = Subject {
                 plan,
                 fleet: fleet.clone(),
-                leads: number == 0,
+                controls_primary: number == 0,
                 seed: setting.seed * 100 + number as u64,
-                together: together.clone(),
+                step_barrier: step_barrier.clone(),
             };
             Ok(thread::spawn(move || {
-                lane.play(rounds).unwrap_or_else(|error| {
-                    // The others wait for this one: a lane that failed ends the whole measurement.
-                    eprintln!("lane {number}: {error:#}");
+                subject.play(rounds).unwrap_or_else(|error| {
+                    // The other threads would wait at the barrier for this one, so the whole process exits.
+                    eprintln!("gateway {number}: {error:#}");
                     std::process::exit(1);
                 })
             }))
         })
         .collect::<anyhow::Result<_>>()?;
     let mut all = Delays::new();
-    for lane in lanes {
-        for (kind, delays) in lane.join().expect("a lane panicked") {
+    for subject in subjects {
+        for (kind, delays) in subject.join().expect("the thread of a gateway panicked") {
             all.entry(kind).or_default().extend(delays);
         }
     }
@@ -196,11 +204,11 @@
             ms(1.0)
         );
         worst_of_all = worst_of_all.max(quantile(delays, 1.0));
-        let of = delays.len() as f64;
+        let count = delays.len() as f64;
         let points = delays
             .iter()
             .enumerate()
-            .map(|(at, delay)| (*delay as f64 / 1e3, (at + 1) as f64 / of));
+            .map(|(at, delay)| (*delay as f64 / 1e3, (at + 1) as f64 / count));
         if *scope == "gateway" {
             lines.push(((*kind).to_owned(), points.collect()));
         }
--- a/testbench/src/health/cost.rs
+++ b/testbench/src/health/cost.rs
@@ -1,6 +1,6 @@
-//! What health costs a gateway: CPU, memory and descriptors, off and on, with checks and without.
+//! The cost of health for a gateway: CPU, memory and descriptors with health off and on, with and without checks.
 
-use super::{plan, recorded, Setting};
+use super::{plan, recorded, Setting, TIMEOUT};
 use anyhow::ensure;
 use asterreel_testbench::balancer::{Balancer, Check, Pace};
 use asterreel_testbench::fleet::{self, Fleet};
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Measures each arm three times and writes the median.
+/// Measures each arm three times and writes the run with the median CPU time per request.
 pub(super) fn play(setting: &Setting) -> anyhow::Result<()> {
     let mut table = csv::Writer::from_path(setting.out.join("health-cost.csv"))?;
     table.write_record([
@@ -40,20 +40,20 @@
             let plan = plan(setting, &fleet, 0, health, "")?;
             let gateway = Gateway::start(&plan)?;
             thread::sleep(Duration::from_secs(3));
-            let ending = Arc::new(AtomicBool::new(false));
+            let stop = Arc::new(AtomicBool::new(false));
             let check = match checks {
                 201 => Check::Http(plan.http, "/readyz".into()),
                 _ => Check::Agent(plan.agent, "\n".into()),
             };
             let checkers: Vec<_> = (0..if checks > 0 { 10 } else { 0 })
                 .map(|_| {
-                    let (ending, check) = (ending.clone(), check.clone());
+                    let (stop, check) = (stop.clone(), check.clone());
                     thread::spawn(move || {
-                        while !ending.load(Ordering::Acquire) {
-                            let began = Instant::now();
+                        while !stop.load(Ordering::Acquire) {
+                            let started_at = Instant::now();
                             let _ = check.run(Duration::from_secs(1));
                             thread::sleep(
-                                Duration::from_millis(50).saturating_sub(began.elapsed()),
+                                Duration::from_millis(50).saturating_sub(started_at.elapsed()),
                             );
                         }
                     })
@@ -68,13 +68,13 @@
             );
             ensure!(
                 recorded(&balancer, 0, 0, |change| change.weight == 100).is_some(),
-                "never up"
+                "the gateway did not reach weight 100 within {TIMEOUT:?}"
             );
             let before = gateway.cpu_us()?;
             let records = load::play(shape, &balancer, &[plan.client]);
             let used = gateway.cpu_us()? - before;
             let (descriptors, resident) = gateway.holds()?;
-            ending.store(true, Ordering::Release);
+            stop.store(true, Ordering::Release);
             balancer.stop();
             for checker in checkers {
                 let _ = checker.join();
--- a/testbench/src/health/mod.rs
+++ b/testbench/src/health/mod.rs
@@ -1,5 +1,5 @@
-//! Experiments on health: how soon a balancer hears, what a rolling restart, a lost primary and an overload cost with
-//! and without it, and what it costs itself.
+//! Experiments on health checks: how soon a balancer detects changes; the effect of a rolling restart, a lost primary
+//! and an overloaded gateway with and without health checks; and the cost of health checks.
 
 mod changes;
 mod cost;
@@ -15,34 +15,34 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What is measured.
+/// An experiment on health checks.
 #[derive(Clone, Copy, Debug, ValueEnum)]
 pub(crate) enum Experiment {
     /// How soon a balancer records each kind of change
     Changes,
-    /// A rolling restart of three gateways under load, with and without health
+    /// A rolling restart of three gateways under load, with and without health checks
     Rolling,
-    /// One gateway cut off from the primary, a primary that dies, and a gateway that stands still most of the time
+    /// A gateway cut off from the primary, a primary that crashes, and a gateway that is suspended most of the time
     Outage,
-    /// CPU, memory and descriptors, off and on, with 200 checks a second
+    /// CPU, memory and descriptors with health off, on, and with 200 checks per second
     Cost,
 }
 
-/// Where and with what.
+/// The settings of an experiment.
 pub(crate) struct Setting {
-    /// Of the load's schedule.
+    /// Seed of the load's schedule.
     pub seed: u64,
-    /// The gateway's program.
+    /// Path of the asterreel executable.
     pub program: PathBuf,
-    /// The folder for tables and charts.
+    /// Directory for tables and charts.
     pub out: PathBuf,
 }
 
-/// How long anything that must come is waited for.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+/// Time limit for each awaited event.
+pub(crate) const TIMEOUT: Duration = Duration::from_secs(20);
 
 impl Experiment {
-    /// Runs it, and writes its table and chart.
+    /// Runs the experiment and writes its table and chart. `rounds` is used by `changes` only.
     pub(crate) fn play(self, setting: &Setting, rounds: u32) -> anyhow::Result<()> {
         match self {
             Experiment::Changes => changes::play(setting, rounds),
@@ -53,7 +53,7 @@
     }
 }
 
-/// A gateway of the fleet with health on or off, and what else its operator's file says of it.
+/// The plan of a fleet's gateway, with health on or off and further arguments of `health(...)`.
 pub(crate) fn plan(
     setting: &Setting,
     fleet: &Fleet,
@@ -69,20 +69,20 @@
     })
 }
 
-/// The first change of a server from an index on that satisfies this.
+/// Waits for a recorded change of a gateway that satisfies `wanted`, at or after the index `from`.
 pub(crate) fn recorded(
     balancer: &Balancer,
-    server: usize,
+    gateway: usize,
     from: usize,
     wanted: impl Fn(&Change) -> bool,
 ) -> Option<Change> {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + TIMEOUT;
     while Instant::now() < until {
         let changes = balancer.changes();
         let found = changes
             .iter()
             .skip(from)
-            .find(|change| change.gateway == server && wanted(change));
+            .find(|change| change.gateway == gateway && wanted(change));
         if let Some(change) = found {
             return Some(change.clone());
         }
--- a/testbench/src/health/outage.rs
+++ b/testbench/src/health/outage.rs
@@ -1,21 +1,25 @@
-//! A gateway that is cut off, a primary that dies, a gateway that mostly stands still.
+//! The effect of a gateway that is cut off from the primary, a primary that crashes, and a gateway that is suspended
+//! most of the time.
 
-use super::under_load::{self, write, Front};
+use super::under_load::{self, write, CheckMode};
 use super::Setting;
 use asterreel_testbench::load::{self};
 use nix::sys::signal::Signal;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What befalls the gateways or the fleet.
+/// The injected fault.
 #[derive(Clone, Copy)]
-enum Trouble {
+enum Fault {
+    /// One gateway can't reach the primary.
     Cut,
+    /// The primary crashes, and another is elected.
     Outage,
+    /// One gateway is suspended repeatedly.
     Overload,
 }
 
-/// Plays each trouble with weights and without.
+/// Runs each fault with and without weights.
 pub(super) fn play(setting: &Setting) -> anyhow::Result<()> {
     let shape = load::Shape {
         rate: 300.0,
@@ -28,33 +32,33 @@
         (
             "health-cut",
             "One of three gateways is cut off from the primary, 5 s to 15 s",
-            Trouble::Cut,
+            Fault::Cut,
         ),
         (
             "health-outage",
             "The primary dies at 5 s, the next is elected at 9 s",
-            Trouble::Outage,
+            Fault::Outage,
         ),
         (
             "health-overload",
             "One of three gateways stands still 0.7 s of each second, 5 s to 15 s",
-            Trouble::Overload,
+            Fault::Overload,
         ),
     ] {
         let (mut rows, mut lines) = (Vec::new(), Vec::new());
-        for (arm, front) in [
-            ("without weights", Front::Connect),
-            ("with weights", Front::Agent),
+        for (arm, check_mode) in [
+            ("without weights", CheckMode::Connect),
+            ("with weights", CheckMode::Agent),
         ] {
-            let played = under_load::play(setting, front, shape, |fleet, gateways, _, _| {
+            let outcome = under_load::play(setting, check_mode, shape, |fleet, gateways, _, _| {
                 thread::sleep(Duration::from_secs(5));
                 match fault {
-                    Trouble::Cut => {
+                    Fault::Cut => {
                         fleet.cut(0, 0, true);
                         thread::sleep(Duration::from_secs(10));
                         fleet.cut(0, 0, false);
                     }
-                    Trouble::Outage => {
+                    Fault::Outage => {
                         fleet.crash(0);
                         fleet.elect(None);
                         thread::sleep(Duration::from_secs(4));
@@ -62,7 +66,7 @@
                         thread::sleep(Duration::from_secs(4));
                         fleet.restart(0);
                     }
-                    Trouble::Overload => {
+                    Fault::Overload => {
                         let until = Instant::now() + Duration::from_secs(10);
                         while Instant::now() < until {
                             gateways[0].signal(Signal::SIGSTOP)?;
@@ -74,8 +78,8 @@
                 }
                 Ok(())
             })?;
-            rows.push(played.row(arm, 0));
-            lines.push((arm.to_owned(), played.by_second()));
+            rows.push(outcome.row(arm, 0));
+            lines.push((arm.to_owned(), outcome.by_second()));
         }
         write(setting, name, title, &rows, &lines)?;
     }
--- a/testbench/src/health/rolling.rs
+++ b/testbench/src/health/rolling.rs
@@ -1,7 +1,7 @@
-//! A rolling restart of three gateways under load, with and without health.
+//! The effect of a rolling restart of three gateways under load, with and without health checks.
 
-use super::under_load::{self, write, Front};
-use super::{Setting, PATIENCE};
+use super::under_load::{self, write, CheckMode};
+use super::{Setting, TIMEOUT};
 use anyhow::ensure;
 use asterreel_testbench::gateway::Gateway;
 use asterreel_testbench::load::{self, Record};
@@ -10,10 +10,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Between a gateway's exit and its next start.
-const RELEASE: Duration = Duration::from_secs(2);
+/// Time between a gateway's exit and its next start, as the deployment of a new release takes.
+const DEPLOYMENT_TIME: Duration = Duration::from_secs(2);
 
-/// Restarts the gateways one after another, with each way of checking them.
+/// Restarts the gateways one after another, with each mode of health checks.
 pub(super) fn play(setting: &Setting) -> anyhow::Result<()> {
     let shape = load::Shape {
         rate: 400.0,
@@ -23,43 +23,50 @@
         ..load::Shape::default()
     };
     let (mut rows, mut lines) = (Vec::new(), Vec::new());
-    for (arm, front) in [
-        ("connect check every 2 s", Front::SlowConnect),
-        ("connect check every 100 ms", Front::Connect),
-        ("agent-check every 100 ms", Front::Agent),
+    for (arm, check_mode) in [
+        ("connect check every 2 s", CheckMode::SlowConnect),
+        ("connect check every 100 ms", CheckMode::Connect),
+        ("agent-check every 100 ms", CheckMode::Agent),
     ] {
         let mut drains: Vec<(usize, u64, u64)> = Vec::new();
-        let played = under_load::play(setting, front, shape, |_, gateways, plans, balancer| {
-            thread::sleep(Duration::from_secs(3));
-            for number in 0..3 {
-                let told = now();
-                gateways[number].signal(Signal::SIGTERM)?;
-                ensure!(gateways[number].wait(PATIENCE)?, "it ended badly");
-                // What a new release takes to be put in place.
-                thread::sleep(RELEASE);
-                gateways[number] = Gateway::start(&plans[number])?;
-                drains.push((number, told, now()));
-                let until = Instant::now() + PATIENCE;
-                while balancer.now(number).1 < 100 {
+        let outcome = under_load::play(
+            setting,
+            check_mode,
+            shape,
+            |_, gateways, plans, balancer| {
+                thread::sleep(Duration::from_secs(3));
+                for number in 0..3 {
+                    let signalled_at = now();
+                    gateways[number].signal(Signal::SIGTERM)?;
                     ensure!(
+                        gateways[number].wait(TIMEOUT)?,
+                        "gateway {number} exited with an error after SIGTERM"
+                    );
+                    thread::sleep(DEPLOYMENT_TIME);
+                    gateways[number] = Gateway::start(&plans[number])?;
+                    drains.push((number, signalled_at, now()));
+                    let until = Instant::now() + TIMEOUT;
+                    while balancer.now(number).1 < 100 {
+                        ensure!(
                         Instant::now() < until,
-                        "gateway {number} never came up again"
+                        "gateway {number} did not reach weight 100 within {TIMEOUT:?} after its restart"
                     );
-                    thread::sleep(Duration::from_millis(10));
+                        thread::sleep(Duration::from_millis(10));
+                    }
+                    thread::sleep(Duration::from_secs(1));
                 }
-                thread::sleep(Duration::from_secs(1));
-            }
-            Ok(())
-        })?;
+                Ok(())
+            },
+        )?;
         let late = |record: &&Record| {
             let sent = record.sent;
-            drains.iter().any(|(number, told, again)| {
-                record.gateway == Some(*number) && sent > told + 2_000_000 && sent < *again
+            drains.iter().any(|(number, signalled_at, up_at)| {
+                record.gateway == Some(*number) && sent > signalled_at + 2_000_000 && sent < *up_at
             })
         };
-        let late = played.records.iter().filter(late).count();
-        rows.push(played.row(arm, late));
-        lines.push((arm.to_owned(), played.by_second()));
+        let late = outcome.records.iter().filter(late).count();
+        rows.push(outcome.row(arm, late));
+        lines.push((arm.to_owned(), outcome.by_second()));
     }
     write(
         setting,
--- a/testbench/src/health/under_load.rs
+++ b/testbench/src/health/under_load.rs
@@ -1,6 +1,6 @@
-//! Three gateways under a load, behind a balancer, and what became of the requests.
+//! Runs a load through a balancer and three gateways, and summarizes the outcomes of the requests.
 
-use super::{plan, recorded, Setting};
+use super::{plan, recorded, Setting, TIMEOUT};
 use anyhow::ensure;
 use asterreel_testbench::balancer::{Balancer, Check, Pace};
 use asterreel_testbench::chart::{self};
@@ -12,39 +12,42 @@
 use std::thread;
 use std::time::Duration;
 
-/// How the balancer learns of gateways.
+/// How the balancer checks the gateways.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Front {
-    /// Whether a connection opens, every 2 s, and three in a row.
+pub(super) enum CheckMode {
+    /// TCP connect every 2 s; three failures in a row are down, two successes up.
     SlowConnect,
-    /// The same every 100 ms, and two in a row.
+    /// TCP connect every 100 ms; two failures in a row are down.
     Connect,
     /// Agent-check every 100 ms.
     Agent,
 }
 
-/// What three gateways under load came to.
-pub(super) struct Played {
-    /// What became of each request.
+/// The outcome of a load.
+pub(super) struct Outcome {
+    /// Each request with its outcome.
     pub records: Vec<Record>,
-    begun: u64,
-    doubled: usize,
-    unknown: usize,
+    /// Start of the load, Unix microseconds.
+    started_at: u64,
+    /// Writes that databases executed more than once.
+    duplicates: usize,
+    /// Writes that were reported as served, but that no database executed.
+    not_executed: usize,
 }
 
-/// Plays a load over three gateways while `faults` does what it does to them.
+/// Runs a load over three gateways while `faults` injects faults on the calling thread.
 pub(super) fn play(
     setting: &Setting,
-    front: Front,
+    check_mode: CheckMode,
     shape: load::Shape,
     faults: impl FnOnce(&Fleet, &mut [Gateway], &[Plan], &Balancer) -> anyhow::Result<()>,
-) -> anyhow::Result<Played> {
+) -> anyhow::Result<Outcome> {
     let fleet = Fleet::start(fleet::Shape {
         members: 4,
         gateways: 3,
         ..fleet::Shape::default()
     })?;
-    let health = front == Front::Agent;
+    let health = check_mode == CheckMode::Agent;
     let plans: Vec<Plan> = (0..3)
         .map(|number| plan(setting, &fleet, number, health, ""))
         .collect::<anyhow::Result<_>>()?;
@@ -53,27 +56,28 @@
         true => Check::Agent(plan.agent, "\n".into()),
         false => Check::Connect(plan.client),
     };
-    let pace = match front {
-        // What balancers do unless told otherwise.
-        Front::SlowConnect => Pace {
+    let pace = match check_mode {
+        // The defaults of common balancers.
+        CheckMode::SlowConnect => Pace {
             interval: Duration::from_secs(2),
             fall: 3,
             rise: 2,
             ..Pace::default()
         },
-        Front::Connect | Front::Agent => Pace::default(),
+        CheckMode::Connect | CheckMode::Agent => Pace::default(),
     };
     let balancer = Balancer::start(plans.iter().map(check).collect(), pace);
     for number in 0..3 {
         ensure!(
             recorded(&balancer, number, 0, |change| change.weight == 100).is_some(),
-            "it never came up"
+            "gateway {number} did not reach weight 100 within {TIMEOUT:?}"
         );
     }
-    // Without health, a gateway is in as soon as its port opens: give its members the time that health would wait for.
+    // Without health checks a gateway is up as soon as its port is open. This gives its connections to members the time
+    // that health checks would wait for.
     thread::sleep(Duration::from_secs(1));
     let addresses: Vec<_> = plans.iter().map(|plan| plan.client).collect();
-    let (playing, begun) = (balancer.clone(), now());
+    let (playing, started_at) = (balancer.clone(), now());
     let load = thread::spawn(move || load::play(shape, &playing, &addresses));
     faults(&fleet, &mut gateways, &plans, &balancer)?;
     let records = load.join().expect("the load panicked");
@@ -85,20 +89,20 @@
         .for_each(|taken| *counts.entry(taken.id).or_default() += 1);
     let served =
         |record: &&Record| record.write && matches!(record.fate, Fate::Served | Fate::Late);
-    let unknown = records
+    let not_executed = records
         .iter()
         .filter(served)
         .filter(|record| !counts.contains_key(&record.id))
         .count();
-    Ok(Played {
+    Ok(Outcome {
         records,
-        begun,
-        doubled: counts.values().filter(|count| **count > 1).count(),
-        unknown,
+        started_at,
+        duplicates: counts.values().filter(|count| **count > 1).count(),
+        not_executed,
     })
 }
 
-impl Played {
+impl Outcome {
     fn count(&self, fate: Fate) -> String {
         self.records
             .iter()
@@ -107,12 +111,12 @@
             .to_string()
     }
 
-    /// Goodput by second.
+    /// Goodput by second since the start of the load.
     pub(super) fn by_second(&self) -> Vec<(f64, f64)> {
         let mut seconds: BTreeMap<u64, Vec<&Record>> = BTreeMap::new();
         for record in &self.records {
             seconds
-                .entry(record.due.saturating_sub(self.begun) / 1_000_000)
+                .entry(record.due.saturating_sub(self.started_at) / 1_000_000)
                 .or_default()
                 .push(record);
         }
@@ -122,7 +126,7 @@
             .collect()
     }
 
-    /// Its row of the table, with how many were sent late after a drain's word.
+    /// The row of the table; `late_sends` counts requests sent to a gateway more than 2 s after the start of its drain.
     pub(super) fn row(&self, arm: &str, late_sends: usize) -> Vec<String> {
         let worst = self
             .by_second()
@@ -140,7 +144,7 @@
             Fate::Lost,
         ];
         row.extend(fates.iter().map(|fate| self.count(*fate)));
-        row.extend([late_sends, self.doubled, self.unknown].map(|count| count.to_string()));
+        row.extend([late_sends, self.duplicates, self.not_executed].map(|count| count.to_string()));
         row
     }
 }
