--- a/testbench/src/scale/clients.rs
+++ b/testbench/src/scale/clients.rs
@@ -1,4 +1,4 @@
-//! Clients' requests to the real gateways of a fleet, while it runs.
+//! A load of client requests on the real gateways of a fleet while it runs.
 
 use crate::balancer::{Balancer, Check, Pace};
 use crate::load;
@@ -8,62 +8,59 @@
 use std::thread::{self, JoinHandle};
 use std::time::Duration;
 
-/// The load is played in pieces of this length, so that it ends soon after it is asked to.
-const PIECE: Duration = Duration::from_secs(2);
-/// Clients at once.
+/// Duration of the consecutive loads that are sent; it bounds how long the thread runs on after it is told to stop.
+const SEGMENT: Duration = Duration::from_secs(2);
+/// Number of client threads.
 const CLIENTS: usize = 16;
-/// Time between two checks of a gateway by the clients' balancer.
-const CHECK_EVERY: Duration = Duration::from_secs(1);
+/// Interval of the balancer's checks of a gateway.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What clients have asked for and got so far.
+/// The numbers of requests so far.
 #[derive(Default)]
 struct Counts {
-    asked: AtomicU64,
+    sent: AtomicU64,
     served: AtomicU64,
 }
 
-/// A load that runs until this is dropped.
+/// A load that runs on its own thread until this is dropped.
 pub(super) struct Clients {
-    over: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     counts: Arc<Counts>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl Clients {
-    /// Has clients ask for so many requests a second; 0 is none.
+    /// Starts a load of `rate` requests per second; 0 is none.
     pub(super) fn start(gateways: Vec<SocketAddr>, rate: f64, seed: u64) -> Clients {
-        let (over, counts) = (Arc::<AtomicBool>::default(), Arc::<Counts>::default());
-        let (until, counting) = (over.clone(), counts.clone());
+        let (stop, counts) = (Arc::<AtomicBool>::default(), Arc::<Counts>::default());
+        let (until, counting) = (stop.clone(), counts.clone());
         let run = move || play(&gateways, rate, seed, &until, &counting);
         let thread = (rate > 0.0).then(|| thread::spawn(run));
         Clients {
-            over,
+            stop,
             counts,
             thread,
         }
     }
 
-    /// Requests that were asked for, and those of them that were served in time.
+    /// The numbers of requests that were sent, and of those that were served within their latency target.
     pub(super) fn served(&self) -> (u64, u64) {
-        let Counts { asked, served } = &*self.counts;
-        (
-            asked.load(Ordering::Relaxed),
-            served.load(Ordering::Relaxed),
-        )
+        let Counts { sent, served } = &*self.counts;
+        (sent.load(Ordering::Relaxed), served.load(Ordering::Relaxed))
     }
 }
 
 impl Drop for Clients {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stop.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-/// Plays the load in pieces until it is over.
-fn play(gateways: &[SocketAddr], rate: f64, seed: u64, over: &AtomicBool, counts: &Counts) {
+/// Sends consecutive loads until `over` is set.
+fn play(gateways: &[SocketAddr], rate: f64, seed: u64, stop: &AtomicBool, counts: &Counts) {
     let checks = gateways
         .iter()
         .map(|gateway| Check::Connect(*gateway))
@@ -71,19 +68,19 @@
     let balancer = Balancer::start(
         checks,
         Pace {
-            interval: CHECK_EVERY,
+            interval: CHECK_INTERVAL,
             ..Pace::default()
         },
     );
-    for piece in 0.. {
-        if over.load(Ordering::Relaxed) {
+    for segment in 0.. {
+        if stop.load(Ordering::Relaxed) {
             break;
         }
         let shape = load::Shape {
             rate,
-            span: PIECE,
+            span: SEGMENT,
             clients: CLIENTS,
-            seed: seed + piece,
+            seed: seed + segment,
             ..Default::default()
         };
         let records = load::play(shape, &balancer, gateways);
@@ -91,7 +88,7 @@
             .served
             .fetch_add(load::served(&records) as u64, Ordering::Relaxed);
         counts
-            .asked
+            .sent
             .fetch_add(records.len() as u64, Ordering::Relaxed);
     }
     balancer.stop();
--- a/testbench/src/scale/cut.rs
+++ b/testbench/src/scale/cut.rs
@@ -1,4 +1,5 @@
-//! A way between some gateways and the rest that can be cut: connections through it stay open and carry nothing.
+//! TCP forwarders between some gateways and the rest that can be cut: connections stay open, but no bytes are
+//! forwarded.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,25 +9,25 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// What is read at once from one side, and kept of a client while the way is cut.
-const CHUNK: usize = 16 * 1024;
-/// Wait after no connection could be accepted: descriptors may be free again by then.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(10);
+/// Buffer size for reads, and for a client's bytes before its connection to the target is open.
+const BUFFER_BYTES: usize = 16 * 1024;
+/// Delay after a failed accept, as when no file descriptors are free.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// A forwarder: where it listens, and where it carries connections to.
+/// A forwarder: the address where it listens, and the target address.
 pub type Forward = (SocketAddr, SocketAddr);
 
-/// Forwarders that are cut and healed together. They end with the process.
+/// Forwarders that are cut and healed together. They run until the process exits.
 pub struct Cut {
     is_cut: watch::Sender<bool>,
 }
 
 impl Cut {
-    /// Starts the forwarders on a thread of their own.
+    /// Starts the forwarders on a new thread.
     ///
     /// # Errors
     ///
-    /// A listener could not be bound.
+    /// A listener could not be bound, or the thread could not be started.
     pub fn start(forwards: Vec<Forward>) -> io::Result<Cut> {
         let (is_cut, watched) = watch::channel(false);
         let listen = |(at, to): Forward| -> io::Result<(std::net::TcpListener, SocketAddr)> {
@@ -44,9 +45,9 @@
         let run = move || {
             runtime.block_on(async move {
                 let serve = |(listener, to)| tokio::spawn(serve(listener, to, watched.clone()));
-                let all: Vec<_> = listeners.into_iter().map(serve).collect();
-                for one in all {
-                    let _ = one.await;
+                let forwarders: Vec<_> = listeners.into_iter().map(serve).collect();
+                for forwarder in forwarders {
+                    let _ = forwarder.await;
                 }
             });
         };
@@ -54,7 +55,7 @@
         Ok(Cut { is_cut })
     }
 
-    /// Cuts all of them, or heals them.
+    /// Cuts all forwarders, or heals them.
     pub fn set(&self, is_cut: bool) {
         self.is_cut.send_replace(is_cut);
     }
@@ -68,24 +69,25 @@
     let listener = TcpListener::from_std(listener)?;
     loop {
         match listener.accept().await {
-            Ok((from, _)) => drop(tokio::spawn(carry(from, to, is_cut.clone()))),
-            Err(_) => tokio::time::sleep(ACCEPT_AGAIN).await,
+            Ok((from, _)) => drop(tokio::spawn(forward_connection(from, to, is_cut.clone()))),
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
-/// Waits until the way is healed, and takes in what the client says meanwhile; false where the client gives up. One that
-/// dials again and again must not hold a descriptor for each time until then.
-async fn healed(
+/// Waits until the forwarder is healed, and buffers up to [`BUFFER_BYTES`] bytes from the client meanwhile. Returns
+/// false if the client disconnects: without this check, a client that reconnects repeatedly during a cut would hold a
+/// descriptor for every attempt.
+async fn wait_until_healed(
     client: &mut TcpStream,
-    ahead: &mut Vec<u8>,
+    buffered: &mut Vec<u8>,
     is_cut: &mut watch::Receiver<bool>,
 ) -> io::Result<bool> {
     loop {
         tokio::select! {
             biased;
             _ = is_cut.wait_for(|is_cut| !is_cut) => return Ok(true),
-            count = client.read_buf(ahead), if ahead.len() < CHUNK => {
+            count = client.read_buf(buffered), if buffered.len() < BUFFER_BYTES => {
                 if count? == 0 {
                     return Ok(false);
                 }
@@ -94,35 +96,35 @@
     }
 }
 
-async fn carry(
+async fn forward_connection(
     mut client: TcpStream,
     to: SocketAddr,
     mut is_cut: watch::Receiver<bool>,
 ) -> io::Result<()> {
-    // A new connection waits for the way, as its first packet would.
-    let mut ahead = Vec::new();
-    if !healed(&mut client, &mut ahead, &mut is_cut).await? {
+    // A new connection waits until the forwarder is healed, as a SYN would be retransmitted.
+    let mut buffered = Vec::new();
+    if !wait_until_healed(&mut client, &mut buffered, &mut is_cut).await? {
         return Ok(());
     }
     let mut server = TcpStream::connect(to).await?;
-    server.write_all(&ahead).await?;
+    server.write_all(&buffered).await?;
     client.set_nodelay(true)?;
     server.set_nodelay(true)?;
     let (from_client, to_client) = client.into_split();
     let (from_server, to_server) = server.into_split();
     // The end of either direction ends the connection.
     tokio::select! {
-        ended = pump(from_client, to_server, is_cut.clone()) => ended,
-        ended = pump(from_server, to_client, is_cut) => ended,
+        ended = forward(from_client, to_server, is_cut.clone()) => ended,
+        ended = forward(from_server, to_client, is_cut) => ended,
     }
 }
 
-async fn pump(
+async fn forward(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut is_cut: watch::Receiver<bool>,
 ) -> io::Result<()> {
-    let mut chunk = vec![0; CHUNK];
+    let mut chunk = vec![0; BUFFER_BYTES];
     loop {
         let count = from.read(&mut chunk).await?;
         let _ = is_cut.wait_for(|is_cut| !is_cut).await;
--- a/testbench/src/scale/fleet.rs
+++ b/testbench/src/scale/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet at size: real gateways that vote and serve, and hollow ones beside them.
+//! A large fleet of real gateways that are voters and serve clients, and of hollow gateways.
 
 use super::clients::Clients;
 use super::group::{Group, Host, Part};
@@ -18,51 +18,52 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Time between two looks at the fleet while something is awaited: the instants themselves come from the gateways.
-const LOOK: Duration = Duration::from_millis(100);
-/// How long a real gateway may take to start.
-const START: Duration = Duration::from_secs(20);
-/// Time after which a version that is not in force is offered again: more than it takes to judge one, or to take a registration away.
-const AGAIN: Duration = Duration::from_secs(5);
-/// How long gateways that were told to drain are given to tell the others.
-const DRAIN: Duration = Duration::from_millis(500);
+/// How often the fleet is polled for a condition. The recorded times come from the gateways, not from the polls.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Time limit for the start or the stop of a real gateway.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// Time after which a new version is offered if the last is not in force everywhere: longer than the validation of a
+/// version or the expiry of a registration takes.
+const OFFER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Time between the order to drain and the end of a process, in which its gateways send their releases.
+const DRAIN_TIME: Duration = Duration::from_millis(500);
 
-/// A fleet to be started.
+/// The parameters of a fleet.
 #[derive(Clone, Debug)]
 pub struct Size {
-    /// The gateway's program.
+    /// Path of the asterreel executable.
     pub program: PathBuf,
     /// Where hollow gateways run.
     pub host: Host,
-    /// How many gateways there are, voters included.
+    /// Number of gateways, voters included.
     pub gateways: u32,
-    /// Of all that is drawn.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Requests a second that clients ask of the real gateways.
+    /// Requests per second of clients to the real gateways; 0 is none.
     pub rate: f64,
-    /// Memory that the fleet may take of the machine, KiB.
+    /// Limit on the memory that the fleet uses, KiB.
     pub memory_kib: u64,
 }
 
-/// What a real gateway has used.
+/// The resources that a real gateway has used.
 #[derive(Clone, Copy, Debug)]
 pub struct Voter {
-    /// When it was read, Unix microseconds.
+    /// Time of the measurement, Unix microseconds.
     pub at: u64,
-    /// Nanoseconds that the thread of its control plane ran on a processor.
+    /// CPU time of its control plane's thread, nanoseconds.
     pub cpu_ns: u64,
-    /// Of its process.
+    /// Usage of its process.
     pub process: Usage,
-    /// What it had said as a control member when it last logged that, which it does once each renewal.
+    /// Its traffic as a control member, from the line that it logs once each renewal interval.
     pub traffic: Option<MemberTotals>,
 }
 
-/// What the fleet has used until now.
+/// The resources that a fleet has used since its start.
 #[derive(Clone, Debug)]
 pub struct Sample {
-    /// Each process of hollow gateways that answers.
+    /// Each process of hollow gateways that is running and not suspended.
     pub hollow: Vec<Used>,
-    /// Each real gateway.
+    /// Each real gateway, by number.
     pub voters: BTreeMap<u32, Voter>,
 }
 
@@ -81,16 +82,17 @@
 }
 
 impl Fleet {
-    /// Starts it: the voters, their databases and clients, and the hollow gateways.
+    /// Starts the voters, their databases and clients, and the hollow gateways.
     ///
     /// # Errors
     ///
-    /// A process could not be started, or memory is short.
+    /// The fleet is too small for the schedule, or a process could not be started.
     pub fn start(size: Size) -> anyhow::Result<Fleet> {
         ensure!(
             size.gateways > VOTERS + 10,
-            "{} gateways: too few for the schedule",
-            size.gateways
+            "--gateways {}: too few for the schedule, which needs more than {}",
+            size.gateways,
+            VOTERS + 10
         );
         let available_kib = process::available_kib()?;
         let folder = tempfile::tempdir()?;
@@ -103,7 +105,7 @@
         let mut plans = BTreeMap::new();
         for voter in 1..=VOTERS {
             let plan = Plan::beside(&databases, voter as usize - 1, size.program.clone())?;
-            // Links of the control plane come on top of those of clients and databases.
+            // The control plane's links need descriptors in addition to those of clients and databases.
             let sockets = plan.sockets + 4 * size.gateways as usize;
             plans.insert(
                 voter,
@@ -145,29 +147,35 @@
             operator,
             ..self.plans[&voter].clone()
         })?;
-        // Before that a signal would end it, as it would any program.
-        let up = started.logged(0, START, |line| line["message"] == "control: started");
+        // Before this line it has no signal handlers, and a signal would kill it.
+        let up = started.logged(0, START_TIMEOUT, |line| {
+            line["message"] == "control: started"
+        });
         ensure!(
             up.is_some(),
-            "gateway {voter} did not start: {:?}",
+            "gateway {voter} did not start within {START_TIMEOUT:?}; its last log line: {:?}",
             started.log().last()
         );
         self.voters.insert(voter, started);
         Ok(())
     }
 
-    /// Requests that clients have asked for, and those that were served in time.
+    /// The numbers of requests that clients have sent, and of those that were served within their latency target.
     pub fn served(&self) -> (u64, u64) {
         self.clients.served()
     }
 
-    /// How many gateways there are in it.
+    /// The number of gateways, voters included.
     pub fn gateways(&self) -> usize {
         self.size.gateways as usize
     }
 
-    /// Sends an order to all groups that answer, and takes their answers.
-    fn ask(&mut self, order: &Order, of: impl Fn(Part) -> bool) -> anyhow::Result<Vec<Answer>> {
+    /// Sends an order to all running groups of the selected parts, and returns their answers.
+    fn send_order(
+        &mut self,
+        order: &Order,
+        of: impl Fn(Part) -> bool,
+    ) -> anyhow::Result<Vec<Answer>> {
         let asked = |group: &&mut Group| group.answers() && of(group.part());
         self.groups
             .iter_mut()
@@ -180,13 +188,13 @@
             .collect()
     }
 
-    /// How all gateways stand that run and answer, but those of parts that are left out.
+    /// The states of all gateways that are running and not suspended, except those of the parts in `without`.
     ///
     /// # Errors
     ///
-    /// A process of the fleet is gone or does not answer.
+    /// A process of the fleet has exited or does not answer.
     pub fn look(&mut self, without: &[Part]) -> anyhow::Result<Vec<Standing>> {
-        let answers = self.ask(&Order::Look, |part| !without.contains(&part))?;
+        let answers = self.send_order(&Order::Look, |part| !without.contains(&part))?;
         let mut all: Vec<Standing> = answers
             .into_iter()
             .flat_map(|answer| match answer {
@@ -202,13 +210,13 @@
         Ok(all)
     }
 
-    /// What the fleet has used until now.
+    /// The resources that the fleet has used since its start.
     ///
     /// # Errors
     ///
-    /// A process of the fleet is gone or does not answer.
+    /// A process of the fleet has exited or does not answer.
     pub fn measure(&mut self) -> anyhow::Result<Sample> {
-        let answers = self.ask(&Order::Measure, |_| true)?;
+        let answers = self.send_order(&Order::Measure, |_| true)?;
         let hollow = answers.into_iter().filter_map(|answer| match answer {
             Answer::Used(used) => Some(used),
             _ => None,
@@ -237,7 +245,7 @@
         Ok(Sample { hollow, voters })
     }
 
-    /// The voter that leads the log, by what the voters logged last; 0 is none.
+    /// The Raft leader in the newest term that a voter has logged; 0 is none.
     pub fn leader(&self) -> u32 {
         let newest = self
             .voters
@@ -247,28 +255,29 @@
         newest.map_or(0, |(_, leader)| leader)
     }
 
-    /// Fails where the fleet has taken more memory than it may.
+    /// Checks the memory limit.
     ///
     /// # Errors
     ///
-    /// The fleet has taken more memory than it may.
+    /// The machine's available memory has shrunk by more than the limit since the start of the fleet.
     pub fn check_memory(&self) -> anyhow::Result<()> {
-        let taken = self.available_kib.saturating_sub(process::available_kib()?);
-        let most = self.size.memory_kib;
+        let used_kib = self.available_kib.saturating_sub(process::available_kib()?);
+        let limit_kib = self.size.memory_kib;
         ensure!(
-            taken <= most,
-            "the fleet took {} MiB, of {} MiB that it may",
-            taken / 1024,
-            most / 1024
+            used_kib <= limit_kib,
+            "the fleet took {} MiB of memory, more than its limit of {} MiB (--gib)",
+            used_kib / 1024,
+            limit_kib / 1024
         );
         Ok(())
     }
 
-    /// Waits until all gateways that run, but those of parts left out, satisfy this; how they stand at the end.
+    /// Waits until all running gateways, except those of the parts in `without`, satisfy `holds`. Returns whether they
+    /// do, and their last states.
     ///
     /// # Errors
     ///
-    /// A process of the fleet is gone or does not answer.
+    /// A process of the fleet has exited or does not answer.
     pub fn wait(
         &mut self,
         within: Duration,
@@ -283,16 +292,17 @@
                 return Ok((done, all));
             }
             self.check_memory()?;
-            sleep(LOOK);
+            sleep(POLL_INTERVAL);
         }
     }
 
-    /// Waits until all gateways act, but those of parts left out, and offers editions until a new one is in force at each of
-    /// them; how long that took. On a busy machine a real gateway may refuse one, as it can't read its file in time.
+    /// Waits until all gateways act, except those of the parts in `without`, and offers new editions of the operator's
+    /// file until the same new one is in force at all of them. Returns how long that took, or none if the time limit
+    /// passed. On a busy machine a real gateway may reject an edition, as it can't read its file in time.
     ///
     /// # Errors
     ///
-    /// A process of the fleet is gone or does not answer.
+    /// A process of the fleet has exited or does not answer.
     pub fn agree(
         &mut self,
         within: Duration,
@@ -309,9 +319,9 @@
             .max()
             .unwrap_or(0);
         while began.elapsed() < within {
-            // Who offers may just have lost its registration: each in turn.
+            // The voter that offers may just have lost its registration, so each round uses the next one.
             self.offer(self.edition as u32 % VOTERS + 1)?;
-            let left = within.saturating_sub(began.elapsed()).min(AGAIN);
+            let left = within.saturating_sub(began.elapsed()).min(OFFER_TIMEOUT);
             let (done, all) =
                 self.wait(left, without, |one| one.acts_now() && one.in_force > newest)?;
             if done
@@ -325,41 +335,42 @@
         Ok(None)
     }
 
-    /// Kills the voter that leads the log outright; says which it was. Its store stays.
+    /// Kills the Raft leader with SIGKILL and returns its number; its store stays.
     ///
     /// # Errors
     ///
-    /// A process of the fleet is gone or does not answer.
+    /// A process of the fleet has exited or does not answer.
     pub fn kill_leader(&mut self) -> anyhow::Result<u32> {
         let leader = self.leader();
-        // Dropped, its process is killed.
+        // Dropping the gateway kills its process.
         ensure!(
             self.voters.remove(&leader).is_some(),
-            "no voter that runs leads the log"
+            "no running voter is known to be the leader; the last logged one is gateway {leader}"
         );
         Ok(leader)
     }
 
-    /// Starts a voter again, on the store that it has.
+    /// Starts a voter that is not running, with its existing store.
     ///
     /// # Errors
     ///
-    /// A process of the fleet is gone or does not answer.
+    /// A process of the fleet has exited or does not answer.
     pub fn revive_voter(&mut self, voter: u32) -> anyhow::Result<()> {
         self.start_voter(voter)
     }
 
-    /// Voters that run.
+    /// The numbers of the running voters.
     pub fn running_voters(&self) -> Vec<u32> {
         self.voters.keys().copied().collect()
     }
 
-    /// Watches until every gateway that runs holds a right that it asked for after `fallen_at`, or time is up. Says at which
-    /// look each was first seen with one, Unix microseconds, of those that were seen with a right at every look.
+    /// Polls until every running gateway has a registration that it requested after `fallen_at`, or the time limit
+    /// passes. Returns the times of the polls that first saw such registrations, Unix microseconds, without those of
+    /// gateways that were seen without a registration in any poll.
     ///
     /// # Errors
     ///
-    /// A process of the fleet is gone or does not answer.
+    /// A process of the fleet has exited or does not answer.
     pub fn renewed_without_a_gap(
         &mut self,
         fallen_at: u64,
@@ -382,15 +393,16 @@
                 renewed_at.retain(|gateway, _| !lapsed.contains(gateway));
                 return Ok(renewed_at.into_values().collect());
             }
-            sleep(LOOK);
+            sleep(POLL_INTERVAL);
         }
     }
 
-    /// Puts a new edition of the operator's file on the real gateways and has one of them offer it; says when.
+    /// Writes a new edition of the operator's file for the real gateways and has gateway `by` offer it; returns the
+    /// time of the offer, Unix microseconds.
     ///
     /// # Errors
     ///
-    /// A process of the fleet is gone or does not answer.
+    /// A process of the fleet has exited or does not answer.
     pub fn offer(&mut self, by: u32) -> anyhow::Result<u64> {
         self.edition += 1;
         for (number, voter) in &self.voters {
@@ -398,83 +410,87 @@
         }
         let at = now();
         let Some(voter) = self.voters.get(&by) else {
-            bail!("gateway {by} does not run")
+            bail!("gateway {by} can't offer a version: it is not running")
         };
         voter.signal(Signal::SIGHUP)?;
         Ok(at)
     }
 
-    /// Has so many hollow gateways offer the newest version once more, all at once; says when.
+    /// Has `count` hollow gateways offer the version that they validated last once more, at the same time; returns the
+    /// time of the offers, Unix microseconds.
     ///
     /// # Errors
     ///
-    /// A process of the fleet is gone or does not answer.
-    pub fn offer_again(&mut self, count: usize) -> anyhow::Result<u64> {
+    /// A process of the fleet has exited or does not answer.
+    pub fn offer_known(&mut self, count: usize) -> anyhow::Result<u64> {
         let answering = self.groups.iter().filter(|group| group.answers());
         let by = answering.flat_map(Group::gateways).take(count).collect();
         let at = now();
-        self.ask(&Order::Offer(by), |_| true)?;
+        self.send_order(&Order::Offer(by), |_| true)?;
         Ok(at)
     }
 
-    /// Cuts a third off, or heals that.
+    /// Cuts the part [`Part::Third`] off from the voters, or heals that.
     ///
     /// # Errors
     ///
-    /// A process of the fleet is gone or does not answer.
+    /// A process of the fleet has exited or does not answer.
     pub fn cut(&mut self, is_cut: bool) -> anyhow::Result<()> {
-        self.ask(&Order::Cut(is_cut), |part| part == Part::Third)
+        self.send_order(&Order::Cut(is_cut), |part| part == Part::Third)
             .map(drop)
     }
 
-    fn of(&mut self, part: Part) -> impl Iterator<Item = &mut Group> {
+    fn groups_of(&mut self, part: Part) -> impl Iterator<Item = &mut Group> {
         self.groups
             .iter_mut()
             .filter(move |group| group.part() == part)
     }
 
-    /// Kills all gateways of a part at once.
+    /// Kills all gateways of a part.
     ///
     /// # Errors
     ///
-    /// A process of the fleet is gone or does not answer.
+    /// A process of the fleet has exited or does not answer.
     pub fn kill(&mut self, part: Part) -> anyhow::Result<()> {
-        self.of(part).try_for_each(Group::kill)
+        self.groups_of(part).try_for_each(Group::kill)
     }
 
-    /// Starts a part again, on the stores that it has.
+    /// Starts the processes of a part again.
     ///
     /// # Errors
     ///
-    /// A process of the fleet is gone or does not answer.
+    /// A process of the fleet has exited or does not answer.
     pub fn revive(&mut self, part: Part) -> anyhow::Result<()> {
         let host = self.size.host.clone();
-        self.of(part).try_for_each(|group| group.start(&host))?;
-        self.of(part)
+        self.groups_of(part)
+            .try_for_each(|group| group.start(&host))?;
+        self.groups_of(part)
             .try_for_each(|group| group.receive().map(drop))
     }
 
-    /// Has a part's processes stand still, or go on.
+    /// Suspends the processes of a part, or resumes them.
     ///
     /// # Errors
     ///
-    /// A process of the fleet is gone or does not answer.
-    pub fn stand_still(&mut self, part: Part, still: bool) -> anyhow::Result<()> {
-        self.of(part).try_for_each(|group| group.stand_still(still))
+    /// A process of the fleet has exited or does not answer.
+    pub fn set_suspended(&mut self, part: Part, suspend: bool) -> anyhow::Result<()> {
+        self.groups_of(part)
+            .try_for_each(|group| group.set_suspended(suspend))
     }
 
-    /// Restarts all processes, one after another; each must have its gateways act before the next goes.
+    /// Restarts all processes, one after another, and waits after each until all gateways act. Returns whether all were
+    /// restarted within the time limit.
     ///
     /// # Errors
     ///
-    /// A process of the fleet is gone or does not answer.
+    /// A process of the fleet has exited or does not answer.
     pub fn restart_all(&mut self, within: Duration) -> anyhow::Result<bool> {
         let host = self.size.host.clone();
         let until = Instant::now() + within;
         for place in 0..self.groups.len() {
             self.groups[place].send(&Order::Drain)?;
             self.groups[place].receive()?;
-            sleep(DRAIN);
+            sleep(DRAIN_TIME);
             self.groups[place].kill()?;
             self.groups[place].start(&host)?;
             self.groups[place].receive()?;
@@ -486,7 +502,7 @@
         for voter in 1..=VOTERS {
             if let Some(mut ending) = self.voters.remove(&voter) {
                 ending.signal(Signal::SIGTERM)?;
-                ending.wait(START)?;
+                ending.wait(START_TIMEOUT)?;
             }
             self.start_voter(voter)?;
             let left = until.saturating_duration_since(Instant::now());
--- a/testbench/src/scale/group.rs
+++ b/testbench/src/scale/group.rs
@@ -1,4 +1,4 @@
-//! A group of hollow gateways: a process of its own, or, in tests, a thread of this one.
+//! A group of hollow gateways in a separate process or, in tests, on a thread of this process.
 
 use super::cut::Forward;
 use super::hollow::{self, Answer, Order};
@@ -13,30 +13,30 @@
 use std::process::{Child, Command};
 use std::time::Duration;
 
-/// How long a group may take to answer an order: far longer than any takes, so that one that hangs is an error.
-const ANSWER_WITHIN: Duration = Duration::from_secs(60);
+/// Timeout for a group's answer to an order: far longer than any takes, so that a hang becomes an error.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Where hollow gateways run.
 #[derive(Clone, Debug)]
 pub enum Host {
-    /// In processes of this program, started with `scale-hollow`; they can be killed and stopped.
+    /// In processes of this executable, started with `scale-hollow`; they can be killed and suspended.
     Processes(PathBuf),
-    /// In threads of this process.
+    /// On threads of this process.
     Here,
 }
 
-/// What a group is there for.
+/// The part of a fleet that a group belongs to, by the event that uses it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Part {
-    /// Four that die under a change.
+    /// Four gateways that are killed while a version is offered.
     Dead,
-    /// One that stands still under a change.
+    /// One gateway that is suspended while a version is offered.
     Stopped,
-    /// A tenth of the fleet that is killed at once.
+    /// A tenth of the fleet, killed at the same time.
     Tenth,
-    /// A third of the fleet that is cut off and comes back.
+    /// A third of the fleet, which is cut off from the voters and reconnected.
     Third,
-    /// All others.
+    /// All other hollow gateways.
     Rest,
 }
 
@@ -44,10 +44,10 @@
     orders: UnixStream,
     answers: BufReader<UnixStream>,
     child: Option<Child>,
-    stands_still: bool,
+    is_suspended: bool,
 }
 
-/// Hollow gateways that live and die together.
+/// Hollow gateways in one process, which are started, suspended and killed together.
 pub struct Group {
     part: Part,
     leases: Vec<ControlSettings>,
@@ -56,7 +56,7 @@
 }
 
 impl Group {
-    /// A group that does not run yet.
+    /// Creates a group without starting it.
     pub fn new(part: Part, leases: Vec<ControlSettings>, forwards: Vec<Forward>) -> Group {
         Group {
             part,
@@ -66,31 +66,31 @@
         }
     }
 
-    /// What it is there for.
+    /// The part of the fleet that the group belongs to.
     pub fn part(&self) -> Part {
         self.part
     }
 
-    /// Its gateways.
+    /// The numbers of its gateways.
     pub fn gateways(&self) -> impl Iterator<Item = u32> + '_ {
         self.leases.iter().map(|lease| lease.me)
     }
 
-    /// Whether its gateways run and answer.
+    /// Whether its process is running and not suspended.
     pub fn answers(&self) -> bool {
         self.running
             .as_ref()
-            .is_some_and(|running| !running.stands_still)
+            .is_some_and(|running| !running.is_suspended)
     }
 
-    /// Starts its process; [`Group::send`] then asks it to begin.
+    /// Starts its process and sends [`Order::Begin`]; the answer is read with [`Group::receive`].
     ///
     /// # Errors
     ///
     /// The process could not be started.
     pub fn start(&mut self, host: &Host) -> anyhow::Result<()> {
         let (ours, theirs) = UnixStream::pair()?;
-        ours.set_read_timeout(Some(ANSWER_WITHIN))?;
+        ours.set_read_timeout(Some(ANSWER_TIMEOUT))?;
         let child = match host {
             Host::Processes(program) => {
                 let mut command = Command::new(program);
@@ -116,7 +116,7 @@
             orders,
             answers,
             child,
-            stands_still: false,
+            is_suspended: false,
         });
         self.send(&Order::Begin {
             leases: self.leases.clone(),
@@ -124,40 +124,47 @@
         })
     }
 
-    /// Sends an order; [`Group::receive`] takes its answer.
+    /// Sends an order; the answer is read with [`Group::receive`].
     ///
     /// # Errors
     ///
-    /// The process is gone.
+    /// The process has exited.
     pub fn send(&mut self, order: &Order) -> anyhow::Result<()> {
-        let running = self.running.as_mut().context("it does not run")?;
+        let running = self
+            .running
+            .as_mut()
+            .context("the group of hollow gateways is not running")?;
         writeln!(running.orders, "{}", serde_json::to_string(order)?)?;
         Ok(running.orders.flush()?)
     }
 
-    /// Takes the answer to an order.
+    /// Reads the answer to an order.
     ///
     /// # Errors
     ///
-    /// The process is gone, or its answer makes no sense.
+    /// The process has exited, did not answer in time, reported a failure, or its answer could not be parsed.
     pub fn receive(&mut self) -> anyhow::Result<Answer> {
-        let running = self.running.as_mut().context("it does not run")?;
+        let running = self
+            .running
+            .as_mut()
+            .context("the group of hollow gateways is not running")?;
         let mut line = String::new();
-        running
-            .answers
-            .read_line(&mut line)
-            .context("a process of hollow gateways does not answer")?;
-        match serde_json::from_str(&line).context("a process of hollow gateways ended by itself")? {
-            Answer::Failed(why) => bail!("a process of hollow gateways: {why}"),
+        running.answers.read_line(&mut line).with_context(|| {
+            format!("no answer from a process of hollow gateways within {ANSWER_TIMEOUT:?}")
+        })?;
+        match serde_json::from_str(&line)
+            .context("a process of hollow gateways gave no valid answer; it may have exited")?
+        {
+            Answer::Failed(reason) => bail!("a process of hollow gateways: {reason}"),
             answer => Ok(answer),
         }
     }
 
-    /// Kills its process outright; stores stay.
+    /// Kills its process with SIGKILL.
     ///
     /// # Errors
     ///
-    /// The process could not be ended.
+    /// The process could not be killed.
     pub fn kill(&mut self) -> anyhow::Result<()> {
         if let Some(mut child) = self.running.take().and_then(|running| running.child) {
             child.kill()?;
@@ -166,21 +173,21 @@
         Ok(())
     }
 
-    /// Has its process stand still, or go on.
+    /// Suspends its process with SIGSTOP, or resumes it; without effect on a group in this process.
     ///
     /// # Errors
     ///
-    /// The process is gone.
-    pub fn stand_still(&mut self, still: bool) -> anyhow::Result<()> {
+    /// The process has exited.
+    pub fn set_suspended(&mut self, suspend: bool) -> anyhow::Result<()> {
         if let Some(running) = &mut self.running {
             if let Some(child) = &running.child {
-                let signal = if still {
+                let signal = if suspend {
                     Signal::SIGSTOP
                 } else {
                     Signal::SIGCONT
                 };
                 kill(Pid::from_raw(child.id() as i32), signal)?;
-                running.stands_still = still;
+                running.is_suspended = suspend;
             }
         }
         Ok(())
--- a/testbench/src/scale/hollow.rs
+++ b/testbench/src/scale/hollow.rs
@@ -1,8 +1,8 @@
-//! Hollow gateways: the program's own control plane over real sockets, without a request path, many in one process.
+//! Hollow gateways: the real control plane over real sockets, without a request path, many in one process.
 //!
-//! A process of them is driven by lines of JSON: an [`Order`] on its standard input, an [`Answer`] to each on its standard
-//! output. It ends when its input does. A hollow gateway finds every version good at once; what a gateway's request path
-//! would do with one is not part of it.
+//! Their process reads JSON lines, each an [`Order`], from its standard input and writes an [`Answer`] to each to its
+//! standard output. It exits at the end of its input. A hollow gateway accepts every version at once; it does not do
+//! what the request path of a gateway does to validate one.
 
 use super::cut::{Cut, Forward};
 use crate::gateway::control_thread;
@@ -20,80 +20,82 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread;
 
-/// Stack of the thread that takes one gateway's notices, bytes: it only hands them on.
-const NOTICES_STACK: usize = 64 * 1024;
+/// Stack size of the thread that handles one gateway's events, bytes; it needs little, as it only forwards them.
+const EVENTS_STACK_BYTES: usize = 64 * 1024;
 
-/// What a process of hollow gateways is asked to do.
+/// An order to a process of hollow gateways.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Order {
-    /// Start these gateways, behind these forwarders where there are any.
+    /// Start these gateways and forwarders.
     Begin {
         /// The gateways' settings.
         leases: Vec<ControlSettings>,
-        /// Forwarders that [`Order::Cut`] cuts.
+        /// Forwarders between the gateways and the voters, which [`Order::Cut`] cuts; may be empty.
         forwards: Vec<Forward>,
     },
-    /// Say what each gateway holds to be agreed.
+    /// Return each gateway's state in the fleet.
     Look,
-    /// Say what each gateway has used, besides.
+    /// Return the resources that each gateway and the process have used.
     Measure,
-    /// Have each of these gateways offer the version that it judged last once more.
+    /// Have each of these gateways offer once more the version that it validated last.
     Offer(Vec<u32>),
     /// Cut or heal the forwarders.
     Cut(bool),
-    /// Have each gateway give back what it holds, before its process ends as planned.
+    /// Have each gateway release its registration, before a planned end of the process.
     Drain,
 }
 
-/// What it answers.
+/// The answer to an order.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Answer {
-    /// It is done.
+    /// The order was carried out.
     Done,
-    /// How the gateways stand.
+    /// The gateways' states, to [`Order::Look`].
     Standing(Vec<Standing>),
-    /// What they and their process have used.
+    /// The used resources, to [`Order::Measure`].
     Used(Used),
-    /// It could not be done, for this reason.
+    /// The order failed for this reason.
     Failed(String),
 }
 
-/// What one gateway's control plane has used since its start.
+/// The resources that one gateway's control plane has used since its start.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Work {
-    /// Which one.
+    /// The gateway's number.
     pub gateway: u32,
-    /// Nanoseconds that its thread ran on a processor.
+    /// CPU time of its thread, nanoseconds.
     pub cpu_ns: u64,
-    /// What it received and sent.
+    /// Frames and bytes that it received and sent.
     pub traffic: TrafficTotals,
 }
 
-/// What a process and its gateways have used.
+/// The resources that a process and its gateways have used.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Used {
-    /// When it was read, Unix microseconds.
+    /// Time of the measurement, Unix microseconds.
     pub at: u64,
-    /// Of each gateway.
+    /// The control plane of each gateway.
     pub gateways: Vec<Work>,
-    /// Of their process.
+    /// The process.
     pub process: Usage,
-    /// Of their process before it had any.
+    /// The process before its first gateway was started.
     pub empty: Usage,
 }
 
-/// A version that one gateway knows.
+/// The operator's file versions that one gateway knows.
 #[derive(Default)]
 struct Known {
     in_force: u64,
+    /// When that version came into force, Unix microseconds.
     since: u64,
-    judged: Option<Content>,
+    /// The version that was validated last.
+    validated: Option<Content>,
 }
 
 struct Gateway {
     handle: Arc<Handle>,
     known: Arc<Mutex<Known>>,
-    /// The thread that runs its control plane; 0 until it was looked for.
+    /// Id of its control plane's thread; 0 until it has been found.
     thread: u32,
 }
 
@@ -109,11 +111,11 @@
     cut: Option<Cut>,
 }
 
-/// Carries out orders until there are no more.
+/// Carries out orders until the end of the input.
 ///
 /// # Errors
 ///
-/// An order makes no sense, or could not be carried out or answered.
+/// An order could not be read, or an answer could not be written.
 pub fn serve(orders: impl BufRead, mut answers: impl Write) -> anyhow::Result<()> {
     let empty = process::usage(std::process::id())?;
     let mut hollows = Hollows {
@@ -162,8 +164,8 @@
             }
             Order::Offer(by) => {
                 for gateway in by.iter().filter_map(|gateway| self.gateways.get(gateway)) {
-                    let judged = lock(&gateway.known).judged.clone();
-                    judged.into_iter().for_each(|c| {
+                    let validated = lock(&gateway.known).validated.clone();
+                    validated.into_iter().for_each(|c| {
                         gateway
                             .handle
                             .request(ControlRequest::ProposeVersion(Topic::Operator, c))
@@ -187,14 +189,14 @@
     }
 
     fn start(&mut self, lease: &ControlSettings) -> anyhow::Result<()> {
-        let (handle, notices) = service::start(lease, self.clock)?;
+        let (handle, events) = service::start(lease, self.clock)?;
         let (handle, known) = (Arc::new(handle), Arc::<Mutex<Known>>::default());
-        let (asked, learned, clock) = (handle.clone(), known.clone(), self.clock);
-        let take = move || take_notices(&notices, &asked, &learned, clock);
+        let (requests, versions, clock) = (handle.clone(), known.clone(), self.clock);
+        let handle_all = move || handle_events(&events, &requests, &versions, clock);
         thread::Builder::new()
             .name("notices".into())
-            .stack_size(NOTICES_STACK)
-            .spawn(take)?;
+            .stack_size(EVENTS_STACK_BYTES)
+            .spawn(handle_all)?;
         self.gateways.insert(
             lease.me,
             Gateway {
@@ -206,7 +208,8 @@
         Ok(())
     }
 
-    /// Threads take their names themselves, a moment after they start.
+    /// Finds the control plane threads by name. This is done at a measurement, as a thread sets its name after it has
+    /// started.
     fn find_threads(&mut self) -> anyhow::Result<()> {
         if self.gateways.values().all(|gateway| gateway.thread != 0) {
             return Ok(());
@@ -237,19 +240,19 @@
     }
 }
 
-/// Finds every version good, and remembers which is in force since when.
-fn take_notices(
-    notices: &Receiver<ControlEvent>,
+/// Accepts every version, and records the one in force.
+fn handle_events(
+    events: &Receiver<ControlEvent>,
     handle: &Handle,
     known: &Mutex<Known>,
     clock: Clock,
 ) {
-    for notice in notices {
-        match notice {
+    for event in events {
+        match event {
             ControlEvent::Validate(topic, number, content) => {
                 handle.request(ControlRequest::Validated(topic, number, Ok(())));
                 if topic == Topic::Operator {
-                    lock(known).judged = Some(content);
+                    lock(known).validated = Some(content);
                 }
             }
             ControlEvent::Activated(Topic::Operator, number) => {
--- a/testbench/src/scale/layout.rs
+++ b/testbench/src/scale/layout.rs
@@ -1,4 +1,5 @@
-//! Who reaches whom: control members hold the log and list each other, all other gateways are their clients.
+//! The topology of a fleet: control members keep the Raft log and list each other as peers; all other gateways are
+//! their clients.
 
 use super::cut::Forward;
 use super::group::{Group, Part};
@@ -9,24 +10,24 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Gateways that vote, all of them real.
+/// Number of voters; all of them are real gateways.
 pub const VOTERS: u32 = 5;
-/// Gateways that die under a change.
+/// Size of the part [`Part::Dead`].
 pub const DEAD: usize = 4;
-/// How long rights last and how often they are renewed: what the program does when nothing is set.
+/// Duration of a lease, milliseconds: the program's default.
 pub const LEASE_MS: u64 = 3_000;
-/// See [`LEASE_MS`].
+/// Renewal interval of a lease, milliseconds: the program's default.
 pub const RENEW_MS: u64 = 1_000;
 const DRIFT_PPM: u32 = 1_000;
 const MARGIN_MS: u64 = 50;
 /// The duties that each control member may hold.
 const DUTIES: [&str; 2] = ["discovery", "probes"];
-/// Hollow gateways of one process at most: few enough that a process that is killed or stopped takes no more with it than
-/// it is meant to, and that a common limit of 1,024 descriptors serves it.
-const TOGETHER: usize = 100;
+/// The maximum number of hollow gateways in a process: few enough that killing or suspending a process affects no more
+/// gateways than intended, and that it stays below the common limit of 1,024 descriptors.
+const MAX_GATEWAYS_PER_PROCESS: usize = 100;
 
-/// The control plane's settings of gateway `me`, which reaches the control members 1 to `voters` at these addresses. A
-/// control member listens at its own and keeps its log in a folder.
+/// The control plane's settings of gateway `me`, which reaches the control members 1 to `voters` at the addresses
+/// `reached`. A control member listens at its own address and keeps its log in the directory `store`.
 fn lease(
     me: u32,
     voters: u32,
@@ -62,8 +63,8 @@
     }
 }
 
-/// A control member's settings as a call of the operator's file. Editions differ in a network that may connect, and in
-/// nothing that gateways greet each other with.
+/// A control member's settings as a call of the operator's file. Editions differ only in a network in `allow`, which is
+/// not part of the hello that gateways exchange.
 pub fn operator_file(lease: &ControlSettings, edition: u64) -> String {
     let peers = lease
         .peers
@@ -91,7 +92,7 @@
     )
 }
 
-/// Divides hollow gateways, in an order that was drawn, into the parts of the schedule.
+/// Divides shuffled hollow gateways into the parts of the schedule.
 fn parts(mut hollow: Vec<u32>, gateways: usize) -> Vec<(Part, Vec<u32>)> {
     let mut take = |count: usize| hollow.split_off(hollow.len().saturating_sub(count));
     let parts = vec![
@@ -103,20 +104,20 @@
     parts.into_iter().chain([(Part::Rest, hollow)]).collect()
 }
 
-/// Where everybody is.
+/// The settings of all gateways of a fleet.
 pub struct Placement {
     /// The voters' settings, by number.
     pub leases: BTreeMap<u32, ControlSettings>,
-    /// The hollow gateways.
+    /// The hollow gateways, in groups that share a process.
     pub groups: Vec<Group>,
 }
 
-/// Places so many gateways, in parts drawn from a seed; voters keep their stores in a folder. Those of the third reach the
-/// voters through forwarders that can be cut.
+/// Lays out a fleet. The parts are drawn from the seed, and voters keep their stores in `folder`. The gateways of
+/// [`Part::Third`] reach the voters through forwarders that can be cut.
 ///
 /// # Errors
 ///
-/// No free ports.
+/// No ports are free.
 pub fn place(gateways: u32, seed: u64, folder: &Path) -> io::Result<Placement> {
     let listens = free(VOTERS as usize)?;
     let listen = |voter: u32| listens[voter as usize - 1];
@@ -125,7 +126,7 @@
     fastrand::Rng::with_seed(seed).shuffle(&mut hollow);
     let mut groups = Vec::new();
     for (part, members) in parts(hollow, gateways as usize) {
-        for some in members.chunks(TOGETHER) {
+        for batch in members.chunks(MAX_GATEWAYS_PER_PROCESS) {
             let mut forwards: Vec<Forward> = Vec::new();
             if part == Part::Third {
                 forwards = free(VOTERS as usize)?
@@ -136,9 +137,9 @@
             let reached = |to: u32| {
                 forwards
                     .get(to as usize - 1)
-                    .map_or(listen(to), |(way_out, _)| *way_out)
+                    .map_or(listen(to), |(forwarder, _)| *forwarder)
             };
-            let leases = some
+            let leases = batch
                 .iter()
                 .map(|me| lease(*me, VOTERS, &store(*me), reached))
                 .collect();
--- a/testbench/src/scale/mod.rs
+++ b/testbench/src/scale/mod.rs
@@ -1,7 +1,8 @@
-//! Fleets at size: real gateways that vote and serve, hollow ones beside them, and what each role's control plane costs.
+//! Large fleets of real gateways that are voters and serve clients, and of hollow gateways; measures the cost of the
+//! control plane for each role.
 //!
-//! A hollow gateway is the program's own control plane (`asterreel-control`) over real sockets without a request path,
-//! many in one process. Nothing here speaks the protocol itself.
+//! A hollow gateway is the real control plane (`asterreel-control`) over real sockets, without a request path; many run
+//! in one process. No code here implements the protocol itself.
 
 mod clients;
 pub mod cut;
--- a/testbench/src/scale/schedule.rs
+++ b/testbench/src/scale/schedule.rs
@@ -1,4 +1,4 @@
-//! The events that a fleet of one size goes through, and what is measured of each.
+//! The events that are run on a fleet of one size, and the measurements of each.
 
 use super::fleet::{Fleet, Sample, Size};
 use super::group::Part;
@@ -7,59 +7,59 @@
 use clap::ValueEnum;
 use std::time::{Duration, Instant};
 
-/// Rest before each figure.
-const REST: Duration = Duration::from_secs(5);
-/// How long a figure is taken for at least.
+/// Pause before each measurement.
+const REST_TIME: Duration = Duration::from_secs(5);
+/// Minimum duration of a measurement.
 const WINDOW: Duration = Duration::from_secs(10);
-/// How long anything is waited for: twenty leases.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// How long all restarts together may take.
-const RESTARTS: Duration = Duration::from_secs(240);
-/// Time between changes while a third is cut off for long: 2,400 a day.
-const CHANGE_EVERY: Duration = Duration::from_secs(36);
-/// Hollow gateways that offer a version at once.
-const OFFERS: usize = 10;
+/// Time limit for each awaited condition: twenty leases.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Time limit for the restarts of all processes together.
+const RESTARTS_TIMEOUT: Duration = Duration::from_secs(240);
+/// Interval of further versions during a long cut: 2,400 a day.
+const CHANGE_INTERVAL: Duration = Duration::from_secs(36);
+/// Number of hollow gateways that offer a version at the same time.
+const PARALLEL_OFFERS: usize = 10;
 
-/// What happens to a fleet.
+/// An event in a fleet, in which the cost of the control plane is measured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Event {
-    /// Nothing.
+    /// Nothing happens; measures the fleet at rest.
     Rest,
-    /// One gateway offers a new edition of the operator's file.
+    /// A voter offers a new edition of the operator's file.
     Change,
-    /// Four gateways die as a version is offered.
+    /// Four gateways are killed before a version is offered.
     Dead,
-    /// A third is cut off, a version is offered, and the third comes back.
+    /// A third of the fleet is cut off, a version is offered, and the third is reconnected.
     Cut,
-    /// One gateway stands still as a version is offered.
+    /// One gateway is suspended before a version is offered.
     Stopped,
-    /// Ten gateways offer a version at once.
+    /// Ten gateways offer a version at the same time.
     Ten,
-    /// A tenth is killed at once.
+    /// A tenth of the fleet is killed before a version is offered.
     Tenth,
     /// All processes are restarted, one after another.
     Restart,
-    /// The control member that leads dies as a version is offered.
+    /// The Raft leader is killed before a version is offered.
     Leader,
 }
 
-/// How long things take.
+/// Durations of a schedule.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
-    /// Rest before each figure.
+    /// Pause before each measurement.
     pub rest: Duration,
-    /// How long a figure is taken for at least.
+    /// Minimum duration of a measurement.
     pub window: Duration,
-    /// How long a third stays cut off at least, while changes go on among the rest.
+    /// Minimum duration of the cut in [`Event::Cut`]; further versions are offered meanwhile.
     pub cut: Duration,
-    /// When no further event is begun, counted from the start of the fleet.
+    /// Time since the start of the fleet after which no further event begins.
     pub until: Duration,
 }
 
 impl Default for Pace {
     fn default() -> Pace {
         Pace {
-            rest: REST,
+            rest: REST_TIME,
             window: WINDOW,
             cut: Duration::ZERO,
             until: Duration::from_secs(600),
@@ -67,27 +67,27 @@
     }
 }
 
-/// What was measured of a size.
+/// The measurements of a fleet of one size.
 #[derive(Debug, Default)]
 pub struct Measured {
-    /// What gateways used.
+    /// The resources that gateways used in each event.
     pub loads: Vec<Load>,
-    /// How events reached them.
+    /// How soon versions and events reached the gateways.
     pub changes: Vec<Change>,
-    /// Why it ended before its last event, if it did.
+    /// Why the schedule ended before its last event, if it did.
     pub ended: Option<String>,
 }
 
-struct Play {
+struct Schedule {
     fleet: Fleet,
     gateways: u32,
     random: fastrand::Rng,
     pace: Pace,
     found: Measured,
-    counted: (u64, u64),
+    last_served: (u64, u64),
 }
 
-/// Plays the events on a fleet of one size. What was measured before a fault ended it is kept.
+/// Runs the events on a fleet of one size. If one of them fails, the measurements made before are returned.
 ///
 /// # Errors
 ///
@@ -96,45 +96,46 @@
     let (began, gateways, seed) = (Instant::now(), size.gateways, size.seed);
     let fleet = Fleet::start(size)?;
     let random = fastrand::Rng::with_seed(seed);
-    let mut play = Play {
+    let mut schedule = Schedule {
         fleet,
         gateways,
         random,
         pace,
         found: Measured::default(),
-        counted: (0, 0),
+        last_served: (0, 0),
     };
-    let agreed = play.begin();
+    let agreed = schedule.wait_for_first_version();
     let played = agreed.and_then(|agreed| {
-        // A fleet that does not come to agree is measured at rest, which it has not, and then left.
+        // A fleet that does not agree on a first version is only measured without events.
         let events = if agreed { events } else { &[Event::Rest] };
         for event in events {
             if began.elapsed() > pace.until {
                 anyhow::bail!("{event:?} and what follows was not run: time was up");
             }
-            play.event(*event)?;
+            schedule.event(*event)?;
         }
         anyhow::ensure!(
             agreed,
-            "not all gateways acted on one version within {PATIENCE:?}"
+            "not all gateways acted on one version within {WAIT_TIMEOUT:?}"
         );
         Ok(())
     });
     if let Err(fault) = played {
-        let why = format!("ended early: {fault:#}");
-        play.told(&why, crate::now(), Vec::new(), gateways as usize);
-        play.found.ended = Some(why);
+        let reason = format!("ended early: {fault:#}");
+        schedule.record_change(&reason, crate::now(), Vec::new(), gateways as usize);
+        schedule.found.ended = Some(reason);
     }
-    Ok(play.found)
+    Ok(schedule.found)
 }
 
-impl Play {
-    /// Waits until all act on a first version.
-    fn begin(&mut self) -> anyhow::Result<bool> {
+impl Schedule {
+    /// Waits until all gateways act on a first version; returns whether they do.
+    fn wait_for_first_version(&mut self) -> anyhow::Result<bool> {
         let began = crate::now();
-        let agreed = self.fleet.agree(PATIENCE, &[])?;
+        let agreed = self.fleet.agree(WAIT_TIMEOUT, &[])?;
         let all = self.fleet.look(&[])?;
-        // Where all act on a version, its instants are known; else only who acts at the end.
+        // If all act on the version, the times are known when it came into force. Otherwise only the gateways that act
+        // now are counted.
         let acts = all.iter().filter(|one| one.acts_now());
         let reached = acts
             .map(|one| {
@@ -145,20 +146,20 @@
                 }
             })
             .collect();
-        self.told(table::START, began, reached, all.len());
+        self.record_change(table::START, began, reached, all.len());
         Ok(agreed.is_some())
     }
 
-    fn told(&mut self, event: &str, began: u64, reached: Vec<u64>, awaited: usize) {
+    fn record_change(&mut self, event: &str, began: u64, reached: Vec<u64>, awaited: usize) {
         let (asked, served) = self.fleet.served();
         let mut row = table::change(self.gateways, event, began, reached, awaited);
-        (row.asked, row.served) = (asked - self.counted.0, served - self.counted.1);
-        self.counted = (asked, served);
+        (row.asked, row.served) = (asked - self.last_served.0, served - self.last_served.1);
+        self.last_served = (asked, served);
         println!("{}", row.line());
         self.found.changes.push(row);
     }
 
-    fn measured(&mut self, event: &str, before: &Sample) -> anyhow::Result<()> {
+    fn record_loads(&mut self, event: &str, before: &Sample) -> anyhow::Result<()> {
         let after = self.fleet.measure()?;
         let rows = table::loads(self.gateways, event, self.fleet.leader(), before, &after);
         rows.iter().for_each(|row| println!("{}", row.line()));
@@ -166,28 +167,29 @@
         self.fleet.check_memory()
     }
 
-    /// Measures while something is done, for as long as a window at least.
+    /// Runs `act` and measures the fleet meanwhile, for at least `Pace::window`.
     fn during(
         &mut self,
         event: &str,
-        act: impl FnOnce(&mut Play) -> anyhow::Result<()>,
+        act: impl FnOnce(&mut Schedule) -> anyhow::Result<()>,
     ) -> anyhow::Result<()> {
         std::thread::sleep(self.pace.rest);
         let before = self.fleet.measure()?;
         let began = Instant::now();
         act(self)?;
         std::thread::sleep(self.pace.window.saturating_sub(began.elapsed()));
-        self.measured(event, &before)
+        self.record_loads(event, &before)
     }
 
-    /// One voter offers a version; waits until it is in force everywhere but at those left out.
+    /// Has a voter offer a version, and waits until it is in force at all gateways except those of the parts in
+    /// `without`.
     fn change(&mut self, event: &str, without: &[Part]) -> anyhow::Result<()> {
         let newest = self.newest()?;
         let at = self.offer()?;
         self.in_force(event, at, newest, without)
     }
 
-    /// Has one of the voters that run, drawn, offer a version; says when.
+    /// Has a random running voter offer a version; returns the time of the offer, Unix microseconds.
     fn offer(&mut self) -> anyhow::Result<u64> {
         let running = self.fleet.running_voters();
         let by = running[self.random.usize(..running.len())];
@@ -213,26 +215,26 @@
     ) -> anyhow::Result<()> {
         let (_, all) = self
             .fleet
-            .wait(PATIENCE, without, |one| one.in_force > newest)?;
+            .wait(WAIT_TIMEOUT, without, |one| one.in_force > newest)?;
         let reached = all
             .iter()
             .filter(|one| one.in_force > newest)
             .map(|one| one.since)
             .collect();
-        self.told(event, at, reached, all.len());
+        self.record_change(event, at, reached, all.len());
         Ok(())
     }
 
-    /// Waits until all act again, and agree on a version that is offered then.
-    fn well(&mut self, event: &str) -> anyhow::Result<()> {
+    /// Waits until all gateways act again, then offers a version and waits until it is in force at all of them.
+    fn wait_for_recovery(&mut self, event: &str) -> anyhow::Result<()> {
         let began = crate::now();
-        self.fleet.wait(PATIENCE, &[], Standing::acts_now)?;
+        self.fleet.wait(WAIT_TIMEOUT, &[], Standing::acts_now)?;
         let all_act = crate::now();
         let newest = self.newest()?;
         let acting = self.fleet.look(&[])?;
         let acts = acting.iter().filter(|one| one.acts_now()).count();
-        // When all acted is seen from outside: the instant of the last look.
-        self.told(
+        // It is only known by polling when all acted: the time of the last poll.
+        self.record_change(
             &format!("{event}: all act"),
             began,
             vec![all_act; acts],
@@ -245,87 +247,93 @@
     fn event(&mut self, event: Event) -> anyhow::Result<()> {
         match event {
             Event::Rest => self.during("at rest", |_| Ok(())),
-            Event::Change => self.during("a change", |play| play.change("a change", &[])),
-            Event::Dead => self.killed(
+            Event::Change => self.during("a change", |schedule| schedule.change("a change", &[])),
+            Event::Dead => self.kill_and_restart(
                 "four dead under a change",
                 "four dead under a change",
                 Part::Dead,
                 "four back",
             ),
-            Event::Cut => self.third_cut_off(),
-            Event::Stopped => self.one_stopped(),
-            Event::Ten => self.ten_at_once(),
-            Event::Tenth => self.killed(
+            Event::Cut => self.cut_off_third(),
+            Event::Stopped => self.suspend_one(),
+            Event::Ten => self.offer_ten_at_once(),
+            Event::Tenth => self.kill_and_restart(
                 "a tenth killed at once",
                 "a tenth killed at once, under a change",
                 Part::Tenth,
                 "a tenth back",
             ),
-            Event::Restart => self.all_restarted(),
-            Event::Leader => self.leader_dies(),
+            Event::Restart => self.restart_all(),
+            Event::Leader => self.kill_leader(),
         }
     }
 
-    /// All gateways of a part die as a version is offered, and come back.
-    fn killed(&mut self, event: &str, change: &str, part: Part, back: &str) -> anyhow::Result<()> {
-        self.during(event, |play| {
-            play.fleet.kill(part)?;
-            play.change(change, &[])
+    /// Kills all gateways of a part, offers a version, and starts them again.
+    fn kill_and_restart(
+        &mut self,
+        event: &str,
+        change: &str,
+        part: Part,
+        back: &str,
+    ) -> anyhow::Result<()> {
+        self.during(event, |schedule| {
+            schedule.fleet.kill(part)?;
+            schedule.change(change, &[])
         })?;
         self.fleet.revive(part)?;
-        self.well(back)
+        self.wait_for_recovery(back)
     }
 
-    fn third_cut_off(&mut self) -> anyhow::Result<()> {
+    fn cut_off_third(&mut self) -> anyhow::Result<()> {
         let (pause, began) = (self.pace.rest, Instant::now());
-        self.during("a third cut off", |play| {
-            play.fleet.cut(true)?;
+        self.during("a third cut off", |schedule| {
+            schedule.fleet.cut(true)?;
             std::thread::sleep(pause);
-            play.change("a change with a third cut off", &[Part::Third])
+            schedule.change("a change with a third cut off", &[Part::Third])
         })?;
         self.changes_until(began + self.pace.cut, &[Part::Third])?;
-        self.during("a third back", |play| {
-            play.fleet.cut(false)?;
-            play.well("a third back")
+        self.during("a third back", |schedule| {
+            schedule.fleet.cut(false)?;
+            schedule.wait_for_recovery("a third back")
         })
     }
 
-    /// Offers a version each [`CHANGE_EVERY`] until then.
+    /// Offers a version at each [`CHANGE_INTERVAL`] until `end`.
     fn changes_until(&mut self, end: Instant, without: &[Part]) -> anyhow::Result<()> {
         loop {
             let left = end.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return Ok(());
             }
-            std::thread::sleep(left.min(CHANGE_EVERY));
+            std::thread::sleep(left.min(CHANGE_INTERVAL));
             self.change("a further change with a third cut off", without)?;
         }
     }
 
-    fn one_stopped(&mut self) -> anyhow::Result<()> {
-        self.during("one stopped under a change", |play| {
-            play.fleet.stand_still(Part::Stopped, true)?;
-            play.change("one stopped under a change", &[])
+    fn suspend_one(&mut self) -> anyhow::Result<()> {
+        self.during("one stopped under a change", |schedule| {
+            schedule.fleet.set_suspended(Part::Stopped, true)?;
+            schedule.change("one stopped under a change", &[])
         })?;
-        self.fleet.stand_still(Part::Stopped, false)?;
-        self.well("one goes on")
+        self.fleet.set_suspended(Part::Stopped, false)?;
+        self.wait_for_recovery("one goes on")
     }
 
-    fn ten_at_once(&mut self) -> anyhow::Result<()> {
-        self.during("ten changes at once", |play| {
-            let newest = play.newest()?;
-            let at = play.fleet.offer_again(OFFERS)?;
-            play.in_force("ten changes at once", at, newest, &[])
+    fn offer_ten_at_once(&mut self) -> anyhow::Result<()> {
+        self.during("ten changes at once", |schedule| {
+            let newest = schedule.newest()?;
+            let at = schedule.fleet.offer_known(PARALLEL_OFFERS)?;
+            schedule.in_force("ten changes at once", at, newest, &[])
         })
     }
 
-    fn all_restarted(&mut self) -> anyhow::Result<()> {
+    fn restart_all(&mut self) -> anyhow::Result<()> {
         let began = crate::now();
-        self.fleet.restart_all(RESTARTS)?;
+        self.fleet.restart_all(RESTARTS_TIMEOUT)?;
         let all = self.fleet.look(&[])?;
         let acts = all.iter().filter(|one| one.acts_now()).count();
         let reached = vec![crate::now(); acts];
-        self.told(
+        self.record_change(
             "all restarted, one process after another",
             began,
             reached,
@@ -334,26 +342,27 @@
         Ok(())
     }
 
-    /// The control member that leads dies, and another voter offers a version at once. Which gateways hold a right of the
-    /// next leader before that of the former ended, and when the version is in force; the one that died comes back.
-    fn leader_dies(&mut self) -> anyhow::Result<()> {
+    /// Kills the Raft leader and has another voter offer a version at once. Records which gateways got a registration
+    /// from the next leader before the former one expired, and when the version came into force; then restarts the
+    /// killed one.
+    fn kill_leader(&mut self) -> anyhow::Result<()> {
         let mut fallen = 0;
-        self.during("the leader dead under a change", |play| {
-            let newest = play.newest()?;
+        self.during("the leader dead under a change", |schedule| {
+            let newest = schedule.newest()?;
             let at = crate::now();
-            fallen = play.fleet.kill_leader()?;
-            let offered_at = play.offer()?;
-            let renewed = play.fleet.renewed_without_a_gap(at, PATIENCE)?;
-            let running = play.fleet.gateways() - 1;
-            play.told(
+            fallen = schedule.fleet.kill_leader()?;
+            let offered_at = schedule.offer()?;
+            let renewed = schedule.fleet.renewed_without_a_gap(at, WAIT_TIMEOUT)?;
+            let running = schedule.fleet.gateways() - 1;
+            schedule.record_change(
                 "the leader dead: rights renewed without a gap",
                 at,
                 renewed,
                 running,
             );
-            play.in_force("the leader dead under a change", offered_at, newest, &[])
+            schedule.in_force("the leader dead under a change", offered_at, newest, &[])
         })?;
         self.fleet.revive_voter(fallen)?;
-        self.well("the leader back")
+        self.wait_for_recovery("the leader back")
     }
 }
--- a/testbench/src/scale/slopes.rs
+++ b/testbench/src/scale/slopes.rs
@@ -1,38 +1,38 @@
-//! What each further gateway adds to each figure of a role, from the tables of all sizes.
+//! Fits each measured figure of a role over the size of the fleet, from the tables of all sizes.
 
 use super::table::{rounded, Change, Load, ROLES, START};
 use crate::fit::Fit;
 use serde::Serialize;
 use std::path::Path;
 
-/// A figure of a role as a straight line over the fleet's size, fitted by least squares.
+/// A row of the table: a figure of a role over the size of the fleet, as a straight line fitted by least squares.
 #[derive(Clone, Debug, Serialize)]
 pub struct Slope {
-    /// See [`Load`].
+    /// See [`Load::event`].
     pub event: String,
-    /// See [`Load`].
+    /// See [`Load::role`].
     pub role: String,
-    /// See [`Load`].
+    /// See [`Load::of`].
     pub of: String,
-    /// Which figure, by its column's name.
+    /// The figure, by the name of its column in the table of loads.
     pub figure: String,
-    /// Sizes that it was measured at.
+    /// Number of sizes at which it was measured.
     pub sizes: usize,
-    /// `linear`, `quadratic` or `unknown`: what describes the figure, as [`crate::fit`] judges it.
+    /// The curve that describes the figure: `linear`, `quadratic` or `unknown`; see [`crate::fit::Shape`].
     pub shape: String,
-    /// What each further gateway adds.
+    /// Increase of the figure per gateway.
     pub per_gateway: f64,
-    /// The standard error of that.
+    /// The standard error of `per_gateway`.
     pub error: f64,
-    /// What a fleet of no gateways would have.
+    /// The line's value at 0 gateways.
     pub at_zero: f64,
-    /// How far the figure lies from the line: the residual standard error, in the figure's unit.
+    /// The residual standard error of the line, in the figure's unit.
     pub residual: f64,
-    /// The share of the figure's variance that the line explains; 1 is all, also of a figure that never varies.
+    /// The share of the figure's variance that the line explains, up to 1; also 1 for a constant figure.
     pub r_squared: f64,
 }
 
-/// A figure of a row, by its column's name.
+/// The column name of a figure, and its value in a row.
 type Figure = (&'static str, fn(&Load) -> Option<f64>);
 
 /// The figures that slopes are fitted to.
@@ -52,12 +52,12 @@
     ("disk_bytes_s", |row| Some(row.disk_bytes_s)),
 ];
 
-/// Fits each figure of each role during an event over the sizes at which all gateways came to act, by the tables of loads
-/// and changes, and writes what was found, if anything.
+/// Fits each figure of each role in an event over the size of the fleet, and writes the table `slopes`, unless there
+/// are no rows. Uses only the sizes at which, by the table `changes`, all gateways acted on a first version.
 ///
 /// # Errors
 ///
-/// Tables that can't be read or written.
+/// A table could not be read or written.
 pub fn write(loads: &Path, changes: &Path, slopes: &Path, event: &str) -> anyhow::Result<()> {
     let mut rows = csv::Reader::from_path(loads)?
         .into_deserialize()
@@ -90,7 +90,7 @@
     Ok(out.flush()?)
 }
 
-/// The slope of a figure through the rows of one role; nothing for fewer than two sizes that have it.
+/// The slope of a figure over the rows of one role; none if fewer than two sizes have the figure.
 fn slope(rows: &[&Load], (figure, value): Figure) -> Option<Slope> {
     let points = rows
         .iter()
@@ -105,30 +105,30 @@
         figure: figure.to_owned(),
         sizes: points.len(),
         shape: fit.shape.to_string(),
-        per_gateway: finely_rounded(fit.line.slope),
-        error: finely_rounded(fit.line.slope_error),
+        per_gateway: rounded_to_millionths(fit.line.slope),
+        error: rounded_to_millionths(fit.line.slope_error),
         at_zero: rounded(fit.line.intercept),
         residual: rounded(fit.line.residual),
-        r_squared: rounded(explained(&points, &fit)),
+        r_squared: rounded(r_squared(&points, &fit)),
     })
 }
 
-/// The share of the values' variance that the line explains.
-fn explained(points: &[(f64, f64)], fit: &Fit) -> f64 {
+/// The coefficient of determination of the line.
+fn r_squared(points: &[(f64, f64)], fit: &Fit) -> f64 {
     let mean = points.iter().map(|point| point.1).sum::<f64>() / points.len() as f64;
-    let all: f64 = points.iter().map(|point| (point.1 - mean).powi(2)).sum();
-    let left: f64 = points
+    let total_squares: f64 = points.iter().map(|point| (point.1 - mean).powi(2)).sum();
+    let residual_squares: f64 = points
         .iter()
         .map(|point| (point.1 - fit.line.at(point.0)).powi(2))
         .sum();
-    if all > 0.0 {
-        1.0 - left / all
+    if total_squares > 0.0 {
+        1.0 - residual_squares / total_squares
     } else {
         1.0
     }
 }
 
-/// What one gateway adds may be little.
-fn finely_rounded(value: f64) -> f64 {
+/// Rounds to six decimals, as the increase per gateway may be small.
+fn rounded_to_millionths(value: f64) -> f64 {
     (value * 1e6).round() / 1e6
 }
--- a/testbench/src/scale/table.rs
+++ b/testbench/src/scale/table.rs
@@ -1,4 +1,4 @@
-//! Tables and charts of what was measured at each size.
+//! The tables and the chart of the measurements at each size of a fleet.
 
 use super::fleet::{Sample, Voter};
 use super::hollow::{Used, Work};
@@ -10,9 +10,9 @@
 use std::path::Path;
 
 const SECOND_US: f64 = 1e6;
-/// The event that a fleet begins with: all come to act on a first version.
+/// The name of the first event: the start of the fleet, until all gateways act on a first version.
 pub const START: &str = "start";
-/// Roles, and which of each, that charts and slopes show. There is one leader.
+/// The roles and statistics that charts and slopes use. A fleet has one leader, and so no `worst` of it.
 pub(super) const ROLES: [(&str, &str); 4] = [
     ("leader", "median"),
     ("follower", "median"),
@@ -20,76 +20,78 @@
     ("gateway", "worst"),
 ];
 
-/// What one gateway of a role used during one event.
+/// The resources that the median or worst gateway of a role used in one event.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Load {
-    /// Gateways of the fleet.
+    /// Number of gateways of the fleet.
     pub gateways: u32,
-    /// The event.
+    /// Name of the event.
     pub event: String,
-    /// How long it was measured, seconds.
+    /// Duration of the measurement, seconds.
     pub seconds: f64,
     /// `leader` and `follower` (control members), or `gateway` (hollow).
     pub role: String,
-    /// `median` or `worst` of the role's.
+    /// The statistic over the gateways of the role: `median` or `worst`.
     pub of: String,
-    /// Processor time of its control plane, percent of a core.
+    /// CPU time of the control plane's thread, percent of a core.
     pub cpu_percent: f64,
-    /// Frames received and sent a second: a gateway's with the control member that leads, a control member's with gateways.
+    /// Frames received per second: by a gateway from the leader, or by a control member from gateways.
     pub messages_in_s: Option<f64>,
-    /// See `messages_in_s`.
+    /// Frames sent per second, between the same parties.
     pub messages_out_s: Option<f64>,
-    /// See `messages_in_s`.
+    /// Bytes received per second, between the same parties.
     pub bytes_in_s: Option<f64>,
-    /// See `messages_in_s`.
+    /// Bytes sent per second, between the same parties.
     pub bytes_out_s: Option<f64>,
-    /// Frames received and sent a second between a control member and the others.
+    /// Frames that a control member received per second from other control members; none for gateways and in tables of
+    /// older builds.
     #[serde(default)]
     pub member_messages_in_s: Option<f64>,
-    /// See `member_messages_in_s`.
+    /// Frames sent per second, between control members.
     #[serde(default)]
     pub member_messages_out_s: Option<f64>,
-    /// See `member_messages_in_s`.
+    /// Bytes received per second, between control members.
     #[serde(default)]
     pub member_bytes_in_s: Option<f64>,
-    /// See `member_messages_in_s`.
+    /// Bytes sent per second, between control members.
     #[serde(default)]
     pub member_bytes_out_s: Option<f64>,
-    /// Resident memory at the end, KiB: a process of hollow gateways shares its evenly, less what it had before them.
+    /// Resident memory at the end, KiB. For hollow gateways, an equal share of their process's memory, less the memory
+    /// of the process before its gateways were started.
     pub memory_kib: f64,
-    /// Open descriptors at the end, shared likewise.
+    /// Open file descriptors at the end, shared in the same way.
     pub descriptors: f64,
-    /// Open sockets among them.
+    /// Open sockets at the end, shared in the same way.
     pub connections: f64,
-    /// Bytes written to disk a second, shared likewise.
+    /// Bytes written to disk per second; for hollow gateways, an equal share of their process's.
     pub disk_bytes_s: f64,
 }
 
-/// How a version, or an event, reached the gateways.
+/// How soon a version or another event reached the gateways.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Change {
-    /// Gateways of the fleet.
+    /// Number of gateways of the fleet.
     pub gateways: u32,
-    /// The event.
+    /// Name of the event.
     pub event: String,
-    /// Of how many gateways it was awaited.
+    /// Number of gateways that it was expected to reach.
     pub awaited: usize,
-    /// How many it reached in time.
+    /// Number of gateways that it reached in time.
     pub reached: usize,
-    /// From its begin until it reached the first, median and last of those, milliseconds.
+    /// Time from its start until it reached the first gateway, milliseconds; none if it reached none.
     pub first_ms: Option<f64>,
-    /// See `first_ms`.
+    /// The same until the median of the gateways that it reached.
     pub median_ms: Option<f64>,
-    /// See `first_ms`.
+    /// The same until the last of the gateways that it reached.
     pub last_ms: Option<f64>,
-    /// Clients' requests since the event before, and those of them that were served in time.
+    /// Number of clients' requests since the previous event.
     pub asked: u64,
-    /// See `asked`.
+    /// Number of those requests that were served within their latency target.
     pub served: u64,
 }
 
 impl Load {
-    /// For people who watch.
+    /// The row as a line of progress output.
     pub fn line(&self) -> String {
         let (event, role, of, cpu) = (&self.event, &self.role, &self.of, self.cpu_percent);
         let messages =
@@ -99,7 +101,7 @@
 }
 
 impl Change {
-    /// For people who watch.
+    /// The row as a line of progress output.
     pub fn line(&self) -> String {
         let (event, reached, awaited) = (&self.event, self.reached, self.awaited);
         let times = [self.first_ms, self.median_ms, self.last_ms].map(|ms| ms.unwrap_or(f64::NAN));
@@ -107,9 +109,9 @@
     }
 }
 
-/// A row that belongs to a size.
+/// A row of a table with one set of rows for each size of a fleet.
 pub trait AtSize {
-    /// The gateways of its fleet.
+    /// The number of gateways of the fleet.
     fn gateways(&self) -> u32;
 }
 
@@ -129,18 +131,18 @@
     (value * 1e3).round() / 1e3
 }
 
-/// The middle and the largest of some values; 0 of none.
-fn middle_and_worst(mut values: Vec<f64>) -> [f64; 2] {
+/// The median (the upper one of an even number of values) and the largest value; 0 if there are none.
+fn median_and_worst(mut values: Vec<f64>) -> [f64; 2] {
     values.sort_by(f64::total_cmp);
     let at = |place: usize| values.get(place).copied().unwrap_or(0.0);
     [at(values.len() / 2), at(values.len().saturating_sub(1))]
 }
 
-/// What one gateway used between two samples: per second where it is a rate.
+/// The resources that one gateway used between two samples: CPU in percent of a core, and disk in bytes per second.
 #[derive(Clone, Copy, Default)]
 struct Rates {
     cpu: f64,
-    /// Between gateways and the control member that leads.
+    /// Between gateways and control members.
     traffic: Option<TrafficRates>,
     /// Between control members.
     member_traffic: Option<TrafficRates>,
@@ -150,7 +152,7 @@
     disk: f64,
 }
 
-/// Each hollow gateway of a process that is the same in both samples.
+/// The rates of each hollow gateway of a process that is in both samples.
 fn hollow(before: &Used, after: &Used) -> Vec<Rates> {
     let seconds = (after.at - before.at) as f64 / SECOND_US;
     let share = |whole: f64| whole / after.gateways.len() as f64;
@@ -170,11 +172,11 @@
         .collect()
 }
 
-/// A control member in both samples.
+/// The rates of a control member that is in both samples.
 fn voter(before: &Voter, after: &Voter) -> Rates {
     let seconds = (after.at - before.at) as f64 / SECOND_US;
     let logged = before.traffic.zip(after.traffic);
-    // One that was started anew meanwhile counts from nothing.
+    // After a restart the counts begin at 0, so no rates can be computed.
     let logged = logged
         .filter(|(was, is)| is.at > was.at && is.members.frames_out >= was.members.frames_out);
     let rates = |of: fn(&MemberTotals) -> &TrafficTotals| {
@@ -196,7 +198,7 @@
     }
 }
 
-/// The rows of an event between two samples, by role.
+/// The rows of an event, from the samples before and after it, by role.
 pub fn loads(
     gateways: u32,
     event: &str,
@@ -204,7 +206,7 @@
     before: &Sample,
     after: &Sample,
 ) -> Vec<Load> {
-    // A process that was started anew meanwhile counts from nothing: it is left out.
+    // A process that was restarted between the samples is left out, as its counts began at 0 again.
     let same = |was: &Used, is: &Used| {
         let all = |used: &Used| {
             used.gateways
@@ -251,12 +253,12 @@
 }
 
 fn rows(gateways: u32, event: &str, seconds: f64, role: &str, all: &[Rates]) -> Vec<Load> {
-    let of = |value: fn(&Rates) -> f64| middle_and_worst(all.iter().map(value).collect());
+    let of = |value: fn(&Rates) -> f64| median_and_worst(all.iter().map(value).collect());
     let known =
         |side: fn(&Rates) -> Option<TrafficRates>| all.iter().filter_map(side).collect::<Vec<_>>();
     let (traffic, member_traffic) = (known(|one| one.traffic), known(|one| one.member_traffic));
     let rate = |of: &[TrafficRates], value: fn(&TrafficRates) -> f64| {
-        (!of.is_empty()).then(|| middle_and_worst(of.iter().map(value).collect()))
+        (!of.is_empty()).then(|| median_and_worst(of.iter().map(value).collect()))
     };
     let (cpu, memory, disk) = (of(|one| one.cpu), of(|one| one.memory), of(|one| one.disk));
     let (descriptors, connections) = (of(|one| one.descriptors), of(|one| one.connections));
@@ -295,7 +297,7 @@
             disk_bytes_s: rounded(disk[place]),
         }
     };
-    // There is one leader.
+    // The only leader is both the median and the worst.
     let names = if role == "leader" {
         &["median"][..]
     } else {
@@ -304,7 +306,8 @@
     names.iter().copied().enumerate().map(row).collect()
 }
 
-/// The row of an event that reached gateways at these times, of so many.
+/// The row of an event that began at `began` and reached gateways at the times `reached`, of `awaited` gateways; Unix
+/// microseconds.
 pub fn change(
     gateways: u32,
     event: &str,
@@ -327,7 +330,7 @@
     }
 }
 
-/// Writes a table; rows of sizes that were not played again are kept.
+/// Writes a table; existing rows of sizes that are not in `played` are kept.
 ///
 /// # Errors
 ///
@@ -348,11 +351,11 @@
     Ok(table.flush()?)
 }
 
-/// Draws the processor time of each role during an event by size, from a table that has it.
+/// Draws the CPU time of each role in an event by the size of the fleet, from the table of loads.
 ///
 /// # Errors
 ///
-/// The table could not be read, or the chart not be written.
+/// The table could not be read, or the chart could not be written.
 pub fn draw(table: &Path, chart: &Path, event: &str) -> anyhow::Result<()> {
     let mut rows = csv::Reader::from_path(table)?
         .into_deserialize()
--- a/testbench/src/scale/traffic.rs
+++ b/testbench/src/scale/traffic.rs
@@ -1,21 +1,21 @@
-//! What control members say that they have sent and received, as read from their log lines.
+//! The traffic counts that control members log.
 
 use crate::gateway::Line;
 use asterreel_control::traffic::TrafficTotals;
 use serde_json::Value;
 
-/// What a control member had sent and received at a moment, since its start.
+/// The frames and bytes that a control member has sent and received since its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberTotals {
-    /// When it was counted, Unix microseconds.
+    /// Time of the count, Unix microseconds.
     pub at: u64,
-    /// To and from other control members.
+    /// Traffic with other control members.
     pub members: TrafficTotals,
-    /// To and from the gateways that it serves.
+    /// Traffic with the gateways that it serves.
     pub gateways: TrafficTotals,
 }
 
-/// The counts on one side, by the beginning of their keys.
+/// The counts whose keys begin with `side`; none if one is missing.
 fn totals(fields: &Value, side: &str) -> Option<TrafficTotals> {
     let count = |name: &str| fields[format!("{side}.{name}")].as_u64();
     Some(TrafficTotals {
@@ -27,7 +27,7 @@
 }
 
 impl MemberTotals {
-    /// What a control member logged last of its traffic.
+    /// The last counts in a control member's log; none if there are none or a count is missing.
     pub fn logged(log: &[Line]) -> Option<MemberTotals> {
         let last = log
             .iter()
@@ -44,7 +44,7 @@
     }
 }
 
-/// What is received and sent a second.
+/// Frames and bytes per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TrafficRates {
     /// Frames received.
@@ -58,7 +58,7 @@
 }
 
 impl TrafficRates {
-    /// Between two counts that lie so many seconds apart.
+    /// The rates between two counts with `seconds` between them.
     pub fn between(before: &TrafficTotals, after: &TrafficTotals, seconds: f64) -> TrafficRates {
         let rate = |before: u64, after: u64| after.saturating_sub(before) as f64 / seconds;
         TrafficRates {
