--- a/testbench/src/capacity/databases.rs
+++ b/testbench/src/capacity/databases.rs
@@ -1,33 +1,36 @@
-//! What databases and discovery see of more and more gateways.
+//! The load on databases and discovery by the number of gateways.
 
-use super::neighbours::{Count, Neighbours};
-use super::table::{fitted, told, Quantity, Table};
+use super::neighbours::{Backends, Count};
+use super::table::{fitted, informational, Quantity, Table};
 use super::{plan, stage, Setting};
 use crate::load;
 use std::thread;
 use std::time::Duration;
 
-/// What stays the same while gateways are added.
+/// The traffic that stays constant when gateways are added.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Traffic {
-    /// The statements a second of all gateways together.
-    Whole,
-    /// The statements a second of each gateway at each database: what the plan comes to.
-    Pair,
+    /// The statements per second of all gateways together.
+    Total,
+    /// The statements per second from each gateway to each database, as planned.
+    PerPair,
 }
 
 const GATEWAYS: [u64; 8] = [2, 8, 12, 16, 24, 32, 48, 64];
-/// Up to here a fleet is small to its gateways, which probe by another rule (`docs/design/fleet.md`): these sizes show
-/// it, and no curve goes through them.
-const SMALL: u64 = 8;
+/// The largest fleet that counts as small, in which gateways probe by another rule (`docs/design/fleet.md`). These
+/// sizes are in the table, but not in the fit.
+const MAX_SMALL_FLEET: u64 = 8;
 const DATABASES: usize = 10;
-const TAKES: Duration = Duration::from_millis(2);
-/// Statements a second of all: at 32 gateways the plan's for each pair of a gateway and a database.
-const WHOLE: f64 = plan::STATEMENTS_A_PAIR * 32.0 * DATABASES as f64;
-/// Until connections and positions are as they stay; then counted.
-const WARM: Duration = Duration::from_secs(6);
-const COUNTED: Duration = Duration::from_secs(8);
-const LOOKS: u32 = 16;
+/// Execution time of a statement.
+const STATEMENT_TIME: Duration = Duration::from_millis(2);
+/// Statements per second in total: the planned rate per pair of a gateway and a database, for 32 gateways.
+const TOTAL_RATE: f64 = plan::STATEMENTS_PER_PAIR * 32.0 * DATABASES as f64;
+/// Warm-up, after which connections and known positions no longer change.
+const WARM_UP: Duration = Duration::from_secs(6);
+/// Duration of the measurement.
+const MEASURE_TIME: Duration = Duration::from_secs(8);
+/// Number of samples of the open connections in a measurement.
+const SAMPLES: u32 = 16;
 const CLIENTS: usize = 48;
 
 const QUANTITIES: [Quantity; 9] = [
@@ -36,71 +39,71 @@
     fitted("handshakes a second at a database"),
     fitted("watches open at discovery"),
     fitted("calls to discovery until the first lists"),
-    told("calls a second to discovery at rest"),
-    told("bytes of a list"),
-    told("statements a second"),
-    told("share served in time"),
+    informational("calls a second to discovery at rest"),
+    informational("bytes of a list"),
+    informational("statements a second"),
+    informational("share served in time"),
 ];
 
 pub(super) fn play(setting: &Setting, traffic: Traffic) -> anyhow::Result<()> {
-    let name = if traffic == Traffic::Whole {
+    let name = if traffic == Traffic::Total {
         "databases"
     } else {
         "pairs"
     };
     let mut table = Table::new(name, "gateways", &QUANTITIES);
     table.measure(setting, &GATEWAYS, |table, gateways, seed| {
-        let neighbours = Neighbours::start(DATABASES, TAKES)?;
+        let backends = Backends::start(DATABASES, STATEMENT_TIME)?;
         let plans: Vec<_> = (0..gateways)
-            .map(|_| stage::plan(setting, &neighbours, gateways as usize, stage::FEW_SOCKETS))
+            .map(|_| stage::plan(setting, &backends, gateways as usize, stage::FEW_SOCKETS))
             .collect::<Result<_, _>>()?;
         let _running: Vec<_> = plans.iter().map(stage::start).collect::<Result<_, _>>()?;
         let clients: Vec<_> = plans.iter().map(|plan| plan.client).collect();
         let balancer = stage::balancer(&clients)?;
         let rate = match traffic {
-            Traffic::Whole => WHOLE,
-            Traffic::Pair => plan::STATEMENTS_A_PAIR * gateways as f64 * DATABASES as f64,
+            Traffic::Total => TOTAL_RATE,
+            Traffic::PerPair => plan::STATEMENTS_PER_PAIR * gateways as f64 * DATABASES as f64,
         };
         let shape = load::Shape {
             rate,
             clients: CLIENTS,
             seed,
-            clusters: neighbours.groups() as u64,
-            span: WARM + COUNTED,
+            clusters: backends.groups() as u64,
+            span: WARM_UP + MEASURE_TIME,
             ..load::Shape::default()
         };
         let playing = balancer.clone();
         let load = thread::spawn(move || load::play(shape, &playing, &clients));
-        thread::sleep(WARM);
-        let (from, mut open) = (neighbours.count(), 0);
-        for _ in 0..LOOKS {
-            thread::sleep(COUNTED / LOOKS);
-            open += neighbours.count().open;
+        thread::sleep(WARM_UP);
+        let (from, mut open) = (backends.count(), 0);
+        for _ in 0..SAMPLES {
+            thread::sleep(MEASURE_TIME / SAMPLES);
+            open += backends.count().open;
         }
-        let until = neighbours.count();
+        let until = backends.count();
         let records = load
             .join()
             .map_err(|_| anyhow::anyhow!("the load panicked"))?;
         balancer.stop();
         let share = load::served(&records) as f64 / records.len().max(1) as f64;
-        if gateways <= SMALL {
-            table.aside(gateways, "a small fleet: it probes by another rule".into());
+        if gateways <= MAX_SMALL_FLEET {
+            table.exclude(gateways, "a small fleet: it probes by another rule".into());
         }
         if share < 0.99 {
-            table.aside(gateways, format!("{share:.3} served in time"));
+            table.exclude(gateways, format!("{share:.3} served in time"));
         }
-        let a_second =
-            |of: fn(&Count) -> u64| (of(&until) - of(&from)) as f64 / COUNTED.as_secs_f64();
+        let per_second =
+            |of: fn(&Count) -> u64| (of(&until) - of(&from)) as f64 / MEASURE_TIME.as_secs_f64();
         let each = DATABASES as f64;
         Ok(vec![
-            open as f64 / f64::from(LOOKS) / each,
-            a_second(|count| count.probes) / each,
-            a_second(|count| count.handshakes) / each,
+            open as f64 / f64::from(SAMPLES) / each,
+            per_second(|count| count.probes) / each,
+            per_second(|count| count.handshakes) / each,
             until.watches as f64,
             from.calls as f64,
-            a_second(|count| count.calls),
+            per_second(|count| count.calls),
             until.list_bytes as f64 / until.calls.max(1) as f64,
-            a_second(|count| count.statements),
+            per_second(|count| count.statements),
             share,
         ])
     })?;
--- a/testbench/src/capacity/mod.rs
+++ b/testbench/src/capacity/mod.rs
@@ -1,7 +1,8 @@
-//! What one more connection, statement, gateway or database costs: the slopes that `docs/CAPACITY.md` is worked out from.
+//! The cost of one more connection, statement, gateway or database: the slopes on which `docs/CAPACITY.md` is based.
 //!
-//! Real gateways before stand-ins, several sizes each. Every point is measured several times, the sizes in turn, so that
-//! what else runs on the machine spreads over all of them; CPU is time on a processor, not on the wall.
+//! Each experiment measures real gateways in front of simulated databases at several sizes. Each size is measured
+//! several times, one pass over all sizes after another, so that other load on the machine affects all sizes alike. CPU
+//! is CPU time, not elapsed time.
 
 mod accept;
 mod busy;
@@ -18,67 +19,68 @@
 use clap::ValueEnum;
 use std::path::PathBuf;
 
-/// The size that the operators plan for, and what of it falls to one gateway or one database.
+/// The planned size of the deployment, and the share of one gateway or one database.
 pub mod plan {
-    /// Gateways.
+    /// Number of gateways.
     pub const GATEWAYS: f64 = 410.0;
-    /// The same, as the platform's settings tell it: a gateway of a large fleet probes and spends less.
-    pub const FLEET: usize = 410;
-    /// Databases.
+    /// The same for the setting `FleetSize`; in a large fleet each gateway probes less.
+    pub const FLEET_SIZE: usize = 410;
+    /// Number of databases.
     pub const DATABASES: f64 = 910.0;
-    /// Connections of clients at one gateway: 3.4 million over all.
-    pub const CONNECTIONS_EACH: f64 = 8_300.0;
-    /// Descriptors that the platform gives a gateway at most.
+    /// Client connections of one gateway; 3.4 million in total.
+    pub const CONNECTIONS_PER_GATEWAY: f64 = 8_300.0;
+    /// The platform's limit on a gateway's file descriptors.
     pub const DESCRIPTORS: f64 = 1_024.0;
-    /// Statements a second at one gateway: 550,000 over all.
-    pub const STATEMENTS_EACH: f64 = 1_340.0;
-    /// Statements a second of one gateway at one database: 1,340 over 910.
-    pub const STATEMENTS_A_PAIR: f64 = 1.47;
-    /// Requests in hand at one gateway when no database answers: 1,340 a second for 1.2 s, as long as a search waits.
-    pub const IN_HAND_EACH: f64 = 1_608.0;
-    /// Checks a second at one gateway: two balancers in each of ten zones, one check a second each.
-    pub const CHECKS_EACH: f64 = 20.0;
+    /// Statements per second of one gateway; 550,000 in total.
+    pub const STATEMENTS_PER_GATEWAY: f64 = 1_340.0;
+    /// Statements per second from one gateway to one database: 1,340 / 910.
+    pub const STATEMENTS_PER_PAIR: f64 = 1.47;
+    /// Requests in progress at one gateway while no database answers: 1,340 per second for 1.2 s, the deadline of a
+    /// search.
+    pub const REQUESTS_IN_FLIGHT_PER_GATEWAY: f64 = 1_608.0;
+    /// Health checks per second of one gateway: two balancers in each of ten zones, one check per second each.
+    pub const CHECKS_PER_GATEWAY: f64 = 20.0;
 }
 
-/// What is measured.
+/// A capacity experiment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Experiment {
-    /// Memory, descriptors and CPU against resting connections of clients
+    /// Memory, descriptors and CPU by the number of idle client connections
     Resting,
-    /// Resting connections kept against descriptors given
+    /// Idle client connections that are kept, by the number of descriptors allowed
     Kept,
-    /// What accepting one more costs against connections that are open
+    /// CPU time to accept one more connection, by the number of open connections
     Accept,
-    /// The same as `resting` against requests in hand that are at databases
+    /// Memory, descriptors and CPU by the number of requests in progress, all sent to databases
     Busy,
-    /// The same against requests in hand that nearly all wait in the gateway
+    /// Memory, descriptors and CPU by the number of requests in progress, nearly all queued in the gateway
     Waiting,
-    /// CPU against statements a second
+    /// CPU by the number of statements per second
     Statements,
-    /// What databases and discovery see of more gateways, at one traffic of all
+    /// Load on databases and discovery by the number of gateways, with constant total traffic
     Databases,
-    /// The same, at one traffic of each gateway to each database
+    /// The same, with constant traffic from each gateway to each database
     Pairs,
-    /// Memory and CPU of a gateway, and bytes of a list, against databases listed
+    /// Memory and CPU of a gateway, and bytes of a list, by the number of databases listed
     List,
-    /// CPU against checks of balancers
+    /// CPU by the number of health checks per second
     Front,
 }
 
-/// Where and with what.
+/// The settings of an experiment.
 pub struct Setting {
-    /// Of the load's schedule.
+    /// Seed of the load's schedule.
     pub seed: u64,
-    /// The gateway's program.
+    /// Path of the asterreel executable.
     pub program: PathBuf,
-    /// Where tables and charts go.
+    /// Directory for tables and charts.
     pub out: PathBuf,
-    /// How often each point is measured.
+    /// Number of measurements of each point.
     pub repeats: u32,
 }
 
 impl Experiment {
-    /// Measures, writes the table and the chart, and prints the fits.
+    /// Runs the experiment, writes the tables and the chart, and prints the fits.
     ///
     /// # Errors
     ///
@@ -88,11 +90,11 @@
             Experiment::Resting => resting::play(setting),
             Experiment::Kept => kept::play(setting),
             Experiment::Accept => accept::play(setting),
-            Experiment::Busy => busy::play(setting, busy::Whereabouts::AtDatabases),
-            Experiment::Waiting => busy::play(setting, busy::Whereabouts::Waiting),
+            Experiment::Busy => busy::play(setting, busy::RequestLocation::AtDatabases),
+            Experiment::Waiting => busy::play(setting, busy::RequestLocation::Waiting),
             Experiment::Statements => statements::play(setting),
-            Experiment::Databases => databases::play(setting, databases::Traffic::Whole),
-            Experiment::Pairs => databases::play(setting, databases::Traffic::Pair),
+            Experiment::Databases => databases::play(setting, databases::Traffic::Total),
+            Experiment::Pairs => databases::play(setting, databases::Traffic::PerPair),
             Experiment::List => list::play(setting),
             Experiment::Front => front::play(setting),
         }
--- a/testbench/src/capacity/neighbours.rs
+++ b/testbench/src/capacity/neighbours.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of databases and of discovery that count what gateways ask of them.
+//! Simulated databases and a discovery service that count the requests of gateways.
 
 use crate::database::{self, Reply, Role, Watch};
 use crate::now;
@@ -10,31 +10,32 @@
 use std::thread;
 use std::time::Duration;
 
-/// Databases of a group: one primary and four replicas.
-pub(super) const GROUP: usize = 5;
-/// How far replicas are behind.
+/// Number of databases in a group: one primary and four replicas.
+pub(super) const GROUP_SIZE: usize = 5;
+/// Replication lag.
 const LAG_MS: u64 = 10;
-/// How often discovery says that nothing has changed.
+/// Interval of discovery's heartbeats.
 const HEARTBEAT: Duration = Duration::from_secs(2);
-/// Of threads that only copy a few hundred bytes; there are thousands.
-const STACK: usize = 128 * 1024;
+/// Stack size of the threads, bytes: small, as there are thousands of threads, and each copies only a few hundred
+/// bytes.
+const STACK_BYTES: usize = 128 * 1024;
 
-/// What was counted so far, over all databases.
+/// The counts so far, over all databases.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Count {
-    /// Connections that were accepted: each is a handshake.
+    /// Connections that databases accepted; each is a handshake.
     pub handshakes: u64,
-    /// Connections that are open.
+    /// Open connections to databases.
     pub open: u64,
-    /// Questions for a load report.
+    /// Requests for a load report.
     pub probes: u64,
-    /// Statements of clients.
+    /// Other statements: those of clients.
     pub statements: u64,
-    /// Calls to discovery.
+    /// Connections that discovery accepted.
     pub calls: u64,
-    /// Watches that are open; one that has ended is noticed at its next heartbeat.
+    /// Open watches; a closed one is counted until its next heartbeat fails.
     pub watches: u64,
-    /// Bytes of lists that discovery has sent, without heartbeats.
+    /// Bytes of member lists that discovery has sent, without heartbeats.
     pub list_bytes: u64,
 }
 
@@ -48,19 +49,19 @@
     watches: AtomicU64,
     list_bytes: AtomicU64,
     ending: AtomicBool,
-    /// Wakes those that hold an answer back.
+    /// With `released`, wakes the threads that delay an answer.
     held: Mutex<()>,
     released: Condvar,
 }
 
-/// Databases in groups of five, and their discovery; they end when this is dropped.
-pub(super) struct Neighbours {
+/// Databases in groups of five, and their discovery service; all of them end when this is dropped.
+pub(super) struct Backends {
     counters: Arc<Counters>,
     databases: Vec<SocketAddr>,
     discovery: SocketAddr,
 }
 
-/// Counts something as open until it is dropped.
+/// A guard that increments a counter, and decrements it on drop.
 struct Open<'a>(&'a AtomicU64);
 
 impl<'a> Open<'a> {
@@ -76,62 +77,63 @@
     }
 }
 
-impl Neighbours {
-    /// Starts so many databases, each of which takes so long over a statement, and none over a probe.
-    pub(super) fn start(databases: usize, takes: Duration) -> io::Result<Neighbours> {
+impl Backends {
+    /// Starts the databases and discovery. `statement_time` is the execution time of a client's statement; load reports
+    /// are answered at once.
+    pub(super) fn start(databases: usize, statement_time: Duration) -> io::Result<Backends> {
         let counters = Arc::new(Counters::default());
-        let doors: Vec<TcpListener> = (0..databases)
+        let listeners: Vec<TcpListener> = (0..databases)
             .map(|_| TcpListener::bind("127.0.0.1:0"))
             .collect::<Result<_, _>>()?;
-        let places: Vec<SocketAddr> = doors
+        let addresses: Vec<SocketAddr> = listeners
             .iter()
             .map(TcpListener::local_addr)
             .collect::<Result<_, _>>()?;
-        let door = TcpListener::bind("127.0.0.1:0")?;
-        let discovery = door.local_addr()?;
-        let line = format!("{}\n", list(&places));
-        for (number, door) in doors.into_iter().enumerate() {
+        let listener = TcpListener::bind("127.0.0.1:0")?;
+        let discovery = listener.local_addr()?;
+        let line = format!("{}\n", list(&addresses));
+        for (number, listener) in listeners.into_iter().enumerate() {
             let counters = counters.clone();
-            let role = if number % GROUP == 0 {
+            let role = if number % GROUP_SIZE == 0 {
                 Role::Primary
             } else {
                 Role::Replica
             };
-            small(move || {
-                accept(&door, &counters, move |client, counters| {
-                    serve(client, counters, role, takes)
+            spawn_with_small_stack(move || {
+                accept(&listener, &counters, move |client, counters| {
+                    serve(client, counters, role, statement_time)
                 })
             })?;
         }
         let serving = counters.clone();
-        small(move || {
-            accept(&door, &serving, move |client, counters| {
+        spawn_with_small_stack(move || {
+            accept(&listener, &serving, move |client, counters| {
                 watch(client, counters, &line)
             })
         })?;
-        Ok(Neighbours {
+        Ok(Backends {
             counters,
-            databases: places,
+            databases: addresses,
             discovery,
         })
     }
 
-    /// Where discovery is.
+    /// The address of discovery.
     pub(super) fn discovery(&self) -> SocketAddr {
         self.discovery
     }
 
-    /// The list of databases.
+    /// The member list of all databases.
     pub(super) fn list(&self) -> Value {
         list(&self.databases)
     }
 
-    /// Groups of databases.
+    /// The number of groups of databases.
     pub(super) fn groups(&self) -> usize {
-        self.databases.len().div_ceil(GROUP)
+        self.databases.len().div_ceil(GROUP_SIZE)
     }
 
-    /// What was counted until now.
+    /// The counts so far.
     pub(super) fn count(&self) -> Count {
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         let counters = &self.counters;
@@ -147,7 +149,7 @@
     }
 }
 
-impl Drop for Neighbours {
+impl Drop for Backends {
     fn drop(&mut self) {
         self.counters.ending.store(true, Ordering::Release);
         let held = self
@@ -157,37 +159,42 @@
             .unwrap_or_else(PoisonError::into_inner);
         self.counters.released.notify_all();
         drop(held);
-        // Whoever accepts learns of the end by one more connection.
-        for place in self.databases.iter().chain([&self.discovery]) {
-            let _ = TcpStream::connect(place);
+        // One more connection unblocks each `accept`, so that its thread sees `ending`.
+        for address in self.databases.iter().chain([&self.discovery]) {
+            let _ = TcpStream::connect(address);
         }
     }
 }
 
-fn small(work: impl FnOnce() + Send + 'static) -> io::Result<()> {
+fn spawn_with_small_stack(work: impl FnOnce() + Send + 'static) -> io::Result<()> {
     thread::Builder::new()
-        .stack_size(STACK)
+        .stack_size(STACK_BYTES)
         .spawn(work)
         .map(drop)
 }
 
 fn accept(
-    door: &TcpListener,
+    listener: &TcpListener,
     counters: &Arc<Counters>,
     work: impl Fn(TcpStream, &Counters) -> io::Result<()> + Clone + Send + 'static,
 ) {
-    for client in door.incoming() {
+    for client in listener.incoming() {
         if counters.ending.load(Ordering::Acquire) {
             return;
         }
         let Ok(client) = client else { continue };
         let (counters, work) = (counters.clone(), work.clone());
-        // A connection that breaks ends its thread; there is nothing to clean up.
-        let _ = small(move || drop(work(client, &counters)));
+        // The error of a failed connection needs no handling: the connection is closed when its thread ends.
+        let _ = spawn_with_small_stack(move || drop(work(client, &counters)));
     }
 }
 
-fn serve(client: TcpStream, counters: &Counters, role: Role, takes: Duration) -> io::Result<()> {
+fn serve(
+    client: TcpStream,
+    counters: &Counters,
+    role: Role,
+    statement_time: Duration,
+) -> io::Result<()> {
     counters.handshakes.fetch_add(1, Ordering::Relaxed);
     let _open = Open::count(&counters.open);
     database::session(client, |statement| {
@@ -200,7 +207,7 @@
         counters.statements.fetch_add(1, Ordering::Relaxed);
         if !counters.ending.load(Ordering::Acquire) {
             let held = counters.held.lock().unwrap_or_else(PoisonError::into_inner);
-            drop(counters.released.wait_timeout(held, takes));
+            drop(counters.released.wait_timeout(held, statement_time));
         }
         let answer = if statement.starts_with(b"INSERT") && role == Role::Replica {
             database::error("25006", "this is a replica")
@@ -230,11 +237,11 @@
     let members: Vec<Value> = databases
         .iter()
         .enumerate()
-        .map(|(number, place)| {
+        .map(|(number, address)| {
             json!({
-                "id": format!("s-{number:08x}"), "host_port": place.to_string(), "locality": "here", "flavor": "rig",
-                "cell": number / GROUP, "phase": "ready", "size": 1.0, "up_since_ms": 0,
-                "access": if number % GROUP == 0 { "writer" } else { "reader" },
+                "id": format!("s-{number:08x}"), "host_port": address.to_string(), "locality": "here", "flavor": "rig",
+                "cell": number / GROUP_SIZE, "phase": "ready", "size": 1.0, "up_since_ms": 0,
+                "access": if number % GROUP_SIZE == 0 { "writer" } else { "reader" },
             })
         })
         .collect();
--- a/testbench/src/capacity/stage.rs
+++ b/testbench/src/capacity/stage.rs
@@ -1,6 +1,6 @@
-//! What the experiments share: a gateway before counting stand-ins, sessions held at it, and what it uses meanwhile.
+//! Code that the experiments share: starting a gateway, opening sessions, sending loads, and measuring CPU time.
 
-use super::neighbours::Neighbours;
+use super::neighbours::Backends;
 use super::Setting;
 use crate::balancer::{Balancer, Check, Pace};
 use crate::gateway::{Gateway, Plan};
@@ -13,30 +13,30 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Descriptors that a gateway is told it may hold where many connections are wanted: just under a process's limit of
-/// 20,000 on the machine that the tables were made on.
+/// The setting `limits.sockets` for experiments with many connections: just below the limit of 20,000 descriptors per
+/// process on the machine on which the tables were measured.
 pub(super) const MANY_SOCKETS: usize = 19_900;
-/// What a gateway is told elsewhere: the most that the platform gives.
+/// The setting `limits.sockets` otherwise: the platform's limit.
 pub(super) const FEW_SOCKETS: usize = 1_024;
-/// How long a gateway may take until it serves.
-const STARTS: Duration = Duration::from_secs(20);
-/// Rest before each figure: what a change has set off is over by then.
-pub(super) const REST: Duration = Duration::from_secs(3);
-/// What the seed of a counted load is above that of its warming.
-const COUNTED_SEED: u64 = 1_000;
-/// How long CPU at rest is counted.
-pub(super) const WATCHED: Duration = Duration::from_secs(5);
-
-/// A gateway's plan: the testbench's usual settings, in a fleet of this size, before these neighbours.
+/// Time limit until a gateway serves clients.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// Pause before each measurement, after which the effects of the preceding step have ended.
+pub(super) const REST_TIME: Duration = Duration::from_secs(3);
+/// The difference between the seeds of a measured load and of its warm-up.
+const MEASURED_SEED_OFFSET: u64 = 1_000;
+/// Duration of a measurement of CPU at rest.
+pub(super) const IDLE_WINDOW: Duration = Duration::from_secs(5);
+
+/// The plan of a gateway with the testbench's settings, the given `FleetSize` and limit on sockets, and health off.
 pub(super) fn plan(
     setting: &Setting,
-    neighbours: &Neighbours,
+    backends: &Backends,
     fleet: usize,
     sockets: usize,
 ) -> anyhow::Result<Plan> {
     let mut plan = Plan::with_list(
-        neighbours.discovery(),
-        neighbours.list(),
+        backends.discovery(),
+        backends.list(),
         setting.program.clone(),
     )?;
     plan.settings["FleetSize"] = json!(fleet);
@@ -47,8 +47,8 @@
     })
 }
 
-/// Adds a class of reads that wait very long, so that requests stay in hand while they are counted.
-pub(super) fn with_patience(mut settings: Value, deadline: Duration) -> Value {
+/// Adds a class of reads, `patient`, with a long deadline, so that its requests stay in progress during a measurement.
+pub(super) fn add_patient_class(mut settings: Value, deadline: Duration) -> Value {
     let push = |list: &mut Value, value: Value| list.as_array_mut().map(|list| list.push(value));
     let deadline = deadline.as_micros() as u64;
     push(
@@ -63,17 +63,25 @@
     settings
 }
 
-/// Starts a gateway and waits until it serves.
+/// Starts a gateway and waits until it serves clients.
 pub(super) fn start(plan: &Plan) -> anyhow::Result<Gateway> {
     let gateway = Gateway::start(plan)?;
-    let serving = gateway.logged(0, STARTS, |fields| fields["message"] == "serving");
-    serving.with_context(|| format!("it never served: {:?}", gateway.log()))?;
+    let serving = gateway.logged(0, START_TIMEOUT, |fields| fields["message"] == "serving");
+    serving.with_context(|| {
+        format!(
+            "the gateway did not serve within {START_TIMEOUT:?}; its log: {:?}",
+            gateway.log()
+        )
+    })?;
     Ok(gateway)
 }
 
-/// A balancer that knows these gateways to be up and asks no more of them than a connection every 5 s.
+/// Starts a balancer that checks the gateways with a TCP connect every 5 s, and waits until all are up.
 pub(super) fn balancer(clients: &[SocketAddr]) -> anyhow::Result<Arc<Balancer>> {
-    let checks = clients.iter().map(|place| Check::Connect(*place)).collect();
+    let checks = clients
+        .iter()
+        .map(|address| Check::Connect(*address))
+        .collect();
     let balancer = Balancer::start(
         checks,
         Pace {
@@ -82,23 +90,26 @@
             ..Pace::default()
         },
     );
-    let until = Instant::now() + STARTS;
+    let until = Instant::now() + START_TIMEOUT;
     while (0..clients.len()).any(|number| balancer.now(number).1 == 0) {
-        anyhow::ensure!(Instant::now() < until, "a gateway never came up");
+        anyhow::ensure!(
+            Instant::now() < until,
+            "not all gateways accepted connections within {START_TIMEOUT:?}"
+        );
         thread::sleep(Duration::from_millis(5));
     }
     Ok(balancer)
 }
 
-/// Opens so many sessions, one after another; the gateway may refuse some.
+/// Opens `count` sessions, one after another; those that the gateway rejects are left out.
 pub(super) fn sessions(at: SocketAddr, count: u64) -> Vec<TcpStream> {
     (0..count)
         .filter_map(|_| load::connect(at, "web").ok())
         .collect()
 }
 
-/// Sessions that the gateway has not closed.
-pub(super) fn held(sessions: &[TcpStream]) -> usize {
+/// The number of sessions that the gateway has not closed.
+pub(super) fn open_sessions(sessions: &[TcpStream]) -> usize {
     let open = |session: &&TcpStream| {
         let quiet = session
             .set_nonblocking(true)
@@ -109,8 +120,8 @@
     sessions.iter().filter(open).count()
 }
 
-/// Sessions that are open and to which nothing was written that is still unread.
-pub(super) fn unanswered(sessions: &[TcpStream]) -> usize {
+/// The number of sessions that are open and have no unread data.
+pub(super) fn unanswered_sessions(sessions: &[TcpStream]) -> usize {
     let waits = |session: &&TcpStream| {
         let quiet = session
             .set_nonblocking(true)
@@ -120,27 +131,27 @@
     sessions.iter().filter(waits).count()
 }
 
-/// What a counted load used of a gateway, and what became of it.
-pub(super) struct Counted {
-    /// CPU of the gateway's process, microseconds.
+/// The result of a measured load.
+pub(super) struct MeasuredLoad {
+    /// CPU time of the gateway's process, microseconds.
     pub cpu_us: f64,
-    /// Each request.
+    /// Each request with its outcome.
     pub records: Vec<Record>,
 }
 
-impl Counted {
-    /// How many requests were asked for; one where there were none.
-    pub(super) fn asked(&self) -> f64 {
+impl MeasuredLoad {
+    /// The number of requests that were sent, at least 1, as it is used as a divisor.
+    pub(super) fn sent(&self) -> f64 {
         self.records.len().max(1) as f64
     }
 
-    /// How many were served in time.
+    /// The number of requests that were served within their latency target.
     pub(super) fn served(&self) -> f64 {
         load::served(&self.records) as f64
     }
 }
 
-/// A load through one gateway.
+/// A load through one gateway, after its warm-up.
 pub(super) struct Load<'a> {
     gateway: &'a Gateway,
     client: SocketAddr,
@@ -149,8 +160,8 @@
 }
 
 impl Load<'_> {
-    /// Plays a load that is not counted: connections open, limits are learnt.
-    pub(super) fn warm(
+    /// Sends a load that is not measured, in which connections are opened and the gateway adapts its limits.
+    pub(super) fn warm_up(
         gateway: &Gateway,
         client: SocketAddr,
         shape: Shape,
@@ -165,21 +176,21 @@
         })
     }
 
-    /// Plays the same load for this time, on a schedule of its own, and counts it.
-    pub(super) fn count(self, span: Duration) -> anyhow::Result<Counted> {
+    /// Sends the same load for `span`, with another schedule, and measures it.
+    pub(super) fn count(self, span: Duration) -> anyhow::Result<MeasuredLoad> {
         let shape = Shape {
             span,
-            seed: self.shape.seed + COUNTED_SEED,
+            seed: self.shape.seed + MEASURED_SEED_OFFSET,
             ..self.shape
         };
         let play = || load::play(shape, &self.balancer, &[self.client]);
         let (cpu_us, records) = cpu_us(self.gateway, play)?;
         self.balancer.stop();
-        Ok(Counted { cpu_us, records })
+        Ok(MeasuredLoad { cpu_us, records })
     }
 }
 
-/// CPU that a gateway uses while this goes on, microseconds.
+/// The CPU time that a gateway uses during `work`, microseconds, and the result of `work`.
 pub(super) fn cpu_us<T>(gateway: &Gateway, work: impl FnOnce() -> T) -> anyhow::Result<(f64, T)> {
     let before = process::cpu_ns(gateway.id())?;
     let done = work();
@@ -187,9 +198,9 @@
     Ok((used as f64 / 1e3, done))
 }
 
-/// CPU that a gateway uses a second while nothing is asked of it, microseconds.
+/// The CPU time per second that a gateway uses at rest, microseconds.
 pub(super) fn idle_us_per_s(gateway: &Gateway) -> anyhow::Result<f64> {
     let began = Instant::now();
-    let (used, ()) = cpu_us(gateway, || thread::sleep(WATCHED))?;
+    let (used, ()) = cpu_us(gateway, || thread::sleep(IDLE_WINDOW))?;
     Ok(used / began.elapsed().as_secs_f64())
 }
--- a/testbench/src/capacity/table.rs
+++ b/testbench/src/capacity/table.rs
@@ -1,43 +1,43 @@
-//! Points that were measured several times: their medians and spread, the curve through them, the files.
+//! The table of an experiment: medians and ranges of repeated measurements, the fitted curves, and the files.
 
 use super::Setting;
 use crate::chart;
 use crate::fit::{Fit, Shape};
 use std::collections::BTreeMap;
 
-/// A quantity that is measured at each size, and what becomes of it at the planned size.
+/// A quantity that is measured at each size.
 pub(super) struct Quantity {
-    /// Its name with its unit, as the table's column.
+    /// Its name with its unit, as in the column `quantity`.
     pub name: &'static str,
-    /// Whether a curve is fitted; otherwise it only explains the point.
+    /// Whether a curve is fitted to it; otherwise it is only in the table.
     pub fitted: bool,
 }
 
-/// A fitted quantity.
+/// A quantity to which a curve is fitted.
 pub(super) const fn fitted(name: &'static str) -> Quantity {
     Quantity { name, fitted: true }
 }
 
-/// One that only explains its point.
-pub(super) const fn told(name: &'static str) -> Quantity {
+/// A quantity that is only in the table.
+pub(super) const fn informational(name: &'static str) -> Quantity {
     Quantity {
         name,
         fitted: false,
     }
 }
 
-/// The points of an experiment.
+/// The measurements of an experiment.
 pub(super) struct Table {
     name: &'static str,
     size: &'static str,
     quantities: &'static [Quantity],
-    /// By size: the runs, each with a value for every quantity.
+    /// By size: the runs, each with one value per quantity.
     runs: BTreeMap<u64, Vec<Vec<f64>>>,
-    /// Sizes that stay out of the fit, and why.
-    aside: BTreeMap<u64, String>,
+    /// Sizes that are excluded from the fits, with the reason.
+    excluded: BTreeMap<u64, String>,
 }
 
-/// The middle value of several, the least and the greatest.
+/// The median, the smallest and the largest value; NaN if there are none.
 fn spread(mut values: Vec<f64>) -> (f64, f64, f64) {
     values.sort_by(f64::total_cmp);
     let middle = values.len() / 2;
@@ -55,7 +55,7 @@
 }
 
 impl Table {
-    /// An experiment's table: what its sizes are, and what is measured.
+    /// Creates a table: the name of the experiment, what its sizes count, and the quantities.
     pub(super) fn new(
         name: &'static str,
         size: &'static str,
@@ -66,11 +66,12 @@
             size,
             quantities,
             runs: BTreeMap::new(),
-            aside: BTreeMap::new(),
+            excluded: BTreeMap::new(),
         }
     }
 
-    /// Measures all sizes in turn, as often as the setting says.
+    /// Measures all sizes one after another, and repeats that [`Setting::repeats`] times in total. `run` gets the size
+    /// and a seed and returns one value per quantity.
     pub(super) fn measure(
         &mut self,
         setting: &Setting,
@@ -80,29 +81,34 @@
         for repeat in 0..setting.repeats {
             for size in sizes {
                 let values = run(self, *size, setting.seed + u64::from(repeat))?;
-                let told: Vec<String> = self
+                let values_text: Vec<String> = self
                     .quantities
                     .iter()
                     .zip(&values)
                     .map(|(quantity, value)| format!("{} {value:.1}", quantity.name))
                     .collect();
-                println!("{} {size} ({}): {}", self.size, repeat + 1, told.join(", "));
+                println!(
+                    "{} {size} ({}): {}",
+                    self.size,
+                    repeat + 1,
+                    values_text.join(", ")
+                );
                 self.runs.entry(*size).or_default().push(values);
             }
         }
         Ok(())
     }
 
-    /// Something is different at this size, or broke there: the table says so, and no curve goes through the point.
-    pub(super) fn aside(&mut self, size: u64, what: String) {
-        self.aside.insert(size, what);
+    /// Excludes a size from the fits; the reason is written to the table's column `remark`.
+    pub(super) fn exclude(&mut self, size: u64, what: String) {
+        self.excluded.insert(size, what);
     }
 
     fn medians(&self, quantity: usize) -> Vec<(f64, f64)> {
         let whole = self
             .runs
             .iter()
-            .filter(|(size, _)| !self.aside.contains_key(size));
+            .filter(|(size, _)| !self.excluded.contains_key(size));
         whole
             .map(|(size, runs)| {
                 (
@@ -113,7 +119,7 @@
             .collect()
     }
 
-    /// Writes the points, the fits with their values at the planned size, and a chart of the first quantity.
+    /// Writes the measurements, the fits with their values at the planned size, and a chart of the first quantity.
     pub(super) fn write(&self, setting: &Setting, planned: f64) -> anyhow::Result<()> {
         let file = |ending: &str| setting.out.join(format!("capacity-{}{ending}", self.name));
         let mut table = csv::Writer::from_path(file(".csv"))?;
@@ -125,7 +131,7 @@
                 let (median, least, most) = spread(runs.iter().map(|run| run[number]).collect());
                 let [median, least, most] =
                     [median, least, most].map(|value| format!("{value:.2}"));
-                let remark = self.aside.get(size).map_or("", String::as_str);
+                let remark = self.excluded.get(size).map_or("", String::as_str);
                 let (size, count) = (size.to_string(), runs.len().to_string());
                 table.write_record([
                     &size,
@@ -188,8 +194,13 @@
                 continue;
             };
             let (line, there) = (fit.line, fit.at(planned));
-            let bent = fit.parabola.map_or([f64::NAN; 4], |bent| {
-                [bent.constant, bent.linear, bent.square, bent.residual]
+            let parabola = fit.parabola.map_or([f64::NAN; 4], |parabola| {
+                [
+                    parabola.constant,
+                    parabola.linear,
+                    parabola.square,
+                    parabola.residual,
+                ]
             });
             let (from, to) = (
                 points.first().map_or(0.0, |p| p.0),
@@ -202,15 +213,15 @@
                 fit.shape.to_string(),
             ];
             row.extend([line.intercept, line.slope, line.slope_error, line.residual].map(digits));
-            row.extend(bent.map(digits));
+            row.extend(parabola.map(digits));
             row.push(planned.to_string());
             let (value, error) = there.unwrap_or((f64::NAN, f64::NAN));
             row.extend([value, error].map(digits));
             fits.write_record(&row)?;
             let by = match (fit.shape, fit.parabola) {
-                (Shape::Quadratic, Some(bent)) => format!(
+                (Shape::Quadratic, Some(parabola)) => format!(
                     "{:.4} + {:.4} x + {:.3e} x^2, residual {:.3}",
-                    bent.constant, bent.linear, bent.square, bent.residual
+                    parabola.constant, parabola.linear, parabola.square, parabola.residual
                 ),
                 _ => format!(
                     "{:.4} + {:.4} x (slope +- {:.4}), residual {:.3}",
