--- a/testbench/tests/member_traffic.rs
+++ b/testbench/tests/member_traffic.rs
@@ -1,4 +1,4 @@
-//! What control members log of their traffic, read and made rates of.
+//! Traffic counts that are read from control members' log lines, and rates between them.
 
 use asterreel_testbench::gateway::Line;
 use asterreel_testbench::scale::traffic::{MemberTotals, TrafficRates};
@@ -19,30 +19,31 @@
 }
 
 #[test]
-fn the_last_line_counts_and_one_without_a_count_says_nothing() {
+fn last_traffic_line_is_used_and_none_if_a_count_is_missing() {
     assert_eq!(MemberTotals::logged(&[line(json!("no JSON"))]), None);
     let log = [
         traffic(1, 1),
         traffic(2_000_001, 5),
         line(json!({"message": "registration: acting"})),
     ];
-    let last = MemberTotals::logged(&log).expect("it is there");
+    let last = MemberTotals::logged(&log).expect("a traffic line");
     assert_eq!(
         (last.at, last.members.frames_in, last.gateways.bytes_out),
         (2_000_001, 5, 400)
     );
-    let mut cut = traffic(3, 9);
-    cut.fields
+    let mut incomplete = traffic(3, 9);
+    incomplete
+        .fields
         .as_object_mut()
         .expect("an object")
         .remove("gateways.bytes_in");
-    assert_eq!(MemberTotals::logged(&[traffic(1, 1), cut]), None);
+    assert_eq!(MemberTotals::logged(&[traffic(1, 1), incomplete]), None);
 }
 
 #[test]
-fn rates_are_what_was_added_a_second() {
+fn rates_are_increases_per_second() {
     let [before, after] = [(0, 10), (4_000_000, 18)]
-        .map(|(at, count)| MemberTotals::logged(&[traffic(at, count)]).expect("it is there"));
+        .map(|(at, count)| MemberTotals::logged(&[traffic(at, count)]).expect("a traffic line"));
     let rates = TrafficRates::between(&before.members, &after.members, 4.0);
     let expected = TrafficRates {
         frames_in: 2.0,
--- a/testbench/tests/slopes.rs
+++ b/testbench/tests/slopes.rs
@@ -1,4 +1,4 @@
-//! Slopes of a role's figures over the fleet's size, from the tables of all sizes.
+//! Slopes of a role's figures over the size of the fleet, from the tables of all sizes.
 
 use asterreel_testbench::scale::slopes;
 use asterreel_testbench::scale::table::{self, Change, Load, START};
@@ -23,7 +23,7 @@
     }
 }
 
-/// How many of a fleet's gateways came to act at its start.
+/// The row of a fleet's start, at which `reached` gateways acted on a first version.
 fn started(gateways: u32, reached: usize) -> Change {
     let (event, awaited) = (START.to_owned(), gateways as usize);
     Change {
@@ -35,7 +35,7 @@
     }
 }
 
-/// The slopes of these tables: of each figure, its shape, what each gateway adds, and what none would have.
+/// The slopes of these tables: by figure, its shape, the increase per gateway, and the value at 0 gateways.
 fn slopes_of(loads: &[Load], changes: &[Change]) -> BTreeMap<String, (String, f64, f64)> {
     let folder = tempfile::tempdir().expect("a folder");
     let file = |name: &str| folder.path().join(name);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn lines_parabolas_and_constants_are_told_apart_and_what_was_not_counted_has_no_slope() {
+fn shapes_are_distinguished_and_missing_figures_have_no_slope() {
     let loads = SIZES.map(|gateways| load(gateways, 12_000.0 + 5.25 * f64::from(gateways)));
     let changes = SIZES.map(|gateways| started(gateways, gateways as usize));
     let found = slopes_of(&loads, &changes);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_fleet_that_did_not_come_to_agree_is_left_out() {
+fn fleet_that_did_not_agree_is_left_out() {
     let mut loads = SIZES.map(|gateways| load(gateways, 5.0 * f64::from(gateways)));
     let mut changes = SIZES.map(|gateways| started(gateways, gateways as usize));
     loads[4].memory_kib = 1e9;
@@ -89,9 +89,10 @@
     assert_eq!(found["memory_kib"], ("linear".to_owned(), 5.0, 0.0));
 }
 
-/// Tables of builds that did not count traffic among members are still there, and a size that is played again keeps them.
+/// Tables of older builds lack the columns on traffic between control members. Writing the rows of another size must
+/// not fail on such rows or lose them.
 #[test]
-fn a_table_without_the_columns_on_members_is_read_and_kept() {
+fn table_without_member_columns_is_read_and_kept() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("loads.csv");
     let header =
--- a/testbench/tests/standing.rs
+++ b/testbench/tests/standing.rs
@@ -1,4 +1,4 @@
-//! How gateways stand, as read from their log lines.
+//! The state of gateways in their fleet, from their log lines.
 
 use asterreel_testbench::gateway::Line;
 use asterreel_testbench::standing::Standing;
@@ -26,10 +26,10 @@
 }
 
 #[test]
-fn a_version_that_is_known_without_a_registration_is_not_acted_on() {
-    let told = logged(&[json!("no JSON"), in_force(5, 3)]);
+fn version_without_a_registration_is_not_acted_on() {
+    let unregistered = logged(&[json!("no JSON"), in_force(5, 3)]);
     assert_eq!(
-        told,
+        unregistered,
         Standing {
             gateway: 4,
             in_force: 3,
@@ -37,11 +37,11 @@
             until: 0
         }
     );
-    assert!(!told.acts(6));
+    assert!(!unregistered.acts(6));
 }
 
 #[test]
-fn a_right_counts_from_its_heartbeat_and_ends_by_time_or_by_word() {
+fn registration_starts_at_heartbeat_and_ends_by_time_or_stop() {
     let registered = logged(&[
         in_force(5, 3),
         acting(8, 37),
