--- a/testbench/src/capacity/accept.rs
+++ b/testbench/src/capacity/accept.rs
@@ -16,7 +16,7 @@
     informational("connections held"),
 ];
 
-pub(super) fn play(setting: &Setting) -> anyhow::Result<()> {
+pub(super) fn run(setting: &Setting) -> anyhow::Result<()> {
     let mut table = Table::new("accept", "connections open", &QUANTITIES);
     table.measure(setting, &SIZES, |table, size, _| {
         let backends = Backends::start(DATABASES, Duration::ZERO)?;
--- a/testbench/src/capacity/busy.rs
+++ b/testbench/src/capacity/busy.rs
@@ -48,7 +48,7 @@
     informational("connections held and not answered"),
 ];
 
-pub(super) fn play(setting: &Setting, location: RequestLocation) -> anyhow::Result<()> {
+pub(super) fn run(setting: &Setting, location: RequestLocation) -> anyhow::Result<()> {
     let name = if location == RequestLocation::AtDatabases {
         "busy"
     } else {
--- a/testbench/src/capacity/databases.rs
+++ b/testbench/src/capacity/databases.rs
@@ -45,7 +45,7 @@
     informational("share served in time"),
 ];
 
-pub(super) fn play(setting: &Setting, traffic: Traffic) -> anyhow::Result<()> {
+pub(super) fn run(setting: &Setting, traffic: Traffic) -> anyhow::Result<()> {
     let name = if traffic == Traffic::Total {
         "databases"
     } else {
@@ -72,8 +72,8 @@
             span: WARM_UP + MEASURE_TIME,
             ..load::Shape::default()
         };
-        let playing = balancer.clone();
-        let load = thread::spawn(move || load::play(shape, &playing, &clients));
+        let load_balancer = balancer.clone();
+        let load = thread::spawn(move || load::run(shape, &load_balancer, &clients));
         thread::sleep(WARM_UP);
         let (from, mut open) = (backends.count(), 0);
         for _ in 0..SAMPLES {
--- a/testbench/src/capacity/front.rs
+++ b/testbench/src/capacity/front.rs
@@ -21,7 +21,7 @@
     informational("checks a second answered"),
 ];
 
-pub(super) fn play(setting: &Setting) -> anyhow::Result<()> {
+pub(super) fn run(setting: &Setting) -> anyhow::Result<()> {
     let mut table = Table::new("front", "agent-checks a second", &QUANTITIES);
     table.measure(setting, &RATES, |_, rate, seed| {
         let backends = Backends::start(DATABASES, Duration::ZERO)?;
--- a/testbench/src/capacity/kept.rs
+++ b/testbench/src/capacity/kept.rs
@@ -16,7 +16,7 @@
 
 const QUANTITIES: [Quantity; 2] = [fitted("resting connections kept"), fitted("descriptors")];
 
-pub(super) fn play(setting: &Setting) -> anyhow::Result<()> {
+pub(super) fn run(setting: &Setting) -> anyhow::Result<()> {
     let mut table = Table::new("kept", "descriptors given", &QUANTITIES);
     table.measure(setting, &SIZES, |_, size, _| {
         let backends = Backends::start(DATABASES, Duration::ZERO)?;
--- a/testbench/src/capacity/list.rs
+++ b/testbench/src/capacity/list.rs
@@ -32,7 +32,7 @@
     informational("share served in time"),
 ];
 
-pub(super) fn play(setting: &Setting) -> anyhow::Result<()> {
+pub(super) fn run(setting: &Setting) -> anyhow::Result<()> {
     let mut table = Table::new("list", "databases listed", &QUANTITIES);
     table.measure(setting, &SIZES, |_, size, seed| {
         let backends = Backends::start(size as usize, STATEMENT_TIME)?;
--- a/testbench/src/capacity/mod.rs
+++ b/testbench/src/capacity/mod.rs
@@ -85,18 +85,18 @@
     /// # Errors
     ///
     /// A process could not be started or measured, or a file could not be written.
-    pub fn play(self, setting: &Setting) -> anyhow::Result<()> {
+    pub fn run(self, setting: &Setting) -> anyhow::Result<()> {
         match self {
-            Experiment::Resting => resting::play(setting),
-            Experiment::Kept => kept::play(setting),
-            Experiment::Accept => accept::play(setting),
-            Experiment::Busy => busy::play(setting, busy::RequestLocation::AtDatabases),
-            Experiment::Waiting => busy::play(setting, busy::RequestLocation::Waiting),
-            Experiment::Statements => statements::play(setting),
-            Experiment::Databases => databases::play(setting, databases::Traffic::Total),
-            Experiment::Pairs => databases::play(setting, databases::Traffic::PerPair),
-            Experiment::List => list::play(setting),
-            Experiment::Front => front::play(setting),
+            Experiment::Resting => resting::run(setting),
+            Experiment::Kept => kept::run(setting),
+            Experiment::Accept => accept::run(setting),
+            Experiment::Busy => busy::run(setting, busy::RequestLocation::AtDatabases),
+            Experiment::Waiting => busy::run(setting, busy::RequestLocation::Waiting),
+            Experiment::Statements => statements::run(setting),
+            Experiment::Databases => databases::run(setting, databases::Traffic::Total),
+            Experiment::Pairs => databases::run(setting, databases::Traffic::PerPair),
+            Experiment::List => list::run(setting),
+            Experiment::Front => front::run(setting),
         }
     }
 }
--- a/testbench/src/capacity/resting.rs
+++ b/testbench/src/capacity/resting.rs
@@ -22,7 +22,7 @@
     informational("connections held"),
 ];
 
-pub(super) fn play(setting: &Setting) -> anyhow::Result<()> {
+pub(super) fn run(setting: &Setting) -> anyhow::Result<()> {
     let mut table = Table::new("resting", "resting connections", &QUANTITIES);
     table.measure(setting, &SIZES, |table, size, seed| {
         let backends = Backends::start(DATABASES, STATEMENT_TIME)?;
--- a/testbench/src/capacity/stage.rs
+++ b/testbench/src/capacity/stage.rs
@@ -167,7 +167,7 @@
         shape: Shape,
     ) -> anyhow::Result<Load<'_>> {
         let balancer = balancer(&[client])?;
-        load::play(shape, &balancer, &[client]);
+        load::run(shape, &balancer, &[client]);
         Ok(Load {
             gateway,
             client,
@@ -183,8 +183,8 @@
             seed: self.shape.seed + MEASURED_SEED_OFFSET,
             ..self.shape
         };
-        let play = || load::play(shape, &self.balancer, &[self.client]);
-        let (cpu_us, records) = cpu_us(self.gateway, play)?;
+        let send_load = || load::run(shape, &self.balancer, &[self.client]);
+        let (cpu_us, records) = cpu_us(self.gateway, send_load)?;
         self.balancer.stop();
         Ok(MeasuredLoad { cpu_us, records })
     }
--- a/testbench/src/capacity/statements.rs
+++ b/testbench/src/capacity/statements.rs
@@ -27,7 +27,7 @@
     informational("statements a second served"),
 ];
 
-pub(super) fn play(setting: &Setting) -> anyhow::Result<()> {
+pub(super) fn run(setting: &Setting) -> anyhow::Result<()> {
     let mut table = Table::new("statements", "statements a second", &QUANTITIES);
     table.measure(setting, &RATES, |table, rate, seed| {
         let backends = Backends::start(DATABASES, STATEMENT_TIME)?;
--- a/testbench/src/cells.rs
+++ b/testbench/src/cells.rs
@@ -47,7 +47,7 @@
     let placement = publish_placement(setting, folder.path())?;
     let all = arms(&placement)
         .into_iter()
-        .map(|arm| play(setting, &arm))
+        .map(|arm| run(setting, &arm))
         .collect::<anyhow::Result<Vec<Measured>>>()?;
     write_table(&setting.out.join("cells-blast.csv"), &all)?;
     all.iter().for_each(print_worst);
@@ -109,7 +109,7 @@
 }
 
 /// Runs one arm with its own databases and gateway.
-fn play(setting: &Setting, arm: &Arm) -> anyhow::Result<Measured> {
+fn run(setting: &Setting, arm: &Arm) -> anyhow::Result<Measured> {
     let shape = fleet::Shape {
         groups: CELLS,
         members: 3,
@@ -128,7 +128,7 @@
     thread::sleep(SETTLE_TIME);
     let restarter = Restarter::start(&fleet);
     let started_at = now();
-    let records = load::play(load_shape(setting, arm), &balancer, &[plan.client]);
+    let records = load::run(load_shape(setting, arm), &balancer, &[plan.client]);
     restarter.stop()?;
     let took = now() - started_at;
     ensure!(
--- a/testbench/src/cluster/mod.rs
+++ b/testbench/src/cluster/mod.rs
@@ -408,7 +408,7 @@
 
     /// Opens sessions of `clients` clients at a gateway at once; see [`Storm`].
     pub fn storm(&self, gateway: usize, clients: usize, within: Duration) -> Storm {
-        storm::play(self.plans[gateway].client, clients, within)
+        storm::run(self.plans[gateway].client, clients, within)
     }
 
     /// All log lines so far, by time.
--- a/testbench/src/cluster/storm.rs
+++ b/testbench/src/cluster/storm.rs
@@ -61,7 +61,7 @@
 }
 
 /// Runs `clients` clients at the same time until all are admitted or the time limit has passed.
-pub(super) fn play(address: SocketAddr, clients: usize, within: Duration) -> Storm {
+pub(super) fn run(address: SocketAddr, clients: usize, within: Duration) -> Storm {
     let until = Instant::now() + within;
     let all: Vec<_> = (0..clients)
         .map(|_| spawn(move || one_client(address, until)))
--- a/testbench/src/health/changes.rs
+++ b/testbench/src/health/changes.rs
@@ -33,7 +33,7 @@
 }
 
 impl Subject {
-    fn play(&self, rounds: u32) -> anyhow::Result<Delays> {
+    fn run(&self, rounds: u32) -> anyhow::Result<Delays> {
         let scopes = [("gateway", "\n"), ("group", "group 0\n")];
         let checks = scopes
             .iter()
@@ -141,7 +141,7 @@
 }
 
 /// Measures all gateways in parallel and writes the table and the chart.
-pub(super) fn play(setting: &Setting, rounds: u32) -> anyhow::Result<()> {
+pub(super) fn run(setting: &Setting, rounds: u32) -> anyhow::Result<()> {
     let fleet = Fleet::start(fleet::Shape {
         gateways: SUBJECTS,
         ..fleet::Shape::default()
@@ -161,7 +161,7 @@
                 step_barrier: step_barrier.clone(),
             };
             Ok(thread::spawn(move || {
-                subject.play(rounds).unwrap_or_else(|error| {
+                subject.run(rounds).unwrap_or_else(|error| {
                     // The other threads would wait at the barrier for this one, so the whole process exits.
                     eprintln!("gateway {number}: {error:#}");
                     std::process::exit(1);
--- a/testbench/src/health/cost.rs
+++ b/testbench/src/health/cost.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 /// Measures each arm three times and writes the run with the median CPU time per request.
-pub(super) fn play(setting: &Setting) -> anyhow::Result<()> {
+pub(super) fn run(setting: &Setting) -> anyhow::Result<()> {
     let mut table = csv::Writer::from_path(setting.out.join("health-cost.csv"))?;
     table.write_record([
         "arm",
@@ -71,7 +71,7 @@
                 "the gateway did not reach weight 100 within {TIMEOUT:?}"
             );
             let before = gateway.cpu_us()?;
-            let records = load::play(shape, &balancer, &[plan.client]);
+            let records = load::run(shape, &balancer, &[plan.client]);
             let used = gateway.cpu_us()? - before;
             let (descriptors, resident) = gateway.holds()?;
             stop.store(true, Ordering::Release);
--- a/testbench/src/health/mod.rs
+++ b/testbench/src/health/mod.rs
@@ -43,12 +43,12 @@
 
 impl Experiment {
     /// Runs the experiment and writes its table and chart. `rounds` is used by `changes` only.
-    pub(crate) fn play(self, setting: &Setting, rounds: u32) -> anyhow::Result<()> {
+    pub(crate) fn run(self, setting: &Setting, rounds: u32) -> anyhow::Result<()> {
         match self {
-            Experiment::Changes => changes::play(setting, rounds),
-            Experiment::Rolling => rolling::play(setting),
-            Experiment::Outage => outage::play(setting),
-            Experiment::Cost => cost::play(setting),
+            Experiment::Changes => changes::run(setting, rounds),
+            Experiment::Rolling => rolling::run(setting),
+            Experiment::Outage => outage::run(setting),
+            Experiment::Cost => cost::run(setting),
         }
     }
 }
--- a/testbench/src/health/outage.rs
+++ b/testbench/src/health/outage.rs
@@ -20,7 +20,7 @@
 }
 
 /// Runs each fault with and without weights.
-pub(super) fn play(setting: &Setting) -> anyhow::Result<()> {
+pub(super) fn run(setting: &Setting) -> anyhow::Result<()> {
     let shape = load::Shape {
         rate: 300.0,
         span: Duration::from_secs(25),
@@ -50,7 +50,7 @@
             ("without weights", CheckMode::Connect),
             ("with weights", CheckMode::Agent),
         ] {
-            let outcome = under_load::play(setting, check_mode, shape, |fleet, gateways, _, _| {
+            let outcome = under_load::run(setting, check_mode, shape, |fleet, gateways, _, _| {
                 thread::sleep(Duration::from_secs(5));
                 match fault {
                     Fault::Cut => {
--- a/testbench/src/health/rolling.rs
+++ b/testbench/src/health/rolling.rs
@@ -14,7 +14,7 @@
 const DEPLOYMENT_TIME: Duration = Duration::from_secs(2);
 
 /// Restarts the gateways one after another, with each mode of health checks.
-pub(super) fn play(setting: &Setting) -> anyhow::Result<()> {
+pub(super) fn run(setting: &Setting) -> anyhow::Result<()> {
     let shape = load::Shape {
         rate: 400.0,
         span: Duration::from_secs(30),
@@ -29,7 +29,7 @@
         ("agent-check every 100 ms", CheckMode::Agent),
     ] {
         let mut drains: Vec<(usize, u64, u64)> = Vec::new();
-        let outcome = under_load::play(
+        let outcome = under_load::run(
             setting,
             check_mode,
             shape,
--- a/testbench/src/health/under_load.rs
+++ b/testbench/src/health/under_load.rs
@@ -36,7 +36,7 @@
 }
 
 /// Runs a load over three gateways while `faults` injects faults on the calling thread.
-pub(super) fn play(
+pub(super) fn run(
     setting: &Setting,
     check_mode: CheckMode,
     shape: load::Shape,
@@ -77,8 +77,8 @@
     // that health checks would wait for.
     thread::sleep(Duration::from_secs(1));
     let addresses: Vec<_> = plans.iter().map(|plan| plan.client).collect();
-    let (playing, started_at) = (balancer.clone(), now());
-    let load = thread::spawn(move || load::play(shape, &playing, &addresses));
+    let (load_balancer, started_at) = (balancer.clone(), now());
+    let load = thread::spawn(move || load::run(shape, &load_balancer, &addresses));
     faults(&fleet, &mut gateways, &plans, &balancer)?;
     let records = load.join().expect("the load panicked");
     balancer.stop();
--- a/testbench/src/load.rs
+++ b/testbench/src/load.rs
@@ -119,7 +119,7 @@
 }
 
 /// Sends a load through a balancer; returns when all requests have ended.
-pub fn play(shape: Shape, balancer: &Arc<Balancer>, gateways: &[SocketAddr]) -> Vec<Record> {
+pub fn run(shape: Shape, balancer: &Arc<Balancer>, gateways: &[SocketAddr]) -> Vec<Record> {
     let mut random = fastrand::Rng::with_seed(shape.seed);
     let (mut at, end) = (0.0, shape.span.as_secs_f64());
     let begin = now() + 50_000;
--- a/testbench/src/main.rs
+++ b/testbench/src/main.rs
@@ -47,7 +47,7 @@
 }
 
 impl Capacity {
-    fn play(self) -> anyhow::Result<()> {
+    fn run(self) -> anyhow::Result<()> {
         let Common { seed, program, out } = self.common;
         std::fs::create_dir_all(&out)?;
         let setting = capacity::Setting {
@@ -64,7 +64,7 @@
         };
         chosen
             .iter()
-            .try_for_each(|experiment| experiment.play(&setting))
+            .try_for_each(|experiment| experiment.run(&setting))
     }
 }
 
@@ -104,7 +104,7 @@
 
 impl Cluster {
     /// Executes the runs; prints one line for each, and a summary.
-    fn play(&self) -> anyhow::Result<()> {
+    fn run(&self) -> anyhow::Result<()> {
         let (mut failed_seeds, mut faults, mut versions, mut recovery_ms) =
             (Vec::new(), 0, 0, Vec::new());
         let seeds: Vec<u64> = (self.seed..self.seed + self.runs).collect();
@@ -182,9 +182,9 @@
             rounds,
         }) => (common, Some((experiment, rounds))),
         Command::Cells(common) => (common, None),
-        Command::Cluster(cluster) => return cluster.play(),
-        Command::Capacity(capacity) => return capacity.play(),
-        Command::Scale(scale) => return scale.play(),
+        Command::Cluster(cluster) => return cluster.run(),
+        Command::Capacity(capacity) => return capacity.run(),
+        Command::Scale(scale) => return scale.run(),
         Command::ScaleHollow => {
             return scale::hollow::serve(std::io::stdin().lock(), std::io::stdout())
         }
@@ -196,7 +196,7 @@
         out: common.out,
     };
     match health {
-        Some((experiment, rounds)) => experiment.play(&setting, rounds),
+        Some((experiment, rounds)) => experiment.run(&setting, rounds),
         None => cells::blast_radius(&setting),
     }
 }
--- a/testbench/src/scale/clients.rs
+++ b/testbench/src/scale/clients.rs
@@ -34,8 +34,8 @@
     pub(super) fn start(gateways: Vec<SocketAddr>, rate: f64, seed: u64) -> Clients {
         let (stop, counts) = (Arc::<AtomicBool>::default(), Arc::<Counts>::default());
         let (until, counting) = (stop.clone(), counts.clone());
-        let run = move || play(&gateways, rate, seed, &until, &counting);
-        let thread = (rate > 0.0).then(|| thread::spawn(run));
+        let send_loads = move || run(&gateways, rate, seed, &until, &counting);
+        let thread = (rate > 0.0).then(|| thread::spawn(send_loads));
         Clients {
             stop,
             counts,
@@ -60,7 +60,7 @@
 }
 
 /// Sends consecutive loads until `over` is set.
-fn play(gateways: &[SocketAddr], rate: f64, seed: u64, stop: &AtomicBool, counts: &Counts) {
+fn run(gateways: &[SocketAddr], rate: f64, seed: u64, stop: &AtomicBool, counts: &Counts) {
     let checks = gateways
         .iter()
         .map(|gateway| Check::Connect(*gateway))
@@ -83,7 +83,7 @@
             seed: seed + segment,
             ..Default::default()
         };
-        let records = load::play(shape, &balancer, gateways);
+        let records = load::run(shape, &balancer, gateways);
         counts
             .served
             .fetch_add(load::served(&records) as u64, Ordering::Relaxed);
--- a/testbench/src/scale/schedule.rs
+++ b/testbench/src/scale/schedule.rs
@@ -92,7 +92,7 @@
 /// # Errors
 ///
 /// The fleet could not be started.
-pub fn play(size: Size, events: &[Event], pace: Pace) -> anyhow::Result<Measured> {
+pub fn run(size: Size, events: &[Event], pace: Pace) -> anyhow::Result<Measured> {
     let (began, gateways, seed) = (Instant::now(), size.gateways, size.seed);
     let fleet = Fleet::start(size)?;
     let random = fastrand::Rng::with_seed(seed);
@@ -105,7 +105,7 @@
         last_served: (0, 0),
     };
     let agreed = schedule.wait_for_first_version();
-    let played = agreed.and_then(|agreed| {
+    let result = agreed.and_then(|agreed| {
         // A fleet that does not agree on a first version is only measured without events.
         let events = if agreed { events } else { &[Event::Rest] };
         for event in events {
@@ -120,7 +120,7 @@
         );
         Ok(())
     });
-    if let Err(fault) = played {
+    if let Err(fault) = result {
         let reason = format!("ended early: {fault:#}");
         schedule.record_change(&reason, crate::now(), Vec::new(), gateways as usize);
         schedule.found.ended = Some(reason);
--- a/testbench/src/scale/table.rs
+++ b/testbench/src/scale/table.rs
@@ -330,20 +330,20 @@
     }
 }
 
-/// Writes a table; existing rows of sizes that are not in `played` are kept.
+/// Writes a table; existing rows of sizes that are not in `sizes` are kept.
 ///
 /// # Errors
 ///
 /// The file could not be read or written.
 pub fn write<Row: AtSize + Serialize + DeserializeOwned>(
     path: &Path,
-    played: &[u32],
+    sizes: &[u32],
     rows: &[Row],
 ) -> anyhow::Result<()> {
     let kept = csv::Reader::from_path(path)
         .map(|reader| reader.into_deserialize().collect::<Result<Vec<Row>, _>>());
     let kept = kept.ok().transpose()?.unwrap_or_default();
-    let kept = kept.iter().filter(|row| !played.contains(&row.gateways()));
+    let kept = kept.iter().filter(|row| !sizes.contains(&row.gateways()));
     let mut all: Vec<&Row> = kept.chain(rows).collect();
     all.sort_by_key(|row| row.gateways());
     let mut table = csv::Writer::from_path(path)?;
--- a/testbench/src/sizes.rs
+++ b/testbench/src/sizes.rs
@@ -48,7 +48,7 @@
 
 impl Scale {
     /// Runs a fleet of each size; writes its measurements before the next one starts.
-    pub(crate) fn play(&self) -> anyhow::Result<()> {
+    pub(crate) fn run(&self) -> anyhow::Result<()> {
         std::fs::create_dir_all(&self.out)?;
         if self.no_play {
             return self.write_results();
@@ -74,7 +74,7 @@
                 memory_kib: self.gib * KIB_OF_GIB,
             };
             println!("{gateways} gateways");
-            let found = scale::play(size, events, pace)?;
+            let found = scale::run(size, events, pace)?;
             if let Some(reason) = &found.ended {
                 println!("{gateways} gateways: {reason}");
             }
