--- a/testbench/src/balancer.rs
+++ b/testbench/src/balancer.rs
@@ -22,7 +22,7 @@
 
 /// Check interval, thresholds and slow start.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct CheckSettings {
     /// Time from the start of one check to the start of the next.
     pub interval: Duration,
     /// Consecutive failed checks after which a gateway is down; one is enough for an agent's answer.
@@ -35,10 +35,10 @@
     pub slow_start: Duration,
 }
 
-impl Default for Pace {
-    fn default() -> Pace {
+impl Default for CheckSettings {
+    fn default() -> CheckSettings {
         let ms = Duration::from_millis;
-        Pace {
+        CheckSettings {
             interval: ms(100),
             fall: 2,
             rise: 1,
@@ -86,7 +86,7 @@
 pub struct Balancer {
     servers: Mutex<Vec<Server>>,
     changes: Mutex<Vec<Change>>,
-    pace: Pace,
+    settings: CheckSettings,
     stop: AtomicBool,
 }
 
@@ -96,7 +96,7 @@
 
 impl Balancer {
     /// Starts a thread for each gateway that checks it until [`Balancer::stop`].
-    pub fn start(checks: Vec<Check>, pace: Pace) -> Arc<Balancer> {
+    pub fn start(checks: Vec<Check>, settings: CheckSettings) -> Arc<Balancer> {
         let server = |_: &Check| Server {
             weight: 0,
             word: "none".into(),
@@ -108,7 +108,7 @@
         let balancer = Arc::new(Balancer {
             servers: Mutex::new(checks.iter().map(server).collect()),
             changes: Mutex::default(),
-            pace,
+            settings,
             stop: AtomicBool::new(false),
         });
         for (gateway, check) in checks.into_iter().enumerate() {
@@ -116,9 +116,9 @@
             thread::spawn(move || {
                 while !balancer.stop.load(Ordering::Acquire) {
                     let began = Instant::now();
-                    let found = check.run(balancer.pace.timeout);
+                    let found = check.run(balancer.settings.timeout);
                     balancer.found(gateway, found);
-                    thread::sleep(balancer.pace.interval.saturating_sub(began.elapsed()));
+                    thread::sleep(balancer.settings.interval.saturating_sub(began.elapsed()));
                 }
             });
         }
@@ -139,8 +139,8 @@
             (0, server.successes + 1)
         };
         let counts = match found.weight {
-            0 => found.at_once || server.failures >= self.pace.fall,
-            _ => server.weight > 0 || server.successes >= self.pace.rise,
+            0 => found.at_once || server.failures >= self.settings.fall,
+            _ => server.weight > 0 || server.successes >= self.settings.rise,
         };
         if counts && (server.weight != found.weight || server.word != found.word) {
             if server.weight == 0 && found.weight > 0 {
@@ -160,7 +160,7 @@
     /// Chooses the gateway for the next request; none if all are down.
     pub fn pick(&self) -> Option<usize> {
         let mut servers = lock(&self.servers);
-        let slow = self.pace.slow_start;
+        let slow = self.settings.slow_start;
         let mut total = 0;
         for server in servers.iter_mut() {
             let grown = if slow.is_zero() {
--- a/testbench/src/balancer/tests.rs
+++ b/testbench/src/balancer/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn requests_are_distributed_by_weight_and_skip_down_gateways() {
-    let balancer = Balancer::start(Vec::new(), Pace::default());
+    let balancer = Balancer::start(Vec::new(), CheckSettings::default());
     for weight in [100, 50, 0, 10] {
         lock(&balancer.servers).push(Server {
             weight,
--- a/testbench/src/capacity/stage.rs
+++ b/testbench/src/capacity/stage.rs
@@ -2,7 +2,7 @@
 
 use super::neighbours::Backends;
 use super::Setting;
-use crate::balancer::{Balancer, Check, Pace};
+use crate::balancer::{Balancer, Check, CheckSettings};
 use crate::gateway::{Gateway, Plan};
 use crate::load::{self, Record, Shape};
 use crate::process;
@@ -84,10 +84,10 @@
         .collect();
     let balancer = Balancer::start(
         checks,
-        Pace {
+        CheckSettings {
             interval: Duration::from_secs(5),
             rise: 1,
-            ..Pace::default()
+            ..CheckSettings::default()
         },
     );
     let until = Instant::now() + START_TIMEOUT;
--- a/testbench/src/cells.rs
+++ b/testbench/src/cells.rs
@@ -2,7 +2,7 @@
 
 use crate::health::{plan, recorded, Setting, TIMEOUT};
 use anyhow::ensure;
-use asterreel_testbench::balancer::{Balancer, Check, Pace};
+use asterreel_testbench::balancer::{Balancer, Check, CheckSettings};
 use asterreel_testbench::fleet::{self, Fleet};
 use asterreel_testbench::gateway::Gateway;
 use asterreel_testbench::load::{self, goodput, Record};
@@ -119,7 +119,7 @@
     let plan = plan(setting, &fleet, 0, true, &arm.operator)?;
     let _gateway = Gateway::start(&plan)?;
     let check = Check::Http(plan.http, "/livez".into());
-    let balancer = Balancer::start(vec![check], Pace::default());
+    let balancer = Balancer::start(vec![check], CheckSettings::default());
     let ready = recorded(&balancer, 0, 0, |change| change.weight == 100);
     ensure!(
         ready.is_some(),
--- a/testbench/src/health/changes.rs
+++ b/testbench/src/health/changes.rs
@@ -2,7 +2,7 @@
 
 use super::{plan, recorded, Setting, TIMEOUT};
 use anyhow::{ensure, Context};
-use asterreel_testbench::balancer::{Balancer, Change, Check, Pace};
+use asterreel_testbench::balancer::{Balancer, Change, Check, CheckSettings};
 use asterreel_testbench::chart::{self, quantile};
 use asterreel_testbench::fleet::{self, Fleet};
 use asterreel_testbench::gateway::{Gateway, Plan};
@@ -39,7 +39,7 @@
             .iter()
             .map(|(_, text)| Check::Agent(self.plan.agent, (*text).into()))
             .collect();
-        let balancer = Balancer::start(checks, Pace::default());
+        let balancer = Balancer::start(checks, CheckSettings::default());
         let mut delays = Delays::new();
         let mut record = |kind,
                           from: usize,
--- a/testbench/src/health/cost.rs
+++ b/testbench/src/health/cost.rs
@@ -2,7 +2,7 @@
 
 use super::{plan, recorded, Setting, TIMEOUT};
 use anyhow::ensure;
-use asterreel_testbench::balancer::{Balancer, Check, Pace};
+use asterreel_testbench::balancer::{Balancer, Check, CheckSettings};
 use asterreel_testbench::fleet::{self, Fleet};
 use asterreel_testbench::gateway::Gateway;
 use asterreel_testbench::load::{self};
@@ -61,9 +61,9 @@
                 .collect();
             let balancer = Balancer::start(
                 vec![Check::Connect(plan.client)],
-                Pace {
+                CheckSettings {
                     interval: Duration::from_secs(5),
-                    ..Pace::default()
+                    ..CheckSettings::default()
                 },
             );
             ensure!(
--- a/testbench/src/health/outage.rs
+++ b/testbench/src/health/outage.rs
@@ -50,7 +50,7 @@
             ("without weights", CheckMode::Connect),
             ("with weights", CheckMode::Agent),
         ] {
-            let outcome = under_load::run(setting, check_mode, shape, |fleet, gateways, _, _| {
+            let result = under_load::run(setting, check_mode, shape, |fleet, gateways, _, _| {
                 thread::sleep(Duration::from_secs(5));
                 match fault {
                     Fault::Cut => {
@@ -78,8 +78,8 @@
                 }
                 Ok(())
             })?;
-            rows.push(outcome.row(arm, 0));
-            lines.push((arm.to_owned(), outcome.by_second()));
+            rows.push(result.row(arm, 0));
+            lines.push((arm.to_owned(), result.by_second()));
         }
         write(setting, name, title, &rows, &lines)?;
     }
--- a/testbench/src/health/rolling.rs
+++ b/testbench/src/health/rolling.rs
@@ -29,7 +29,7 @@
         ("agent-check every 100 ms", CheckMode::Agent),
     ] {
         let mut drains: Vec<(usize, u64, u64)> = Vec::new();
-        let outcome = under_load::run(
+        let result = under_load::run(
             setting,
             check_mode,
             shape,
@@ -64,9 +64,9 @@
                 record.gateway == Some(*number) && sent > signalled_at + 2_000_000 && sent < *up_at
             })
         };
-        let late = outcome.records.iter().filter(late).count();
-        rows.push(outcome.row(arm, late));
-        lines.push((arm.to_owned(), outcome.by_second()));
+        let late = result.records.iter().filter(late).count();
+        rows.push(result.row(arm, late));
+        lines.push((arm.to_owned(), result.by_second()));
     }
     write(
         setting,
--- a/testbench/src/health/under_load.rs
+++ b/testbench/src/health/under_load.rs
@@ -2,11 +2,11 @@
 
 use super::{plan, recorded, Setting, TIMEOUT};
 use anyhow::ensure;
-use asterreel_testbench::balancer::{Balancer, Check, Pace};
+use asterreel_testbench::balancer::{Balancer, Check, CheckSettings};
 use asterreel_testbench::chart::{self};
 use asterreel_testbench::fleet::{self, Fleet};
 use asterreel_testbench::gateway::{Gateway, Plan};
-use asterreel_testbench::load::{self, goodput, Fate, Record};
+use asterreel_testbench::load::{self, goodput, Outcome, Record};
 use asterreel_testbench::now;
 use std::collections::{BTreeMap, HashMap};
 use std::thread;
@@ -24,7 +24,7 @@
 }
 
 /// The outcome of a load.
-pub(super) struct Outcome {
+pub(super) struct LoadResult {
     /// Each request with its outcome.
     pub records: Vec<Record>,
     /// Start of the load, Unix microseconds.
@@ -41,7 +41,7 @@
     check_mode: CheckMode,
     shape: load::Shape,
     faults: impl FnOnce(&Fleet, &mut [Gateway], &[Plan], &Balancer) -> anyhow::Result<()>,
-) -> anyhow::Result<Outcome> {
+) -> anyhow::Result<LoadResult> {
     let fleet = Fleet::start(fleet::Shape {
         members: 4,
         gateways: 3,
@@ -56,17 +56,17 @@
         true => Check::Agent(plan.agent, "\n".into()),
         false => Check::Connect(plan.client),
     };
-    let pace = match check_mode {
+    let settings = match check_mode {
         // The defaults of common balancers.
-        CheckMode::SlowConnect => Pace {
+        CheckMode::SlowConnect => CheckSettings {
             interval: Duration::from_secs(2),
             fall: 3,
             rise: 2,
-            ..Pace::default()
+            ..CheckSettings::default()
         },
-        CheckMode::Connect | CheckMode::Agent => Pace::default(),
+        CheckMode::Connect | CheckMode::Agent => CheckSettings::default(),
     };
-    let balancer = Balancer::start(plans.iter().map(check).collect(), pace);
+    let balancer = Balancer::start(plans.iter().map(check).collect(), settings);
     for number in 0..3 {
         ensure!(
             recorded(&balancer, number, 0, |change| change.weight == 100).is_some(),
@@ -87,14 +87,15 @@
         .taken()
         .into_iter()
         .for_each(|taken| *counts.entry(taken.id).or_default() += 1);
-    let served =
-        |record: &&Record| record.write && matches!(record.fate, Fate::Served | Fate::Late);
+    let served = |record: &&Record| {
+        record.write && matches!(record.outcome, Outcome::Served | Outcome::Late)
+    };
     let not_executed = records
         .iter()
         .filter(served)
         .filter(|record| !counts.contains_key(&record.id))
         .count();
-    Ok(Outcome {
+    Ok(LoadResult {
         records,
         started_at,
         duplicates: counts.values().filter(|count| **count > 1).count(),
@@ -102,11 +103,11 @@
     })
 }
 
-impl Outcome {
-    fn count(&self, fate: Fate) -> String {
+impl LoadResult {
+    fn count(&self, outcome: Outcome) -> String {
         self.records
             .iter()
-            .filter(|record| record.fate == fate)
+            .filter(|record| record.outcome == outcome)
             .count()
             .to_string()
     }
@@ -136,14 +137,14 @@
         let mut row = vec![arm.to_owned(), self.records.len().to_string()];
         row.push(format!("{:.4}", goodput(self.records.iter())));
         row.push(format!("{worst:.3}"));
-        let fates = [
-            Fate::Late,
-            Fate::Refused,
-            Fate::Failed,
-            Fate::NoGateway,
-            Fate::Lost,
+        let outcomes = [
+            Outcome::Late,
+            Outcome::Refused,
+            Outcome::Failed,
+            Outcome::NoGateway,
+            Outcome::Lost,
         ];
-        row.extend(fates.iter().map(|fate| self.count(*fate)));
+        row.extend(outcomes.iter().map(|outcome| self.count(*outcome)));
         row.extend([late_sends, self.duplicates, self.not_executed].map(|count| count.to_string()));
         row
     }
--- a/testbench/src/load.rs
+++ b/testbench/src/load.rs
@@ -48,7 +48,7 @@
 
 /// The outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum Outcome {
     /// Served within its latency target.
     Served,
     /// Served after its latency target.
@@ -79,7 +79,7 @@
     /// Number of the tenant that sent it.
     pub tenant: usize,
     /// Its outcome.
-    pub fate: Fate,
+    pub outcome: Outcome,
     /// Time from the scheduled time to the outcome, microseconds.
     pub took: u64,
 }
@@ -88,7 +88,7 @@
 pub fn served(records: &[Record]) -> usize {
     records
         .iter()
-        .filter(|record| record.fate == Fate::Served)
+        .filter(|record| record.outcome == Outcome::Served)
         .count()
 }
 
@@ -104,9 +104,9 @@
 
     /// The worth that was earned: a part of it if it was served late, 0 if it was not served.
     pub fn earned(&self) -> f64 {
-        match self.fate {
-            Fate::Served => self.worth(),
-            Fate::Late => self.worth() * if self.write { 0.5 } else { 0.2 },
+        match self.outcome {
+            Outcome::Served => self.worth(),
+            Outcome::Late => self.worth() * if self.write { 0.5 } else { 0.2 },
             _ => 0.0,
         }
     }
@@ -177,13 +177,13 @@
         let id = format!("{id:016x}");
         let statement = statement(&id, write, cluster, poison);
         let sent = now();
-        let (gateway, fate) = request(&mut open, balancer, gateways, &user, &statement);
+        let (gateway, outcome) = request(&mut open, balancer, gateways, &user, &statement);
         let took = now().saturating_sub(at);
         let latency_target_us = if write { 1_000_000 } else { 300_000 };
-        let fate = if fate == Fate::Served && took > latency_target_us {
-            Fate::Late
+        let outcome = if outcome == Outcome::Served && took > latency_target_us {
+            Outcome::Late
         } else {
-            fate
+            outcome
         };
         records.push(Record {
             id,
@@ -192,7 +192,7 @@
             gateway,
             write,
             tenant,
-            fate,
+            outcome,
             took,
         });
     }
@@ -206,28 +206,28 @@
     gateways: &[SocketAddr],
     user: &str,
     statement: &str,
-) -> (Option<usize>, Fate) {
+) -> (Option<usize>, Outcome) {
     for is_repetition in [false, true] {
         let Some(gateway) = balancer.pick() else {
-            return (None, Fate::NoGateway);
+            return (None, Outcome::NoGateway);
         };
         // The repetition uses a new connection, as another reused one may be closing too.
         let reused = open[gateway].take().filter(|_| !is_repetition);
         let used_before = reused.is_some();
         let stream = reused.map_or_else(|| connect(gateways[gateway], user), Ok);
         let Ok(mut stream) = stream else {
-            return (Some(gateway), Fate::NoGateway);
+            return (Some(gateway), Outcome::NoGateway);
         };
         match send_request(&mut stream, statement) {
-            Ok((fate, keep)) => {
+            Ok((outcome, keep)) => {
                 open[gateway] = keep.then_some(stream);
-                return (Some(gateway), fate);
+                return (Some(gateway), outcome);
             }
             Err(true) if used_before => {}
-            Err(_) => return (Some(gateway), Fate::Lost),
+            Err(_) => return (Some(gateway), Outcome::Lost),
         }
     }
-    (None, Fate::Lost)
+    (None, Outcome::Lost)
 }
 
 /// Opens a session as the given user.
@@ -256,14 +256,17 @@
 
 /// Sends a request and reads the answer; returns the outcome and whether the connection can be reused. The error is
 /// whether the connection ended before the first byte of an answer.
-pub(crate) fn send_request(stream: &mut TcpStream, statement: &str) -> Result<(Fate, bool), bool> {
+pub(crate) fn send_request(
+    stream: &mut TcpStream,
+    statement: &str,
+) -> Result<(Outcome, bool), bool> {
     let query = database::message(b'Q', &[statement.as_bytes(), b"\0"].concat());
     stream.write_all(&query).map_err(|_| true)?;
     answer(stream)
 }
 
-fn answer(stream: &mut TcpStream) -> Result<(Fate, bool), bool> {
-    let mut fate = Fate::Failed;
+fn answer(stream: &mut TcpStream) -> Result<(Outcome, bool), bool> {
+    let mut outcome = Outcome::Failed;
     let mut first = true;
     loop {
         let mut tag = [0];
@@ -273,17 +276,21 @@
         first = false;
         let body = database::read_body(stream).map_err(|_| false)?;
         match tag[0] {
-            b'C' => fate = Fate::Served,
+            b'C' => outcome = Outcome::Served,
             b'E' => {
                 let refused = body
                     .split(|byte| *byte == 0)
                     .any(|field| matches!(field, b"C53300" | b"C57P03"));
-                fate = if refused { Fate::Refused } else { Fate::Failed };
+                outcome = if refused {
+                    Outcome::Refused
+                } else {
+                    Outcome::Failed
+                };
                 if body.starts_with(b"SFATAL") {
-                    return Ok((fate, false));
+                    return Ok((outcome, false));
                 }
             }
-            b'Z' => return Ok((fate, true)),
+            b'Z' => return Ok((outcome, true)),
             _ => {}
         }
     }
--- a/testbench/src/scale/clients.rs
+++ b/testbench/src/scale/clients.rs
@@ -1,6 +1,6 @@
 //! A load of client requests on the real gateways of a fleet while it runs.
 
-use crate::balancer::{Balancer, Check, Pace};
+use crate::balancer::{Balancer, Check, CheckSettings};
 use crate::load;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -67,9 +67,9 @@
         .collect();
     let balancer = Balancer::start(
         checks,
-        Pace {
+        CheckSettings {
             interval: CHECK_INTERVAL,
-            ..Pace::default()
+            ..CheckSettings::default()
         },
     );
     for segment in 0.. {
--- a/testbench/src/scale/fleet.rs
+++ b/testbench/src/scale/fleet.rs
@@ -385,7 +385,7 @@
             for one in &all {
                 if !one.acts(seen_at) {
                     lapsed.insert(one.gateway);
-                } else if one.asked_at(1_000 * LEASE_MS) > fallen_at {
+                } else if one.heartbeat_sent_at(1_000 * LEASE_MS) > fallen_at {
                     renewed_at.entry(one.gateway).or_insert(seen_at);
                 }
             }
--- a/testbench/src/scale/mod.rs
+++ b/testbench/src/scale/mod.rs
@@ -17,4 +17,4 @@
 
 pub use fleet::{Fleet, Size};
 pub use group::{Host, Part};
-pub use schedule::{run, Event, Measured, Pace};
+pub use schedule::{run, Event, Measured, Timing};
--- a/testbench/src/scale/schedule.rs
+++ b/testbench/src/scale/schedule.rs
@@ -45,7 +45,7 @@
 
 /// Durations of a schedule.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct Timing {
     /// Pause before each measurement.
     pub rest: Duration,
     /// Minimum duration of a measurement.
@@ -56,9 +56,9 @@
     pub until: Duration,
 }
 
-impl Default for Pace {
-    fn default() -> Pace {
-        Pace {
+impl Default for Timing {
+    fn default() -> Timing {
+        Timing {
             rest: REST_TIME,
             window: WINDOW,
             cut: Duration::ZERO,
@@ -82,7 +82,7 @@
     fleet: Fleet,
     gateways: u32,
     random: fastrand::Rng,
-    pace: Pace,
+    timing: Timing,
     found: Measured,
     last_served: (u64, u64),
 }
@@ -92,7 +92,7 @@
 /// # Errors
 ///
 /// The fleet could not be started.
-pub fn run(size: Size, events: &[Event], pace: Pace) -> anyhow::Result<Measured> {
+pub fn run(size: Size, events: &[Event], timing: Timing) -> anyhow::Result<Measured> {
     let (began, gateways, seed) = (Instant::now(), size.gateways, size.seed);
     let fleet = Fleet::start(size)?;
     let random = fastrand::Rng::with_seed(seed);
@@ -100,7 +100,7 @@
         fleet,
         gateways,
         random,
-        pace,
+        timing,
         found: Measured::default(),
         last_served: (0, 0),
     };
@@ -109,7 +109,7 @@
         // A fleet that does not agree on a first version is only measured without events.
         let events = if agreed { events } else { &[Event::Rest] };
         for event in events {
-            if began.elapsed() > pace.until {
+            if began.elapsed() > timing.until {
                 anyhow::bail!("{event:?} and what follows was not run: time was up");
             }
             schedule.event(*event)?;
@@ -167,17 +167,17 @@
         self.fleet.check_memory()
     }
 
-    /// Runs `act` and measures the fleet meanwhile, for at least `Pace::window`.
+    /// Runs `act` and measures the fleet meanwhile, for at least `Timing::window`.
     fn during(
         &mut self,
         event: &str,
         act: impl FnOnce(&mut Schedule) -> anyhow::Result<()>,
     ) -> anyhow::Result<()> {
-        std::thread::sleep(self.pace.rest);
+        std::thread::sleep(self.timing.rest);
         let before = self.fleet.measure()?;
         let began = Instant::now();
         act(self)?;
-        std::thread::sleep(self.pace.window.saturating_sub(began.elapsed()));
+        std::thread::sleep(self.timing.window.saturating_sub(began.elapsed()));
         self.record_loads(event, &before)
     }
 
@@ -285,13 +285,13 @@
     }
 
     fn cut_off_third(&mut self) -> anyhow::Result<()> {
-        let (pause, began) = (self.pace.rest, Instant::now());
+        let (pause, began) = (self.timing.rest, Instant::now());
         self.during("a third cut off", |schedule| {
             schedule.fleet.cut(true)?;
             std::thread::sleep(pause);
             schedule.change("a change with a third cut off", &[Part::Third])
         })?;
-        self.changes_until(began + self.pace.cut, &[Part::Third])?;
+        self.changes_until(began + self.timing.cut, &[Part::Third])?;
         self.during("a third back", |schedule| {
             schedule.fleet.cut(false)?;
             schedule.wait_for_recovery("a third back")
--- a/testbench/src/sizes.rs
+++ b/testbench/src/sizes.rs
@@ -1,6 +1,6 @@
 //! The command `scale`: runs fleets of several sizes and writes their tables and charts.
 
-use asterreel_testbench::scale::{self, slopes, table, Event, Host, Pace, Size};
+use asterreel_testbench::scale::{self, slopes, table, Event, Host, Size, Timing};
 use clap::ValueEnum;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -59,10 +59,10 @@
             &self.events
         };
         let minutes = |count: u64| Duration::from_secs(60 * count);
-        let pace = Pace {
+        let timing = Timing {
             cut: minutes(self.cut_minutes),
             until: minutes(self.minutes),
-            ..Pace::default()
+            ..Timing::default()
         };
         for &gateways in &self.gateways {
             let size = Size {
@@ -74,7 +74,7 @@
                 memory_kib: self.gib * KIB_OF_GIB,
             };
             println!("{gateways} gateways");
-            let found = scale::run(size, events, pace)?;
+            let found = scale::run(size, events, timing)?;
             if let Some(reason) = &found.ended {
                 println!("{gateways} gateways: {reason}");
             }
--- a/testbench/src/standing.rs
+++ b/testbench/src/standing.rs
@@ -49,7 +49,7 @@
     }
 
     /// When the heartbeat was sent that gained its registration, given the length of a lease.
-    pub fn asked_at(&self, lease_us: u64) -> u64 {
+    pub fn heartbeat_sent_at(&self, lease_us: u64) -> u64 {
         self.until.saturating_sub(lease_us)
     }
 }
--- a/testbench/tests/standing.rs
+++ b/testbench/tests/standing.rs
@@ -58,7 +58,7 @@
         }
     );
     assert!(registered.acts(48) && !registered.acts(49));
-    assert_eq!(registered.asked_at(LEASE_US), 19);
+    assert_eq!(registered.heartbeat_sent_at(LEASE_US), 19);
     let stopped = json!({"message": "registration: stopped acting: it drains", "at": 22});
     assert!(!logged(&[in_force(5, 3), acting(20, 49), stopped]).acts(23));
 }
