--- a/testbench/src/health/changes.rs
+++ b/testbench/src/health/changes.rs
@@ -108,7 +108,7 @@
             let from = balancer.changes().len();
             let frozen = gateway
                 .freeze()
-                .context("cannot trace its worker threads")?;
+                .context("cannot trace the gateway's worker threads")?;
             record("hung", from, now(), &|change| {
                 change.word.starts_with("down hung")
             })?;
