--- a/testbench/src/cells.rs
+++ b/testbench/src/cells.rs
@@ -28,7 +28,7 @@
 struct Arm {
     name: &'static str,
     poison: Option<usize>,
-    /// Further arguments of `health(...)`, and further calls, in the operator's file.
+    /// More arguments of `health(...)`, and further calls, in the operator's file.
     operator: String,
 }
 
--- a/testbench/src/fleet.rs
+++ b/testbench/src/fleet.rs
@@ -36,7 +36,7 @@
     busy: usize,
     waiting: usize,
     open: Vec<TcpStream>,
-    /// Gateways that cannot reach it.
+    /// Gateways that can't reach it.
     cut: HashSet<usize>,
 }
 
