--- a/src/bin/asterreel/discovery/first_list.rs
+++ b/src/bin/asterreel/discovery/first_list.rs
@@ -1,14 +1,14 @@
-//! The wait of a gateway that starts for its first list.
+//! Lets a starting gateway wait for discovery's first list before it accepts clients.
 
 use std::sync::{Condvar, Mutex, PoisonError};
 use std::time::Duration;
 
-/// How long a gateway that starts waits for its first list before it takes clients: the latest first call, and most of what
-/// that may wait in discovery's queue. Whatever discovery does, a gateway serves within 5 s of its start.
+/// How long a starting gateway waits for its first list before it accepts clients. Covers the latest first call and most of
+/// the time that the call may spend in discovery's queue; whatever discovery does, a gateway serves within 5 s of its start.
 pub(crate) const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(3_500);
 
-/// Whether the first list has come, or it is known that it can't come soon. The list that a gateway starts with is of
-/// unknown age, and what it lacks may bind from the first request on.
+/// Whether the first list has arrived, or is known not to arrive soon. The age of the list in the configuration is unknown,
+/// and changes that it lacks may be binding from the first request on.
 #[derive(Default)]
 pub(crate) struct FirstList {
     settled: Mutex<bool>,
@@ -16,13 +16,14 @@
 }
 
 impl FirstList {
-    /// The list is here, or nobody listens where discovery should be.
+    /// Ends the wait: the list has arrived, or discovery's address refuses connections.
     pub(crate) fn settle(&self) {
         *self.settled.lock().unwrap_or_else(PoisonError::into_inner) = true;
         self.changed.notify_all();
     }
 
-    /// Blocks the thread, never a coroutine, until it is settled or the timeout is over; returns whether it is settled.
+    /// Blocks until the wait is settled or the timeout has passed; returns whether it is settled. Only for plain threads: in a
+    /// coroutine it would block the worker.
     pub(crate) fn wait(&self, timeout: Duration) -> bool {
         let settled = self.settled.lock().unwrap_or_else(PoisonError::into_inner);
         let waited = self
--- a/src/bin/asterreel/discovery/mod.rs
+++ b/src/bin/asterreel/discovery/mod.rs
@@ -1,7 +1,7 @@
-//! Carries out the subscription to discovery's list of endpoints: connects, calls, reads and applies updates.
+//! Runs the subscription to discovery's list of endpoints: connects, sends the request, reads and applies updates.
 //!
-//! [`Subscription`] decides when a watch is broken and how stale the list is; the router asks for each call after a loss.
-//! A bad update changes nothing: the list in force stays.
+//! [`Subscription`] decides when a watch is broken and how stale the list is; after a loss the router requests the next
+//! call. An invalid update changes nothing: the current list stays.
 
 mod first_list;
 mod framing;
@@ -16,9 +16,9 @@
 use asterreel::config::EndpointList;
 use asterreel::discovery::{Subscription, WatchEnd};
 use asterreel::interface::{Micros, UpdateKind, WatchLoss};
-use framing::AnswerError;
+use framing::ResponseError;
 use may::sync::mpsc::Receiver;
-use reader::AnswerReader;
+use reader::ResponseReader;
 use std::convert::Infallible;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -30,24 +30,24 @@
 /// Why a watch ended.
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
-    #[error("connect: {0}; is discovery up at the address in `discovery`?")]
+    #[error("connecting to discovery: {0}; check that it runs at the address set in `discovery`")]
     Connect(std::io::Error),
-    #[error("call: {0}")]
-    Call(std::io::Error),
-    #[error("answer: {0}")]
-    Answer(#[from] AnswerError),
-    #[error("bad list: {0}; the list in force stays")]
-    BadUpdate(String),
-    #[error("silent for {} ms", .0 / 1000)]
+    #[error("sending the request: {0}")]
+    Send(std::io::Error),
+    #[error("reading the response: {0}")]
+    Response(#[from] ResponseError),
+    #[error("invalid list: {0}; keeping the current list")]
+    InvalidUpdate(String),
+    #[error("no data from discovery for {} ms; check that it runs and is reachable", .0 / 1000)]
     Silent(Micros),
-    #[error("ended")]
+    #[error("the connection to discovery ended")]
     Closed(#[source] Option<std::io::Error>),
-    #[error("discovery moved")]
+    #[error("the address in `discovery` changed")]
     Moved,
 }
 
-/// Watches whenever the router asks for it, and reports each watch that ends as lost. The first list, and whatever shows
-/// that none will come soon, lets the gateway accept clients.
+/// Starts a watch on each request, and reports to the router when it is lost. The first list, or a refused connection,
+/// settles `first_list`, so that the gateway accepts clients.
 pub(crate) fn run(
     core: &Core,
     source: &Source,
@@ -63,14 +63,14 @@
     };
     info!(
         revision,
-        "list from the configuration in force, of unknown age"
+        "using the list in the configuration, of unknown age, until discovery sends one"
     );
     while requested.recv().is_ok() {
         watcher.watch_until_lost(requested);
     }
 }
 
-/// One gateway's subscription, with what it takes to carry it out.
+/// The subscription and what it acts on.
 struct Watcher<'a> {
     core: &'a Core,
     source: &'a Source,
@@ -79,7 +79,7 @@
 }
 
 impl Watcher<'_> {
-    /// Watches, from one place after the other while discovery moves, and reports the loss.
+    /// Watches until the watch is lost, and reports the loss; starts over at once when discovery's address has changed.
     fn watch_until_lost(&mut self, requested: &Receiver<()>) {
         loop {
             let address = self.source.address();
@@ -87,7 +87,7 @@
             let Err(error) = self.watch(address);
             let now = self.core.clock.now();
             self.log_loss(&error, now);
-            // Any other error may be over in a moment, or be this machine's own.
+            // Other errors may be temporary, or have their cause on this machine: the first list may still arrive soon.
             if matches!(&error, WatchError::Connect(error) if error.kind() == ErrorKind::ConnectionRefused)
             {
                 self.first_list.settle();
@@ -122,7 +122,8 @@
         );
     }
 
-    /// What is lost with a watch that ended now with this error.
+    /// Describes the loss of a watch that ended at `now` with this error: how stale the list is, and whether an update was
+    /// truncated.
     fn loss(&self, error: &WatchError, now: Micros) -> WatchLoss {
         let WatchEnd {
             last_contact_at,
@@ -133,7 +134,7 @@
         };
         WatchLoss {
             staleness: now.saturating_sub(self.source.missed_since(last_contact_at)),
-            truncated: truncated || matches!(error, WatchError::BadUpdate(_)),
+            truncated: truncated || matches!(error, WatchError::InvalidUpdate(_)),
         }
     }
 
@@ -149,15 +150,15 @@
             .write_all(self.request(address).as_bytes(), || {
                 clock.now() < times_out_at
             })
-            .map_err(WatchError::Call)?;
-        let mut reader = AnswerReader::default();
+            .map_err(WatchError::Send)?;
+        let mut reader = ResponseReader::default();
         loop {
             if self.receive(&mut stream, &mut reader, address)? {
                 drop(alarm);
                 let times_out_at = self.subscription.times_out_at();
                 alarm = self.core.timer.alarm(times_out_at, stream.waker());
             }
-            if reader.is_over() {
+            if reader.is_complete() {
                 return Err(WatchError::Closed(None));
             }
             match stream.read_now() {
@@ -176,23 +177,24 @@
         format!("GET /v1/servers?watch=1&after={after} HTTP/1.1\r\nHost: {address}\r\n\r\n")
     }
 
-    /// Takes in what has come, and applies each update that is complete; returns whether anything was used.
+    /// Processes the bytes in the stream's buffer and applies each update that is complete; returns whether any byte was
+    /// consumed.
     fn receive(
         &mut self,
         stream: &mut Stream,
-        reader: &mut AnswerReader,
+        reader: &mut ResponseReader,
         address: SocketAddr,
     ) -> Result<bool, WatchError> {
-        let used = reader.take(stream.buffer.data())?;
+        let used = reader.feed(stream.buffer.data())?;
         stream.buffer.consume(used);
         while let Some(list) = reader.next_list() {
             list.map_err(|error| error.to_string())
                 .and_then(|list| self.apply(&list))
                 .map_err(|fault| {
-                    warn!("bad list: {fault}");
-                    WatchError::BadUpdate(fault)
+                    warn!("discovery sent an invalid list: {fault}");
+                    WatchError::InvalidUpdate(fault)
                 })?;
-            self.source.contacted(address);
+            self.source.record_contact(address);
             self.first_list.settle();
         }
         if used > 0 {
@@ -202,7 +204,7 @@
         Ok(used > 0)
     }
 
-    /// Applies an update; one that makes no sense leaves the list in force as it is, and the next watch starts from there.
+    /// Applies an update; an invalid one leaves the current list as it is, and the next watch starts from its revision.
     fn apply(&mut self, list: &EndpointList) -> Result<(), String> {
         let kind = if list.complete {
             UpdateKind::Snapshot
@@ -219,14 +221,14 @@
             ?kind,
             entries = list.members.len(),
             stale_ms = staleness / 1000,
-            "list taken"
+            "list applied"
         );
         Ok(())
     }
 
-    /// Whether the watch may go on: discovery is still there, and it was not silent for too long.
+    /// Checks that the watch may continue: discovery's address is unchanged, and data arrived in time.
     fn check_watch(&self, address: SocketAddr) -> Result<(), WatchError> {
-        // An old place that still answers must not be listened to any longer.
+        // A discovery at the previous address may still answer, but its updates must not be applied any longer.
         if self.source.address() != address {
             return Err(WatchError::Moved);
         }
--- a/src/bin/asterreel/discovery/source.rs
+++ b/src/bin/asterreel/discovery/source.rs
@@ -1,4 +1,4 @@
-//! Where discovery is, which SIGHUP may change while it is watched.
+//! Discovery's address, which SIGHUP may change during a watch.
 
 use asterreel::interface::Micros;
 use asterreel_control::clock::Clock;
@@ -7,22 +7,23 @@
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
 
-/// How much sooner than otherwise an update of a discovery that moved counts as notified, microseconds: 4 s after the move.
+/// After a change of discovery's address its updates count as notified this much sooner than otherwise, microseconds: 4 s
+/// after the change.
 const MOVE_LEAD_US: Micros = 2_000_000;
 
-/// The address of discovery, shared by the thread that takes signals and the watch.
+/// Discovery's address, shared by the thread that handles signals and the watch.
 pub(crate) struct Source {
     clock: Clock,
     location: Mutex<Location>,
-    /// Asks for a watch.
+    /// Requests a watch.
     requests: Sender<()>,
 }
 
 struct Location {
     address: SocketAddr,
-    /// Wakes the watch.
+    /// Wakes the current watch.
     waker: Option<WaitIoWaker>,
-    /// The first move since there was contact with discovery where it is now.
+    /// The first change of the address since the last contact with discovery at its current address.
     moved_at: Option<Micros>,
 }
 
@@ -48,40 +49,40 @@
         self.with_location(|location| location.address)
     }
 
-    /// A move wakes this watch from now on.
+    /// Sets the watch that a change of the address wakes.
     pub(super) fn set_waker(&self, waker: WaitIoWaker) {
         self.with_location(|location| location.waker = Some(waker));
     }
 
-    /// From now on discovery is watched here; a watch elsewhere ends at once.
+    /// Changes discovery's address; a watch at another address ends at once.
     pub(crate) fn move_to(&self, address: SocketAddr) {
         self.with_location(|location| {
             location.address = address;
-            // A further move without contact gives no time anew: the first one counts until a list comes.
+            // The first change counts until a list arrives: a further change does not extend the time.
             location.moved_at.get_or_insert(self.clock.now());
             location.waker.iter().for_each(WaitIoWaker::wakeup);
         });
-        // The watch may be in its backoff, and updates of the new place count as notified soon: call now. The channel is
-        // closed only where the watch has ended for good, with the process.
+        // The watch may be in its backoff, and updates at the new address count as notified soon: call now. The channel is
+        // closed only when the watch has ended with the process.
         let _ = self.requests.send(());
     }
 
-    /// Whether discovery has moved from there. Drops the watches requested while it was watched there: each that is left
-    /// would make one more watch for good. A move sets the address before it requests a watch, so the address is looked
-    /// at last: a move that comes after that leaves its request.
+    /// Whether discovery's address is no longer `from`. First drops the watches requested while `from` was watched, as each
+    /// of them would start one more watch later. `move_to` sets the address before it requests a watch, so the address is
+    /// read last: a change after that leaves its request in the channel.
     pub(super) fn has_moved(&self, from: SocketAddr, requested: &Receiver<()>) -> bool {
         while requested.try_recv().is_ok() {}
         self.address() != from
     }
 
-    /// A list came from this address.
-    pub(super) fn contacted(&self, from: SocketAddr) {
+    /// Records that a list was received from this address.
+    pub(super) fn record_contact(&self, from: SocketAddr) {
         self.with_location(|location| {
             location.moved_at = location.moved_at.filter(|_| location.address != from);
         });
     }
 
-    /// Since when updates may have been missed, with the last contact at this time.
+    /// The time since which updates may have been missed, given the time of the last contact.
     pub(super) fn missed_since(&self, last_contact_at: Micros) -> Micros {
         let moved_at = self.with_location(|location| location.moved_at);
         moved_at.map_or(last_contact_at, |at| {
