--- a/src/bin/asterreel/cells.rs
+++ b/src/bin/asterreel/cells.rs
@@ -1,7 +1,8 @@
-//! Cells in the program: watches the placement's file on a thread of its own, and guards each admitted request.
+//! Applies cells in the gateway: re-reads the placement's file on a thread of its own, and admits requests to their cells.
 //!
-//! The gate decides; here its file is read, and what a request holds of its cell is given back. A file that can't be read
-//! changes nothing: the placement in force stays until its lease is over, and writes stop then.
+//! [`CellAdmission`] decides; this module reads the file for it, and returns what a request holds of its cell when the request
+//! ends. A file that can't be read changes nothing: the current placement stays in force until its lease ends, and then writes
+//! are rejected.
 
 use asterreel::cells::placement::Placement;
 use asterreel::cells::quarantine::{MemberOutcome, QuarantineDecision};
@@ -16,17 +17,17 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// The door of sessions to the gate.
+/// Admits the requests of sessions to their cells; clones share one state.
 #[derive(Clone)]
 pub(crate) struct Cells {
-    gate: Arc<Mutex<CellAdmission>>,
+    admission: Arc<Mutex<CellAdmission>>,
     clock: Clock,
-    /// The tenant can differ from statement to statement.
+    /// Whether the tenant can differ between the statements of a session.
     pub by_statement: bool,
 }
 
 impl Cells {
-    /// Reads the placement, and starts to watch it; an error names the key.
+    /// Reads the placement and starts the thread that re-reads it; an error names the key at fault.
     pub(crate) fn start(settings: &operator::Cells, clock: Clock) -> io::Result<Cells> {
         let rules = settings
             .rules()
@@ -39,7 +40,7 @@
             io::Error::other(SettingError::new("cells.placement", fault))
         })?;
         let cells = Cells {
-            gate: Arc::new(Mutex::new(CellAdmission::new(
+            admission: Arc::new(Mutex::new(CellAdmission::new(
                 rules,
                 placement,
                 fresh_until,
@@ -54,7 +55,7 @@
         Ok(cells)
     }
 
-    /// Reads the file again and again, for as long as the process runs. Warns of an error once, however often it recurs.
+    /// Re-reads the file for as long as the process runs. Repeats of the same error in a row are logged once.
     fn watch(&self, mut file: PlacementFile, interval: Duration) {
         let mut last_error = None;
         loop {
@@ -65,7 +66,7 @@
                 .filter(|error| last_error.as_ref() != Some(*error))
             {
                 warn!(
-                    "cells.placement: {}: {error}; the one in force stays",
+                    "cells.placement: {}: {error}; keeping the current placement",
                     file.path.display()
                 );
             }
@@ -73,30 +74,36 @@
         }
     }
 
-    /// Puts the placement in the file in force if it is newer, and renews the lease of the one in force if it is the same.
+    /// Applies the file's placement if it is newer than the current one, or renews the current one's lease if the file is
+    /// unchanged.
     fn reload(&self, file: &mut PlacementFile) -> io::Result<()> {
         let fresh_until = file.fresh_until();
         let bytes = std::fs::read(&file.path)?;
         if bytes == file.bytes_in_force {
-            self.with_gate(|gate| gate.renew_lease(fresh_until));
+            self.with_admission(|admission| admission.renew_lease(fresh_until));
             return Ok(());
         }
-        let epoch_in_force = self.with_gate(|gate| gate.epoch());
-        // Decoded outside the lock, which requests wait for.
+        let epoch_in_force = self.with_admission(|admission| admission.epoch());
+        // Decoded without the lock, as requests wait for it.
         let placement = record::decode(&bytes, epoch_in_force).map_err(io::Error::other)?;
         let epoch = placement.epoch;
-        if self.with_gate(|gate| gate.update_placement(placement, fresh_until)) {
-            info!(epoch = epoch.0, "placement");
+        if self.with_admission(|admission| admission.update_placement(placement, fresh_until)) {
+            info!(epoch = epoch.0, "placement applied");
             file.bytes_in_force = bytes;
         }
         Ok(())
     }
 
-    fn with_gate<T>(&self, work: impl FnOnce(&mut CellAdmission) -> T) -> T {
-        work(&mut self.gate.lock().unwrap_or_else(PoisonError::into_inner))
+    fn with_admission<T>(&self, work: impl FnOnce(&mut CellAdmission) -> T) -> T {
+        work(
+            &mut self
+                .admission
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner),
+        )
     }
 
-    /// Admits a request for a group and key, or says why not.
+    /// Admits a request for a group and key, or returns why it is rejected.
     pub(crate) fn admit(
         &self,
         caller: &Caller,
@@ -105,8 +112,9 @@
         is_write: bool,
     ) -> Result<Placed, Rejection> {
         let now = self.clock.now();
-        let admitted =
-            self.with_gate(|gate| gate.admit(now, caller, target, statement, is_write))?;
+        let admitted = self.with_admission(|admission| {
+            admission.admit(now, caller, target, statement, is_write)
+        })?;
         Ok(Placed {
             cells: self.clone(),
             admitted,
@@ -132,28 +140,28 @@
         }
     }
 
-    /// The end of the lease of a placement that is read from now on. It counts from before the read, as the file may have
-    /// been replaced by the time its bytes are here.
+    /// The end of the lease of a placement whose read begins now. The lease counts from before the read, as the file may be
+    /// replaced while it is read.
     fn fresh_until(&self) -> Micros {
         self.clock.now() + self.lease_us
     }
 
-    /// Reads the placement that a gateway starts with, of any epoch.
+    /// Reads the placement that a gateway starts with; any epoch is accepted.
     fn read_first(&mut self) -> io::Result<Placement> {
         self.bytes_in_force = std::fs::read(&self.path)?;
         record::decode(&self.bytes_in_force, Epoch::default()).map_err(io::Error::other)
     }
 }
 
-/// What an admitted request holds of its cell; given back when this is dropped.
+/// What an admitted request holds of its cell; returned on drop.
 pub(crate) struct Placed {
     cells: Cells,
     pub admitted: Admitted,
 }
 
 impl Placed {
-    /// Whether an attempt may be dispatched: `ran` when an earlier one of the request may have run, and `victims` the number
-    /// of members that crashed after its attempts.
+    /// Whether an attempt may be dispatched. `ran` says that an earlier attempt of the request may have run; `victims` is the
+    /// number of members that crashed after its attempts.
     pub(crate) fn attempt(
         &self,
         idempotency: Idempotency,
@@ -161,11 +169,13 @@
         victims: usize,
     ) -> QuarantineDecision {
         let now = self.cells.clock.now();
-        self.cells
-            .with_gate(|gate| gate.admit_attempt(now, &self.admitted, idempotency, ran, victims))
+        self.cells.with_admission(|admission| {
+            admission.admit_attempt(now, &self.admitted, idempotency, ran, victims)
+        })
     }
 
-    /// An attempt has ended. Only a connection that broke under it is a sign of a crash; silence may be load.
+    /// Records the outcome of an attempt. Only a connection that was reset during it indicates a crash of the member; a
+    /// timeout may be caused by load.
     pub(crate) fn attempted(&self, member: MemberId, outcome: Outcome) {
         let after = match outcome {
             Outcome::Reset => MemberOutcome::Crashed,
@@ -175,8 +185,9 @@
             _ => return,
         };
         let now = self.cells.clock.now();
-        self.cells
-            .with_gate(|gate| gate.attempt_ended(now, &self.admitted, member, after));
+        self.cells.with_admission(|admission| {
+            admission.attempt_ended(now, &self.admitted, member, after)
+        });
     }
 }
 
@@ -184,6 +195,6 @@
     fn drop(&mut self) {
         let now = self.cells.clock.now();
         self.cells
-            .with_gate(|gate| gate.request_ended(now, &self.admitted));
+            .with_admission(|admission| admission.request_ended(now, &self.admitted));
     }
 }
--- a/src/bin/asterreel/cli/mod.rs
+++ b/src/bin/asterreel/cli/mod.rs
@@ -90,9 +90,10 @@
     }
 }
 
-/// How long the evaluation of an operator's file may take, at the start and while the gateway runs: signals wait for it.
+/// How long the evaluation of an operator's file may take at the start.
 pub(crate) const EVALUATION: Duration = Duration::from_secs(5);
-pub(crate) const EVALUATION_RUNNING: Duration = Duration::from_millis(500);
+/// How long it may take while the gateway runs; shorter, as signals are not handled meanwhile.
+pub(crate) const RELOAD_EVALUATION_TIMEOUT: Duration = Duration::from_millis(500);
 
 #[derive(Args)]
 pub(crate) struct Control {
--- a/src/bin/asterreel/fuzz.rs
+++ b/src/bin/asterreel/fuzz.rs
@@ -1,8 +1,8 @@
-//! What the tests of all parsers share: random cuts of valid bytes, and random garbage, from fixed seeds.
+//! Shared by the tests of all parsers: random cuts of valid bytes, and random garbage, from fixed seeds.
 
 use quickcheck::{Arbitrary, Gen};
 
-/// Calls `run` with ascending ends of prefixes of the bytes, the last of them the length of all; many times over.
+/// Calls `run` many times, each time with random ascending lengths of prefixes of the bytes; the last is the full length.
 pub(crate) fn cuts(bytes: &[u8], mut run: impl FnMut(&[usize])) {
     for seed in 0..200 {
         let mut gen = Gen::from_size_and_seed(64, seed);
@@ -14,7 +14,7 @@
     }
 }
 
-/// Calls `run` with garbage: random bytes, and the valid ones with some of them replaced.
+/// Calls `run` with garbage: random bytes, and the valid bytes with some of them replaced.
 pub(crate) fn garbage(valid: &[u8], mut run: impl FnMut(&[u8])) {
     for seed in 0..500 {
         let mut gen = Gen::from_size_and_seed(256, seed);
--- a/src/bin/asterreel/main.rs
+++ b/src/bin/asterreel/main.rs
@@ -1,7 +1,8 @@
 //! The gateway: accepts requests from clients on sockets and sends them to the members that the router chooses.
 //!
-//! `front` serves clients, `request` talks to servers, `core` holds the router between them, `discovery` feeds it with
-//! endpoints; `health` answers load balancers, `control` connects to the control plane, and `cli` holds the other commands.
+//! `front` serves clients, `request` dispatches attempts to servers, `core` runs the router between them, and `discovery`
+//! supplies its endpoints. `health` answers load balancers, `control` connects to the control plane, and `cli` holds the
+//! other commands.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -67,13 +68,13 @@
     }
 }
 
-/// Logs to standard error from now on, at the level of `RELAY_LOG`.
+/// Starts logging to standard error, at the level of `RELAY_LOG`, or at INFO if that is unset or invalid.
 fn start_logging(format: LogFormat) {
     let level = std::env::var("RELAY_LOG")
         .ok()
         .and_then(|level| level.parse().ok())
         .unwrap_or(LevelFilter::INFO);
-    // A log that can't be written is reported on standard error, and that panics when it is closed.
+    // tracing reports write errors on standard error, which panics if standard error is closed.
     let log = tracing_subscriber::fmt()
         .log_internal_errors(false)
         .with_max_level(level)
@@ -85,9 +86,9 @@
     }
 }
 
-/// Runs a gateway until a signal ends it.
+/// Runs a gateway until SIGTERM or SIGINT.
 fn run(files: &Files) -> Result<(), Box<dyn Error>> {
-    // Before anything else, so that a signal that comes early ends nothing.
+    // First of all, so that an early signal does not kill the process.
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     let config = Config::from_env()?;
     let evaluated = files.evaluate(cli::EVALUATION)?;
@@ -109,7 +110,8 @@
     } = start_gateway(&config, &operator, gateways, clock)?;
     if !first_list.wait(discovery::FIRST_LIST_TIMEOUT) {
         warn!(
-            "no list from discovery yet: serving by the one in the configuration, which may be out of date"
+            "no list from discovery yet; serving with the list in the configuration, which may be out of date; check that \
+             discovery runs at the address set in `discovery`"
         );
     }
     accept(&gateway, config.listen)?;
@@ -134,8 +136,8 @@
     Ok(())
 }
 
-/// How many gateways the fleet has by the operator's file and the platform's settings. Only control members need be
-/// listed in the file.
+/// How many gateways the fleet has: the larger of the number of peers in the operator's file and `FleetSize` of the
+/// settings, as the file must list only the control members.
 fn configured_gateways(config: &Config, operator: &Operator) -> u32 {
     let listed = operator
         .lease
@@ -144,14 +146,14 @@
     listed.max(config.settings.fleet_size)
 }
 
-/// A gateway that accepts no clients yet.
+/// A started gateway that does not accept clients yet.
 struct StartedGateway {
     gateway: Arc<Gateway>,
     source: Arc<Source>,
     first_list: Arc<FirstList>,
 }
 
-/// Starts everything that requests go through, and does not accept clients yet.
+/// Starts everything that serves requests, without accepting clients yet.
 fn start_gateway(
     config: &Config,
     operator: &Operator,
@@ -192,7 +194,8 @@
     })
 }
 
-/// Sets up one worker, as a gateway has one core; pinned workers of all gateways of a machine would share the first.
+/// Configures one worker, as a gateway has one core. The worker is not pinned: may pins the first worker to the first core,
+/// which all gateways of a machine would then share.
 fn configure_coroutines() {
     may::config()
         .set_workers(1)
@@ -201,10 +204,11 @@
         .set_worker_pin(false);
 }
 
-/// Listens for clients, and accepts them from now on.
+/// Listens for clients and starts to accept them.
 fn accept(gateway: &Arc<Gateway>, listen: SocketAddr) -> Result<(), Box<dyn Error>> {
-    let listener =
-        TcpListener::bind(listen).map_err(|error| format!("listen: {listen}: {error}"))?;
+    let listener = TcpListener::bind(listen).map_err(|error| {
+        format!("listen: cannot listen on {listen}: {error}; choose a free address of this machine")
+    })?;
     let accepting = gateway.clone();
     coroutine::spawn(move || front::accept(&accepting, &listener));
     Ok(())
--- a/src/bin/asterreel/probe.rs
+++ b/src/bin/asterreel/probe.rs
@@ -1,4 +1,4 @@
-//! Health checks of databases: one query for the load report, on a pooled connection or a new one.
+//! Health checks of databases: query the load report once, on a pooled connection or a new one.
 
 use crate::postgres::{self as pg, sqlstate, Answer, QueryResult};
 use crate::request::cancellation::CancellationToken;
@@ -11,13 +11,13 @@
 /// The query for the load report.
 const REPORT_QUERY: &str = "SHOW usage";
 
-/// Checks a database; returns the outcome, and its report where it was served. A check that takes longer than a connection
-/// may has failed.
+/// Checks a database; returns the outcome, and the report if the query was served. The check fails if it takes longer than
+/// the pool's timeout for connecting.
 pub(crate) fn run(pool: &Pool, address: SocketAddr) -> (Outcome, MemberReport) {
     let token = CancellationToken::new(pool.clock.now() + pool.connect_timeout);
     let mut connection = match pool.acquire(address, token.deadline) {
         Ok(connection) => connection,
-        // A lack of descriptors here says nothing of the database.
+        // A lack of descriptors in this process is no failure of the database.
         Err(fault) => match outcome::without_connection(fault, false) {
             Outcome::NotSent => return (Outcome::Rejected, MemberReport::default()),
             outcome => return (outcome, MemberReport::default()),
@@ -47,7 +47,7 @@
     }
 }
 
-/// Whether an error says that the database is up and takes no connections now.
+/// Whether the error says that the database is up, but accepts no connections at the moment.
 fn is_rejection(code: sqlstate::SqlState) -> bool {
     matches!(
         code,
--- a/src/bin/asterreel/server.rs
+++ b/src/bin/asterreel/server.rs
@@ -1,8 +1,7 @@
-//! The server's run loop: what signals do to a gateway that serves, what it does for the control plane meanwhile, and how
-//! it drains.
+//! The run loop of a serving gateway: handles signals and events of the control plane, and drains at the end.
 //!
-//! A configuration or operator's file that is bad changes nothing. A drain, once begun, always ends the process, and
-//! SIGHUP never does.
+//! An invalid configuration or operator's file changes nothing. A drain, once begun, always ends the process; SIGHUP never
+//! does.
 
 use crate::cli::{self, Files};
 use crate::control::client::ControlClient;
@@ -19,31 +18,31 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// Time between two looks at events of the control plane.
+/// The interval at which events of the control plane and signals are polled.
 const CONTROL_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time between two looks at whether a drain is over.
+/// The interval at which a drain checks whether it is complete.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What signals and the control plane act on.
+/// The state of a serving gateway that signals and the control plane act on.
 pub(crate) struct Server<'a> {
-    /// The platform's configuration in force.
+    /// The configuration in force, from `RELAY_CONFIG`.
     pub config: Config,
-    /// Where the operator's file is.
+    /// The path of the operator's file.
     pub files: &'a Files,
-    /// Where discovery is.
+    /// Discovery's address, which SIGHUP may change.
     pub source: &'a Source,
-    /// The front ends for load balancers, where there are any.
+    /// The health listeners for load balancers, if the operator's file sets `health`.
     pub health: Option<health::Handle>,
-    /// The settings of cells at the start.
+    /// The settings of cells that the gateway started with, to detect changes.
     pub cells: Option<asterreel::operator::Cells>,
-    /// The timetable of a drain, where load balancers are notified of it.
+    /// The timetable of a drain, if load balancers are notified of it.
     pub timetable: Option<Timetable>,
-    /// The control client, where there is a control plane.
+    /// The client of the control plane, if the operator's file sets `lease`.
     pub control: Option<ControlClient>,
 }
 
 impl Server<'_> {
-    /// Serves until a signal asks to end, and then drains.
+    /// Serves until a signal requests the end, and then drains.
     pub(crate) fn run(mut self, gateway: &Gateway, signals: &mut Signals) {
         if self.control.is_some() {
             while self.handle_all(signals.pending()) {
@@ -56,47 +55,49 @@
         self.drain(gateway, signals);
     }
 
-    /// Handles all of these signals; false when one of them asks to end.
+    /// Handles all of these signals; false if one of them requests the end.
     fn handle_all(&mut self, signals: impl Iterator<Item = i32>) -> bool {
-        signals.fold(true, |goes_on, signal| goes_on & self.handle_signal(signal))
+        signals.fold(true, |continues, signal| {
+            continues & self.handle_signal(signal)
+        })
     }
 
-    /// Handles a signal; false when it asks to end.
+    /// Handles a signal; false if it requests the end.
     fn handle_signal(&mut self, signal: i32) -> bool {
         if signal != SIGHUP {
             return false;
         }
         match self.config.reload_from_env() {
             Ok(config) => apply_config(&mut self.config, config, self.source),
-            Err(error) => warn!("{error}; the configuration in force stays"),
+            Err(error) => warn!("{error}; keeping the current configuration"),
         }
         self.reload_operator_file();
         true
     }
 
-    /// Reads the operator's file again; one that is bad, or contradicts the configuration, changes nothing.
+    /// Reads the operator's file again; one that is invalid, or contradicts the configuration, changes nothing.
     fn reload_operator_file(&mut self) {
         if self.files.operator.is_none() {
             return;
         }
         match self.evaluate_operator_file() {
             Ok(evaluated) => match &self.control {
-                // The control plane activates it in the whole fleet, or not at all.
+                // The control plane activates it on all gateways of the fleet, or on none.
                 Some(control) => control.propose(&evaluated.operator),
                 None => self.apply_operator_file(evaluated),
             },
-            Err(error) => warn!("{error}; the operator's file in force stays"),
+            Err(error) => warn!("{error}; keeping the settings of the current operator's file"),
         }
     }
 
-    /// The operator's file as it is now, checked against the configuration.
+    /// Evaluates the operator's file as it is on disk now, and checks it against the configuration.
     fn evaluate_operator_file(&self) -> Result<Evaluated, OperatorFileError> {
-        let evaluated = self.files.evaluate(cli::EVALUATION_RUNNING)?;
+        let evaluated = self.files.evaluate(cli::RELOAD_EVALUATION_TIMEOUT)?;
         evaluated.beside(&self.config)?;
         Ok(evaluated)
     }
 
-    /// Applies an operator's file, as far as a running gateway can.
+    /// Applies the settings of an operator's file that can change at run time, and warns of the others.
     fn apply_operator_file(&mut self, evaluated: Evaluated) {
         info!(file = evaluated.file, "operator's file read again");
         match (&mut self.health, evaluated.operator.health) {
@@ -106,14 +107,14 @@
                 }
             }
             (None, None) => {}
-            _ => warn!("health: switched on or off at the next start"),
+            _ => warn!("health: added or removed; the change takes effect at the next start"),
         }
         if self.cells != evaluated.operator.cells {
             warn!("cells: the change takes effect at the next start");
         }
     }
 
-    /// Reports to the control plane, and handles its events.
+    /// Reports request counts to the control plane, follows the fleet's size, and handles the control plane's events.
     fn poll_control(&mut self, gateway: &Gateway) {
         let Some(mut control) = self.control.take() else {
             return;
@@ -139,8 +140,8 @@
         self.control = Some(control);
     }
 
-    /// Serves on while clients still come, then closes connections between requests, and returns when none is
-    /// left or no answer can be owed any more.
+    /// Keeps serving while the drain is announced, as balancers still send clients; then closes each session once it has no
+    /// open request. Returns when no session is left, or when the deadlines of all open requests have passed.
     fn drain(&mut self, gateway: &Gateway, signals: &mut Signals) {
         if let Some(health) = &self.health {
             health.terminate();
@@ -173,7 +174,8 @@
         classes.map(|class| class.deadline).max().unwrap_or(0)
     }
 
-    /// Waits between two looks at a drain. Discovery may move meanwhile, which is followed; no signal ends the drain.
+    /// Waits for one poll interval of a drain. SIGHUP is still handled, as discovery's address may change meanwhile; no signal
+    /// ends the drain.
     fn pause_drain(&mut self, signals: &mut Signals) {
         for signal in signals.pending() {
             self.handle_signal(signal);
@@ -182,16 +184,16 @@
     }
 }
 
-/// Applies a configuration that was read again, as far as a running gateway can.
+/// Applies the keys of a configuration read again that can change at run time, and warns of the others.
 fn apply_config(config: &mut Config, reread: Config, source: &Source) {
     info!(discovery = %reread.discovery, "configuration read again");
-    let keys_applied_at_start = [
+    let changes_needing_restart = [
         ("name", config.name != reread.name),
         ("listen", config.listen != reread.listen),
         ("limits", config.max_descriptors != reread.max_descriptors),
         ("settings", config.settings != reread.settings),
     ];
-    for (key, _) in keys_applied_at_start
+    for (key, _) in changes_needing_restart
         .iter()
         .filter(|(_, is_changed)| *is_changed)
     {
--- a/src/bin/asterreel/startup.rs
+++ b/src/bin/asterreel/startup.rs
@@ -1,5 +1,5 @@
-//! What a gateway starts before it listens: the router with what feeds it, the pool of connections to servers, and how the
-//! descriptors are divided.
+//! Starts what a gateway needs before it listens: the router with its timer, health checks and watch on discovery, and the
+//! pool of connections to servers. Divides the file descriptors between clients and servers.
 
 use crate::core::{Core, HealthCheck};
 use crate::discovery::{self, FirstList, Source};
@@ -16,11 +16,11 @@
 use std::io;
 use std::sync::Arc;
 
-/// Descriptors for everything that is neither a client nor a server: eleven stay open, and each file or socket that is
-/// opened before another is closed takes one more.
+/// Descriptors for everything but connections of clients and to servers: eleven stay open; the rest is for files and
+/// sockets that are opened before others are closed.
 const RESERVED_DESCRIPTORS: usize = 24;
 
-/// How many descriptors clients and servers may hold, of those that the platform gives.
+/// How many of the process's descriptors connections of clients and to servers may hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Descriptors {
     /// For connections of clients.
@@ -30,9 +30,9 @@
 }
 
 impl Descriptors {
-    /// Divides all of them, less those of the health front ends. At most a third of all serve open requests, each with a
-    /// connection to a server as well; beyond those there must be capacity for idle connections to servers, and for
-    /// clients that are between two requests.
+    /// Divides `all`, less the reserved ones and those of the health listeners. At most a third of the rest serve clients
+    /// with an open request, each of which needs a connection to a server as well. What remains must suffice for idle
+    /// connections to servers, and for clients that are between two requests.
     pub(crate) fn divide(all: usize, for_health: usize) -> Descriptors {
         let available = all.saturating_sub(RESERVED_DESCRIPTORS + for_health);
         let servers = available * 3 / 8;
@@ -43,20 +43,20 @@
     }
 }
 
-/// The router, and what it is fed by and acts through.
+/// The router, the sources of its events, and the connections that it dispatches to.
 pub(crate) struct RequestPath {
-    /// The router, where events and actions meet.
+    /// Delivers events to the router and carries out its actions.
     pub core: Arc<Core>,
     /// Connections to servers.
     pub pool: Arc<Pool>,
-    /// Where discovery is.
+    /// Discovery's address, which SIGHUP may change.
     pub source: Arc<Source>,
-    /// Whether discovery's first list has come.
+    /// Settled once discovery's first list has arrived, or can't arrive soon.
     pub first_list: Arc<FirstList>,
 }
 
-/// Starts the router with its timer, its health checks and its watch on discovery. At most `max_connections` to servers
-/// are open at a time.
+/// Starts the router with its timer, its health checks and its watch on discovery. At most `max_connections` connections
+/// to servers are open at a time.
 ///
 /// # Errors
 ///
@@ -68,13 +68,13 @@
     clock: Clock,
 ) -> Result<RequestPath, Box<dyn Error>> {
     let timer = Timer::new(clock);
-    let (health_checks, checks_asked) = mpsc::channel();
-    let (watches, watches_asked) = mpsc::channel();
+    let (health_checks, check_requests) = mpsc::channel();
+    let (watches, watch_requests) = mpsc::channel();
     let source = Arc::new(Source::new(config.discovery, clock, watches.clone()));
-    // A pushing agent is watched from the start: the router asks for watches only where discovery must be called, and
-    // this gateway counts as notified of what the agent holds whether it is watched or not.
+    // In push mode the watch starts at once: the router requests watches only where discovery must be called, and this
+    // gateway counts as notified of the agent's updates whether it watches or not.
     if config.settings.discovery == DiscoveryMode::Push {
-        // The receiver is alive until this function returns.
+        // Can't fail: the receiver lives until this function returns.
         let _ = watches.send(());
     }
     let core = Arc::new(Core::new(
@@ -96,11 +96,11 @@
         allowed.connect_timeout_us,
     ));
     start_timer(timer, &core)?;
-    let (checking, checking_pool) = (core.clone(), pool.clone());
-    coroutine::spawn(move || run_health_checks(&checking, &checking_pool, &checks_asked));
+    let (checking_core, checking_pool) = (core.clone(), pool.clone());
+    coroutine::spawn(move || run_health_checks(&checking_core, &checking_pool, &check_requests));
     core.listed(UpdateKind::CachedSnapshot, &config.known_endpoints)
         .map_err(|error| format!("configuration: known: {error}"))?;
-    let first_list = watch_discovery(&core, &source, &config.known_endpoints, watches_asked)?;
+    let first_list = watch_discovery(&core, &source, &config.known_endpoints, watch_requests)?;
     Ok(RequestPath {
         core,
         pool,
@@ -109,7 +109,7 @@
     })
 }
 
-/// Starts the thread of the timer, which wakes the router.
+/// Starts the timer's thread, which also wakes the router.
 fn start_timer(timer: Arc<Timer>, core: &Arc<Core>) -> io::Result<()> {
     let woken = core.clone();
     std::thread::Builder::new()
@@ -118,24 +118,24 @@
     Ok(())
 }
 
-/// Starts the coroutine that watches discovery, from the revision of the known list on.
+/// Starts the coroutine that watches discovery, from the revision of the configuration's list (`known`) on.
 fn watch_discovery(
     core: &Arc<Core>,
     source: &Arc<Source>,
     known: &EndpointList,
-    watches_asked: Receiver<()>,
+    watch_requests: Receiver<()>,
 ) -> io::Result<Arc<FirstList>> {
     let (core, source, revision) = (core.clone(), source.clone(), known.revision);
     let first_list = Arc::<FirstList>::default();
     let listed = first_list.clone();
-    let watch = move || discovery::run(&core, &source, revision, &watches_asked, &listed);
+    let watch = move || discovery::run(&core, &source, revision, &watch_requests, &listed);
     coroutine::spawn_with_stack(coroutine::JSON_STACK_WORDS, watch)?;
     Ok(first_list)
 }
 
-/// Runs the health checks that the router asks for, each beside the others.
-fn run_health_checks(core: &Arc<Core>, pool: &Arc<Pool>, asked: &Receiver<HealthCheck>) {
-    while let Ok(HealthCheck { member, address }) = asked.recv() {
+/// Runs the health checks that the router requests, each in a coroutine of its own.
+fn run_health_checks(core: &Arc<Core>, pool: &Arc<Pool>, requests: &Receiver<HealthCheck>) {
+    while let Ok(HealthCheck { member, address }) = requests.recv() {
         let (core, pool) = (core.clone(), pool.clone());
         coroutine::spawn(move || {
             let (outcome, report) = probe::run(&pool, address);
--- a/src/bin/asterreel/startup/tests.rs
+++ b/src/bin/asterreel/startup/tests.rs
@@ -1,6 +1,6 @@
 use super::{Descriptors, RESERVED_DESCRIPTORS};
 
-/// All are divided, none is given twice, and open requests find a connection to a server.
+/// Each descriptor is assigned once, and every open request can get a connection to a server.
 #[test]
 fn all_descriptors_are_divided_once() {
     assert_eq!(
@@ -25,7 +25,7 @@
                 all.saturating_sub(RESERVED_DESCRIPTORS + for_health),
                 "of {all}"
             );
-            // Each open request, a third of what is divided at most, has a connection to a server as well.
+            // Open requests, at most a third of the divided descriptors, need a connection to a server each.
             assert!(servers >= (clients + servers) / 3, "of {all}");
         }
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of a gateway for replicated databases, and how their settings and lists are decoded.
+//! The decisions of a gateway for replicated databases, and the decoding of their settings and lists of endpoints.
 //!
-//! [`policy`] and [`interface`] do no input or output: a gateway feeds a [`policy::Router`] with
-//! [`interface::Event`]s and carries out the [`interface::Action`]s it answers with. [`config`] reads the file
-//! and environment that a gateway is started with.
+//! [`policy`] and [`interface`] do no input or output: a gateway passes [`interface::Event`]s to a [`policy::Router`] and
+//! carries out the [`interface::Action`]s that it returns. [`config`] reads the file and environment that a gateway is started
+//! with.
 #![doc = include_str!("../README.md")]
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -10,7 +10,7 @@
 pub mod cells;
 pub mod config;
 pub mod discovery;
-/// The one helper of all parser tests; the program's share it.
+/// Helpers of the parser tests, shared with the tests of the gateway's binary.
 #[cfg(test)]
 #[path = "bin/asterreel/fuzz.rs"]
 mod fuzz;
