--- a/src/bin/asterreel/cli/health.rs
+++ b/src/bin/asterreel/cli/health.rs
@@ -1,7 +1,7 @@
-//! `asterreel health`: a table of what a running gateway tells of itself.
+//! `asterreel health`: a table of the health that a running gateway reports.
 
-use super::exchange::{get, Fault};
-use super::say;
+use super::exchange::{get, ExchangeError};
+use super::print_line;
 use clap::Args;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -10,39 +10,40 @@
 
 #[derive(Args)]
 pub(crate) struct Health {
-    /// Where its HTTP health front listens, as ADDRESS:PORT
+    /// The gateway's HTTP health listener, as ADDRESS:PORT
     #[arg(default_value = "127.0.0.1:6461")]
     address: SocketAddr,
-    /// Print what it answered, as JSON
+    /// Print the gateway's answer as JSON
     #[arg(long)]
     json: bool,
 }
 
-/// Shows what a gateway tells of itself.
+/// Prints the health that a gateway reports.
 pub(crate) fn run(health: &Health) -> ExitCode {
-    let told = get(health.address, "/health", Duration::from_secs(2)).and_then(|(_, body)| {
+    let report = get(health.address, "/health", Duration::from_secs(2)).and_then(|(_, body)| {
         let value: Result<Value, _> = serde_json::from_str(&body);
-        value.map_err(|error| Fault::Senseless(error.to_string()))
+        value.map_err(|error| ExchangeError::Invalid(error.to_string()))
     });
-    match told {
+    match report {
         Ok(value) => {
-            say(&if health.json {
+            print_line(&if health.json {
                 value.to_string()
             } else {
                 table(&value)
             });
             ExitCode::SUCCESS
         }
-        Err(Fault::Silent(error)) => {
+        Err(ExchangeError::Io(error)) => {
             eprintln!(
-                "asterreel: {}: {error}; is it running with health on?",
+                "asterreel: {}: {error}; check that the gateway runs, and that its operator's file sets \
+                 health(http = ...)",
                 health.address
             );
             ExitCode::from(3)
         }
-        Err(Fault::Senseless(text)) => {
+        Err(ExchangeError::Invalid(text)) => {
             eprintln!(
-                "asterreel: {}: not what a gateway says: {text}",
+                "asterreel: {}: not a gateway's health answer: {text}; check that this is its HTTP health listener",
                 health.address
             );
             ExitCode::from(4)
@@ -50,6 +51,7 @@
     }
 }
 
+/// The report as a table: the whole gateway first, then each group.
 fn table(value: &Value) -> String {
     let mut rows = vec![COLUMNS.map(str::to_owned)];
     let gateway = format!("gateway {}", plain(&value["serviceId"]));
@@ -77,7 +79,7 @@
         .map_or_else(|| value.to_string(), str::to_owned)
 }
 
-/// The row of a scope; columns that it has no values for are empty.
+/// The row of a scope; columns without a value are empty.
 fn row(scope: String, entry: &Value) -> [String; COLUMNS.len()] {
     let members = match (&entry["usable_members"], &entry["members"]) {
         (Value::Null, _) | (_, Value::Null) => String::new(),
--- a/src/bin/asterreel/cli/mod.rs
+++ b/src/bin/asterreel/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: what can be asked for, and the commands that need no gateway of their own.
+//! The command line, and the commands that do not run a gateway.
 
 pub(crate) mod cells;
 pub(crate) mod check;
@@ -21,19 +21,19 @@
 #[derive(Parser)]
 #[command(version, about)]
 pub(crate) struct Cli {
-    /// How log lines are written, to standard error; RELAY_LOG sets the level.
+    /// The format of log lines on standard error; RELAY_LOG sets the level.
     #[arg(long, value_enum, default_value = "text", global = true)]
     pub log_format: LogFormat,
     #[command(subcommand)]
     pub command: Option<Command>,
 }
 
-/// The form of a log line.
+/// The format of a log line.
 #[derive(Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub(crate) enum LogFormat {
-    /// For people.
+    /// Plain text.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -47,32 +47,32 @@
     Check(Files),
     /// Check a gateway's health as a balancer would
     ///
-    /// Exits with 0 when it is ready for clients, 1 when it says that it is not, 2 when the arguments are wrong, 3 when
-    /// nothing answers in time, 4 when the answer makes no sense.
+    /// Exits with 0 if it is ready for clients, 1 if it reports that it is not, 2 if the arguments are wrong, 3 if no answer
+    /// arrives in time, 4 if the answer is invalid.
     Probe(Probe),
-    /// Show what a running gateway tells of itself, by group
+    /// Show the health that a running gateway reports, by group
     ///
-    /// Exits with 0 when it was told, 3 when nothing answers, 4 when the answer makes no sense.
+    /// Exits with 0 if it answers, 3 if no answer arrives, 4 if the answer is invalid.
     Health(Health),
     /// Run a control member that serves no clients of its own
     ///
-    /// It holds the log on which the fleet's gateways agree, with the other voters of the operator's file, and serves
-    /// gateways; it opens no listener but `lease.listen` and reads no other configuration. SIGTERM ends it in order.
+    /// With the other voters of the operator's file it replicates the log of the fleet's control plane, and it serves the
+    /// gateways. It listens on `lease.listen` only and reads no other configuration. SIGTERM shuts it down in order.
     Control(Control),
-    /// Say where tenants live, and publish placements
+    /// Show where tenants are placed, and publish placements
     #[command(subcommand)]
     Cells(CellsCommand),
 }
 
 #[derive(Args, Default)]
 pub(crate) struct Files {
-    /// The operator's file (Starlark); without one all that it could set is off
+    /// The operator's file (Starlark); without it, all that it can set is off
     #[arg(long, value_name = "FILE")]
     pub operator: Option<PathBuf>,
 }
 
 impl Files {
-    /// Has the operator's file evaluated, if there is one.
+    /// Evaluates the operator's file, if there is one, within this time.
     pub(crate) fn evaluate(
         &self,
         within: Duration,
@@ -84,7 +84,7 @@
             file: path.display().to_string(),
             at: None,
             key: None,
-            fault: format!("no evaluator: {error}"),
+            fault: format!("the path of its evaluator is unknown: {error}"),
         })?;
         operator::evaluate(&evaluator, path, within)
     }
@@ -97,12 +97,12 @@
 
 #[derive(Args)]
 pub(crate) struct Control {
-    /// The operator's file (Starlark); its `lease(...)` has to make this process a voter
+    /// The operator's file (Starlark); its `lease(...)` must make this process a voter
     #[arg(long, value_name = "FILE")]
     pub operator: PathBuf,
 }
 
-/// A reader that has gone away is no reason to panic.
-fn say(text: &str) {
+/// Prints a line to standard output. Errors are ignored: `println!` would panic once the reader has closed the pipe.
+fn print_line(text: &str) {
     let _ = writeln!(io::stdout(), "{text}");
 }
--- a/src/bin/asterreel/cli/probe.rs
+++ b/src/bin/asterreel/cli/probe.rs
@@ -1,7 +1,7 @@
-//! `asterreel probe`: a gateway's health, asked for as a balancer would.
+//! `asterreel probe`: checks a gateway's health as a balancer would.
 
-use super::exchange::{exchange, get, Fault};
-use super::say;
+use super::exchange::{exchange, get, ExchangeError};
+use super::print_line;
 use crate::postgres as pg;
 use asterreel::health::{agent, grpc};
 use clap::{Args, ValueEnum};
@@ -17,7 +17,7 @@
     Agent,
     /// GET /readyz, or the group's path
     Http,
-    /// A connection that is opened and greeted
+    /// Opens a connection and waits for the answer to its startup message
     Postgres,
     /// grpc.health.v1.Health/Check
     Grpc,
@@ -25,12 +25,12 @@
 
 #[derive(Args)]
 pub(crate) struct Probe {
-    /// Where the front listens, as ADDRESS:PORT
+    /// The listener to check, as ADDRESS:PORT
     address: SocketAddr,
-    /// What it speaks
+    /// The protocol of the listener
     #[arg(long, value_enum, default_value = "http")]
     protocol: Protocol,
-    /// Ask for one group instead of the whole gateway
+    /// Check one group instead of the whole gateway
     #[arg(long)]
     group: Option<u64>,
     /// How long to wait for the answer, in milliseconds (1 to 60000)
@@ -41,62 +41,63 @@
     json: bool,
 }
 
-/// Probes as a balancer would.
+/// Runs one check, and prints its result.
 pub(crate) fn run(probe: &Probe) -> ExitCode {
-    let began = Instant::now();
-    let told = probe.ask();
-    let took = began.elapsed().as_secs_f64() * 1e3;
-    let (code, verdict, text) = match told {
+    let started = Instant::now();
+    let result = probe.check();
+    let took_ms = started.elapsed().as_secs_f64() * 1e3;
+    let (code, verdict, text) = match result {
         Ok((true, text)) => (0, "ready", text),
         Ok((false, text)) => (1, "not ready", text),
-        Err(Fault::Silent(error)) => (3, "no answer", error.to_string()),
-        Err(Fault::Senseless(text)) => (4, "senseless answer", text),
+        Err(ExchangeError::Io(error)) => (3, "no answer", error.to_string()),
+        Err(ExchangeError::Invalid(text)) => (4, "senseless answer", text),
     };
     if probe.json {
         let address = probe.address.to_string();
-        say(
-            &json!({"address": address, "verdict": verdict, "told": text, "took_ms": took})
+        print_line(
+            &json!({"address": address, "verdict": verdict, "told": text, "took_ms": took_ms})
                 .to_string(),
         );
     } else {
-        say(&format!("{verdict} ({text}) in {took:.1} ms"));
+        print_line(&format!("{verdict} ({text}) in {took_ms:.1} ms"));
     }
     ExitCode::from(code)
 }
 
 impl Probe {
-    fn ask(&self) -> Result<(bool, String), Fault> {
-        let (left, group) = (Duration::from_millis(self.timeout_ms), self.group);
+    /// Checks by the protocol asked for; returns whether the gateway is ready, and the text of its answer.
+    fn check(&self) -> Result<(bool, String), ExchangeError> {
+        let (timeout, group) = (Duration::from_millis(self.timeout_ms), self.group);
         match self.protocol {
             Protocol::Agent => {
                 let line = group.map_or("\n".to_owned(), |group| format!("group {group}\n"));
-                let answer = exchange(self.address, line.as_bytes(), left, |_| false)?;
+                let answer = exchange(self.address, line.as_bytes(), timeout, |_| false)?;
                 let text = String::from_utf8_lossy(&answer).trim().to_owned();
-                let told =
-                    agent::parse_reply(&answer).ok_or_else(|| Fault::Senseless(text.clone()))?;
-                match (told.up, told.ready, told.weight) {
+                let reply = agent::parse_reply(&answer)
+                    .ok_or_else(|| ExchangeError::Invalid(text.clone()))?;
+                match (reply.up, reply.ready, reply.weight) {
                     (Some(false), ..) | (_, Some(false), _) => Ok((false, text)),
                     (Some(true), _, weight) => Ok((weight != Some(0), text)),
-                    _ => Err(Fault::Senseless(text)),
+                    _ => Err(ExchangeError::Invalid(text)),
                 }
             }
             Protocol::Http => {
                 let path = group.map_or("/readyz".to_owned(), |group| {
                     format!("/health/groups/{group}")
                 });
-                let (code, body) = get(self.address, &path, left)?;
+                let (code, body) = get(self.address, &path, timeout)?;
                 match code {
                     200 => Ok((true, body.trim().to_owned())),
                     503 => Ok((false, body.trim().to_owned())),
-                    code => Err(Fault::Senseless(format!("status {code}"))),
+                    code => Err(ExchangeError::Invalid(format!("status {code}"))),
                 }
             }
             Protocol::Postgres => {
                 let database = group.map_or("orders".to_owned(), |group| format!("group-{group}"));
                 let startup = pg::startup_to(&database);
-                let enough =
+                let is_complete =
                     |answer: &[u8]| answer.starts_with(b"R") && answer.ends_with(b"Z\0\0\0\x05I");
-                let answer = exchange(self.address, &startup, left, enough)?;
+                let answer = exchange(self.address, &startup, timeout, is_complete)?;
                 match answer.first() {
                     Some(b'R') => Ok((true, "greeted".into())),
                     Some(b'E') if answer.windows(7).any(|at| at == b"C57P03\0") => {
@@ -107,51 +108,55 @@
                             message.map(|field| String::from_utf8_lossy(&field[1..]).into_owned());
                         Ok((false, message.unwrap_or_default()))
                     }
-                    _ => Err(Fault::Senseless(format!("{} bytes", answer.len()))),
+                    _ => Err(ExchangeError::Invalid(format!(
+                        "{} bytes that are neither a greeting nor error 57P03",
+                        answer.len()
+                    ))),
                 }
             }
-            Protocol::Grpc => grpc_check(self.address, group, left),
+            Protocol::Grpc => grpc_check(self.address, group, timeout),
         }
     }
 }
 
+/// Calls `grpc.health.v1.Health/Check`; returns whether the service is serving, and the text of its answer.
 fn grpc_check(
     address: SocketAddr,
     group: Option<u64>,
-    within: Duration,
-) -> Result<(bool, String), Fault> {
+    timeout: Duration,
+) -> Result<(bool, String), ExchangeError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_io()
         .enable_time()
         .build()?;
     let service = group.map_or(String::new(), |group| group.to_string());
-    let senseless = |text: String| Fault::Senseless(text);
+    let invalid = |text: String| ExchangeError::Invalid(text);
     let check = async {
         let stream = tokio::net::TcpStream::connect(address).await?;
-        let shake = h2::client::handshake(stream).await;
-        let (client, connection) = shake.map_err(|error| senseless(error.to_string()))?;
+        let handshake = h2::client::handshake(stream).await;
+        let (client, connection) = handshake.map_err(|error| invalid(error.to_string()))?;
         let driving = tokio::spawn(connection);
         let mut client = client
             .ready()
             .await
-            .map_err(|error| senseless(error.to_string()))?;
+            .map_err(|error| invalid(error.to_string()))?;
         let request = http::Request::post(format!("http://{address}/grpc.health.v1.Health/Check"))
             .header("content-type", "application/grpc")
             .header("te", "trailers")
             .body(())
-            .map_err(|error| senseless(error.to_string()))?;
+            .map_err(|error| invalid(error.to_string()))?;
         let sent = client.send_request(request, false);
-        let (answer, mut body) = sent.map_err(|error| senseless(error.to_string()))?;
+        let (answer, mut body) = sent.map_err(|error| invalid(error.to_string()))?;
         let frame = grpc::frame(&grpc::Request { service });
         body.send_data(frame.into(), true)
-            .map_err(|error| senseless(error.to_string()))?;
-        let answer = answer.await.map_err(|error| senseless(error.to_string()))?;
+            .map_err(|error| invalid(error.to_string()))?;
+        let answer = answer.await.map_err(|error| invalid(error.to_string()))?;
         if let Some(code) = answer.headers().get("grpc-status") {
             let code = code.to_str().unwrap_or("?");
             return if code == "5" {
                 Ok((false, "unknown service".into()))
             } else {
-                Err(senseless(format!("grpc-status {code}")))
+                Err(invalid(format!("grpc-status {code}")))
             };
         }
         let data = answer.into_body().data().await;
@@ -159,13 +164,13 @@
         match data.and_then(Result::ok).as_deref() {
             Some(b"\0\0\0\0\x02\x08\x01") => Ok((true, "SERVING".into())),
             Some(b"\0\0\0\0\x02\x08\x02") => Ok((false, "NOT_SERVING".into())),
-            other => Err(senseless(format!("{other:?}"))),
+            other => Err(invalid(format!("{other:?}"))),
         }
     };
-    let late = || io::Error::from(io::ErrorKind::TimedOut);
+    let timed_out = || io::Error::from(io::ErrorKind::TimedOut);
     runtime.block_on(async {
-        tokio::time::timeout(within, check)
+        tokio::time::timeout(timeout, check)
             .await
-            .map_err(|_| late())?
+            .map_err(|_| timed_out())?
     })
 }
