--- a/src/bin/asterreel/runtime/buffer.rs
+++ b/src/bin/asterreel/runtime/buffer.rs
@@ -1,4 +1,4 @@
-//! The buffer of a connection: bytes that were read and not consumed, and when each of them was read.
+//! The read buffer of a connection: bytes that are not consumed yet, and when each of them was read.
 
 use asterreel::interface::Micros;
 use std::collections::VecDeque;
@@ -17,17 +17,17 @@
 
 /// The time of one read, or of several in a row that share an entry.
 struct ReadTime {
-    /// How many bytes had come since the connection began, those of this read included. Changed by neither compaction
-    /// nor consumption.
+    /// How many bytes were read since the connection began, up to the end of this read. Neither compaction nor consumption
+    /// changes it.
     end: u64,
     at: Micros,
 }
 
-/// How much is read at once, and how much memory an empty buffer may keep.
+/// The most bytes of one read, and the capacity that an empty buffer may keep.
 pub(super) const CHUNK_BYTES: usize = 8 * 1024;
 
-/// How many read times a buffer keeps. A full buffer that is read in complete chunks has 17 reads; more come from clients
-/// that write byte by byte, and must not hold memory.
+/// How many read times a buffer keeps. A full buffer that is read in complete chunks has 17 reads; clients that write byte
+/// by byte cause more, which must not take memory without bound.
 const MAX_READ_TIMES: usize = 64;
 
 impl Buffer {
@@ -36,7 +36,7 @@
         &self.bytes[self.start..]
     }
 
-    /// When the last of the first `count` bytes was read; nothing where they have not all come.
+    /// When the last of the first `count` bytes was read; `None` if fewer bytes are buffered.
     pub(crate) fn read_at(&self, count: usize) -> Option<Micros> {
         let last = self.consumed + count as u64;
         // Sorted by their ends.
@@ -54,7 +54,7 @@
         if self.start == self.bytes.len() {
             self.bytes.clear();
             self.start = 0;
-            // One large value must not hold memory for as long as the connection is idle.
+            // Otherwise one large value would keep its memory allocated while the connection is idle.
             self.bytes.shrink_to(CHUNK_BYTES);
             self.reads.shrink_to(1);
         }
@@ -64,7 +64,7 @@
     ///
     /// # Errors
     ///
-    /// Those of the source; nothing was read then.
+    /// Those of the source; the buffer is unchanged then.
     pub(crate) fn read_from(
         &mut self,
         now: Micros,
@@ -82,13 +82,13 @@
         let count = *read.as_ref().unwrap_or(&0);
         self.bytes.truncate(filled + count);
         if count > 0 {
-            self.note_read(now);
+            self.record_read(now);
         }
         read
     }
 
-    /// Notes that all bytes since the last read time were read at this time.
-    fn note_read(&mut self, now: Micros) {
+    /// Records that all bytes since the last read time were read at this time.
+    fn record_read(&mut self, now: Micros) {
         self.reads.push_back(ReadTime {
             end: self.consumed + self.data().len() as u64,
             at: now,
@@ -96,8 +96,8 @@
         if self.reads.len() <= MAX_READ_TIMES {
             return;
         }
-        // The two that are closest in time share an entry. The earlier time counts for both: a deadline that is a little
-        // early is better than an answer that comes after it.
+        // Merges the two entries that are closest in time. The earlier time counts for both: it makes a request's deadline a
+        // little early, while the later one could let an answer miss the deadline.
         let gap = |earlier: &usize| {
             self.reads[earlier + 1]
                 .at
--- a/src/bin/asterreel/runtime/buffer/tests.rs
+++ b/src/bin/asterreel/runtime/buffer/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Takes these bytes in, read at this time.
+/// Reads these bytes into the buffer at this time.
 fn read(buffer: &mut Buffer, at: Micros, bytes: &[u8]) {
     assert_eq!(
         buffer.read_from(at, bytes, usize::MAX).expect("read"),
@@ -19,7 +19,8 @@
     assert_eq!(times, [Some(10), Some(10), Some(20), Some(20), None]);
 }
 
-/// One message comes in three reads, and the rest of it in one with two more: each has the time of its own last byte.
+/// The second message arrives in three reads, the last of which also holds two further messages: each message has the time
+/// of its own last byte.
 #[test]
 fn messages_have_the_time_of_their_last_byte() {
     let mut buffer = Buffer::default();
@@ -36,7 +37,7 @@
     assert_eq!((buffer.read_at(2), buffer.read_at(6)), (Some(30), Some(40)));
 }
 
-/// A read moves what is left to the front of the buffer first, which changes no time.
+/// Each read first moves the remaining bytes to the front of the buffer, which must not change their times.
 #[test]
 fn compaction_keeps_read_times() {
     let mut buffer = Buffer::default();
@@ -49,7 +50,7 @@
     }
 }
 
-/// Nothing is kept of reads that are consumed or brought nothing.
+/// No entry is kept for reads that are consumed or returned no bytes.
 #[test]
 fn consumed_and_empty_reads_are_not_kept() {
     let mut buffer = Buffer::default();
@@ -60,31 +61,31 @@
     assert_eq!(buffer.reads.len(), 10);
     buffer.consume(3);
     assert_eq!((buffer.reads.len(), buffer.read_at(1)), (9, Some(1)));
-    // More than there is, as whoever drops everything asks for.
+    // More than is buffered, as callers do to drop everything.
     buffer.consume(usize::MAX);
     assert_eq!((buffer.reads.len(), buffer.read_at(1)), (0, None));
     read(&mut buffer, 20, b"a");
     assert_eq!(buffer.read_at(1), Some(20));
 }
 
-/// A client writes byte by byte for 2 s, ahead of an answer: the memory is bounded, no byte counts as read later than it was,
-/// and none as read long before.
+/// A client writes byte by byte for 2 s without waiting for an answer: memory is bounded, and no byte counts as read later
+/// than it was, or much earlier.
 #[test]
 fn read_times_are_bounded_and_close() {
     let mut buffer = Buffer::default();
-    let (reads, apart) = (2_000, 1_000);
+    let (reads, interval) = (2_000, 1_000);
     for at in 0..reads {
-        read(&mut buffer, at * apart, b"x");
+        read(&mut buffer, at * interval, b"x");
         assert!(buffer.reads.len() <= MAX_READ_TIMES);
     }
-    let most = (1..=reads).map(|count| {
+    let errors = (1..=reads).map(|count| {
         let read_at = buffer.read_at(count as usize).expect("there");
-        ((count - 1) * apart)
+        ((count - 1) * interval)
             .checked_sub(read_at)
             .expect("never later than it was")
     });
-    // A 64th part of the time, four times over: those next to each other are joined first, never far ones.
-    assert!(most.max() < Some(reads * apart / MAX_READ_TIMES as Micros * 4));
+    // At most four times the average distance of 64 entries, as only those closest in time are merged.
+    assert!(errors.max() < Some(reads * interval / MAX_READ_TIMES as Micros * 4));
     let mut burst = Buffer::default();
     read(&mut burst, 1, b"first");
     (0..reads).for_each(|at| read(&mut burst, 5_000_000 + at, b"x"));
@@ -92,7 +93,7 @@
     assert_eq!(
         burst.read_at(5),
         Some(1),
-        "a burst takes nothing from what came long before or after"
+        "a burst does not change the times of reads long before or after it"
     );
     assert_eq!(burst.read_at(reads as usize + 9), Some(9_000_000));
 }
--- a/src/bin/asterreel/runtime/coroutine.rs
+++ b/src/bin/asterreel/runtime/coroutine.rs
@@ -2,16 +2,17 @@
 
 use std::io;
 
-/// Stack of a coroutine in machine words (128 KiB), many times what the deepest uses. An overflow kills the process, and
-/// only what is touched takes memory. An odd number makes may report how much was used.
+/// Stack of a coroutine in machine words (128 KiB), many times what the deepest call chain uses. An overflow kills the
+/// process, and only pages that are touched take memory. With an odd number may reports how much of a stack was used.
 pub(crate) const STACK_WORDS: usize = 0x4000;
 
-/// Stack of the coroutine that decodes JSON in machine words (1 MiB): a document nested as deeply as the decoder allows
+/// Stack of the coroutine that decodes JSON, in machine words (1 MiB). A document nested as deeply as the decoder allows
 /// needs more than 128 KiB.
 pub(crate) const JSON_STACK_WORDS: usize = 0x20000;
 
-/// Starts a coroutine. `go!` hides an unsafe block: a coroutine that overflows its stack, or keeps a thread-local across
-/// a yield, is undefined behaviour. No coroutine here keeps a thread-local or a tracing span across a wait.
+/// Starts a coroutine. `go!` contains an unsafe block: it is undefined behaviour if a coroutine overflows its stack, or uses
+/// a reference to a thread-local across a yield. No coroutine of this program keeps a thread-local or a tracing span across
+/// a wait.
 pub(crate) fn spawn(work: impl FnOnce() + Send + 'static) {
     may::go!(work);
 }
--- a/src/bin/asterreel/runtime/mod.rs
+++ b/src/bin/asterreel/runtime/mod.rs
@@ -1,4 +1,4 @@
-//! What all connections run on: sockets with one buffer each, coroutines, and timers.
+//! What connections are built on: sockets with a read buffer each, coroutines, locks and timers.
 
 pub(crate) mod buffer;
 pub(crate) mod coroutine;
--- a/src/bin/asterreel/runtime/net.rs
+++ b/src/bin/asterreel/runtime/net.rs
@@ -1,4 +1,4 @@
-//! Sockets of coroutines: reads, writes and waits of one connection.
+//! Sockets for coroutines: reads, writes and waits of one connection.
 
 use crate::runtime::buffer::{Buffer, CHUNK_BYTES};
 use crate::runtime::timer::Timer;
@@ -12,22 +12,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A connection and its buffer.
+/// A connection and its read buffer.
 ///
-/// Waits have no limit of their own: the caller sets an alarm first.
+/// Waits have no timeout: the caller sets an alarm first.
 pub(crate) struct Stream {
     socket: TcpStream,
-    /// What was read and not consumed.
+    /// Bytes that were read and are not consumed yet.
     pub buffer: Buffer,
-    /// Wakes coroutines that wait for this connection.
+    /// Sets the alarms that wake coroutines waiting for this connection.
     pub timer: Arc<Timer>,
 }
 
 impl Stream {
     /// A stream over a connected socket.
     pub(crate) fn new(socket: TcpStream, timer: Arc<Timer>) -> Stream {
-        // Small messages that wait for an answer must not wait for each other.
-        // Without the option they still arrive.
+        // Avoids the delays of Nagle's algorithm for small messages. An error is ignored: messages arrive without the
+        // option too.
         let _ = socket.set_nodelay(true);
         Stream {
             socket,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Connects within a time.
+    /// Connects within this timeout.
     ///
     /// # Errors
     ///
@@ -50,17 +50,17 @@
         Ok(Stream::new(socket, timer.clone()))
     }
 
-    /// Wakes the coroutine that waits for this connection.
+    /// A handle that wakes the coroutine waiting for this connection.
     pub(crate) fn waker(&self) -> WaitIoWaker {
         self.socket.waker()
     }
 
-    /// Reads what is there, without waiting; `None` when there is nothing, `Some(0)` at the end.
+    /// Reads available bytes without waiting; `None` if there are none, `Some(0)` at the end of the stream.
     pub(crate) fn read_now(&mut self) -> io::Result<Option<usize>> {
         self.read_at_most(CHUNK_BYTES)
     }
 
-    /// Reads what is there, without waiting, and leaves what comes after so many bytes unread.
+    /// Reads available bytes without waiting, at most this many; returns as [`Stream::read_now`] does.
     pub(crate) fn read_at_most(&mut self, max_bytes: usize) -> io::Result<Option<usize>> {
         loop {
             match self
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Whether the peer has closed or reset the connection, even where bytes that came before the end are still unread;
-    /// false where that can't be found out.
+    /// Whether the peer has closed or reset the connection, even if bytes before the end are still unread; false if that
+    /// can't be determined.
     pub(crate) fn has_peer_closed(&self) -> bool {
         let ends = EpollFlags::EPOLLRDHUP | EpollFlags::EPOLLHUP | EpollFlags::EPOLLERR;
         let poll = || -> nix::Result<bool> {
@@ -92,33 +92,33 @@
         poll().unwrap_or(false)
     }
 
-    /// Closes a connection so that what was written last arrives: a close over unread bytes would reset it. Shuts down
-    /// the sending side, then reads and drops what the peer still sends until it closes too, up to a time and a number
-    /// of bytes.
+    /// Closes a connection so that the last bytes written still arrive: closing a socket with unread bytes would reset the
+    /// connection. Shuts down the sending side, then reads and discards what the peer still sends until it closes too, for
+    /// at most this time and number of bytes.
     pub(crate) fn close_gracefully(&mut self, clock: Clock, timeout: Micros, max_bytes: usize) {
         if self.socket.inner().shutdown(Shutdown::Write).is_err() {
             return;
         }
         let deadline = clock.now() + timeout;
         let _alarm = self.timer.alarm(deadline, self.waker());
-        let mut dropped = 0;
-        while dropped < max_bytes {
+        let mut discarded = 0;
+        while discarded < max_bytes {
             self.buffer.consume(usize::MAX);
             match self.read_now() {
                 Ok(Some(0)) | Err(_) => return,
-                Ok(Some(count)) => dropped += count,
+                Ok(Some(count)) => discarded += count,
                 Ok(None) if clock.now() >= deadline => return,
                 Ok(None) => self.wait(),
             }
         }
     }
 
-    /// Waits until the socket is ready for something, or this coroutine is woken.
+    /// Waits until the socket is ready to read or write, or the waker wakes this coroutine.
     pub(crate) fn wait(&self) {
         self.socket.wait_io();
     }
 
-    /// Writes everything; `keep_waiting` is called before every wait.
+    /// Writes all bytes; before each wait `keep_waiting` decides whether to go on.
     ///
     /// # Errors
     ///
--- a/src/bin/asterreel/runtime/timer.rs
+++ b/src/bin/asterreel/runtime/timer.rs
@@ -1,7 +1,7 @@
-//! Alarms that wake coroutines, and the router's own timer, on one plain thread.
+//! Alarms that wake coroutines, and the router's timer, on one plain thread.
 //!
-//! may's timed waits resume a coroutine on may's timer thread, beside the worker. Here a coroutine waits on its socket
-//! without a limit, and an alarm wakes it through the worker's queue.
+//! may's timed waits resume a coroutine on may's timer thread, in parallel with the worker. Here a coroutine waits on its
+//! socket without a timeout, and an alarm wakes it through the worker's queue.
 
 use crate::runtime::sync::lock;
 use asterreel::interface::Micros;
@@ -18,7 +18,7 @@
 pub(crate) struct Timer {
     clock: Clock,
     queue: Mutex<Queue>,
-    /// Wakes the thread where something is due earlier than what it sleeps for.
+    /// Wakes the timer's thread when something is due earlier than the time it sleeps until.
     earlier: Condvar,
 }
 
@@ -29,7 +29,7 @@
     router_wake_at: Option<Micros>,
 }
 
-/// Alarms are due in this order; the number orders those of one time.
+/// Orders alarms by their time; the number keeps alarms of the same time apart.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct AlarmKey {
     at: Micros,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// When something is due next.
+    /// When the next alarm or the router's timer is due.
     fn next_at(&self) -> Option<Micros> {
         let alarm = self.alarms.first_key_value().map(|(key, _)| key.at);
         alarm.into_iter().chain(self.router_wake_at).min()
@@ -70,7 +70,7 @@
 }
 
 impl Timer {
-    /// A timer without alarms; [`Timer::run`] is to be called on a thread of its own.
+    /// A timer without alarms; the caller runs [`Timer::run`] on a thread of its own.
     pub(crate) fn new(clock: Clock) -> Arc<Timer> {
         Arc::new(Timer {
             clock,
@@ -79,7 +79,7 @@
         })
     }
 
-    /// The time by the clock of all alarms.
+    /// The current time, by the clock that alarms use.
     pub(crate) fn now(&self) -> Micros {
         self.clock.now()
     }
@@ -88,7 +88,7 @@
         lock(&self.queue)
     }
 
-    /// Wakes a coroutine that waits on its socket at this time.
+    /// Sets an alarm that wakes a coroutine waiting on its socket at this time.
     pub(crate) fn alarm(self: &Arc<Self>, at: Micros, waker: WaitIoWaker) -> Alarm {
         let (key, is_first) = {
             let mut queue = self.lock();
@@ -99,7 +99,7 @@
             let first = queue.alarms.first_key_value();
             (key, first.is_some_and(|(first, _)| *first == key))
         };
-        // The thread already wakes in time for any other.
+        // Otherwise the thread wakes in time already.
         if is_first {
             self.earlier.notify_one();
         }
@@ -109,13 +109,13 @@
         }
     }
 
-    /// Has the router woken once at this time; a later call replaces an earlier one.
+    /// Sets the time at which the router is woken once; a later call replaces an earlier one.
     pub(crate) fn wake_at(&self, at: Micros) {
         self.lock().router_wake_at = Some(at);
         self.earlier.notify_one();
     }
 
-    /// The loop of the timer's thread; `wake_router` is called without the lock.
+    /// The loop of the timer's thread; calls `wake_router` without holding the lock.
     pub(crate) fn run(&self, wake_router: impl Fn()) {
         let mut queue = self.lock();
         loop {
@@ -123,7 +123,7 @@
             queue.fire_due(now);
             if queue.router_wake_at.is_some_and(|at| at <= now) {
                 queue.router_wake_at = None;
-                // The router sets its timer under its own lock: never take both the other way round.
+                // The router sets its timer while it holds its own lock: holding this lock here could deadlock.
                 drop(queue);
                 wake_router();
                 queue = self.lock();
