--- a/src/bin/asterreel-config-eval/collected.rs
+++ b/src/bin/asterreel-config-eval/collected.rs
@@ -1,9 +1,9 @@
-//! What a script's calls leave behind. One script at a time is evaluated on a thread, so it is kept by the thread.
+//! Collects what the calls of a script set, in a thread-local, as a thread evaluates one script at a time.
 //!
-//! Each part may be set once. Of all errors the first is kept, with its key: an error of the evaluation would lose it.
+//! Each part may be set once. Only the first error is kept, with its key, which the interpreter's error would not carry.
 
 use asterreel::operator::{
-    qualified, Cells, ControlSettings, Evaluated, Health, OperatorFileError, SettingError,
+    under_health_key, Cells, ControlSettings, Evaluated, Health, OperatorFileError, SettingError,
     SourceLocation,
 };
 use asterreel::readmission;
@@ -11,10 +11,10 @@
 use std::cell::RefCell;
 use std::path::Path;
 
-/// What a call sets, and where.
+/// What a call sets, and its location; `None` before the call.
 type Call<T> = Option<(T, SourceLocation)>;
 
-/// The calls of one script so far.
+/// What the calls of one script have set so far.
 #[derive(Default)]
 pub(crate) struct Collected {
     pub(crate) health: Call<Health>,
@@ -35,7 +35,7 @@
     });
 }
 
-/// Records what a call sets; set twice, it is an error that names both places.
+/// Records what a call sets. A second call is an error that names both places.
 pub(crate) fn set_once<T>(
     function: &str,
     value: T,
@@ -45,14 +45,17 @@
     COLLECTED.with_borrow_mut(|collected| match slot(collected) {
         empty @ None => *empty = Some((value, call)),
         Some((_, first)) => {
-            let fault = format!("is set already, at {}:{}", first.file, first.line);
+            let fault = format!(
+                "is set already, at {}:{}; remove one of the two calls",
+                first.file, first.line
+            );
             let error = call.error(SettingError::new(function.to_owned(), fault));
             collected.first_error.get_or_insert(error);
         }
     });
 }
 
-/// Takes what the calls of this thread's script set, checked, after an evaluation with this result.
+/// Takes and checks what the calls of this thread's script set, given the result of its evaluation.
 pub(crate) fn take(
     result: Result<(), OperatorFileError>,
     path: &Path,
@@ -72,13 +75,13 @@
 }
 
 impl Collected {
-    /// Checks each call by itself, and puts paths below the file's folder.
+    /// Checks each call by itself, and resolves paths relative to the file's folder.
     fn check(self, evaluated: &mut Evaluated, folder: &Path) -> Result<(), OperatorFileError> {
         let operator = &mut evaluated.operator;
         if let Some((health, call)) = self.health {
             health
                 .check()
-                .map_err(|error| call.error(qualified(error)))?;
+                .map_err(|error| call.error(under_health_key(error)))?;
             operator.health = Some(health);
             evaluated.health_at = Some(call);
         }
@@ -109,7 +112,7 @@
     }
 }
 
-/// A piece of a script as a location; lines and columns count from 1 there.
+/// Converts a span of a script to a location, whose lines and columns count from 1.
 pub(crate) fn location_of(span: &FileSpan) -> SourceLocation {
     let resolved = span.resolve();
     SourceLocation {
--- a/src/bin/asterreel-config-eval/functions.rs
+++ b/src/bin/asterreel-config-eval/functions.rs
@@ -1,7 +1,7 @@
 //! The functions that an operator's file may call, and the conversion of their arguments to checked types.
 //!
-//! A function that makes a part (`listener`, `agent`, ...) checks its arguments and returns them as a dictionary for the
-//! call that takes the part. The others record what they set.
+//! A function that makes a part (`listener`, `agent`, ...) checks its arguments and returns them as a dictionary, which is
+//! passed to the function that the part belongs to. The other functions record what they set.
 
 use crate::collected::{location_of, record_error, set_once};
 use asterreel::cells::quarantine;
@@ -19,21 +19,22 @@
 use starlark::values::dict::DictRef;
 use starlark::values::{Heap, Value};
 
-/// What scripts may use: the language, its structs, `print`, and the functions below.
+/// What scripts may use: Starlark's standard functions, `struct`, `print`, and the functions below.
 pub(crate) fn globals() -> Globals {
     GlobalsBuilder::extended_by(&[LibraryExtension::StructType, LibraryExtension::Print])
         .with(functions)
         .build()
 }
 
-/// One call of a function: its name and place, for errors.
+/// A call of a function, with its name and location for errors.
 struct FunctionCall<'a> {
     function: &'a str,
     location: SourceLocation,
 }
 
 impl FunctionCall<'_> {
-    fn under_way<'a>(function: &'a str, evaluator: &Evaluator) -> FunctionCall<'a> {
+    /// The call that the evaluator is executing.
+    fn current<'a>(function: &'a str, evaluator: &Evaluator) -> FunctionCall<'a> {
         let span = evaluator.call_stack_top_location();
         let location = span.map(|span| location_of(&span));
         FunctionCall {
@@ -60,14 +61,14 @@
         anyhow::anyhow!("{text}")
     }
 
-    /// The arguments as JSON. One that is None counts as left out.
+    /// Converts the arguments to JSON, without those that are None.
     fn json(&self, arguments: &DictRef) -> anyhow::Result<Map<String, Json>> {
         let mut map = Map::new();
         for (name, value) in arguments.iter() {
             let name = name.unpack_str().unwrap_or("?");
             let value = value
                 .to_json_value()
-                .map_err(|_| self.error(name, "is not plain data"))?;
+                .map_err(|_| self.error(name, "cannot be converted to JSON; use numbers, strings, booleans, lists and dictionaries"))?;
             if !value.is_null() {
                 map.insert(name.to_owned(), value);
             }
@@ -75,7 +76,7 @@
         Ok(map)
     }
 
-    /// The arguments as the type that they are for.
+    /// Converts the arguments to the settings of this type.
     fn typed<T: DeserializeOwned>(&self, arguments: Map<String, Json>) -> anyhow::Result<T> {
         serde_path_to_error::deserialize(Json::Object(arguments)).map_err(|error| {
             let (path, fault) = (error.path().to_string(), error.inner().to_string());
@@ -86,30 +87,30 @@
     }
 }
 
-/// The name in a text that begins like this, up to the closing quote.
+/// The name that follows this beginning of a text, up to the closing backquote.
 fn quoted_after<'a>(text: &'a str, beginning: &str) -> Option<&'a str> {
     text.strip_prefix(beginning)?.split('`').next()
 }
 
-/// The arguments of a call as the type that they are for, and where it is called.
+/// Converts the arguments of the current call to the settings of this type; returns them with the call's location.
 fn parse<T: DeserializeOwned>(
     function: &str,
     arguments: &DictRef,
     evaluator: &Evaluator,
 ) -> anyhow::Result<(T, SourceLocation)> {
-    let call = FunctionCall::under_way(function, evaluator);
+    let call = FunctionCall::current(function, evaluator);
     let json = call.json(arguments)?;
     let typed = call.typed(json)?;
     Ok((typed, call.location))
 }
 
-/// A part that another call takes: its arguments, checked against their type, as a dictionary.
-fn plain_data<'v, T: DeserializeOwned>(
+/// Checks the arguments of a function that makes a part against their type, and returns them as a dictionary.
+fn checked_dictionary<'v, T: DeserializeOwned>(
     function: &str,
     arguments: &DictRef<'v>,
     evaluator: &mut Evaluator<'v, '_, '_>,
 ) -> anyhow::Result<Value<'v>> {
-    let call = FunctionCall::under_way(function, evaluator);
+    let call = FunctionCall::current(function, evaluator);
     let json = call.json(arguments)?;
     call.typed::<T>(json.clone())?;
     let heap: Heap<'v> = evaluator.heap();
@@ -123,23 +124,23 @@
         #[starlark(kwargs)] arguments: DictRef<'v>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<Value<'v>> {
-        plain_data::<Listener>("listener", &arguments, eval)
+        checked_dictionary::<Listener>("listener", &arguments, eval)
     }
 
-    /// The listener of agent-check.
+    /// The listener of HAProxy's agent-check.
     fn agent<'v>(
         #[starlark(kwargs)] arguments: DictRef<'v>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<Value<'v>> {
-        plain_data::<Agent>("agent", &arguments, eval)
+        checked_dictionary::<Agent>("agent", &arguments, eval)
     }
 
-    /// How balancers check health.
+    /// The interval, timeout and fall of the balancers' checks.
     fn balancer<'v>(
         #[starlark(kwargs)] arguments: DictRef<'v>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<Value<'v>> {
-        plain_data::<Balancer>("balancer", &arguments, eval)
+        checked_dictionary::<Balancer>("balancer", &arguments, eval)
     }
 
     /// The phases of a drain.
@@ -147,7 +148,7 @@
         #[starlark(kwargs)] arguments: DictRef<'v>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<Value<'v>> {
-        plain_data::<Drain>("drain", &arguments, eval)
+        checked_dictionary::<Drain>("drain", &arguments, eval)
     }
 
     /// The options of health decisions.
@@ -155,10 +156,10 @@
         #[starlark(kwargs)] arguments: DictRef<'v>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<Value<'v>> {
-        plain_data::<HealthOptions>("knobs", &arguments, eval)
+        checked_dictionary::<HealthOptions>("knobs", &arguments, eval)
     }
 
-    /// Health for balancers; called once at most.
+    /// Health reports for balancers; called at most once.
     fn health<'v>(
         #[starlark(kwargs)] arguments: DictRef<'v>,
         eval: &mut Evaluator<'v, '_, '_>,
@@ -168,12 +169,12 @@
         Ok(Value::new_none())
     }
 
-    /// What a cell may hold.
+    /// How much of this gateway the requests of a cell may use at a time.
     fn bounds<'v>(
         #[starlark(kwargs)] arguments: DictRef<'v>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<Value<'v>> {
-        plain_data::<CellBounds>("bounds", &arguments, eval)
+        checked_dictionary::<CellBounds>("bounds", &arguments, eval)
     }
 
     /// When statements that crash members are quarantined.
@@ -181,18 +182,18 @@
         #[starlark(kwargs)] arguments: DictRef<'v>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<Value<'v>> {
-        plain_data::<quarantine::QuarantineOptions>("quarantine", &arguments, eval)
+        checked_dictionary::<quarantine::QuarantineOptions>("quarantine", &arguments, eval)
     }
 
-    /// A control member, or a gateway that the control members serve.
+    /// A control member (voter), or a gateway that the control members serve.
     fn peer<'v>(
         #[starlark(kwargs)] arguments: DictRef<'v>,
         eval: &mut Evaluator<'v, '_, '_>,
     ) -> anyhow::Result<Value<'v>> {
-        plain_data::<Peer>("peer", &arguments, eval)
+        checked_dictionary::<Peer>("peer", &arguments, eval)
     }
 
-    /// The fleet's control plane, and this gateway's part in it; called once at most.
+    /// The fleet's control plane, and this gateway's role in it; called at most once.
     fn lease<'v>(
         #[starlark(kwargs)] arguments: DictRef<'v>,
         eval: &mut Evaluator<'v, '_, '_>,
@@ -202,7 +203,7 @@
         Ok(Value::new_none())
     }
 
-    /// How many clients may reconnect at once; called once at most.
+    /// How many clients may reconnect at once; called at most once.
     fn readmission<'v>(
         #[starlark(kwargs)] arguments: DictRef<'v>,
         eval: &mut Evaluator<'v, '_, '_>,
@@ -214,7 +215,7 @@
         Ok(Value::new_none())
     }
 
-    /// Cells; called once at most.
+    /// Which tenants may reach which groups; called at most once.
     fn cells<'v>(
         #[starlark(kwargs)] arguments: DictRef<'v>,
         eval: &mut Evaluator<'v, '_, '_>,
--- a/src/bin/asterreel-config-eval/loader.rs
+++ b/src/bin/asterreel-config-eval/loader.rs
@@ -1,4 +1,4 @@
-//! Reads and evaluates an operator's file and the files that it loads, each within bounds.
+//! Reads and evaluates an operator's file and the files that it loads, within bounds on their size and effort.
 
 use crate::collected::{location_of, record_error};
 use crate::functions::globals;
@@ -14,13 +14,15 @@
 
 // A file of some hundred lines uses a hundredth of each bound.
 
+/// The longest file that is read.
 const MAX_FILE_BYTES: u64 = 64 * 1024;
-/// Calls within calls.
+/// The most nested calls.
 const MAX_CALL_DEPTH: usize = 50;
-/// Loops and calls in all.
+/// The most loop iterations and calls in total, as Starlark's ticks count them.
 const MAX_TICKS: u64 = 1_000_000;
+/// The most memory of one file's values.
 const MAX_HEAP_BYTES: usize = 16 * 1024 * 1024;
-/// Files that load one another.
+/// The most files of which each loads the next.
 const MAX_LOAD_DEPTH: usize = 8;
 
 /// Evaluates files below one folder until a deadline.
@@ -28,7 +30,7 @@
     globals: Globals,
     folder: PathBuf,
     deadline: Instant,
-    /// The files being evaluated, each loaded by the one before.
+    /// The files being evaluated, each loaded by the previous one.
     loading: RefCell<Vec<PathBuf>>,
 }
 
@@ -42,7 +44,7 @@
         }
     }
 
-    /// Evaluates the operator's file; what its calls set is collected on the way.
+    /// Evaluates the operator's file; its calls record what they set by [`crate::collected`].
     pub(crate) fn evaluate_file(&self, path: &Path) -> Result<(), OperatorFileError> {
         self.run(path).map(drop)
     }
@@ -51,24 +53,28 @@
         let name = path.display().to_string();
         self.enter(path, &name)?;
         let text = read_bounded(path, &name)?;
-        let with_place = |error: starlark::Error| placed(&name, &error);
-        let script = AstModule::parse(&name, text, &Dialect::Standard).map_err(with_place)?;
+        let with_location = |error: starlark::Error| located(&name, &error);
+        let script = AstModule::parse(&name, text, &Dialect::Standard).map_err(with_location)?;
         let module = self.evaluate_module(script);
         self.loading.borrow_mut().pop();
-        module.map_err(with_place)
+        module.map_err(with_location)
     }
 
-    /// Notes that a file is being evaluated, until [`Loader::run`] has; an error before ends the whole evaluation.
+    /// Records that a file is being evaluated. [`Loader::run`] removes it afterwards; after an error that does not matter, as
+    /// it ends the whole evaluation.
     fn enter(&self, path: &Path, name: &str) -> Result<(), OperatorFileError> {
         let real = path
             .canonicalize()
             .map_err(|error| unreadable(name, &error))?;
         let mut loading = self.loading.borrow_mut();
         if loading.contains(&real) {
-            return Err(OperatorFileError::of_file(name, "loads itself"));
+            return Err(OperatorFileError::of_file(
+                name,
+                "loads itself, directly or by another file; remove that load()",
+            ));
         }
         if loading.len() >= MAX_LOAD_DEPTH {
-            let fault = format!("loads go deeper than {MAX_LOAD_DEPTH} files");
+            let fault = format!("is loaded by a chain of more than {MAX_LOAD_DEPTH} files; load it from an earlier file");
             return Err(OperatorFileError::of_file(name, fault));
         }
         loading.push(real);
@@ -95,7 +101,7 @@
         })
     }
 
-    /// The path of a file to load, if it is below the folder; a link may lead out of it.
+    /// The path of a file to load, if it is below the folder, also after symbolic links are resolved.
     fn path_below_folder(&self, path: &str) -> Result<PathBuf, String> {
         let is_plain = Path::new(path)
             .components()
@@ -110,7 +116,7 @@
             .canonicalize()
             .is_ok_and(|folder| real.starts_with(folder));
         if !is_below {
-            return Err("it leads out of the folder".into());
+            return Err("a symbolic link leads out of the folder of the operator's file".into());
         }
         Ok(full)
     }
@@ -129,18 +135,20 @@
     }
 }
 
-/// The text of a file that is neither too long nor nested too deep to parse.
+/// The text of a file, unless it is too long or nested too deeply to parse.
 fn read_bounded(path: &Path, name: &str) -> Result<String, OperatorFileError> {
     let size = std::fs::metadata(path)
         .map_err(|error| unreadable(name, &error))?
         .len();
     if size > MAX_FILE_BYTES {
-        let fault = format!("{size} bytes are more than {MAX_FILE_BYTES}");
+        let fault = format!(
+            "{size} bytes are more than {MAX_FILE_BYTES}; move parts of it to files that it loads"
+        );
         return Err(OperatorFileError::of_file(name, fault));
     }
     let text = std::fs::read_to_string(path).map_err(|error| unreadable(name, &error))?;
     if let Some(line) = line_beyond_max_depth(&text) {
-        let fault = format!("brackets and operators go deeper than {MAX_EXPRESSION_DEPTH}");
+        let fault = format!("brackets, operators or elif branches go deeper than {MAX_EXPRESSION_DEPTH}; divide the expression or function");
         return Err(OperatorFileError {
             at: Some((line, 1)),
             ..OperatorFileError::of_file(name, fault)
@@ -153,8 +161,9 @@
     OperatorFileError::of_file(name, format!("cannot be read: {error}"))
 }
 
-/// An error of the parser or the evaluation, with its place; only the first line of its text, without the source.
-fn placed(name: &str, error: &starlark::Error) -> OperatorFileError {
+/// Converts an error of the parser or the evaluation, with its location. Only the first line of its text is kept, without
+/// the quoted source.
+fn located(name: &str, error: &starlark::Error) -> OperatorFileError {
     let location = error.span().map(location_of);
     let text = error.without_diagnostic().to_string();
     let fault = text.lines().next().unwrap_or("error");
--- a/src/bin/asterreel-config-eval/main.rs
+++ b/src/bin/asterreel-config-eval/main.rs
@@ -1,8 +1,8 @@
 //! Evaluates an operator's file, and reports on standard output what it sets or what is wrong with it.
 //!
-//! A program of its own, which the gateway starts: the evaluator takes memory that a gateway without such a file, or past
-//! its start, must not hold, and whatever a file does to it ends no gateway. Evaluation has no effect but its result: no
-//! files beside those that it loads from its own folder, no clock, no network, and bounds on steps, heap, call depth and
+//! A separate program, which the gateway starts: the memory that the evaluator needs is freed when it exits, and a file that
+//! crashes it does not end the gateway. An evaluation has no effect but its result: it reads no files but those that it loads
+//! from the folder of the operator's file, has no access to clock or network, and is bounded in steps, heap, call depth and
 //! time.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -18,9 +18,9 @@
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// The stack of the thread that evaluates; the parser and compiler recurse as deep as an expression does.
+/// The stack of the thread that evaluates: the parser and the compiler recurse as deeply as expressions nest.
 const STACK_BYTES: usize = 64 * 1024 * 1024;
-/// How long an evaluation may take where the caller doesn't say.
+/// How long an evaluation may take if the command line doesn't say.
 const DEFAULT_TIMEOUT_MS: u64 = 5_000;
 /// The exit code of a wrong command line.
 const USAGE_ERROR: u8 = 2;
@@ -48,7 +48,7 @@
     }
 }
 
-/// Evaluates on a thread of its own, as the system chooses the stack of the main thread.
+/// Evaluates on a separate thread, as the stack size of the main thread is set by the system.
 fn evaluate_on_thread(path: PathBuf, deadline: Instant) -> Result<Evaluated, OperatorFileError> {
     let file = path.display().to_string();
     let thread = std::thread::Builder::new()
@@ -56,13 +56,17 @@
         .spawn(move || evaluate(&path, deadline));
     match thread {
         Ok(thread) => thread.join().unwrap_or_else(|_| {
-            let fault = "the evaluation broke off";
+            let fault = "the evaluation broke off: the evaluator panicked; simplify the file, or report this as a fault of the evaluator";
             Err(OperatorFileError::of_file(file, fault))
         }),
-        Err(error) => Err(OperatorFileError::of_file(file, error.to_string())),
+        Err(error) => {
+            let fault = format!("cannot start the thread that evaluates it: {error}; check the limits on threads and memory");
+            Err(OperatorFileError::of_file(file, fault))
+        }
     }
 }
 
+/// Evaluates a file, which may load files from its folder, and checks what it sets.
 fn evaluate(path: &Path, deadline: Instant) -> Result<Evaluated, OperatorFileError> {
     let folder = path
         .parent()
--- a/src/bin/asterreel-config-eval/nesting.rs
+++ b/src/bin/asterreel-config-eval/nesting.rs
@@ -1,18 +1,18 @@
-//! How deep the expressions of a script go, found before it is parsed.
+//! Bounds how deeply the expressions of a script nest, before it is parsed.
 //!
-//! The parser and the compiler recurse along brackets within brackets and operators on one another, whichever way they
-//! lean, and a stack that overflows ends the process. Counts too much rather than too little: each operator since the last
-//! comma as a level, in all that it stands in.
+//! The parser and the compiler recurse into nested brackets and chained operators, on either side, and a stack overflow would
+//! kill the process. The count is an upper bound: each operator since the last comma counts as one more level, and so it does
+//! for the brackets that follow it.
 
-/// The deepest level of an expression, and the most `elif`s of a script, which nest as well.
+/// The deepest level of an expression that is accepted, and the most `elif`s of a script, as they nest too.
 pub(crate) const MAX_EXPRESSION_DEPTH: usize = 200;
 
-/// The line where an expression gets too deep, counted from 1.
+/// The line, counted from 1, where an expression exceeds [`MAX_EXPRESSION_DEPTH`]; `None` if none does.
 pub(crate) fn line_beyond_max_depth(text: &str) -> Option<usize> {
     let mut scanner = Scanner::default();
     let mut rest = text.as_bytes();
     while !rest.is_empty() {
-        let used = scanner.take(rest);
+        let used = scanner.scan_token(rest);
         if scanner.is_too_deep() {
             return Some(scanner.newlines + 1);
         }
@@ -25,7 +25,7 @@
 struct Scanner {
     /// The level at each open bracket.
     open_brackets: Vec<usize>,
-    /// The level of what comes next.
+    /// The level of the next token.
     level: usize,
     elifs: usize,
     newlines: usize,
@@ -37,7 +37,7 @@
     }
 
     /// Scans the token that the text begins with, and returns its length.
-    fn take(&mut self, text: &[u8]) -> usize {
+    fn scan_token(&mut self, text: &[u8]) -> usize {
         match text[0] {
             b'\n' => {
                 self.newlines += 1;
@@ -46,7 +46,7 @@
                 }
             }
             b'#' => return length_while(text, |byte| byte != b'\n'),
-            quote @ (b'"' | b'\'') => return self.take_string(text, quote),
+            quote @ (b'"' | b'\'') => return self.scan_string(text, quote),
             b'(' | b'[' | b'{' => {
                 self.open_brackets.push(self.level);
                 self.level += 1;
@@ -57,14 +57,15 @@
             b',' => self.level = self.open_brackets.last().map_or(0, |level| level + 1),
             b'+' | b'-' | b'*' | b'/' | b'%' | b'|' | b'&' | b'^' | b'~' | b'.' | b'<' | b'>'
             | b'=' | b'!' => self.level += 1,
-            byte if byte.is_ascii_alphabetic() || byte == b'_' => return self.take_name(text),
+            byte if byte.is_ascii_alphabetic() || byte == b'_' => return self.scan_name(text),
             _ => {}
         }
         1
     }
 
-    /// A string, which may have three quotes and span lines; unless it is closed, all that follows.
-    fn take_string(&mut self, text: &[u8], quote: u8) -> usize {
+    /// Scans a string, which may have triple quotes and span lines, and returns its length; without a closing quote it extends
+    /// to the end of the text.
+    fn scan_string(&mut self, text: &[u8], quote: u8) -> usize {
         let triple = [quote; 3];
         let end: &[u8] = if text.starts_with(&triple) {
             &triple
@@ -79,7 +80,8 @@
         (used + end.len()).min(text.len())
     }
 
-    fn take_name(&mut self, text: &[u8]) -> usize {
+    /// Scans a name or keyword, and returns its length.
+    fn scan_name(&mut self, text: &[u8]) -> usize {
         let length = length_while(text, |byte| byte.is_ascii_alphanumeric() || byte == b'_');
         match &text[..length] {
             b"not" | b"and" | b"or" | b"in" | b"if" | b"else" | b"for" | b"lambda" => {
@@ -92,9 +94,9 @@
     }
 }
 
-/// How many bytes at the beginning of a text are of a kind.
-fn length_while(text: &[u8], is_of_kind: impl Fn(u8) -> bool) -> usize {
+/// How many bytes at the beginning of a text fulfil a condition.
+fn length_while(text: &[u8], condition: impl Fn(u8) -> bool) -> usize {
     text.iter()
-        .position(|byte| !is_of_kind(*byte))
+        .position(|byte| !condition(*byte))
         .unwrap_or(text.len())
 }
--- a/src/operator/error.rs
+++ b/src/operator/error.rs
@@ -1,4 +1,4 @@
-//! The error of an operator's file, placed in it.
+//! The error of an operator's file, with its location.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,18 +6,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 #[error("{}: {fault}", location(file, *at, key.as_deref()))]
 pub struct OperatorFileError {
-    /// The file at fault; a loaded one, perhaps.
+    /// The file at fault: the operator's file, or one that it loads.
     pub file: String,
-    /// Line and column, counted from 1, where one is known.
+    /// Line and column, counted from 1, if they are known.
     pub at: Option<(usize, usize)>,
-    /// The key at fault, where one is.
+    /// The key at fault, if the error concerns one.
     pub key: Option<String>,
-    /// What is wrong.
+    /// What is wrong, as a clause that follows the key or the file's name.
     pub fault: String,
 }
 
 impl OperatorFileError {
-    /// An error of a file, at no place in it.
+    /// An error of a file as a whole.
     pub fn of_file(file: impl Into<String>, fault: impl Into<String>) -> OperatorFileError {
         OperatorFileError {
             file: file.into(),
--- a/src/operator/evaluator.rs
+++ b/src/operator/evaluator.rs
@@ -1,4 +1,4 @@
-//! Runs the evaluator of operator's files, a program of its own beside the gateway's, and reads its reply.
+//! Runs the evaluator of operator's files, a separate program installed beside the gateway's, and reads its reply.
 
 use super::{Evaluated, OperatorFileError};
 use serde::{Deserialize, Serialize};
@@ -9,28 +9,28 @@
 
 /// The evaluator's file name.
 const PROGRAM: &str = "asterreel-config-eval";
-/// The longest reply that is read: a file is 64 KiB at most, and an error quotes a call of it.
+/// The longest reply that is read. A file has at most 64 KiB, and the reply quotes the calls of it that set a key.
 const MAX_REPLY_BYTES: u64 = 1 << 20;
 
-/// What the evaluator replies.
+/// The evaluator's reply, as JSON on its standard output.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Reply {
-    /// The evaluator's version: the reply of another may mean something else.
+    /// The evaluator's version; a reply of another version than the gateway's is rejected, as its meaning may differ.
     pub version: String,
     /// What the file sets, or what is wrong with it.
     pub result: Result<Evaluated, OperatorFileError>,
 }
 
-/// The evaluator that is installed beside this program.
+/// The path of the evaluator that is installed beside this program.
 ///
 /// # Errors
 ///
-/// The path of this program is not known.
+/// The path of this program can't be determined.
 pub fn evaluator() -> io::Result<PathBuf> {
     Ok(std::env::current_exe()?.with_file_name(PROGRAM))
 }
 
-/// Has a file evaluated by that program, within this time.
+/// Evaluates a file by this program, within this time.
 ///
 /// # Errors
 ///
@@ -38,32 +38,36 @@
 pub fn evaluate(
     evaluator: &Path,
     path: &Path,
-    within: Duration,
+    timeout: Duration,
 ) -> Result<Evaluated, OperatorFileError> {
     let bad = |fault: String| OperatorFileError::of_file(path.display().to_string(), fault);
-    let (text, status) = run(evaluator, path, within).map_err(|error| {
+    let (text, status) = run(evaluator, path, timeout).map_err(|error| {
         let program = evaluator.display();
         bad(format!(
-            "its evaluator {program}: {error}; it must stand beside asterreel (`cargo build` makes both)"
+            "cannot run its evaluator {program}: {error}; install it beside asterreel (`cargo build` makes both)"
         ))
     })?;
     let reply: Reply = serde_json::from_slice(&text)
-        .map_err(|error| bad(format!("the evaluation broke off ({status}): {error}")))?;
+        .map_err(|error| {
+            bad(format!(
+                "the evaluation broke off: {PROGRAM} ended with {status}, and its reply is not valid: {error}"
+            ))
+        })?;
     let version = env!("CARGO_PKG_VERSION");
     if reply.version != version {
         return Err(bad(format!(
-            "the evaluator is of version {}, this program of {version}",
+            "its evaluator has version {}, this program {version}; install both of the same version",
             reply.version
         )));
     }
     reply.result
 }
 
-/// The evaluator's output and how it ended. It ends by itself within its time, and its output with it.
-fn run(evaluator: &Path, path: &Path, within: Duration) -> io::Result<(Vec<u8>, ExitStatus)> {
+/// Runs the evaluator; returns its output and exit status. It limits its own run time, so this does not block for longer.
+fn run(evaluator: &Path, path: &Path, timeout: Duration) -> io::Result<(Vec<u8>, ExitStatus)> {
     let mut child = Command::new(evaluator)
         .arg(path)
-        .arg(within.as_millis().to_string())
+        .arg(timeout.as_millis().to_string())
         .stdin(Stdio::null())
         .stdout(Stdio::piped())
         .spawn()?;
--- a/src/operator/location.rs
+++ b/src/operator/location.rs
@@ -1,14 +1,14 @@
-//! Where an operator's file sets a key.
+//! Finds where an operator's file sets a key.
 
 use super::{OperatorFileError, SettingError};
 use serde::{Deserialize, Serialize};
 
-/// A call in a file: its text and where it begins.
+/// A call in an operator's file: its text and where it begins.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SourceLocation {
-    /// The file.
+    /// The path of the file.
     pub file: String,
-    /// The call, as it is written.
+    /// The call's source text.
     pub text: String,
     /// The line where it begins, counted from 1.
     pub line: usize,
@@ -17,7 +17,7 @@
 }
 
 impl SourceLocation {
-    /// An error of a key that the call sets, or should.
+    /// The error of a key that the call sets or lacks, at its position.
     pub fn error(&self, error: SettingError) -> OperatorFileError {
         OperatorFileError {
             file: self.file.clone(),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Line and column where the last part of a key is set within the call; of the call itself where it is not.
+    /// Line and column where the call sets the last part of a key, or of the call itself if it does not set it.
     fn position_of(&self, key: &str) -> (usize, usize) {
         let last_part = key.rsplit('.').next().unwrap_or(key);
         let argument = last_part.split('[').next().unwrap_or(last_part);
@@ -42,7 +42,7 @@
     }
 }
 
-/// The characters before the first place in a line where an argument of this name is given.
+/// How many characters of a line precede the first keyword argument of this name.
 fn column_of_argument(line: &str, argument: &str) -> Option<usize> {
     let code = line.split('#').next().unwrap_or(line);
     let is_given = |at: usize| {
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,9 +1,10 @@
 //! The operator's file: a Starlark script that is evaluated once into plain checked types.
 //!
-//! It calls `health(...)`, `cells(...)` and the functions that make their parts; everything that it leaves out is off. The
-//! evaluator is a program of its own, `asterreel-config-eval`, beside the gateway's. Here is what the file may set
-//! ([`Operator`]), how the evaluator is run ([`evaluate`]) and what it replies ([`Reply`]), and what can be checked only
-//! beside the gateway's configuration ([`Evaluated::beside`]). Every error names the file, line, column and key.
+//! It calls `health(...)`, `cells(...)`, `lease(...)`, `readmission(...)` and the functions that make their parts; what it
+//! leaves out is off. The evaluator is a separate program, `asterreel-config-eval`, installed beside the gateway's. This
+//! module holds what the file may set ([`Operator`]), runs the evaluator ([`evaluate`]) and reads its reply ([`Reply`]), and
+//! checks the file against the gateway's configuration ([`Evaluated::beside`]). Errors name the file, and line, column and
+//! key where they are known.
 
 mod error;
 mod evaluator;
@@ -21,22 +22,22 @@
 use crate::health::drain::Timetable;
 use serde::{Deserialize, Serialize};
 
-/// A file that was evaluated, with what is needed to say where a key is set.
+/// The result of evaluating an operator's file, with the locations that later errors refer to.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Evaluated {
-    /// What it sets.
+    /// What the file sets.
     pub operator: Operator,
-    /// The file.
+    /// The path of the file; empty if there is none.
     pub file: String,
-    /// Where it calls `health`.
+    /// The call of `health`, if there is one.
     pub health_at: Option<SourceLocation>,
-    /// Where it calls `lease`.
+    /// The call of `lease`, if there is one.
     #[serde(default)]
     pub lease_at: Option<SourceLocation>,
 }
 
 impl Evaluated {
-    /// Checks what the file sets beside the gateway's configuration; returns the drain's timetable where health is on.
+    /// Checks what the file sets against the gateway's configuration; returns the drain's timetable if health is on.
     ///
     /// # Errors
     ///
@@ -53,17 +54,18 @@
         health
             .beside(config)
             .map(Some)
-            .map_err(|error| self.error_in(&self.health_at, qualified(error)))
+            .map_err(|error| self.error_in(&self.health_at, under_health_key(error)))
     }
 
-    /// What the file sets for a control member that serves no clients; a file that makes it none is an error.
+    /// The settings of a control member that serves no clients.
     ///
     /// # Errors
     ///
-    /// [`OperatorFileError`] names the file, the place and the key at fault.
+    /// [`OperatorFileError`] if the file does not make this process a voter; names the file, the place and the key at fault.
     pub fn member(&self) -> Result<&ControlSettings, OperatorFileError> {
         let Some(lease) = &self.operator.lease else {
-            let fault = "is not called: there is no control plane to be a member of";
+            let fault =
+                "is not called; a control member needs it, to name its peers and its own number";
             return Err(self.error_in(&None, SettingError::new("lease", fault)));
         };
         lease
@@ -76,7 +78,7 @@
         self.error_in(&self.lease_at, error.into().under_key("lease"))
     }
 
-    /// An error of a key, placed in the call that sets it where that is known.
+    /// The error of a key, at the call that sets it if that is known.
     fn error_in(&self, call: &Option<SourceLocation>, error: SettingError) -> OperatorFileError {
         match call {
             Some(call) => call.error(error),
@@ -88,8 +90,8 @@
     }
 }
 
-/// An error of `health` with its key as operators know it: the call's own name is not repeated.
-pub fn qualified(error: SettingError) -> SettingError {
+/// An error of `health` with its full key; the key `health` itself gets no prefix.
+pub fn under_health_key(error: SettingError) -> SettingError {
     if error.key == "health" {
         return error;
     }
--- a/src/operator/settings.rs
+++ b/src/operator/settings.rs
@@ -1,4 +1,4 @@
-//! The types that an operator's file is checked into.
+//! The checked types of what an operator's file sets.
 
 use super::SettingError;
 use crate::cells::bulkhead::Bounds;
@@ -15,14 +15,14 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// All that an operator's file sets; everything is off unless it is there.
+/// All that an operator's file sets; what is `None` is off.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Operator {
     /// `health(...)`: health for balancers.
     pub health: Option<Health>,
     /// `cells(...)`: which tenants may reach which groups.
     pub cells: Option<Cells>,
-    /// `lease(...)`: the fleet's control plane, and the duties with one holder in the fleet.
+    /// `lease(...)`: the fleet's control plane, and the duties that one gateway of the fleet holds at a time.
     #[serde(default)]
     pub lease: Option<ControlSettings>,
     /// `readmission(...)`: how many clients may reconnect at once.
@@ -30,17 +30,18 @@
     pub readmission: Option<crate::readmission::Options>,
 }
 
-/// What a cell may hold of this gateway, as far as it is enforced; 0 is no bound.
+/// How much of this gateway the requests of a cell may use at a time; 0 is no bound.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CellBounds {
-    /// Requests in flight.
+    /// The most requests in flight.
     pub requests: u32,
-    /// Bytes of their statements.
+    /// The most bytes of their statements.
     pub bytes: u64,
 }
 
 impl CellBounds {
+    /// The bounds as [`crate::cells`] enforces them; those that the file can't set stay off.
     fn enforced(&self) -> Bounds {
         Bounds {
             requests: self.requests,
@@ -54,9 +55,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Cells {
-    /// The published placement; relative to the operator's file.
+    /// The path of the published placement, relative to the operator's file.
     pub placement: PathBuf,
-    /// How the tenant of a request is resolved: by the first source that knows it.
+    /// The sources of a request's tenant; the first that yields one decides.
     pub who: Vec<Source>,
     /// Bounds by the cell's name.
     #[serde(default)]
@@ -68,24 +69,24 @@
     #[serde(default)]
     pub quarantine: quarantine::QuarantineOptions,
     /// Time between two reads of the placement, milliseconds; 50 to 60000, default 500.
-    #[serde(default = "reread")]
+    #[serde(default = "default_reread_ms")]
     pub reread_ms: u64,
-    /// How long writes may follow a placement that can't be read again, milliseconds; at least twice `reread_ms`, at most
-    /// 600000, default 5000.
-    #[serde(default = "lease")]
+    /// How long writes are admitted by a placement after its last successful read, milliseconds; at least twice `reread_ms`,
+    /// at most 600000, default 5000.
+    #[serde(default = "default_lease_ms")]
     pub lease_ms: u64,
 }
 
-fn reread() -> u64 {
+fn default_reread_ms() -> u64 {
     500
 }
 
-fn lease() -> u64 {
+fn default_lease_ms() -> u64 {
     5_000
 }
 
 impl Cells {
-    /// Checks it, and gives it in the types of [`crate::cells`].
+    /// Checks the settings, and converts them to the types of [`crate::cells`].
     ///
     /// # Errors
     ///
@@ -94,11 +95,14 @@
         if self.who.is_empty() {
             return Err(SettingError::new(
                 "who",
-                "names no source: nobody could ask",
+                "names no source: every request would be rejected; list a source of tenants, such as 'user'",
             ));
         }
         if self.placement.as_os_str().is_empty() {
-            return Err(SettingError::new("placement", "names no file"));
+            return Err(SettingError::new(
+                "placement",
+                "is empty; set the path of the published placement",
+            ));
         }
         check_within("reread_ms", self.reread_ms, 50, 60_000)?;
         check_within("lease_ms", self.lease_ms, 2 * self.reread_ms, 600_000)?;
@@ -130,7 +134,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Listener {
-    /// Where it listens.
+    /// The address and port that it listens on.
     pub listen: SocketAddr,
 }
 
@@ -138,25 +142,25 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Agent {
-    /// Where it listens.
+    /// The address and port that it listens on.
     pub listen: SocketAddr,
-    /// How long the first byte of an `agent-send` text is waited for; 0 to 500, default 20.
-    #[serde(default = "agent_wait")]
+    /// How long to wait for the first byte of an `agent-send` text, milliseconds; 0 to 500, default 20.
+    #[serde(default = "default_agent_wait_ms")]
     pub wait_ms: u64,
-    /// Whether to report `maxconn`: how many client connections there is capacity for.
+    /// Whether to report `maxconn`, the number of client connections that there is capacity for.
     #[serde(default)]
     pub maxconn: bool,
 }
 
-fn agent_wait() -> u64 {
+fn default_agent_wait_ms() -> u64 {
     20
 }
 
-fn connections() -> usize {
+fn default_connections() -> usize {
     32
 }
 
-/// Health for balancers; what is left out is off or has its default.
+/// Health reports for balancers; what is left out is off or has its default.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Health {
@@ -175,13 +179,13 @@
     /// Whether to notify systemd, on the socket that `NOTIFY_SOCKET` names.
     #[serde(default)]
     pub notify: bool,
-    /// The networks that may check health; default this machine.
+    /// The networks from which health may be checked; by default this machine only.
     #[serde(default = "asterreel_control::settings::loopback_networks")]
     pub allow: Vec<IpNet>,
-    /// Connections of all health listeners together; 4 to 128, default 32.
-    #[serde(default = "connections")]
+    /// The most connections of all health listeners together; 4 to 128, default 32.
+    #[serde(default = "default_connections")]
     pub connections: usize,
-    /// How balancers check health.
+    /// The interval, timeout and fall of the balancers' checks.
     #[serde(default)]
     pub balancer: Balancer,
     /// The phases of a drain.
@@ -192,10 +196,10 @@
     pub options: HealthOptions,
 }
 
-/// Descriptors that health needs beside its connections: listeners, the event queue, its heartbeat (two connections,
-/// and their other ends), one that is closed while the next is taken, and two spare ones.
+/// Descriptors that health needs besides its connections: listeners, the event queue, its heartbeat (two connections and
+/// their peers in this process), one that is being closed while the next is accepted, and two spare ones.
 const FIXED_DESCRIPTORS: usize = 14;
-/// Health may take a quarter of the descriptors.
+/// Health may use at most a quarter of the descriptors.
 const MIN_SOCKETS_PER_HEALTH_DESCRIPTOR: usize = 4;
 
 impl Health {
@@ -206,16 +210,16 @@
 
     /// The addresses it listens on, by key.
     pub fn listeners(&self) -> Vec<(&'static str, SocketAddr)> {
-        let plain = |key, listener: &Option<Listener>| listener.as_ref().map(|l| (key, l.listen));
+        let entry = |key, listener: &Option<Listener>| listener.as_ref().map(|l| (key, l.listen));
         let agent = self
             .agent
             .as_ref()
             .map(|agent| ("agent.listen", agent.listen));
         let all = [
             agent,
-            plain("http.listen", &self.http),
-            plain("postgres.listen", &self.postgres),
-            plain("grpc.listen", &self.grpc),
+            entry("http.listen", &self.http),
+            entry("postgres.listen", &self.postgres),
+            entry("grpc.listen", &self.grpc),
         ];
         all.into_iter().flatten().collect()
     }
@@ -234,13 +238,13 @@
         if self.allow.is_empty() {
             return Err(SettingError::new(
                 "allow",
-                "names no network: nobody could ask",
+                "names no network: every check would be rejected; list the networks of the balancers",
             ));
         }
         self.options
             .check()
             .map_err(|fault| fault.under_key("knobs"))?;
-        // With the longest deadline there is; the gateway's own may leave less.
+        // Without the configuration any deadline is possible; `beside` checks with the actual ones.
         self.timetable(u64::MAX)?;
         Ok(())
     }
@@ -249,25 +253,27 @@
         let listeners = self.listeners();
         for (number, (key, address)) in listeners.iter().enumerate() {
             if address.port() == 0 {
-                let fault = "port 0 is no place that a balancer can be told";
+                let fault =
+                    "port 0 means any free port, which balancers can't know; set a fixed port";
                 return Err(SettingError::new(*key, fault));
             }
             let mut earlier = listeners[..number].iter();
             if let Some((other, _)) = earlier.find(|(_, taken)| taken == address) {
                 return Err(SettingError::new(
                     *key,
-                    format!("{address} is {other} already"),
+                    format!("{address} is already used by {other}; choose another address"),
                 ));
             }
         }
         if listeners.is_empty() && !self.notify {
-            let fault = "has no front: set agent, http, postgres, grpc or notify";
+            let fault =
+                "sets neither a listener nor notify; set agent, http, postgres, grpc or notify";
             return Err(SettingError::new("health", fault));
         }
         Ok(())
     }
 
-    /// The drain's timetable where no request lasts longer than this, microseconds.
+    /// The drain's timetable if no request lasts longer than this, microseconds.
     fn timetable(&self, longest_deadline: Micros) -> Result<Timetable, SettingError> {
         let timetable =
             self.drain
@@ -275,7 +281,7 @@
         Ok(timetable)
     }
 
-    /// How balancers learn of a drain.
+    /// How balancers detect a drain.
     fn detection_method(&self) -> DetectionMethod {
         let others = self.http.is_some() || self.postgres.is_some() || self.grpc.is_some();
         if others {
@@ -285,7 +291,7 @@
         }
     }
 
-    /// Checks it beside the gateway's configuration, and computes the drain's timetable.
+    /// Checks the settings against the gateway's configuration, and computes the drain's timetable.
     ///
     /// # Errors
     ///
@@ -294,13 +300,13 @@
         self.check()?;
         for (key, address) in self.listeners() {
             if address == config.listen {
-                let fault = format!("{address} is where clients connect (listen)");
+                let fault = format!("{address} is where clients connect (listen of the configuration); choose another address");
                 return Err(SettingError::new(key, fault));
             }
         }
         if self.descriptors() > config.max_descriptors / MIN_SOCKETS_PER_HEALTH_DESCRIPTOR {
             let fault = format!(
-                "{} descriptors are more than a quarter of limits.sockets",
+                "{} descriptors (connections + {FIXED_DESCRIPTORS}) are more than a quarter of limits.sockets; lower connections",
                 self.descriptors()
             );
             return Err(SettingError::new("connections", fault));
