--- a/src/bin/asterreel-config-eval/functions.rs
+++ b/src/bin/asterreel-config-eval/functions.rs
@@ -26,6 +26,10 @@
         .build()
 }
 
+/// The error of an argument that is a function, for example.
+const NOT_PLAIN_DATA: &str =
+    "cannot be converted to JSON; use numbers, strings, booleans, lists and dictionaries";
+
 /// A call of a function, with its name and location for errors.
 struct FunctionCall<'a> {
     function: &'a str,
@@ -68,7 +72,7 @@
             let name = name.unpack_str().unwrap_or("?");
             let value = value
                 .to_json_value()
-                .map_err(|_| self.error(name, "cannot be converted to JSON; use numbers, strings, booleans, lists and dictionaries"))?;
+                .map_err(|_| self.error(name, NOT_PLAIN_DATA))?;
             if !value.is_null() {
                 map.insert(name.to_owned(), value);
             }
--- a/src/bin/asterreel-config-eval/loader.rs
+++ b/src/bin/asterreel-config-eval/loader.rs
@@ -148,7 +148,9 @@
     }
     let text = std::fs::read_to_string(path).map_err(|error| unreadable(name, &error))?;
     if let Some(line) = line_beyond_max_depth(&text) {
-        let fault = format!("brackets, operators or elif branches go deeper than {MAX_EXPRESSION_DEPTH}; divide the expression or function");
+        let fault = format!(
+            "brackets, operators or elif branches go deeper than {MAX_EXPRESSION_DEPTH}; divide the expression or function"
+        );
         return Err(OperatorFileError {
             at: Some((line, 1)),
             ..OperatorFileError::of_file(name, fault)
--- a/src/bin/asterreel-config-eval/main.rs
+++ b/src/bin/asterreel-config-eval/main.rs
@@ -56,11 +56,14 @@
         .spawn(move || evaluate(&path, deadline));
     match thread {
         Ok(thread) => thread.join().unwrap_or_else(|_| {
-            let fault = "the evaluation broke off: the evaluator panicked; simplify the file, or report this as a fault of the evaluator";
+            let fault = "the evaluation broke off: the evaluator panicked; simplify the file, or report this as a fault of \
+                         the evaluator";
             Err(OperatorFileError::of_file(file, fault))
         }),
         Err(error) => {
-            let fault = format!("cannot start the thread that evaluates it: {error}; check the limits on threads and memory");
+            let fault = format!(
+                "cannot start the thread that evaluates it: {error}; check the limits on threads and memory"
+            );
             Err(OperatorFileError::of_file(file, fault))
         }
     }
