--- a/src/bin/asterreel-sim-adapter/wire.rs
+++ b/src/bin/asterreel-sim-adapter/wire.rs
@@ -1,4 +1,4 @@
-//! Translation between the wire's words and the module's vocabulary.
+//! Translates between the simulator's JSON messages and the router's events and actions.
 
 use std::collections::{BTreeMap, HashMap};
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -38,7 +38,7 @@
     View(View),
     Accept(Accept),
     Datagram(Empty),
-    TimedOutClient(JobOnly),
+    TimedOutClient(TimedOutClient),
     Accepted(Accepted),
     Retire(Empty),
     Reply(Reply),
@@ -87,7 +87,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-struct JobOnly {
+struct TimedOutClient {
     job: String,
 }
 
@@ -157,29 +157,34 @@
     Broken { text: &'a str },
 }
 
-/// A job's name, and how many of its replies are to come.
+/// A job, which is a request to the router.
 struct Job {
     name: String,
-    attempts_out: u32,
+    /// Attempts that were dispatched and whose replies have not arrived.
+    attempts_in_flight: u32,
     finished: bool,
 }
 
-/// One router with the names it goes by outside.
+/// A router, and the simulator's names for its requests and members.
 struct Instance {
     router: Router,
-    zero: Micros,
-    report: Vec<String>,
+    /// The time that position 0 of a database stands for.
+    position_zero: Micros,
+    /// The names of the values in a feedback, in their order.
+    report_names: Vec<String>,
     zones: Vec<String>,
-    ids: HashMap<String, RequestId>,
+    /// Requests by the names of their jobs.
+    requests: HashMap<String, RequestId>,
     jobs: HashMap<RequestId, Job>,
-    next_id: u64,
+    next_request: u64,
     members: HashMap<String, MemberId>,
+    /// The names of members, by their ids.
     stores: Vec<String>,
-    /// When the list was called for, for as long as nothing has come of it.
-    called_at: Option<Micros>,
+    /// When the router requested a watch, until its first update arrives or it is lost.
+    watch_requested_at: Option<Micros>,
 }
 
-/// All instances of this process.
+/// All instances of this process, and the lists of endpoints that they share.
 #[derive(Default)]
 pub(crate) struct Host {
     instances: BTreeMap<String, Instance>,
@@ -187,7 +192,7 @@
 }
 
 impl Host {
-    /// Answers one batch with one reply line, or says what is wrong with it.
+    /// Handles a batch and returns the line that replies to it, or what is wrong with the batch.
     pub(crate) fn answer(&mut self, line: &[u8]) -> Result<String, String> {
         let batch: Batch = serde_json::from_slice(line).map_err(|fault| {
             match serde_json::from_slice::<BatchNumber>(line) {
@@ -196,18 +201,19 @@
             }
         })?;
         let number = batch.batch;
-        let reply = self.parts(batch);
+        let reply = self.handle_parts(batch);
         reply.map_err(|fault| format!("batch {number}: {fault}"))
     }
 
-    fn parts(&mut self, batch: Batch) -> Result<String, String> {
+    /// Handles the events of each part in order; the reply has the parts in which a router acted.
+    fn handle_parts(&mut self, batch: Batch) -> Result<String, String> {
         let mut reply = format!("{{\"batch\":{},\"parts\":[", batch.batch);
         let mut first_part = true;
         for part in batch.parts {
             let name = part.instance.as_deref();
             let mut written = String::new();
             for event in part.events {
-                self.event(batch.now, name, event, &mut written)?;
+                self.handle_event(batch.now, name, event, &mut written)?;
             }
             if !written.is_empty() {
                 let name = serde_json::to_string(&name).map_err(|fault| fault.to_string())?;
@@ -224,7 +230,8 @@
         self.tables.insert(table.table, Arc::new(table.items));
     }
 
-    fn event(
+    /// Handles an event of an instance; appends the actions to `written`.
+    fn handle_event(
         &mut self,
         now: Micros,
         name: Option<&str>,
@@ -235,7 +242,7 @@
             self.define(table);
             return Ok(());
         }
-        let name = name.ok_or("an event without an instance")?;
+        let name = name.ok_or("an event without an instance; its part lacks I")?;
         match event {
             Input::NewInstance(new) => {
                 let instance = Instance::new(*new, now)?;
@@ -263,8 +270,8 @@
 
 impl Instance {
     fn new(new: NewInstance, now: Micros) -> Result<Self, String> {
-        let zero = new.setup.family_info.position_zero_us;
-        let report = new.setup.report.names.clone();
+        let position_zero = new.setup.family_info.position_zero_us;
+        let report_names = new.setup.report.names.clone();
         let zones = new.setup.zones.clone();
         let settings = new
             .setup
@@ -273,24 +280,29 @@
         let router = Router::new(settings, new.entropy, now).map_err(|fault| fault.to_string())?;
         Ok(Instance {
             router,
-            zero,
-            report,
+            position_zero,
+            report_names,
             zones,
-            ids: HashMap::new(),
+            requests: HashMap::new(),
             jobs: HashMap::new(),
-            next_id: 0,
+            next_request: 0,
             members: HashMap::new(),
             stores: Vec::new(),
-            called_at: None,
+            watch_requested_at: None,
         })
     }
 
+    /// Passes an event to the router, and appends its actions to `written`.
     fn handle(&mut self, now: Micros, event: Event, written: &mut String) -> Result<(), String> {
         let mut actions = Vec::new();
         let event = match event {
-            // The wire tells of a watch that ended as of a call that failed; only the latter had said nothing yet.
+            // The simulator reports a watch that ended and a call that failed in the same way. Only after a failed call has
+            // no update arrived since the request, so that `watch_requested_at` is still set.
             Event::WatchLost(_) => {
-                let staleness = self.called_at.take().map_or(0, |at| now.saturating_sub(at));
+                let staleness = self
+                    .watch_requested_at
+                    .take()
+                    .map_or(0, |at| now.saturating_sub(at));
                 Event::WatchLost(WatchLoss::after_silence(staleness))
             }
             event => event,
@@ -305,13 +317,14 @@
         }
         for action in actions {
             if action == Action::Watch {
-                self.called_at = Some(now);
+                self.watch_requested_at = Some(now);
             }
             self.write(action, written)?;
         }
         Ok(())
     }
 
+    /// Appends an action to `written`, and updates the job that it concerns.
     fn write(&mut self, action: Action, written: &mut String) -> Result<(), String> {
         let Instance { jobs, stores, .. } = self;
         let job = |request: RequestId| jobs.get(&request).map(|job| job.name.as_str());
@@ -365,7 +378,7 @@
             append(written, &output)?;
         }
         if let Some(job) = sent.and_then(|request| self.jobs.get_mut(&request)) {
-            job.attempts_out += 1;
+            job.attempts_in_flight += 1;
         }
         if let Some(request) = finished {
             self.finish(request);
@@ -373,6 +386,7 @@
         Ok(())
     }
 
+    /// Marks a job as finished.
     fn finish(&mut self, request: RequestId) {
         if let Some(job) = self.jobs.get_mut(&request) {
             job.finished = true;
@@ -380,16 +394,17 @@
         self.forget(request);
     }
 
-    /// Drops a job's name once it is finished and no reply of its attempts is to come.
+    /// Drops a job's name once the job is finished and no attempt is in flight.
     fn forget(&mut self, request: RequestId) {
-        let done = |job: &Job| job.finished && job.attempts_out == 0;
+        let done = |job: &Job| job.finished && job.attempts_in_flight == 0;
         if self.jobs.get(&request).is_some_and(done) {
             if let Some(job) = self.jobs.remove(&request) {
-                self.ids.remove(&job.name);
+                self.requests.remove(&job.name);
             }
         }
     }
 
+    /// The router's event for an input; `None` if the input does not concern it.
     fn translate(
         &mut self,
         event: Input,
@@ -397,14 +412,18 @@
     ) -> Result<Option<Event>, String> {
         Ok(match event {
             Input::Accept(accept) => Some(Event::RequestArrived(self.arrival(accept))),
-            Input::Reply(reply) => self.reply(reply)?,
-            Input::TimedOutClient(gone) => self.ids.get(&gone.job).copied().map(|request| {
+            Input::Reply(reply) => self.attempt_ended(reply)?,
+            Input::TimedOutClient(gone) => self.requests.get(&gone.job).copied().map(|request| {
                 self.finish(request);
                 Event::ClientGone(request)
             }),
-            Input::Accepted(begun) => self.ids.get(&begun.job).copied().map(Event::StreamStarted),
+            Input::Accepted(begun) => self
+                .requests
+                .get(&begun.job)
+                .copied()
+                .map(Event::StreamStarted),
             Input::Health(health) => {
-                let report = self.report(health.feedback.as_deref());
+                let report = self.load_report(health.feedback.as_deref());
                 let member = self.member(&health.store);
                 Some(Event::HealthChecked(
                     member,
@@ -413,7 +432,7 @@
                 ))
             }
             Input::Due(_) => Some(Event::TimerFired),
-            Input::View(view) => Some(self.view(&view, tables)?),
+            Input::View(view) => Some(self.discovery_event(&view, tables)?),
             Input::Datagram(_)
             | Input::NewInstance(_)
             | Input::DefineList(_)
@@ -422,12 +441,12 @@
     }
 
     fn arrival(&mut self, accept: Accept) -> Arrival {
-        let request = RequestId(self.next_id);
-        self.next_id += 1;
-        self.ids.insert(accept.job.clone(), request);
+        let request = RequestId(self.next_request);
+        self.next_request += 1;
+        self.requests.insert(accept.job.clone(), request);
         let job = Job {
             name: accept.job,
-            attempts_out: 0,
+            attempts_in_flight: 0,
             finished: false,
         };
         self.jobs.insert(request, job);
@@ -439,19 +458,23 @@
             due: accept.due_us,
             estimate: accept.predicted_us,
             group: GroupId(accept.db_no),
-            since_write: accept.wrote_ms_ago.filter(|&ms| ms > 0.0).map(micros),
+            since_write: accept
+                .wrote_ms_ago
+                .filter(|&ms| ms > 0.0)
+                .map(micros_from_ms),
         }
     }
 
-    fn reply(&mut self, reply: Reply) -> Result<Option<Event>, String> {
+    /// The end of an attempt; `None` if the job is unknown or forgotten.
+    fn attempt_ended(&mut self, reply: Reply) -> Result<Option<Event>, String> {
         let outcome = outcome(reply.result)?;
-        let Some(&request) = self.ids.get(&reply.job) else {
+        let Some(&request) = self.requests.get(&reply.job) else {
             return Ok(None);
         };
         if let Some(job) = self.jobs.get_mut(&request) {
-            job.attempts_out = job.attempts_out.saturating_sub(1);
+            job.attempts_in_flight = job.attempts_in_flight.saturating_sub(1);
         }
-        let report = self.report(reply.feedback.as_deref());
+        let report = self.load_report(reply.feedback.as_deref());
         if reply.last {
             self.finish(request);
         }
@@ -461,7 +484,7 @@
             attempt: AttemptNo(reply.round_no),
             outcome,
             latency: reply.latency_us,
-            answer_report: self.note(reply.stamp),
+            answer_report: self.answer_report(reply.stamp),
             load_report: report,
             answer: if reply.last {
                 AnswerStatus::Finished
@@ -471,7 +494,8 @@
         })))
     }
 
-    fn note(&self, stamp: u64) -> MemberReport {
+    /// Decodes a stamp: its last two bits are the role, the others the position in milliseconds.
+    fn answer_report(&self, stamp: u64) -> MemberReport {
         let after_zero = (stamp / 4).saturating_mul(1000);
         MemberReport {
             role: match stamp % 4 {
@@ -479,27 +503,32 @@
                 2 => Some(Role::Replica),
                 _ => None,
             },
-            position: (stamp >= 4).then(|| self.zero.saturating_add(after_zero)),
+            position: (stamp >= 4).then(|| self.position_zero.saturating_add(after_zero)),
         }
     }
 
-    fn report(&self, feedback: Option<&[Option<f64>]>) -> MemberReport {
-        let mut note = MemberReport::default();
+    /// Decodes a feedback: `x0` is the position in seconds, `x1` is above 0.5 for a primary.
+    fn load_report(&self, feedback: Option<&[Option<f64>]>) -> MemberReport {
+        let mut report = MemberReport::default();
         let values = feedback.unwrap_or(&[]).iter();
-        for (name, value) in self.report.iter().zip(values) {
+        for (name, value) in self.report_names.iter().zip(values) {
             match (name.as_str(), value) {
                 ("x0", Some(seconds)) => {
-                    note.position = Some(self.zero.saturating_add(micros(seconds * 1000.0)));
+                    report.position = Some(
+                        self.position_zero
+                            .saturating_add(micros_from_ms(seconds * 1000.0)),
+                    );
                 }
-                ("x1", Some(one)) if *one > 0.5 => note.role = Some(Role::Primary),
-                ("x1", Some(_)) => note.role = Some(Role::Replica),
+                ("x1", Some(flag)) if *flag > 0.5 => report.role = Some(Role::Primary),
+                ("x1", Some(_)) => report.role = Some(Role::Replica),
                 _ => {}
             }
         }
-        note
+        report
     }
 
-    fn view(
+    /// An update of the list of endpoints, or the loss of the watch.
+    fn discovery_event(
         &mut self,
         view: &View,
         tables: &HashMap<u32, Arc<Vec<EndpointRecord>>>,
@@ -509,26 +538,32 @@
             "total" => UpdateKind::Snapshot,
             "warm_copy" => UpdateKind::CachedSnapshot,
             "lost" => return Ok(Event::WatchLost(WatchLoss::default())),
-            other => return Err(format!("VIEW: unknown kind {other}")),
+            other => {
+                return Err(format!(
+                    "VIEW: unknown How {other:?}; it must be incr, total, warm_copy or lost"
+                ))
+            }
         };
         if kind != UpdateKind::CachedSnapshot {
-            self.called_at = None;
+            self.watch_requested_at = None;
         }
         let number = view.table.unwrap_or(0);
         let items = tables
             .get(&number)
-            .ok_or(format!("VIEW: unknown table {number}"))?;
+            .ok_or(format!("VIEW: no DEFINE_LIST has defined table {number}"))?;
         let entries: Result<Vec<Endpoint>, String> =
-            items.iter().map(|item| self.entry(item)).collect();
+            items.iter().map(|item| self.endpoint(item)).collect();
         Ok(Event::EndpointsUpdated(kind, entries?.into()))
     }
 
-    fn entry(&mut self, item: &EndpointRecord) -> Result<Endpoint, String> {
+    /// The endpoint of a list's entry.
+    fn endpoint(&mut self, item: &EndpointRecord) -> Result<Endpoint, String> {
         let member = self.member(&item.store);
         item.endpoint(member, &self.zones)
             .map_err(|fault| format!("DEFINE_LIST: {fault}"))
     }
 
+    /// The id of a member; assigns one to a new name.
     fn member(&mut self, store: &str) -> MemberId {
         if let Some(&member) = self.members.get(store) {
             return member;
@@ -540,6 +575,7 @@
     }
 }
 
+/// Appends an output to a JSON array without its brackets.
 fn append(written: &mut String, output: &Output) -> Result<(), String> {
     if !written.is_empty() {
         written.push(',');
@@ -548,7 +584,7 @@
     Ok(())
 }
 
-/// The simulator's word for a transition.
+/// The simulator's name of a transition.
 fn transition_name(transition: MemberTransition) -> &'static str {
     match transition {
         MemberTransition::Promoted => "active",
@@ -557,10 +593,11 @@
     }
 }
 
-fn micros(milliseconds: f64) -> Micros {
+fn micros_from_ms(milliseconds: f64) -> Micros {
     (milliseconds * 1000.0) as Micros
 }
 
+/// The outcome for a `Result` of the simulator.
 fn outcome(code: u8) -> Result<Outcome, String> {
     Ok(match code {
         10 => Outcome::Served,
@@ -572,6 +609,6 @@
         70 => Outcome::Cancelled,
         80 => Outcome::NotSent,
         90 => Outcome::Misrouted,
-        other => return Err(format!("unknown result {other}")),
+        other => return Err(format!("unknown Result {other}")),
     })
 }
