--- a/tests/cells_fronts.rs
+++ b/tests/cells_fronts.rs
@@ -1,4 +1,4 @@
-//! Cells on sockets: a real gateway whose tenants live in two groups of the testbench's databases.
+//! Cells on sockets: a gateway's process whose tenants are placed in two cells, each a group of the testbench's databases.
 
 use asterreel::cells::placement::{Cell, Home, Order, Published};
 use asterreel::cells::{record, CellId, Epoch};
@@ -11,8 +11,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
+/// How long anything is waited for: far longer than it takes on a slow machine.
 const PATIENCE: Duration = Duration::from_secs(30);
 
+/// A tenant's home in this cell, with this epoch.
 fn home(cell: u16, epoch: u64) -> Home {
     Home {
         cell: CellId(cell),
@@ -22,6 +24,7 @@
     }
 }
 
+/// A placement in which cells one and two hold groups 0 and 1, as it is published.
 fn published(epoch: u64, homes: &[(&str, Home)]) -> Vec<u8> {
     let cell = |name: &str, group| Cell {
         name: name.into(),
@@ -32,7 +35,7 @@
         .map(|(name, home)| ((*name).to_owned(), *home))
         .collect();
     let cells = vec![cell("one", 0), cell("two", 1)];
-    let whole = Published {
+    let placement = Published {
         epoch: Epoch(epoch),
         cells,
         spread: 1,
@@ -40,10 +43,11 @@
         ranges: vec![],
         homes,
     };
-    record::encode(&whole).expect("encodes")
+    record::encode(&placement).expect("encoded")
 }
 
-struct Scene {
+/// A gateway with cells in front of two groups.
+struct Setup {
     fleet: Arc<Fleet>,
     gateway: Gateway,
     client: SocketAddr,
@@ -51,8 +55,9 @@
     _folder: tempfile::TempDir,
 }
 
-impl Scene {
-    fn start(extra: &str) -> Scene {
+impl Setup {
+    /// Starts it, with `extra` among the arguments of `cells(...)`.
+    fn start(extra: &str) -> Setup {
         let fleet = Fleet::start(Shape {
             groups: 2,
             ..Shape::default()
@@ -79,10 +84,10 @@
         let up = |line: &serde_json::Value| line["scope"] == "gateway" && line["state"] == "Up";
         assert!(
             gateway.logged(0, PATIENCE, up).is_some(),
-            "it never came up: {:?}",
+            "the gateway did not get ready: {:?}",
             gateway.log()
         );
-        Scene {
+        Setup {
             fleet,
             gateway,
             client: plan.client,
@@ -92,13 +97,13 @@
     }
 
     fn publish(&self, bytes: &[u8]) {
-        // As a publisher should: the old file or the new one, never half.
+        // Replaces the file atomically, as `asterreel cells publish` does.
         let next = self.placement.with_extension("next");
         std::fs::write(&next, bytes).expect("written");
         std::fs::rename(&next, &self.placement).expect("renamed");
     }
 
-    /// The groups that took the writes of these ids.
+    /// The groups whose databases received requests with this prefix of their ids, without repeats in a row.
     fn groups(&self, prefix: &str) -> Vec<usize> {
         let taken = self.fleet.taken();
         let mut groups: Vec<usize> = taken
@@ -118,17 +123,17 @@
         let stream = TcpStream::connect(address).expect("connected");
         stream.set_read_timeout(Some(PATIENCE)).expect("set");
         let mut client = Client(stream);
-        let words = format!("user\0{user}\0database\0orders\0\0");
-        let length = (words.len() as u32 + 8).to_be_bytes();
+        let parameters = format!("user\0{user}\0database\0orders\0\0");
+        let length = (parameters.len() as u32 + 8).to_be_bytes();
         client
             .0
-            .write_all(&[&length[..], &[0, 3, 0, 0], words.as_bytes()].concat())
+            .write_all(&[&length[..], &[0, 3, 0, 0], parameters.as_bytes()].concat())
             .expect("sent");
         client.answer();
         client
     }
 
-    /// The code of the error, or nothing for a row.
+    /// Reads messages up to ReadyForQuery; returns the SQLSTATE of an error, or `None` if there was none.
     fn answer(&mut self) -> Option<String> {
         let mut code = None;
         loop {
@@ -149,7 +154,8 @@
         }
     }
 
-    fn ask(&mut self, id: &str, write: bool) -> Option<String> {
+    /// Sends a read or a write with this id; returns the SQLSTATE of an error, or `None` if it was served.
+    fn request(&mut self, id: &str, write: bool) -> Option<String> {
         let text = if write {
             format!("INSERT INTO entries (ref) VALUES ('{id}') /* id={id},c=booking,d=3000,cluster=0 */\0")
         } else {
@@ -165,105 +171,108 @@
 }
 
 #[test]
-fn tenants_write_to_their_own_cell_also_over_a_connection_that_is_kept_across_a_move() {
-    let scene = Scene::start("");
+fn tenants_write_to_their_own_cell_also_after_a_move() {
+    let setup = Setup::start("");
     let (mut a, mut b) = (
-        Client::connect(scene.client, "a"),
-        Client::connect(scene.client, "b"),
+        Client::connect(setup.client, "a"),
+        Client::connect(setup.client, "b"),
     );
     for round in 0..10 {
-        assert_eq!(a.ask(&format!("a{round}"), true), None);
-        assert_eq!(b.ask(&format!("b{round}"), true), None);
+        assert_eq!(a.request(&format!("a{round}"), true), None);
+        assert_eq!(b.request(&format!("b{round}"), true), None);
     }
-    assert_eq!((scene.groups("a"), scene.groups("b")), (vec![0], vec![1]));
-    // A comment that says otherwise is a client's word.
-    assert_eq!(a.ask("a10,tenant=b", true), None);
-    assert_eq!(scene.groups("a"), [0]);
+    assert_eq!((setup.groups("a"), setup.groups("b")), (vec![0], vec![1]));
+    // A tenant in a comment is not trusted: only `user` is a source here.
+    assert_eq!(a.request("a10,tenant=b", true), None);
+    assert_eq!(setup.groups("a"), [0]);
 
-    // Held: writes are refused, to come again; reads go on.
+    // Held: writes are rejected with a code that lets clients retry, and reads are served.
     let held = Home {
         held: true,
         ..home(0, 2)
     };
-    scene.publish(&published(2, &[("a", held), ("b", home(1, 1))]));
+    setup.publish(&published(2, &[("a", held), ("b", home(1, 1))]));
     let began = Instant::now();
-    while a.ask(&format!("h{}", began.elapsed().as_nanos()), true) != Some("53300".into()) {
+    while a.request(&format!("h{}", began.elapsed().as_nanos()), true) != Some("53300".into()) {
         assert!(began.elapsed() < PATIENCE);
     }
-    assert_eq!((a.ask("ar", false), b.ask("b11", true)), (None, None));
-    // Moved, and what is cut short or older changes nothing.
+    assert_eq!(
+        (a.request("ar", false), b.request("b11", true)),
+        (None, None)
+    );
+    // Moved: the kept connection writes to the new cell. A truncated or older placement changes nothing then.
     let moved = published(3, &[("a", home(1, 3)), ("b", home(1, 1))]);
-    scene.publish(&moved);
+    setup.publish(&moved);
     while a
-        .ask(&format!("m{}", began.elapsed().as_nanos()), true)
+        .request(&format!("m{}", began.elapsed().as_nanos()), true)
         .is_some()
     {
         assert!(began.elapsed() < PATIENCE);
     }
-    assert_eq!(scene.groups("m"), [1]);
-    for (bytes, word) in [
+    assert_eq!(setup.groups("m"), [1]);
+    for (bytes, reason) in [
         (&moved[..moved.len() / 2], "cut short"),
         (&published(1, &[("a", home(0, 1))]), "older"),
     ] {
-        let from = scene.gateway.log().len();
-        scene.publish(bytes);
+        let from = setup.gateway.log().len();
+        setup.publish(bytes);
         let warned = |line: &serde_json::Value| {
             line["message"]
                 .as_str()
-                .is_some_and(|text| text.contains(word))
+                .is_some_and(|text| text.contains(reason))
         };
         assert!(
-            scene.gateway.logged(from, PATIENCE, warned).is_some(),
-            "{word}"
+            setup.gateway.logged(from, PATIENCE, warned).is_some(),
+            "{reason}"
         );
-        assert_eq!(a.ask(&format!("n{word}"), true), None);
+        assert_eq!(a.request(&format!("n{reason}"), true), None);
     }
-    assert_eq!(scene.groups("n"), [1]);
+    assert_eq!(setup.groups("n"), [1]);
 }
 
 #[test]
-fn a_cell_that_loses_all_its_members_fails_its_own_promptly_and_spills_nowhere() {
-    let scene = Scene::start("");
+fn cell_without_members_rejects_promptly_and_uses_no_other() {
+    let setup = Setup::start("");
     let (mut a, mut b) = (
-        Client::connect(scene.client, "a"),
-        Client::connect(scene.client, "b"),
+        Client::connect(setup.client, "a"),
+        Client::connect(setup.client, "b"),
     );
-    assert_eq!((a.ask("a0", true), b.ask("b0", true)), (None, None));
+    assert_eq!((a.request("a0", true), b.request("b0", true)), (None, None));
     for member in 0..3 {
-        scene.fleet.crash(member);
+        setup.fleet.crash(member);
     }
-    // Until the decision module has given up on all three, requests may wait within their deadlines.
+    // Until the router has marked all three as failed, requests may wait, but not beyond their deadlines.
     let began = Instant::now();
     loop {
-        let asked = Instant::now();
-        let code = a.ask(&format!("l{}", began.elapsed().as_nanos()), false);
+        let sent_at = Instant::now();
+        let code = a.request(&format!("l{}", began.elapsed().as_nanos()), false);
         assert!(
-            code.is_some() && asked.elapsed() < Duration::from_secs(4),
-            "never after its deadline"
+            code.is_some() && sent_at.elapsed() < Duration::from_secs(4),
+            "answered with an error before the deadline"
         );
-        if asked.elapsed() < Duration::from_millis(100) {
+        if sent_at.elapsed() < Duration::from_millis(100) {
             break;
         }
         assert!(began.elapsed() < PATIENCE);
     }
     let mut took = Vec::new();
     for number in 0..20 {
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         assert_eq!(
-            a.ask(&format!("l{number}"), number % 2 == 0).as_deref(),
+            a.request(&format!("l{number}"), number % 2 == 0).as_deref(),
             Some("53300")
         );
-        took.push(asked.elapsed());
-        assert_eq!(b.ask(&format!("b{}", number + 1), true), None);
+        took.push(sent_at.elapsed());
+        assert_eq!(b.request(&format!("b{}", number + 1), true), None);
     }
     took.sort_unstable();
     assert!(took[10] < Duration::from_millis(100), "{took:?}");
-    assert_eq!((scene.groups("l"), scene.groups("b")), (vec![], vec![1]));
-    // One of them back: the cell serves again.
-    scene.fleet.restart(1);
+    assert_eq!((setup.groups("l"), setup.groups("b")), (vec![], vec![1]));
+    // With one member back the cell serves again.
+    setup.fleet.restart(1);
     let began = Instant::now();
     while a
-        .ask(&format!("r{}", began.elapsed().as_nanos()), false)
+        .request(&format!("r{}", began.elapsed().as_nanos()), false)
         .is_some()
     {
         assert!(began.elapsed() < PATIENCE);
@@ -272,20 +281,21 @@
 }
 
 #[test]
-fn who_is_nobody_is_told_so_and_a_cell_at_its_bounds_refuses_its_own_only() {
-    let scene = Scene::start("bounds = {'one': bounds(bytes = 40)},");
+fn unknown_tenants_and_cells_at_their_bounds_are_rejected() {
+    let setup = Setup::start("bounds = {'one': bounds(bytes = 40)},");
     let (mut a, mut b) = (
-        Client::connect(scene.client, "a"),
-        Client::connect(scene.client, "b"),
+        Client::connect(setup.client, "a"),
+        Client::connect(setup.client, "b"),
     );
     assert_eq!(
-        (a.ask("a0", false).as_deref(), b.ask("b0", false)),
+        (a.request("a0", false).as_deref(), b.request("b0", false)),
         (Some("53300"), None)
     );
-    let mut nobody = Client::connect(scene.client, "no name");
-    assert_eq!(nobody.ask("x0", false).as_deref(), Some("28000"));
+    let mut unknown = Client::connect(setup.client, "no name");
+    assert_eq!(unknown.request("x0", false).as_deref(), Some("28000"));
 }
 
+/// Runs the program; returns its exit code, and its output with its errors.
 fn asterreel(arguments: &[&str]) -> (Option<i32>, String) {
     let output = std::process::Command::new(env!("CARGO_BIN_EXE_asterreel"))
         .args(arguments)
@@ -299,7 +309,7 @@
 }
 
 #[test]
-fn placements_are_checked_published_whole_and_only_forward_and_looked_up() {
+fn placements_are_checked_published_and_looked_up() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = |name: &str| folder.path().join(name).display().to_string();
     let (source, target) = (path("source.json"), path("placement"));
@@ -330,7 +340,7 @@
         Some(0)
     );
     let left = std::fs::read_dir(folder.path()).expect("read").count();
-    assert_eq!(left, 2, "nothing half is left behind");
+    assert_eq!(left, 2, "no temporary file is left behind");
     std::fs::write(&source, example.replace("\"spread\": 1", "\"spread\": 2")).expect("written");
     let (code, text) = asterreel(&["cells", "plan", &source]);
     assert!(
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! A gateway whose discovery fails: what it sends to members that were removed or drained meanwhile.
+//! Gateways whose discovery fails: no requests to members that were removed or drained meanwhile, and calls in time.
 mod process;
 use process::*;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,16 +7,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The size of the fleet in the incident.
+/// The fleet's size in the incident that these tests reproduce.
 const FLEET: &str = "\"FleetSize\": 312";
-/// After how long a change counts as notified, however calls ended.
+/// A change counts as notified after this time, even if calls failed.
 const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
-/// The grace of a drain by the settings, and the platform's slack.
+/// The drain grace of the settings, plus the platform's slack.
 const DRAIN_GRACE: Duration = Duration::from_millis(2_050);
-/// What a slow machine may add to the time of a call.
+/// How much later a call may begin on a slow machine.
 const SLOW_MACHINE_ALLOWANCE: Duration = Duration::from_millis(500);
 
-/// A database, and when statements arrived at it.
+/// A database that records when statements arrive.
 struct RecordedDatabase {
     database: Database,
     arrivals: Arc<Mutex<Vec<Instant>>>,
@@ -76,7 +76,7 @@
     )
 }
 
-/// The entry of the replica, in this phase.
+/// The replica's entry in a list, with this phase.
 fn replica_entry(phase: &str, address: SocketAddr) -> String {
     format!(
         "{{\"id\":\"s-two\",\"host_port\":\"{address}\",\"locality\":\"here\",\"flavor\":\"toy\",\"cell\":0,\
@@ -94,15 +94,15 @@
     thread::spawn(move || asterreel_testbench::database::discovery(&discovery, list.trim_end()));
 }
 
-/// The next call to discovery within a time.
+/// Accepts the next call to discovery; `None` if there is none within this time.
 fn next_call(discovery: &TcpListener, within: Duration) -> Option<TcpStream> {
     asterreel_testbench::bounded::accept(discovery, within).ok()
 }
 
-/// A started gateway sends nothing to a member that was removed while it was away, once the removal binds. In the incident
-/// restarted gateways, of 312, called discovery up to 7.4 s after their start, and sent by the list that they had before;
-/// removed members got requests more than the grace after the removal counted as notified. This seed's first delay was
-/// 5.9 s.
+/// A started gateway sends nothing to a member that was removed before its start, once the removal is binding. Guards
+/// against a late first call: in a fleet of 312, restarted gateways called discovery up to 7.4 s after their start and
+/// used the list in their configuration until then, so that removed members got requests after the removal was binding.
+/// With this seed the first call was delayed by 5.9 s.
 #[test]
 fn removal_before_start_binds_in_time() {
     let (primary, replica) = primary_and_replica();
@@ -113,8 +113,8 @@
         discovery,
         delta(2, &replica_entry("gone", replica.database.address)),
     );
-    let away = Duration::from_secs(4);
-    thread::sleep(away);
+    let downtime = Duration::from_secs(4);
+    thread::sleep(downtime);
     let (gateway, _log) = start_in_fleet([&primary, &replica], address, "0000000000000007");
     let binds_at = removed_at + NOTIFICATION_DEADLINE + DRAIN_GRACE;
     let mut client = Client::ready(&gateway);
@@ -128,17 +128,17 @@
     let late = replica.statements_after(binds_at);
     assert_eq!(
         late, 0,
-        "requests of {number} came to a member whose removal bound by then"
+        "of {number} requests some reached a member after its removal was binding"
     );
     assert!(
         primary.statements_after(removed_at) > 50,
-        "the other member serves meanwhile"
+        "the primary serves meanwhile"
     );
 }
 
-/// What discovery wrote counts as notified even where it did not arrive complete: an update that is truncated, or that
-/// stops while heartbeats go on, says nothing of the rest, and the next call is made at once. The next call once
-/// came up to 4 s after a truncated update, and heartbeats after a part of one kept the watch open for good.
+/// An update counts as notified even if it did not arrive completely, so after a truncated update, or one that stops while
+/// heartbeats continue, the next call must be made at once. Guards against a next call up to 4 s after a truncated update,
+/// and against heartbeats that keep a watch open although the rest of an update never arrives.
 #[test]
 fn truncated_update_is_requested_again_at_once() {
     let (primary, replica) = primary_and_replica();
@@ -172,7 +172,7 @@
     }
 }
 
-/// Reads a call and lets it wait as an overloaded discovery does, then rejects it.
+/// Reads a call, lets it wait for 2 s as in the queue of an overloaded discovery, and rejects it.
 fn reject_after_queueing(mut call: TcpStream) {
     use std::io::{Read, Write};
     let mut head = [0; 512];
@@ -181,8 +181,9 @@
     let _ = call.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
 }
 
-/// Report ad44e2: each call that failed in discovery's queue gave the next one time anew, up to 2 s after up to 4 s for
-/// the first. Three calls of a gateway of 312 begin before what its lost watch misses binds.
+/// Guards against the fault of report ad44e2: each call that failed in discovery's queue extended the time for the next
+/// one, by up to 2 s after up to 4 s for the first. In a fleet of 312 a gateway must begin three calls before updates
+/// that its lost watch missed are binding.
 #[test]
 fn failed_calls_follow_each_other_in_time() {
     let (primary, replica) = primary_and_replica();
@@ -217,8 +218,8 @@
     TcpStream::connect(gateway.address).is_ok()
 }
 
-/// The list in the configuration is of unknown age: no client is accepted before discovery's list is here, but a discovery
-/// that never answers delays a gateway by 3.5 s only.
+/// The age of the list in the configuration is unknown: no client is accepted before discovery's list has arrived, but a
+/// discovery that never answers delays a gateway by 3.5 s only.
 #[test]
 fn clients_wait_for_first_list_or_timeout() {
     let (primary, replica) = primary_and_replica();
@@ -233,11 +234,14 @@
             "{:?}",
             started_at.elapsed()
         );
-        assert!(!accepts_clients(&gateway), "no list is here");
+        assert!(
+            !accepts_clients(&gateway),
+            "no client is accepted before a list has arrived"
+        );
         if answers {
             let mut watch = asterreel_testbench::database::Watch::begin(call).expect("begun");
             watch.tell(&delta(1, "")).expect("told");
-            assert!(log.says("serving"), "with its list");
+            assert!(log.says("serving"), "served once its list has arrived");
             assert!(accepts_clients(&gateway));
         } else {
             assert!(log.says("no list from discovery yet"));
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's file: what it sets, and the error of each wrong one.
+//! The operator's file: what valid files set, and the errors of invalid ones.
 
 use asterreel::config::Config;
 use asterreel::operator::{self, Evaluated, Operator, OperatorFileError};
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tempfile::TempDir;
 
-/// Three peers that vote, and one that is served.
+/// Three control members (voters), and a gateway that they serve.
 const FLEET: &str = "peers = [peer(id = 1, address = '127.0.0.1:7101'), peer(id = 2, address = '127.0.0.1:7102'), \
                      peer(id = 3, address = '127.0.0.1:7103'), peer(id = 4, address = '127.0.0.1:7104', voter = False)]";
 
@@ -47,7 +47,7 @@
         evaluate(&self.path)
     }
 
-    /// What a file sets that is valid by itself.
+    /// What the file sets; panics if it is invalid by itself.
     fn operator(&self) -> Operator {
         self.evaluate()
             .unwrap_or_else(|error| panic!("{error}"))
@@ -55,14 +55,14 @@
     }
 }
 
-/// What is wrong with a file beside the example's configuration.
+/// The error of a file, checked against the example's configuration.
 fn error_of(text: &str) -> OperatorFileError {
     let evaluated = OperatorFile::new(text).evaluate();
     let checked = evaluated.and_then(|evaluated| evaluated.beside(&example_config()));
     checked.expect_err(text)
 }
 
-/// Each file is rejected, with this key.
+/// Asserts that each file is rejected with an error of this key.
 fn assert_errors_name_keys(cases: impl IntoIterator<Item = (String, &'static str)>) {
     for (text, key) in cases {
         let error = error_of(&text);
@@ -93,7 +93,7 @@
 
 #[test]
 fn health_errors_name_key_line_and_column() {
-    // What the file says behind `health(\n`, the key that is named, and where.
+    // The arguments after `health(\n`, the key that the error names, and its line and column.
     let cases: &[(&str, &str, (usize, usize))] = &[
         ("  agnt = agent(listen = '127.0.0.1:1')", "health.agnt", (2, 3)),
         ("  agent = agent(listen = 'here')", "agent.listen", (2, 17)),
@@ -224,7 +224,7 @@
     }
 }
 
-/// An expression as deep as is allowed fits the stack, whichever way it leans.
+/// Expressions almost as deep as allowed do not overflow the stack, whether they nest to the left or to the right.
 #[test]
 fn deepest_allowed_expressions_are_evaluated() {
     let within = |open: &str, close: &str, count| {
@@ -252,7 +252,8 @@
     }
 }
 
-/// Parts may be loaded from below the folder, an error there is placed there, and a link that leads out is rejected.
+/// Files below the folder may be loaded, errors in them have their location, and a symbolic link that leads out of the
+/// folder is rejected.
 #[test]
 fn loaded_files_stay_below_the_folder() {
     let file = OperatorFile::new("load('parts/http.star', 'front')\nhealth(http = front(6461))\n");
@@ -270,7 +271,7 @@
         "\ndef front(port):\n    return listener(listen = port)\n",
     )
     .expect("written");
-    let error = file.evaluate().expect_err("a number is no address");
+    let error = file.evaluate().expect_err("a number is not an address");
     assert!(error.file.ends_with("parts/http.star"), "{error}");
     assert_eq!(
         (error.key.as_deref(), error.at),
@@ -286,7 +287,7 @@
         .contains("out of the folder"));
 }
 
-/// An evaluator that is not there, or replies nothing, is an error of the file and no more.
+/// A missing evaluator, or one that exits without a reply, is an error of the file.
 #[test]
 fn missing_evaluator_is_an_error_of_the_file() {
     let file = OperatorFile::new("");
@@ -311,7 +312,7 @@
         (lease.me, lease.store.clone(), lease.lease_ms),
         (2, file.below_folder("log"), 3_000)
     );
-    // Three voters and a learner; the others wait the lease, its drift and the margin.
+    // The others wait for the length of the lease plus its drift and the margin.
     assert_eq!(lease.timing().wait_us(), 3_056_007);
     let with = |change: &str| {
         format!("lease(me = 2, listen = '127.0.0.1:7102', store = 'log', {change})\n")
@@ -378,7 +379,7 @@
         (format!("{good}{good}"), "lease"),
     ];
     assert_errors_name_keys(cases);
-    // Where clients connect is no place for peers.
+    // The address on which clients connect can't also be that of the control plane.
     let clients = good.replace("7102", "6433");
     let error = error_of(&clients);
     assert_eq!(error.key.as_deref(), Some("lease.listen"), "{error}");
@@ -400,11 +401,11 @@
         ),
         (None, true, 0)
     );
-    // One that is listed may say so; and a file of the build before, for one that does not vote, is one.
+    // A listed peer without a vote may set `client`; files of the previous version, without it, mean the same.
     assert!(!lease(&format!("lease(me = 4, client = True, {FLEET})\n")).is_voter());
-    let former = "listen = '127.0.0.1:7104', store = 'log', duties = ['probes']";
-    assert!(!lease(&format!("lease(me = 4, {former}, {FLEET})\n")).is_voter());
-    let member = former.replace("7104", "7101");
+    let previous_version = "listen = '127.0.0.1:7104', store = 'log', duties = ['probes']";
+    assert!(!lease(&format!("lease(me = 4, {previous_version}, {FLEET})\n")).is_voter());
+    let member = previous_version.replace("7104", "7101");
     assert!(lease(&format!(
         "lease(me = 1, {member}, client = False, {FLEET})\n"
     ))
@@ -448,7 +449,7 @@
         (with("duties = ['probes']"), "lease.duties"),
         (with("lease_ms = 1040"), "lease.lease_ms"),
         (with("renew_ms = 0"), "lease.renew_ms"),
-        // A gateway that the peers list still says where it listens, what it keeps and what it holds.
+        // A gateway listed in peers still needs listen, store and duties.
         (
             member.replace("listen = '127.0.0.1:7101', ", ""),
             "lease.listen",
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter on the wire: runs the binary.
+//! The simulator's adapter as a process: messages on standard input and output.
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
@@ -11,7 +11,7 @@
         .expect("the adapter starts");
     let mut input = child.stdin.take().expect("a pipe");
     for line in lines {
-        // The adapter may already have ended at a bad line.
+        // The adapter may already have exited at a malformed line.
         let _ = writeln!(input, "{line}");
     }
     drop(input);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_write_is_routed_to_the_reported_primary_and_end_of_input_is_a_success() {
+fn write_is_routed_to_primary_and_end_of_input_succeeds() {
     let output = run(&[
         r#"{"SimTimeUs":1,"batch":0,"parts":[]}"#.to_owned(),
         start(),
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn malformed_lines_end_the_run_with_one_plain_line_and_no_reply() {
+fn malformed_line_ends_the_run_with_one_error_and_no_reply() {
     let bad = [
         "not json".to_owned(),
         r#"{"batch":2,"parts":[]}"#.to_owned(),
@@ -81,12 +81,12 @@
         assert_eq!(error.lines().count(), 1, "{error}");
         assert!(error.contains("batch"), "{error}");
         let replies = String::from_utf8_lossy(&output.stdout).lines().count();
-        assert_eq!(replies, 1, "only the good batch is answered");
+        assert_eq!(replies, 1, "only the valid batch is answered");
     }
 }
 
 #[test]
-fn class_arrays_of_unequal_length_are_refused() {
+fn class_arrays_of_unequal_length_are_rejected() {
     let events = format!(
         r#"{{"NEW_INSTANCE":{{"Entropy":5,"Setup":{}}}}}"#,
         setup("[1]")
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn the_same_input_gives_the_same_output() {
+fn same_input_gives_same_output() {
     let lines = [start(), accept()];
     assert_eq!(run(&lines).stdout, run(&lines).stdout);
 }
