--- a/src/bin/asterreel-config-eval/loader.rs
+++ b/src/bin/asterreel-config-eval/loader.rs
@@ -60,8 +60,8 @@
         module.map_err(with_location)
     }
 
-    /// Records that a file is being evaluated. [`Loader::run`] removes it afterwards; after an error that does not matter, as
-    /// it ends the whole evaluation.
+    /// Records that a file is being evaluated. [`Loader::run`] removes it afterwards; after an error that does not
+    /// matter, as it ends the whole evaluation.
     fn enter(&self, path: &Path, name: &str) -> Result<(), OperatorFileError> {
         let real = path
             .canonicalize()
--- a/src/bin/asterreel-config-eval/main.rs
+++ b/src/bin/asterreel-config-eval/main.rs
@@ -1,9 +1,9 @@
 //! Evaluates an operator's file, and reports on standard output what it sets or what is wrong with it.
 //!
-//! A separate program, which the gateway starts: the memory that the evaluator needs is freed when it exits, and a file that
-//! crashes it does not end the gateway. An evaluation has no effect but its result: it reads no files but those that it loads
-//! from the folder of the operator's file, has no access to clock or network, and is bounded in steps, heap, call depth and
-//! time.
+//! A separate program, which the gateway starts: the memory that the evaluator needs is freed when it exits, and a file
+//! that crashes it does not end the gateway. An evaluation has no effect but its result: it reads no files but those
+//! that it loads from the folder of the operator's file, has no access to clock or network, and is bounded in steps,
+//! heap, call depth and time.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/src/bin/asterreel-config-eval/nesting.rs
+++ b/src/bin/asterreel-config-eval/nesting.rs
@@ -1,8 +1,8 @@
 //! Bounds how deeply the expressions of a script nest, before it is parsed.
 //!
-//! The parser and the compiler recurse into nested brackets and chained operators, on either side, and a stack overflow would
-//! kill the process. The count is an upper bound: each operator since the last comma counts as one more level, and so it does
-//! for the brackets that follow it.
+//! The parser and the compiler recurse into nested brackets and chained operators, on either side, and a stack overflow
+//! would kill the process. The count is an upper bound: each operator since the last comma counts as one more level,
+//! and so it does for the brackets that follow it.
 
 /// The deepest level of an expression that is accepted, and the most `elif`s of a script, as they nest too.
 pub(crate) const MAX_EXPRESSION_DEPTH: usize = 200;
@@ -63,8 +63,8 @@
         1
     }
 
-    /// Scans a string, which may have triple quotes and span lines, and returns its length; without a closing quote it extends
-    /// to the end of the text.
+    /// Scans a string, which may have triple quotes and span lines, and returns its length; without a closing quote it
+    /// extends to the end of the text.
     fn scan_string(&mut self, text: &[u8], quote: u8) -> usize {
         let triple = [quote; 3];
         let end: &[u8] = if text.starts_with(&triple) {
--- a/src/bin/asterreel/cells.rs
+++ b/src/bin/asterreel/cells.rs
@@ -1,8 +1,8 @@
 //! Applies cells in the gateway: re-reads the placement's file on a thread of its own, and admits requests to their cells.
 //!
-//! [`CellAdmission`] decides; this module reads the file for it, and returns what a request holds of its cell when the request
-//! ends. A file that can't be read changes nothing: the current placement stays in force until its lease ends, and then writes
-//! are rejected.
+//! [`CellAdmission`] decides; this module reads the file for it, and returns what a request holds of its cell when the
+//! request ends. A file that can't be read changes nothing: the current placement stays in force until its lease ends,
+//! and then writes are rejected.
 
 use asterreel::cells::placement::Placement;
 use asterreel::cells::quarantine::{MemberOutcome, QuarantineDecision};
@@ -160,8 +160,8 @@
 }
 
 impl Placed {
-    /// Whether an attempt may be dispatched. `ran` says that an earlier attempt of the request may have run; `victims` is the
-    /// number of members that crashed after its attempts.
+    /// Whether an attempt may be dispatched. `ran` says that an earlier attempt of the request may have run; `victims`
+    /// is the number of members that crashed after its attempts.
     pub(crate) fn attempt(
         &self,
         idempotency: Idempotency,
--- a/src/bin/asterreel/cli/mod.rs
+++ b/src/bin/asterreel/cli/mod.rs
@@ -47,8 +47,8 @@
     Check(Files),
     /// Check a gateway's health as a balancer would
     ///
-    /// Exits with 0 if it is ready for clients, 1 if it reports that it is not, 2 if the arguments are wrong, 3 if no answer
-    /// arrives in time, 4 if the answer is invalid.
+    /// Exits with 0 if it is ready for clients, 1 if it reports that it is not, 2 if the arguments are wrong, 3 if no
+    /// answer arrives in time, 4 if the answer is invalid.
     Probe(Probe),
     /// Show the health that a running gateway reports, by group
     ///
--- a/src/bin/asterreel/discovery/first_list.rs
+++ b/src/bin/asterreel/discovery/first_list.rs
@@ -3,8 +3,9 @@
 use std::sync::{Condvar, Mutex, PoisonError};
 use std::time::Duration;
 
-/// How long a starting gateway waits for its first list before it accepts clients. Covers the latest first call and most of
-/// the time that the call may spend in discovery's queue; whatever discovery does, a gateway serves within 5 s of its start.
+/// How long a starting gateway waits for its first list before it accepts clients. Covers the latest first call and
+/// most of the time that the call may spend in discovery's queue; whatever discovery does, a gateway serves within 5 s
+/// of its start.
 pub(crate) const FIRST_LIST_TIMEOUT: Duration = Duration::from_millis(3_500);
 
 /// Whether the first list has arrived, or is known not to arrive soon. The age of the list in the configuration is unknown,
@@ -22,8 +23,8 @@
         self.changed.notify_all();
     }
 
-    /// Blocks until the wait is settled or the timeout has passed; returns whether it is settled. Only for plain threads: in a
-    /// coroutine it would block the worker.
+    /// Blocks until the wait is settled or the timeout has passed; returns whether it is settled. Only for plain
+    /// threads: in a coroutine it would block the worker.
     pub(crate) fn wait(&self, timeout: Duration) -> bool {
         let settled = self.settled.lock().unwrap_or_else(PoisonError::into_inner);
         let waited = self
--- a/src/bin/asterreel/runtime/buffer.rs
+++ b/src/bin/asterreel/runtime/buffer.rs
@@ -96,8 +96,8 @@
         if self.reads.len() <= MAX_READ_TIMES {
             return;
         }
-        // Merges the two entries that are closest in time. The earlier time counts for both: it makes a request's deadline a
-        // little early, while the later one could let an answer miss the deadline.
+        // Merges the two entries that are closest in time. The earlier time counts for both: it makes a request's
+        // deadline a little early, while the later one could let an answer miss the deadline.
         let gap = |earlier: &usize| {
             self.reads[earlier + 1]
                 .at
--- a/src/bin/asterreel/runtime/coroutine.rs
+++ b/src/bin/asterreel/runtime/coroutine.rs
@@ -10,9 +10,9 @@
 /// needs more than 128 KiB.
 pub(crate) const JSON_STACK_WORDS: usize = 0x20000;
 
-/// Starts a coroutine. `go!` contains an unsafe block: it is undefined behaviour if a coroutine overflows its stack, or uses
-/// a reference to a thread-local across a yield. No coroutine of this program keeps a thread-local or a tracing span across
-/// a wait.
+/// Starts a coroutine. `go!` contains an unsafe block: it is undefined behaviour if a coroutine overflows its stack, or
+/// uses a reference to a thread-local across a yield. No coroutine of this program keeps a thread-local or a tracing
+/// span across a wait.
 pub(crate) fn spawn(work: impl FnOnce() + Send + 'static) {
     may::go!(work);
 }
--- a/src/bin/asterreel/server.rs
+++ b/src/bin/asterreel/server.rs
@@ -174,8 +174,8 @@
         classes.map(|class| class.deadline).max().unwrap_or(0)
     }
 
-    /// Waits for one poll interval of a drain. SIGHUP is still handled, as discovery's address may change meanwhile; no signal
-    /// ends the drain.
+    /// Waits for one poll interval of a drain. SIGHUP is still handled, as discovery's address may change meanwhile; no
+    /// signal ends the drain.
     fn pause_drain(&mut self, signals: &mut Signals) {
         for signal in signals.pending() {
             self.handle_signal(signal);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! The decisions of a gateway for replicated databases, and the decoding of their settings and lists of endpoints.
 //!
-//! [`policy`] and [`interface`] do no input or output: a gateway passes [`interface::Event`]s to a [`policy::Router`] and
-//! carries out the [`interface::Action`]s that it returns. [`config`] reads the file and environment that a gateway is started
-//! with.
+//! [`policy`] and [`interface`] do no input or output: a gateway passes [`interface::Event`]s to a [`policy::Router`]
+//! and carries out the [`interface::Action`]s that it returns. [`config`] reads the file and environment that a gateway
+//! is started with.
 #![doc = include_str!("../README.md")]
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,10 +1,10 @@
 //! The operator's file: a Starlark script that is evaluated once into plain checked types.
 //!
-//! It calls `health(...)`, `cells(...)`, `lease(...)`, `readmission(...)` and the functions that make their parts; what it
-//! leaves out is off. The evaluator is a separate program, `asterreel-config-eval`, installed beside the gateway's. This
-//! module holds what the file may set ([`Operator`]), runs the evaluator ([`evaluate`]) and reads its reply ([`Reply`]), and
-//! checks the file against the gateway's configuration ([`Evaluated::beside`]). Errors name the file, and line, column and
-//! key where they are known.
+//! It calls `health(...)`, `cells(...)`, `lease(...)`, `readmission(...)` and the functions that make their parts; what
+//! it leaves out is off. The evaluator is a separate program, `asterreel-config-eval`, installed beside the gateway's.
+//! This module holds what the file may set ([`Operator`]), runs the evaluator ([`evaluate`]) and reads its reply
+//! ([`Reply`]), and checks the file against the gateway's configuration ([`Evaluated::beside`]). Errors name the file,
+//! and line, column and key where they are known.
 
 mod error;
 mod evaluator;
@@ -61,7 +61,8 @@
     ///
     /// # Errors
     ///
-    /// [`OperatorFileError`] if the file does not make this process a voter; names the file, the place and the key at fault.
+    /// [`OperatorFileError`] if the file does not make this process a voter; names the file, the place and the key at
+    /// fault.
     pub fn member(&self) -> Result<&ControlSettings, OperatorFileError> {
         let Some(lease) = &self.operator.lease else {
             let fault =
--- a/src/operator/settings.rs
+++ b/src/operator/settings.rs
@@ -71,8 +71,8 @@
     /// Time between two reads of the placement, milliseconds; 50 to 60000, default 500.
     #[serde(default = "default_reread_ms")]
     pub reread_ms: u64,
-    /// How long writes are admitted by a placement after its last successful read, milliseconds; at least twice `reread_ms`,
-    /// at most 600000, default 5000.
+    /// How long writes are admitted by a placement after its last successful read, milliseconds; at least twice
+    /// `reread_ms`, at most 600000, default 5000.
     #[serde(default = "default_lease_ms")]
     pub lease_ms: u64,
 }
@@ -300,13 +300,16 @@
         self.check()?;
         for (key, address) in self.listeners() {
             if address == config.listen {
-                let fault = format!("{address} is where clients connect (listen of the configuration); choose another address");
+                let fault = format!(
+                    "{address} is where clients connect (listen of the configuration); choose another address"
+                );
                 return Err(SettingError::new(key, fault));
             }
         }
         if self.descriptors() > config.max_descriptors / MIN_SOCKETS_PER_HEALTH_DESCRIPTOR {
             let fault = format!(
-                "{} descriptors (connections + {FIXED_DESCRIPTORS}) are more than a quarter of limits.sockets; lower connections",
+                "{} descriptors (connections + {FIXED_DESCRIPTORS}) are more than a quarter of limits.sockets; \
+                 lower connections",
                 self.descriptors()
             );
             return Err(SettingError::new("connections", fault));
