--- a/src/bin/asterreel/discovery/tests.rs
+++ b/src/bin/asterreel/discovery/tests.rs
@@ -140,8 +140,8 @@
 }
 
 /// Guards against reading the address before the requested watches are dropped: a change of the address in between
-/// would be dropped with them, and the new address called only seconds later, although its updates count as notified 4
-/// s after SIGHUP.
+/// would be dropped with them, and the new address called only seconds later, although its updates count as notified
+/// 4 s after SIGHUP.
 #[test]
 fn address_change_as_a_watch_ends_is_never_lost() {
     let addresses: [SocketAddr; 2] =
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -101,7 +101,7 @@
 
 /// A started gateway sends nothing to a member that was removed before its start, once the removal is binding. Guards
 /// against a late first call: in a fleet of 312, restarted gateways called discovery up to 7.4 s after their start and
-/// used the list in their configuration until then, so that removed members got requests after the removal was binding.
+/// used the list that they had before until then, so that removed members got requests after the removal was binding.
 /// With this seed the first call was delayed by 5.9 s.
 #[test]
 fn removal_before_start_binds_in_time() {
@@ -132,7 +132,7 @@
     );
     assert!(
         primary.statements_after(removed_at) > 50,
-        "the primary serves meanwhile"
+        "the primary served too few requests meanwhile"
     );
 }
 
@@ -236,12 +236,15 @@
         );
         assert!(
             !accepts_clients(&gateway),
-            "no client is accepted before a list has arrived"
+            "a client was accepted before a list had arrived"
         );
         if answers {
             let mut watch = asterreel_testbench::database::Watch::begin(call).expect("begun");
             watch.tell(&delta(1, "")).expect("told");
-            assert!(log.says("serving"), "served once its list has arrived");
+            assert!(
+                log.says("serving"),
+                "the gateway did not serve after its list had arrived"
+            );
             assert!(accepts_clients(&gateway));
         } else {
             assert!(log.says("no list from discovery yet"));
