--- a/control/src/lease/leases.rs
+++ b/control/src/lease/leases.rs
@@ -15,7 +15,7 @@
     Applied {
         /// Its index in the log.
         index: Index,
-        /// The entry.
+        /// The claim, renewal or release that was committed.
         command: Command,
     },
     /// Time has passed: expired leases end, and due claims and renewals are proposed.
@@ -31,7 +31,7 @@
     Propose(Command),
     /// Act on the duty under `token`, and start nothing at or after `until`.
     Act {
-        /// The duty.
+        /// The duty whose lease this gateway holds.
         duty: Duty,
         /// The fencing token to send with every action.
         token: Token,
@@ -40,7 +40,7 @@
     },
     /// Stop acting on the duty now.
     Stop {
-        /// The duty.
+        /// The duty whose lease has ended.
         duty: Duty,
         /// The token of the lease that has ended.
         token: Token,
@@ -59,16 +59,16 @@
 pub enum Status {
     /// This gateway holds the lease.
     Held {
-        /// The fencing token.
+        /// The fencing token of the lease, to be sent with every action.
         token: Token,
         /// When the lease expires, microseconds on this gateway's clock.
         until: Micros,
     },
     /// Another gateway holds the lease, and it may not have expired yet.
     HeldByOther {
-        /// The holder.
+        /// The gateway that holds the lease, by the last grant applied here.
         holder: NodeIdentity,
-        /// The fencing token.
+        /// The fencing token of the lease.
         token: Token,
     },
     /// No gateway is known to act on the duty: a gateway that needs the work does it for itself, within its own budgets.
--- a/control/src/lease/table.rs
+++ b/control/src/lease/table.rs
@@ -23,7 +23,7 @@
     Granted {
         /// The duty that was claimed.
         duty: Duty,
-        /// Its new holder.
+        /// The gateway that claimed the duty and holds it now.
         holder: NodeIdentity,
         /// The new lease's token: the index of the entry.
         token: Token,
@@ -32,7 +32,7 @@
     Renewed {
         /// The duty whose lease was renewed.
         duty: Duty,
-        /// Its holder.
+        /// The gateway that holds the duty and renewed its lease.
         holder: NodeIdentity,
         /// The token of the lease, which a renewal doesn't change.
         token: Token,
@@ -41,7 +41,7 @@
     Released {
         /// The duty that has no holder now.
         duty: Duty,
-        /// Its former holder.
+        /// The gateway that held the duty and released it.
         holder: NodeIdentity,
     },
     /// The entry took no effect.
--- a/control/src/link/accept.rs
+++ b/control/src/link/accept.rs
@@ -48,7 +48,7 @@
     SnapshotSent {
         /// The member's number.
         peer: u64,
-        /// Whether it was sent completely.
+        /// Whether the snapshot was sent completely.
         complete: bool,
     },
     /// A gateway has connected.
@@ -57,7 +57,7 @@
     GatewayMessage(ToControl),
     /// The link of a gateway has ended.
     GatewayDisconnected {
-        /// The gateway.
+        /// The gateway's identity, from the hello of its link.
         who: NodeIdentity,
         /// See [`GatewayLink::link_number`].
         link_number: u64,
@@ -66,7 +66,7 @@
 
 /// The loop's handle to the link of a connected gateway. Dropping it closes the link.
 pub(crate) struct GatewayLink {
-    /// The gateway.
+    /// The gateway's identity, from the hello of its link.
     pub who: NodeIdentity,
     /// The link's number among all that this member accepted: a gateway that reconnects gets a new one.
     pub link_number: u64,
@@ -84,7 +84,7 @@
 pub(crate) struct Acceptor {
     /// Networks from which links are accepted.
     pub allow: Vec<IpNet>,
-    /// The control members, by number.
+    /// The numbers of the control members: a link from another number is one of a gateway.
     pub voters: BTreeSet<u64>,
     /// The hello of this member.
     pub own: SharedHello,
--- a/control/src/link/gateway.rs
+++ b/control/src/link/gateway.rs
@@ -52,7 +52,7 @@
 
 /// What a gateway needs to find the leader.
 pub(crate) struct LeaderSearch {
-    /// The control members, by number.
+    /// The number and the control address of each control member.
     pub members: Vec<(u64, SocketAddr)>,
     /// The hello of this gateway.
     pub own: Hello,
--- a/control/src/link/mod.rs
+++ b/control/src/link/mod.rs
@@ -37,7 +37,7 @@
 pub(crate) struct SharedHello(Arc<Mutex<Hello>>);
 
 impl SharedHello {
-    /// The current hello.
+    /// A copy of the hello as the loop last set it.
     pub(crate) fn hello(&self) -> Hello {
         self.0
             .lock()
--- a/control/src/service/gateway.rs
+++ b/control/src/service/gateway.rs
@@ -60,7 +60,7 @@
     me: NodeIdentity,
     client: Client,
     link: Link,
-    /// The established link.
+    /// The link to a control member, while one is established.
     current_link: Option<LinkId>,
     /// When the client is due next, on the loop's clock.
     wake_at: Option<Micros>,
@@ -102,7 +102,7 @@
         gateway
     }
 
-    /// The state machine, for the view.
+    /// The gateway's [`Client`], from whose state the loop makes its view.
     pub(super) fn client(&self) -> &Client {
         &self.client
     }
--- a/control/src/service/member.rs
+++ b/control/src/service/member.rs
@@ -53,15 +53,15 @@
 
 /// Whether this member has a log.
 enum LogState {
-    /// It has none, and waits until it knows whether another member has one.
+    /// This member has no log, and waits until it knows whether another member has one.
     Waiting(Store),
-    /// It has one, and takes part in Raft.
+    /// This member has a log, and takes part in Raft.
     Running(Box<Node>),
     /// The store is being initialized.
     Starting,
 }
 
-/// A control member.
+/// The state of a control member: its Raft node, its links, and the gateways connected to it.
 pub(super) struct Member {
     settings: ControlSettings,
     clock: Clock,
--- a/control/src/settings.rs
+++ b/control/src/settings.rs
@@ -16,7 +16,7 @@
 /// The numbers that gateways may have; a Raft id has 16 bits for the number.
 const GATEWAY_IDS: RangeInclusive<u32> = 1..=65_535;
 
-/// The loopback networks.
+/// The networks of the loopback addresses, IPv4 and IPv6: the default for networks from which connections are accepted.
 pub fn loopback_networks() -> Vec<IpNet> {
     let nets = ["127.0.0.0/8", "::1/128"];
     nets.iter().filter_map(|net| net.parse().ok()).collect()
@@ -113,7 +113,7 @@
             .collect()
     }
 
-    /// The control members.
+    /// The gateways that vote in the log: the control members.
     pub fn voters(&self) -> impl Iterator<Item = &Peer> {
         self.peers.iter().filter(|peer| peer.voter)
     }
--- a/control/src/store.rs
+++ b/control/src/store.rs
@@ -80,7 +80,7 @@
         Ok(())
     }
 
-    /// The latest snapshot; empty where there is none.
+    /// The snapshot that was stored last; empty where none has been stored.
     pub(crate) fn latest_snapshot(&self) -> &Snapshot {
         &self.snapshot
     }
--- a/control/src/store/error.rs
+++ b/control/src/store/error.rs
@@ -19,7 +19,7 @@
         #[source]
         error: OpenError,
     },
-    /// A transaction failed.
+    /// A transaction that writes to the log failed.
     #[error(
         "the log can't be written: {0}; check the disk's free space and health, then start again"
     )]
@@ -42,7 +42,7 @@
 /// Why the database file can't be opened.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
-    /// Its folder can't be created.
+    /// The folder of the database file can't be created.
     #[error(transparent)]
     Folder(#[from] io::Error),
     /// The database file can't be opened. Boxed, as the error is large.
@@ -85,7 +85,7 @@
     /// Entries that were committed are missing.
     #[error("entry {commit} is committed, but the last entry is {last}")]
     CommitBeyondEnd {
-        /// The commit index.
+        /// The stored commit index: the last entry known to be committed.
         commit: u64,
         /// The index of the last entry.
         last: u64,
--- a/control/src/traffic.rs
+++ b/control/src/traffic.rs
@@ -53,7 +53,7 @@
             .fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// The current counters.
+    /// The frames and bytes counted since the counters were created.
     pub fn totals(&self) -> TrafficTotals {
         let load = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         let Counters {
--- a/control/src/versions/client/event.rs
+++ b/control/src/versions/client/event.rs
@@ -63,18 +63,18 @@
 /// Why a gateway's permission to act ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum StopReason {
-    /// Its registration could not be renewed in time.
+    /// The gateway's registration could not be renewed in time.
     #[error(
         "the registration could not be renewed in time; check the links to the control members and how many voters run"
     )]
     LeaseExpired,
-    /// Its registration expired in the log.
+    /// The gateway's registration expired in the log.
     #[error(
         "the control members let the registration expire, as heartbeats or a validation result did not arrive in time; \
          the gateway joins again by itself"
     )]
     RegistrationExpired,
-    /// It is shutting down gracefully.
+    /// The gateway is shutting down gracefully.
     #[error("the gateway is draining")]
     Draining,
 }
--- a/control/src/versions/coordinator/mod.rs
+++ b/control/src/versions/coordinator/mod.rs
@@ -35,7 +35,7 @@
     Applied {
         /// The index of the entry, counted over entries on versions alone.
         index: Index,
-        /// The entry.
+        /// The command that the entry carries.
         command: Command,
     },
     /// Whether this control member believes that it leads the log.
--- a/control/src/versions/coordinator/read_index.rs
+++ b/control/src/versions/coordinator/read_index.rs
@@ -24,7 +24,7 @@
     pub(super) received_at: Micros,
     /// The first round requested after it arrived.
     pub(super) round: u64,
-    /// Whether it may renew the gateway's registration.
+    /// Whether the heartbeat may renew the gateway's registration.
     pub(super) renewable: bool,
 }
 
--- a/control/src/versions/topic.rs
+++ b/control/src/versions/topic.rs
@@ -91,7 +91,7 @@
 /// A version that is proposed and not active yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Proposal {
-    /// The proposed version.
+    /// The version that the gateways validate before it becomes active.
     pub version: Version,
     /// The gateway that proposed it.
     pub by: NodeIdentity,
--- a/src/bin/asterreel-config-eval/collected.rs
+++ b/src/bin/asterreel-config-eval/collected.rs
@@ -55,7 +55,8 @@
     });
 }
 
-/// Takes and checks what the calls of this thread's script set, given the result of its evaluation.
+/// Removes the values that the script's calls have set from the thread-local, checks them and returns them. `result` is
+/// the result of the script's evaluation: its error is returned unless a call has recorded one.
 pub(crate) fn take(
     result: Result<(), OperatorFileError>,
     path: &Path,
--- a/src/bin/asterreel/core/members.rs
+++ b/src/bin/asterreel/core/members.rs
@@ -12,10 +12,10 @@
 /// An invalid endpoint in an update. The message starts with the name of its server.
 #[derive(Debug, Error)]
 pub(crate) enum ListingError {
-    /// Its role, state or zone is unknown, or one of its numbers is out of bounds.
+    /// The endpoint's role, state or zone is unknown, or one of its numbers is out of bounds.
     #[error("{server}: {reason}")]
     InvalidEndpoint { server: String, reason: String },
-    /// It is ready, and its address is not an IP address with a port.
+    /// The endpoint is ready, and its address is not an IP address with a port.
     #[error(
         "{server}: address {address:?} is not an IP address with a port, such as 192.0.2.1:5432"
     )]
--- a/src/bin/asterreel/discovery/framing.rs
+++ b/src/bin/asterreel/discovery/framing.rs
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Piece {
     pub length: usize,
-    /// Whether it belongs to the body.
+    /// Whether the piece belongs to the response's body, rather than to its head or chunk framing.
     pub is_payload: bool,
 }
 
--- a/src/bin/asterreel/front/admission.rs
+++ b/src/bin/asterreel/front/admission.rs
@@ -17,11 +17,11 @@
     pub class: ClassId,
     /// Whether running it more than once does harm.
     pub idempotency: Idempotency,
-    /// Whether it writes, and otherwise how recent the data that it reads must be.
+    /// Whether the request writes, and otherwise how recent the data that it reads must be.
     pub consistency: ConsistencyLevel,
     /// When its client stops waiting for an answer.
     pub due: Micros,
-    /// Its admission to the cell of its tenant, where cells are configured.
+    /// The request's admission to the cell of its tenant, where cells are configured.
     pub placed: Option<Placed>,
     _open_id: OpenRequestId,
 }
--- a/src/bin/asterreel/front/gateway.rs
+++ b/src/bin/asterreel/front/gateway.rs
@@ -43,10 +43,10 @@
 
 /// The settings of a class of requests that sessions use.
 pub(super) struct Class {
-    /// Its index in the settings.
+    /// The class's index in [`Settings::classes`](asterreel::interface::Settings::classes).
     pub id: ClassId,
     name: String,
-    /// Whether its requests write, and otherwise how recent the data that they read must be.
+    /// Whether requests of the class write, and otherwise how recent the data that they read must be.
     pub consistency: ConsistencyLevel,
     /// Whether running one of its requests more than once does harm.
     pub idempotency: Idempotency,
--- a/src/bin/asterreel/front/mailbox.rs
+++ b/src/bin/asterreel/front/mailbox.rs
@@ -27,7 +27,7 @@
 /// Which input a session without an open request waits for.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReadState {
-    /// The opening message.
+    /// A complete message of the connection's opening.
     Opening,
     /// The first byte of a message.
     Idle,
--- a/src/bin/asterreel/front/session.rs
+++ b/src/bin/asterreel/front/session.rs
@@ -54,7 +54,7 @@
 pub(super) struct Session {
     /// What all sessions share.
     pub gateway: Arc<Gateway>,
-    /// The connection.
+    /// The client connection's socket and read buffer.
     pub stream: Stream,
     /// Events from the router, attempts and other sessions.
     pub mailbox: Arc<Mailbox>,
--- a/src/bin/asterreel/front/shed.rs
+++ b/src/bin/asterreel/front/shed.rs
@@ -15,7 +15,7 @@
 /// Sessions are closed before the limit is reached, so that new clients need not wait for a close: one in this many of
 /// [`ClientLimits::max_sessions`](super::gateway::ClientLimits::max_sessions) is kept free.
 const SESSION_HEADROOM_DIVISOR: usize = 16;
-/// The same for sessions that have completed their opening: one in this many of
+/// Sessions that have completed their opening are closed before their limit is reached, too: one in this many of
 /// [`ClientLimits::max_served`](super::gateway::ClientLimits::max_served) is kept free.
 const SERVED_HEADROOM_DIVISOR: usize = 4;
 
--- a/src/bin/asterreel/request/attempt.rs
+++ b/src/bin/asterreel/request/attempt.rs
@@ -14,7 +14,7 @@
 /// How an attempt ended.
 #[derive(Debug)]
 pub(crate) struct AttemptResult {
-    /// Its outcome, which says what may have run.
+    /// The attempt's outcome, which says what may have run.
     pub outcome: Outcome,
     /// What the server reported about itself with its answer.
     pub answer_report: MemberReport,
--- a/src/bin/asterreel/request/pool.rs
+++ b/src/bin/asterreel/request/pool.rs
@@ -42,7 +42,7 @@
 
 /// A connection to a server that is ready for a query.
 pub(crate) struct Connection {
-    /// Its socket and buffer.
+    /// The connection's socket and read buffer.
     pub stream: Stream,
     _permit: ConnectionPermit,
 }
--- a/src/bin/asterreel/runtime/buffer.rs
+++ b/src/bin/asterreel/runtime/buffer.rs
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Reads once, at most this many bytes.
+    /// Calls `source.read` once, for at most `max_bytes` or [`CHUNK_BYTES`], whichever is less, and appends what it read.
+    /// Returns the number of bytes read; 0 is the end of the stream.
     ///
     /// # Errors
     ///
--- a/src/bin/asterreel/startup.rs
+++ b/src/bin/asterreel/startup.rs
@@ -23,9 +23,9 @@
 /// How many of the process's descriptors connections of clients and to servers may hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Descriptors {
-    /// For connections of clients.
+    /// The most descriptors that connections of clients may hold.
     pub clients: usize,
-    /// For connections to servers.
+    /// The most descriptors that connections to servers may hold.
     pub servers: usize,
 }
 
--- a/src/cells/admission.rs
+++ b/src/cells/admission.rs
@@ -51,15 +51,16 @@
 pub enum Rejection {
     /// No source has a tenant name for the client.
     UnknownTenant,
-    /// Its cell has reached a bound; with the retry-after time, microseconds.
+    /// The request's cell has reached a bound; with the retry-after time, microseconds.
     Exhausted(Exhausted, Micros),
     /// A write, while its tenant is being migrated; with the retry-after time, microseconds.
     Migrating(Micros),
-    /// Its statement or its tenant is quarantined.
+    /// The request's statement or tenant is quarantined.
     Quarantined,
     /// A write, when the lease on the placement has ended; with the retry-after time, microseconds.
     StalePlacement(Micros),
-    /// Its group has lost all its members, and no other may serve it; with the retry-after time, microseconds.
+    /// The request's group has lost all its members, and no other may serve it; with the retry-after time,
+    /// microseconds.
     AllMembersLost(Micros),
 }
 
@@ -92,7 +93,7 @@
     pub epoch: Epoch,
     /// The group in the cell that serves it.
     pub group: GroupId,
-    /// Whether its tenant was migrated recently, so that replicas may not have the session's last write yet.
+    /// Whether the tenant was migrated recently, so that replicas may not have the session's last write yet.
     pub settling: bool,
     tenant: u64,
     fingerprint: Fingerprint,
@@ -249,7 +250,7 @@
         counts.collect()
     }
 
-    /// The quarantined statements, and until when.
+    /// The statements that are quarantined at `now`, each with the time when its quarantine ends.
     pub fn quarantined(&self, now: Micros) -> Vec<(Fingerprint, Micros)> {
         self.quarantine.list(now)
     }
--- a/src/cells/migration.rs
+++ b/src/cells/migration.rs
@@ -65,15 +65,15 @@
 /// The record of a migration, which is all that resuming it needs.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MigrationRecord {
-    /// The tenant.
+    /// The name of the tenant that is migrated.
     pub tenant: String,
-    /// The source cell.
+    /// The cell that serves the tenant until the cut-over.
     pub from: CellId,
-    /// The target cell.
+    /// The cell that serves the tenant after the cut-over.
     pub to: CellId,
     /// The epoch before it began; the migration uses the three that follow.
     pub base: Epoch,
-    /// The current step.
+    /// The step that the migration has reached; resuming repeats its effects.
     pub step: Step,
 }
 
--- a/src/cells/placement.rs
+++ b/src/cells/placement.rs
@@ -13,7 +13,7 @@
 /// A cell's name and the groups it consists of.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cell {
-    /// Its name. Tenants are hashed to cells by name, so that a renamed cell counts as a new one.
+    /// The cell's name. Tenants are hashed to cells by name, so that a renamed cell counts as a new one.
     pub name: String,
     /// The numbers of its groups; a group belongs to one cell only.
     pub groups: Vec<u64>,
@@ -57,7 +57,7 @@
 /// The cell of a tenant or key, and the state of the tenant's migration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Home {
-    /// The cell.
+    /// The cell whose groups serve the tenant or key.
     pub cell: CellId,
     /// The epoch at which this home was published.
     pub epoch: Epoch,
--- a/src/cells/quarantine.rs
+++ b/src/cells/quarantine.rs
@@ -53,11 +53,11 @@
 /// What happened to a member under an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberOutcome {
-    /// It answered, with a result or an error.
+    /// The member answered, with a result or an error.
     Answered,
-    /// Its connections broke, or it refused new ones, while the attempt was in flight.
+    /// The member's connections broke, or it refused new ones, while the attempt was in flight.
     Crashed,
-    /// It stopped answering while the attempt was in flight.
+    /// The member stopped answering while the attempt was in flight.
     Hung,
 }
 
--- a/src/config.rs
+++ b/src/config.rs
@@ -78,7 +78,7 @@
     /// The file can't be read.
     #[error("cannot read {path}: {error}")]
     Unreadable {
-        /// The file.
+        /// The path of the file, as it was configured.
         path: String,
         /// Why it can't be read.
         error: std::io::Error,
--- a/src/health/agent.rs
+++ b/src/health/agent.rs
@@ -13,9 +13,9 @@
 pub enum Selector {
     /// The line is not terminated yet; more bytes are needed.
     Incomplete,
-    /// The whole gateway.
+    /// The line asks for the status of the whole gateway.
     Gateway,
-    /// One group.
+    /// The line asks for the status of one group.
     Group(GroupId),
     /// Not a valid query.
     Invalid,
--- a/src/health/liveness.rs
+++ b/src/health/liveness.rs
@@ -20,7 +20,7 @@
 pub enum Heartbeat {
     /// An empty query was sent on the open session.
     Sent,
-    /// That query was answered.
+    /// The query of the last `Sent` was answered.
     Answered,
     /// A new connection attempt began.
     ConnectStarted,
--- a/src/health/weight.rs
+++ b/src/health/weight.rs
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The current weight.
+    /// The weight that the ramp has reached, percent, 0 to [`MAX_WEIGHT`].
     pub fn weight(&self) -> u8 {
         self.weight
     }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -45,7 +45,7 @@
         /// How long they remember a key, microseconds, from the first dispatch that may have run.
         window: Micros,
     },
-    /// It must never run twice.
+    /// The request must never run twice.
     NonIdempotent,
 }
 
@@ -82,7 +82,8 @@
     }
 }
 
-/// A request class.
+/// A request class: how often its requests may run, how fast they should be answered, and how they are weighed against
+/// those of other classes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// What happens if a request of this class runs more than once.
@@ -172,13 +173,13 @@
 /// The settings a router starts with.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The request classes.
+    /// The request classes, indexed by [`ClassId`].
     pub classes: Vec<Class>,
     /// The consistency level of each class.
     pub consistency_levels: Vec<ConsistencyLevel>,
     /// The staleness bound of each class, microseconds; it applies to [`ConsistencyLevel::BoundedStaleness`].
     pub staleness_bounds: Vec<Micros>,
-    /// The tenants; may be empty.
+    /// The tenants, indexed by [`TenantId`]; may be empty.
     pub tenants: Vec<Tenant>,
     /// The share of its weight that a request beyond its tenant's quota keeps.
     pub over_quota_weight: f64,
@@ -296,15 +297,15 @@
 pub struct Arrival {
     /// Identifies the request in later events and in actions.
     pub request: RequestId,
-    /// Its class.
+    /// The request's class, an index into [`Settings::classes`].
     pub class: ClassId,
-    /// Its tenant.
+    /// The tenant that sent the request, an index into [`Settings::tenants`].
     pub tenant: TenantId,
-    /// Its session, if it has one.
+    /// The client session that sent the request, if the request belongs to one.
     pub session: Option<SessionId>,
     /// The time by which the client expects its final answer.
     pub due: Micros,
-    /// Its expected work, microseconds, where known.
+    /// The work that the request is expected to take, microseconds, where known.
     pub estimate: Option<Micros>,
     /// The group whose data it needs.
     pub group: GroupId,
@@ -327,19 +328,19 @@
 /// An entry of the endpoint list: a member, as discovery describes it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Endpoint {
-    /// The member.
+    /// The id that the caller has assigned to the member by its listed name.
     pub member: MemberId,
-    /// Its group.
+    /// The replication group that the member is listed in.
     pub group: GroupId,
-    /// Its zone.
+    /// The zone that the member is listed in, by its index in the platform's settings.
     pub zone: ZoneId,
-    /// Its state.
+    /// Whether the member may get new requests, according to the list.
     pub state: EndpointState,
     /// When its process last started; 0 is long ago.
     pub started: Micros,
-    /// Its role according to the list.
+    /// The member's role according to the list, which may lag behind a failover.
     pub role: Role,
-    /// Its listed capacity.
+    /// The capacity that the list gives for the member; the router does not use it.
     pub size: f64,
     /// A hash of its name, to break ties: the same at every gateway.
     pub tie_break_hash: u64,
@@ -359,7 +360,7 @@
 /// How an attempt of a request ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptEnded {
-    /// The request.
+    /// The request that the attempt belongs to, by its id in [`Arrival`].
     pub request: RequestId,
     /// Which of its attempts.
     pub attempt: AttemptNo,
@@ -432,7 +433,7 @@
 pub enum Action {
     /// Dispatch an attempt of a request; attempts count from 0 in the order dispatched.
     Dispatch {
-        /// The request.
+        /// The request to dispatch, by its id in [`Arrival`].
         request: RequestId,
         /// The member to send it to.
         member: MemberId,
@@ -441,14 +442,14 @@
     },
     /// Cancel an attempt.
     CancelAttempt {
-        /// The request.
+        /// The request whose attempt is cancelled, by its id in [`Arrival`].
         request: RequestId,
         /// Which of its attempts.
         attempt: AttemptNo,
     },
     /// Final answer: rejected. A retry by the client is harmless, as no attempt had an effect or repeats have none.
     Reject {
-        /// The request.
+        /// The request to answer, by its id in [`Arrival`].
         request: RequestId,
         /// After how long the client should retry, microseconds, where that is known to help.
         retry_after: Option<Micros>,
@@ -461,7 +462,7 @@
     Watch,
     /// Log a transition for operators.
     ReportTransition {
-        /// The member.
+        /// The member whose role or availability has changed.
         member: MemberId,
         /// What has changed.
         transition: MemberTransition,
--- a/src/policy/member.rs
+++ b/src/policy/member.rs
@@ -25,7 +25,7 @@
     /// Breaks ties; the same at every gateway.
     pub tie_break_hash: u64,
     pub state: EndpointState,
-    /// It was listed as draining since it was last ready.
+    /// The member was listed as draining since it was last ready.
     pub drain_seen: bool,
     /// When its process last started, as listed; 0 is long ago.
     pub started_at: Micros,
@@ -34,7 +34,7 @@
     pub consecutive_failures: u32,
     /// A request timed out at the member, and it has answered none since; a health check does not clear this.
     pub unresponsive: bool,
-    /// It has answered something since it was listed or restarted.
+    /// The member has answered something since it was listed or restarted.
     pub verified: bool,
     pub check_in_flight: bool,
     /// Consecutive health checks that brought no report.
@@ -52,7 +52,7 @@
     /// All commits up to here are applied, as last reported.
     pub applied_position: Micros,
     pub position_reported_at: Micros,
-    /// It rejected a read as too stale, and is assumed to be stale until then.
+    /// The member rejected a read as too stale, and is assumed to be stale until then.
     pub stale_until: Micros,
     /// A request timed out there, and it gets no reads until then (outlier ejection).
     pub ejected_until: Micros,
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -20,9 +20,9 @@
     /// The log position that a session read must see.
     pub required_position: Micros,
     pub attempts: Vec<Attempt>,
-    /// It has had its final answer.
+    /// The client has its final answer.
     pub answered: bool,
-    /// Its answer is being streamed to the client.
+    /// An answer is being streamed to the client.
     pub streaming: bool,
     pub queued: bool,
     /// Consecutive attempts that were never sent.
--- a/src/policy/role_arbitration.rs
+++ b/src/policy/role_arbitration.rs
@@ -37,9 +37,9 @@
 /// Reports that a member is the primary are distrusted if they were requested before these times.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct RoleArbitration {
-    /// For reports of any kind: the member rejected a write.
+    /// Until when reports of any kind are distrusted, because the member rejected a write.
     all_reports_until: Micros,
-    /// For load reports alone: an answer showed that the member is a replica.
+    /// Until when load reports are distrusted, because an answer showed that the member is a replica.
     load_reports_until: Micros,
 }
 
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -24,7 +24,7 @@
 const SPILL_LIMIT_SHARE: f64 = 0.5;
 /// In a large fleet, at most the reads that this many members of the group get on average may spill.
 const SPILL_MEMBERS: f64 = 2.0;
-/// The same for reads that spill without waiting for a poll.
+/// In a large fleet, at most the reads that this many members get on average may spill without waiting for a poll.
 const UNPOLLED_SPILL_MEMBERS: f64 = 1.5;
 /// The least slow-start fraction by which loads are divided when they are compared.
 const MIN_COMPARED_FRACTION: f64 = 0.01;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -83,7 +83,7 @@
     250_000
 }
 
-/// A tenant.
+/// An entry of `Customers`: a tenant and its quota.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Customer {
@@ -114,7 +114,7 @@
     pub staleness_bound_us: Vec<Micros>,
 }
 
-/// A request class.
+/// An entry of `Profiles`: the settings of a request class.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Profile {
--- a/src/statements/fingerprint.rs
+++ b/src/statements/fingerprint.rs
@@ -39,7 +39,7 @@
 
 struct Token {
     kind: TokenKind,
-    /// Its length in bytes, at least 1.
+    /// The token's length in bytes, at least 1.
     length: usize,
 }
 
--- a/src/statements/mismatches.rs
+++ b/src/statements/mismatches.rs
@@ -33,7 +33,7 @@
 /// An error with which a member answered a statement.
 #[derive(Clone, Copy, Debug)]
 pub struct MemberError<'a> {
-    /// The member.
+    /// The member that sent the error.
     pub member: MemberId,
     /// The position up to which the member has applied its group's log, if known.
     pub position: Option<Micros>,
--- a/src/statements/mod.rs
+++ b/src/statements/mod.rs
@@ -118,10 +118,10 @@
 /// What happens to a statement that is not in the catalog.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum UnknownStatements {
-    /// It may be sent to any member.
+    /// The statement may be sent to any member.
     #[default]
     Pass,
-    /// It is rejected without being sent.
+    /// The statement is rejected without being sent.
     #[serde(rename = "Refuse")]
     Reject,
 }
@@ -183,9 +183,9 @@
     SchemaWithoutChange {
         /// The group of the schema.
         group: u64,
-        /// The new schema.
+        /// The schema that the new catalog names for the group.
         schema: u64,
-        /// The schema in use before.
+        /// The schema that the catalog before it names for the group.
         before: u64,
     },
     /// Too many statements, of a tenant or in all.
--- a/testbench/src/capacity/mod.rs
+++ b/testbench/src/capacity/mod.rs
@@ -42,7 +42,7 @@
     pub const CHECKS_PER_GATEWAY: f64 = 20.0;
 }
 
-/// A capacity experiment.
+/// An experiment that the capacity command runs, named by what it measures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Experiment {
     /// Memory, descriptors and CPU by the number of idle client connections
--- a/testbench/src/capacity/stage.rs
+++ b/testbench/src/capacity/stage.rs
@@ -16,7 +16,7 @@
 /// The setting `limits.sockets` for experiments with many connections: just below the limit of 20,000 descriptors per
 /// process on the machine on which the tables were measured.
 pub(super) const MANY_SOCKETS: usize = 19_900;
-/// The setting `limits.sockets` otherwise: the platform's limit.
+/// The setting `limits.sockets` for all other experiments: the limit that the platform sets.
 pub(super) const FEW_SOCKETS: usize = 1_024;
 /// Time limit until a gateway serves clients.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
--- a/testbench/src/database.rs
+++ b/testbench/src/database.rs
@@ -151,7 +151,7 @@
     ///
     /// # Errors
     ///
-    /// The connection failed.
+    /// Writing to the connection failed.
     pub fn tell(&mut self, text: &str) -> io::Result<()> {
         self.0
             .write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
--- a/testbench/src/fit.rs
+++ b/testbench/src/fit.rs
@@ -74,7 +74,7 @@
 pub struct Fit {
     /// The curve that describes the points.
     pub shape: Shape,
-    /// The fitted line.
+    /// The line fitted by least squares.
     pub line: Line,
     /// The fitted parabola; none for fewer than three distinct sizes, or if the equations have no stable solution.
     pub parabola: Option<Parabola>,
--- a/testbench/src/gateway.rs
+++ b/testbench/src/gateway.rs
@@ -257,7 +257,7 @@
         std::fs::write(self.files.path().join(OPERATOR_FILE_NAME), text)
     }
 
-    /// The process id.
+    /// The operating system's id of the gateway's process.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
--- a/testbench/src/health/outage.rs
+++ b/testbench/src/health/outage.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The injected fault.
+/// The fault that the experiment injects.
 #[derive(Clone, Copy)]
 enum Fault {
     /// One gateway can't reach the primary.
--- a/testbench/src/load.rs
+++ b/testbench/src/load.rs
@@ -78,7 +78,7 @@
     pub write: bool,
     /// Number of the tenant that sent it.
     pub tenant: usize,
-    /// Its outcome.
+    /// How the request ended, as the client saw it.
     pub outcome: Outcome,
     /// Time from the scheduled time to the outcome, microseconds.
     pub took: u64,
--- a/testbench/src/scale/fleet.rs
+++ b/testbench/src/scale/fleet.rs
@@ -67,7 +67,7 @@
     pub voters: BTreeMap<u32, Voter>,
 }
 
-/// A running fleet.
+/// A running fleet: the real gateways, which are the voters, and the processes of hollow gateways.
 pub struct Fleet {
     size: Size,
     voters: BTreeMap<u32, Gateway>,
--- a/testbench/src/scale/hollow.rs
+++ b/testbench/src/scale/hollow.rs
@@ -76,7 +76,7 @@
     pub at: u64,
     /// The control plane of each gateway.
     pub gateways: Vec<Work>,
-    /// The process.
+    /// The whole process at the time of the measurement.
     pub process: Usage,
     /// The process before its first gateway was started.
     pub empty: Usage,
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -232,7 +232,7 @@
     }
     let (tags, bytes) = clients[second].answer();
     assert_eq!((tags.as_str(), error_code(&bytes)), ("EZ", &b"08P01"[..]));
-    // Its id is free again once the first has been served.
+    // The rejected request's id can be used again once the first request with it has been served.
     for waiting in [1 - second, second] {
         gateway
             .statements
--- a/tests/golden_simulator.rs
+++ b/tests/golden_simulator.rs
@@ -110,7 +110,7 @@
     cell: u64,
     started_us: u64,
     state: &'static str,
-    /// Its replication lag, microseconds.
+    /// How far the database is behind its primary, microseconds.
     lag_us: u64,
     /// The multiple of the usual latency at which it answers.
     slowness: u64,
--- a/tests/lease_model.rs
+++ b/tests/lease_model.rs
@@ -17,7 +17,7 @@
 };
 /// How far each gateway's clock is ahead of real time, in ticks.
 const OFFSETS: [u64; 3] = [0, 1, 0];
-/// The properties, by name.
+/// The names of the properties that the model checker reports on.
 const EXCLUSIVE: &str = "no two gateways act at the same time";
 const LIVE: &str = "a gateway acts after every crash and drain";
 const FAILOVER: &str = "a duty passes to another gateway";
--- a/tests/process/mod.rs
+++ b/tests/process/mod.rs
@@ -24,7 +24,7 @@
     pub address: SocketAddr,
     /// The statements that the databases received.
     pub statements: Receiver<Vec<u8>>,
-    /// The configuration file.
+    /// The configuration file that the process was started with, which tests rewrite.
     pub file: tempfile::NamedTempFile,
     /// The text of the configuration file at the start.
     pub config: String,
