--- a/control/src/codec.rs
+++ b/control/src/codec.rs
@@ -31,10 +31,10 @@
         /// The format number found.
         found: u32,
     },
-    /// Longer than any build writes; names the part.
+    /// A part is longer than any build writes it; names the part.
     #[error("the {0} is longer than any build writes")]
     TooLong(&'static str),
-    /// Not a `prost` message of the expected kind.
+    /// The bytes are not a `prost` message of the expected kind.
     #[error("the bytes are damaged: {0}")]
     Damaged(String),
     /// A kind, or a value within it, that this build does not know; names the part.
--- a/control/src/lease/leases.rs
+++ b/control/src/lease/leases.rs
@@ -86,9 +86,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct LocalState {
     wanted: bool,
-    /// When it applied the entry that last granted, renewed or released the lease.
+    /// When the gateway applied the entry that last granted, renewed or released the lease.
     observed_at: Option<Micros>,
-    /// When it last proposed a claim or a renewal that was not rejected since.
+    /// When the gateway last proposed a claim or a renewal that was not rejected since.
     requested_at: Option<Micros>,
     held: Option<HeldLease>,
 }
--- a/control/src/link/accept.rs
+++ b/control/src/link/accept.rs
@@ -84,7 +84,7 @@
 pub(crate) struct Acceptor {
     /// Networks from which links are accepted.
     pub allow: Vec<IpNet>,
-    /// The numbers of the control members: a link from another number is one of a gateway.
+    /// The numbers of the control members, of which one must open each link that is not from a client of theirs.
     pub voters: BTreeSet<u64>,
     /// The hello of this member.
     pub own: SharedHello,
--- a/control/src/versions/audit.rs
+++ b/control/src/versions/audit.rs
@@ -46,7 +46,7 @@
 pub struct AuditEntry {
     /// The gateway and its incarnation.
     pub who: NodeIdentity,
-    /// Its actions under the version, summed over its reports.
+    /// The incarnation's actions under the version, summed over its reports.
     pub span: Span,
 }
 
--- a/control/src/versions/client/event.rs
+++ b/control/src/versions/client/event.rs
@@ -49,7 +49,7 @@
 pub struct Permission {
     /// The token of the registration: the fencing token of every action under it.
     pub token: Token,
-    /// When it ends, microseconds on this gateway's monotonic clock: no action may begin at or after this time.
+    /// When the permission ends, microseconds on this gateway's monotonic clock: no action may begin at or after this time.
     pub until: Micros,
 }
 
--- a/control/src/versions/client/proposal.rs
+++ b/control/src/versions/client/proposal.rs
@@ -30,12 +30,12 @@
         self.topic == topic && (proposed || self.replaces != active)
     }
 
-    /// Makes it due again, as messages on a former link may be lost.
+    /// Makes the proposal due again, as messages on a former link may be lost.
     pub(super) fn mark_unsent(&mut self) {
         self.last_sent_at = None;
     }
 
-    /// When it was last sent.
+    /// When the proposal was last sent; `None` if it has not been sent on the current link.
     pub(super) fn last_sent_at(&self) -> Option<Micros> {
         self.last_sent_at
     }
--- a/control/src/versions/coordinator/mod.rs
+++ b/control/src/versions/coordinator/mod.rs
@@ -107,13 +107,13 @@
     table: Table,
     leading: bool,
     leader: Option<u32>,
-    /// When it last proposed to begin an epoch.
+    /// When this member last proposed to begin an epoch.
     epoch_proposed_at: Option<Micros>,
     /// Set while this member leads and its epoch is the latest in the log.
     leadership: Option<Leadership>,
     /// The number of the last requested read-index round, counted over all epochs.
     last_round: u64,
-    /// When it last handled an event.
+    /// When the coordinator last handled an event.
     last_event_at: Micros,
 }
 
--- a/control/src/versions/coordinator/read_index.rs
+++ b/control/src/versions/coordinator/read_index.rs
@@ -18,11 +18,11 @@
     pub(super) who: NodeIdentity,
     /// The token of the registration in the heartbeat, if it has one.
     pub(super) token: Option<Token>,
-    /// When it was sent, on the gateway's clock.
+    /// When the heartbeat was sent, on the gateway's clock.
     pub(super) sent_at: Micros,
-    /// When it arrived, on this member's clock.
+    /// When the heartbeat arrived, on this member's clock.
     pub(super) received_at: Micros,
-    /// The first round requested after it arrived.
+    /// The first round requested after the heartbeat arrived.
     pub(super) round: u64,
     /// Whether the heartbeat may renew the gateway's registration.
     pub(super) renewable: bool,
--- a/control/src/versions/message.rs
+++ b/control/src/versions/message.rs
@@ -15,7 +15,7 @@
         formats: Formats,
         /// The token of its registration, once it has one.
         token: Option<Token>,
-        /// When it was sent, microseconds on the gateway's monotonic clock; the lease counts from then.
+        /// When the heartbeat was sent, microseconds on the gateway's monotonic clock; the lease counts from then.
         sent_at: Micros,
         /// The index of the entry up to which the gateway knows the state of the topics.
         known_index: Index,
--- a/src/bin/asterreel/cli/mod.rs
+++ b/src/bin/asterreel/cli/mod.rs
@@ -92,7 +92,8 @@
 
 /// How long the evaluation of an operator's file may take at the start.
 pub(crate) const EVALUATION: Duration = Duration::from_secs(5);
-/// How long it may take while the gateway runs; shorter, as signals are not handled meanwhile.
+/// How long the evaluation of an operator's file may take while the gateway runs; shorter than at the start, as signals are
+/// not handled meanwhile.
 pub(crate) const RELOAD_EVALUATION_TIMEOUT: Duration = Duration::from_millis(500);
 
 #[derive(Args)]
--- a/src/bin/asterreel/front/attempts.rs
+++ b/src/bin/asterreel/front/attempts.rs
@@ -6,7 +6,7 @@
 
 /// An attempt that has not ended.
 pub(super) struct Attempt {
-    /// When it was started; its latency counts from here.
+    /// When the attempt was started; its latency counts from here.
     pub started_at: Micros,
     /// The member that it is sent to.
     pub member: MemberId,
--- a/src/cells/admission.rs
+++ b/src/cells/admission.rs
@@ -107,7 +107,7 @@
     placement: Placement,
     bulkheads: Bulkheads,
     quarantine: Quarantine,
-    /// Until when writes may follow the placement; the end of its lease.
+    /// When the lease on the placement ends: writes may follow the placement until then.
     fresh_until: Micros,
 }
 
--- a/src/health/agent.rs
+++ b/src/health/agent.rs
@@ -17,7 +17,7 @@
     Gateway,
     /// The line asks for the status of one group.
     Group(GroupId),
-    /// Not a valid query.
+    /// The line is not a valid query, or is longer than [`MAX_QUERY_BYTES`].
     Invalid,
 }
 
--- a/src/health/drain.rs
+++ b/src/health/drain.rs
@@ -81,9 +81,9 @@
 /// How a balancer detects that a gateway drains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DetectionMethod {
-    /// By an agent-check, where a single reply takes effect.
+    /// The balancer detects it by an agent-check, where a single reply takes effect.
     AgentCheck,
-    /// By health checks, of which `fall` in a row must fail.
+    /// The balancer detects it by health checks, of which `fall` in a row must fail.
     FailedChecks,
 }
 
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -164,9 +164,9 @@
 /// Which listed states stop new dispatches to a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainSignal {
-    /// Both draining and removed.
+    /// Draining and removed both stop dispatches.
     DrainingOrRemoved,
-    /// Only draining; a removal alone does not.
+    /// Draining stops dispatches; a removal alone does not.
     DrainingOnly,
 }
 
--- a/src/policy/member.rs
+++ b/src/policy/member.rs
@@ -43,11 +43,11 @@
     pub roles: RoleArbitration,
     /// When the next half-open trial is due.
     pub next_trial_at: Micros,
-    /// When it was last demoted, or last tried in a search for the primary.
+    /// When the member was last demoted, or last tried in a search for the primary.
     pub ruled_out_at: Micros,
     /// Attempts of this gateway in flight at the member.
     pub in_flight: u32,
-    /// When it last answered, or when an attempt was dispatched after that with no other in flight.
+    /// When the member last answered, or when an attempt was dispatched after that with no other in flight.
     pub unanswered_since: Micros,
     /// All commits up to here are applied, as last reported.
     pub applied_position: Micros,
@@ -89,12 +89,12 @@
             .saturating_sub(self.applied_position)
     }
 
-    /// Whether it has reached the failure threshold.
+    /// Whether the member has reached the failure threshold.
     pub(super) fn has_failed(&self) -> bool {
         self.consecutive_failures >= FAILURE_THRESHOLD
     }
 
-    /// Whether it has left attempts unanswered for much longer than its tail latency: hung, unreachable or stalled.
+    /// Whether the member has left attempts unanswered for much longer than its tail latency: hung, unreachable or stalled.
     pub(super) fn is_silent(&self, now: Micros) -> bool {
         let factor = if self.in_flight == 1 {
             SINGLE_ATTEMPT_FACTOR
--- a/src/policy/requests.rs
+++ b/src/policy/requests.rs
@@ -27,7 +27,7 @@
     pub queued: bool,
     /// Consecutive attempts that were never sent.
     pub consecutive_unsent: u32,
-    /// Not dispatched before this time (retry backoff).
+    /// The request is not dispatched before this time (retry backoff).
     pub backoff_until: Micros,
 }
 
@@ -119,7 +119,7 @@
         repeatable || self.first_may_have_run().is_none()
     }
 
-    /// Until when an answer has its full weight.
+    /// The time until which an answer has its full weight.
     fn objective_deadline(&self, class: &Class) -> Micros {
         let extension = self.arrival.estimate.unwrap_or(0) as f64 * class.objective_work_factor;
         let objective = class.latency_objective.saturating_add(extension as Micros);
@@ -128,7 +128,7 @@
             .min(self.arrival.due)
     }
 
-    /// Until when an answer has any weight; an attempt times out then.
+    /// The time until which an answer has any weight; an attempt times out then.
     pub(super) fn useful_until(&self, class: &Class) -> Micros {
         if class.late_weight > 0.0 {
             self.arrival.due
