--- a/control/src/store/error.rs
+++ b/control/src/store/error.rs
@@ -73,7 +73,7 @@
     /// The format or the gateway's number is not 8 bytes long; holds its key.
     #[error("the value of `{0}` is not 8 bytes long")]
     NotANumber(&'static str),
-    /// Another number is not 8 bytes long.
+    /// A stored number other than those of [`Corruption::NotANumber`] is not 8 bytes long.
     #[error("a number is not 8 bytes long")]
     Number,
     /// An entry has another index than its key, or one before it is missing.
--- a/src/bin/asterreel/runtime/buffer.rs
+++ b/src/bin/asterreel/runtime/buffer.rs
@@ -61,11 +61,11 @@
     }
 
     /// Calls `source.read` once, for at most `max_bytes` or [`CHUNK_BYTES`], whichever is less, and appends what it read.
-    /// Returns the number of bytes read; 0 is the end of the stream.
+    /// Returns the number of bytes read, 0 at the end of the stream.
     ///
     /// # Errors
     ///
-    /// Those of the source; the buffer is unchanged then.
+    /// The errors of `source`; the buffer keeps its contents then.
     pub(crate) fn read_from(
         &mut self,
         now: Micros,
--- a/src/bin/asterreel/runtime/net.rs
+++ b/src/bin/asterreel/runtime/net.rs
@@ -36,11 +36,11 @@
         }
     }
 
-    /// Connects within this timeout.
+    /// Connects to `address` within `timeout`, microseconds.
     ///
     /// # Errors
     ///
-    /// Those of socket(2) and connect(2), and a timeout.
+    /// The errors of socket(2) and connect(2), and a timeout.
     pub(crate) fn connect(
         address: SocketAddr,
         timeout: Micros,
@@ -122,7 +122,7 @@
     ///
     /// # Errors
     ///
-    /// Those of the socket, and `TimedOut` where `keep_waiting` returned false.
+    /// The errors of the socket, and `TimedOut` where `keep_waiting` returned false.
     pub(crate) fn write_all(
         &mut self,
         mut bytes: &[u8],
