--- a/src/policy/member.rs
+++ b/src/policy/member.rs
@@ -25,7 +25,7 @@
     /// Breaks ties; the same at every gateway.
     pub tie_break_hash: u64,
     pub state: EndpointState,
-    /// It was listed as draining since it was last ready.
+    /// The member was listed as draining since it was last ready.
     pub drain_seen: bool,
     /// When its process last started, as listed; 0 is long ago.
     pub started_at: Micros,
@@ -34,7 +34,7 @@
     pub consecutive_failures: u32,
     /// A request timed out at the member, and it has answered none since; a health check does not clear this.
     pub unresponsive: bool,
-    /// It has answered something since it was listed or restarted.
+    /// The member has answered something since it was listed or restarted.
     pub verified: bool,
     pub check_in_flight: bool,
     /// Consecutive health checks that brought no report.
@@ -43,16 +43,16 @@
     pub roles: RoleArbitration,
     /// When the next half-open trial is due.
     pub next_trial_at: Micros,
-    /// When it was last demoted, or last tried in a search for the primary.
+    /// When the member was last demoted, or last tried in a search for the primary.
     pub ruled_out_at: Micros,
     /// Attempts of this gateway in flight at the member.
     pub in_flight: u32,
-    /// When it last answered, or when an attempt was dispatched after that with no other in flight.
+    /// When the member last answered, or when an attempt was dispatched after that with no other in flight.
     pub unanswered_since: Micros,
     /// All commits up to here are applied, as last reported.
     pub applied_position: Micros,
     pub position_reported_at: Micros,
-    /// It rejected a read as too stale, and is assumed to be stale until then.
+    /// The member rejected a read as too stale, and is assumed to be stale until then.
     pub stale_until: Micros,
     /// A request timed out there, and it gets no reads until then (outlier ejection).
     pub ejected_until: Micros,
@@ -89,12 +89,12 @@
             .saturating_sub(self.applied_position)
     }
 
-    /// Whether it has reached the failure threshold.
+    /// Whether the member has reached the failure threshold.
     pub(super) fn has_failed(&self) -> bool {
         self.consecutive_failures >= FAILURE_THRESHOLD
     }
 
-    /// Whether it has left attempts unanswered for much longer than its tail latency: hung, unreachable or stalled.
+    /// Whether the member has left attempts unanswered for much longer than its tail latency: hung, unreachable or stalled.
     pub(super) fn is_silent(&self, now: Micros) -> bool {
         let factor = if self.in_flight == 1 {
             SINGLE_ATTEMPT_FACTOR
