--- a/src/bin/asterreel/cli/check.rs
+++ b/src/bin/asterreel/cli/check.rs
@@ -16,7 +16,7 @@
     let Some(path) = &files.operator else {
         return Ok(());
     };
-    let timetable = evaluated.beside(&config)?;
+    let timetable = evaluated.check_with_config(&config)?;
     if let Some(lease) = &evaluated.operator.lease {
         println!("{}: lease good; {}", path.display(), describe_role(lease));
     }
--- a/src/bin/asterreel/control/member.rs
+++ b/src/bin/asterreel/control/member.rs
@@ -29,7 +29,7 @@
         operator: Some(command.operator.clone()),
     };
     let evaluated = files.evaluate(EVALUATION)?;
-    let lease = evaluated.member()?;
+    let lease = evaluated.control_member_settings()?;
     let handle = service::start_member(lease, Clock::start())?;
     for signal in signals.forever() {
         if signal != SIGHUP {
--- a/src/bin/asterreel/main.rs
+++ b/src/bin/asterreel/main.rs
@@ -92,7 +92,7 @@
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     let config = Config::from_env()?;
     let evaluated = files.evaluate(cli::EVALUATION)?;
-    let timetable = evaluated.beside(&config)?;
+    let timetable = evaluated.check_with_config(&config)?;
     let operator = evaluated.operator;
     configure_coroutines();
 
--- a/src/bin/asterreel/server.rs
+++ b/src/bin/asterreel/server.rs
@@ -93,7 +93,7 @@
     /// Evaluates the operator's file as it is on disk now, and checks it against the configuration.
     fn evaluate_operator_file(&self) -> Result<Evaluated, OperatorFileError> {
         let evaluated = self.files.evaluate(cli::RELOAD_EVALUATION_TIMEOUT)?;
-        evaluated.beside(&self.config)?;
+        evaluated.check_with_config(&self.config)?;
         Ok(evaluated)
     }
 
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -3,8 +3,8 @@
 //! It calls `health(...)`, `cells(...)`, `lease(...)`, `readmission(...)` and the functions that make their parts; what
 //! it leaves out is off. The evaluator is a separate program, `asterreel-config-eval`, installed beside the gateway's.
 //! This module holds what the file may set ([`Operator`]), runs the evaluator ([`evaluate`]) and reads its reply
-//! ([`Reply`]), and checks the file against the gateway's configuration ([`Evaluated::beside`]). Errors name the file,
-//! and line, column and key where they are known.
+//! ([`Reply`]), and checks the file against the gateway's configuration ([`Evaluated::check_with_config`]). Errors name
+//! the file, and line, column and key where they are known.
 
 mod error;
 mod evaluator;
@@ -42,7 +42,10 @@
     /// # Errors
     ///
     /// [`OperatorFileError`] names the file, the place and the key at fault.
-    pub fn beside(&self, config: &Config) -> Result<Option<Timetable>, OperatorFileError> {
+    pub fn check_with_config(
+        &self,
+        config: &Config,
+    ) -> Result<Option<Timetable>, OperatorFileError> {
         if let Some(lease) = &self.operator.lease {
             lease
                 .check_with_client_listener(config.listen)
@@ -52,7 +55,7 @@
             return Ok(None);
         };
         health
-            .beside(config)
+            .check_with_config(config)
             .map(Some)
             .map_err(|error| self.error_in(&self.health_at, under_health_key(error)))
     }
@@ -63,7 +66,7 @@
     ///
     /// [`OperatorFileError`] if the file does not make this process a voter; names the file, the place and the key at
     /// fault.
-    pub fn member(&self) -> Result<&ControlSettings, OperatorFileError> {
+    pub fn control_member_settings(&self) -> Result<&ControlSettings, OperatorFileError> {
         let Some(lease) = &self.operator.lease else {
             let fault =
                 "is not called; a control member needs it, to name its peers and its own number";
--- a/src/operator/settings.rs
+++ b/src/operator/settings.rs
@@ -244,7 +244,7 @@
         self.options
             .check()
             .map_err(|fault| fault.under_key("knobs"))?;
-        // Without the configuration any deadline is possible; `beside` checks with the actual ones.
+        // Without the configuration any deadline is possible; `check_with_config` checks with the actual ones.
         self.timetable(u64::MAX)?;
         Ok(())
     }
@@ -296,7 +296,7 @@
     /// # Errors
     ///
     /// The key at fault and what is wrong with its value.
-    pub fn beside(&self, config: &Config) -> Result<Timetable, SettingError> {
+    pub fn check_with_config(&self, config: &Config) -> Result<Timetable, SettingError> {
         self.check()?;
         for (key, address) in self.listeners() {
             if address == config.listen {
--- a/tests/golden_files.rs
+++ b/tests/golden_files.rs
@@ -141,7 +141,7 @@
     fn fault(&self) -> String {
         let config = Config::parse(CONFIG.as_bytes(), |_| None).expect("good");
         let evaluated = operator::evaluate(self.evaluator, &self.path, Duration::from_secs(20));
-        let result = evaluated.and_then(|evaluated| evaluated.beside(&config).map(drop));
+        let result = evaluated.and_then(|evaluated| evaluated.check_with_config(&config).map(drop));
         result.map_or_else(
             |fault| self.mask_folder(&fault.to_string()),
             |()| "good".to_owned(),
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -58,7 +58,7 @@
 /// The error of a file, checked against the example's configuration.
 fn error_of(text: &str) -> OperatorFileError {
     let evaluated = OperatorFile::new(text).evaluate();
-    let checked = evaluated.and_then(|evaluated| evaluated.beside(&example_config()));
+    let checked = evaluated.and_then(|evaluated| evaluated.check_with_config(&example_config()));
     checked.expect_err(text)
 }
 
@@ -82,13 +82,13 @@
         .collect();
     assert_eq!(listeners, [6460, 6461, 6462]);
     let table = example
-        .beside(&config)
+        .check_with_config(&config)
         .expect("fits")
         .expect("health is on");
     assert_eq!((table.announce, table.answer_until), (900_000, 3_600_000));
     let deployed = evaluate(Path::new("deploy/linz-rides.star")).expect("good");
     assert_eq!(deployed.operator.health, None);
-    assert_eq!(deployed.beside(&config), Ok(None));
+    assert_eq!(deployed.check_with_config(&config), Ok(None));
 }
 
 #[test]
@@ -464,7 +464,7 @@
 fn control_member_file_must_make_a_voter() {
     let member = |text: &str| {
         let evaluated = OperatorFile::new(text).evaluate();
-        evaluated.and_then(|evaluated| evaluated.member().cloned())
+        evaluated.and_then(|evaluated| evaluated.control_member_settings().cloned())
     };
     let good = format!(
         "lease(me = 1, listen = '127.0.0.1:7101', store = 'log', duties = ['probes'], {FLEET})\n"
