--- a/src/bin/asterreel/control/client.rs
+++ b/src/bin/asterreel/control/client.rs
@@ -173,7 +173,7 @@
 
     /// Reports how many requests were served under the active version of the operator's file.
     pub(crate) fn report_requests(&mut self, gateway: &Gateway) {
-        let requests = gateway.requests();
+        let requests = gateway.request_count();
         let count = requests - std::mem::replace(&mut self.reported_requests, requests);
         let acting = self
             .handle
--- a/src/bin/asterreel/core.rs
+++ b/src/bin/asterreel/core.rs
@@ -100,7 +100,7 @@
 
     /// Runs `work` while the lock is held.
     #[cfg(test)]
-    pub(crate) fn hold(&self, work: impl FnOnce()) {
+    pub(crate) fn with_lock_held(&self, work: impl FnOnce()) {
         self.with(|_| work());
     }
 
@@ -115,7 +115,7 @@
     }
 
     /// The observer's report, which is empty without an observer; `None` where the lock is held, as this never waits.
-    pub(crate) fn look(&self) -> Option<Report> {
+    pub(crate) fn observer_report(&self) -> Option<Report> {
         let mut state = match self.state.try_lock() {
             Ok(state) => state,
             Err(TryLockError::Poisoned(poisoned)) => poisoned.into_inner(),
@@ -150,7 +150,7 @@
     }
 
     /// How many requests have arrived since the process started.
-    pub(crate) fn requests(&self) -> u64 {
+    pub(crate) fn request_count(&self) -> u64 {
         self.with(|state| state.request_count)
     }
 
@@ -200,7 +200,7 @@
     }
 
     /// Handles the loss of the watch on discovery.
-    pub(crate) fn list_lost(&self, loss: WatchLoss) {
+    pub(crate) fn watch_lost(&self, loss: WatchLoss) {
         self.handle(Event::WatchLost(loss));
     }
 
--- a/src/bin/asterreel/discovery/mod.rs
+++ b/src/bin/asterreel/discovery/mod.rs
@@ -93,7 +93,7 @@
                 self.first_list.settle();
             }
             if !self.source.has_moved(address, requested) {
-                self.core.list_lost(self.loss(&error, now));
+                self.core.watch_lost(self.loss(&error, now));
                 return;
             }
             self.subscription.reset_revision();
--- a/src/bin/asterreel/front/gateway.rs
+++ b/src/bin/asterreel/front/gateway.rs
@@ -136,8 +136,8 @@
     }
 
     /// How many requests have arrived since the process started.
-    pub(crate) fn requests(&self) -> u64 {
-        self.core.requests()
+    pub(crate) fn request_count(&self) -> u64 {
+        self.core.request_count()
     }
 
     /// Limits the deadlines of requests that are admitted from now on to `at`: the process may be killed soon after,
--- a/src/bin/asterreel/health/mod.rs
+++ b/src/bin/asterreel/health/mod.rs
@@ -346,7 +346,7 @@
     fn observe(&self) {
         let capacity = self.gateway.capacity().unwrap_or(self.capacity.get());
         self.capacity.set(capacity);
-        let report = self.gateway.core.look();
+        let report = self.gateway.core.observer_report();
         let event = report.map_or(Event::ObservationMissed, |report| {
             Event::Observed(report, capacity)
         });
--- a/src/bin/asterreel/health/tests.rs
+++ b/src/bin/asterreel/health/tests.rs
@@ -113,7 +113,8 @@
 
     // A thread holds the core's lock until it is released.
     let (release, released) = std::sync::mpsc::channel::<()>();
-    let holder = std::thread::spawn(move || core.hold(|| assert!(released.recv().is_err())));
+    let holder =
+        std::thread::spawn(move || core.with_lock_held(|| assert!(released.recv().is_err())));
     wait_for_code(front, "/livez", 503);
     drop(release);
     holder.join().expect("no panic");
