--- a/src/bin/asterreel/cli/probe.rs
+++ b/src/bin/asterreel/cli/probe.rs
@@ -147,7 +147,7 @@
             .map_err(|error| invalid(error.to_string()))?;
         let sent = client.send_request(request, false);
         let (answer, mut body) = sent.map_err(|error| invalid(error.to_string()))?;
-        let frame = grpc::frame(&grpc::Request { service });
+        let frame = grpc::encode_frame(&grpc::Request { service });
         body.send_data(frame.into(), true)
             .map_err(|error| invalid(error.to_string()))?;
         let answer = answer.await.map_err(|error| invalid(error.to_string()))?;
--- a/src/bin/asterreel/core.rs
+++ b/src/bin/asterreel/core.rs
@@ -241,12 +241,12 @@
         debug!(now, "{event:?}");
         let mut actions = std::mem::take(&mut self.actions);
         if let Some(observer) = &mut self.observer {
-            observer.event(now, &event);
+            observer.observe_event(now, &event);
         }
         self.router.handle(now, event, &mut actions);
         for action in actions.drain(..) {
             if let Some(observer) = &mut self.observer {
-                observer.action(now, &action);
+                observer.observe_action(now, &action);
             }
             debug!(now, "{action:?}");
             self.execute(core, now, action);
--- a/src/bin/asterreel/health/grpc.rs
+++ b/src/bin/asterreel/health/grpc.rs
@@ -109,7 +109,7 @@
 }
 
 fn send_status(stream: &mut SendStream<Bytes>, status: ServingStatus) -> Result<(), h2::Error> {
-    let frame = grpc::frame(&Response {
+    let frame = grpc::encode_frame(&Response {
         status: status as i32,
     });
     // Reserves capacity for the next message too; when it is missing then, the client does not read.
--- a/src/bin/asterreel/server.rs
+++ b/src/bin/asterreel/server.rs
@@ -9,7 +9,7 @@
 use crate::front::Gateway;
 use crate::health;
 use asterreel::config::Config;
-use asterreel::health::drain::{Timetable, LAST_ANSWERS};
+use asterreel::health::drain::{Timetable, FINAL_ANSWER_TIME};
 use asterreel::interface::Micros;
 use asterreel::operator::{Evaluated, OperatorFileError};
 use asterreel_control::service::ControlEvent;
@@ -150,7 +150,9 @@
             control.drain();
         }
         let longest_deadline = self.longest_deadline();
-        let timetable = self.timetable.unwrap_or(Timetable::plain(longest_deadline));
+        let timetable = self
+            .timetable
+            .unwrap_or(Timetable::without_balancers(longest_deadline));
         let clock = gateway.core.clock;
         let began = clock.now();
         gateway.set_last_answer_at(began + timetable.answer_until);
@@ -162,7 +164,7 @@
             health.stopping();
         }
         gateway.drain();
-        let give_up_at = clock.now() + longest_deadline + LAST_ANSWERS;
+        let give_up_at = clock.now() + longest_deadline + FINAL_ANSWER_TIME;
         while gateway.open_sessions() > 0 && clock.now() < give_up_at {
             self.pause_drain(signals);
         }
--- a/src/health/drain.rs
+++ b/src/health/drain.rs
@@ -18,7 +18,7 @@
 /// The platform waits this much longer than the counted deadline, microseconds.
 const KILL_GRACE_PERIOD: Micros = 700_000;
 /// Time to write the last answers before the process may be killed, microseconds.
-pub const LAST_ANSWERS: Micros = 100_000;
+pub const FINAL_ANSWER_TIME: Micros = 100_000;
 
 /// How the balancer checks the gateway. The keys have the names that balancers use.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -70,10 +70,10 @@
 
 impl Timetable {
     /// The timetable without health checks, where only the platform's front must stop sending connections.
-    pub fn plain(longest_deadline: Micros) -> Timetable {
+    pub fn without_balancers(longest_deadline: Micros) -> Timetable {
         Timetable {
             announce: MIN_ANNOUNCE_MS * 1000,
-            answer_until: kill_after(longest_deadline) - LAST_ANSWERS,
+            answer_until: kill_after(longest_deadline) - FINAL_ANSWER_TIME,
         }
     }
 }
@@ -141,12 +141,12 @@
         let kill_at = self
             .kill_after_ms
             .map_or(kill_after(longest_deadline), |ms| ms.saturating_mul(1000));
-        let answer_until = kill_at.saturating_sub(LAST_ANSWERS);
-        if announce * 1000 + LAST_ANSWERS > answer_until {
+        let answer_until = kill_at.saturating_sub(FINAL_ANSWER_TIME);
+        if announce * 1000 + FINAL_ANSWER_TIME > answer_until {
             let fault = format!(
                 "{} ms leave no time to answer the requests accepted during drain.announce_ms, {announce} ms; set it to at least {} ms or lower drain.announce_ms",
                 kill_at / 1000,
-                announce + 2 * LAST_ANSWERS / 1000
+                announce + 2 * FINAL_ANSWER_TIME / 1000
             );
             return Err(SettingError::new("drain.kill_after_ms", fault));
         }
--- a/src/health/drain/tests.rs
+++ b/src/health/drain/tests.rs
@@ -34,7 +34,7 @@
         Ok(1_750_000)
     );
     assert_eq!(
-        Timetable::plain(10_000_000),
+        Timetable::without_balancers(10_000_000),
         wanted,
         "the shortest announcement"
     );
--- a/src/health/grpc.rs
+++ b/src/health/grpc.rs
@@ -79,7 +79,7 @@
 }
 
 /// Encodes a message with its frame header.
-pub fn frame(message: &impl Message) -> Vec<u8> {
+pub fn encode_frame(message: &impl Message) -> Vec<u8> {
     let body = message.encode_to_vec();
     [&[0][..], &(body.len() as u32).to_be_bytes(), &body].concat()
 }
--- a/src/health/grpc/tests.rs
+++ b/src/health/grpc/tests.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn requests_decode_only_from_whole_frames() {
-    let whole = frame(&Request {
+    let whole = encode_frame(&Request {
         service: "7".into(),
     });
     assert_eq!(whole, b"\0\0\0\0\x03\x0a\x017");
@@ -39,7 +39,7 @@
         (ServingStatus::NotServing, ServingStatus::NotServing)
     );
     assert_eq!(
-        frame(&Response {
+        encode_frame(&Response {
             status: serving_status(None) as i32
         }),
         b"\0\0\0\0\x02\x08\x03"
@@ -49,7 +49,7 @@
 #[test]
 fn random_bytes_are_never_read_past_their_end() {
     fuzz::garbage(
-        &frame(&Request {
+        &encode_frame(&Request {
             service: "17".into(),
         }),
         |bytes| {
--- a/src/health/observer.rs
+++ b/src/health/observer.rs
@@ -135,7 +135,7 @@
     }
 
     /// Counts an event; to be called before the router handles it.
-    pub fn event(&mut self, now: Micros, event: &Event) {
+    pub fn observe_event(&mut self, now: Micros, event: &Event) {
         match event {
             Event::RequestArrived(arrival) => self.request_arrived(now, arrival),
             Event::AttemptEnded(ended) => self.attempt_ended(now, ended),
@@ -149,7 +149,7 @@
     }
 
     /// Counts an action that the router returned.
-    pub fn action(&mut self, now: Micros, action: &Action) {
+    pub fn observe_action(&mut self, now: Micros, action: &Action) {
         match action {
             Action::Dispatch { request: id, .. } => {
                 if let Some(open) = self.open_requests.get_mut(id) {
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -524,10 +524,10 @@
     /// Passes the event to the observer and the router, then the router's actions to the observer. Returns the
     /// requests of the attempts that are dispatched.
     fn feed(&mut self, event: RouterEvent) -> Vec<RequestId> {
-        self.observer.event(self.gateway.now, &event);
+        self.observer.observe_event(self.gateway.now, &event);
         let actions = self.gateway.event(event);
         for action in &actions {
-            self.observer.action(self.gateway.now, action);
+            self.observer.observe_action(self.gateway.now, action);
         }
         let sent = common::dispatches(&actions);
         sent.iter().map(|(request, _)| *request).collect()
