--- a/src/bin/asterreel/cells.rs
+++ b/src/bin/asterreel/cells.rs
@@ -110,12 +110,12 @@
         target: (u64, &[u8]),
         statement: &[u8],
         is_write: bool,
-    ) -> Result<Placed, Rejection> {
+    ) -> Result<CellPermit, Rejection> {
         let now = self.clock.now();
         let admitted = self.with_admission(|admission| {
             admission.admit(now, caller, target, statement, is_write)
         })?;
-        Ok(Placed {
+        Ok(CellPermit {
             cells: self.clone(),
             admitted,
         })
@@ -154,29 +154,35 @@
 }
 
 /// What an admitted request holds of its cell; returned on drop.
-pub(crate) struct Placed {
+pub(crate) struct CellPermit {
     cells: Cells,
     pub admitted: Admitted,
 }
 
-impl Placed {
-    /// Whether an attempt may be dispatched. `ran` says that an earlier attempt of the request may have run; `victims`
-    /// is the number of members that crashed after its attempts.
-    pub(crate) fn attempt(
+impl CellPermit {
+    /// Whether an attempt may be dispatched. `may_have_run` says that an earlier attempt of the request may have run;
+    /// `failed_members` is the number of members that crashed after its attempts.
+    pub(crate) fn admit_attempt(
         &self,
         idempotency: Idempotency,
-        ran: bool,
-        victims: usize,
+        may_have_run: bool,
+        failed_members: usize,
     ) -> QuarantineDecision {
         let now = self.cells.clock.now();
         self.cells.with_admission(|admission| {
-            admission.admit_attempt(now, &self.admitted, idempotency, ran, victims)
+            admission.admit_attempt(
+                now,
+                &self.admitted,
+                idempotency,
+                may_have_run,
+                failed_members,
+            )
         })
     }
 
     /// Records the outcome of an attempt. Only a connection that was reset during it indicates a crash of the member; a
     /// timeout may be caused by load.
-    pub(crate) fn attempted(&self, member: MemberId, outcome: Outcome) {
+    pub(crate) fn attempt_ended(&self, member: MemberId, outcome: Outcome) {
         let after = match outcome {
             Outcome::Reset => MemberOutcome::Crashed,
             Outcome::Served | Outcome::Error | Outcome::Misrouted | Outcome::Rejected => {
@@ -191,7 +197,7 @@
     }
 }
 
-impl Drop for Placed {
+impl Drop for CellPermit {
     fn drop(&mut self) {
         let now = self.cells.clock.now();
         self.cells
--- a/src/bin/asterreel/front/admission.rs
+++ b/src/bin/asterreel/front/admission.rs
@@ -3,7 +3,7 @@
 use super::error_answer::ErrorAnswer;
 use super::open_requests::OpenRequestId;
 use super::session::Session;
-use crate::cells::Placed;
+use crate::cells::CellPermit;
 use crate::postgres::Statement;
 use asterreel::cells::tenants::Caller;
 use asterreel::cells::{Rejection, LOST_CELL_RETRY_AFTER_US};
@@ -22,7 +22,7 @@
     /// When its client stops waiting for an answer.
     pub due: Micros,
     /// Its admission to the cell of its tenant, where cells are configured.
-    pub placed: Option<Placed>,
+    pub cell_permit: Option<CellPermit>,
     _open_id: OpenRequestId,
 }
 
@@ -60,23 +60,23 @@
             );
             return Err(ErrorAnswer::Failed("out of time"));
         }
-        let placed = self.placed(statement, class.consistency)?;
+        let cell_permit = self.admit_to_cell(statement, class.consistency)?;
         Ok(Admitted {
             class: class.id,
             idempotency: class.idempotency,
             consistency: class.consistency,
             due,
-            placed,
+            cell_permit,
             _open_id: open_id,
         })
     }
 
     /// Admits a request to the cell of its tenant; `None` where cells are not configured.
-    fn placed(
+    fn admit_to_cell(
         &self,
         statement: &Statement,
         consistency: ConsistencyLevel,
-    ) -> Result<Option<Placed>, Rejection> {
+    ) -> Result<Option<CellPermit>, Rejection> {
         let Some(cells) = &self.gateway.cells else {
             return Ok(None);
         };
@@ -93,7 +93,7 @@
             comment: &comment,
         };
         let target = (statement.group, &statement.key[..]);
-        let placed = cells.admit(
+        let cell_permit = cells.admit(
             &caller,
             target,
             statement.text(),
@@ -103,11 +103,11 @@
         if self
             .gateway
             .core
-            .has_lost_all_members(placed.admitted.group)
+            .has_lost_all_members(cell_permit.admitted.group)
         {
             return Err(Rejection::AllMembersLost(LOST_CELL_RETRY_AFTER_US));
         }
-        Ok(Some(placed))
+        Ok(Some(cell_permit))
     }
 
     /// The arrival event of a request, as the router is given it.
@@ -126,9 +126,9 @@
         // The tenant has just moved: replicas of the new cell may lack what the session wrote in the old one.
         let is_settling = admitted.consistency == ConsistencyLevel::Session
             && admitted
-                .placed
+                .cell_permit
                 .as_ref()
-                .is_some_and(|placed| placed.admitted.settling);
+                .is_some_and(|cell_permit| cell_permit.admitted.settling);
         Arrival {
             request: RequestId(0),
             class: admitted.class,
@@ -137,9 +137,11 @@
             due: admitted.due,
             estimate: None,
             group: admitted
-                .placed
+                .cell_permit
                 .as_ref()
-                .map_or(GroupId(statement.group), |placed| placed.admitted.group),
+                .map_or(GroupId(statement.group), |cell_permit| {
+                    cell_permit.admitted.group
+                }),
             since_write: if is_settling { Some(0) } else { since_write },
         }
     }
--- a/src/bin/asterreel/front/request.rs
+++ b/src/bin/asterreel/front/request.rs
@@ -48,11 +48,11 @@
 
     /// Whether the quarantine of the request's cell allows another attempt; the error is the final answer otherwise.
     fn check_quarantine(&self) -> Result<(), ErrorAnswer> {
-        let Some(placed) = &self.admitted.placed else {
+        let Some(cell_permit) = &self.admitted.cell_permit else {
             return Ok(());
         };
         let text = "this statement is quarantined";
-        match placed.attempt(
+        match cell_permit.admit_attempt(
             self.admitted.idempotency,
             self.may_have_run,
             self.failed_members.len(),
@@ -266,8 +266,8 @@
         let is_served = outcome == Outcome::Served;
         let is_finished = is_served || !request.answer_pending;
         request.may_have_run |= !is_served && !outcome.proves_no_effect();
-        if let Some(placed) = &request.admitted.placed {
-            placed.attempted(attempt.member, outcome);
+        if let Some(cell_permit) = &request.admitted.cell_permit {
+            cell_permit.attempt_ended(attempt.member, outcome);
             if outcome == Outcome::Reset {
                 request.failed_members.insert(attempt.member);
             }
