--- a/control/src/codec.rs
+++ b/control/src/codec.rs
@@ -49,12 +49,12 @@
 }
 
 /// Decodes the number of a topic.
-pub(crate) fn topic(number: u32) -> Result<Topic, DecodeError> {
+pub(crate) fn decode_topic(number: u32) -> Result<Topic, DecodeError> {
     Topic::from_number(number).ok_or(DecodeError::Unknown("topic"))
 }
 
 /// Checks the length of a content that was received, and returns it with its format.
-pub(crate) fn content(format: u32, bytes: Vec<u8>) -> Result<Content, DecodeError> {
+pub(crate) fn decode_content(format: u32, bytes: Vec<u8>) -> Result<Content, DecodeError> {
     if bytes.len() > MAX_CONTENT_BYTES {
         return Err(DecodeError::TooLong("content"));
     }
@@ -131,7 +131,7 @@
 
     fn try_from(span: &WireSpan) -> Result<Span, DecodeError> {
         Ok(Span {
-            topic: topic(span.topic)?,
+            topic: decode_topic(span.topic)?,
             number: span.number,
             from: span.from,
             until: span.until,
--- a/control/src/golden_tests.rs
+++ b/control/src/golden_tests.rs
@@ -422,7 +422,7 @@
 impl Member {
     fn open(folder: &Path) -> Member {
         let mut store = Store::open(folder, MEMBER.gateway.into()).expect("opened");
-        if store.id().is_none() {
+        if store.raft_id().is_none() {
             let alone = ConfState {
                 voters: vec![1],
                 ..Default::default()
@@ -531,8 +531,8 @@
             self.drive();
         }
         self.event(Event::Tick);
-        self.event(Event::Want(Duty(0)));
-        self.event(Event::Want(Duty(1)));
+        self.event(Event::HoldDuty(Duty(0)));
+        self.event(Event::HoldDuty(Duty(1)));
         SERVED.into_iter().for_each(|who| self.heartbeat(who));
         self.advance(2);
         let first = self.propose(Topic::Operator, 0);
--- a/control/src/lease/leases.rs
+++ b/control/src/lease/leases.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
     /// This gateway is to hold the duty: until it drains, it claims the lease whenever the lease is available.
-    Want(Duty),
+    HoldDuty(Duty),
     /// An entry of the log was committed, and is applied here in log order.
     Applied {
         /// Its index in the log.
@@ -159,7 +159,7 @@
     /// `actions`.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Want(duty) => {
+            Event::HoldDuty(duty) => {
                 self.duties.entry(duty).or_default().wanted = true;
                 self.advance(duty, now, actions);
             }
--- a/control/src/lease/leases/tests.rs
+++ b/control/src/lease/leases/tests.rs
@@ -55,8 +55,8 @@
 fn lease_passes_to_another_gateway_after_its_wait() {
     let mut all = [gateway(1), gateway(2)];
     let (mut first, mut second) = (Vec::new(), Vec::new());
-    all[0].handle(0, Event::Want(DUTY), &mut first);
-    all[1].handle(10, Event::Want(DUTY), &mut second);
+    all[0].handle(0, Event::HoldDuty(DUTY), &mut first);
+    all[1].handle(10, Event::HoldDuty(DUTY), &mut second);
     let claims = [proposals(&first)[0], proposals(&second)[0]];
     let outs = commit(&mut all, 20, &claims);
     assert!(outs[0].contains(&Action::Act {
@@ -105,9 +105,9 @@
 fn two_gateways_with_first_as_holder() -> [Leases; 2] {
     let mut all = [gateway(1), gateway(2)];
     let mut out = Vec::new();
-    all[0].handle(0, Event::Want(DUTY), &mut out);
+    all[0].handle(0, Event::HoldDuty(DUTY), &mut out);
     commit(&mut all, 5, &proposals(&out));
-    all[1].handle(6, Event::Want(DUTY), &mut Vec::new());
+    all[1].handle(6, Event::HoldDuty(DUTY), &mut Vec::new());
     all
 }
 
@@ -167,7 +167,7 @@
 fn grant_observed_after_expiry_is_not_acted_on() {
     let mut all = [gateway(1)];
     let mut out = Vec::new();
-    all[0].handle(0, Event::Want(DUTY), &mut out);
+    all[0].handle(0, Event::HoldDuty(DUTY), &mut out);
     let outs = commit(&mut all, 3_000, &proposals(&out));
     assert!(
         !outs[0]
--- a/control/src/node.rs
+++ b/control/src/node.rs
@@ -252,7 +252,7 @@
         for action in all_actions {
             match action {
                 Action::Propose(bytes) => self.proposals.push(bytes),
-                Action::Confirm(round) => self.requested_rounds.push(round),
+                Action::RequestRound(round) => self.requested_rounds.push(round),
                 other => actions.push(other),
             }
         }
@@ -413,7 +413,7 @@
             .partition(|confirmed| confirmed.commit <= applied);
         self.confirmed_rounds = waiting;
         for confirmed in due {
-            self.handle(now, Event::Confirmed(confirmed.round), actions)?;
+            self.handle(now, Event::RoundConfirmed(confirmed.round), actions)?;
         }
         Ok(())
     }
--- a/control/src/service/member.rs
+++ b/control/src/service/member.rs
@@ -112,7 +112,7 @@
         me: NodeIdentity,
     ) -> Result<Member, ControlError> {
         let store = Store::open(&settings.store, settings.me.into())?;
-        let log = match store.id() {
+        let log = match store.raft_id() {
             Some(id) => LogState::Running(open_node(id, store, me, settings, clock.now())?),
             None => LogState::Waiting(store),
         };
@@ -231,7 +231,7 @@
         self.settings
             .duties()
             .into_iter()
-            .try_for_each(|duty| self.handle(Event::Want(duty)))
+            .try_for_each(|duty| self.handle(Event::HoldDuty(duty)))
     }
 
     /// Initializes this member's log once it is known whether the fleet has one already: it learns an existing log, or all
@@ -414,7 +414,7 @@
             Action::Send(who, message) => self.gateways.send(who, &message),
             Action::Broadcast(message) => self.gateways.broadcast(&message),
             // Every member counts the actions. Only the leader logs them, so that each is logged once in the fleet.
-            Action::Counted { who, spans } if leads => {
+            Action::ReportCounted { who, spans } if leads => {
                 for span in spans {
                     let (topic, number, count) = (span.topic, span.number, span.count);
                     let (from, until) = (span.from, span.until);
@@ -432,9 +432,9 @@
                     );
                 }
             }
-            Action::Counted { .. } => {}
+            Action::ReportCounted { .. } => {}
             // The node has handled proposals and read-index rounds. Ticks are frequent enough to replace wakeups.
-            Action::Propose(_) | Action::Confirm(_) | Action::Wake(_) | Action::Lease(_) => {}
+            Action::Propose(_) | Action::RequestRound(_) | Action::Wake(_) | Action::Lease(_) => {}
         }
     }
 }
--- a/control/src/service/mod.rs
+++ b/control/src/service/mod.rs
@@ -67,7 +67,7 @@
 
 impl View {
     /// The version of a topic to act on at `now`, microseconds on the clock of the loop, and the action's fencing token.
-    pub fn acting(&self, topic: Topic, now: Micros) -> Option<(u64, lease::Token)> {
+    pub fn usable_version(&self, topic: Topic, now: Micros) -> Option<(u64, lease::Token)> {
         Some((
             *self.active_versions.get(&topic)?,
             self.permission(now)?.token,
--- a/control/src/state_machine/entry.rs
+++ b/control/src/state_machine/entry.rs
@@ -3,7 +3,7 @@
 //! Stored logs hold these bytes: tags and types never change, and a change of meaning needs a new format number.
 
 use super::Command;
-use crate::codec::{topic, WireIdentity, WireReport};
+use crate::codec::{decode_topic, WireIdentity, WireReport};
 use crate::lease::{self, Duty, Index, NodeIdentity, Token};
 use crate::versions::{self, Content, Formats};
 use prost::Message;
@@ -265,7 +265,7 @@
         Body::ProposeVersion(change) => Command::Version(V::ProposeVersion {
             who: change.who.into(),
             token: Token(change.token),
-            topic: topic(change.topic)?,
+            topic: decode_topic(change.topic)?,
             replaces: change.number,
             content: Content {
                 format: change.format,
@@ -273,14 +273,14 @@
             },
         }),
         Body::Ack(ack) => Command::Version(V::Ack {
-            topic: topic(ack.topic)?,
+            topic: decode_topic(ack.topic)?,
             number: ack.number,
             by: ack.gateways(),
         }),
         Body::Nack(change) => Command::Version(V::Nack {
             who: change.who.into(),
             token: Token(change.token),
-            topic: topic(change.topic)?,
+            topic: decode_topic(change.topic)?,
             number: change.number,
             reason: change.reason,
         }),
--- a/control/src/state_machine/mod.rs
+++ b/control/src/state_machine/mod.rs
@@ -54,13 +54,13 @@
     Connected(NodeIdentity),
     /// A quorum confirmed, after this round was requested, that this control member is the leader. Every entry that was
     /// committed at the time of the request has been applied before this event.
-    Confirmed(u64),
+    RoundConfirmed(u64),
     /// Time has passed: what is due at this time is done.
     Tick,
     /// The control member shuts down gracefully: it releases the duties that it holds.
     Drain,
     /// This control member is to hold the duty: until it drains, it claims the lease whenever the lease is available.
-    Want(Duty),
+    HoldDuty(Duty),
 }
 
 /// What the caller is to do.
@@ -70,15 +70,15 @@
     Propose(Vec<u8>),
     /// A change of the duties that this control member acts on.
     Lease(lease::Action),
-    /// Ask a quorum whether this control member is still the leader, and answer with [`Event::Confirmed`] of this round.
+    /// Ask a quorum whether this control member is still the leader, and answer with [`Event::RoundConfirmed`] of this round.
     /// The answer may be lost.
-    Confirm(u64),
+    RequestRound(u64),
     /// Send a message to a gateway. It may be lost.
     Send(NodeIdentity, ToGateway),
     /// Send a message to every connected gateway. It may be lost.
     Broadcast(ToGateway),
     /// The audit counted a gateway's report of its actions.
-    Counted {
+    ReportCounted {
         /// The gateway that sent the report.
         who: NodeIdentity,
         /// How many actions it did under which version, in which time span.
@@ -136,7 +136,9 @@
             Event::Committed(bytes) => return self.apply(now, decode(bytes)?, actions),
             Event::Restored(bytes) => return self.restore(now, bytes),
             Event::Drain => return self.handle_lease(now, lease::Event::Drain, actions),
-            Event::Want(duty) => return self.handle_lease(now, lease::Event::Want(duty), actions),
+            Event::HoldDuty(duty) => {
+                return self.handle_lease(now, lease::Event::HoldDuty(duty), actions)
+            }
             Event::Tick => {
                 self.handle_lease(now, lease::Event::Tick, actions)?;
                 VersionEvent::Tick
@@ -145,7 +147,7 @@
             Event::Leader(leader) => VersionEvent::Leader(leader),
             Event::Received(message) => VersionEvent::Received(message),
             Event::Connected(who) => VersionEvent::Connected(who),
-            Event::Confirmed(round) => VersionEvent::Confirmed(round),
+            Event::RoundConfirmed(round) => VersionEvent::RoundConfirmed(round),
         };
         self.handle_version(now, version_event, actions);
         Ok(())
@@ -218,10 +220,10 @@
         self.coordinator.handle(now, event, &mut version_actions);
         actions.extend(version_actions.into_iter().map(|action| match action {
             VersionAction::Propose(command) => Action::Propose(encode(&Command::Version(command))),
-            VersionAction::Confirm(round) => Action::Confirm(round),
+            VersionAction::RequestRound(round) => Action::RequestRound(round),
             VersionAction::Send(who, message) => Action::Send(who, message),
             VersionAction::Broadcast(message) => Action::Broadcast(message),
-            VersionAction::Counted { who, spans } => Action::Counted { who, spans },
+            VersionAction::ReportCounted { who, spans } => Action::ReportCounted { who, spans },
             VersionAction::Wake(at) => Action::Wake(at),
         }));
     }
--- a/control/src/store.rs
+++ b/control/src/store.rs
@@ -54,7 +54,7 @@
     }
 
     /// The Raft id of the node that this log belongs to; none before [`Store::initialize`].
-    pub(crate) fn id(&self) -> Option<u64> {
+    pub(crate) fn raft_id(&self) -> Option<u64> {
         self.id
     }
 
--- a/control/src/store/tests.rs
+++ b/control/src/store/tests.rs
@@ -27,7 +27,7 @@
 
 fn open_initialized(folder: &Path, gateway: u64) -> Store {
     let mut store = Store::open(folder, gateway).expect("opened");
-    if store.id().is_none() {
+    if store.raft_id().is_none() {
         store.initialize(gateway, &members()).expect("initialized");
     }
     store
@@ -64,7 +64,7 @@
             .expect("written");
     }
     let store = open_initialized(folder.path(), 1);
-    assert_eq!(store.id(), Some(1));
+    assert_eq!(store.raft_id(), Some(1));
     assert_eq!(log_entries(&store), [(1, 1), (2, 1), (3, 1), (4, 2)]);
     let state = store.initial_state().expect("readable");
     assert_eq!((state.hard_state.term, state.hard_state.commit), (2, 3));
--- a/control/src/versions/client/mod.rs
+++ b/control/src/versions/client/mod.rs
@@ -77,7 +77,7 @@
     }
 
     /// The version of a topic that this gateway may act on at `now`, and the fencing token for each action.
-    pub fn acting(&self, topic: Topic, now: Micros) -> Option<(u64, Token)> {
+    pub fn usable_version(&self, topic: Topic, now: Micros) -> Option<(u64, Token)> {
         let permission = self.permission(now)?;
         let number = self.topics.active(topic);
         (number > 0).then_some((number, permission.token))
--- a/control/src/versions/client/tests.rs
+++ b/control/src/versions/client/tests.rs
@@ -101,7 +101,7 @@
 
     fn acting_on(&self) -> Option<u64> {
         self.client
-            .acting(TOPIC, self.now)
+            .usable_version(TOPIC, self.now)
             .map(|(number, _)| number)
     }
 }
--- a/control/src/versions/coordinator/applied.rs
+++ b/control/src/versions/coordinator/applied.rs
@@ -43,7 +43,7 @@
         }
         if let (Outcome::Reported { who, .. }, Command::Report { spans, .. }) = (&outcome, command)
         {
-            out.push(Action::Counted {
+            out.push(Action::ReportCounted {
                 who: *who,
                 spans: spans.clone(),
             });
--- a/control/src/versions/coordinator/mod.rs
+++ b/control/src/versions/coordinator/mod.rs
@@ -47,7 +47,7 @@
     /// A gateway has a new link to this control member: messages on a former one may be lost.
     Connected(NodeIdentity),
     /// A quorum has confirmed, after this read-index round was requested, that it knows of no later leader.
-    Confirmed(u64),
+    RoundConfirmed(u64),
     /// A timer fired. More ticks than requested are harmless.
     Tick,
 }
@@ -58,14 +58,14 @@
     /// Propose this entry to the log. It may be lost.
     Propose(Command),
     /// Request a read-index round: ask a quorum whether this control member still leads, and answer with
-    /// [`Event::Confirmed`]. It may be lost.
-    Confirm(u64),
+    /// [`Event::RoundConfirmed`]. It may be lost.
+    RequestRound(u64),
     /// Send a gateway a message. It may be lost.
     Send(NodeIdentity, ToGateway),
     /// Send every connected gateway a message. It may be lost.
     Broadcast(ToGateway),
     /// A gateway's audit report was counted.
-    Counted {
+    ReportCounted {
         /// The gateway that reported.
         who: NodeIdentity,
         /// The actions in the report, by topic and version.
@@ -157,7 +157,7 @@
                     leadership.links.reset(who.gateway, now);
                 }
             }
-            Event::Confirmed(round) => self.confirm_round(round, out),
+            Event::RoundConfirmed(round) => self.confirm_round(round, out),
             Event::Tick => {}
         }
         self.run_due(now, out);
@@ -244,7 +244,7 @@
         };
         if leadership.rounds.begin_if_due(now, self.timing.renew_us) {
             self.last_round += 1;
-            out.push(Action::Confirm(self.last_round));
+            out.push(Action::RequestRound(self.last_round));
         }
     }
 
--- a/control/src/versions/coordinator/tests.rs
+++ b/control/src/versions/coordinator/tests.rs
@@ -105,12 +105,12 @@
     /// The last round that was requested since the previous call.
     fn take_requested_round(&mut self) -> Option<u64> {
         let mut rounds = self.out.iter().filter_map(|action| match action {
-            Action::Confirm(round) => Some(*round),
+            Action::RequestRound(round) => Some(*round),
             _ => None,
         });
         let last = rounds.next_back();
         self.out
-            .retain(|action| !matches!(action, Action::Confirm(_)));
+            .retain(|action| !matches!(action, Action::RequestRound(_)));
         last
     }
 
@@ -153,9 +153,9 @@
     /// Confirms rounds until all waiting heartbeats are answered, and discards the answers.
     fn answer_all(&mut self) {
         self.out.clear();
-        self.handle(Event::Confirmed(self.coordinator.last_round));
+        self.handle(Event::RoundConfirmed(self.coordinator.last_round));
         self.tick(RENEW / ROUND_RETRIES_PER_RENEWAL);
-        self.handle(Event::Confirmed(self.coordinator.last_round));
+        self.handle(Event::RoundConfirmed(self.coordinator.last_round));
         self.out.clear();
     }
 
@@ -203,25 +203,25 @@
     let first = member.take_requested_round().expect("a round");
     member.heartbeat(2);
     assert_eq!(member.take_requested_round(), None, "one round at a time");
-    member.handle(Event::Confirmed(first + 7));
+    member.handle(Event::RoundConfirmed(first + 7));
     assert_eq!(
         member.take_renewed(),
         Vec::<u32>::new(),
         "a round that was not requested"
     );
-    member.handle(Event::Confirmed(first));
+    member.handle(Event::RoundConfirmed(first));
     assert_eq!(member.take_renewed(), [1]);
     member.tick(RENEW / ROUNDS_PER_RENEWAL);
     let second = member
         .take_requested_round()
         .expect("a round for the other");
-    member.handle(Event::Confirmed(first));
+    member.handle(Event::RoundConfirmed(first));
     assert_eq!(
         member.take_renewed(),
         Vec::<u32>::new(),
         "a duplicate confirmation"
     );
-    member.handle(Event::Confirmed(second));
+    member.handle(Event::RoundConfirmed(second));
     assert_eq!(member.take_renewed(), [2]);
 }
 
@@ -236,13 +236,13 @@
     assert_eq!(member.take_requested_round(), None);
     member.tick(1);
     let second = member.take_requested_round().expect("another round");
-    member.handle(Event::Confirmed(first));
+    member.handle(Event::RoundConfirmed(first));
     assert_eq!(
         member.take_renewed(),
         [1],
         "the heartbeat that arrived before the first round"
     );
-    member.handle(Event::Confirmed(second));
+    member.handle(Event::RoundConfirmed(second));
     assert_eq!(
         member.take_renewed(),
         [2],
@@ -253,7 +253,7 @@
     member.advance(4 * RENEW, &[]);
     let last = member.take_requested_round();
     assert!(last.is_none_or(|round| round > second));
-    member.handle(Event::Confirmed(last.unwrap_or(second)));
+    member.handle(Event::RoundConfirmed(last.unwrap_or(second)));
     assert_eq!(member.take_renewed(), Vec::<u32>::new());
 }
 
@@ -288,7 +288,7 @@
     member.heartbeat(1);
     let round = member.take_requested_round().expect("a round");
     member.apply(Command::BeginEpoch { who: OTHER });
-    member.handle(Event::Confirmed(round));
+    member.handle(Event::RoundConfirmed(round));
     assert_eq!(member.take_renewed(), Vec::<u32>::new());
     member.tick(RENEW);
     assert_eq!(member.take_proposed(), [Command::BeginEpoch { who: ME }]);
@@ -301,7 +301,7 @@
     member.tick(RENEW / 2);
     assert_eq!(member.take_proposed(), [Command::BeginEpoch { who: ME }]);
     member.apply(Command::BeginEpoch { who: ME });
-    member.handle(Event::Confirmed(round));
+    member.handle(Event::RoundConfirmed(round));
     assert_eq!(
         member.take_renewed(),
         Vec::<u32>::new(),
@@ -309,7 +309,7 @@
     );
     member.heartbeat(1);
     let round = member.take_requested_round().expect("a round");
-    member.handle(Event::Confirmed(round));
+    member.handle(Event::RoundConfirmed(round));
     assert_eq!(member.take_renewed(), [1]);
 }
 
@@ -342,7 +342,7 @@
     member.heartbeat(2);
     member.tick(RENEW / ROUND_RETRIES_PER_RENEWAL);
     let round = member.take_requested_round().expect("a round");
-    member.handle(Event::Confirmed(round));
+    member.handle(Event::RoundConfirmed(round));
     assert!(!member.take_renewed().contains(&2));
     member.tick(RENEW - RENEW / ROUND_RETRIES_PER_RENEWAL);
     assert_eq!(member.take_proposed(), [expire]);
@@ -428,7 +428,7 @@
     (1..=3).for_each(|number| member.heartbeat(number));
     member.tick(RENEW / ROUND_RETRIES_PER_RENEWAL);
     let round = member.take_requested_round().expect("a round");
-    member.handle(Event::Confirmed(round));
+    member.handle(Event::RoundConfirmed(round));
     assert_eq!(member.take_renewed(), [1, 2]);
     member.advance(TIMING.wait_us(), &[1, 2, 3]);
     let expired: Vec<NodeIdentity> = member
--- a/control/src/versions/wire/to_control.rs
+++ b/control/src/versions/wire/to_control.rs
@@ -1,7 +1,7 @@
 //! Encoding and decoding of [`ToControl`].
 
 use super::{decode_bounded, WireRegistration};
-use crate::codec::{content, topic, DecodeError, WireIdentity, WireReport};
+use crate::codec::{decode_content, decode_topic, DecodeError, WireIdentity, WireReport};
 use crate::lease::{Index, Token};
 use crate::versions::{truncate_reason, Formats, ToControl};
 use prost::Message;
@@ -164,7 +164,7 @@
             Kind::ValidationResult(validation) => ToControl::ValidationResult {
                 who: validation.who.into(),
                 token: Token(validation.token),
-                topic: topic(validation.topic)?,
+                topic: decode_topic(validation.topic)?,
                 number: validation.number,
                 result: validation
                     .reason
@@ -173,9 +173,9 @@
             Kind::ProposeVersion(proposal) => ToControl::ProposeVersion {
                 who: proposal.who.into(),
                 token: Token(proposal.token),
-                topic: topic(proposal.topic)?,
+                topic: decode_topic(proposal.topic)?,
                 replaces: proposal.replaces,
-                content: content(proposal.format, proposal.content)?,
+                content: decode_content(proposal.format, proposal.content)?,
             },
             Kind::Report(report) => ToControl::Report {
                 who: report.who.into(),
--- a/control/src/versions/wire/to_gateway.rs
+++ b/control/src/versions/wire/to_gateway.rs
@@ -1,7 +1,7 @@
 //! Encoding and decoding of [`ToGateway`].
 
 use super::{decode_bounded, WireRegistration};
-use crate::codec::{content, topic, DecodeError, WireIdentity};
+use crate::codec::{decode_content, decode_topic, DecodeError, WireIdentity};
 use crate::lease::{Index, NodeIdentity, Token};
 use crate::versions::{truncate_reason, Rejection, ToGateway, Topic, TopicState, Version};
 use prost::Message;
@@ -210,7 +210,7 @@
                 reason: rejected.reason()?,
             },
             Kind::ProposalRejected(rejected) => ToGateway::ProposalRejected {
-                topic: topic(rejected.topic)?,
+                topic: decode_topic(rejected.topic)?,
                 number: rejected.number,
                 by: rejected.by.into(),
                 reason: truncate_reason(&rejected.reason),
@@ -249,7 +249,7 @@
 
     fn try_from(state: WireTopicState) -> Result<TopicState, DecodeError> {
         Ok(TopicState {
-            topic: topic(state.topic)?,
+            topic: decode_topic(state.topic)?,
             active: state.active,
             previous: state.previous,
             proposal: state.proposal.map(Version::try_from).transpose()?,
@@ -273,7 +273,7 @@
     fn try_from(version: WireVersion) -> Result<Version, DecodeError> {
         Ok(Version {
             number: version.number,
-            content: content(version.format, version.content)?,
+            content: decode_content(version.format, version.content)?,
         })
     }
 }
--- a/src/bin/asterreel/control/client.rs
+++ b/src/bin/asterreel/control/client.rs
@@ -178,7 +178,7 @@
         let acting = self
             .handle
             .view()
-            .acting(Topic::Operator, gateway.core.clock.now());
+            .usable_version(Topic::Operator, gateway.core.clock.now());
         if let Some((version, _)) = acting.filter(|_| count > 0) {
             self.handle
                 .request(ControlRequest::Acted(Topic::Operator, version, count));
--- a/tests/lease.rs
+++ b/tests/lease.rs
@@ -88,7 +88,8 @@
     fn want_duties(&mut self, real: u64) {
         let now = self.clock(real);
         for duty in DUTIES {
-            self.leases.handle(now, Event::Want(duty), &mut Vec::new());
+            self.leases
+                .handle(now, Event::HoldDuty(duty), &mut Vec::new());
         }
     }
 
--- a/tests/lease_model.rs
+++ b/tests/lease_model.rs
@@ -90,7 +90,11 @@
         };
         let mut leases = Leases::new(identity, self.timing(number));
         // What it proposes now is dropped, and proposed again at a later tick.
-        leases.handle(now + OFFSETS[number], Event::Want(DUTY), &mut Vec::new());
+        leases.handle(
+            now + OFFSETS[number],
+            Event::HoldDuty(DUTY),
+            &mut Vec::new(),
+        );
         Gateway {
             leases,
             applied: 0,
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -473,7 +473,7 @@
     }
 
     fn act(&mut self, number: usize) {
-        if let Some((version, _)) = self.acting(number) {
+        if let Some((version, _)) = self.usable_version(number) {
             let who = identity(number, self.gateways[number].incarnation);
             *self.actions.entry(who).or_default() += 1;
             self.gateway_event(
@@ -489,11 +489,15 @@
 
     /// The version that a gateway acts on, and its token. A stalled gateway does not act; the actions that it resumes later
     /// are fenced by their token.
-    fn acting(&self, number: usize) -> Option<(u64, Token)> {
+    fn usable_version(&self, number: usize) -> Option<(u64, Token)> {
         let gateway = &self.gateways[number];
         let awake = self.now_us >= gateway.stalled_until;
         awake
-            .then(|| gateway.client.acting(TOPIC, gateway.clock.at(self.now_us)))
+            .then(|| {
+                gateway
+                    .client
+                    .usable_version(TOPIC, gateway.clock.at(self.now_us))
+            })
             .flatten()
     }
 
@@ -516,10 +520,10 @@
             coordinator::Action::Propose(command) if can_send => {
                 self.send(InFlight::Proposal(command), 10)
             }
-            coordinator::Action::Confirm(round) if self.scenario.skip_confirmation => {
-                self.member_event(number, coordinator::Event::Confirmed(round));
+            coordinator::Action::RequestRound(round) if self.scenario.skip_confirmation => {
+                self.member_event(number, coordinator::Event::RoundConfirmed(round));
             }
-            coordinator::Action::Confirm(round) if can_send => {
+            coordinator::Action::RequestRound(round) if can_send => {
                 let committed = self.log.len();
                 self.send(
                     InFlight::Round {
@@ -542,8 +546,8 @@
             }
             coordinator::Action::Wake(at) => self.members[number].wake_at = at,
             coordinator::Action::Propose(_)
-            | coordinator::Action::Confirm(_)
-            | coordinator::Action::Counted { .. } => {}
+            | coordinator::Action::RequestRound(_)
+            | coordinator::Action::ReportCounted { .. } => {}
         }
     }
 
@@ -681,7 +685,7 @@
                 if self.members[member].applied < committed {
                     return false;
                 }
-                self.member_event(member, coordinator::Event::Confirmed(round));
+                self.member_event(member, coordinator::Event::RoundConfirmed(round));
             }
             InFlight::Elect(leader) => self.elect(leader),
             InFlight::Elected {
@@ -844,7 +848,8 @@
     // Checks.
 
     fn check(&mut self) {
-        let acting = (0..GATEWAYS).filter_map(|number| Some((number, self.acting(number)?)));
+        let acting =
+            (0..GATEWAYS).filter_map(|number| Some((number, self.usable_version(number)?)));
         let acting: Vec<(usize, (u64, Token))> = acting.collect();
         let acted: BTreeSet<u64> = acting.iter().map(|(_, (version, _))| *version).collect();
         if let Some(newest) = acted.last() {
@@ -895,8 +900,10 @@
     fn time_until_active_everywhere(&self, since: u64) -> Option<u64> {
         let newest = self.reference.topic(TOPIC)?.active_number();
         let proposed_at = self.proposed_at.get(&newest).filter(|at| **at >= since)?;
-        let everywhere =
-            (0..GATEWAYS).all(|number| self.acting(number).is_some_and(|(one, _)| one == newest));
+        let everywhere = (0..GATEWAYS).all(|number| {
+            self.usable_version(number)
+                .is_some_and(|(one, _)| one == newest)
+        });
         everywhere.then(|| self.now_us - proposed_at)
     }
 
--- a/tests/versions_model.rs
+++ b/tests/versions_model.rs
@@ -158,7 +158,7 @@
             1,
             "gateways do not act on exactly one version: {world:#?}"
         );
-        assert!((0..exploration.gateways).all(|number| world.acting(number).is_some()));
+        assert!((0..exploration.gateways).all(|number| world.usable_version(number).is_some()));
         world.proposals = 0;
         world.proposers.clear();
         world.initial_entries = world.log.len();
@@ -212,7 +212,7 @@
                 coordinator::Action::Propose(command) => {
                     self.in_flight.push(InFlight::Proposal(command))
                 }
-                coordinator::Action::Confirm(round) => {
+                coordinator::Action::RequestRound(round) => {
                     let committed = self.log.len();
                     self.in_flight.push(InFlight::Round {
                         member: number,
@@ -229,7 +229,7 @@
                     self.in_flight
                         .extend(all.map(|gateway| InFlight::ToGateway(gateway, message.clone())));
                 }
-                coordinator::Action::Counted { .. } | coordinator::Action::Wake(_) => {}
+                coordinator::Action::ReportCounted { .. } | coordinator::Action::Wake(_) => {}
             }
         }
     }
@@ -321,7 +321,7 @@
                 }
             }
             InFlight::Confirmed { member, round, .. } => {
-                self.member_event(member, coordinator::Event::Confirmed(round));
+                self.member_event(member, coordinator::Event::RoundConfirmed(round));
             }
         }
     }
@@ -358,13 +358,13 @@
         }
     }
 
-    fn acting(&self, number: usize) -> Option<(u64, Token)> {
-        self.gateways[number].acting(TOPIC, self.now)
+    fn usable_version(&self, number: usize) -> Option<(u64, Token)> {
+        self.gateways[number].usable_version(TOPIC, self.now)
     }
 
     fn versions_in_use(&self) -> BTreeSet<u64> {
         (0..self.gateways.len())
-            .filter_map(|number| Some(self.acting(number)?.0))
+            .filter_map(|number| Some(self.usable_version(number)?.0))
             .collect()
     }
 
@@ -373,7 +373,7 @@
         let registration = self
             .reference
             .registration(identity(number, self.incarnations[number]));
-        self.acting(number).is_none_or(|(_, token)| {
+        self.usable_version(number).is_none_or(|(_, token)| {
             registration.is_some_and(|registration| registration.token == token)
         })
     }
@@ -501,7 +501,7 @@
                 "every proposal is decided and all act on the newest version",
                 |exploration: &Exploration, world: &World| {
                     let versions: Vec<_> = (0..exploration.gateways)
-                        .map(|number| world.acting(number).map(|(one, _)| one))
+                        .map(|number| world.usable_version(number).map(|(one, _)| one))
                         .collect();
                     let same =
                         versions[0].is_some() && versions.iter().all(|one| *one == versions[0]);
