--- a/control/src/golden_tests.rs
+++ b/control/src/golden_tests.rs
@@ -292,7 +292,7 @@
         (
             "state",
             ToGateway::TopicStates {
-                as_of: Index(9),
+                state_index: Index(9),
                 since: Index(2),
                 topics,
             },
@@ -300,7 +300,7 @@
         (
             "state, nothing new",
             ToGateway::TopicStates {
-                as_of: Index(9),
+                state_index: Index(9),
                 since: Index(9),
                 topics: Vec::new(),
             },
--- a/control/src/link/tests.rs
+++ b/control/src/link/tests.rs
@@ -322,7 +322,7 @@
             proposal: Some(Version { number: 2, content }),
         };
         let state = ToGateway::TopicStates {
-            as_of: Index(2),
+            state_index: Index(2),
             since: Index(0),
             topics: vec![topic],
         };
--- a/control/src/versions/client/mod.rs
+++ b/control/src/versions/client/mod.rs
@@ -164,7 +164,10 @@
                 required_index,
                 registrations,
             } => {
-                if who == self.identity && self.serving && required_index <= self.topics.as_of() {
+                if who == self.identity
+                    && self.serving
+                    && required_index <= self.topics.known_index()
+                {
                     let registration = &mut self.registration;
                     let permission =
                         registration.renew(now, &self.timing, token, sent_at, registrations);
@@ -172,11 +175,11 @@
                 }
             }
             ToGateway::TopicStates {
-                as_of,
+                state_index,
                 since,
                 topics,
             } => {
-                if self.topics.advance(since, as_of) {
+                if self.topics.advance(since, state_index) {
                     for state in topics {
                         self.update_topic(state, out);
                     }
@@ -302,7 +305,7 @@
             formats: self.formats,
             token: self.registration.token(),
             sent_at: now,
-            known_index: self.topics.as_of(),
+            known_index: self.topics.known_index(),
         }));
         self.heartbeats.record_sent(now, renew_us);
     }
--- a/control/src/versions/client/tests.rs
+++ b/control/src/versions/client/tests.rs
@@ -74,7 +74,7 @@
 
     fn topic_state(
         &mut self,
-        as_of: u64,
+        state_index: u64,
         since: u64,
         active: u64,
         proposed: Option<(u64, u32)>,
@@ -93,7 +93,7 @@
             proposal,
         }];
         self.receive(ToGateway::TopicStates {
-            as_of: Index(as_of),
+            state_index: Index(state_index),
             since: Index(since),
             topics,
         })
@@ -253,7 +253,7 @@
     // Any answer keeps a gateway at its control member.
     gateway.handle(Event::Connected);
     gateway.receive(ToGateway::TopicStates {
-        as_of: Index(1),
+        state_index: Index(1),
         since: Index(1),
         topics: Vec::new(),
     });
--- a/control/src/versions/client/topics.rs
+++ b/control/src/versions/client/topics.rs
@@ -15,22 +15,22 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct CachedTopics {
     /// The index of the entry up to which this is complete.
-    as_of: Index,
+    known_index: Index,
     by_topic: BTreeMap<Topic, CachedTopic>,
 }
 
 impl CachedTopics {
     /// The index of the entry up to which the topics are known.
-    pub(super) fn as_of(&self) -> Index {
-        self.as_of
+    pub(super) fn known_index(&self) -> Index {
+        self.known_index
     }
 
     /// Returns whether the states of the topics that changed between two entries are new and follow the known ones without a
     /// gap; they then count as known.
-    pub(super) fn advance(&mut self, since: Index, as_of: Index) -> bool {
-        let applies = since <= self.as_of && self.as_of < as_of;
+    pub(super) fn advance(&mut self, since: Index, state_index: Index) -> bool {
+        let applies = since <= self.known_index && self.known_index < state_index;
         if applies {
-            self.as_of = as_of;
+            self.known_index = state_index;
         }
         applies
     }
--- a/control/src/versions/coordinator/applied.rs
+++ b/control/src/versions/coordinator/applied.rs
@@ -56,11 +56,11 @@
 
     /// Sends every gateway the states of the topics that changed after an entry.
     fn publish(&mut self, now: Micros, since: Index, out: &mut Vec<Action>) {
-        let as_of = self.table.last_changed();
+        let state_index = self.table.last_changed();
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        leadership.links.record_broadcast(as_of, now);
+        leadership.links.record_broadcast(state_index, now);
         out.push(Action::Broadcast(self.topic_states(since)));
     }
 
@@ -80,7 +80,7 @@
                 .map(|proposal| proposal.version.clone()),
         });
         ToGateway::TopicStates {
-            as_of: self.table.last_changed(),
+            state_index: self.table.last_changed(),
             since,
             topics: topics.collect(),
         }
--- a/control/src/versions/coordinator/links.rs
+++ b/control/src/versions/coordinator/links.rs
@@ -10,7 +10,7 @@
 /// The last topic states sent to a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct SentStates {
-    as_of: Index,
+    state_index: Index,
     at: Micros,
 }
 
@@ -38,30 +38,38 @@
         self.by_gateway.insert(gateway, link);
     }
 
-    /// Records that the topic states up to `as_of` are sent to all gateways now.
-    pub(super) fn record_broadcast(&mut self, as_of: Index, now: Micros) {
+    /// Records that the topic states up to `state_index` are sent to all gateways now.
+    pub(super) fn record_broadcast(&mut self, state_index: Index, now: Micros) {
         for link in self.by_gateway.values_mut() {
-            link.sent_states = Some(SentStates { as_of, at: now });
+            link.sent_states = Some(SentStates {
+                state_index,
+                at: now,
+            });
         }
     }
 
     /// Records a heartbeat of a gateway that knows the topic states up to `known_index`. Returns whether the gateway lacks
-    /// states up to `as_of` that are not in flight; these then count as sent now.
+    /// states up to `state_index` that are not in flight; these then count as sent now.
     pub(super) fn begin_resend_if_due(
         &mut self,
         gateway: u32,
         known_index: Index,
-        as_of: Index,
+        state_index: Index,
         now: Micros,
         timing: &Timing,
     ) -> bool {
         let link = self.by_gateway.entry(gateway).or_default();
         link.last_contact_at = now;
-        let sent = link.sent_states.filter(|sent| sent.as_of == as_of);
+        let sent = link
+            .sent_states
+            .filter(|sent| sent.state_index == state_index);
         let in_flight = sent.is_some_and(|sent| now < sent.at.saturating_add(timing.renew_us / 2));
-        let resend = known_index < as_of && !in_flight;
+        let resend = known_index < state_index && !in_flight;
         if resend {
-            link.sent_states = Some(SentStates { as_of, at: now });
+            link.sent_states = Some(SentStates {
+                state_index,
+                at: now,
+            });
         }
         resend
     }
--- a/control/src/versions/coordinator/requests.rs
+++ b/control/src/versions/coordinator/requests.rs
@@ -99,12 +99,12 @@
         known_index: Index,
         out: &mut Vec<Action>,
     ) {
-        let as_of = self.table.last_changed();
+        let state_index = self.table.last_changed();
         let Some(leadership) = &mut self.leadership else {
             return;
         };
         let links = &mut leadership.links;
-        if links.begin_resend_if_due(who.gateway, known_index, as_of, now, &self.timing) {
+        if links.begin_resend_if_due(who.gateway, known_index, state_index, now, &self.timing) {
             out.push(Action::Send(who, self.topic_states(known_index)));
         }
     }
@@ -254,7 +254,7 @@
             }
             // Without a renewal, the answer only shows that this member leads.
             _ => ToGateway::TopicStates {
-                as_of: required_index,
+                state_index: required_index,
                 since: required_index,
                 topics: Vec::new(),
             },
--- a/control/src/versions/message.rs
+++ b/control/src/versions/message.rs
@@ -96,7 +96,7 @@
     /// The states of the topics that changed after the entry `since`.
     TopicStates {
         /// The index of the entry up to which this is complete.
-        as_of: Index,
+        state_index: Index,
         /// Only gateways that know all changes up to the entry with this index may apply it.
         since: Index,
         /// The topics that changed in between.
--- a/control/src/versions/wire/tests.rs
+++ b/control/src/versions/wire/tests.rs
@@ -109,12 +109,12 @@
             registrations: 410,
         },
         ToGateway::TopicStates {
-            as_of: Index(9),
+            state_index: Index(9),
             since: Index(2),
             topics,
         },
         ToGateway::TopicStates {
-            as_of: Index(9),
+            state_index: Index(9),
             since: Index(9),
             topics: Vec::new(),
         },
@@ -214,7 +214,7 @@
     };
     let topics = vec![state; Topic::ALL.len() + 1];
     let state = ToGateway::TopicStates {
-        as_of: Index(2),
+        state_index: Index(2),
         since: Index(1),
         topics,
     };
@@ -253,7 +253,7 @@
     };
     let topics = Topic::ALL.map(state).to_vec();
     let state = ToGateway::TopicStates {
-        as_of: Index(u64::MAX),
+        state_index: Index(u64::MAX),
         since: Index(u64::MAX),
         topics,
     };
--- a/control/src/versions/wire/to_gateway.rs
+++ b/control/src/versions/wire/to_gateway.rs
@@ -47,7 +47,7 @@
 #[derive(Clone, PartialEq, Message)]
 struct TopicStates {
     #[prost(uint64, tag = "1")]
-    as_of: u64,
+    state_index: u64,
     #[prost(uint64, tag = "2")]
     since: u64,
     #[prost(message, repeated, tag = "3")]
@@ -150,11 +150,11 @@
                 registrations: *registrations,
             }),
             ToGateway::TopicStates {
-                as_of,
+                state_index,
                 since,
                 topics,
             } => Kind::TopicStates(TopicStates {
-                as_of: as_of.0,
+                state_index: state_index.0,
                 since: since.0,
                 topics: topics.iter().map(WireTopicState::from).collect(),
             }),
@@ -197,7 +197,7 @@
                 registrations: renewed.registrations,
             },
             Kind::TopicStates(states) => ToGateway::TopicStates {
-                as_of: Index(states.as_of),
+                state_index: Index(states.state_index),
                 since: Index(states.since),
                 topics: topic_states(states.topics)?,
             },
