--- a/control/src/codec.rs
+++ b/control/src/codec.rs
@@ -92,7 +92,7 @@
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct WireReport {
     #[prost(message, required, tag = "1")]
-    pub(crate) who: WireIdentity,
+    pub(crate) identity: WireIdentity,
     #[prost(uint64, tag = "2")]
     pub(crate) sequence: u64,
     #[prost(message, repeated, tag = "3")]
@@ -142,9 +142,9 @@
 
 impl WireReport {
     /// Encodes a report as a message.
-    pub(crate) fn new(who: NodeIdentity, sequence: u64, spans: &[Span]) -> WireReport {
+    pub(crate) fn new(identity: NodeIdentity, sequence: u64, spans: &[Span]) -> WireReport {
         WireReport {
-            who: who.into(),
+            identity: identity.into(),
             sequence,
             spans: spans.iter().map(WireSpan::from).collect(),
         }
--- a/control/src/golden_tests.rs
+++ b/control/src/golden_tests.rs
@@ -122,11 +122,11 @@
                 token: TOKEN,
             }),
         ),
-        ("lead", version(V::BeginEpoch { who: GATEWAY })),
+        ("lead", version(V::BeginEpoch { identity: GATEWAY })),
         (
             "join",
             version(V::Join {
-                who: GATEWAY,
+                identity: GATEWAY,
                 formats: Formats {
                     oldest: 1,
                     newest: 3,
@@ -136,14 +136,14 @@
         (
             "leave",
             version(V::Leave {
-                who: GATEWAY,
+                identity: GATEWAY,
                 token: TOKEN,
             }),
         ),
         (
             "expel",
             version(V::Expire {
-                who: GATEWAY,
+                identity: GATEWAY,
                 token: TOKEN,
                 epoch: Index(12),
             }),
@@ -151,7 +151,7 @@
         (
             "offer",
             version(V::ProposeVersion {
-                who: GATEWAY,
+                identity: GATEWAY,
                 token: TOKEN,
                 topic,
                 replaces: 4,
@@ -169,7 +169,7 @@
         (
             "refuse",
             version(V::Nack {
-                who: GATEWAY,
+                identity: GATEWAY,
                 token: TOKEN,
                 topic,
                 number,
@@ -179,7 +179,7 @@
         (
             "report",
             version(V::Report {
-                who: GATEWAY,
+                identity: GATEWAY,
                 sequence: 2,
                 spans: spans(),
             }),
@@ -195,13 +195,13 @@
 }
 
 fn to_control() -> Vec<(&'static str, ToControl)> {
-    let who = GATEWAY;
+    let identity = GATEWAY;
     let formats = Formats {
         oldest: 1,
         newest: 2,
     };
     let validated = |result| ToControl::ValidationResult {
-        who,
+        identity,
         token: TOKEN,
         topic: Topic::Operator,
         number: 4,
@@ -211,7 +211,7 @@
         (
             "heartbeat, new",
             ToControl::Heartbeat {
-                who,
+                identity,
                 formats,
                 token: None,
                 sent_at: 1,
@@ -221,7 +221,7 @@
         (
             "heartbeat",
             ToControl::Heartbeat {
-                who,
+                identity,
                 formats,
                 token: Some(TOKEN),
                 sent_at: 1 << 50,
@@ -233,7 +233,7 @@
         (
             "offer",
             ToControl::ProposeVersion {
-                who,
+                identity,
                 token: TOKEN,
                 topic: Topic::Program,
                 replaces: 4,
@@ -243,18 +243,24 @@
         (
             "report",
             ToControl::Report {
-                who,
+                identity,
                 sequence: 2,
                 spans: spans(),
             },
         ),
-        ("leave", ToControl::Leave { who, token: TOKEN }),
+        (
+            "leave",
+            ToControl::Leave {
+                identity,
+                token: TOKEN,
+            },
+        ),
     ]
 }
 
 fn to_gateway() -> Vec<(&'static str, ToGateway)> {
-    let who = GATEWAY;
-    let rejected = |reason| ToGateway::RequestRejected { who, reason };
+    let identity = GATEWAY;
+    let rejected = |reason| ToGateway::RequestRejected { identity, reason };
     let topics = vec![
         TopicState {
             topic: Topic::Catalog,
@@ -275,14 +281,14 @@
     let proposal_rejected = ToGateway::ProposalRejected {
         topic: Topic::Catalog,
         number: 4,
-        by: who,
+        by: identity,
         reason: "not good".into(),
     };
     vec![
         (
             "kept",
             ToGateway::RegistrationRenewed {
-                who,
+                identity,
                 token: TOKEN,
                 sent_at: 5,
                 required_index: Index(9),
@@ -305,9 +311,21 @@
                 topics: Vec::new(),
             },
         ),
-        ("gone", ToGateway::RegistrationExpired { who, token: TOKEN }),
+        (
+            "gone",
+            ToGateway::RegistrationExpired {
+                identity,
+                token: TOKEN,
+            },
+        ),
         ("dropped", proposal_rejected),
-        ("reported", ToGateway::ReportCounted { who, sequence: 3 }),
+        (
+            "reported",
+            ToGateway::ReportCounted {
+                identity,
+                sequence: 3,
+            },
+        ),
         ("elsewhere, unknown", ToGateway::NotLeader { leader: None }),
         ("elsewhere", ToGateway::NotLeader { leader: Some(2) }),
         ("refused 1", rejected(Rejection::StaleRegistration)),
@@ -354,7 +372,7 @@
         ..Default::default()
     };
     raft.set_msg_type(eraftpb::MessageType::MsgAppend);
-    let command = Command::Version(versions::Command::BeginEpoch { who: GATEWAY });
+    let command = Command::Version(versions::Command::BeginEpoch { identity: GATEWAY });
     let entry = eraftpb::Entry {
         index: 41,
         term: 7,
@@ -454,20 +472,20 @@
         self.event(Event::Received(message));
     }
 
-    fn token(&self, who: NodeIdentity) -> Token {
+    fn token(&self, identity: NodeIdentity) -> Token {
         self.node
             .state_machine()
             .versions()
-            .registration(who)
+            .registration(identity)
             .expect("a registration")
             .token
     }
 
-    fn heartbeat(&mut self, who: NodeIdentity) {
+    fn heartbeat(&mut self, identity: NodeIdentity) {
         let versions = self.node.state_machine().versions();
         let (token, seen) = (
             versions
-                .registration(who)
+                .registration(identity)
                 .map(|registration| registration.token),
             versions.last_changed(),
         );
@@ -479,7 +497,7 @@
             self.now,
         );
         self.receive(ToControl::Heartbeat {
-            who,
+            identity,
             formats,
             token,
             sent_at: sent,
@@ -494,7 +512,9 @@
                 self.now += RENEW / 5;
                 self.event(Event::Tick);
             }
-            SERVED.into_iter().for_each(|who| self.heartbeat(who));
+            SERVED
+                .into_iter()
+                .for_each(|identity| self.heartbeat(identity));
         }
     }
 
@@ -502,7 +522,7 @@
     fn propose(&mut self, topic: Topic, replaces: u64) -> u64 {
         let token = self.token(SERVED[0]);
         self.receive(ToControl::ProposeVersion {
-            who: SERVED[0],
+            identity: SERVED[0],
             token,
             topic,
             replaces,
@@ -511,10 +531,10 @@
         self.node.state_machine().versions().applied().0
     }
 
-    fn ack(&mut self, who: NodeIdentity, topic: Topic, number: u64) {
-        let token = self.token(who);
+    fn ack(&mut self, identity: NodeIdentity, topic: Topic, number: u64) {
+        let token = self.token(identity);
         self.receive(ToControl::ValidationResult {
-            who,
+            identity,
             token,
             topic,
             number,
@@ -533,14 +553,16 @@
         self.event(Event::Tick);
         self.event(Event::HoldDuty(Duty(0)));
         self.event(Event::HoldDuty(Duty(1)));
-        SERVED.into_iter().for_each(|who| self.heartbeat(who));
+        SERVED
+            .into_iter()
+            .for_each(|identity| self.heartbeat(identity));
         self.advance(2);
         let first = self.propose(Topic::Operator, 0);
         SERVED
             .into_iter()
-            .for_each(|who| self.ack(who, Topic::Operator, first));
+            .for_each(|identity| self.ack(identity, Topic::Operator, first));
         self.receive(ToControl::Report {
-            who: SERVED[1],
+            identity: SERVED[1],
             sequence: 1,
             spans: spans(),
         });
@@ -613,7 +635,7 @@
     let registrations = state_machine
         .versions()
         .registrations()
-        .map(|registration| (registration.who, registration.token));
+        .map(|registration| (registration.identity, registration.token));
     assert!(registrations.eq(SERVED.into_iter().zip(tokens)));
     assert_eq!(state_machine.versions().audit().last_sequence(SERVED[1]), 1);
     assert_eq!(
--- a/control/src/link/accept.rs
+++ b/control/src/link/accept.rs
@@ -58,7 +58,7 @@
     /// The link of a gateway has ended.
     GatewayDisconnected {
         /// The gateway.
-        who: NodeIdentity,
+        identity: NodeIdentity,
         /// See [`GatewayLink::link_number`].
         link_number: u64,
     },
@@ -67,7 +67,7 @@
 /// The loop's handle to the link of a connected gateway. Dropping it closes the link.
 pub(crate) struct GatewayLink {
     /// The gateway.
-    pub who: NodeIdentity,
+    pub identity: NodeIdentity,
     /// The link's number among all that this member accepted: a gateway that reconnects gets a new one.
     pub link_number: u64,
     queue: mpsc::Sender<Bytes>,
@@ -242,21 +242,21 @@
         established: Established,
         number: u64,
     ) -> Result<(), FrameError> {
-        let who = established.hello.identity()?;
+        let identity = established.hello.identity()?;
         let (queue, queued) = mpsc::channel(GATEWAY_QUEUE_FRAMES);
         let connected = LinkEvent::GatewayConnected(GatewayLink {
-            who,
+            identity,
             link_number: number,
             queue,
         });
         if self.events.send(connected).await.is_err() {
             return Ok(());
         }
-        let ended = self.exchange_messages(established, who, queued).await;
+        let ended = self.exchange_messages(established, identity, queued).await;
         let _ = self
             .events
             .send(LinkEvent::GatewayDisconnected {
-                who,
+                identity,
                 link_number: number,
             })
             .await;
@@ -267,7 +267,7 @@
     async fn exchange_messages(
         &self,
         established: Established,
-        who: NodeIdentity,
+        identity: NodeIdentity,
         mut queued: mpsc::Receiver<Bytes>,
     ) -> Result<(), FrameError> {
         let Established {
@@ -288,7 +288,7 @@
             };
             match received.map_err(|_| FrameError::TimedOut)?? {
                 // A gateway sends only its own messages, in the incarnation of its hello.
-                Payload::ToControl(message) if message.who() == who => {
+                Payload::ToControl(message) if message.identity() == identity => {
                     idle_at = tokio::time::Instant::now() + self.idle_timeout;
                     if self
                         .events
@@ -300,7 +300,7 @@
                     }
                 }
                 Payload::ToControl(_) => {
-                    return Err(FrameError::UnexpectedGateway(who.gateway.into()))
+                    return Err(FrameError::UnexpectedGateway(identity.gateway.into()))
                 }
                 Payload::Hello(_) | Payload::Raft(_) | Payload::ToGateway(_) => {
                     return Err(FrameError::UnexpectedKind)
--- a/control/src/link/tests.rs
+++ b/control/src/link/tests.rs
@@ -119,13 +119,13 @@
     (frames, write)
 }
 
-fn heartbeat(who: NodeIdentity) -> ToControl {
+fn heartbeat(identity: NodeIdentity) -> ToControl {
     let formats = Formats {
         oldest: 1,
         newest: 2,
     };
     ToControl::Heartbeat {
-        who,
+        identity,
         formats,
         token: None,
         sent_at: 1,
@@ -179,7 +179,7 @@
         link.switch(first_link, Some(first_number % 3 + 1));
         let leader = &mut members[first_number as usize % 3];
         let leader_handle = leader.next_gateway().await;
-        assert_eq!(leader_handle.who, ME);
+        assert_eq!(leader_handle.identity, ME);
         assert!(
             matches!(received.recv().await, Some(gateway::LinkEvent::Down(ended)) if ended == first_link)
         );
@@ -192,7 +192,7 @@
             matches!(event, Some(accept::LinkEvent::GatewayMessage(message)) if message == heartbeat(ME))
         );
         let renewal = ToGateway::RegistrationRenewed {
-            who: ME,
+            identity: ME,
             token: Token(1),
             sent_at: 1,
             required_index: Index(0),
@@ -214,8 +214,8 @@
         let mut others: Vec<&mut Member> = others.map(|(_, member)| member).collect();
         let (first, second) = others.split_at_mut(1);
         tokio::select! {
-            handle = first[0].next_gateway() => assert_eq!(handle.who, ME),
-            handle = second[0].next_gateway() => assert_eq!(handle.who, ME),
+            handle = first[0].next_gateway() => assert_eq!(handle.identity, ME),
+            handle = second[0].next_gateway() => assert_eq!(handle.identity, ME),
         }
     });
 }
@@ -349,7 +349,7 @@
             Some(accept::LinkEvent::GatewayMessage(_))
         ));
         let renewal = ToGateway::RegistrationRenewed {
-            who: ME,
+            identity: ME,
             token: Token(1),
             sent_at: 1,
             required_index: Index(0),
--- a/control/src/service/member.rs
+++ b/control/src/service/member.rs
@@ -335,12 +335,18 @@
                 node.report_snapshot(peer, complete)
             }
             (LinkEvent::GatewayConnected(gateway), _) => {
-                let who = gateway.who;
+                let identity = gateway.identity;
                 self.gateways.connect(gateway);
-                self.handle(Event::Connected(who))?;
+                self.handle(Event::Connected(identity))?;
             }
-            (LinkEvent::GatewayDisconnected { who, link_number }, _) => {
-                self.gateways.disconnect(who, link_number);
+            (
+                LinkEvent::GatewayDisconnected {
+                    identity,
+                    link_number,
+                },
+                _,
+            ) => {
+                self.gateways.disconnect(identity, link_number);
             }
             (LinkEvent::GatewayMessage(message), LogState::Running(_)) => {
                 self.handle(Event::Received(message))?
@@ -348,7 +354,7 @@
             // A member without a log does not know the leader. Another one may.
             (LinkEvent::GatewayMessage(message), _) => self
                 .gateways
-                .send(message.who(), &ToGateway::NotLeader { leader: None }),
+                .send(message.identity(), &ToGateway::NotLeader { leader: None }),
             (
                 LinkEvent::Raft(_) | LinkEvent::PeerLost(_) | LinkEvent::SnapshotSent { .. },
                 LogState::Waiting(_) | LogState::Starting,
@@ -411,14 +417,14 @@
                     "duty: stopped acting"
                 );
             }
-            Action::Send(who, message) => self.gateways.send(who, &message),
+            Action::Send(identity, message) => self.gateways.send(identity, &message),
             Action::Broadcast(message) => self.gateways.broadcast(&message),
             // Every member counts the actions. Only the leader logs them, so that each is logged once in the fleet.
-            Action::ReportCounted { who, spans } if leads => {
+            Action::ReportCounted { identity, spans } if leads => {
                 for span in spans {
                     let (topic, number, count) = (span.topic, span.number, span.count);
                     let (from, until) = (span.from, span.until);
-                    let (gateway, incarnation) = (who.gateway, who.incarnation);
+                    let (gateway, incarnation) = (identity.gateway, identity.incarnation);
                     info!(
                         at,
                         gateway,
--- a/control/src/service/served.rs
+++ b/control/src/service/served.rs
@@ -20,30 +20,30 @@
 impl ServedGateways {
     /// Adds the link of a gateway; the former one of the same incarnation is closed.
     pub(super) fn connect(&mut self, link: GatewayLink) {
-        self.links.insert(link.who, link);
+        self.links.insert(link.identity, link);
     }
 
     /// Removes a link that has ended, unless a newer one has replaced it.
-    pub(super) fn disconnect(&mut self, who: NodeIdentity, link_number: u64) {
-        let current = self.links.get(&who);
+    pub(super) fn disconnect(&mut self, identity: NodeIdentity, link_number: u64) {
+        let current = self.links.get(&identity);
         if current.is_some_and(|current| current.link_number == link_number) {
-            self.links.remove(&who);
+            self.links.remove(&identity);
         }
     }
 
     /// Sends a gateway a message on its newest link, if this incarnation has one.
-    pub(super) fn send(&mut self, who: NodeIdentity, message: &ToGateway) {
-        let Some(link) = self.links.get(&who) else {
+    pub(super) fn send(&mut self, identity: NodeIdentity, message: &ToGateway) {
+        let Some(link) = self.links.get(&identity) else {
             return;
         };
         match frame::encode_to_gateway(message) {
             Ok(frame) => {
                 if !try_send(link, frame) {
-                    self.links.remove(&who);
+                    self.links.remove(&identity);
                 }
             }
             Err(error) => {
-                warn!(target: LOG_TARGET, gateway = who.gateway, "control: message to the gateway not sent: {error}")
+                warn!(target: LOG_TARGET, gateway = identity.gateway, "control: message to the gateway not sent: {error}")
             }
         }
     }
@@ -65,7 +65,7 @@
     if !sent {
         warn!(
             target: LOG_TARGET,
-            gateway = link.who.gateway,
+            gateway = link.identity.gateway,
             "control: link closed: the gateway reads no messages, or the connection has ended"
         );
     }
--- a/control/src/state_machine/entry.rs
+++ b/control/src/state_machine/entry.rs
@@ -48,7 +48,7 @@
 #[derive(Clone, PartialEq, Message)]
 struct WireLease {
     #[prost(message, required, tag = "1")]
-    who: WireIdentity,
+    identity: WireIdentity,
     #[prost(uint32, tag = "2")]
     duty: u32,
     /// The token of the lease; in a claim, the index of the last entry about the duty that the claimer has applied.
@@ -61,7 +61,7 @@
 #[derive(Clone, PartialEq, Message)]
 struct WireRegistration {
     #[prost(message, required, tag = "1")]
-    who: WireIdentity,
+    identity: WireIdentity,
     #[prost(uint64, tag = "2")]
     token: u64,
     #[prost(uint64, tag = "3")]
@@ -75,7 +75,7 @@
 #[derive(Clone, PartialEq, Message)]
 struct WireVersionChange {
     #[prost(message, required, tag = "1")]
-    who: WireIdentity,
+    identity: WireIdentity,
     #[prost(uint64, tag = "2")]
     token: u64,
     #[prost(uint32, tag = "3")]
@@ -117,22 +117,22 @@
 
 fn lease_body(command: &lease::Command) -> Body {
     let duty = command.duty().0.into();
-    let who = command.holder().into();
+    let identity = command.holder().into();
     match *command {
         lease::Command::Claim { seen, at, .. } => Body::Claim(WireLease {
-            who,
+            identity,
             duty,
             number: seen.0,
             at,
         }),
         lease::Command::Renew { token, at, .. } => Body::Renew(WireLease {
-            who,
+            identity,
             duty,
             number: token.0,
             at,
         }),
         lease::Command::Release { token, .. } => Body::Release(WireLease {
-            who,
+            identity,
             duty,
             number: token.0,
             at: 0,
@@ -143,25 +143,29 @@
 fn version_body(command: &versions::Command) -> Body {
     use versions::Command as V;
     match command {
-        V::BeginEpoch { who } => Body::BeginEpoch((*who).into()),
-        V::Join { who, formats } => Body::Join(WireRegistration {
+        V::BeginEpoch { identity } => Body::BeginEpoch((*identity).into()),
+        V::Join { identity, formats } => Body::Join(WireRegistration {
             oldest: formats.oldest,
             newest: formats.newest,
-            ..wire_registration(*who, Token(0))
+            ..wire_registration(*identity, Token(0))
         }),
-        V::Leave { who, token } => Body::Leave(wire_registration(*who, *token)),
-        V::Expire { who, token, epoch } => Body::Expire(WireRegistration {
+        V::Leave { identity, token } => Body::Leave(wire_registration(*identity, *token)),
+        V::Expire {
+            identity,
+            token,
+            epoch,
+        } => Body::Expire(WireRegistration {
             epoch: epoch.0,
-            ..wire_registration(*who, *token)
+            ..wire_registration(*identity, *token)
         }),
         V::ProposeVersion {
-            who,
+            identity,
             token,
             topic,
             replaces,
             content,
         } => Body::ProposeVersion(WireVersionChange {
-            who: (*who).into(),
+            identity: (*identity).into(),
             token: token.0,
             topic: topic.number(),
             number: *replaces,
@@ -174,17 +178,17 @@
             number: *number,
             by: by
                 .iter()
-                .map(|(who, token)| wire_registration(*who, *token))
+                .map(|(identity, token)| wire_registration(*identity, *token))
                 .collect(),
         }),
         V::Nack {
-            who,
+            identity,
             token,
             topic,
             number,
             reason,
         } => Body::Nack(WireVersionChange {
-            who: (*who).into(),
+            identity: (*identity).into(),
             token: token.0,
             topic: topic.number(),
             number: *number,
@@ -193,16 +197,16 @@
             reason: reason.clone(),
         }),
         V::Report {
-            who,
+            identity,
             sequence,
             spans,
-        } => Body::Report(WireReport::new(*who, *sequence, spans)),
+        } => Body::Report(WireReport::new(*identity, *sequence, spans)),
     }
 }
 
-fn wire_registration(who: NodeIdentity, token: Token) -> WireRegistration {
+fn wire_registration(identity: NodeIdentity, token: Token) -> WireRegistration {
     WireRegistration {
-        who: who.into(),
+        identity: identity.into(),
         token: token.0,
         epoch: 0,
         oldest: 0,
@@ -230,40 +234,42 @@
     Ok(match body {
         Body::Claim(lease) => Command::Lease(lease::Command::Claim {
             duty: decode_duty(lease.duty)?,
-            holder: lease.who.into(),
+            holder: lease.identity.into(),
             seen: Index(lease.number),
             at: lease.at,
         }),
         Body::Renew(lease) => Command::Lease(lease::Command::Renew {
             duty: decode_duty(lease.duty)?,
-            holder: lease.who.into(),
+            holder: lease.identity.into(),
             token: Token(lease.number),
             at: lease.at,
         }),
         Body::Release(lease) => Command::Lease(lease::Command::Release {
             duty: decode_duty(lease.duty)?,
-            holder: lease.who.into(),
+            holder: lease.identity.into(),
             token: Token(lease.number),
         }),
-        Body::BeginEpoch(who) => Command::Version(V::BeginEpoch { who: who.into() }),
+        Body::BeginEpoch(identity) => Command::Version(V::BeginEpoch {
+            identity: identity.into(),
+        }),
         Body::Join(registration) => Command::Version(V::Join {
-            who: registration.who.into(),
+            identity: registration.identity.into(),
             formats: Formats {
                 oldest: registration.oldest,
                 newest: registration.newest,
             },
         }),
         Body::Leave(registration) => Command::Version(V::Leave {
-            who: registration.who.into(),
+            identity: registration.identity.into(),
             token: Token(registration.token),
         }),
         Body::Expire(registration) => Command::Version(V::Expire {
-            who: registration.who.into(),
+            identity: registration.identity.into(),
             token: Token(registration.token),
             epoch: Index(registration.epoch),
         }),
         Body::ProposeVersion(change) => Command::Version(V::ProposeVersion {
-            who: change.who.into(),
+            identity: change.identity.into(),
             token: Token(change.token),
             topic: decode_topic(change.topic)?,
             replaces: change.number,
@@ -278,14 +284,14 @@
             by: ack.gateways(),
         }),
         Body::Nack(change) => Command::Version(V::Nack {
-            who: change.who.into(),
+            identity: change.identity.into(),
             token: Token(change.token),
             topic: decode_topic(change.topic)?,
             number: change.number,
             reason: change.reason,
         }),
         Body::Report(report) => Command::Version(V::Report {
-            who: report.who.into(),
+            identity: report.identity.into(),
             sequence: report.sequence,
             spans: report.spans()?,
         }),
@@ -296,7 +302,7 @@
     fn gateways(&self) -> Vec<(NodeIdentity, Token)> {
         let registrations = self.by.iter();
         registrations
-            .map(|registration| (registration.who.into(), Token(registration.token)))
+            .map(|registration| (registration.identity.into(), Token(registration.token)))
             .collect()
     }
 }
--- a/control/src/state_machine/entry/tests.rs
+++ b/control/src/state_machine/entry/tests.rs
@@ -41,25 +41,25 @@
         },
     ];
     let versions = [
-        V::BeginEpoch { who: A },
+        V::BeginEpoch { identity: A },
         V::Join {
-            who: A,
+            identity: A,
             formats: Formats {
                 oldest: 1,
                 newest: 2,
             },
         },
         V::Leave {
-            who: A,
+            identity: A,
             token: TOKEN,
         },
         V::Expire {
-            who: A,
+            identity: A,
             token: TOKEN,
             epoch: Index(12),
         },
         V::ProposeVersion {
-            who: A,
+            identity: A,
             token: TOKEN,
             topic,
             replaces: 4,
@@ -80,14 +80,14 @@
             ],
         },
         V::Nack {
-            who: A,
+            identity: A,
             token: TOKEN,
             topic,
             number: 20,
             reason: "invalid".into(),
         },
         V::Report {
-            who: A,
+            identity: A,
             sequence: 2,
             spans: vec![span, span],
         },
--- a/control/src/state_machine/mod.rs
+++ b/control/src/state_machine/mod.rs
@@ -80,7 +80,7 @@
     /// The audit counted a gateway's report of its actions.
     ReportCounted {
         /// The gateway that sent the report.
-        who: NodeIdentity,
+        identity: NodeIdentity,
         /// How many actions it did under which version, in which time span.
         spans: Vec<Span>,
     },
@@ -146,7 +146,7 @@
             Event::Leading(is_leader) => VersionEvent::Leading(is_leader),
             Event::Leader(leader) => VersionEvent::Leader(leader),
             Event::Received(message) => VersionEvent::Received(message),
-            Event::Connected(who) => VersionEvent::Connected(who),
+            Event::Connected(identity) => VersionEvent::Connected(identity),
             Event::RoundConfirmed(round) => VersionEvent::RoundConfirmed(round),
         };
         self.handle_version(now, version_event, actions);
@@ -221,9 +221,11 @@
         actions.extend(version_actions.into_iter().map(|action| match action {
             VersionAction::Propose(command) => Action::Propose(encode(&Command::Version(command))),
             VersionAction::RequestRound(round) => Action::RequestRound(round),
-            VersionAction::Send(who, message) => Action::Send(who, message),
+            VersionAction::Send(identity, message) => Action::Send(identity, message),
             VersionAction::Broadcast(message) => Action::Broadcast(message),
-            VersionAction::ReportCounted { who, spans } => Action::ReportCounted { who, spans },
+            VersionAction::ReportCounted { identity, spans } => {
+                Action::ReportCounted { identity, spans }
+            }
             VersionAction::Wake(at) => Action::Wake(at),
         }));
     }
--- a/control/src/versions/audit.rs
+++ b/control/src/versions/audit.rs
@@ -45,7 +45,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AuditEntry {
     /// The gateway and its incarnation.
-    pub who: NodeIdentity,
+    #[serde(rename = "who")]
+    pub identity: NodeIdentity,
     /// Its actions under the version, summed over its reports.
     pub span: Span,
 }
@@ -66,38 +67,38 @@
     }
 
     /// The number of an incarnation's last counted report; 0 before the first.
-    pub fn last_sequence(&self, who: NodeIdentity) -> u64 {
-        let incarnations = self.reports.get(&who.gateway);
+    pub fn last_sequence(&self, identity: NodeIdentity) -> u64 {
+        let incarnations = self.reports.get(&identity.gateway);
         let incarnation = incarnations.and_then(|incarnations| {
             incarnations
                 .iter()
-                .find(|(incarnation, _)| *incarnation == who.incarnation)
+                .find(|(incarnation, _)| *incarnation == identity.incarnation)
         });
         incarnation.map_or(0, |(_, last)| *last)
     }
 
     /// Counts a report. Returns false, and changes nothing, if it is not the next one of its incarnation or has too many
     /// spans.
-    pub fn record_report(&mut self, who: NodeIdentity, sequence: u64, spans: &[Span]) -> bool {
-        if sequence != self.last_sequence(who) + 1 || spans.len() > MAX_SPANS_PER_REPORT {
+    pub fn record_report(&mut self, identity: NodeIdentity, sequence: u64, spans: &[Span]) -> bool {
+        if sequence != self.last_sequence(identity) + 1 || spans.len() > MAX_SPANS_PER_REPORT {
             return false;
         }
-        let incarnations = self.reports.entry(who.gateway).or_default();
+        let incarnations = self.reports.entry(identity.gateway).or_default();
         match incarnations
             .iter_mut()
-            .find(|(incarnation, _)| *incarnation == who.incarnation)
+            .find(|(incarnation, _)| *incarnation == identity.incarnation)
         {
             Some((_, last)) => *last = sequence,
             None => {
                 if incarnations.len() == MAX_INCARNATIONS_PER_GATEWAY {
                     incarnations.remove(0);
                 }
-                incarnations.push((who.incarnation, sequence));
+                incarnations.push((identity.incarnation, sequence));
             }
         }
         for span in spans {
             let same = |entry: &&mut AuditEntry| {
-                entry.who == who
+                entry.identity == identity
                     && (entry.span.topic, entry.span.number) == (span.topic, span.number)
             };
             match self.entries.iter_mut().find(same) {
@@ -105,7 +106,10 @@
                     entry.span.add(span.from, 0);
                     entry.span.add(span.until, span.count);
                 }
-                None => self.entries.push(AuditEntry { who, span: *span }),
+                None => self.entries.push(AuditEntry {
+                    identity,
+                    span: *span,
+                }),
             }
         }
         let excess = self.entries.len().saturating_sub(MAX_ENTRIES);
--- a/control/src/versions/audit/tests.rs
+++ b/control/src/versions/audit/tests.rs
@@ -50,13 +50,13 @@
 fn entries_and_incarnations_are_bounded() {
     let mut audit = Audit::default();
     for incarnation in 0..20 {
-        let who = NodeIdentity {
+        let identity = NodeIdentity {
             gateway: 1,
             incarnation,
         };
         for sequence in 1..=300 {
             let number = u64::from(incarnation) * 300 + sequence;
-            assert!(audit.record_report(who, sequence, &[span(number, 0, 1, 1)]));
+            assert!(audit.record_report(identity, sequence, &[span(number, 0, 1, 1)]));
         }
     }
     assert_eq!(audit.entries().len(), MAX_ENTRIES);
--- a/control/src/versions/client/mod.rs
+++ b/control/src/versions/client/mod.rs
@@ -132,7 +132,7 @@
         self.stop(StopReason::Draining, out);
         if let Some(token) = self.registration.release() {
             out.push(Action::Send(ToControl::Leave {
-                who: self.identity,
+                identity: self.identity,
                 token,
             }));
         }
@@ -158,13 +158,13 @@
         self.heartbeats.record_answer();
         match message {
             ToGateway::RegistrationRenewed {
-                who,
+                identity,
                 token,
                 sent_at,
                 required_index,
                 registrations,
             } => {
-                if who == self.identity
+                if identity == self.identity
                     && self.serving
                     && required_index <= self.topics.known_index()
                 {
@@ -185,13 +185,13 @@
                     }
                 }
             }
-            ToGateway::RegistrationExpired { who, token } => {
-                if who == self.identity && self.registration.token() == Some(token) {
+            ToGateway::RegistrationExpired { identity, token } => {
+                if identity == self.identity && self.registration.token() == Some(token) {
                     self.lose_registration(now, out);
                 }
             }
-            ToGateway::RequestRejected { who, reason } => {
-                if who == self.identity {
+            ToGateway::RequestRejected { identity, reason } => {
+                if identity == self.identity {
                     self.handle_rejection(now, reason, out);
                 }
             }
@@ -210,8 +210,8 @@
                     });
                 }
             }
-            ToGateway::ReportCounted { who, sequence } => {
-                if who == self.identity {
+            ToGateway::ReportCounted { identity, sequence } => {
+                if identity == self.identity {
                     self.reports.acknowledge(sequence);
                 }
             }
@@ -301,7 +301,7 @@
             self.redirect(now, None, out);
         }
         out.push(Action::Send(ToControl::Heartbeat {
-            who: self.identity,
+            identity: self.identity,
             formats: self.formats,
             token: self.registration.token(),
             sent_at: now,
@@ -312,15 +312,15 @@
 
     /// Sends the messages of a registered gateway that are due: validation results, its proposal, and its audit report.
     fn send_due(&mut self, now: Micros, token: Token, out: &mut Vec<Action>) {
-        let (renew_us, who) = (self.timing.renew_us, self.identity);
-        let results = self.validations.take_due(now, renew_us, who, token);
+        let (renew_us, identity) = (self.timing.renew_us, self.identity);
+        let results = self.validations.take_due(now, renew_us, identity, token);
         out.extend(results.into_iter().map(Action::Send));
         let proposal = self
             .proposal
             .as_mut()
-            .and_then(|proposal| proposal.take_due(now, renew_us, who, token));
+            .and_then(|proposal| proposal.take_due(now, renew_us, identity, token));
         out.extend(proposal.map(Action::Send));
-        let report = self.reports.take_due(now, renew_us, who);
+        let report = self.reports.take_due(now, renew_us, identity);
         out.extend(report.map(Action::Send));
     }
 
--- a/control/src/versions/client/proposal.rs
+++ b/control/src/versions/client/proposal.rs
@@ -45,7 +45,7 @@
         &mut self,
         now: Micros,
         renew_us: Micros,
-        who: NodeIdentity,
+        identity: NodeIdentity,
         token: Token,
     ) -> Option<ToControl> {
         if !is_send_due(self.last_sent_at, now, renew_us) {
@@ -53,7 +53,7 @@
         }
         self.last_sent_at = Some(now);
         Some(ToControl::ProposeVersion {
-            who,
+            identity,
             token,
             topic: self.topic,
             replaces: self.replaces,
--- a/control/src/versions/client/reports.rs
+++ b/control/src/versions/client/reports.rs
@@ -62,7 +62,7 @@
         &mut self,
         now: Micros,
         renew_us: Micros,
-        who: NodeIdentity,
+        identity: NodeIdentity,
     ) -> Option<ToControl> {
         self.begin_report(now, renew_us);
         let sequence = self.sequence;
@@ -72,7 +72,7 @@
         }
         report.last_sent_at = Some(now);
         Some(ToControl::Report {
-            who,
+            identity,
             sequence,
             spans: report.spans.clone(),
         })
--- a/control/src/versions/client/tests.rs
+++ b/control/src/versions/client/tests.rs
@@ -64,7 +64,7 @@
     fn renew(&mut self, token: Token, sent: Micros, required: u64) -> Vec<Action> {
         let required = Index(required);
         self.receive(ToGateway::RegistrationRenewed {
-            who: ME,
+            identity: ME,
             token,
             sent_at: sent,
             required_index: required,
@@ -188,7 +188,7 @@
         "{validate:?}"
     );
     let result = Action::Send(ToControl::ValidationResult {
-        who: ME,
+        identity: ME,
         token: TOKEN,
         topic: TOPIC,
         number: 2,
@@ -294,7 +294,7 @@
     for token in [8, 9, 10, 11] {
         gateway.renew(Token(token), gateway.now, 1);
         let expired = gateway.receive(ToGateway::RegistrationExpired {
-            who: ME,
+            identity: ME,
             token: Token(token),
         });
         assert_eq!(expired, [Action::Stop(StopReason::RegistrationExpired)]);
@@ -315,7 +315,7 @@
     gateway.renew(Token(12), gateway.now, 1);
     assert_eq!(
         gateway.receive(ToGateway::RegistrationExpired {
-            who: other,
+            identity: other,
             token: Token(12)
         }),
         []
@@ -349,12 +349,12 @@
         "the report is repeated unchanged"
     );
     gateway.receive(ToGateway::ReportCounted {
-        who: ME,
+        identity: ME,
         sequence: 7,
     });
     assert_eq!(reports(gateway.tick(RENEW)), [(1, 3)]);
     gateway.receive(ToGateway::ReportCounted {
-        who: ME,
+        identity: ME,
         sequence: 1,
     });
     assert_eq!(reports(gateway.tick(RENEW)), []);
@@ -392,7 +392,7 @@
     gateway.topic_state(3, 2, 1, None);
     gateway.handle(propose);
     let rejected = ToGateway::RequestRejected {
-        who: ME,
+        identity: ME,
         reason: Rejection::ProposalPending(7),
     };
     assert_eq!(
@@ -408,7 +408,7 @@
 fn drain_stops_then_leaves() {
     let mut gateway = Gateway::acting(1);
     let leave = Action::Send(ToControl::Leave {
-        who: ME,
+        identity: ME,
         token: TOKEN,
     });
     assert_eq!(
--- a/control/src/versions/client/validations.rs
+++ b/control/src/versions/client/validations.rs
@@ -74,7 +74,7 @@
         &mut self,
         now: Micros,
         renew_us: Micros,
-        who: NodeIdentity,
+        identity: NodeIdentity,
         token: Token,
     ) -> Vec<ToControl> {
         let due = self.by_topic.iter_mut().filter_map(|(topic, validation)| {
@@ -84,7 +84,7 @@
             }
             validation.last_sent_at = Some(now);
             Some(ToControl::ValidationResult {
-                who,
+                identity,
                 token,
                 topic: *topic,
                 number: validation.number,
--- a/control/src/versions/command.rs
+++ b/control/src/versions/command.rs
@@ -8,26 +8,26 @@
     /// Begins an epoch: from here on this control member, as the leader, decides which registrations expire.
     BeginEpoch {
         /// The control member that leads.
-        who: NodeIdentity,
+        identity: NodeIdentity,
     },
     /// Registers a gateway.
     Join {
         /// The gateway that joins.
-        who: NodeIdentity,
+        identity: NodeIdentity,
         /// The formats that it supports.
         formats: Formats,
     },
     /// Ends the registration of a gateway that has stopped acting.
     Leave {
         /// The gateway that leaves.
-        who: NodeIdentity,
+        identity: NodeIdentity,
         /// The token of its registration.
         token: Token,
     },
     /// Ends the registration of a gateway whose permission to act has ended.
     Expire {
         /// The gateway whose registration expires.
-        who: NodeIdentity,
+        identity: NodeIdentity,
         /// The token of the registration.
         token: Token,
         /// The epoch in which this was decided. The entry has no effect in a later one.
@@ -36,7 +36,7 @@
     /// Proposes a version, which becomes active once all registered gateways have acked it.
     ProposeVersion {
         /// The gateway that proposes it.
-        who: NodeIdentity,
+        identity: NodeIdentity,
         /// The token of its registration.
         token: Token,
         /// The topic that the version belongs to.
@@ -58,7 +58,7 @@
     /// A gateway's nack of a proposed version, which rejects it.
     Nack {
         /// The gateway that rejects it.
-        who: NodeIdentity,
+        identity: NodeIdentity,
         /// The token of its registration.
         token: Token,
         /// The topic that the version belongs to.
@@ -71,7 +71,7 @@
     /// An audit report of a gateway's actions. Reports of an incarnation are numbered from 1, and each counts once.
     Report {
         /// The gateway that reports.
-        who: NodeIdentity,
+        identity: NodeIdentity,
         /// The number of the report.
         sequence: u64,
         /// Actions that no earlier report contains, by topic and version.
--- a/control/src/versions/coordinator/applied.rs
+++ b/control/src/versions/coordinator/applied.rs
@@ -36,15 +36,16 @@
         outcome: Outcome,
         out: &mut Vec<Action>,
     ) {
-        if let Outcome::EpochBegun(who) = outcome {
-            let is_own = who == self.identity && self.leading;
+        if let Outcome::EpochBegun(identity) = outcome {
+            let is_own = identity == self.identity && self.leading;
             self.leadership = is_own.then(|| Leadership::begin(index, now, &self.table));
             return;
         }
-        if let (Outcome::Reported { who, .. }, Command::Report { spans, .. }) = (&outcome, command)
+        if let (Outcome::Reported { identity, .. }, Command::Report { spans, .. }) =
+            (&outcome, command)
         {
             out.push(Action::ReportCounted {
-                who: *who,
+                identity: *identity,
                 spans: spans.clone(),
             });
         }
@@ -91,14 +92,16 @@
     /// Updates the state of the epoch after an entry changed registrations or proposals.
     fn apply_outcome(&mut self, now: Micros, outcome: &Outcome) {
         match outcome {
-            Outcome::Registered(Registration { who, .. }) => {
-                self.membership.record_contact(who.gateway, now);
+            Outcome::Registered(Registration { identity, .. }) => {
+                self.membership.record_contact(identity.gateway, now);
                 // A gateway can register while a version is proposed only if no other gateway is registered. It gets a full
                 // wait to validate that version.
                 self.rollout.restart_waits(now);
             }
-            Outcome::Left(Registration { who, .. })
-            | Outcome::Expired(Registration { who, .. }) => self.membership.remove(who.gateway),
+            Outcome::Left(Registration { identity, .. })
+            | Outcome::Expired(Registration { identity, .. }) => {
+                self.membership.remove(identity.gateway)
+            }
             Outcome::VersionProposed { topic, .. } => self.rollout.open(*topic, now),
             Outcome::Activated { topic, .. } | Outcome::ProposalRejected { topic, .. } => {
                 self.rollout.close(*topic);
@@ -114,9 +117,11 @@
 /// The message to gateways about an entry, if there is one. The states of topics are sent separately.
 fn notification(command: &Command, outcome: Outcome) -> Option<Action> {
     match outcome {
-        Outcome::Expired(Registration { who, token, .. }) => {
-            let expired = ToGateway::RegistrationExpired { who, token };
-            Some(Action::Send(who, expired))
+        Outcome::Expired(Registration {
+            identity, token, ..
+        }) => {
+            let expired = ToGateway::RegistrationExpired { identity, token };
+            Some(Action::Send(identity, expired))
         }
         Outcome::ProposalRejected {
             topic,
@@ -129,14 +134,17 @@
             by,
             reason,
         })),
-        Outcome::Reported { who, sequence } => {
-            let counted = ToGateway::ReportCounted { who, sequence };
-            Some(Action::Send(who, counted))
+        Outcome::Reported { identity, sequence } => {
+            let counted = ToGateway::ReportCounted { identity, sequence };
+            Some(Action::Send(identity, counted))
         }
         Outcome::Rejected(reason) => match command {
-            Command::ProposeVersion { who, .. } => {
-                let rejected = ToGateway::RequestRejected { who: *who, reason };
-                Some(Action::Send(*who, rejected))
+            Command::ProposeVersion { identity, .. } => {
+                let rejected = ToGateway::RequestRejected {
+                    identity: *identity,
+                    reason,
+                };
+                Some(Action::Send(*identity, rejected))
             }
             _ => None,
         },
--- a/control/src/versions/coordinator/membership.rs
+++ b/control/src/versions/coordinator/membership.rs
@@ -27,7 +27,7 @@
     pub(super) fn begin(now: Micros, table: &Table) -> Membership {
         let gateways = table
             .registrations()
-            .map(|registration| registration.who.gateway);
+            .map(|registration| registration.identity.gateway);
         Membership {
             last_contact_at: gateways.map(|gateway| (gateway, now)).collect(),
             expiring: BTreeMap::new(),
@@ -76,7 +76,9 @@
         self.last_check_at = Some(now);
         let registrations = table.registrations().copied();
         registrations
-            .filter(|registration| self.begin_expiry_if_due(now, timing, registration.who.gateway))
+            .filter(|registration| {
+                self.begin_expiry_if_due(now, timing, registration.identity.gateway)
+            })
             .collect()
     }
 
--- a/control/src/versions/coordinator/mod.rs
+++ b/control/src/versions/coordinator/mod.rs
@@ -67,7 +67,7 @@
     /// A gateway's audit report was counted.
     ReportCounted {
         /// The gateway that reported.
-        who: NodeIdentity,
+        identity: NodeIdentity,
         /// The actions in the report, by topic and version.
         spans: Vec<Span>,
     },
@@ -152,9 +152,9 @@
             Event::Leading(leading) => self.set_leading(leading),
             Event::Leader(leader) => self.leader = leader,
             Event::Received(message) => self.receive(now, message, out),
-            Event::Connected(who) => {
+            Event::Connected(identity) => {
                 if let Some(leadership) = &mut self.leadership {
-                    leadership.links.reset(who.gateway, now);
+                    leadership.links.reset(identity.gateway, now);
                 }
             }
             Event::RoundConfirmed(round) => self.confirm_round(round, out),
@@ -201,7 +201,9 @@
             .is_none_or(|at| now >= at.saturating_add(self.timing.renew_us));
         if due {
             self.epoch_proposed_at = Some(now);
-            out.push(Action::Propose(Command::BeginEpoch { who: self.identity }));
+            out.push(Action::Propose(Command::BeginEpoch {
+                identity: self.identity,
+            }));
         }
     }
 
@@ -229,7 +231,7 @@
             .take_expired(now, &self.timing, &self.table);
         out.extend(expired.into_iter().map(|registration| {
             Action::Propose(Command::Expire {
-                who: registration.who,
+                identity: registration.identity,
                 token: registration.token,
                 epoch,
             })
--- a/control/src/versions/coordinator/read_index.rs
+++ b/control/src/versions/coordinator/read_index.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PendingHeartbeat {
     /// The gateway that sent it.
-    pub(super) who: NodeIdentity,
+    pub(super) identity: NodeIdentity,
     /// The token of the registration in the heartbeat, if it has one.
     pub(super) token: Option<Token>,
     /// When it was sent, on the gateway's clock.
--- a/control/src/versions/coordinator/requests.rs
+++ b/control/src/versions/coordinator/requests.rs
@@ -10,37 +10,37 @@
     /// Handles a message from a gateway, or redirects the gateway if this member has no epoch of its own.
     pub(super) fn receive(&mut self, now: Micros, message: ToControl, out: &mut Vec<Action>) {
         if self.leadership.is_none() {
-            self.redirect_to_leader(message.who(), out);
+            self.redirect_to_leader(message.identity(), out);
             return;
         }
         match message {
             ToControl::Heartbeat {
-                who,
+                identity,
                 formats,
                 token,
                 sent_at,
                 known_index,
             } => {
-                self.resend_states(now, who, known_index, out);
-                self.record_heartbeat(now, who, token, sent_at);
+                self.resend_states(now, identity, known_index, out);
+                self.record_heartbeat(now, identity, token, sent_at);
                 if token.is_none() {
-                    self.propose_join(now, who, formats, out);
+                    self.propose_join(now, identity, formats, out);
                 }
             }
             ToControl::ValidationResult {
-                who,
+                identity,
                 token,
                 topic,
                 number,
                 result,
             } => {
-                if !self.awaits_validation(who, token, topic, number) {
+                if !self.awaits_validation(identity, token, topic, number) {
                     return;
                 }
                 match result {
-                    Ok(()) => self.collect_ack(now, who, token, topic, number),
+                    Ok(()) => self.collect_ack(now, identity, token, topic, number),
                     Err(reason) => out.push(Action::Propose(Command::Nack {
-                        who,
+                        identity,
                         token,
                         topic,
                         number,
@@ -49,7 +49,7 @@
                 }
             }
             ToControl::ProposeVersion {
-                who,
+                identity,
                 token,
                 topic,
                 replaces,
@@ -57,37 +57,39 @@
             } => {
                 let proposable = self
                     .table
-                    .check_proposal(who, token, topic, replaces, &content);
+                    .check_proposal(identity, token, topic, replaces, &content);
                 out.push(match proposable {
                     Ok(()) => Action::Propose(Command::ProposeVersion {
-                        who,
+                        identity,
                         token,
                         topic,
                         replaces,
                         content,
                     }),
-                    Err(reason) => Action::Send(who, ToGateway::RequestRejected { who, reason }),
+                    Err(reason) => {
+                        Action::Send(identity, ToGateway::RequestRejected { identity, reason })
+                    }
                 });
             }
             ToControl::Report {
-                who,
+                identity,
                 sequence,
                 spans,
-            } => out.push(self.record_report(who, sequence, spans)),
-            ToControl::Leave { who, token } => {
-                out.push(Action::Propose(Command::Leave { who, token }));
+            } => out.push(self.record_report(identity, sequence, spans)),
+            ToControl::Leave { identity, token } => {
+                out.push(Action::Propose(Command::Leave { identity, token }));
             }
         }
     }
 
     /// Answers that this member does not lead, and which one does if that is known. A member that leads but has not begun
     /// its epoch yet does not answer.
-    fn redirect_to_leader(&self, who: NodeIdentity, out: &mut Vec<Action>) {
+    fn redirect_to_leader(&self, identity: NodeIdentity, out: &mut Vec<Action>) {
         if !self.leading {
             let leader = self
                 .leader
                 .filter(|leader| *leader != self.identity.gateway);
-            out.push(Action::Send(who, ToGateway::NotLeader { leader }));
+            out.push(Action::Send(identity, ToGateway::NotLeader { leader }));
         }
     }
 
@@ -95,7 +97,7 @@
     fn resend_states(
         &mut self,
         now: Micros,
-        who: NodeIdentity,
+        identity: NodeIdentity,
         known_index: Index,
         out: &mut Vec<Action>,
     ) {
@@ -104,8 +106,14 @@
             return;
         };
         let links = &mut leadership.links;
-        if links.begin_resend_if_due(who.gateway, known_index, state_index, now, &self.timing) {
-            out.push(Action::Send(who, self.topic_states(known_index)));
+        if links.begin_resend_if_due(
+            identity.gateway,
+            known_index,
+            state_index,
+            now,
+            &self.timing,
+        ) {
+            out.push(Action::Send(identity, self.topic_states(known_index)));
         }
     }
 
@@ -113,7 +121,7 @@
     fn record_heartbeat(
         &mut self,
         now: Micros,
-        who: NodeIdentity,
+        identity: NodeIdentity,
         token: Option<Token>,
         sent_at: Micros,
     ) {
@@ -122,17 +130,17 @@
             return;
         };
         let rollout = &leadership.rollout;
-        let renewable = !leadership.membership.is_expiring(who.gateway)
-            && !rollout.is_straggler(&self.table, who.gateway, now, wait_us);
+        let renewable = !leadership.membership.is_expiring(identity.gateway)
+            && !rollout.is_straggler(&self.table, identity.gateway, now, wait_us);
         let registration = self
             .table
-            .registration(who)
+            .registration(identity)
             .filter(|registration| token.is_none_or(|token| token == registration.token));
         if renewable && registration.is_some() {
-            leadership.membership.record_contact(who.gateway, now);
+            leadership.membership.record_contact(identity.gateway, now);
         }
         leadership.rounds.add(PendingHeartbeat {
-            who,
+            identity,
             token,
             sent_at,
             received_at: now,
@@ -145,26 +153,26 @@
     fn propose_join(
         &mut self,
         now: Micros,
-        who: NodeIdentity,
+        identity: NodeIdentity,
         formats: Formats,
         out: &mut Vec<Action>,
     ) {
         let Some(leadership) = &mut self.leadership else {
             return;
         };
-        match self.table.check_join(who, formats) {
+        match self.table.check_join(identity, formats) {
             Err(reason @ Rejection::UnsupportedFormat { .. }) => {
                 out.push(Action::Send(
-                    who,
-                    ToGateway::RequestRejected { who, reason },
+                    identity,
+                    ToGateway::RequestRejected { identity, reason },
                 ));
             }
             // The gateway tries again with its next heartbeat.
             Err(_) => {}
             Ok(()) => {
                 let links = &mut leadership.links;
-                if links.begin_join_if_due(who.gateway, now, &self.timing) {
-                    out.push(Action::Propose(Command::Join { who, formats }));
+                if links.begin_join_if_due(identity.gateway, now, &self.timing) {
+                    out.push(Action::Propose(Command::Join { identity, formats }));
                 }
             }
         }
@@ -173,13 +181,13 @@
     /// Whether a version is proposed that this registered gateway has to validate.
     fn awaits_validation(
         &self,
-        who: NodeIdentity,
+        identity: NodeIdentity,
         token: Token,
         topic: Topic,
         number: u64,
     ) -> bool {
         let status = self.table.topic(topic);
-        let registration = self.table.registration(who);
+        let registration = self.table.registration(identity);
         status.is_some_and(|status| status.is_proposed(number))
             && registration.is_some_and(|registration| registration.token == token)
     }
@@ -187,24 +195,24 @@
     fn collect_ack(
         &mut self,
         now: Micros,
-        who: NodeIdentity,
+        identity: NodeIdentity,
         token: Token,
         topic: Topic,
         number: u64,
     ) {
         if let Some(leadership) = &mut self.leadership {
             let rollout = &mut leadership.rollout;
-            rollout.collect(now, who, token, topic, number);
+            rollout.collect(now, identity, token, topic, number);
         }
     }
 
     /// Proposes a report to the log, or answers at once if it was already counted.
-    fn record_report(&self, who: NodeIdentity, sequence: u64, spans: Vec<Span>) -> Action {
-        if sequence <= self.table.audit().last_sequence(who) {
-            return Action::Send(who, ToGateway::ReportCounted { who, sequence });
+    fn record_report(&self, identity: NodeIdentity, sequence: u64, spans: Vec<Span>) -> Action {
+        if sequence <= self.table.audit().last_sequence(identity) {
+            return Action::Send(identity, ToGateway::ReportCounted { identity, sequence });
         }
         Action::Propose(Command::Report {
-            who,
+            identity,
             sequence,
             spans,
         })
@@ -220,14 +228,14 @@
         let registrations = u32::try_from(self.table.registrations().count()).unwrap_or(u32::MAX);
         for heartbeat in covered {
             let answer = self.heartbeat_answer(&heartbeat, registrations);
-            out.push(Action::Send(heartbeat.who, answer));
+            out.push(Action::Send(heartbeat.identity, answer));
         }
     }
 
     /// The answer to a heartbeat that a round has covered.
     fn heartbeat_answer(&self, heartbeat: &PendingHeartbeat, registrations: u32) -> ToGateway {
         let PendingHeartbeat {
-            who,
+            identity,
             token,
             sent_at,
             ..
@@ -236,16 +244,16 @@
         let expiring = self
             .leadership
             .as_ref()
-            .is_some_and(|leadership| leadership.membership.is_expiring(who.gateway));
-        let registration = self.table.registration(who);
+            .is_some_and(|leadership| leadership.membership.is_expiring(identity.gateway));
+        let registration = self.table.registration(identity);
         let current = registration.map(|registration| registration.token);
         match (token, current) {
             (Some(token), current) if current != Some(token) => {
-                ToGateway::RegistrationExpired { who, token }
+                ToGateway::RegistrationExpired { identity, token }
             }
             (_, Some(token)) if heartbeat.renewable && !expiring => {
                 ToGateway::RegistrationRenewed {
-                    who,
+                    identity,
                     token,
                     sent_at,
                     required_index,
--- a/control/src/versions/coordinator/rollout.rs
+++ b/control/src/versions/coordinator/rollout.rs
@@ -15,7 +15,7 @@
 /// A gateway's ack of a proposed version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct CollectedAck {
-    who: NodeIdentity,
+    identity: NodeIdentity,
     token: Token,
     received_at: Micros,
     /// When an entry with it was last proposed to the log.
@@ -98,7 +98,7 @@
     pub(super) fn collect(
         &mut self,
         now: Micros,
-        who: NodeIdentity,
+        identity: NodeIdentity,
         token: Token,
         topic: Topic,
         number: u64,
@@ -110,15 +110,15 @@
                 by_gateway: BTreeMap::new(),
             };
         }
-        let known = acks.by_gateway.get(&who.gateway);
+        let known = acks.by_gateway.get(&identity.gateway);
         if known.is_none_or(|ack| ack.token != token) {
             let ack = CollectedAck {
-                who,
+                identity,
                 token,
                 received_at: now,
                 proposed_at: None,
             };
-            acks.by_gateway.insert(who.gateway, ack);
+            acks.by_gateway.insert(identity.gateway, ack);
         }
     }
 
@@ -153,7 +153,7 @@
     fn is_complete(&self, table: &Table, membership: &Membership, topic: Topic) -> bool {
         let gateways = table
             .registrations()
-            .map(|registration| registration.who.gateway);
+            .map(|registration| registration.identity.gateway);
         let mut staying = gateways.filter(|gateway| !membership.is_expiring(*gateway));
         staying.all(|gateway| self.has_acked(table, topic, gateway))
     }
@@ -210,7 +210,7 @@
             .filter(|ack| ack.is_proposable(now, renew_us));
         let by = proposable.map(|ack| {
             ack.proposed_at = Some(now);
-            (ack.who, ack.token)
+            (ack.identity, ack.token)
         });
         Some(Command::Ack {
             topic,
--- a/control/src/versions/coordinator/tests.rs
+++ b/control/src/versions/coordinator/tests.rs
@@ -52,7 +52,7 @@
                 newest: 1,
             };
             member.apply(Command::Join {
-                who: gateway(number),
+                identity: gateway(number),
                 formats,
             });
         }
@@ -116,7 +116,7 @@
 
     fn take_sent(&mut self) -> Vec<(u32, ToGateway)> {
         let sent = |action| match action {
-            Action::Send(who, message) => Some((who.gateway, message)),
+            Action::Send(identity, message) => Some((identity.gateway, message)),
             _ => None,
         };
         self.out.drain(..).filter_map(sent).collect()
@@ -140,9 +140,9 @@
             oldest: 1,
             newest: 1,
         };
-        let (who, sent) = (gateway(number), self.now);
+        let (identity, sent) = (gateway(number), self.now);
         self.handle(Event::Received(ToControl::Heartbeat {
-            who,
+            identity,
             formats,
             token,
             sent_at: sent,
@@ -171,9 +171,9 @@
             format: 1,
             bytes: Vec::new(),
         };
-        let (who, token) = (gateway(number), self.token(number));
+        let (identity, token) = (gateway(number), self.token(number));
         self.apply(Command::ProposeVersion {
-            who,
+            identity,
             token,
             topic: TOPIC,
             replaces: 0,
@@ -183,9 +183,9 @@
     }
 
     fn ack(&mut self, number: u32, version: u64) {
-        let (who, token) = (gateway(number), self.token(number));
+        let (identity, token) = (gateway(number), self.token(number));
         let result = ToControl::ValidationResult {
-            who,
+            identity,
             token,
             topic: TOPIC,
             number: version,
@@ -277,7 +277,10 @@
     );
     member.handle(Event::Leading(true));
     member.heartbeat(1);
-    assert_eq!(member.take_proposed(), [Command::BeginEpoch { who: ME }]);
+    assert_eq!(
+        member.take_proposed(),
+        [Command::BeginEpoch { identity: ME }]
+    );
     assert_eq!(member.take_sent(), []);
 }
 
@@ -287,11 +290,14 @@
     let mut member = Member::leading(1..=1);
     member.heartbeat(1);
     let round = member.take_requested_round().expect("a round");
-    member.apply(Command::BeginEpoch { who: OTHER });
+    member.apply(Command::BeginEpoch { identity: OTHER });
     member.handle(Event::RoundConfirmed(round));
     assert_eq!(member.take_renewed(), Vec::<u32>::new());
     member.tick(RENEW);
-    assert_eq!(member.take_proposed(), [Command::BeginEpoch { who: ME }]);
+    assert_eq!(
+        member.take_proposed(),
+        [Command::BeginEpoch { identity: ME }]
+    );
     member.tick(RENEW / 2);
     assert_eq!(
         member.take_proposed(),
@@ -299,8 +305,11 @@
         "proposed once in each renewal interval"
     );
     member.tick(RENEW / 2);
-    assert_eq!(member.take_proposed(), [Command::BeginEpoch { who: ME }]);
-    member.apply(Command::BeginEpoch { who: ME });
+    assert_eq!(
+        member.take_proposed(),
+        [Command::BeginEpoch { identity: ME }]
+    );
+    member.apply(Command::BeginEpoch { identity: ME });
     member.handle(Event::RoundConfirmed(round));
     assert_eq!(
         member.take_renewed(),
@@ -322,7 +331,7 @@
     member.handle(Event::Leading(true));
     member.commit();
     let epoch = member.coordinator.table().epoch();
-    let (began, who, token) = (member.now, gateway(2), member.token(2));
+    let (began, identity, token) = (member.now, gateway(2), member.token(2));
     let expire = loop {
         member.heartbeat(1);
         member.tick(RENEW / 8);
@@ -331,7 +340,14 @@
         }
     };
     let waited = member.now - began;
-    assert_eq!(expire, Command::Expire { who, token, epoch });
+    assert_eq!(
+        expire,
+        Command::Expire {
+            identity,
+            token,
+            epoch
+        }
+    );
     assert!(
         (TIMING.wait_us()..TIMING.wait_us() + RENEW / 4).contains(&waited),
         "{waited}"
@@ -346,10 +362,14 @@
     assert!(!member.take_renewed().contains(&2));
     member.tick(RENEW - RENEW / ROUND_RETRIES_PER_RENEWAL);
     assert_eq!(member.take_proposed(), [expire]);
-    member.apply(Command::Expire { who, token, epoch });
+    member.apply(Command::Expire {
+        identity,
+        token,
+        epoch,
+    });
     assert_eq!(
         member.take_sent(),
-        [(2, ToGateway::RegistrationExpired { who, token })]
+        [(2, ToGateway::RegistrationExpired { identity, token })]
     );
 }
 
@@ -366,10 +386,9 @@
         "the gateways may have sent heartbeats during the stall"
     );
     member.advance(10 * RENEW, &[1]);
-    let expired = member
-        .take_proposed()
-        .into_iter()
-        .all(|command| matches!(command, Command::Expire { who, .. } if who == gateway(2)));
+    let expired = member.take_proposed().into_iter().all(
+        |command| matches!(command, Command::Expire { identity, .. } if identity == gateway(2)),
+    );
     assert!(expired, "only gateway 2, which is still silent, expires");
 }
 
@@ -435,12 +454,12 @@
         .take_proposed()
         .into_iter()
         .filter_map(|command| match command {
-            Command::Expire { who, .. } => Some(who),
+            Command::Expire { identity, .. } => Some(identity),
             _ => None,
         })
         .collect();
     assert!(
-        !expired.is_empty() && expired.iter().all(|who| *who == gateway(3)),
+        !expired.is_empty() && expired.iter().all(|identity| *identity == gateway(3)),
         "{expired:?}"
     );
 }
@@ -458,9 +477,9 @@
         oldest: 1,
         newest: 1,
     };
-    let (who, token) = (gateway(1), Some(member.token(1)));
+    let (identity, token) = (gateway(1), Some(member.token(1)));
     let behind = ToControl::Heartbeat {
-        who,
+        identity,
         formats,
         token,
         sent_at: member.now,
@@ -476,7 +495,7 @@
     assert_eq!(states(&mut member), 1);
     member.handle(Event::Received(behind.clone()));
     assert_eq!(states(&mut member), 0, "the states are in flight");
-    member.handle(Event::Connected(who));
+    member.handle(Event::Connected(identity));
     member.handle(Event::Received(behind));
     assert_eq!(states(&mut member), 1);
 }
--- a/control/src/versions/message.rs
+++ b/control/src/versions/message.rs
@@ -10,7 +10,7 @@
     /// Asks for a registration, or for its renewal for another lease.
     Heartbeat {
         /// The gateway that sends it.
-        who: NodeIdentity,
+        identity: NodeIdentity,
         /// The formats that it supports.
         formats: Formats,
         /// The token of its registration, once it has one.
@@ -23,7 +23,7 @@
     /// The result of a proposed version's validation.
     ValidationResult {
         /// The gateway that validated it.
-        who: NodeIdentity,
+        identity: NodeIdentity,
         /// The token of its registration.
         token: Token,
         /// The topic that the version belongs to.
@@ -36,7 +36,7 @@
     /// Proposes a version.
     ProposeVersion {
         /// The gateway that proposes it.
-        who: NodeIdentity,
+        identity: NodeIdentity,
         /// The token of its registration.
         token: Token,
         /// The topic that the version belongs to.
@@ -49,7 +49,7 @@
     /// An audit report of the gateway's actions. Reports of an incarnation are numbered from 1, and each counts once.
     Report {
         /// The gateway that reports.
-        who: NodeIdentity,
+        identity: NodeIdentity,
         /// The number of the report.
         sequence: u64,
         /// Actions that no earlier report contains, by topic and version.
@@ -58,7 +58,7 @@
     /// Ends the registration of a gateway that has stopped acting.
     Leave {
         /// The gateway that leaves.
-        who: NodeIdentity,
+        identity: NodeIdentity,
         /// The token of its registration.
         token: Token,
     },
@@ -83,7 +83,7 @@
     /// A registration was granted or renewed: the gateway may act for a lease, counted from when it sent the heartbeat.
     RegistrationRenewed {
         /// The gateway whose heartbeat this answers.
-        who: NodeIdentity,
+        identity: NodeIdentity,
         /// The token of its registration.
         token: Token,
         /// When the heartbeat was sent, as stated in it.
@@ -105,14 +105,14 @@
     /// A registration has ended: the gateway stops acting, and joins again later.
     RegistrationExpired {
         /// The gateway that was registered.
-        who: NodeIdentity,
+        identity: NodeIdentity,
         /// The token of the registration that has ended.
         token: Token,
     },
     /// A gateway's request for a registration, or its proposal, was rejected.
     RequestRejected {
         /// The gateway that sent the request.
-        who: NodeIdentity,
+        identity: NodeIdentity,
         /// Why the request has no effect.
         reason: Rejection,
     },
@@ -130,7 +130,7 @@
     /// An audit report was counted: the gateway stops repeating it.
     ReportCounted {
         /// The gateway that reported.
-        who: NodeIdentity,
+        identity: NodeIdentity,
         /// The number of the report.
         sequence: u64,
     },
@@ -143,13 +143,13 @@
 
 impl ToControl {
     /// The gateway that sent it.
-    pub fn who(&self) -> NodeIdentity {
+    pub fn identity(&self) -> NodeIdentity {
         match self {
-            ToControl::Heartbeat { who, .. }
-            | ToControl::ValidationResult { who, .. }
-            | ToControl::ProposeVersion { who, .. }
-            | ToControl::Report { who, .. }
-            | ToControl::Leave { who, .. } => *who,
+            ToControl::Heartbeat { identity, .. }
+            | ToControl::ValidationResult { identity, .. }
+            | ToControl::ProposeVersion { identity, .. }
+            | ToControl::Report { identity, .. }
+            | ToControl::Leave { identity, .. } => *identity,
         }
     }
 }
--- a/control/src/versions/outcome.rs
+++ b/control/src/versions/outcome.rs
@@ -50,7 +50,7 @@
     /// An audit report was counted.
     Reported {
         /// The gateway that sent it.
-        who: NodeIdentity,
+        identity: NodeIdentity,
         /// The number of the report; each incarnation counts its reports from 1.
         sequence: u64,
     },
--- a/control/src/versions/table.rs
+++ b/control/src/versions/table.rs
@@ -16,7 +16,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Registration {
     /// The registered incarnation of the gateway.
-    pub who: NodeIdentity,
+    #[serde(rename = "who")]
+    pub identity: NodeIdentity,
     /// The index of the entry that granted it: the fencing token of every action under it.
     pub token: Token,
     /// The formats that the gateway supports.
@@ -42,10 +43,10 @@
     }
 
     /// The registration of this incarnation of a gateway.
-    pub fn registration(&self, who: NodeIdentity) -> Option<&Registration> {
+    pub fn registration(&self, identity: NodeIdentity) -> Option<&Registration> {
         self.registrations
-            .get(&who.gateway)
-            .filter(|registration| registration.who == who)
+            .get(&identity.gateway)
+            .filter(|registration| registration.identity == identity)
     }
 
     /// The versions of a topic; `None` if no version of it was ever proposed.
@@ -99,8 +100,8 @@
     /// # Errors
     ///
     /// The reason why it may not.
-    pub fn check_join(&self, who: NodeIdentity, formats: Formats) -> Result<(), Rejection> {
-        if self.registrations.contains_key(&who.gateway) {
+    pub fn check_join(&self, identity: NodeIdentity, formats: Formats) -> Result<(), Rejection> {
+        if self.registrations.contains_key(&identity.gateway) {
             return Err(Rejection::AlreadyRegistered);
         }
         if let Some(number) = self.pending_proposal() {
@@ -125,13 +126,13 @@
     /// The reason why it may not.
     pub fn check_proposal(
         &self,
-        who: NodeIdentity,
+        identity: NodeIdentity,
         token: Token,
         topic: Topic,
         replaces: u64,
         content: &Content,
     ) -> Result<(), Rejection> {
-        self.check_registered(who, token)?;
+        self.check_registered(identity, token)?;
         let status = self.topics.get(&topic);
         if let Some(proposal) = status.and_then(|status| status.proposal.as_ref()) {
             return Err(Rejection::ProposalPending(proposal.version.number));
@@ -176,18 +177,22 @@
 
     fn execute(&mut self, index: Index, command: &Command) -> Result<Outcome, Rejection> {
         match command {
-            Command::BeginEpoch { who } => {
+            Command::BeginEpoch { identity } => {
                 self.epoch = index;
-                Ok(Outcome::EpochBegun(*who))
+                Ok(Outcome::EpochBegun(*identity))
             }
-            Command::Join { who, formats } => self.join(index, *who, *formats),
-            Command::Leave { who, token } => {
-                let registration = self.check_registered(*who, *token)?;
+            Command::Join { identity, formats } => self.join(index, *identity, *formats),
+            Command::Leave { identity, token } => {
+                let registration = self.check_registered(*identity, *token)?;
                 self.remove(registration);
                 Ok(Outcome::Left(registration))
             }
-            Command::Expire { who, token, epoch } => {
-                let registration = self.check_registered(*who, *token)?;
+            Command::Expire {
+                identity,
+                token,
+                epoch,
+            } => {
+                let registration = self.check_registered(*identity, *token)?;
                 if *epoch != self.epoch {
                     return Err(Rejection::StaleEpoch);
                 }
@@ -195,34 +200,34 @@
                 Ok(Outcome::Expired(registration))
             }
             Command::ProposeVersion {
-                who,
+                identity,
                 token,
                 topic,
                 replaces,
                 content,
             } => {
-                self.check_proposal(*who, *token, *topic, *replaces, content)?;
-                Ok(self.propose(index, *who, *topic, content))
+                self.check_proposal(*identity, *token, *topic, *replaces, content)?;
+                Ok(self.propose(index, *identity, *topic, content))
             }
             Command::Ack { topic, number, by } => self.ack(*topic, *number, by),
             Command::Nack {
-                who,
+                identity,
                 token,
                 topic,
                 number,
                 reason,
             } => {
-                self.check_registered(*who, *token)?;
-                self.nack(index, *who, *topic, *number, reason)
+                self.check_registered(*identity, *token)?;
+                self.nack(index, *identity, *topic, *number, reason)
             }
             Command::Report {
-                who,
+                identity,
                 sequence,
                 spans,
             } => {
-                let counted = self.audit.record_report(*who, *sequence, spans);
+                let counted = self.audit.record_report(*identity, *sequence, spans);
                 let reported = Outcome::Reported {
-                    who: *who,
+                    identity: *identity,
                     sequence: *sequence,
                 };
                 counted.then_some(reported).ok_or(Rejection::AlreadyDecided)
@@ -231,15 +236,19 @@
     }
 
     /// Returns the current registration of the gateway if it has this token.
-    fn check_registered(&self, who: NodeIdentity, token: Token) -> Result<Registration, Rejection> {
+    fn check_registered(
+        &self,
+        identity: NodeIdentity,
+        token: Token,
+    ) -> Result<Registration, Rejection> {
         let registration = self
-            .registration(who)
+            .registration(identity)
             .filter(|registration| registration.token == token);
         registration.copied().ok_or(Rejection::StaleRegistration)
     }
 
     fn remove(&mut self, registration: Registration) {
-        let gateway = registration.who.gateway;
+        let gateway = registration.identity.gateway;
         self.registrations.remove(&gateway);
         let proposals = self
             .topics
@@ -253,16 +262,16 @@
     fn join(
         &mut self,
         index: Index,
-        who: NodeIdentity,
+        identity: NodeIdentity,
         formats: Formats,
     ) -> Result<Outcome, Rejection> {
-        self.check_join(who, formats)?;
+        self.check_join(identity, formats)?;
         let registration = Registration {
-            who,
+            identity,
             token: Token(index.0),
             formats,
         };
-        self.registrations.insert(who.gateway, registration);
+        self.registrations.insert(identity.gateway, registration);
         Ok(Outcome::Registered(registration))
     }
 
@@ -307,8 +316,8 @@
     ) -> Result<Outcome, Rejection> {
         let registered = by
             .iter()
-            .filter(|(who, token)| self.check_registered(*who, *token).is_ok());
-        let gateways: Vec<u32> = registered.map(|(who, _)| who.gateway).collect();
+            .filter(|(identity, token)| self.check_registered(*identity, *token).is_ok());
+        let gateways: Vec<u32> = registered.map(|(identity, _)| identity.gateway).collect();
         if gateways.is_empty() {
             return Err(Rejection::StaleRegistration);
         }
--- a/control/src/versions/table/tests.rs
+++ b/control/src/versions/table/tests.rs
@@ -6,7 +6,7 @@
     newest: 1,
 };
 
-fn who(gateway: u32) -> NodeIdentity {
+fn identity(gateway: u32) -> NodeIdentity {
     NodeIdentity {
         gateway,
         incarnation: 1,
@@ -37,11 +37,11 @@
 
     fn join(&mut self, gateway: u32) -> Token {
         self.apply(Command::Join {
-            who: who(gateway),
+            identity: identity(gateway),
             formats: FORMATS,
         });
         self.table
-            .registration(who(gateway))
+            .registration(identity(gateway))
             .expect("a registration")
             .token
     }
@@ -56,7 +56,7 @@
             bytes: Vec::new(),
         };
         self.apply(Command::ProposeVersion {
-            who: who(gateway),
+            identity: identity(gateway),
             token,
             topic: TOPIC,
             replaces,
@@ -68,7 +68,7 @@
     fn ack(&mut self, number: u64, by: &[(u32, Token)]) -> Vec<Outcome> {
         let by = by
             .iter()
-            .map(|(gateway, token)| (who(*gateway), *token))
+            .map(|(gateway, token)| (identity(*gateway), *token))
             .collect();
         self.apply(Command::Ack {
             topic: TOPIC,
@@ -82,19 +82,23 @@
 #[test]
 fn expiry_requires_latest_epoch() {
     let mut log = Log::default();
-    log.apply(Command::BeginEpoch { who: who(1) });
+    log.apply(Command::BeginEpoch {
+        identity: identity(1),
+    });
     let (first, token) = (log.table.epoch(), log.join(2));
     let expire = |epoch| Command::Expire {
-        who: who(2),
+        identity: identity(2),
         token,
         epoch,
     };
-    log.apply(Command::BeginEpoch { who: who(3) });
+    log.apply(Command::BeginEpoch {
+        identity: identity(3),
+    });
     let second = log.table.epoch();
     assert!(second > first);
     assert_eq!(log.apply_rejected(expire(first)), Rejection::StaleEpoch);
     let other = Command::Expire {
-        who: who(2),
+        identity: identity(2),
         token: Token(token.0 + 1),
         epoch: second,
     };
@@ -147,7 +151,7 @@
     let next = log.propose(2, two);
     log.ack(next, &[(1, one)]);
     let left = log.apply(Command::Leave {
-        who: who(2),
+        identity: identity(2),
         token: two,
     });
     assert_eq!(
@@ -167,14 +171,14 @@
     let (one, two) = (log.join(1), log.join(2));
     let number = log.propose(1, one);
     let nack = |token| Command::Nack {
-        who: who(2),
+        identity: identity(2),
         token,
         topic: TOPIC,
         number,
         reason: "invalid".into(),
     };
     assert_eq!(log.apply_rejected(nack(one)), Rejection::StaleRegistration);
-    let by = who(2);
+    let by = identity(2);
     let rejected = Outcome::ProposalRejected {
         topic: TOPIC,
         number,
@@ -197,7 +201,7 @@
     let one = log.join(1);
     let number = log.propose(1, one);
     let join = Command::Join {
-        who: who(2),
+        identity: identity(2),
         formats: FORMATS,
     };
     assert_eq!(
@@ -205,12 +209,12 @@
         Rejection::ProposalPending(number)
     );
     log.apply(Command::Leave {
-        who: who(1),
+        identity: identity(1),
         token: one,
     });
     let two = log.join(2);
     let third = Command::Join {
-        who: who(3),
+        identity: identity(3),
         formats: FORMATS,
     };
     assert_eq!(
@@ -229,7 +233,7 @@
     assert!(matches!(log.apply(third)[..], [Outcome::Registered(_)]));
     assert_eq!(log.apply_rejected(join), Rejection::AlreadyRegistered);
     let old = Command::Join {
-        who: who(4),
+        identity: identity(4),
         formats: Formats {
             oldest: 2,
             newest: 3,
--- a/control/src/versions/wire/mod.rs
+++ b/control/src/versions/wire/mod.rs
@@ -29,15 +29,15 @@
 #[derive(Clone, PartialEq, Message)]
 struct WireRegistration {
     #[prost(message, required, tag = "1")]
-    who: WireIdentity,
+    identity: WireIdentity,
     #[prost(uint64, tag = "2")]
     token: u64,
 }
 
 impl WireRegistration {
-    fn new(who: NodeIdentity, token: Token) -> WireRegistration {
+    fn new(identity: NodeIdentity, token: Token) -> WireRegistration {
         WireRegistration {
-            who: who.into(),
+            identity: identity.into(),
             token: token.0,
         }
     }
--- a/control/src/versions/wire/tests.rs
+++ b/control/src/versions/wire/tests.rs
@@ -29,7 +29,7 @@
         newest: 2,
     };
     let validation = |result| ToControl::ValidationResult {
-        who: A,
+        identity: A,
         token: TOKEN,
         topic: Topic::Operator,
         number: 4,
@@ -37,14 +37,14 @@
     };
     vec![
         ToControl::Heartbeat {
-            who: A,
+            identity: A,
             formats,
             token: None,
             sent_at: 1,
             known_index: Index(0),
         },
         ToControl::Heartbeat {
-            who: A,
+            identity: A,
             formats,
             token: Some(TOKEN),
             sent_at: u64::MAX,
@@ -53,19 +53,19 @@
         validation(Ok(())),
         validation(Err("invalid".into())),
         ToControl::ProposeVersion {
-            who: A,
+            identity: A,
             token: TOKEN,
             topic: Topic::Program,
             replaces: 4,
             content,
         },
         ToControl::Report {
-            who: A,
+            identity: A,
             sequence: 2,
             spans: vec![span, span],
         },
         ToControl::Leave {
-            who: A,
+            identity: A,
             token: TOKEN,
         },
     ]
@@ -102,7 +102,7 @@
     ];
     let mut all = vec![
         ToGateway::RegistrationRenewed {
-            who: A,
+            identity: A,
             token: TOKEN,
             sent_at: 5,
             required_index: Index(9),
@@ -119,7 +119,7 @@
             topics: Vec::new(),
         },
         ToGateway::RegistrationExpired {
-            who: A,
+            identity: A,
             token: TOKEN,
         },
         ToGateway::ProposalRejected {
@@ -129,13 +129,16 @@
             reason: "invalid".into(),
         },
         ToGateway::ReportCounted {
-            who: A,
+            identity: A,
             sequence: 3,
         },
         ToGateway::NotLeader { leader: None },
         ToGateway::NotLeader { leader: Some(2) },
     ];
-    all.extend(rejections.map(|reason| ToGateway::RequestRejected { who: A, reason }));
+    all.extend(rejections.map(|reason| ToGateway::RequestRejected {
+        identity: A,
+        reason,
+    }));
     all
 }
 
@@ -162,7 +165,7 @@
 fn messages_round_trip_and_damaged_bytes_are_errors() {
     for message in to_control() {
         assert_eq!(ToControl::decode(&message.encode()), Ok(message.clone()));
-        assert_eq!(message.who(), A);
+        assert_eq!(message.identity(), A);
         assert_damaged_bytes_are_safe(&message.encode(), ToControl::decode, ToControl::encode);
     }
     for message in to_gateway() {
@@ -180,7 +183,7 @@
         bytes: vec![0; MAX_CONTENT_BYTES + 1],
     };
     let proposal = ToControl::ProposeVersion {
-        who: A,
+        identity: A,
         token: TOKEN,
         topic: Topic::Catalog,
         replaces: 0,
@@ -198,7 +201,7 @@
         count: 8,
     };
     let report = ToControl::Report {
-        who: A,
+        identity: A,
         sequence: 1,
         spans: vec![span; MAX_SPANS_PER_REPORT + 1],
     };
--- a/control/src/versions/wire/to_control.rs
+++ b/control/src/versions/wire/to_control.rs
@@ -29,7 +29,7 @@
 #[derive(Clone, PartialEq, Message)]
 struct Heartbeat {
     #[prost(message, required, tag = "1")]
-    who: WireIdentity,
+    identity: WireIdentity,
     #[prost(uint32, tag = "2")]
     oldest: u32,
     #[prost(uint32, tag = "3")]
@@ -45,7 +45,7 @@
 #[derive(Clone, PartialEq, Message)]
 struct ValidationResult {
     #[prost(message, required, tag = "1")]
-    who: WireIdentity,
+    identity: WireIdentity,
     #[prost(uint64, tag = "2")]
     token: u64,
     #[prost(uint32, tag = "3")]
@@ -60,7 +60,7 @@
 #[derive(Clone, PartialEq, Message)]
 struct ProposeVersion {
     #[prost(message, required, tag = "1")]
-    who: WireIdentity,
+    identity: WireIdentity,
     #[prost(uint64, tag = "2")]
     token: u64,
     #[prost(uint32, tag = "3")]
@@ -96,13 +96,13 @@
     fn from(message: &ToControl) -> Kind {
         match message {
             ToControl::Heartbeat {
-                who,
+                identity,
                 formats,
                 token,
                 sent_at,
                 known_index,
             } => Kind::Heartbeat(Heartbeat {
-                who: (*who).into(),
+                identity: (*identity).into(),
                 oldest: formats.oldest,
                 newest: formats.newest,
                 token: token.map(|token| token.0),
@@ -110,26 +110,26 @@
                 known_index: known_index.0,
             }),
             ToControl::ValidationResult {
-                who,
+                identity,
                 token,
                 topic,
                 number,
                 result,
             } => Kind::ValidationResult(ValidationResult {
-                who: (*who).into(),
+                identity: (*identity).into(),
                 token: token.0,
                 topic: topic.number(),
                 number: *number,
                 reason: result.as_ref().err().cloned(),
             }),
             ToControl::ProposeVersion {
-                who,
+                identity,
                 token,
                 topic,
                 replaces,
                 content,
             } => Kind::ProposeVersion(ProposeVersion {
-                who: (*who).into(),
+                identity: (*identity).into(),
                 token: token.0,
                 topic: topic.number(),
                 replaces: *replaces,
@@ -137,11 +137,13 @@
                 content: content.bytes.clone(),
             }),
             ToControl::Report {
-                who,
+                identity,
                 sequence,
                 spans,
-            } => Kind::Report(WireReport::new(*who, *sequence, spans)),
-            ToControl::Leave { who, token } => Kind::Leave(WireRegistration::new(*who, *token)),
+            } => Kind::Report(WireReport::new(*identity, *sequence, spans)),
+            ToControl::Leave { identity, token } => {
+                Kind::Leave(WireRegistration::new(*identity, *token))
+            }
         }
     }
 }
@@ -152,7 +154,7 @@
     fn try_from(kind: Kind) -> Result<ToControl, DecodeError> {
         Ok(match kind {
             Kind::Heartbeat(heartbeat) => ToControl::Heartbeat {
-                who: heartbeat.who.into(),
+                identity: heartbeat.identity.into(),
                 formats: Formats {
                     oldest: heartbeat.oldest,
                     newest: heartbeat.newest,
@@ -162,7 +164,7 @@
                 known_index: Index(heartbeat.known_index),
             },
             Kind::ValidationResult(validation) => ToControl::ValidationResult {
-                who: validation.who.into(),
+                identity: validation.identity.into(),
                 token: Token(validation.token),
                 topic: decode_topic(validation.topic)?,
                 number: validation.number,
@@ -171,19 +173,19 @@
                     .map_or(Ok(()), |reason| Err(truncate_reason(&reason))),
             },
             Kind::ProposeVersion(proposal) => ToControl::ProposeVersion {
-                who: proposal.who.into(),
+                identity: proposal.identity.into(),
                 token: Token(proposal.token),
                 topic: decode_topic(proposal.topic)?,
                 replaces: proposal.replaces,
                 content: decode_content(proposal.format, proposal.content)?,
             },
             Kind::Report(report) => ToControl::Report {
-                who: report.who.into(),
+                identity: report.identity.into(),
                 sequence: report.sequence,
                 spans: report.spans()?,
             },
             Kind::Leave(registration) => ToControl::Leave {
-                who: registration.who.into(),
+                identity: registration.identity.into(),
                 token: Token(registration.token),
             },
         })
--- a/control/src/versions/wire/to_gateway.rs
+++ b/control/src/versions/wire/to_gateway.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, PartialEq, Message)]
 struct RegistrationRenewed {
     #[prost(message, required, tag = "1")]
-    who: WireIdentity,
+    identity: WireIdentity,
     #[prost(uint64, tag = "2")]
     token: u64,
     #[prost(uint64, tag = "3")]
@@ -79,7 +79,7 @@
 #[derive(Clone, PartialEq, Message)]
 struct RequestRejected {
     #[prost(message, required, tag = "1")]
-    who: WireIdentity,
+    identity: WireIdentity,
     /// The code of the reason; [`RequestRejected::new`] assigns them.
     #[prost(uint32, tag = "2")]
     code: u32,
@@ -103,7 +103,7 @@
 #[derive(Clone, PartialEq, Message)]
 struct ReportCounted {
     #[prost(message, required, tag = "1")]
-    who: WireIdentity,
+    identity: WireIdentity,
     #[prost(uint64, tag = "2")]
     sequence: u64,
 }
@@ -137,13 +137,13 @@
     fn from(message: &ToGateway) -> Kind {
         match message {
             ToGateway::RegistrationRenewed {
-                who,
+                identity,
                 token,
                 sent_at,
                 required_index,
                 registrations,
             } => Kind::RegistrationRenewed(RegistrationRenewed {
-                who: (*who).into(),
+                identity: (*identity).into(),
                 token: token.0,
                 sent_at: *sent_at,
                 required_index: required_index.0,
@@ -158,11 +158,11 @@
                 since: since.0,
                 topics: topics.iter().map(WireTopicState::from).collect(),
             }),
-            ToGateway::RegistrationExpired { who, token } => {
-                Kind::RegistrationExpired(WireRegistration::new(*who, *token))
+            ToGateway::RegistrationExpired { identity, token } => {
+                Kind::RegistrationExpired(WireRegistration::new(*identity, *token))
             }
-            ToGateway::RequestRejected { who, reason } => {
-                Kind::RequestRejected(RequestRejected::new(*who, *reason))
+            ToGateway::RequestRejected { identity, reason } => {
+                Kind::RequestRejected(RequestRejected::new(*identity, *reason))
             }
             ToGateway::ProposalRejected {
                 topic,
@@ -175,8 +175,8 @@
                 by: (*by).into(),
                 reason: reason.clone(),
             }),
-            ToGateway::ReportCounted { who, sequence } => Kind::ReportCounted(ReportCounted {
-                who: (*who).into(),
+            ToGateway::ReportCounted { identity, sequence } => Kind::ReportCounted(ReportCounted {
+                identity: (*identity).into(),
                 sequence: *sequence,
             }),
             ToGateway::NotLeader { leader } => Kind::NotLeader(NotLeader { leader: *leader }),
@@ -190,7 +190,7 @@
     fn try_from(kind: Kind) -> Result<ToGateway, DecodeError> {
         Ok(match kind {
             Kind::RegistrationRenewed(renewed) => ToGateway::RegistrationRenewed {
-                who: renewed.who.into(),
+                identity: renewed.identity.into(),
                 token: Token(renewed.token),
                 sent_at: renewed.sent_at,
                 required_index: Index(renewed.required_index),
@@ -202,11 +202,11 @@
                 topics: topic_states(states.topics)?,
             },
             Kind::RegistrationExpired(registration) => ToGateway::RegistrationExpired {
-                who: registration.who.into(),
+                identity: registration.identity.into(),
                 token: Token(registration.token),
             },
             Kind::RequestRejected(rejected) => ToGateway::RequestRejected {
-                who: rejected.who.into(),
+                identity: rejected.identity.into(),
                 reason: rejected.reason()?,
             },
             Kind::ProposalRejected(rejected) => ToGateway::ProposalRejected {
@@ -216,7 +216,7 @@
                 reason: truncate_reason(&rejected.reason),
             },
             Kind::ReportCounted(counted) => ToGateway::ReportCounted {
-                who: counted.who.into(),
+                identity: counted.identity.into(),
                 sequence: counted.sequence,
             },
             Kind::NotLeader(not_leader) => ToGateway::NotLeader {
@@ -279,7 +279,7 @@
 }
 
 impl RequestRejected {
-    fn new(who: NodeIdentity, reason: Rejection) -> RequestRejected {
+    fn new(identity: NodeIdentity, reason: Rejection) -> RequestRejected {
         let (code, number) = match reason {
             Rejection::StaleRegistration => (1, 0),
             Rejection::AlreadyRegistered => (2, 0),
@@ -291,7 +291,7 @@
             Rejection::AlreadyDecided => (8, 0),
         };
         RequestRejected {
-            who: who.into(),
+            identity: identity.into(),
             code,
             number,
         }
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -441,9 +441,9 @@
             return self.dial(number, other);
         }
         self.gateways[number].link = Some(member);
-        let who = identity(number, self.gateways[number].incarnation);
+        let identity = identity(number, self.gateways[number].incarnation);
         self.in_flight
-            .push((self.now_us, InFlight::Connected(member, who)));
+            .push((self.now_us, InFlight::Connected(member, identity)));
         self.gateway_event(number, client::Event::Connected);
     }
 
@@ -474,8 +474,8 @@
 
     fn act(&mut self, number: usize) {
         if let Some((version, _)) = self.usable_version(number) {
-            let who = identity(number, self.gateways[number].incarnation);
-            *self.actions.entry(who).or_default() += 1;
+            let identity = identity(number, self.gateways[number].incarnation);
+            *self.actions.entry(identity).or_default() += 1;
             self.gateway_event(
                 number,
                 client::Event::Acted {
@@ -534,8 +534,8 @@
                     10,
                 );
             }
-            coordinator::Action::Send(who, message) => {
-                self.send_to_gateway(number, who.gateway as usize - 1, message)
+            coordinator::Action::Send(identity, message) => {
+                self.send_to_gateway(number, identity.gateway as usize - 1, message)
             }
             coordinator::Action::Broadcast(message) => {
                 for gateway in 0..GATEWAYS {
@@ -652,8 +652,8 @@
             InFlight::ToControl(member, message) => {
                 self.member_event(member, coordinator::Event::Received(message));
             }
-            InFlight::Connected(member, who) => {
-                self.member_event(member, coordinator::Event::Connected(who))
+            InFlight::Connected(member, identity) => {
+                self.member_event(member, coordinator::Event::Connected(identity))
             }
             InFlight::ToGateway(gateway, message) => {
                 self.gateway_event(gateway, client::Event::Received(message));
@@ -866,14 +866,14 @@
             }
         }
         for (number, (_, token)) in acting {
-            let who = identity(number, self.gateways[number].incarnation);
+            let identity = identity(number, self.gateways[number].incarnation);
             if self
                 .reference
-                .registration(who)
+                .registration(identity)
                 .is_none_or(|registration| registration.token != token)
             {
                 let violation = format!(
-                    "{} us: {who:?} acts under {token:?}, which is not its registration",
+                    "{} us: {identity:?} acts under {token:?}, which is not its registration",
                     self.now_us
                 );
                 self.observed.violations.push(violation);
@@ -929,12 +929,15 @@
 
     fn record_counts(&mut self) {
         let audit = self.reference.audit();
-        for (who, actions) in &self.actions {
-            let entries = audit.entries().iter().filter(|entry| entry.who == *who);
+        for (identity, actions) in &self.actions {
+            let entries = audit
+                .entries()
+                .iter()
+                .filter(|entry| entry.identity == *identity);
             let ran_until_end =
-                self.gateways[who.gateway as usize - 1].incarnation == who.incarnation;
+                self.gateways[identity.gateway as usize - 1].incarnation == identity.incarnation;
             self.observed.counts.push((
-                *who,
+                *identity,
                 *actions,
                 entries.map(|entry| entry.span.count).sum(),
                 ran_until_end,
@@ -992,7 +995,7 @@
         durations.push(observed.active_everywhere_after.unwrap_or_else(|| {
             panic!("seed {seed}: no version became active everywhere after the faults")
         }));
-        for (who, actions, counted, ran_until_end) in observed.counts {
+        for (identity, actions, counted, ran_until_end) in observed.counts {
             // The last actions before a restart are not reported. No action counts twice.
             let matches_audit = if ran_until_end {
                 counted == actions
@@ -1001,7 +1004,7 @@
             };
             assert!(
                 matches_audit,
-                "seed {seed}: {who:?} began {actions} actions, and the audit has {counted}"
+                "seed {seed}: {identity:?} began {actions} actions, and the audit has {counted}"
             );
         }
         (active, rejections) = (
--- a/tests/versions_model.rs
+++ b/tests/versions_model.rs
@@ -220,9 +220,9 @@
                         committed,
                     });
                 }
-                coordinator::Action::Send(who, message) => {
+                coordinator::Action::Send(identity, message) => {
                     self.in_flight
-                        .push(InFlight::ToGateway(who.gateway as usize, message));
+                        .push(InFlight::ToGateway(identity.gateway as usize, message));
                 }
                 coordinator::Action::Broadcast(message) => {
                     let all = 0..self.gateways.len();
