--- a/tests/cells_fronts.rs
+++ b/tests/cells_fronts.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 /// How long anything is waited for: far longer than it takes on a slow machine.
-const PATIENCE: Duration = Duration::from_secs(30);
+const WAIT_LIMIT: Duration = Duration::from_secs(30);
 
 /// A tenant's home in this cell, with this epoch.
 fn home(cell: u16, epoch: u64) -> Home {
@@ -83,7 +83,7 @@
         let gateway = Gateway::start(&plan).expect("started");
         let up = |line: &serde_json::Value| line["scope"] == "gateway" && line["state"] == "Up";
         assert!(
-            gateway.logged(0, PATIENCE, up).is_some(),
+            gateway.logged(0, WAIT_LIMIT, up).is_some(),
             "the gateway did not get ready: {:?}",
             gateway.log()
         );
@@ -121,7 +121,7 @@
 impl Client {
     fn connect(address: SocketAddr, user: &str) -> Client {
         let stream = TcpStream::connect(address).expect("connected");
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
+        stream.set_read_timeout(Some(WAIT_LIMIT)).expect("set");
         let mut client = Client(stream);
         let parameters = format!("user\0{user}\0database\0orders\0\0");
         let length = (parameters.len() as u32 + 8).to_be_bytes();
@@ -129,12 +129,12 @@
             .0
             .write_all(&[&length[..], &[0, 3, 0, 0], parameters.as_bytes()].concat())
             .expect("sent");
-        client.answer();
+        client.read_answer();
         client
     }
 
     /// Reads messages up to ReadyForQuery; returns the SQLSTATE of an error, or `None` if there was none.
-    fn answer(&mut self) -> Option<String> {
+    fn read_answer(&mut self) -> Option<String> {
         let mut code = None;
         loop {
             let mut tag = [0];
@@ -166,7 +166,7 @@
         self.0
             .write_all(&message(b'Q', text.as_bytes()))
             .expect("sent");
-        self.answer()
+        self.read_answer()
     }
 }
 
@@ -194,7 +194,7 @@
     setup.publish(&published(2, &[("a", held), ("b", home(1, 1))]));
     let began = Instant::now();
     while a.request(&format!("h{}", began.elapsed().as_nanos()), true) != Some("53300".into()) {
-        assert!(began.elapsed() < PATIENCE);
+        assert!(began.elapsed() < WAIT_LIMIT);
     }
     assert_eq!(
         (a.request("ar", false), b.request("b11", true)),
@@ -207,7 +207,7 @@
         .request(&format!("m{}", began.elapsed().as_nanos()), true)
         .is_some()
     {
-        assert!(began.elapsed() < PATIENCE);
+        assert!(began.elapsed() < WAIT_LIMIT);
     }
     assert_eq!(setup.groups("m"), [1]);
     for (bytes, reason) in [
@@ -222,7 +222,7 @@
                 .is_some_and(|text| text.contains(reason))
         };
         assert!(
-            setup.gateway.logged(from, PATIENCE, warned).is_some(),
+            setup.gateway.logged(from, WAIT_LIMIT, warned).is_some(),
             "{reason}"
         );
         assert_eq!(a.request(&format!("n{reason}"), true), None);
@@ -253,7 +253,7 @@
         if sent_at.elapsed() < Duration::from_millis(100) {
             break;
         }
-        assert!(began.elapsed() < PATIENCE);
+        assert!(began.elapsed() < WAIT_LIMIT);
     }
     let mut took = Vec::new();
     for number in 0..20 {
@@ -275,7 +275,7 @@
         .request(&format!("r{}", began.elapsed().as_nanos()), false)
         .is_some()
     {
-        assert!(began.elapsed() < PATIENCE);
+        assert!(began.elapsed() < WAIT_LIMIT);
         std::thread::sleep(Duration::from_millis(20));
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -96,7 +96,7 @@
     pub router: Router,
     pub now: Micros,
     /// The id of the next request to arrive.
-    pub next: u64,
+    pub next_request_id: u64,
 }
 
 pub(crate) fn endpoint(member: u32, state: EndpointState, started: Micros) -> Endpoint {
@@ -137,7 +137,7 @@
         let mut gateway = TestGateway {
             router,
             now: START,
-            next: 0,
+            next_request_id: 0,
         };
         let list = (0..members)
             .map(|m| endpoint(m, EndpointState::Ready, 0))
@@ -221,8 +221,8 @@
         session: Option<u64>,
         since_write: Option<Micros>,
     ) -> (RequestId, Vec<Action>) {
-        let request = RequestId(self.next);
-        self.next += 1;
+        let request = RequestId(self.next_request_id);
+        self.next_request_id += 1;
         let actions = self.event(Event::RequestArrived(Arrival {
             request,
             class: ClassId(class),
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -69,7 +69,7 @@
         assert!(changed.contains(FLEET) && changed.contains(seed));
         changed
     };
-    staged(
+    start_with_databases(
         databases.map(|watched| watched.database.address),
         discovery,
         change,
@@ -121,7 +121,7 @@
     let mut number = 0;
     while Instant::now() < binds_at + Duration::from_secs(1) {
         client.send(&query(&read(&format!("r{number}"))));
-        client.answer();
+        client.read_answer();
         number += 1;
         thread::sleep(Duration::from_millis(10));
     }
@@ -146,14 +146,14 @@
     let address = discovery.local_addr().expect("bound");
     let (_gateway, _log) = start_in_fleet([&primary, &replica], address, "8c1f30d27a5be964");
     let list = delta(2, &replica_entry("draining", replica.database.address));
-    let mut call = next_call(&discovery, PATIENCE).expect("a first call");
+    let mut call = next_call(&discovery, WAIT_LIMIT).expect("a first call");
     for cut in [1, 9, 40, list.len() / 2, list.len() - 3] {
         let mut watch = asterreel_testbench::database::Watch::begin(call).expect("begun");
         watch.tell(&delta(1, "")).expect("told");
         watch.tell(&list[..cut]).expect("told");
         drop(watch);
         let cut_at = Instant::now();
-        call = next_call(&discovery, PATIENCE).expect("a further call");
+        call = next_call(&discovery, WAIT_LIMIT).expect("a further call");
         let took = cut_at.elapsed();
         assert!(
             took < Duration::from_millis(500) + SLOW_MACHINE_ALLOWANCE,
@@ -190,7 +190,7 @@
     let discovery = listen();
     let address = discovery.local_addr().expect("bound");
     let (_gateway, _log) = start_in_fleet([&primary, &replica], address, "8c1f30d27a5be964");
-    let call = next_call(&discovery, PATIENCE).expect("a first call");
+    let call = next_call(&discovery, WAIT_LIMIT).expect("a first call");
     let mut watch = asterreel_testbench::database::Watch::begin(call).expect("begun");
     watch.tell(&delta(1, "")).expect("told");
     thread::sleep(Duration::from_millis(200));
@@ -198,7 +198,7 @@
     let lost_at = Instant::now();
     let mut began = Vec::new();
     for _ in 0..3 {
-        let call = next_call(&discovery, PATIENCE).expect("a further call");
+        let call = next_call(&discovery, WAIT_LIMIT).expect("a further call");
         began.push(lost_at.elapsed());
         thread::spawn(move || reject_after_queueing(call));
     }
@@ -228,7 +228,7 @@
         let address = discovery.local_addr().expect("bound");
         let started_at = Instant::now();
         let (gateway, log) = start_in_fleet([&primary, &replica], address, "8c1f30d27a5be964");
-        let call = next_call(&discovery, PATIENCE).expect("a first call");
+        let call = next_call(&discovery, WAIT_LIMIT).expect("a first call");
         assert!(
             started_at.elapsed() < Duration::from_secs(2) + SLOW_MACHINE_ALLOWANCE,
             "{:?}",
@@ -242,13 +242,13 @@
             let mut watch = asterreel_testbench::database::Watch::begin(call).expect("begun");
             watch.tell(&delta(1, "")).expect("told");
             assert!(
-                log.says("serving"),
+                log.wait_for_line("serving"),
                 "the gateway did not serve after its list had arrived"
             );
             assert!(accepts_clients(&gateway));
         } else {
-            assert!(log.says("no list from discovery yet"));
-            assert!(log.says("serving"));
+            assert!(log.wait_for_line("no list from discovery yet"));
+            assert!(log.wait_for_line("serving"));
             let took = started_at.elapsed();
             let expected = Duration::from_millis(3_400)..Duration::from_millis(4_500);
             assert!(expected.contains(&took), "served after {took:?}");
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -73,7 +73,7 @@
         let (sender, statements) = channel();
         let databases = [(); 2].map(|()| Database::start(false, true, &sender, override_answer));
         let addresses = addresses_of(&databases);
-        let (gateway, log) = staged(addresses, refusing_address(), |config| config);
+        let (gateway, log) = start_with_databases(addresses, refusing_address(), |config| config);
         Fixture {
             gateway,
             log,
@@ -106,7 +106,7 @@
     fn assert_session_ended_without_dispatch(&self) {
         assert!(self
             .log
-            .says("session ended: the client disconnected or stopped reading"));
+            .wait_for_line("session ended: the client disconnected or stopped reading"));
         self.promote_primary();
         assert_eq!(self.take_dispatched_ids(), [""; 0]);
     }
@@ -114,8 +114,12 @@
     /// Waits until the write with this id has used up its attempts at replicas, after which it is queued for a primary.
     fn wait_until_queued(&self, write_id: &str) {
         for _ in 0..7 {
-            while request_id(&self.statements.recv_timeout(PATIENCE).expect("an attempt"))
-                != write_id
+            while request_id(
+                &self
+                    .statements
+                    .recv_timeout(WAIT_LIMIT)
+                    .expect("an attempt"),
+            ) != write_id
             {}
         }
     }
@@ -126,7 +130,7 @@
         for proof in ["proof-1", "proof-2"] {
             let mut client = Client::ready(&self.gateway);
             client.send(&query(&write(proof)));
-            assert_eq!(client.answer().0, "TDCZ");
+            assert_eq!(client.read_answer().0, "TDCZ");
         }
     }
 
@@ -166,7 +170,7 @@
     let (fixture, mut client) = Fixture::with_queued_write("half");
     client.0.shutdown(std::net::Shutdown::Write).expect("shut");
     fixture.assert_session_ended_without_dispatch();
-    assert_eq!(client.answer().0, "", "closed");
+    assert_eq!(client.read_answer().0, "", "closed");
 }
 
 /// Requests that a client pipelined before its close are not dispatched either.
@@ -189,7 +193,7 @@
     let one = query(&[&read("ahead")[..], &vec![b' '; 20_000]].concat());
     (0..10).for_each(|_| client.send(&one));
     drop(client);
-    fixture.log.says_within(
+    fixture.log.wait_for_line_within(
         "session ended: the client disconnected or stopped reading",
         Duration::from_secs(5),
     );
@@ -219,7 +223,7 @@
     (0..30).for_each(|_| {
         assert!(fixture
             .log
-            .says("session ended: the client disconnected or stopped reading"))
+            .wait_for_line("session ended: the client disconnected or stopped reading"))
     });
     fixture.promote_primary();
     assert_eq!(fixture.take_dispatched_ids(), [""; 0]);
@@ -242,7 +246,7 @@
     client.send(&query(&read("gone")));
     fixture
         .statements
-        .recv_timeout(PATIENCE)
+        .recv_timeout(WAIT_LIMIT)
         .expect("a first attempt");
     fixture.gateway.signal("-STOP");
     drop(client);
@@ -269,14 +273,14 @@
     let cancel = |key: &[u8]| {
         let mut canceller = Client::connect(&fixture.gateway);
         canceller.send(&cancel_request(key));
-        assert_eq!(canceller.answer().0, "", "no answer");
+        assert_eq!(canceller.read_answer().0, "", "no answer");
     };
     cancel(&key);
     client.send(&query(&write("before")));
-    assert_eq!(client.answer().0, "TDCZ");
+    assert_eq!(client.read_answer().0, "TDCZ");
     fixture.databases[0].gate.set(false);
     client.send(&query(&write("held")));
-    while request_id(&fixture.statements.recv_timeout(PATIENCE).expect("sent")) != "held" {}
+    while request_id(&fixture.statements.recv_timeout(WAIT_LIMIT).expect("sent")) != "held" {}
     let wrong_key = [&key[..4], &[key[4] ^ 1], &key[5..]].concat();
     cancel(&wrong_key);
     cancel(&other_key);
@@ -287,11 +291,11 @@
     );
     client.0.set_nonblocking(false).expect("set");
     cancel(&key);
-    let (tags, bytes) = client.answer();
+    let (tags, bytes) = client.read_answer();
     assert_eq!((tags.as_str(), error_code(&bytes)), ("EZ", &b"57014"[..]));
     fixture.databases[0].gate.set(true);
     client.send(&query(&read("after")));
-    assert_eq!(client.answer().0, "TDCZ", "the session goes on");
+    assert_eq!(client.read_answer().0, "TDCZ", "the session goes on");
     assert_eq!(
         fixture.take_dispatched_ids(),
         ["after"],
@@ -308,7 +312,7 @@
     fixture.wait_until_queued("waits");
     let mut canceller = Client::connect(&fixture.gateway);
     canceller.send(&cancel_request(&key));
-    let (tags, bytes) = client.answer();
+    let (tags, bytes) = client.read_answer();
     assert_eq!((tags.as_str(), error_code(&bytes)), ("EZ", &b"57014"[..]));
     fixture.promote_primary();
     assert_eq!(fixture.take_dispatched_ids(), [""; 0]);
@@ -320,9 +324,10 @@
 fn busy_client_does_not_delay_a_drain() {
     let (statements, seen) = channel();
     let databases = primary_and_replica(&statements);
-    let (mut gateway, log) = staged(addresses_of(&databases), refusing_address(), |config| {
-        config
-    });
+    let (mut gateway, log) =
+        start_with_databases(addresses_of(&databases), refusing_address(), |config| {
+            config
+        });
     // One client waits for each answer, the other keeps sending without waiting.
     let mut waiting = Client::ready(&gateway);
     let mut pipelining = Client::ready(&gateway);
@@ -335,7 +340,7 @@
                 .flat_map(|n| query(&read(&format!("sent-{n}"))))
                 .collect();
             thread::sleep(Duration::from_millis(1));
-            begun.elapsed() > PATIENCE || sending.write_all(&ten).is_err()
+            begun.elapsed() > WAIT_LIMIT || sending.write_all(&ten).is_err()
         });
     });
     let reader = thread::spawn(move || {
@@ -347,7 +352,7 @@
             > 0
         {
             assert_eq!(
-                pipelining.answer().0,
+                pipelining.read_answer().0,
                 "TDCZ",
                 "complete, after {answers} answers"
             );
@@ -357,9 +362,9 @@
     });
     let mut answers = 0;
     gateway.signal("-TERM");
-    assert!(log.says("draining"));
+    assert!(log.wait_for_line("draining"));
     let drained = Instant::now();
-    while drained.elapsed() < PATIENCE {
+    while drained.elapsed() < WAIT_LIMIT {
         waiting.send(&query(&read(&format!("asked-{answers}"))));
         if waiting
             .0
@@ -370,7 +375,7 @@
             break;
         }
         assert_eq!(
-            waiting.answer().0,
+            waiting.read_answer().0,
             "TDCZ",
             "complete, after {answers} answers"
         );
@@ -404,9 +409,10 @@
 fn unread_bytes_do_not_reset_the_last_answer() {
     let (statements, _seen) = channel();
     let databases = primary_and_replica(&statements);
-    let (gateway, _log) = staged(addresses_of(&databases), refusing_address(), |config| {
-        config
-    });
+    let (gateway, _log) =
+        start_with_databases(addresses_of(&databases), refusing_address(), |config| {
+            config
+        });
     let mut client = Client::ready(&gateway);
     // An invalid message, followed by far more bytes than one read returns.
     client.send(&[&[0xff; 5][..], &[b'x'; 100_000]].concat());
@@ -446,7 +452,8 @@
             .flatten()
             .for_each(|client| drop(thread::spawn(move || serve_endless_notices(client))))
     });
-    let (gateway, _log) = staged([good.address, endless], refusing_address(), |config| config);
+    let (gateway, _log) =
+        start_with_databases([good.address, endless], refusing_address(), |config| config);
     let begun = Instant::now();
     let mut waiting = Client::ready(&gateway);
     let statement = String::from_utf8_lossy(&read("endless")).replace("d=60000", "d=1500");
@@ -454,15 +461,15 @@
     let mut served = 0;
     while waiting.0.set_nonblocking(true).is_ok()
         && waiting.0.peek(&mut [0]).is_err()
-        && begun.elapsed() < PATIENCE
+        && begun.elapsed() < WAIT_LIMIT
     {
         let mut other = Client::ready(&gateway);
         other.send(&query(&write(&format!("other-{served}"))));
-        assert_eq!(other.answer().0, "TDCZ");
+        assert_eq!(other.read_answer().0, "TDCZ");
         served += 1;
     }
     waiting.0.set_nonblocking(false).expect("set");
-    let tags = waiting.answer().0;
+    let tags = waiting.read_answer().0;
     assert!(tags == "EZ" || tags == "TDCZ", "{tags}");
     assert!(
         served > 0 && begun.elapsed() < Duration::from_secs(10),
@@ -506,7 +513,7 @@
         .collect();
     client.send(&all);
     for n in 0..5 {
-        assert_eq!(client.answer().0, "EZ", "request {n}");
+        assert_eq!(client.read_answer().0, "EZ", "request {n}");
         assert!(
             sent.elapsed() < REQUEST_DEADLINE + MAX_DELAY,
             "request {n} is answered after {:?}",
@@ -519,11 +526,11 @@
         .iter()
         .for_each(|database| database.gate.set(true));
     client.send(&query(&read("after")));
-    assert_eq!(client.answer().0, "TDCZ");
+    assert_eq!(client.read_answer().0, "TDCZ");
     // Requests whose deadline had passed when their turn came were not passed to the router.
     let lines = fixture
         .log
-        .lines_up_to("request done request=2 ", PATIENCE)
+        .lines_up_to("request done request=2 ", WAIT_LIMIT)
         .expect("logged");
     let passed = lines
         .iter()
@@ -564,14 +571,14 @@
         sent.elapsed() < REQUEST_DEADLINE,
         "everything is sent while the first request is still open"
     );
-    assert_eq!(client.answer().0, "EZ");
+    assert_eq!(client.read_answer().0, "EZ");
     assert!(
         sent.elapsed() < REQUEST_DEADLINE + MAX_DELAY,
         "the first is answered after {:?}",
         sent.elapsed()
     );
     for n in [2, 3] {
-        assert_eq!(client.answer().0, "EZ");
+        assert_eq!(client.read_answer().0, "EZ");
         let took = complete.elapsed();
         assert!(
             took > REQUEST_DEADLINE - MAX_LEAD && took < REQUEST_DEADLINE + MAX_DELAY,
@@ -605,12 +612,13 @@
                     .replace("\"FleetSize\": 1,", &format!("{fleet_size},"))
                     .replace("10000000,", "60000000,")
             };
-            let (gateway, log) = staged([refusing_address(), refusing_address()], address, change);
+            let (gateway, log) =
+                start_with_databases([refusing_address(), refusing_address()], address, change);
             assert!(
                 gateway.config.contains(&fleet_size)
                     && gateway.config.contains("\"AskEveryUs\": 60000000")
             );
-            (0..4).for_each(|_| assert!(log.says("watch lost"), "refused"));
+            (0..4).for_each(|_| assert!(log.wait_for_line("watch lost"), "refused"));
             let reachable = Instant::now();
             let discovery = listen_with_retries(address);
             accept_call(&discovery).expect("the gateway calls discovery");
@@ -674,12 +682,12 @@
             let change = |config: String| {
                 config.replace("\"FleetSize\": 1,", &format!("\"FleetSize\": {fleet},"))
             };
-            let (gateway, _log) = staged(addresses, discovery, change);
+            let (gateway, _log) = start_with_databases(addresses, discovery, change);
             let mut client = Client::ready(&gateway);
             client.send(&query(b""));
-            assert_eq!(client.answer().0, "IZ", "ready");
+            assert_eq!(client.read_answer().0, "IZ", "ready");
             client.send(&query(&write("w")));
-            assert_eq!(client.answer().0, "TDCZ");
+            assert_eq!(client.read_answer().0, "TDCZ");
             assert!(
                 begun.elapsed() < Duration::from_secs(5),
                 "served {:?} after the start of the gateway",
@@ -699,15 +707,16 @@
     let (statements, seen) = channel();
     let databases = primary_and_replica(&statements);
     let addresses = addresses_of(&databases);
-    let (gateway, log) = staged(addresses, address, |config| config.replace("1024", "96"));
+    let (gateway, log) =
+        start_with_databases(addresses, address, |config| config.replace("1024", "96"));
     let mut idle: Vec<Client> = (0..60).map(|_| Client::ready(&gateway)).collect();
     databases
         .iter()
         .for_each(|database| database.gate.set(false));
     let mut busy = Client::ready(&gateway);
     busy.send(&query(&write("busy")));
-    while request_id(&seen.recv_timeout(PATIENCE).expect("sent")) != "busy" {}
-    assert!(log.says("watch lost"), "discovery is down");
+    while request_id(&seen.recv_timeout(WAIT_LIMIT).expect("sent")) != "busy" {}
+    assert!(log.wait_for_line("watch lost"), "discovery is down");
     let open = open_descriptors(&gateway);
     assert!(open <= 96, "{open} descriptors");
     let discovery = listen_with_retries(address);
@@ -730,9 +739,9 @@
         .for_each(|database| database.gate.set(true));
     let last = idle.last_mut().expect("30 clients");
     last.send(&query(&read("asks")));
-    assert_eq!(last.answer().0, "TDCZ");
+    assert_eq!(last.read_answer().0, "TDCZ");
     assert_eq!(
-        busy.answer().0,
+        busy.read_answer().0,
         "TDCZ",
         "a session with an open request is not closed"
     );
@@ -763,10 +772,11 @@
             .flatten()
             .try_for_each(|client| accepted.send(client))
     });
-    let (gateway, _log) = staged([good.address, silent], refusing_address(), |config| config);
+    let (gateway, _log) =
+        start_with_databases([good.address, silent], refusing_address(), |config| config);
     let mut client = Client::ready(&gateway);
     for n in 0..10 {
         client.send(&query(&read(&format!("r-{n}"))));
-        assert_eq!(client.answer().0, "TDCZ");
+        assert_eq!(client.read_answer().0, "TDCZ");
     }
 }
--- a/tests/failures/selection.rs
+++ b/tests/failures/selection.rs
@@ -100,7 +100,7 @@
 fn idle_replica_gets_concentrated_reads_again() {
     let (gateway, held) = concentrated(390 * MS, false);
     assert!(
-        !held && gateway.next == 20,
+        !held && gateway.next_request_id == 20,
         "each answer allows the next dispatch"
     );
 }
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -16,10 +16,10 @@
     let mut client = Client::connect(&gateway);
     // The startup message and the first query arrive in one packet.
     client.send(&[startup(), query(b"")].concat());
-    assert_eq!(client.answer().0, "RSSKZ");
-    assert_eq!(client.answer().0, "IZ");
+    assert_eq!(client.read_answer().0, "RSSKZ");
+    assert_eq!(client.read_answer().0, "IZ");
     client.send(&query(&read("a")));
-    let (tags, bytes) = client.answer();
+    let (tags, bytes) = client.read_answer();
     assert_eq!(tags, "TDCZ");
     assert!(bytes.starts_with(&toy::row(b"\x9f\x03toy")));
     let seen = gateway
@@ -59,7 +59,7 @@
         ]
         .concat(),
     );
-    let tags: Vec<String> = (0..4).map(|_| client.answer().0).collect();
+    let tags: Vec<String> = (0..4).map(|_| client.read_answer().0).collect();
     assert_eq!(tags, ["TDCZ", "CZ", "TDCZ", "IZ"]);
 }
 
@@ -71,8 +71,8 @@
     let mut clients: Vec<Client> = (0..60).map(|_| Client::ready(&gateway)).collect();
     let last = clients.last_mut().expect("60 clients");
     last.send(&query(&read("z")));
-    assert_eq!(last.answer().0, "TDCZ");
-    assert_eq!(clients[0].answer().0, "", "closed between requests");
+    assert_eq!(last.read_answer().0, "TDCZ");
+    assert_eq!(clients[0].read_answer().0, "", "closed between requests");
 }
 
 /// Clients that stay connected after one request do not keep others from being served.
@@ -84,19 +84,19 @@
     for n in 0..128 {
         let mut client = Client::ready(&gateway);
         client.send(&query(&read(&format!("once-{n}"))));
-        assert_eq!(client.answer().0, "TDCZ");
+        assert_eq!(client.read_answer().0, "TDCZ");
         idle.push(client);
     }
     for client in &mut idle[..32] {
         assert_eq!(
-            client.answer().0,
+            client.read_answer().0,
             "",
             "those that have been idle longest are closed"
         );
     }
     let last = idle.last_mut().expect("128 clients");
     last.send(&query(&read("again")));
-    assert_eq!(last.answer().0, "TDCZ");
+    assert_eq!(last.read_answer().0, "TDCZ");
 }
 
 /// Connections that send nothing do not use up the connections of clients.
@@ -108,9 +108,9 @@
     // Neither the client that was ready before the silent connections nor one that connects after them is displaced.
     for client in [&mut client, &mut Client::ready(&gateway)] {
         client.send(&query(&read("s")));
-        assert_eq!(client.answer().0, "TDCZ");
+        assert_eq!(client.read_answer().0, "TDCZ");
     }
-    let mut answers = silent.iter_mut().map(|one| one.answer().0);
+    let mut answers = silent.iter_mut().map(|one| one.read_answer().0);
     assert!(
         answers.any(|tags| tags == "E"),
         "silent connections get an error when their time for the startup is over"
@@ -128,7 +128,7 @@
     let mut incomplete = [(); 3].map(|()| Client::connect(&gateway));
     incomplete[1].send(&startup()[..9]);
     incomplete[2].send(&[startup(), complete[..30].to_vec()].concat());
-    assert_eq!(incomplete[2].answer().0, "RSSKZ");
+    assert_eq!(incomplete[2].read_answer().0, "RSSKZ");
     let mut slow = Client::ready(&gateway);
     slow.0
         .set_read_timeout(Some(Duration::from_millis(100)))
@@ -141,12 +141,12 @@
         .set_read_timeout(Some(Duration::from_secs(20)))
         .expect("set");
     for client in incomplete.iter_mut().chain([&mut slow]) {
-        let (tags, bytes) = client.answer();
+        let (tags, bytes) = client.read_answer();
         assert_eq!((tags.as_str(), error_code(&bytes)), ("E", &b"08P01"[..]));
     }
     client.send(&complete);
     assert_eq!(
-        client.answer().0,
+        client.read_answer().0,
         "TDCZ",
         "a client that was idle meanwhile is served"
     );
@@ -163,13 +163,13 @@
     client.send(&query(
         b"INSERT INTO entries VALUES ('k') /* id=w,c=booking,d=5000,cluster=0 */",
     ));
-    let (tags, bytes) = client.answer();
+    let (tags, bytes) = client.read_answer();
     // The write may have run, so that it is answered as failed and not as rejected.
     assert_eq!((tags.as_str(), error_code(&bytes)), ("EZ", &b"58000"[..]));
     let is_write = |statement: &Vec<u8>| statement.starts_with(b"INSERT");
     assert_eq!(gateway.statements.try_iter().filter(is_write).count(), 1);
     client.send(&query(&read("r")));
-    let (tags, bytes) = client.answer();
+    let (tags, bytes) = client.read_answer();
     assert_eq!((tags.as_str(), error_code(&bytes)), ("EZ", &b"53300"[..]));
     assert!(
         gateway.statements.try_iter().count() > 1,
@@ -187,7 +187,7 @@
     client.send(&query(
         b"INSERT INTO entries VALUES ('k') /* id=w,c=booking,d=5000,cluster=0 */",
     ));
-    let (tags, bytes) = client.answer();
+    let (tags, bytes) = client.read_answer();
     assert_eq!((tags.as_str(), error_code(&bytes)), ("EZ", &b"58000"[..]));
     assert_eq!(gateway.statements.try_iter().count(), 1);
 }
@@ -200,7 +200,7 @@
     });
     let mut client = Client::ready(&gateway);
     client.send(&query(&read("u")));
-    let (tags, bytes) = client.answer();
+    let (tags, bytes) = client.read_answer();
     assert_eq!((tags.as_str(), error_code(&bytes)), ("EZ", &b"58000"[..]));
     assert_eq!(gateway.statements.try_iter().count(), 1);
 }
@@ -230,7 +230,7 @@
             .set_read_timeout(Some(Duration::from_secs(20)))
             .expect("set");
     }
-    let (tags, bytes) = clients[second].answer();
+    let (tags, bytes) = clients[second].read_answer();
     assert_eq!((tags.as_str(), error_code(&bytes)), ("EZ", &b"08P01"[..]));
     // Its id is free again once the first has been served.
     for waiting in [1 - second, second] {
@@ -238,7 +238,7 @@
             .statements
             .recv_timeout(Duration::from_secs(20))
             .expect("the statement reaches a database");
-        assert_eq!(clients[waiting].answer().0, "TDCZ");
+        assert_eq!(clients[waiting].read_answer().0, "TDCZ");
         assert!(
             gateway.statements.try_recv().is_err(),
             "the statement reaches a database once only"
@@ -258,27 +258,27 @@
         b"x /* c=search,d=z */",
     ] {
         client.send(&query(statement));
-        assert_eq!(client.answer().0, "EZ");
+        assert_eq!(client.read_answer().0, "EZ");
     }
     // There is no such group: the request is rejected at once.
     client.send(&query(b"SELECT 1 /* id=1,c=search,d=900,cluster=9 */"));
-    let (tags, bytes) = client.answer();
+    let (tags, bytes) = client.read_answer();
     assert_eq!(tags, "EZ");
     assert!(bytes.windows(6).any(|field| field == b"C53300"));
     // The extended query protocol is not supported; after Sync the session can be used again.
     client.send(&[toy::message(b'P', b"\0\0\0\0"), toy::message(b'S', b"")].concat());
-    assert_eq!(client.answer().0, "EZ");
+    assert_eq!(client.read_answer().0, "EZ");
     client.send(b"Q\xff\xff\xff\xff");
-    let (tags, bytes) = client.answer();
+    let (tags, bytes) = client.read_answer();
     assert_eq!(tags, "E", "a fatal error, and the connection is closed");
     assert!(bytes.windows(6).any(|field| field == b"SFATAL"));
     client = Client::connect(&gateway);
     client.send(b"GET / HTTP/1.1\r\n\r\n");
-    assert_eq!(client.answer().0, "E");
+    assert_eq!(client.read_answer().0, "E");
     client = Client::ready(&gateway);
     client.send(&query(&read("e")));
     assert_eq!(
-        client.answer().0,
+        client.read_answer().0,
         "TDCZ",
         "the gateway still serves other clients"
     );
@@ -300,7 +300,7 @@
     busy.send(&query(&read("c")));
     // The database answers only one of the two requests before the time at which the process may be killed.
     late.send(&query(&read("d")));
-    assert_eq!(idle.answer().0, "", "closed");
+    assert_eq!(idle.read_answer().0, "", "closed");
     assert!(
         signalled.elapsed() >= Duration::from_millis(700),
         "clients may still send requests for this time"
@@ -310,7 +310,7 @@
         .statements
         .recv_timeout(Duration::from_secs(20))
         .expect("the statement reaches a database");
-    let mut tags = [busy.answer().0, late.answer().0];
+    let mut tags = [busy.read_answer().0, late.read_answer().0];
     tags.sort_unstable();
     assert_eq!(
         tags,
@@ -323,7 +323,7 @@
         "answered before the process may be killed"
     );
     assert_eq!(
-        (busy.answer().0, late.answer().0),
+        (busy.read_answer().0, late.read_answer().0),
         (String::new(), String::new())
     );
     gateway.wait_for_success();
@@ -356,7 +356,7 @@
     let gateway = start_with_log(1000, 1024, |_| None, OwnedFd::from(writer).into());
     let mut client = Client::ready(&gateway);
     client.send(&query(&read("q")));
-    assert_eq!(client.answer().0, "TDCZ");
+    assert_eq!(client.read_answer().0, "TDCZ");
 }
 
 /// A listener for discovery, and the entry of the configuration that names its address.
@@ -391,7 +391,7 @@
         );
         // The new discovery sends nothing: the known members stay in use.
         client.send(&query(&read("h")));
-        assert_eq!(client.answer().0, "TDCZ");
+        assert_eq!(client.read_answer().0, "TDCZ");
     }
 }
 
@@ -402,7 +402,7 @@
     let mut idle = Client::ready(&gateway);
     gateway.signal("-TERM");
     gateway.signal("-HUP");
-    assert_eq!(idle.answer().0, "");
+    assert_eq!(idle.read_answer().0, "");
     gateway.wait_for_success();
 }
 
--- a/tests/golden_answers.rs
+++ b/tests/golden_answers.rs
@@ -39,7 +39,7 @@
         Client::connect(gateway)
     };
     client.send(bytes);
-    let all: Vec<u8> = (0..answers).flat_map(|_| client.answer().1).collect();
+    let all: Vec<u8> = (0..answers).flat_map(|_| client.read_answer().1).collect();
     golden::escaped(&mask_cancel_key(all))
 }
 
@@ -180,9 +180,10 @@
     let primary = Database::start(true, true, &sender, error_for_fail);
     let replica = Database::start(false, true, &sender, error_for_fail);
     let discovery = listen().local_addr().expect("bound");
-    let (gateway, log) = staged([primary.address, replica.address], discovery, |config| {
-        config
-    });
+    let (gateway, log) =
+        start_with_databases([primary.address, replica.address], discovery, |config| {
+            config
+        });
     let mut output = String::new();
     for (name, started, bytes, answers) in message_cases().into_iter().chain(request_cases()) {
         writeln!(
@@ -204,7 +205,7 @@
     let (mut cancelled, key) = Client::ready_with_key(&gateway);
     cancelled.send(&query_with_comment(READ, "id=m,c=search,d=20000,cluster=0"));
     assert!(
-        log.says("dispatching attempt request="),
+        log.wait_for_line("dispatching attempt request="),
         "an attempt is dispatched"
     );
     let duplicate = exchange(
@@ -218,7 +219,7 @@
     writeln!(
         output,
         "cancelled: {}",
-        golden::escaped(&cancelled.answer().1)
+        golden::escaped(&cancelled.read_answer().1)
     )
     .expect("a string");
     let expired = exchange(
@@ -255,7 +256,7 @@
             false => config,
         };
         let addresses = [databases[0].address, databases[1].address];
-        let (gateway, _log) = staged(addresses, discovery, change);
+        let (gateway, _log) = start_with_databases(addresses, discovery, change);
         let answer = exchange(
             &gateway,
             true,
@@ -326,7 +327,7 @@
     let ready = |text: &str| text.starts_with("ready up 100%");
     while !TcpStream::connect(plan.agent).is_ok_and(|_| ready(&read_all(plan.agent, b""))) {
         assert!(
-            began.elapsed() < PATIENCE,
+            began.elapsed() < WAIT_LIMIT,
             "the gateway does not become ready"
         );
     }
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -551,9 +551,9 @@
 
     /// A write for a group arrives; returns the requests of the attempts that are dispatched.
     fn write(&mut self, group: GroupId) -> Vec<RequestId> {
-        self.gateway.next += 1;
+        self.gateway.next_request_id += 1;
         self.feed(RouterEvent::RequestArrived(Arrival {
-            request: RequestId(self.gateway.next),
+            request: RequestId(self.gateway.next_request_id),
             class: ClassId(common::WRITE),
             tenant: TenantId(0),
             session: None,
@@ -569,7 +569,7 @@
         assert_eq!(self.write(GROUP).len(), 1);
         assert_eq!(self.group().in_flight, 1);
         self.gateway.now += took;
-        let request = RequestId(self.gateway.next);
+        let request = RequestId(self.gateway.next_request_id);
         let report = common::member_report(Role::Primary, self.gateway.now);
         let served = attempt_ended(request, 0, Outcome::Served, took, report);
         self.feed(RouterEvent::AttemptEnded(served));
--- a/tests/process/mod.rs
+++ b/tests/process/mod.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 /// The most that tests wait for anything to happen: far longer than it takes on a slow machine.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+pub(crate) const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
 /// The text of the example configuration, in which tests replace parts.
 pub(crate) const EXAMPLE: &str = include_str!("../../examples/config.json");
@@ -48,7 +48,7 @@
 
     /// Waits for the process to exit and asserts that its status is success.
     pub(crate) fn wait_for_success(&mut self) {
-        assert!(bounded::exit(&mut self.process, PATIENCE)
+        assert!(bounded::exit(&mut self.process, WAIT_LIMIT)
             .expect("the gateway exits")
             .success());
     }
@@ -239,7 +239,7 @@
 
 /// Starts a gateway in front of these two databases, with its discovery at `discovery` and its configuration passed
 /// through `change`. Deadlines are raised to 20 s so that requests do not reach them on a slow machine.
-pub(crate) fn staged(
+pub(crate) fn start_with_databases(
     databases: [SocketAddr; 2],
     discovery: SocketAddr,
     change: impl Fn(String) -> String,
@@ -281,12 +281,12 @@
     }
 
     /// Waits up to 20 s for a line that contains this text; returns whether one was logged.
-    pub(crate) fn says(&self, text: &str) -> bool {
-        self.says_within(text, Duration::from_secs(20))
+    pub(crate) fn wait_for_line(&self, text: &str) -> bool {
+        self.wait_for_line_within(text, Duration::from_secs(20))
     }
 
     /// Waits for a line that contains this text, at most this long; returns whether one was logged.
-    pub(crate) fn says_within(&self, text: &str, within: Duration) -> bool {
+    pub(crate) fn wait_for_line_within(&self, text: &str, within: Duration) -> bool {
         self.lines_up_to(text, within).is_some()
     }
 
@@ -343,7 +343,7 @@
             attempts += 1;
             thread::sleep(Duration::from_millis(20));
         };
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
+        stream.set_read_timeout(Some(WAIT_LIMIT)).expect("set");
         Client(stream)
     }
 
@@ -351,7 +351,7 @@
     pub(crate) fn ready(gateway: &Gateway) -> Client {
         let mut client = Client::connect(gateway);
         client.send(&startup());
-        client.answer();
+        client.read_answer();
         client
     }
 
@@ -360,7 +360,7 @@
     }
 
     /// Reads messages up to ReadyForQuery or the end of the connection; returns their tags and all bytes.
-    pub(crate) fn answer(&mut self) -> (String, Vec<u8>) {
+    pub(crate) fn read_answer(&mut self) -> (String, Vec<u8>) {
         let (mut tags, mut bytes) = (String::new(), Vec::new());
         let mut head = [0; 5];
         loop {
@@ -390,7 +390,7 @@
     pub(crate) fn ready_with_key(gateway: &Gateway) -> (Client, Vec<u8>) {
         let mut client = Client::connect(gateway);
         client.send(&startup());
-        let (_, session_started) = client.answer();
+        let (_, session_started) = client.read_answer();
         let at = session_started
             .windows(5)
             .position(|head| head == b"K\0\0\0\x0c")
@@ -443,7 +443,7 @@
     spawn(config, address, sync_channel(1).1, Stdio::null())
 }
 
-/// Accepts the gateway's next connection to this agent; `None` if there is none within [`PATIENCE`].
+/// Accepts the gateway's next connection to this agent; `None` if there is none within [`WAIT_LIMIT`].
 pub(crate) fn accept_call(agent: &TcpListener) -> Option<TcpStream> {
-    bounded::accept(agent, PATIENCE).ok()
+    bounded::accept(agent, WAIT_LIMIT).ok()
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -283,7 +283,7 @@
         end_timed_out_attempts(&mut checker, &mut gateway, &settings);
         match kind % 8 {
             0..=2 => {
-                let id = RequestId(gateway.next);
+                let id = RequestId(gateway.next_request_id);
                 let class = usize::from(a) % settings.classes.len();
                 let seen = SeenRequest {
                     class,
