--- a/testbench/src/balancer.rs
+++ b/testbench/src/balancer.rs
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Found {
     /// State of the gateway, as `up`, `drain` or `down`, and the reason that it gave; the body of an HTTP answer.
-    pub word: String,
+    pub state_text: String,
     /// Weight in percent, 0 to 100; 0 is down.
     pub weight: u32,
     /// Whether a weight of 0 takes effect without waiting for `fall` failed checks.
@@ -66,15 +66,15 @@
     pub at: u64,
     /// Index of the gateway.
     pub gateway: usize,
-    /// The new state; see [`Found::word`].
-    pub word: String,
+    /// The new state; see [`Found::state_text`].
+    pub state_text: String,
     /// The new weight, 0 to 100.
     pub weight: u32,
 }
 
 struct Server {
     weight: u32,
-    word: String,
+    state_text: String,
     failures: u32,
     successes: u32,
     up_since: Instant,
@@ -99,7 +99,7 @@
     pub fn start(checks: Vec<Check>, settings: CheckSettings) -> Arc<Balancer> {
         let server = |_: &Check| Server {
             weight: 0,
-            word: "none".into(),
+            state_text: "none".into(),
             failures: 0,
             successes: 0,
             up_since: Instant::now(),
@@ -127,7 +127,7 @@
 
     fn found(&self, gateway: usize, found: io::Result<Found>) {
         let found = found.unwrap_or(Found {
-            word: "no-answer".into(),
+            state_text: "no-answer".into(),
             weight: 0,
             at_once: false,
         });
@@ -142,16 +142,16 @@
             0 => found.at_once || server.failures >= self.settings.fall,
             _ => server.weight > 0 || server.successes >= self.settings.rise,
         };
-        if counts && (server.weight != found.weight || server.word != found.word) {
+        if counts && (server.weight != found.weight || server.state_text != found.state_text) {
             if server.weight == 0 && found.weight > 0 {
                 server.up_since = Instant::now();
             }
-            (server.weight, server.word) = (found.weight, found.word.clone());
+            (server.weight, server.state_text) = (found.weight, found.state_text.clone());
             drop(servers);
             lock(&self.changes).push(Change {
                 at: now(),
                 gateway,
-                word: found.word,
+                state_text: found.state_text,
                 weight: found.weight,
             });
         }
@@ -192,7 +192,7 @@
     /// The current state and weight of a gateway.
     pub fn now(&self, gateway: usize) -> (String, u32) {
         let servers = lock(&self.servers);
-        (servers[gateway].word.clone(), servers[gateway].weight)
+        (servers[gateway].state_text.clone(), servers[gateway].weight)
     }
 
     /// All recorded changes, oldest first.
@@ -217,7 +217,7 @@
             Check::Connect(address) => {
                 TcpStream::connect_timeout(address, timeout)?;
                 Ok(Found {
-                    word: "up".into(),
+                    state_text: "up".into(),
                     weight: 100,
                     at_once: false,
                 })
@@ -247,7 +247,7 @@
                     .trim()
                     .to_owned();
                 Ok(Found {
-                    word,
+                    state_text: word,
                     weight: if is_ok { weight } else { 0 },
                     at_once,
                 })
@@ -277,7 +277,7 @@
         format!("{word} {remark}").trim().to_owned()
     });
     Found {
-        word,
+        state_text: word,
         weight: if out.is_some() { 0 } else { weight },
         at_once: true,
     }
--- a/testbench/src/balancer/tests.rs
+++ b/testbench/src/balancer/tests.rs
@@ -6,7 +6,7 @@
     for weight in [100, 50, 0, 10] {
         lock(&balancer.servers).push(Server {
             weight,
-            word: "up".into(),
+            state_text: "up".into(),
             failures: 0,
             successes: 0,
             up_since: Instant::now(),
@@ -27,11 +27,11 @@
     assert_eq!(
         agent("ready up 75% maxconn:9"),
         Found {
-            word: "up".into(),
+            state_text: "up".into(),
             weight: 75,
             at_once: true
         }
     );
-    assert_eq!(agent("down #hung\n").word, "down hung");
+    assert_eq!(agent("down #hung\n").state_text, "down hung");
     assert_eq!(balancer.changes().len(), 2);
 }
--- a/testbench/src/cluster/faults.rs
+++ b/testbench/src/cluster/faults.rs
@@ -45,7 +45,7 @@
 /// # Errors
 ///
 /// A process could not be started, signalled or read.
-pub fn play(program: PathBuf, seed: u64, gateways: usize, span: Duration) -> io::Result<Found> {
+pub fn run(program: PathBuf, seed: u64, gateways: usize, span: Duration) -> io::Result<Found> {
     let voters = if gateways >= VOTERS {
         VOTERS
     } else {
@@ -105,7 +105,7 @@
             0 => self.cluster.direction(one, other).cut(true),
             1 => {
                 let side: Vec<usize> = (0..gateways).filter(|_| self.random.bool()).collect();
-                self.cluster.part(&side, true);
+                self.cluster.set_partition(&side, true);
             }
             2 => self
                 .cluster
@@ -125,8 +125,8 @@
             }
             7 | 8 => self
                 .cluster
-                .offer(one, self.random.bool().then_some(other))?,
-            9 => self.cluster.spoil(one)?,
+                .propose_version(one, self.random.bool().then_some(other))?,
+            9 => self.cluster.write_invalid_file(one)?,
             10..=13 => self.inject_fault_at_leader(one),
             _ => self.remove_all_faults()?,
         }
@@ -137,7 +137,7 @@
         self.cluster.heal();
         self.cluster.wipe(gateway)?;
         self.wiped_at = Some(Instant::now());
-        self.cluster.revive(gateway)
+        self.cluster.start_gateway(gateway)
     }
 
     fn inject_fault_at_leader(&mut self, one: usize) {
@@ -148,7 +148,7 @@
             0 => self.cluster.kill(leader),
             1 => self.cluster.signal(leader, Signal::SIGSTOP),
             2 => self.cut_off_leader_from_some_voters(leader),
-            _ if one != leader => self.cluster.part_two(leader, one),
+            _ if one != leader => self.cluster.cut_pair(leader, one),
             _ => {}
         }
     }
@@ -161,14 +161,14 @@
         let unreachable: Vec<usize> = others.into_iter().filter(|_| self.random.bool()).collect();
         unreachable
             .into_iter()
-            .for_each(|other| self.cluster.part_two(leader, other));
+            .for_each(|other| self.cluster.cut_pair(leader, other));
     }
 
     fn remove_all_faults(&mut self) -> io::Result<()> {
         self.cluster.heal();
         for gateway in 0..self.gateways() {
             self.cluster.signal(gateway, Signal::SIGCONT);
-            self.cluster.revive(gateway)?;
+            self.cluster.start_gateway(gateway)?;
         }
         Ok(())
     }
--- a/testbench/src/cluster/mod.rs
+++ b/testbench/src/cluster/mod.rs
@@ -1,6 +1,6 @@
 //! A fleet of real processes, control members and gateways, in which every link goes through a fault proxy.
 //!
-//! In a run ([`play`]) all faults, their times and the versions that are offered are drawn from one seed. The faults
+//! In a run ([`run`]) all faults, their times and the versions that are offered are drawn from one seed. The faults
 //! are: links cut in one direction or both, partitions, slow links, duplicated and reordered frames, processes that are
 //! suspended, killed, restarted, or lose their disk; some of them are aimed at the leader of the control members. As
 //! the machine schedules the processes, a run with the same seed has the same faults, but not the same timing. At its
@@ -15,7 +15,7 @@
 use crate::gateway::{free, leaders, Gateway, Part, Plan};
 use crate::standing::Standing;
 use faults::RECOVERY_TIMEOUT;
-pub use faults::{play, Found};
+pub use faults::{run, Found};
 use history::Line;
 use nix::sys::signal::Signal;
 use proxy::Direction;
@@ -170,7 +170,7 @@
             past: Vec::new(),
             _databases: databases,
         };
-        (0..gateways).try_for_each(|gateway| cluster.revive(gateway))?;
+        (0..gateways).try_for_each(|gateway| cluster.start_gateway(gateway))?;
         Ok(cluster)
     }
 
@@ -221,7 +221,7 @@
     /// # Errors
     ///
     /// The process could not be started.
-    pub fn revive(&mut self, gateway: usize) -> io::Result<()> {
+    pub fn start_gateway(&mut self, gateway: usize) -> io::Result<()> {
         if self.gateways[gateway].is_none() {
             let operator = self.file(gateway, self.edition);
             let plan = Plan {
@@ -338,7 +338,7 @@
     }
 
     /// Cuts or restores both directions between the gateways of `side` and all others.
-    pub fn part(&self, side: &[usize], cut: bool) {
+    pub fn set_partition(&self, side: &[usize], cut: bool) {
         for one in side {
             for other in (0..self.places.len()).filter(|other| !side.contains(other)) {
                 self.direction(*one, other).cut(cut);
@@ -348,7 +348,7 @@
     }
 
     /// Cuts both directions between two gateways.
-    pub fn part_two(&self, one: usize, other: usize) {
+    pub fn cut_pair(&self, one: usize, other: usize) {
         self.direction(one, other).cut(true);
         self.direction(other, one).cut(true);
     }
@@ -368,7 +368,7 @@
     /// # Errors
     ///
     /// A file could not be written, or a process could not be signalled.
-    pub fn offer(&mut self, by: usize, except: Option<usize>) -> io::Result<()> {
+    pub fn propose_version(&mut self, by: usize, except: Option<usize>) -> io::Result<()> {
         self.edition += 1;
         for gateway in (0..self.places.len()).filter(|gateway| Some(*gateway) != except) {
             if let Some(running) = &self.gateways[gateway] {
@@ -384,7 +384,7 @@
     /// # Errors
     ///
     /// The file could not be written.
-    pub fn spoil(&self, gateway: usize) -> io::Result<()> {
+    pub fn write_invalid_file(&self, gateway: usize) -> io::Result<()> {
         let invalid = "lease(me = 'none')\n";
         self.gateways[gateway]
             .as_ref()
@@ -491,7 +491,7 @@
                 return Ok(None);
             }
             // The gateway that offers may have no registration yet, so each round uses the next one.
-            self.offer(registered[round % registered.len()], None)?;
+            self.propose_version(registered[round % registered.len()], None)?;
             let all_agree = |cluster: &Cluster| {
                 let (all, now) = (cluster.standings(), crate::now());
                 let expected = registered.iter().filter(|gateway| **gateway != gone);
--- a/testbench/src/fleet.rs
+++ b/testbench/src/fleet.rs
@@ -17,7 +17,7 @@
 
 /// A write that a database executed.
 #[derive(Clone, Debug)]
-pub struct Taken {
+pub struct ExecutedWrite {
     /// The request's id, from the statement's comment.
     pub id: String,
     /// Time of execution, Unix microseconds.
@@ -43,7 +43,7 @@
 struct State {
     members: Vec<Member>,
     revision: u64,
-    taken: Vec<Taken>,
+    executed_writes: Vec<ExecutedWrite>,
     deaths: Vec<(usize, u64)>,
 }
 
@@ -131,7 +131,7 @@
         let state = Mutex::new(State {
             members,
             revision: 1,
-            taken: Vec::new(),
+            executed_writes: Vec::new(),
             deaths: Vec::new(),
         });
         let fleet = Arc::new(Fleet {
@@ -297,12 +297,12 @@
         }
         let role = member.role;
         if write {
-            let taken = Taken {
+            let write = ExecutedWrite {
                 id: comment(statement, "id"),
                 at: now(),
                 member: number,
             };
-            state.taken.push(taken);
+            state.executed_writes.push(write);
         }
         Reply::Answer([database::row(b"rig"), note(role)].concat())
     }
@@ -383,8 +383,8 @@
     }
 
     /// All writes that were executed.
-    pub fn taken(&self) -> Vec<Taken> {
-        self.lock().taken.clone()
+    pub fn executed_writes(&self) -> Vec<ExecutedWrite> {
+        self.lock().executed_writes.clone()
     }
 }
 
--- a/testbench/src/gateway.rs
+++ b/testbench/src/gateway.rs
@@ -331,7 +331,7 @@
     /// # Errors
     ///
     /// The process has exited, or its files in /proc could not be read.
-    pub fn holds(&self) -> io::Result<(usize, u64)> {
+    pub fn resource_usage(&self) -> io::Result<(usize, u64)> {
         Ok((
             process::descriptors(self.id())?,
             process::resident_kib(self.id())?,
--- a/testbench/src/health/changes.rs
+++ b/testbench/src/health/changes.rs
@@ -110,7 +110,7 @@
                 .freeze()
                 .context("cannot trace the gateway's worker threads")?;
             record("hung", from, now(), &|change| {
-                change.word.starts_with("down hung")
+                change.state_text.starts_with("down hung")
             })?;
             drop(frozen);
             let resumed = recorded(
@@ -127,12 +127,12 @@
             let cause = now();
             gateway.signal(Signal::SIGTERM)?;
             record("draining", from, cause, &|change| {
-                change.word.starts_with("drain")
+                change.state_text.starts_with("drain")
             })?;
             // Without requests in progress it exits as soon as it has closed its connections.
             ensure!(gateway.wait(TIMEOUT)?, "the gateway exited with an error");
             record("stopped", from, now(), &|change| {
-                change.word.starts_with("stopped") || change.word == "no-answer"
+                change.state_text.starts_with("stopped") || change.state_text == "no-answer"
             })?;
         }
         balancer.stop();
--- a/testbench/src/health/cost.rs
+++ b/testbench/src/health/cost.rs
@@ -73,7 +73,7 @@
             let before = gateway.cpu_us()?;
             let records = load::run(shape, &balancer, &[plan.client]);
             let used = gateway.cpu_us()? - before;
-            let (descriptors, resident) = gateway.holds()?;
+            let (descriptors, resident) = gateway.resource_usage()?;
             stop.store(true, Ordering::Release);
             balancer.stop();
             for checker in checkers {
--- a/testbench/src/health/under_load.rs
+++ b/testbench/src/health/under_load.rs
@@ -84,7 +84,7 @@
     balancer.stop();
     let mut counts: HashMap<String, usize> = HashMap::new();
     fleet
-        .taken()
+        .executed_writes()
         .into_iter()
         .for_each(|taken| *counts.entry(taken.id).or_default() += 1);
     let served = |record: &&Record| {
--- a/testbench/src/main.rs
+++ b/testbench/src/main.rs
@@ -112,7 +112,7 @@
             let run = |seed: u64| {
                 let (program, gateways) = (self.program.clone(), self.gateways as usize);
                 let span = std::time::Duration::from_secs(self.seconds);
-                std::thread::spawn(move || cluster::play(program, seed, gateways, span))
+                std::thread::spawn(move || cluster::run(program, seed, gateways, span))
             };
             let runs: Vec<_> = batch.iter().map(|seed| (*seed, run(*seed))).collect();
             for (seed, run) in runs {
--- a/tests/cells_fronts.rs
+++ b/tests/cells_fronts.rs
@@ -105,7 +105,7 @@
 
     /// The groups whose databases received requests with this prefix of their ids, without repeats in a row.
     fn groups(&self, prefix: &str) -> Vec<usize> {
-        let taken = self.fleet.taken();
+        let taken = self.fleet.executed_writes();
         let mut groups: Vec<usize> = taken
             .iter()
             .filter(|taken| taken.id.starts_with(prefix))
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -2,7 +2,7 @@
 
 mod fleets;
 
-use asterreel_testbench::cluster::{play, Cluster};
+use asterreel_testbench::cluster::{run, Cluster};
 use fleets::{assert_agreement, assert_no_violations, gateway_program, lock_fleet};
 use nix::sys::signal::Signal;
 use std::time::Duration;
@@ -22,7 +22,7 @@
     let _lock = lock_fleet();
     let mut cluster = start_fleet(5, 5);
     let before = cluster.in_force()[0];
-    cluster.part(&[0, 1], true);
+    cluster.set_partition(&[0, 1], true);
     let stopped = |gateway: u64| {
         move |cluster: &Cluster| {
             let history = cluster.history();
@@ -46,7 +46,7 @@
     };
     let mut activated = false;
     for by in [2, 3, 4, 2, 3, 4] {
-        cluster.offer(by, None).expect("offered");
+        cluster.propose_version(by, None).expect("offered");
         activated |= cluster
             .wait(Duration::from_secs(3), has_new_version)
             .is_some();
@@ -79,8 +79,8 @@
     let _lock = lock_fleet();
     let mut cluster = start_fleet(5, 3);
     let before = cluster.in_force();
-    cluster.spoil(4).expect("written");
-    cluster.offer(0, Some(4)).expect("offered");
+    cluster.write_invalid_file(4).expect("written");
+    cluster.propose_version(0, Some(4)).expect("offered");
     let rejected_everywhere = |cluster: &Cluster| {
         let history = cluster.history();
         let rejections = history
@@ -169,7 +169,7 @@
     let mut cluster = start_fleet(3, 3);
     for voter in [0, 1] {
         cluster.wipe(voter).expect("wiped");
-        cluster.revive(voter).expect("started");
+        cluster.start_gateway(voter).expect("started");
         assert!(
             cluster.agree(TIMEOUT).expect("offered").is_some(),
             "{:?}",
@@ -186,7 +186,7 @@
     let mut cluster = start_fleet(3, 3);
     let before = cluster.in_force()[0];
     (0..3).for_each(|gateway| cluster.kill(gateway));
-    (0..3).for_each(|gateway| cluster.revive(gateway).expect("started"));
+    (0..3).for_each(|gateway| cluster.start_gateway(gateway).expect("started"));
     assert!(
         cluster.agree(TIMEOUT).expect("offered").is_some(),
         "{:?}",
@@ -204,7 +204,7 @@
 fn fleets_recover_from_random_faults() {
     let _lock = lock_fleet();
     for (seed, gateways) in [(1, 5), (2, 3)] {
-        let found = play(gateway_program(), seed, gateways, Duration::from_secs(10))
+        let found = run(gateway_program(), seed, gateways, Duration::from_secs(10))
             .expect("the fleet runs");
         assert_eq!(found.violations, Vec::<String>::new(), "seed {seed}");
         assert!(
--- a/tests/control.rs
+++ b/tests/control.rs
@@ -122,7 +122,7 @@
                 .iter()
                 .any(|(_, _, acting)| *acting)
     );
-    cluster.part(&[served], true);
+    cluster.set_partition(&[served], true);
     let stopped = |cluster: &Cluster| {
         registrations(cluster, served)
             .last()
@@ -166,7 +166,7 @@
     assert_survives(&mut cluster, &served, |cluster, leader| {
         cluster.kill(leader);
     });
-    (0..3).for_each(|member| cluster.revive(member).expect("started"));
+    (0..3).for_each(|member| cluster.start_gateway(member).expect("started"));
     // The leader shuts down gracefully.
     assert_survives(&mut cluster, &served, |cluster, leader| {
         assert!(
@@ -174,7 +174,7 @@
             "it did not exit in time"
         );
     });
-    (0..3).for_each(|member| cluster.revive(member).expect("started"));
+    (0..3).for_each(|member| cluster.start_gateway(member).expect("started"));
     // The leader stalls: its links stay open and idle.
     let mut stalled = None;
     assert_survives(&mut cluster, &served, |cluster, leader| {
@@ -203,7 +203,7 @@
     // The other members redirect the gateway to the leader. On a busy machine the leader may change meanwhile, so the link to
     // the current one is cut at each check.
     let stopped = |cluster: &Cluster| {
-        cluster.part_two(cluster.leader().expect("a member leads"), 3);
+        cluster.cut_pair(cluster.leader().expect("a member leads"), 3);
         registrations(cluster, 3)
             .last()
             .is_some_and(|(_, _, acting)| !acting)
--- a/tests/health_fronts.rs
+++ b/tests/health_fronts.rs
@@ -52,7 +52,7 @@
         let check = Check::Agent(self.plan.agent, text.into());
         check.run(ANSWER_TIMEOUT).map_or_else(
             |error| error.to_string(),
-            |found| format!("{} {}", found.word, found.weight),
+            |found| format!("{} {}", found.state_text, found.weight),
         )
     }
 
@@ -177,7 +177,7 @@
 #[test]
 fn connection_flood_on_health_ports_blocks_no_request_or_check() {
     let test_bed = test_bed("allow = ['127.0.0.1/32', '127.0.0.2/32'],\n  connections = 16,");
-    let (before, _) = test_bed.gateway.holds().expect("it runs");
+    let (before, _) = test_bed.gateway.resource_usage().expect("it runs");
     let mut flood = Vec::new();
     for number in 0..500 {
         let address = if number % 2 == 0 {
@@ -202,7 +202,7 @@
     if let Ok(mut stream) = TcpStream::connect(test_bed.plan.agent) {
         let _ = stream.write_all(&vec![b'1'; 1 << 20]);
     }
-    let (held, _) = test_bed.gateway.holds().expect("it runs");
+    let (held, _) = test_bed.gateway.resource_usage().expect("it runs");
     assert!(
         held <= before + 16 + 4,
         "{held} descriptors, {before} before"
