--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -18,7 +18,7 @@
         ("127.0.0.1:5502", Role::Replica),
     ] {
         let listener = TcpListener::bind(address)?;
-        thread::spawn(move || database::toy(&listener, role, None, |_| None));
+        thread::spawn(move || database::serve_without_delay(&listener, role, None, |_| None));
     }
     println!("databases on 127.0.0.1:5501 and :5502, discovery on 127.0.0.1:8500");
     database::discovery(&TcpListener::bind("127.0.0.1:8500")?, &list);
--- a/src/bin/asterreel/front/tests.rs
+++ b/src/bin/asterreel/front/tests.rs
@@ -167,7 +167,7 @@
         .expect("the next request's attempt");
     let answer = [
         test_database::row(b"second"),
-        test_database::note(
+        test_database::answer_end(
             test_database::Role::Primary,
             asterreel_testbench::now() / 1000,
         ),
--- a/testbench/src/capacity/neighbours.rs
+++ b/testbench/src/capacity/neighbours.rs
@@ -199,10 +199,10 @@
     let _open = Open::count(&counters.open);
     database::session(client, |statement| {
         let position = now() / 1000 - if role == Role::Primary { 0 } else { LAG_MS };
-        let note = database::note(role, position);
+        let answer_end = database::answer_end(role, position);
         if statement == b"SHOW usage" {
             counters.probes.fetch_add(1, Ordering::Relaxed);
-            return Reply::Answer([database::report(role, position, 0.1), note].concat());
+            return Reply::Answer([database::report(role, position, 0.1), answer_end].concat());
         }
         counters.statements.fetch_add(1, Ordering::Relaxed);
         if !counters.ending.load(Ordering::Acquire) {
@@ -214,7 +214,7 @@
         } else {
             database::row(b"rig")
         };
-        Reply::Answer([answer, note].concat())
+        Reply::Answer([answer, answer_end].concat())
     })
 }
 
@@ -222,13 +222,13 @@
     counters.calls.fetch_add(1, Ordering::Relaxed);
     let mut watch = Watch::begin(client)?;
     let _open = Open::count(&counters.watches);
-    watch.tell(line)?;
+    watch.send(line)?;
     counters
         .list_bytes
         .fetch_add(line.len() as u64, Ordering::Relaxed);
     while !counters.ending.load(Ordering::Acquire) {
         thread::sleep(HEARTBEAT);
-        watch.tell("\n")?;
+        watch.send("\n")?;
     }
     Ok(())
 }
--- a/testbench/src/cluster/storm.rs
+++ b/testbench/src/cluster/storm.rs
@@ -22,7 +22,7 @@
     /// Number of refusals of all clients.
     pub refused: usize,
     /// Whether every refusal contained a retry delay.
-    pub told: bool,
+    pub retry_delays_given: bool,
 }
 
 /// A gateway's answer to a client that opens a session.
@@ -69,7 +69,7 @@
     let all = all.into_iter().filter_map(|client| client.join().ok());
     all.fold(
         Storm {
-            told: true,
+            retry_delays_given: true,
             ..Storm::default()
         },
         Storm::merge,
@@ -79,7 +79,7 @@
 /// Runs one client until it is admitted or the time limit has passed.
 fn one_client(address: SocketAddr, until: Instant) -> Storm {
     let mut storm = Storm {
-        told: true,
+        retry_delays_given: true,
         ..Storm::default()
     };
     while Instant::now() < until {
@@ -90,7 +90,7 @@
             }
             Ok(Answer::Refused(wait)) => {
                 storm.refused += 1;
-                storm.told &= wait.is_some();
+                storm.retry_delays_given &= wait.is_some();
                 sleep(wait.unwrap_or(DEFAULT_RETRY_DELAY));
             }
             Err(_) => sleep(RECONNECT_DELAY),
@@ -103,7 +103,7 @@
     fn merge(mut self, other: Storm) -> Storm {
         self.admitted.extend(other.admitted);
         self.refused += other.refused;
-        self.told &= other.told;
+        self.retry_delays_given &= other.retry_delays_given;
         self
     }
 }
--- a/testbench/src/database.rs
+++ b/testbench/src/database.rs
@@ -56,7 +56,7 @@
 }
 
 /// The end of an answer: the database's role and position as ParameterStatus messages, and ReadyForQuery.
-pub fn note(role: Role, position_ms: u64) -> Vec<u8> {
+pub fn answer_end(role: Role, position_ms: u64) -> Vec<u8> {
     let name = if role == Role::Primary {
         "writer"
     } else {
@@ -87,19 +87,26 @@
 
 /// Optional bytes to write in place of the answer to a statement, after which the connection is closed; not called for
 /// load reports.
-pub type Spoil = fn(&[u8]) -> Option<Vec<u8>>;
+pub type AnswerOverride = fn(&[u8]) -> Option<Vec<u8>>;
 
 /// Runs a database that answers without delay; each statement except load reports is sent to `seen` before the answer.
-pub fn toy(listener: &TcpListener, role: Role, seen: Option<SyncSender<Vec<u8>>>, spoil: Spoil) {
+pub fn serve_without_delay(
+    listener: &TcpListener,
+    role: Role,
+    seen: Option<SyncSender<Vec<u8>>>,
+    answer_override: AnswerOverride,
+) {
     serve(listener, move |statement| {
         let position = crate::now() / 1000;
         if statement == b"SHOW usage" {
-            return Reply::Answer([report(role, position, 0.1), note(role, position)].concat());
+            return Reply::Answer(
+                [report(role, position, 0.1), answer_end(role, position)].concat(),
+            );
         }
         if let Some(seen) = &seen {
             let _ = seen.send(statement.to_vec());
         }
-        if let Some(instead) = spoil(statement) {
+        if let Some(instead) = answer_override(statement) {
             return Reply::Last(instead);
         }
         let answer = if statement.starts_with(b"INSERT") && role == Role::Replica {
@@ -107,7 +114,7 @@
         } else {
             row(b"\x9f\x03toy")
         };
-        Reply::Answer([answer, note(role, position)].concat())
+        Reply::Answer([answer, answer_end(role, position)].concat())
     });
 }
 
@@ -117,10 +124,10 @@
         let line = format!("{list}\n");
         thread::spawn(move || -> io::Result<()> {
             let mut watch = Watch::begin(client)?;
-            watch.tell(&line)?;
+            watch.send(&line)?;
             loop {
                 thread::sleep(Duration::from_secs(2));
-                watch.tell("\n")?;
+                watch.send("\n")?;
             }
         });
     }
@@ -152,7 +159,7 @@
     /// # Errors
     ///
     /// The connection failed.
-    pub fn tell(&mut self, text: &str) -> io::Result<()> {
+    pub fn send(&mut self, text: &str) -> io::Result<()> {
         self.0
             .write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
     }
--- a/testbench/src/fleet.rs
+++ b/testbench/src/fleet.rs
@@ -198,7 +198,7 @@
                 format!("{}\n", self.list(gateway))
             };
             told = revision;
-            watch.tell(&line)?;
+            watch.send(&line)?;
             let state = self.lock();
             if state.revision == told {
                 drop(self.changed.wait_timeout(state, Duration::from_secs(2)));
@@ -246,23 +246,25 @@
         } else {
             member.lag_ms
         };
-        let note = |role| database::note(role, now() / 1000 - lag);
+        let answer_end = |role| database::answer_end(role, now() / 1000 - lag);
         if statement == b"SHOW usage" {
             let util = member.busy as f64 / self.shape.cores as f64;
             let report = database::report(member.role, now() / 1000 - lag, util);
-            return Reply::Answer([report, note(member.role)].concat());
+            return Reply::Answer([report, answer_end(member.role)].concat());
         }
         if write && member.role == Role::Replica {
             return Reply::Answer(
                 [
                     database::error("25006", "this is a replica"),
-                    note(member.role),
+                    answer_end(member.role),
                 ]
                 .concat(),
             );
         }
         if member.phase != "ready" || member.waiting >= self.shape.queue {
-            return Reply::Answer([database::error("53300", "full"), note(member.role)].concat());
+            return Reply::Answer(
+                [database::error("53300", "full"), answer_end(member.role)].concat(),
+            );
         }
         member.waiting += 1;
         while state.members[number].busy >= self.shape.cores && state.members[number].alive {
@@ -304,7 +306,7 @@
             };
             state.executed_writes.push(write);
         }
-        Reply::Answer([database::row(b"rig"), note(role)].concat())
+        Reply::Answer([database::row(b"rig"), answer_end(role)].concat())
     }
 
     /// Simulates the crash of a database: all its connections are shut down, new ones are closed.
--- a/testbench/src/scale/fleet.rs
+++ b/testbench/src/scale/fleet.rs
@@ -193,7 +193,7 @@
     /// # Errors
     ///
     /// A process of the fleet has exited or does not answer.
-    pub fn look(&mut self, without: &[Part]) -> anyhow::Result<Vec<Standing>> {
+    pub fn standings(&mut self, without: &[Part]) -> anyhow::Result<Vec<Standing>> {
         let answers = self.send_order(&Order::Look, |part| !without.contains(&part))?;
         let mut all: Vec<Standing> = answers
             .into_iter()
@@ -286,7 +286,7 @@
     ) -> anyhow::Result<(bool, Vec<Standing>)> {
         let until = Instant::now() + within;
         loop {
-            let all = self.look(without)?;
+            let all = self.standings(without)?;
             let done = all.iter().all(&holds);
             if done || Instant::now() >= until {
                 return Ok((done, all));
@@ -313,7 +313,7 @@
             return Ok(None);
         }
         let newest = self
-            .look(&[])?
+            .standings(&[])?
             .iter()
             .map(|one| one.in_force)
             .max()
@@ -380,7 +380,7 @@
         let mut renewed_at = BTreeMap::new();
         let mut lapsed = BTreeSet::new();
         loop {
-            let all = self.look(&[])?;
+            let all = self.standings(&[])?;
             let seen_at = now();
             for one in &all {
                 if !one.acts(seen_at) {
--- a/testbench/src/scale/hollow.rs
+++ b/testbench/src/scale/hollow.rs
@@ -145,7 +145,7 @@
                 Ok(Answer::Done)
             }
             Order::Look => Ok(Answer::Standing(
-                self.gateways.iter().map(|one| self.look(one)).collect(),
+                self.gateways.iter().map(|one| self.standing(one)).collect(),
             )),
             Order::Measure => {
                 self.find_threads()?;
@@ -224,7 +224,7 @@
         Ok(())
     }
 
-    fn look(&self, (number, gateway): (&u32, &Gateway)) -> Standing {
+    fn standing(&self, (number, gateway): (&u32, &Gateway)) -> Standing {
         let known = lock(&gateway.known);
         let until = gateway
             .handle
--- a/testbench/src/scale/schedule.rs
+++ b/testbench/src/scale/schedule.rs
@@ -133,7 +133,7 @@
     fn wait_for_first_version(&mut self) -> anyhow::Result<bool> {
         let began = crate::now();
         let agreed = self.fleet.agree(WAIT_TIMEOUT, &[])?;
-        let all = self.fleet.look(&[])?;
+        let all = self.fleet.standings(&[])?;
         // If all act on the version, the times are known when it came into force. Otherwise only the gateways that act
         // now are counted.
         let acts = all.iter().filter(|one| one.acts_now());
@@ -199,7 +199,7 @@
     fn newest(&mut self) -> anyhow::Result<u64> {
         Ok(self
             .fleet
-            .look(&[])?
+            .standings(&[])?
             .iter()
             .map(|one| one.in_force)
             .max()
@@ -231,7 +231,7 @@
         self.fleet.wait(WAIT_TIMEOUT, &[], Standing::acts_now)?;
         let all_act = crate::now();
         let newest = self.newest()?;
-        let acting = self.fleet.look(&[])?;
+        let acting = self.fleet.standings(&[])?;
         let acts = acting.iter().filter(|one| one.acts_now()).count();
         // It is only known by polling when all acted: the time of the last poll.
         self.record_change(
@@ -330,7 +330,7 @@
     fn restart_all(&mut self) -> anyhow::Result<()> {
         let began = crate::now();
         self.fleet.restart_all(RESTARTS_TIMEOUT)?;
-        let all = self.fleet.look(&[])?;
+        let all = self.fleet.standings(&[])?;
         let acts = all.iter().filter(|one| one.acts_now()).count();
         let reached = vec![crate::now(); acts];
         self.record_change(
--- a/tests/cluster.rs
+++ b/tests/cluster.rs
@@ -132,7 +132,7 @@
         assert!(within <= 55, "{within} sessions admitted within a second");
     }
     assert!(
-        storm.refused >= 150 && storm.told,
+        storm.refused >= 150 && storm.retry_delays_given,
         "too few rejections, or one that does not say when to retry"
     );
     assert_no_violations(&cluster);
--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -149,8 +149,8 @@
     let mut call = next_call(&discovery, WAIT_LIMIT).expect("a first call");
     for cut in [1, 9, 40, list.len() / 2, list.len() - 3] {
         let mut watch = asterreel_testbench::database::Watch::begin(call).expect("begun");
-        watch.tell(&delta(1, "")).expect("told");
-        watch.tell(&list[..cut]).expect("told");
+        watch.send(&delta(1, "")).expect("told");
+        watch.send(&list[..cut]).expect("told");
         drop(watch);
         let cut_at = Instant::now();
         call = next_call(&discovery, WAIT_LIMIT).expect("a further call");
@@ -161,10 +161,10 @@
         );
     }
     let mut watch = asterreel_testbench::database::Watch::begin(call).expect("begun");
-    watch.tell(&list[..40]).expect("told");
+    watch.send(&list[..40]).expect("told");
     let stopped_at = Instant::now();
     while next_call(&discovery, Duration::from_millis(500)).is_none() {
-        let _ = watch.tell("\n");
+        let _ = watch.send("\n");
         assert!(
             stopped_at.elapsed() < Duration::from_secs(5),
             "heartbeats keep a watch whose update never ends"
@@ -192,7 +192,7 @@
     let (_gateway, _log) = start_in_fleet([&primary, &replica], address, "8c1f30d27a5be964");
     let call = next_call(&discovery, WAIT_LIMIT).expect("a first call");
     let mut watch = asterreel_testbench::database::Watch::begin(call).expect("begun");
-    watch.tell(&delta(1, "")).expect("told");
+    watch.send(&delta(1, "")).expect("told");
     thread::sleep(Duration::from_millis(200));
     drop(watch);
     let lost_at = Instant::now();
@@ -240,7 +240,7 @@
         );
         if answers {
             let mut watch = asterreel_testbench::database::Watch::begin(call).expect("begun");
-            watch.tell(&delta(1, "")).expect("told");
+            watch.send(&delta(1, "")).expect("told");
             assert!(
                 log.wait_for_line("serving"),
                 "the gateway did not serve after its list had arrived"
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -2,7 +2,7 @@
 //! docs/design/endings.md lists the cases. Scripted peers, gates and SIGSTOP of the gateway force each bad order of events,
 //! so that no test depends on a race.
 mod process;
-use asterreel_testbench::database as toy;
+use asterreel_testbench::database;
 use process::*;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -235,7 +235,7 @@
     let broken = |statement: &[u8]| {
         statement
             .starts_with(b"SELECT")
-            .then(|| toy::error("XX000", "broken"))
+            .then(|| database::error("XX000", "broken"))
     };
     let fixture = Fixture::with_answers(broken);
     fixture
@@ -480,18 +480,28 @@
 
 /// Starts a session and reports as a replica that is up to date, and answers the first statement with endless notices.
 fn serve_endless_notices(mut client: TcpStream) -> std::io::Result<()> {
-    toy::read_body(&mut client)?;
-    client.write_all(&[toy::message(b'R', &[0; 4]), toy::message(b'Z', b"I")].concat())?;
-    let notices = toy::message(b'S', b"server_version\x0015\0").repeat(2_000);
+    database::read_body(&mut client)?;
+    client.write_all(
+        &[
+            database::message(b'R', &[0; 4]),
+            database::message(b'Z', b"I"),
+        ]
+        .concat(),
+    )?;
+    let notices = database::message(b'S', b"server_version\x0015\0").repeat(2_000);
     loop {
         let mut tag = [0];
         client.read_exact(&mut tag)?;
-        let body = toy::read_body(&mut client)?;
+        let body = database::read_body(&mut client)?;
         let position = asterreel_testbench::now() / 1000;
         if body.starts_with(b"SHOW usage") {
-            let role = toy::Role::Replica;
+            let role = database::Role::Replica;
             client.write_all(
-                &[toy::report(role, position, 0.1), toy::note(role, position)].concat(),
+                &[
+                    database::report(role, position, 0.1),
+                    database::answer_end(role, position),
+                ]
+                .concat(),
             )?;
             continue;
         }
@@ -645,7 +655,7 @@
     let agent = listen();
     let _gateway = start_with_push_agent(&agent, 300);
     for _ in 0..6 {
-        let watch = toy::Watch::begin(accept_call(&agent).expect("a watch")).expect("begun");
+        let watch = database::Watch::begin(accept_call(&agent).expect("a watch")).expect("begun");
         drop(watch);
         let ended = Instant::now();
         let again = accept_call(&agent).expect("the gateway calls the agent again");
@@ -722,10 +732,10 @@
     let discovery = listen_with_retries(address);
     let reachable = Instant::now();
     let mut watch =
-        toy::Watch::begin(accept_call(&discovery).expect("the gateway calls discovery"))
+        database::Watch::begin(accept_call(&discovery).expect("the gateway calls discovery"))
             .expect("begun");
     watch
-        .tell(&format!("{}\n", endpoint_list_of(&gateway.config)))
+        .send(&format!("{}\n", endpoint_list_of(&gateway.config)))
         .expect("sent");
     assert!(
         reachable.elapsed() < Duration::from_secs(5),
--- a/tests/gateway.rs
+++ b/tests/gateway.rs
@@ -1,6 +1,6 @@
 //! Tests the gateway's process over sockets, in front of the testbench's stand-in databases and discovery.
 mod process;
-use asterreel_testbench::database as toy;
+use asterreel_testbench::database;
 use process::*;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpListener;
@@ -21,7 +21,7 @@
     client.send(&query(&read("a")));
     let (tags, bytes) = client.read_answer();
     assert_eq!(tags, "TDCZ");
-    assert!(bytes.starts_with(&toy::row(b"\x9f\x03toy")));
+    assert!(bytes.starts_with(&database::row(b"\x9f\x03toy")));
     let seen = gateway
         .statements
         .recv_timeout(Duration::from_secs(20))
@@ -156,7 +156,7 @@
 #[test]
 fn truncated_answer_is_retried_for_reads_only() {
     let gateway = start_with(1000, 1024, |_| {
-        let complete = toy::row(b"\x9f\x03toy");
+        let complete = database::row(b"\x9f\x03toy");
         Some(complete[..complete.len() - 4].to_vec())
     });
     let mut client = Client::ready(&gateway);
@@ -181,7 +181,7 @@
 #[test]
 fn rejection_code_is_not_forwarded_for_writes() {
     let gateway = start_with(1000, 1024, |_| {
-        Some(toy::message(b'E', b"SFATAL\0C57P03\0Mgoing down\0\0"))
+        Some(database::message(b'E', b"SFATAL\0C57P03\0Mgoing down\0\0"))
     });
     let mut client = Client::ready(&gateway);
     client.send(&query(
@@ -196,7 +196,7 @@
 #[test]
 fn invalid_statement_is_not_retried() {
     let gateway = start_with(1000, 1024, |_| {
-        Some(toy::message(b'E', b"SERROR\0C42601\0Msyntax\0\0"))
+        Some(database::message(b'E', b"SERROR\0C42601\0Msyntax\0\0"))
     });
     let mut client = Client::ready(&gateway);
     client.send(&query(&read("u")));
@@ -266,7 +266,13 @@
     assert_eq!(tags, "EZ");
     assert!(bytes.windows(6).any(|field| field == b"C53300"));
     // The extended query protocol is not supported; after Sync the session can be used again.
-    client.send(&[toy::message(b'P', b"\0\0\0\0"), toy::message(b'S', b"")].concat());
+    client.send(
+        &[
+            database::message(b'P', b"\0\0\0\0"),
+            database::message(b'S', b""),
+        ]
+        .concat(),
+    );
     assert_eq!(client.read_answer().0, "EZ");
     client.send(b"Q\xff\xff\xff\xff");
     let (tags, bytes) = client.read_answer();
@@ -429,10 +435,10 @@
 fn silent_watch_is_reopened_in_a_fleet_of_300() {
     let agent = listen();
     let _gateway = start_with_push_agent(&agent, 300);
-    let mut watch = toy::Watch::begin(accept_call(&agent).expect("a watch")).expect("begun");
+    let mut watch = database::Watch::begin(accept_call(&agent).expect("a watch")).expect("begun");
     let list = "{\n  \"revision\": 777,\n  \"complete\": true,\n\n  \"members\": [\n  ]\n}\n";
-    watch.tell(&list[..9]).expect("sent");
-    watch.tell(&list[9..]).expect("sent");
+    watch.send(&list[..9]).expect("sent");
+    watch.send(&list[9..]).expect("sent");
     let silent = Instant::now();
     let mut call = accept_call(&agent).expect("the gateway calls the agent again");
     let took = silent.elapsed();
--- a/tests/golden_answers.rs
+++ b/tests/golden_answers.rs
@@ -4,7 +4,7 @@
 mod golden;
 mod process;
 
-use asterreel_testbench::database as toy;
+use asterreel_testbench::database;
 use asterreel_testbench::fleet::{Fleet, Shape};
 use asterreel_testbench::gateway::{Gateway as FleetGateway, Plan};
 use process::*;
@@ -20,7 +20,7 @@
     statement
         .windows(4)
         .any(|word| word == b"FAIL")
-        .then(|| toy::error("22012", "division by zero"))
+        .then(|| database::error("22012", "division by zero"))
 }
 
 /// Masks the session's key for cancel requests, which differs from run to run.
@@ -77,19 +77,23 @@
         ("set", true, query(b"SET x = 1"), 1),
         ("reset", true, query(b"reset all"), 1),
         ("discard", true, query(b"DISCARD ALL"), 1),
-        ("sync", true, toy::message(b'S', b""), 1),
+        ("sync", true, database::message(b'S', b""), 1),
         (
             "parse and sync",
             true,
-            [toy::message(b'P', b"\0\0\0\0"), toy::message(b'S', b"")].concat(),
+            [
+                database::message(b'P', b"\0\0\0\0"),
+                database::message(b'S', b""),
+            ]
+            .concat(),
             1,
         ),
-        ("unknown message", true, toy::message(b'?', b""), 1),
+        ("unknown message", true, database::message(b'?', b""), 1),
         ("message that is too long", true, long, 1),
         (
             "query without its end",
             true,
-            toy::message(b'Q', b"SELECT 1"),
+            database::message(b'Q', b"SELECT 1"),
             1,
         ),
     ]
--- a/tests/process/mod.rs
+++ b/tests/process/mod.rs
@@ -1,7 +1,7 @@
 //! Starts the gateway as a process in front of stand-in databases and discovery, and provides a PostgreSQL client.
 #![allow(dead_code)]
 
-use asterreel_testbench::{bounded, database as toy};
+use asterreel_testbench::{bounded, database};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::{Child, Command, Stdio};
@@ -74,7 +74,11 @@
 /// Starts a gateway whose databases withhold answers while more than `unread` statements have not been taken from
 /// [`Gateway::statements`]. `sockets` is the gateway's descriptor limit. Where `last_answer` returns bytes for a statement,
 /// the database sends them in place of its answer and closes the connection.
-pub(crate) fn start_with(unread: usize, sockets: u32, last_answer: toy::Spoil) -> Gateway {
+pub(crate) fn start_with(
+    unread: usize,
+    sockets: u32,
+    last_answer: database::AnswerOverride,
+) -> Gateway {
     start_with_log(unread, sockets, last_answer, Stdio::null())
 }
 
@@ -82,18 +86,23 @@
 pub(crate) fn start_with_log(
     unread: usize,
     sockets: u32,
-    last_answer: toy::Spoil,
+    last_answer: database::AnswerOverride,
     log: Stdio,
 ) -> Gateway {
     let (sender, statements) = sync_channel(unread);
     // Long enough that requests do not reach their deadline on a slow machine.
     let config = EXAMPLE.replace("\"DeadlineUs\": 1200000", "\"DeadlineUs\": 20000000");
     let mut config = config.replace("1024", &sockets.to_string());
-    for (port, role) in [("5501", toy::Role::Primary), ("5502", toy::Role::Replica)] {
+    for (port, role) in [
+        ("5501", database::Role::Primary),
+        ("5502", database::Role::Replica),
+    ] {
         let (listener, sender) = (listen(), sender.clone());
         let address = listener.local_addr().expect("bound").to_string();
         config = config.replace(&format!("127.0.0.1:{port}"), &address);
-        thread::spawn(move || toy::toy(&listener, role, Some(sender), last_answer));
+        thread::spawn(move || {
+            database::serve_without_delay(&listener, role, Some(sender), last_answer)
+        });
     }
     let list = endpoint_list_of(&config);
     let discovery = listen();
@@ -101,7 +110,7 @@
         "127.0.0.1:8500",
         &discovery.local_addr().expect("bound").to_string(),
     );
-    thread::spawn(move || toy::discovery(&discovery, &list));
+    thread::spawn(move || database::discovery(&discovery, &list));
     let address = unique_address();
     config = config.replace("127.0.0.1:6433", &address.to_string());
     spawn(config, address, statements, log)
@@ -204,14 +213,14 @@
         };
         let (server, statements) = (database.clone(), statements.clone());
         thread::spawn(move || {
-            toy::serve(&listener, move |statement| {
+            database::serve(&listener, move |statement| {
                 server.reply(statement, &statements)
             })
         });
         database
     }
 
-    fn reply(&self, statement: &[u8], statements: &Sender<Vec<u8>>) -> toy::Reply {
+    fn reply(&self, statement: &[u8], statements: &Sender<Vec<u8>>) -> database::Reply {
         let report_requested = statement == b"SHOW usage";
         if !report_requested {
             let _ = statements.send(statement.to_vec());
@@ -219,21 +228,21 @@
         }
         let primary = self.primary.load(Ordering::SeqCst);
         let role = if primary {
-            toy::Role::Primary
+            database::Role::Primary
         } else {
-            toy::Role::Replica
+            database::Role::Replica
         };
         let position = asterreel_testbench::now() / 1000;
         let answer = if report_requested {
-            toy::report(role, position, 0.1)
+            database::report(role, position, 0.1)
         } else if let Some(answer) = (self.override_answer)(statement) {
             answer
         } else if statement.starts_with(b"INSERT") && !primary {
-            toy::error("25006", "this is a replica")
+            database::error("25006", "this is a replica")
         } else {
-            toy::row(b"\x9f\x03toy")
+            database::row(b"\x9f\x03toy")
         };
-        toy::Reply::Answer([answer, toy::note(role, position)].concat())
+        database::Reply::Answer([answer, database::answer_end(role, position)].concat())
     }
 }
 
@@ -318,7 +327,7 @@
 
 /// The message of a simple query with this statement.
 pub(crate) fn query(statement: &[u8]) -> Vec<u8> {
-    toy::message(b'Q', &[statement, b"\0"].concat())
+    database::message(b'Q', &[statement, b"\0"].concat())
 }
 
 /// The statement of a read with this request id.
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -169,7 +169,7 @@
 
 /// The version in force at each gateway, and the gateway's number.
 fn versions_in_force(fleet: &mut Fleet) -> Vec<(u64, u32)> {
-    let all = fleet.look(&[]).expect("all gateways answer");
+    let all = fleet.standings(&[]).expect("all gateways answer");
     all.iter()
         .map(|standing| (standing.in_force, standing.gateway))
         .collect()
