--- a/testbench/src/balancer.rs
+++ b/testbench/src/balancer.rs
@@ -258,7 +258,7 @@
 
 /// Parses an agent's line as HAProxy's manual specifies: unknown words are skipped, and `#` begins a description.
 fn agent(line: &str) -> Found {
-    let (words, remark) = line.trim().split_once('#').unwrap_or((line.trim(), ""));
+    let (words, reason) = line.trim().split_once('#').unwrap_or((line.trim(), ""));
     let (mut weight, mut out) = (100, None);
     for word in words.split([' ', ',', '\t']) {
         match word {
@@ -274,7 +274,7 @@
         }
     }
     let word = out.map_or("up".to_owned(), |word| {
-        format!("{word} {remark}").trim().to_owned()
+        format!("{word} {reason}").trim().to_owned()
     });
     Found {
         state_text: word,
--- a/tests/failures/member_health.rs
+++ b/tests/failures/member_health.rs
@@ -130,8 +130,12 @@
     let mut gateway = TestGateway::ready(settings(), 4);
     let mut actions = Vec::new();
     for _ in 0..30 {
-        let (read, placed) = gateway.arrive(EVENTUAL);
-        assert_eq!(dispatches(&placed).len(), 1, "reads are still sent");
+        let (read, arrival_actions) = gateway.arrive(EVENTUAL);
+        assert_eq!(
+            dispatches(&arrival_actions).len(),
+            1,
+            "reads are still sent"
+        );
         let (mut attempt, mut more) = (0, true);
         while more {
             gateway.now += MS;
@@ -165,8 +169,8 @@
     let mut gateway = TestGateway::ready(settings(), 5);
     let mut actions = Vec::new();
     for _ in 0..60 {
-        let (read, placed) = gateway.arrive(EVENTUAL);
-        let to = dispatches(&placed)[0].1;
+        let (read, arrival_actions) = gateway.arrive(EVENTUAL);
+        let to = dispatches(&arrival_actions)[0].1;
         let outcome = if to == 2 {
             Outcome::Error
         } else {
--- a/tests/failures/selection.rs
+++ b/tests/failures/selection.rs
@@ -114,17 +114,17 @@
     for (m, lag) in [(1, 400), (2, 300), (3, 200), (4, 10)] {
         gateway.report_lag(m, Role::Replica, lag * MS);
     }
-    let placed = (0..40)
+    let dispatched = (0..40)
         .flat_map(|_| dispatches(&gateway.arrive(EVENTUAL).1))
         .map(|(_, m)| m)
         .collect::<Vec<u32>>();
-    let full = placed.iter().filter(|m| **m == 1).count();
+    let full = dispatched.iter().filter(|m| **m == 1).count();
     assert!(
-        full > 1 && placed[..full].iter().all(|m| *m == 1),
-        "the replica furthest behind first: {placed:?}"
+        full > 1 && dispatched[..full].iter().all(|m| *m == 1),
+        "the replica furthest behind first: {dispatched:?}"
     );
     assert_eq!(
-        placed[full..],
+        dispatched[full..],
         vec![2; full],
         "then the next replica, then reads wait"
     );
@@ -182,16 +182,16 @@
 fn bounded_reads_spill_to_primary_when_replicas_are_full() {
     let mut gateway = TestGateway::ready(settings(), 3);
     gateway.now += 400 * MS;
-    let placed: Vec<u32> = (0..40)
+    let dispatched: Vec<u32> = (0..40)
         .flat_map(|_| dispatches(&gateway.arrive(BOUNDED).1))
         .map(|(_, m)| m)
         .collect();
-    let replica = placed.iter().take_while(|m| **m != 0).count();
+    let replica = dispatched.iter().take_while(|m| **m != 0).count();
     assert!(
-        replica > 1 && replica < placed.len(),
-        "the replicas first, then the known primary: {placed:?}"
+        replica > 1 && replica < dispatched.len(),
+        "the replicas first, then the known primary: {dispatched:?}"
     );
-    assert_eq!(placed[replica..], vec![0; placed.len() - replica]);
+    assert_eq!(dispatched[replica..], vec![0; dispatched.len() - replica]);
     let (write, actions) = gateway.arrive(WRITE);
     assert_eq!(
         dispatches(&actions),
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -78,9 +78,9 @@
     );
     let mut actions = gateway.report_role(2, Role::Primary);
     actions.extend(gateway.advance(20 * MS));
-    let mut placed = dispatches(&actions);
-    placed.sort();
-    assert_eq!(placed, [(searching, 2), (write, 2)]);
+    let mut dispatched = dispatches(&actions);
+    dispatched.sort();
+    assert_eq!(dispatched, [(searching, 2), (write, 2)]);
 }
 
 /// A misrouted write demotes the known primary and waits for the next one.
