--- a/control/src/codec.rs
+++ b/control/src/codec.rs
@@ -49,12 +49,12 @@
 }
 
 /// Decodes the number of a topic.
-pub(crate) fn topic(number: u32) -> Result<Topic, DecodeError> {
+pub(crate) fn decode_topic(number: u32) -> Result<Topic, DecodeError> {
     Topic::from_number(number).ok_or(DecodeError::Unknown("topic"))
 }
 
 /// Checks the length of a content that was received, and returns it with its format.
-pub(crate) fn content(format: u32, bytes: Vec<u8>) -> Result<Content, DecodeError> {
+pub(crate) fn decode_content(format: u32, bytes: Vec<u8>) -> Result<Content, DecodeError> {
     if bytes.len() > MAX_CONTENT_BYTES {
         return Err(DecodeError::TooLong("content"));
     }
@@ -92,7 +92,7 @@
 #[derive(Clone, PartialEq, Message)]
 pub(crate) struct WireReport {
     #[prost(message, required, tag = "1")]
-    pub(crate) who: WireIdentity,
+    pub(crate) identity: WireIdentity,
     #[prost(uint64, tag = "2")]
     pub(crate) sequence: u64,
     #[prost(message, repeated, tag = "3")]
@@ -131,7 +131,7 @@
 
     fn try_from(span: &WireSpan) -> Result<Span, DecodeError> {
         Ok(Span {
-            topic: topic(span.topic)?,
+            topic: decode_topic(span.topic)?,
             number: span.number,
             from: span.from,
             until: span.until,
@@ -142,9 +142,9 @@
 
 impl WireReport {
     /// Encodes a report as a message.
-    pub(crate) fn new(who: NodeIdentity, sequence: u64, spans: &[Span]) -> WireReport {
+    pub(crate) fn new(identity: NodeIdentity, sequence: u64, spans: &[Span]) -> WireReport {
         WireReport {
-            who: who.into(),
+            identity: identity.into(),
             sequence,
             spans: spans.iter().map(WireSpan::from).collect(),
         }
--- a/control/src/versions/coordinator/mod.rs
+++ b/control/src/versions/coordinator/mod.rs
@@ -47,7 +47,7 @@
     /// A gateway has a new link to this control member: messages on a former one may be lost.
     Connected(NodeIdentity),
     /// A quorum has confirmed, after this read-index round was requested, that it knows of no later leader.
-    Confirmed(u64),
+    RoundConfirmed(u64),
     /// A timer fired. More ticks than requested are harmless.
     Tick,
 }
@@ -58,16 +58,16 @@
     /// Propose this entry to the log. It may be lost.
     Propose(Command),
     /// Request a read-index round: ask a quorum whether this control member still leads, and answer with
-    /// [`Event::Confirmed`]. It may be lost.
-    Confirm(u64),
+    /// [`Event::RoundConfirmed`]. It may be lost.
+    RequestRound(u64),
     /// Send a gateway a message. It may be lost.
     Send(NodeIdentity, ToGateway),
     /// Send every connected gateway a message. It may be lost.
     Broadcast(ToGateway),
     /// A gateway's audit report was counted.
-    Counted {
+    ReportCounted {
         /// The gateway that reported.
-        who: NodeIdentity,
+        identity: NodeIdentity,
         /// The actions in the report, by topic and version.
         spans: Vec<Span>,
     },
@@ -152,12 +152,12 @@
             Event::Leading(leading) => self.set_leading(leading),
             Event::Leader(leader) => self.leader = leader,
             Event::Received(message) => self.receive(now, message, out),
-            Event::Connected(who) => {
+            Event::Connected(identity) => {
                 if let Some(leadership) = &mut self.leadership {
-                    leadership.links.reset(who.gateway, now);
+                    leadership.links.reset(identity.gateway, now);
                 }
             }
-            Event::Confirmed(round) => self.confirm_round(round, out),
+            Event::RoundConfirmed(round) => self.confirm_round(round, out),
             Event::Tick => {}
         }
         self.run_due(now, out);
@@ -201,7 +201,9 @@
             .is_none_or(|at| now >= at.saturating_add(self.timing.renew_us));
         if due {
             self.epoch_proposed_at = Some(now);
-            out.push(Action::Propose(Command::BeginEpoch { who: self.identity }));
+            out.push(Action::Propose(Command::BeginEpoch {
+                identity: self.identity,
+            }));
         }
     }
 
@@ -229,7 +231,7 @@
             .take_expired(now, &self.timing, &self.table);
         out.extend(expired.into_iter().map(|registration| {
             Action::Propose(Command::Expire {
-                who: registration.who,
+                identity: registration.identity,
                 token: registration.token,
                 epoch,
             })
@@ -244,7 +246,7 @@
         };
         if leadership.rounds.begin_if_due(now, self.timing.renew_us) {
             self.last_round += 1;
-            out.push(Action::Confirm(self.last_round));
+            out.push(Action::RequestRound(self.last_round));
         }
     }
 
--- a/control/src/versions/wire/to_gateway.rs
+++ b/control/src/versions/wire/to_gateway.rs
@@ -1,7 +1,7 @@
 //! Encoding and decoding of [`ToGateway`].
 
 use super::{decode_bounded, WireRegistration};
-use crate::codec::{content, topic, DecodeError, WireIdentity};
+use crate::codec::{decode_content, decode_topic, DecodeError, WireIdentity};
 use crate::lease::{Index, NodeIdentity, Token};
 use crate::versions::{truncate_reason, Rejection, ToGateway, Topic, TopicState, Version};
 use prost::Message;
@@ -33,7 +33,7 @@
 #[derive(Clone, PartialEq, Message)]
 struct RegistrationRenewed {
     #[prost(message, required, tag = "1")]
-    who: WireIdentity,
+    identity: WireIdentity,
     #[prost(uint64, tag = "2")]
     token: u64,
     #[prost(uint64, tag = "3")]
@@ -47,7 +47,7 @@
 #[derive(Clone, PartialEq, Message)]
 struct TopicStates {
     #[prost(uint64, tag = "1")]
-    as_of: u64,
+    state_index: u64,
     #[prost(uint64, tag = "2")]
     since: u64,
     #[prost(message, repeated, tag = "3")]
@@ -79,7 +79,7 @@
 #[derive(Clone, PartialEq, Message)]
 struct RequestRejected {
     #[prost(message, required, tag = "1")]
-    who: WireIdentity,
+    identity: WireIdentity,
     /// The code of the reason; [`RequestRejected::new`] assigns them.
     #[prost(uint32, tag = "2")]
     code: u32,
@@ -103,7 +103,7 @@
 #[derive(Clone, PartialEq, Message)]
 struct ReportCounted {
     #[prost(message, required, tag = "1")]
-    who: WireIdentity,
+    identity: WireIdentity,
     #[prost(uint64, tag = "2")]
     sequence: u64,
 }
@@ -137,32 +137,32 @@
     fn from(message: &ToGateway) -> Kind {
         match message {
             ToGateway::RegistrationRenewed {
-                who,
+                identity,
                 token,
                 sent_at,
                 required_index,
                 registrations,
             } => Kind::RegistrationRenewed(RegistrationRenewed {
-                who: (*who).into(),
+                identity: (*identity).into(),
                 token: token.0,
                 sent_at: *sent_at,
                 required_index: required_index.0,
                 registrations: *registrations,
             }),
             ToGateway::TopicStates {
-                as_of,
+                state_index,
                 since,
                 topics,
             } => Kind::TopicStates(TopicStates {
-                as_of: as_of.0,
+                state_index: state_index.0,
                 since: since.0,
                 topics: topics.iter().map(WireTopicState::from).collect(),
             }),
-            ToGateway::RegistrationExpired { who, token } => {
-                Kind::RegistrationExpired(WireRegistration::new(*who, *token))
+            ToGateway::RegistrationExpired { identity, token } => {
+                Kind::RegistrationExpired(WireRegistration::new(*identity, *token))
             }
-            ToGateway::RequestRejected { who, reason } => {
-                Kind::RequestRejected(RequestRejected::new(*who, *reason))
+            ToGateway::RequestRejected { identity, reason } => {
+                Kind::RequestRejected(RequestRejected::new(*identity, *reason))
             }
             ToGateway::ProposalRejected {
                 topic,
@@ -175,8 +175,8 @@
                 by: (*by).into(),
                 reason: reason.clone(),
             }),
-            ToGateway::ReportCounted { who, sequence } => Kind::ReportCounted(ReportCounted {
-                who: (*who).into(),
+            ToGateway::ReportCounted { identity, sequence } => Kind::ReportCounted(ReportCounted {
+                identity: (*identity).into(),
                 sequence: *sequence,
             }),
             ToGateway::NotLeader { leader } => Kind::NotLeader(NotLeader { leader: *leader }),
@@ -190,33 +190,33 @@
     fn try_from(kind: Kind) -> Result<ToGateway, DecodeError> {
         Ok(match kind {
             Kind::RegistrationRenewed(renewed) => ToGateway::RegistrationRenewed {
-                who: renewed.who.into(),
+                identity: renewed.identity.into(),
                 token: Token(renewed.token),
                 sent_at: renewed.sent_at,
                 required_index: Index(renewed.required_index),
                 registrations: renewed.registrations,
             },
             Kind::TopicStates(states) => ToGateway::TopicStates {
-                as_of: Index(states.as_of),
+                state_index: Index(states.state_index),
                 since: Index(states.since),
                 topics: topic_states(states.topics)?,
             },
             Kind::RegistrationExpired(registration) => ToGateway::RegistrationExpired {
-                who: registration.who.into(),
+                identity: registration.identity.into(),
                 token: Token(registration.token),
             },
             Kind::RequestRejected(rejected) => ToGateway::RequestRejected {
-                who: rejected.who.into(),
+                identity: rejected.identity.into(),
                 reason: rejected.reason()?,
             },
             Kind::ProposalRejected(rejected) => ToGateway::ProposalRejected {
-                topic: topic(rejected.topic)?,
+                topic: decode_topic(rejected.topic)?,
                 number: rejected.number,
                 by: rejected.by.into(),
                 reason: truncate_reason(&rejected.reason),
             },
             Kind::ReportCounted(counted) => ToGateway::ReportCounted {
-                who: counted.who.into(),
+                identity: counted.identity.into(),
                 sequence: counted.sequence,
             },
             Kind::NotLeader(not_leader) => ToGateway::NotLeader {
@@ -249,7 +249,7 @@
 
     fn try_from(state: WireTopicState) -> Result<TopicState, DecodeError> {
         Ok(TopicState {
-            topic: topic(state.topic)?,
+            topic: decode_topic(state.topic)?,
             active: state.active,
             previous: state.previous,
             proposal: state.proposal.map(Version::try_from).transpose()?,
@@ -273,13 +273,13 @@
     fn try_from(version: WireVersion) -> Result<Version, DecodeError> {
         Ok(Version {
             number: version.number,
-            content: content(version.format, version.content)?,
+            content: decode_content(version.format, version.content)?,
         })
     }
 }
 
 impl RequestRejected {
-    fn new(who: NodeIdentity, reason: Rejection) -> RequestRejected {
+    fn new(identity: NodeIdentity, reason: Rejection) -> RequestRejected {
         let (code, number) = match reason {
             Rejection::StaleRegistration => (1, 0),
             Rejection::AlreadyRegistered => (2, 0),
@@ -291,7 +291,7 @@
             Rejection::AlreadyDecided => (8, 0),
         };
         RequestRejected {
-            who: who.into(),
+            identity: identity.into(),
             code,
             number,
         }
--- a/src/bin/asterreel/control/client.rs
+++ b/src/bin/asterreel/control/client.rs
@@ -173,12 +173,12 @@
 
     /// Reports how many requests were served under the active version of the operator's file.
     pub(crate) fn report_requests(&mut self, gateway: &Gateway) {
-        let requests = gateway.requests();
+        let requests = gateway.request_count();
         let count = requests - std::mem::replace(&mut self.reported_requests, requests);
         let acting = self
             .handle
             .view()
-            .acting(Topic::Operator, gateway.core.clock.now());
+            .usable_version(Topic::Operator, gateway.core.clock.now());
         if let Some((version, _)) = acting.filter(|_| count > 0) {
             self.handle
                 .request(ControlRequest::Acted(Topic::Operator, version, count));
--- a/testbench/src/fleet.rs
+++ b/testbench/src/fleet.rs
@@ -17,7 +17,7 @@
 
 /// A write that a database executed.
 #[derive(Clone, Debug)]
-pub struct Taken {
+pub struct ExecutedWrite {
     /// The request's id, from the statement's comment.
     pub id: String,
     /// Time of execution, Unix microseconds.
@@ -43,7 +43,7 @@
 struct State {
     members: Vec<Member>,
     revision: u64,
-    taken: Vec<Taken>,
+    executed_writes: Vec<ExecutedWrite>,
     deaths: Vec<(usize, u64)>,
 }
 
@@ -131,7 +131,7 @@
         let state = Mutex::new(State {
             members,
             revision: 1,
-            taken: Vec::new(),
+            executed_writes: Vec::new(),
             deaths: Vec::new(),
         });
         let fleet = Arc::new(Fleet {
@@ -198,7 +198,7 @@
                 format!("{}\n", self.list(gateway))
             };
             told = revision;
-            watch.tell(&line)?;
+            watch.send(&line)?;
             let state = self.lock();
             if state.revision == told {
                 drop(self.changed.wait_timeout(state, Duration::from_secs(2)));
@@ -246,23 +246,25 @@
         } else {
             member.lag_ms
         };
-        let note = |role| database::note(role, now() / 1000 - lag);
+        let answer_end = |role| database::answer_end(role, now() / 1000 - lag);
         if statement == b"SHOW usage" {
             let util = member.busy as f64 / self.shape.cores as f64;
             let report = database::report(member.role, now() / 1000 - lag, util);
-            return Reply::Answer([report, note(member.role)].concat());
+            return Reply::Answer([report, answer_end(member.role)].concat());
         }
         if write && member.role == Role::Replica {
             return Reply::Answer(
                 [
                     database::error("25006", "this is a replica"),
-                    note(member.role),
+                    answer_end(member.role),
                 ]
                 .concat(),
             );
         }
         if member.phase != "ready" || member.waiting >= self.shape.queue {
-            return Reply::Answer([database::error("53300", "full"), note(member.role)].concat());
+            return Reply::Answer(
+                [database::error("53300", "full"), answer_end(member.role)].concat(),
+            );
         }
         member.waiting += 1;
         while state.members[number].busy >= self.shape.cores && state.members[number].alive {
@@ -297,14 +299,14 @@
         }
         let role = member.role;
         if write {
-            let taken = Taken {
+            let write = ExecutedWrite {
                 id: comment(statement, "id"),
                 at: now(),
                 member: number,
             };
-            state.taken.push(taken);
+            state.executed_writes.push(write);
         }
-        Reply::Answer([database::row(b"rig"), note(role)].concat())
+        Reply::Answer([database::row(b"rig"), answer_end(role)].concat())
     }
 
     /// Simulates the crash of a database: all its connections are shut down, new ones are closed.
@@ -383,8 +385,8 @@
     }
 
     /// All writes that were executed.
-    pub fn taken(&self) -> Vec<Taken> {
-        self.lock().taken.clone()
+    pub fn executed_writes(&self) -> Vec<ExecutedWrite> {
+        self.lock().executed_writes.clone()
     }
 }
 
--- a/tests/golden_answers.rs
+++ b/tests/golden_answers.rs
@@ -4,7 +4,7 @@
 mod golden;
 mod process;
 
-use asterreel_testbench::database as toy;
+use asterreel_testbench::database;
 use asterreel_testbench::fleet::{Fleet, Shape};
 use asterreel_testbench::gateway::{Gateway as FleetGateway, Plan};
 use process::*;
@@ -20,7 +20,7 @@
     statement
         .windows(4)
         .any(|word| word == b"FAIL")
-        .then(|| toy::error("22012", "division by zero"))
+        .then(|| database::error("22012", "division by zero"))
 }
 
 /// Masks the session's key for cancel requests, which differs from run to run.
@@ -39,7 +39,7 @@
         Client::connect(gateway)
     };
     client.send(bytes);
-    let all: Vec<u8> = (0..answers).flat_map(|_| client.answer().1).collect();
+    let all: Vec<u8> = (0..answers).flat_map(|_| client.read_answer().1).collect();
     golden::escaped(&mask_cancel_key(all))
 }
 
@@ -77,19 +77,23 @@
         ("set", true, query(b"SET x = 1"), 1),
         ("reset", true, query(b"reset all"), 1),
         ("discard", true, query(b"DISCARD ALL"), 1),
-        ("sync", true, toy::message(b'S', b""), 1),
+        ("sync", true, database::message(b'S', b""), 1),
         (
             "parse and sync",
             true,
-            [toy::message(b'P', b"\0\0\0\0"), toy::message(b'S', b"")].concat(),
+            [
+                database::message(b'P', b"\0\0\0\0"),
+                database::message(b'S', b""),
+            ]
+            .concat(),
             1,
         ),
-        ("unknown message", true, toy::message(b'?', b""), 1),
+        ("unknown message", true, database::message(b'?', b""), 1),
         ("message that is too long", true, long, 1),
         (
             "query without its end",
             true,
-            toy::message(b'Q', b"SELECT 1"),
+            database::message(b'Q', b"SELECT 1"),
             1,
         ),
     ]
@@ -180,9 +184,10 @@
     let primary = Database::start(true, true, &sender, error_for_fail);
     let replica = Database::start(false, true, &sender, error_for_fail);
     let discovery = listen().local_addr().expect("bound");
-    let (gateway, log) = staged([primary.address, replica.address], discovery, |config| {
-        config
-    });
+    let (gateway, log) =
+        start_with_databases([primary.address, replica.address], discovery, |config| {
+            config
+        });
     let mut output = String::new();
     for (name, started, bytes, answers) in message_cases().into_iter().chain(request_cases()) {
         writeln!(
@@ -204,7 +209,7 @@
     let (mut cancelled, key) = Client::ready_with_key(&gateway);
     cancelled.send(&query_with_comment(READ, "id=m,c=search,d=20000,cluster=0"));
     assert!(
-        log.says("dispatching attempt request="),
+        log.wait_for_line("dispatching attempt request="),
         "an attempt is dispatched"
     );
     let duplicate = exchange(
@@ -218,7 +223,7 @@
     writeln!(
         output,
         "cancelled: {}",
-        golden::escaped(&cancelled.answer().1)
+        golden::escaped(&cancelled.read_answer().1)
     )
     .expect("a string");
     let expired = exchange(
@@ -255,7 +260,7 @@
             false => config,
         };
         let addresses = [databases[0].address, databases[1].address];
-        let (gateway, _log) = staged(addresses, discovery, change);
+        let (gateway, _log) = start_with_databases(addresses, discovery, change);
         let answer = exchange(
             &gateway,
             true,
@@ -326,7 +331,7 @@
     let ready = |text: &str| text.starts_with("ready up 100%");
     while !TcpStream::connect(plan.agent).is_ok_and(|_| ready(&read_all(plan.agent, b""))) {
         assert!(
-            began.elapsed() < PATIENCE,
+            began.elapsed() < WAIT_LIMIT,
             "the gateway does not become ready"
         );
     }
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -524,10 +524,10 @@
     /// Passes the event to the observer and the router, then the router's actions to the observer. Returns the
     /// requests of the attempts that are dispatched.
     fn feed(&mut self, event: RouterEvent) -> Vec<RequestId> {
-        self.observer.event(self.gateway.now, &event);
+        self.observer.observe_event(self.gateway.now, &event);
         let actions = self.gateway.event(event);
         for action in &actions {
-            self.observer.action(self.gateway.now, action);
+            self.observer.observe_action(self.gateway.now, action);
         }
         let sent = common::dispatches(&actions);
         sent.iter().map(|(request, _)| *request).collect()
@@ -551,9 +551,9 @@
 
     /// A write for a group arrives; returns the requests of the attempts that are dispatched.
     fn write(&mut self, group: GroupId) -> Vec<RequestId> {
-        self.gateway.next += 1;
+        self.gateway.next_request_id += 1;
         self.feed(RouterEvent::RequestArrived(Arrival {
-            request: RequestId(self.gateway.next),
+            request: RequestId(self.gateway.next_request_id),
             class: ClassId(common::WRITE),
             tenant: TenantId(0),
             session: None,
@@ -569,7 +569,7 @@
         assert_eq!(self.write(GROUP).len(), 1);
         assert_eq!(self.group().in_flight, 1);
         self.gateway.now += took;
-        let request = RequestId(self.gateway.next);
+        let request = RequestId(self.gateway.next_request_id);
         let report = common::member_report(Role::Primary, self.gateway.now);
         let served = attempt_ended(request, 0, Outcome::Served, took, report);
         self.feed(RouterEvent::AttemptEnded(served));
--- a/tests/process/mod.rs
+++ b/tests/process/mod.rs
@@ -1,7 +1,7 @@
 //! Starts the gateway as a process in front of stand-in databases and discovery, and provides a PostgreSQL client.
 #![allow(dead_code)]
 
-use asterreel_testbench::{bounded, database as toy};
+use asterreel_testbench::{bounded, database};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::{Child, Command, Stdio};
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 /// The most that tests wait for anything to happen: far longer than it takes on a slow machine.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(20);
+pub(crate) const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
 /// The text of the example configuration, in which tests replace parts.
 pub(crate) const EXAMPLE: &str = include_str!("../../examples/config.json");
@@ -48,7 +48,7 @@
 
     /// Waits for the process to exit and asserts that its status is success.
     pub(crate) fn wait_for_success(&mut self) {
-        assert!(bounded::exit(&mut self.process, PATIENCE)
+        assert!(bounded::exit(&mut self.process, WAIT_LIMIT)
             .expect("the gateway exits")
             .success());
     }
@@ -74,7 +74,11 @@
 /// Starts a gateway whose databases withhold answers while more than `unread` statements have not been taken from
 /// [`Gateway::statements`]. `sockets` is the gateway's descriptor limit. Where `last_answer` returns bytes for a statement,
 /// the database sends them in place of its answer and closes the connection.
-pub(crate) fn start_with(unread: usize, sockets: u32, last_answer: toy::Spoil) -> Gateway {
+pub(crate) fn start_with(
+    unread: usize,
+    sockets: u32,
+    last_answer: database::AnswerOverride,
+) -> Gateway {
     start_with_log(unread, sockets, last_answer, Stdio::null())
 }
 
@@ -82,18 +86,23 @@
 pub(crate) fn start_with_log(
     unread: usize,
     sockets: u32,
-    last_answer: toy::Spoil,
+    last_answer: database::AnswerOverride,
     log: Stdio,
 ) -> Gateway {
     let (sender, statements) = sync_channel(unread);
     // Long enough that requests do not reach their deadline on a slow machine.
     let config = EXAMPLE.replace("\"DeadlineUs\": 1200000", "\"DeadlineUs\": 20000000");
     let mut config = config.replace("1024", &sockets.to_string());
-    for (port, role) in [("5501", toy::Role::Primary), ("5502", toy::Role::Replica)] {
+    for (port, role) in [
+        ("5501", database::Role::Primary),
+        ("5502", database::Role::Replica),
+    ] {
         let (listener, sender) = (listen(), sender.clone());
         let address = listener.local_addr().expect("bound").to_string();
         config = config.replace(&format!("127.0.0.1:{port}"), &address);
-        thread::spawn(move || toy::toy(&listener, role, Some(sender), last_answer));
+        thread::spawn(move || {
+            database::serve_without_delay(&listener, role, Some(sender), last_answer)
+        });
     }
     let list = endpoint_list_of(&config);
     let discovery = listen();
@@ -101,7 +110,7 @@
         "127.0.0.1:8500",
         &discovery.local_addr().expect("bound").to_string(),
     );
-    thread::spawn(move || toy::discovery(&discovery, &list));
+    thread::spawn(move || database::discovery(&discovery, &list));
     let address = unique_address();
     config = config.replace("127.0.0.1:6433", &address.to_string());
     spawn(config, address, statements, log)
@@ -204,14 +213,14 @@
         };
         let (server, statements) = (database.clone(), statements.clone());
         thread::spawn(move || {
-            toy::serve(&listener, move |statement| {
+            database::serve(&listener, move |statement| {
                 server.reply(statement, &statements)
             })
         });
         database
     }
 
-    fn reply(&self, statement: &[u8], statements: &Sender<Vec<u8>>) -> toy::Reply {
+    fn reply(&self, statement: &[u8], statements: &Sender<Vec<u8>>) -> database::Reply {
         let report_requested = statement == b"SHOW usage";
         if !report_requested {
             let _ = statements.send(statement.to_vec());
@@ -219,27 +228,27 @@
         }
         let primary = self.primary.load(Ordering::SeqCst);
         let role = if primary {
-            toy::Role::Primary
+            database::Role::Primary
         } else {
-            toy::Role::Replica
+            database::Role::Replica
         };
         let position = asterreel_testbench::now() / 1000;
         let answer = if report_requested {
-            toy::report(role, position, 0.1)
+            database::report(role, position, 0.1)
         } else if let Some(answer) = (self.override_answer)(statement) {
             answer
         } else if statement.starts_with(b"INSERT") && !primary {
-            toy::error("25006", "this is a replica")
+            database::error("25006", "this is a replica")
         } else {
-            toy::row(b"\x9f\x03toy")
+            database::row(b"\x9f\x03toy")
         };
-        toy::Reply::Answer([answer, toy::note(role, position)].concat())
+        database::Reply::Answer([answer, database::answer_end(role, position)].concat())
     }
 }
 
 /// Starts a gateway in front of these two databases, with its discovery at `discovery` and its configuration passed
 /// through `change`. Deadlines are raised to 20 s so that requests do not reach them on a slow machine.
-pub(crate) fn staged(
+pub(crate) fn start_with_databases(
     databases: [SocketAddr; 2],
     discovery: SocketAddr,
     change: impl Fn(String) -> String,
@@ -281,12 +290,12 @@
     }
 
     /// Waits up to 20 s for a line that contains this text; returns whether one was logged.
-    pub(crate) fn says(&self, text: &str) -> bool {
-        self.says_within(text, Duration::from_secs(20))
+    pub(crate) fn wait_for_line(&self, text: &str) -> bool {
+        self.wait_for_line_within(text, Duration::from_secs(20))
     }
 
     /// Waits for a line that contains this text, at most this long; returns whether one was logged.
-    pub(crate) fn says_within(&self, text: &str, within: Duration) -> bool {
+    pub(crate) fn wait_for_line_within(&self, text: &str, within: Duration) -> bool {
         self.lines_up_to(text, within).is_some()
     }
 
@@ -318,7 +327,7 @@
 
 /// The message of a simple query with this statement.
 pub(crate) fn query(statement: &[u8]) -> Vec<u8> {
-    toy::message(b'Q', &[statement, b"\0"].concat())
+    database::message(b'Q', &[statement, b"\0"].concat())
 }
 
 /// The statement of a read with this request id.
@@ -343,7 +352,7 @@
             attempts += 1;
             thread::sleep(Duration::from_millis(20));
         };
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
+        stream.set_read_timeout(Some(WAIT_LIMIT)).expect("set");
         Client(stream)
     }
 
@@ -351,7 +360,7 @@
     pub(crate) fn ready(gateway: &Gateway) -> Client {
         let mut client = Client::connect(gateway);
         client.send(&startup());
-        client.answer();
+        client.read_answer();
         client
     }
 
@@ -360,7 +369,7 @@
     }
 
     /// Reads messages up to ReadyForQuery or the end of the connection; returns their tags and all bytes.
-    pub(crate) fn answer(&mut self) -> (String, Vec<u8>) {
+    pub(crate) fn read_answer(&mut self) -> (String, Vec<u8>) {
         let (mut tags, mut bytes) = (String::new(), Vec::new());
         let mut head = [0; 5];
         loop {
@@ -390,7 +399,7 @@
     pub(crate) fn ready_with_key(gateway: &Gateway) -> (Client, Vec<u8>) {
         let mut client = Client::connect(gateway);
         client.send(&startup());
-        let (_, session_started) = client.answer();
+        let (_, session_started) = client.read_answer();
         let at = session_started
             .windows(5)
             .position(|head| head == b"K\0\0\0\x0c")
@@ -443,7 +452,7 @@
     spawn(config, address, sync_channel(1).1, Stdio::null())
 }
 
-/// Accepts the gateway's next connection to this agent; `None` if there is none within [`PATIENCE`].
+/// Accepts the gateway's next connection to this agent; `None` if there is none within [`WAIT_LIMIT`].
 pub(crate) fn accept_call(agent: &TcpListener) -> Option<TcpStream> {
-    bounded::accept(agent, PATIENCE).ok()
+    bounded::accept(agent, WAIT_LIMIT).ok()
 }
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -441,9 +441,9 @@
             return self.dial(number, other);
         }
         self.gateways[number].link = Some(member);
-        let who = identity(number, self.gateways[number].incarnation);
+        let identity = identity(number, self.gateways[number].incarnation);
         self.in_flight
-            .push((self.now_us, InFlight::Connected(member, who)));
+            .push((self.now_us, InFlight::Connected(member, identity)));
         self.gateway_event(number, client::Event::Connected);
     }
 
@@ -473,9 +473,9 @@
     }
 
     fn act(&mut self, number: usize) {
-        if let Some((version, _)) = self.acting(number) {
-            let who = identity(number, self.gateways[number].incarnation);
-            *self.actions.entry(who).or_default() += 1;
+        if let Some((version, _)) = self.usable_version(number) {
+            let identity = identity(number, self.gateways[number].incarnation);
+            *self.actions.entry(identity).or_default() += 1;
             self.gateway_event(
                 number,
                 client::Event::Acted {
@@ -489,11 +489,15 @@
 
     /// The version that a gateway acts on, and its token. A stalled gateway does not act; the actions that it resumes later
     /// are fenced by their token.
-    fn acting(&self, number: usize) -> Option<(u64, Token)> {
+    fn usable_version(&self, number: usize) -> Option<(u64, Token)> {
         let gateway = &self.gateways[number];
         let awake = self.now_us >= gateway.stalled_until;
         awake
-            .then(|| gateway.client.acting(TOPIC, gateway.clock.at(self.now_us)))
+            .then(|| {
+                gateway
+                    .client
+                    .usable_version(TOPIC, gateway.clock.at(self.now_us))
+            })
             .flatten()
     }
 
@@ -516,10 +520,10 @@
             coordinator::Action::Propose(command) if can_send => {
                 self.send(InFlight::Proposal(command), 10)
             }
-            coordinator::Action::Confirm(round) if self.scenario.skip_confirmation => {
-                self.member_event(number, coordinator::Event::Confirmed(round));
+            coordinator::Action::RequestRound(round) if self.scenario.skip_confirmation => {
+                self.member_event(number, coordinator::Event::RoundConfirmed(round));
             }
-            coordinator::Action::Confirm(round) if can_send => {
+            coordinator::Action::RequestRound(round) if can_send => {
                 let committed = self.log.len();
                 self.send(
                     InFlight::Round {
@@ -530,8 +534,8 @@
                     10,
                 );
             }
-            coordinator::Action::Send(who, message) => {
-                self.send_to_gateway(number, who.gateway as usize - 1, message)
+            coordinator::Action::Send(identity, message) => {
+                self.send_to_gateway(number, identity.gateway as usize - 1, message)
             }
             coordinator::Action::Broadcast(message) => {
                 for gateway in 0..GATEWAYS {
@@ -542,8 +546,8 @@
             }
             coordinator::Action::Wake(at) => self.members[number].wake_at = at,
             coordinator::Action::Propose(_)
-            | coordinator::Action::Confirm(_)
-            | coordinator::Action::Counted { .. } => {}
+            | coordinator::Action::RequestRound(_)
+            | coordinator::Action::ReportCounted { .. } => {}
         }
     }
 
@@ -648,8 +652,8 @@
             InFlight::ToControl(member, message) => {
                 self.member_event(member, coordinator::Event::Received(message));
             }
-            InFlight::Connected(member, who) => {
-                self.member_event(member, coordinator::Event::Connected(who))
+            InFlight::Connected(member, identity) => {
+                self.member_event(member, coordinator::Event::Connected(identity))
             }
             InFlight::ToGateway(gateway, message) => {
                 self.gateway_event(gateway, client::Event::Received(message));
@@ -681,7 +685,7 @@
                 if self.members[member].applied < committed {
                     return false;
                 }
-                self.member_event(member, coordinator::Event::Confirmed(round));
+                self.member_event(member, coordinator::Event::RoundConfirmed(round));
             }
             InFlight::Elect(leader) => self.elect(leader),
             InFlight::Elected {
@@ -844,7 +848,8 @@
     // Checks.
 
     fn check(&mut self) {
-        let acting = (0..GATEWAYS).filter_map(|number| Some((number, self.acting(number)?)));
+        let acting =
+            (0..GATEWAYS).filter_map(|number| Some((number, self.usable_version(number)?)));
         let acting: Vec<(usize, (u64, Token))> = acting.collect();
         let acted: BTreeSet<u64> = acting.iter().map(|(_, (version, _))| *version).collect();
         if let Some(newest) = acted.last() {
@@ -861,14 +866,14 @@
             }
         }
         for (number, (_, token)) in acting {
-            let who = identity(number, self.gateways[number].incarnation);
+            let identity = identity(number, self.gateways[number].incarnation);
             if self
                 .reference
-                .registration(who)
+                .registration(identity)
                 .is_none_or(|registration| registration.token != token)
             {
                 let violation = format!(
-                    "{} us: {who:?} acts under {token:?}, which is not its registration",
+                    "{} us: {identity:?} acts under {token:?}, which is not its registration",
                     self.now_us
                 );
                 self.observed.violations.push(violation);
@@ -895,8 +900,10 @@
     fn time_until_active_everywhere(&self, since: u64) -> Option<u64> {
         let newest = self.reference.topic(TOPIC)?.active_number();
         let proposed_at = self.proposed_at.get(&newest).filter(|at| **at >= since)?;
-        let everywhere =
-            (0..GATEWAYS).all(|number| self.acting(number).is_some_and(|(one, _)| one == newest));
+        let everywhere = (0..GATEWAYS).all(|number| {
+            self.usable_version(number)
+                .is_some_and(|(one, _)| one == newest)
+        });
         everywhere.then(|| self.now_us - proposed_at)
     }
 
@@ -922,12 +929,15 @@
 
     fn record_counts(&mut self) {
         let audit = self.reference.audit();
-        for (who, actions) in &self.actions {
-            let entries = audit.entries().iter().filter(|entry| entry.who == *who);
+        for (identity, actions) in &self.actions {
+            let entries = audit
+                .entries()
+                .iter()
+                .filter(|entry| entry.identity == *identity);
             let ran_until_end =
-                self.gateways[who.gateway as usize - 1].incarnation == who.incarnation;
+                self.gateways[identity.gateway as usize - 1].incarnation == identity.incarnation;
             self.observed.counts.push((
-                *who,
+                *identity,
                 *actions,
                 entries.map(|entry| entry.span.count).sum(),
                 ran_until_end,
@@ -985,7 +995,7 @@
         durations.push(observed.active_everywhere_after.unwrap_or_else(|| {
             panic!("seed {seed}: no version became active everywhere after the faults")
         }));
-        for (who, actions, counted, ran_until_end) in observed.counts {
+        for (identity, actions, counted, ran_until_end) in observed.counts {
             // The last actions before a restart are not reported. No action counts twice.
             let matches_audit = if ran_until_end {
                 counted == actions
@@ -994,7 +1004,7 @@
             };
             assert!(
                 matches_audit,
-                "seed {seed}: {who:?} began {actions} actions, and the audit has {counted}"
+                "seed {seed}: {identity:?} began {actions} actions, and the audit has {counted}"
             );
         }
         (active, rejections) = (
